--- a/cmd/curlewctl/lease.go
+++ b/cmd/curlewctl/lease.go
@@ -48,8 +48,8 @@
 
 // Validate checks the bounds; kong calls it.
 func (c *leaseRun) Validate() error {
-	if c.TTL < lease.LeastTTL || c.TTL > lease.MostTTL {
-		return fmt.Errorf("--ttl is %v, allowed: %v to %v", c.TTL, lease.LeastTTL, lease.MostTTL)
+	if c.TTL < lease.MinTTL || c.TTL > lease.MaxTTL {
+		return fmt.Errorf("--ttl is %v, allowed: %v to %v", c.TTL, lease.MinTTL, lease.MaxTTL)
 	}
 	if c.Grace < 0 || c.Grace > c.TTL/2 {
 		return fmt.Errorf("--grace is %v, allowed: up to half of --ttl, %v", c.Grace, c.TTL/2)
--- a/internal/fleet/record/record.go
+++ b/internal/fleet/bootstrap/record.go
@@ -1,4 +1,4 @@
-// Package record decides how a starting node without a list of servers comes by one: from
+// Package bootstrap decides how a starting node without a list of servers comes by one: from
 // another node, or from discovery, and when it is its turn to ask that.
 //
 // It is pure: messages, ticks and what the node learns come in; messages and what the node
@@ -7,7 +7,7 @@
 //
 // It must not open a socket, hold a lease or believe a list: it says that a lease is wanted,
 // and hands a list over for what it is worth.
-package record
+package bootstrap
 
 import (
 	"math"
@@ -45,9 +45,9 @@
 
 // The kinds of messages.
 const (
-	Want     Kind = 1 + iota // has somebody a list?
-	Starting                 // the sender has none either, and wants one
-	Here                     // a list, in Body
+	ListQuery Kind = 1 + iota // has somebody a list?
+	Starting                  // the sender has none either, and wants one
+	ListReply                 // a list, in Body
 )
 
 // Message is what one node tells another.
@@ -59,7 +59,7 @@
 }
 
 // Out is a message on its way out. The body of a Here is the sender's to add.
-type Out struct {
+type Outgoing struct {
 	To   string
 	Kind Kind
 }
@@ -69,17 +69,17 @@
 
 // The phases.
 const (
-	Near    Phase = 1 + iota // asking around
-	Holding                  // others start too: waiting for one of them
-	Asking                   // discovery is asked
-	Having                   // there is a list
+	AskingPeers     Phase = 1 + iota // asking around
+	WaitingForPeer                   // others start too: waiting for one of them
+	AskingDiscovery                  // discovery is asked
+	HasList                          // there is a list
 )
 
 // String is the phase for logs.
 func (p Phase) String() string { return [...]string{"", "near", "holding", "asking", "having"}[p] }
 
 // Record is one node's part.
-type Record struct {
+type Bootstrapper struct {
 	set     Settings
 	rng     *rand.Rand
 	phase   Phase
@@ -92,7 +92,7 @@
 	hold    time.Duration // of this node
 	handed  int           // in the present second
 	second  time.Duration
-	outs    []Out
+	outs    []Outgoing
 	asks    bool // discovery is to be asked
 	take    *Message
 }
@@ -105,14 +105,14 @@
 }
 
 // New begins. Has tells that the node starts with a list of its own: it then only hands on.
-func New(set Settings, has bool, seed uint64, now time.Duration) *Record {
+func New(set Settings, has bool, seed uint64, now time.Duration) *Bootstrapper {
 	if set.Near <= 0 {
 		set.Near = usualNear
 	}
 	if set.Hold <= 0 {
 		set.Hold = usualHold
 	}
-	r := &Record{set: set, rng: rand.New(rand.NewPCG(seed, 0x12ec)), phase: Near, begun: now, wanting: map[string]time.Duration{}}
+	r := &Bootstrapper{set: set, rng: rand.New(rand.NewPCG(seed, 0x12ec)), phase: AskingPeers, begun: now, wanting: map[string]time.Duration{}}
 	// Where nobody gives out leases, nodes ask by themselves, few of them early: of 300 the first after four tenths of the
 	// time, and a handful by the time that it hands its list on.
 	r.hold = time.Duration(math.Pow(r.rng.Float64(), 1.0/6) * float64(set.Hold))
@@ -123,114 +123,114 @@
 }
 
 // Phase is how far this node is.
-func (r *Record) Phase() Phase { return r.phase }
+func (r *Bootstrapper) Phase() Phase { return r.phase }
 
 // Know tells whom this node could ask: those near it, and others.
-func (r *Record) Know(near, far []string) { r.known, r.far = near, far }
+func (r *Bootstrapper) SetPeers(near, far []string) { r.known, r.far = near, far }
 
 // Wants tells whether this node wants to be the one that asks for its site.
-func (r *Record) Wants() bool { return r.phase == Holding }
+func (r *Bootstrapper) WantsLease() bool { return r.phase == WaitingForPeer }
 
 // Take returns what is to be done since the last call: messages, whether discovery is to be asked from now on, and a list
 // that was handed to this node; nil: none.
-func (r *Record) Take() (outs []Out, asks bool, list *Message) {
+func (r *Bootstrapper) Take() (outs []Outgoing, asks bool, list *Message) {
 	outs, asks, list = r.outs, r.asks, r.take
 	r.outs, r.asks, r.take = nil, false, nil
 	return outs, asks, list
 }
 
-func (r *Record) move(now time.Duration, p Phase) { r.phase, r.begun, r.next = p, now, now }
+func (r *Bootstrapper) move(now time.Duration, p Phase) { r.phase, r.begun, r.next = p, now, now }
 
 // ask has discovery asked, once.
-func (r *Record) ask(now time.Duration) {
-	if r.phase < Asking {
+func (r *Bootstrapper) ask(now time.Duration) {
+	if r.phase < AskingDiscovery {
 		r.asks = true
-		r.move(now, Asking)
+		r.move(now, AskingDiscovery)
 		r.next = now + slowCall
 	}
 }
 
 // Tick does what is due.
-func (r *Record) Tick(now time.Duration) {
+func (r *Bootstrapper) Tick(now time.Duration) {
 	switch r.phase {
-	case Near:
+	case AskingPeers:
 		if now-r.begun >= r.set.Near { // nobody is there, or nobody has one
 			r.ask(now)
 		}
-	case Holding:
+	case WaitingForPeer:
 		if now-r.begun >= r.hold {
 			r.ask(now)
 		}
 	}
-	if r.phase < Having && r.list == nil && now >= r.next {
+	if r.phase < HasList && r.list == nil && now >= r.next {
 		r.next = now + wantEvery
 		r.around()
 	}
 }
 
 // around asks some whom this node knows: at first those that stand first, later any.
-func (r *Record) around() {
+func (r *Bootstrapper) around() {
 	n := min(contacts, len(r.known))
-	if r.phase == Near {
+	if r.phase == AskingPeers {
 		for _, name := range r.known[:n] {
-			r.send(name, Want)
+			r.send(name, ListQuery)
 		}
 		return
 	}
 	for range n {
-		r.send(r.known[r.rng.IntN(len(r.known))], Want)
+		r.send(r.known[r.rng.IntN(len(r.known))], ListQuery)
 	}
 	if len(r.far) > 0 { // a site of which nobody can ask discovery is told by another
-		r.send(r.far[r.rng.IntN(len(r.far))], Want)
+		r.send(r.far[r.rng.IntN(len(r.far))], ListQuery)
 	}
 }
 
-func (r *Record) send(to string, k Kind) {
-	if to != r.set.Name && !slices.Contains(r.outs, Out{to, k}) {
-		r.outs = append(r.outs, Out{to, k})
+func (r *Bootstrapper) send(to string, k Kind) {
+	if to != r.set.Name && !slices.Contains(r.outs, Outgoing{to, k}) {
+		r.outs = append(r.outs, Outgoing{to, k})
 	}
 }
 
 // Held tells that this node has the lease of its site: it asks for all.
-func (r *Record) Held(now time.Duration) {
-	if r.phase == Holding {
+func (r *Bootstrapper) LeaseAcquired(now time.Duration) {
+	if r.phase == WaitingForPeer {
 		r.ask(now)
 	}
 }
 
 // Told tells that discovery has told this node a list.
-func (r *Record) Told(now time.Duration, generation uint64, discovery string) {
+func (r *Bootstrapper) DiscoveryAnswered(now time.Duration, generation uint64, discovery string) {
 	r.have(now, heldList{List{Generation: generation, Discovery: discovery}, true, now})
 }
 
 // Lost tells that what was handed on could not be used.
-func (r *Record) Lost(now time.Duration) {
+func (r *Bootstrapper) ListUnusable(now time.Duration) {
 	if r.list != nil && !r.list.direct {
 		r.list = nil
-		r.move(now, Near)
+		r.move(now, AskingPeers)
 		r.ask(now)
 	}
 }
 
-func (r *Record) have(now time.Duration, l heldList) {
+func (r *Bootstrapper) have(now time.Duration, l heldList) {
 	first := r.list == nil
 	r.list = &l
-	if r.phase != Having {
-		r.move(now, Having)
+	if r.phase != HasList {
+		r.move(now, HasList)
 	}
 	if !first {
 		return
 	}
 	for name, at := range r.wanting {
 		if now-at <= wantingFor && r.may(now) {
-			r.send(name, Here)
+			r.send(name, ListReply)
 		}
 	}
 	clear(r.wanting)
 }
 
 // may bounds how many lists are handed on.
-func (r *Record) may(now time.Duration) bool {
+func (r *Bootstrapper) may(now time.Duration) bool {
 	if now-r.second >= time.Second {
 		r.second, r.handed = now, 0
 	}
@@ -239,7 +239,7 @@
 }
 
 // List is what this node can hand on now; false if it has none.
-func (r *Record) List(now time.Duration) (List, bool) {
+func (r *Bootstrapper) List(now time.Duration) (List, bool) {
 	if r.list == nil {
 		return List{}, false
 	}
@@ -249,15 +249,15 @@
 }
 
 // Receive takes a message of another node.
-func (r *Record) Receive(now time.Duration, m *Message) {
+func (r *Bootstrapper) Receive(now time.Duration, m *Message) {
 	switch m.Kind {
-	case Want:
+	case ListQuery:
 		switch {
 		case r.list != nil:
 			if r.may(now) {
-				r.send(m.From, Here)
+				r.send(m.From, ListReply)
 			}
-		case r.phase < Having:
+		case r.phase < HasList:
 			if len(r.wanting) >= mostWanting {
 				clear(r.wanting)
 			}
@@ -265,16 +265,16 @@
 			r.send(m.From, Starting)
 		}
 	case Starting:
-		if r.phase == Near {
-			r.move(now, Holding)
+		if r.phase == AskingPeers {
+			r.move(now, WaitingForPeer)
 			r.next = now + wantEvery
 		}
-	case Here:
+	case ListReply:
 		if r.list != nil || m.List.Age < 0 {
 			return // what it has, or discovery's own word, goes before
 		}
 		r.take = m
-		first := r.phase < Asking
+		first := r.phase < AskingDiscovery
 		r.have(now, heldList{m.List, false, now})
 		r.asks = r.asks || first // when its turn comes, for what has changed since
 	}
--- a/internal/fleet/record/record_test.go
+++ b/internal/fleet/bootstrap/record_test.go
@@ -1,4 +1,4 @@
-package record
+package bootstrap
 
 import (
 	"fmt"
@@ -28,7 +28,7 @@
 
 type node struct {
 	f       *fleet
-	r       *Record
+	r       *Bootstrapper
 	name    string
 	site    int
 	started bool
@@ -62,7 +62,7 @@
 	for _, x := range n.f.nodes[:min(3, len(n.f.nodes))] { // the seeds
 		names = append(names, x.name)
 	}
-	n.r.Know(names, nil)
+	n.r.SetPeers(names, nil)
 	n.f.after(3*time.Second, func() { // the members have found each other
 		var near, far []string
 		for _, x := range n.f.nodes {
@@ -74,7 +74,7 @@
 				far = append(far, x.name)
 			}
 		}
-		n.r.Know(near, far)
+		n.r.SetPeers(near, far)
 	})
 	var tick func()
 	tick = func() {
@@ -82,9 +82,9 @@
 			return
 		}
 		n.r.Tick(n.f.now)
-		if n.r.Wants() && n.f.granted > 0 && n.f.now >= n.f.granted && !n.f.held[n.site] {
+		if n.r.WantsLease() && n.f.granted > 0 && n.f.now >= n.f.granted && !n.f.held[n.site] {
 			n.f.held[n.site] = true
-			n.r.Held(n.f.now)
+			n.r.LeaseAcquired(n.f.now)
 		}
 		n.carry()
 		n.f.after(50*time.Millisecond, tick)
@@ -115,7 +115,7 @@
 					n.had = n.f.now
 				}
 				n.wrote = n.f.now
-				n.r.Told(n.f.now, 5, "d")
+				n.r.DiscoveryAnswered(n.f.now, 5, "d")
 				n.carry()
 			})
 		})
@@ -127,13 +127,13 @@
 			continue
 		}
 		wait := time.Millisecond
-		if o.Kind == Here {
+		if o.Kind == ListReply {
 			n.sending = max(n.sending, n.f.now) + 5*time.Millisecond
 			wait = n.sending - n.f.now + 2*time.Millisecond
 		}
 		n.f.after(wait, func() {
 			m := &Message{Kind: o.Kind, From: n.name}
-			if o.Kind == Here {
+			if o.Kind == ListReply {
 				var ok bool
 				if m.List, ok = n.r.List(n.f.now); !ok {
 					return
@@ -233,7 +233,7 @@
 	f, had, _ := play(3, 30, 100*time.Millisecond, func(f *fleet) {
 		f.after(4200*time.Millisecond, func() {
 			for _, n := range f.nodes {
-				if n.r.Phase() == Asking {
+				if n.r.Phase() == AskingDiscovery {
 					n.dead = true
 				}
 			}
@@ -258,34 +258,34 @@
 // add up.
 func TestWhatGoesBeforeWhat(t *testing.T) {
 	r := New(Settings{Name: "x"}, false, 1, 0)
-	r.Receive(time.Second, &Message{Kind: Here, From: "a", List: List{3, "d", time.Minute}})
+	r.Receive(time.Second, &Message{Kind: ListReply, From: "a", List: List{3, "d", time.Minute}})
 	if _, asks, m := r.Take(); m == nil || !asks {
 		t.Error("the list was not taken, or discovery is not asked")
 	}
-	r.Receive(2*time.Second, &Message{Kind: Here, From: "b", List: List{9, "d", 0}})
+	r.Receive(2*time.Second, &Message{Kind: ListReply, From: "b", List: List{9, "d", 0}})
 	if _, _, m := r.Take(); m != nil {
 		t.Error("a second one was taken")
 	}
 	if l, _ := r.List(11 * time.Second); l.Generation != 3 || l.Age != time.Minute+10*time.Second {
 		t.Errorf("%+v", l)
 	}
-	r.Told(20*time.Second, 4, "d")
+	r.DiscoveryAnswered(20*time.Second, 4, "d")
 	if l, _ := r.List(21 * time.Second); l.Generation != 4 || l.Age != time.Second {
 		t.Errorf("%+v", l)
 	}
 	x := New(Settings{Name: "x"}, false, 1, 0)
-	x.Receive(0, &Message{Kind: Here, From: "a", List: List{3, "d", 0}})
+	x.Receive(0, &Message{Kind: ListReply, From: "a", List: List{3, "d", 0}})
 	x.Take()
-	x.Lost(time.Second)
-	if _, has := x.List(time.Second); has || x.Phase() != Asking {
+	x.ListUnusable(time.Second)
+	if _, has := x.List(time.Second); has || x.Phase() != AskingDiscovery {
 		t.Errorf("a list that was of no use is handed on, phase %v", x.Phase())
 	}
 	// However many want it, so many get it a second.
 	y := New(Settings{Name: "y"}, false, 1, 0)
-	y.Told(0, 1, "d")
+	y.DiscoveryAnswered(0, 1, "d")
 	sent := 0
 	for i := range 1000 {
-		y.Receive(time.Duration(i)*time.Millisecond, &Message{Kind: Want, From: fmt.Sprint(i)})
+		y.Receive(time.Duration(i)*time.Millisecond, &Message{Kind: ListQuery, From: fmt.Sprint(i)})
 		outs, _, _ := y.Take()
 		sent += len(outs)
 	}
--- a/internal/fleet/record/size_test.go
+++ b/internal/fleet/bootstrap/size_test.go
@@ -1,4 +1,4 @@
-package record
+package bootstrap
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 	const nodes = 21*256 + 1
 	r := New(Settings{Name: "x"}, false, 1, 0)
 	for i := range nodes {
-		r.Receive(time.Second, &Message{Kind: Want, From: fmt.Sprint("n", i)})
+		r.Receive(time.Second, &Message{Kind: ListQuery, From: fmt.Sprint("n", i)})
 	}
 	if len(r.wanting) != nodes {
 		t.Errorf("%d of %d are remembered", len(r.wanting), nodes)
 	}
 	r.Take()
-	r.Told(2*time.Second, 1, "d")
+	r.DiscoveryAnswered(2*time.Second, 1, "d")
 	outs, _, _ := r.Take()
 	handed := 0
 	for _, o := range outs {
-		if o.Kind == Here {
+		if o.Kind == ListReply {
 			handed++
 		}
 	}
--- a/internal/fleet/agree/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package agree keeps a log that a majority of some voters agrees on. The agreement is
+// Package consensus keeps a log that a majority of some voters agrees on. The agreement is
 // go.etcd.io/raft's, with pre-vote and check-quorum; this package drives it, and says what
 // must be on disk before what leaves.
 //
@@ -16,4 +16,4 @@
 //
 // Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014 (the log, pre-vote 9.6,
 // check-quorum 6.2, changes of one voter 4.3).
-package agree
+package consensus
--- a/internal/fleet/agree/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
@@ -36,7 +36,7 @@
 }
 
 // Disk is what a voter has on disk.
-type Disk struct {
+type PersistentState struct {
 	ID       uint64            // drawn with the disk, never 0
 	Boots    map[uint64]uint64 // the latest start of each voter, as far as this one knows; itself included
 	Hard     *raftpb.HardState
@@ -45,14 +45,14 @@
 }
 
 // Clone copies a disk; what is in it is never written to.
-func (d *Disk) Clone() Disk {
+func (d *PersistentState) Clone() PersistentState {
 	c := *d
 	c.Boots, c.Entries = maps.Clone(d.Boots), slices.Clone(d.Entries)
 	return c
 }
 
 // Save is what must be on disk, all of it or none, before anything else of its Work is done.
-type Save struct {
+type Update struct {
 	Boots    map[uint64]uint64 // those that changed; the greater holds
 	Hard     *raftpb.HardState // nil: as it was
 	Snapshot *raftpb.Snapshot  // nil: none; else the log begins anew after it
@@ -61,12 +61,12 @@
 }
 
 // Empty tells whether there is nothing to save.
-func (s *Save) Empty() bool {
+func (s *Update) Empty() bool {
 	return len(s.Boots) == 0 && s.Hard == nil && s.Snapshot == nil && len(s.Entries) == 0 && s.Cut == 0
 }
 
 // Put brings a disk to what a save says.
-func (d *Disk) Put(s *Save) {
+func (d *PersistentState) Put(s *Update) {
 	if d.Boots == nil {
 		d.Boots = map[uint64]uint64{}
 	}
@@ -111,8 +111,8 @@
 }
 
 // Work is what is to be done, in this order: save, and wait for the disk; then send, restore, apply; then Done.
-type Work struct {
-	Save    Save
+type Ready struct {
+	Save    Update
 	Sends   []Message
 	Restore []byte // a snapshot of the applied state that takes the place of what there is; nil: none
 	Applied uint64 // with Restore: the index that it stands for
@@ -139,7 +139,7 @@
 	applied uint64
 	stale   bool // the voters have changed since the last snapshot
 	ready   *raft.Ready
-	pending Save // beside Ready's
+	pending Update // beside Ready's
 	broken  error
 	snaps   map[uint64]int // ticks since a snapshot went to one that has not said since that it has it
 }
@@ -148,12 +148,12 @@
 func none() error { return errors.New("agree: this voter has given its number up") }
 
 // Found makes the disks of voters that begin a log together; it is done once for a fleet, by one process.
-func Found(ids []uint64) []Disk {
+func NewCluster(ids []uint64) []PersistentState {
 	voters := slices.Clone(ids)
 	slices.Sort(voters)
-	disks := make([]Disk, len(ids))
+	disks := make([]PersistentState, len(ids))
 	for i, id := range ids {
-		disks[i] = Disk{ID: id, Boots: map[uint64]uint64{}, Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{
+		disks[i] = PersistentState{ID: id, Boots: map[uint64]uint64{}, Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{
 			ConfState: &raftpb.ConfState{Voters: voters}, Index: proto.Uint64(1), Term: proto.Uint64(1),
 		}}, Hard: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}}
 	}
@@ -161,7 +161,7 @@
 }
 
 // New starts a voter from its disk. The first Work saves this start; until then nothing leaves.
-func New(set Settings, disk *Disk, seed uint64) (_ *Voter, err error) {
+func New(set Settings, disk *PersistentState, seed uint64) (_ *Voter, err error) {
 	defer func() {
 		if r := recover(); r != nil { // the library's word on a disk that makes no sense
 			err = fmt.Errorf("agree: the disk: %v", r)
@@ -224,13 +224,13 @@
 
 // Given tells whether this voter has found that its disk is older than it was, and has given its number up. It must
 // come back with a new disk.
-func (v *Voter) Given() bool { return v.given }
+func (v *Voter) DiskStale() bool { return v.given }
 
 // Cleared tells whether enough others have said that they know of no later start of this voter.
-func (v *Voter) Cleared() bool { return v.cleared }
+func (v *Voter) BootConfirmed() bool { return v.cleared }
 
 // Leads tells whether this voter leads, as far as it knows, and in which term.
-func (v *Voter) Leads() (bool, uint64) {
+func (v *Voter) IsLeader() (bool, uint64) {
 	s := v.node.BasicStatus()
 	return s.RaftState == raft.StateLeader && !v.given && v.broken == nil, s.HardState.GetTerm()
 }
@@ -261,7 +261,7 @@
 		v.ticks++
 		return
 	}
-	if leads, _ := v.Leads(); leads {
+	if leads, _ := v.IsLeader(); leads {
 		v.node.Tick()
 		v.again()
 		return
@@ -294,8 +294,8 @@
 
 // Behind is how many entries another voter lacks of those that this one has handed out; false if this one does not lead,
 // or the other is no voter or has not been heard of late. The leader alone knows.
-func (v *Voter) Behind(id uint64) (entries uint64, ok bool) {
-	if leads, _ := v.Leads(); !leads {
+func (v *Voter) Lag(id uint64) (entries uint64, ok bool) {
+	if leads, _ := v.IsLeader(); !leads {
 		return 0, false
 	}
 	v.node.WithProgress(func(x uint64, _ raft.ProgressType, p tracker.Progress) {
@@ -407,8 +407,8 @@
 
 // HandLead has another voter lead in this one's place, which has what is agreed on; it does nothing if this one does not
 // lead, or there is no such voter.
-func (v *Voter) HandLead() {
-	if leads, _ := v.Leads(); !leads {
+func (v *Voter) TransferLeadership() {
+	if leads, _ := v.IsLeader(); !leads {
 		return
 	}
 	to, most := uint64(0), uint64(0)
@@ -424,7 +424,7 @@
 
 // Wants tells whether Compact is to be called soon: a voter that was taken in is started from a snapshot, and takes none
 // that does not name it.
-func (v *Voter) Wants() bool { return v.stale && v.ready == nil }
+func (v *Voter) WantsSnapshot() bool { return v.stale && v.ready == nil }
 
 // Compact takes the applied state up to an index as a snapshot, and lets most of the log before it go.
 func (v *Voter) Compact(index uint64, state []byte) error {
@@ -448,12 +448,12 @@
 }
 
 // Take returns what is to be done; false if there is nothing, or the last Work is not done yet.
-func (v *Voter) Take() (Work, bool) {
+func (v *Voter) Ready() (Ready, bool) {
 	if v.ready != nil || v.broken != nil {
-		return Work{}, false
+		return Ready{}, false
 	}
-	w := Work{Save: v.pending, Sends: v.sends}
-	v.pending, v.sends = Save{}, nil
+	w := Ready{Save: v.pending, Sends: v.sends}
+	v.pending, v.sends = Update{}, nil
 	if len(v.newBoot) > 0 {
 		w.Save.Boots, v.newBoot = v.newBoot, map[uint64]uint64{}
 	}
@@ -486,7 +486,7 @@
 }
 
 // Done says that the last Work was done, all of it.
-func (v *Voter) Done() (err error) {
+func (v *Voter) Advance() (err error) {
 	v.safely(func() { err = v.done() })
 	if v.broken != nil {
 		return v.broken
--- a/internal/fleet/agree/voter_test.go
+++ b/internal/fleet/consensus/voter_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 // group is voters whose messages arrive at once, unless one is down.
 type group struct {
 	t     *testing.T
-	disks map[uint64]*Disk
+	disks map[uint64]*PersistentState
 	up    map[uint64]*Voter
 	said  map[uint64][]string // applied, with the state that snapshots carry
 	held  func(m *Message) bool
@@ -19,12 +19,12 @@
 }
 
 func newGroup(t *testing.T, n int) *group {
-	g := &group{t: t, disks: map[uint64]*Disk{}, up: map[uint64]*Voter{}, said: map[uint64][]string{}}
+	g := &group{t: t, disks: map[uint64]*PersistentState{}, up: map[uint64]*Voter{}, said: map[uint64][]string{}}
 	var ids []uint64
 	for i := range n {
 		ids = append(ids, uint64(i+1))
 	}
-	for _, d := range Found(ids) {
+	for _, d := range NewCluster(ids) {
 		g.disks[d.ID] = &d
 		g.start(d.ID)
 	}
@@ -52,7 +52,7 @@
 		for _, id := range g.ids() {
 			v := g.up[id]
 			for {
-				w, ok := v.Take()
+				w, ok := v.Ready()
 				if !ok {
 					break
 				}
@@ -64,10 +64,10 @@
 				for _, e := range w.Entries {
 					g.said[id] = append(g.said[id], string(e.Data))
 				}
-				if err := v.Done(); err != nil {
+				if err := v.Advance(); err != nil {
 					g.t.Fatal(err)
 				}
-				if v.Wants() {
+				if v.WantsSnapshot() {
 					if err := v.Compact(v.Applied(), []byte(fmt.Sprint("state of ", len(g.said[id])))); err != nil {
 						g.t.Fatal(err)
 					}
@@ -107,7 +107,7 @@
 
 func (g *group) leader() *Voter {
 	for _, id := range g.ids() {
-		if leads, _ := g.up[id].Leads(); leads {
+		if leads, _ := g.up[id].IsLeader(); leads {
 			return g.up[id]
 		}
 	}
@@ -133,13 +133,13 @@
 	for range 2 { // two starts after the backup
 		delete(g.up, 2)
 		g.start(2)
-		g.until("it is cleared", func() bool { return g.up[2].Cleared() })
+		g.until("it is cleared", func() bool { return g.up[2].BootConfirmed() })
 	}
 	g.propose(5)
 	delete(g.up, 2)
 	g.disks[2] = &backup
 	g.start(2)
-	g.until("it gives its number up", func() bool { return g.up[2].Given() })
+	g.until("it gives its number up", func() bool { return g.up[2].DiskStale() })
 	if g.up[2].Propose([]byte("x")) == nil || g.up[2].Replace(1, 9) == nil {
 		t.Error("a voter that is none any more proposes")
 	}
@@ -147,7 +147,7 @@
 	h := newGroup(t, 3)
 	h.held = func(m *Message) bool { return m.To == 3 || m.From == 3 }
 	h.until("the others have a leader", func() bool { return h.leader() != nil })
-	if h.up[3].Cleared() || h.up[3].Leader() != 0 {
+	if h.up[3].BootConfirmed() || h.up[3].Leader() != 0 {
 		t.Error("one that hears nobody is cleared")
 	}
 }
@@ -161,14 +161,14 @@
 	backup := g.disks[2].Clone()
 	delete(g.up, 2)
 	g.start(2)
-	g.until("it is cleared", func() bool { return g.up[2].Cleared() })
+	g.until("it is cleared", func() bool { return g.up[2].BootConfirmed() })
 	g.propose(5) // it has promised something since
 	delete(g.up, 2)
 	g.disks[2] = &backup
 	g.seed++
 	g.start(2)
-	g.until("it gives its number up", func() bool { return g.up[2].Given() })
-	if g.up[2].Cleared() {
+	g.until("it gives its number up", func() bool { return g.up[2].DiskStale() })
+	if g.up[2].BootConfirmed() {
 		t.Error("it had a voice before")
 	}
 }
@@ -179,13 +179,13 @@
 	g.propose(20)
 	var gone uint64
 	for _, id := range g.ids() {
-		if leads, _ := g.up[id].Leads(); !leads {
+		if leads, _ := g.up[id].IsLeader(); !leads {
 			gone = id
 		}
 	}
 	delete(g.up, gone)
 	delete(g.disks, gone)
-	g.disks[77] = &Disk{ID: 77}
+	g.disks[77] = &PersistentState{ID: 77}
 	g.start(77)
 	if err := g.leader().Replace(gone, 1000+gone); err != nil { // one that never comes
 		t.Fatal(err)
@@ -200,7 +200,7 @@
 	}
 	// It counts: with it and one of the others there is a majority.
 	for _, id := range g.ids() {
-		if leads, _ := g.up[id].Leads(); leads {
+		if leads, _ := g.up[id].IsLeader(); leads {
 			delete(g.up, id)
 		}
 	}
@@ -271,7 +271,7 @@
 	if lost < 3 {
 		t.Errorf("%d snapshots were lost, wanted 3", lost)
 	}
-	if n, ok := g.leader().Behind(behind); !ok || n > 0 {
+	if n, ok := g.leader().Lag(behind); !ok || n > 0 {
 		t.Errorf("it is %d entries behind, known %v", n, ok)
 	}
 }
@@ -289,16 +289,16 @@
 		beat := raftpb.MsgHeartbeat
 		m := &raftpb.Message{Type: &beat, Term: &term, From: &far, To: &id, Commit: &far}
 		g.up[id].Receive(&Message{From: far, To: id, Boot: 1 << 32, Raft: m})
-		if !g.up[id].Given() {
+		if !g.up[id].DiskStale() {
 			t.Error("a heartbeat for what was never here was taken")
 		}
 		g.start(id)
 		g.up[id].cleared = true
-		if _, ok := g.up[id].Take(); !ok { // its disk is at work
+		if _, ok := g.up[id].Ready(); !ok { // its disk is at work
 			t.Fatal("a start is not saved")
 		}
 		g.up[id].Receive(&Message{From: far, To: id, Boot: 1 << 32, Raft: m})
-		if err := g.up[id].Done(); g.up[id].Broken() == nil || err == nil {
+		if err := g.up[id].Advance(); g.up[id].Broken() == nil || err == nil {
 			t.Errorf("the voter goes on: %v, %v", g.up[id].Broken(), err)
 		}
 		g.start(id)
@@ -308,16 +308,16 @@
 func FuzzReceive(f *testing.F) {
 	f.Add(uint64(1), uint64(2), uint64(1), uint64(3), true)
 	f.Fuzz(func(t *testing.T, from, to, boot, known uint64, hello bool) {
-		d := Found([]uint64{1, 2, 3})[0]
+		d := NewCluster([]uint64{1, 2, 3})[0]
 		v, err := New(Settings{}, &d, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		v.Receive(&Message{From: from, To: to, Boot: boot, Known: known, Hello: hello})
 		v.Tick()
-		if w, ok := v.Take(); ok {
+		if w, ok := v.Ready(); ok {
 			d.Put(&w.Save)
-			if err := v.Done(); err != nil {
+			if err := v.Advance(); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/fleet/lease/code.go
+++ b/internal/fleet/lease/code.go
@@ -5,28 +5,28 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"curlewring/internal/fleet/form"
+	"curlewring/internal/fleet/protofields"
 )
 
 // AppendCommand appends a command in its form for the log and for messages.
 func AppendCommand(to []byte, c *Command) []byte {
-	to = form.Number(to, 1, uint64(c.Op))
-	to = form.Text(to, 2, c.Lease)
+	to = protofields.AppendUint(to, 1, uint64(c.Op))
+	to = protofields.AppendString(to, 2, c.Lease)
 	to = appendHolder(to, 3, c.Holder)
-	to = form.Number(to, 4, c.Seq)
-	to = form.Number(to, 5, c.Token)
-	to = form.Number(to, 6, uint64(c.TTL))
-	to = form.Number(to, 7, c.Serial)
+	to = protofields.AppendUint(to, 4, c.Seq)
+	to = protofields.AppendUint(to, 5, c.Token)
+	to = protofields.AppendUint(to, 6, uint64(c.TTL))
+	to = protofields.AppendUint(to, 7, c.Serial)
 	return appendHolder(to, 8, c.To)
 }
 
 // ParseCommand reads a command. It checks the form alone: what makes no sense is the machine's to refuse.
 func ParseCommand(b []byte) (c Command, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsNum && f.Num == 1:
 			if f.X > 255 {
-				return form.Wrong("operation %d", f.X)
+				return protofields.Errorf("operation %d", f.X)
 			}
 			c.Op = Op(f.X)
 		case !f.IsNum && f.Num == 2:
@@ -51,8 +51,8 @@
 
 // length takes a time span of at most MostTTL.
 func length(x uint64) (time.Duration, error) {
-	if x > uint64(MostTTL) {
-		return 0, form.Wrong("a time to live of %d ns, at most %v", x, MostTTL)
+	if x > uint64(MaxTTL) {
+		return 0, protofields.Errorf("a time to live of %d ns, at most %v", x, MaxTTL)
 	}
 	return time.Duration(x), nil
 }
@@ -61,16 +61,16 @@
 	if h == (Holder{}) {
 		return to
 	}
-	part := form.Fixed(form.Number(form.Text(nil, 1, h.Name), 2, h.Incarnation), 3, h.Life)
-	return form.Bytes(to, field, part)
+	part := protofields.AppendFixed(protofields.AppendUint(protofields.AppendString(nil, 1, h.Name), 2, h.Incarnation), 3, h.Life)
+	return protofields.AppendBytes(to, field, part)
 }
 
 func parseHolder(b []byte) (h Holder, err error) {
-	err = form.Each(b, func(f form.Field) error {
+	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
 		case !f.IsNum && f.Num == 1:
 			if len(f.B) > mostName {
-				return form.Wrong("a holder's name of %d bytes, at most %d", len(f.B), mostName)
+				return protofields.Errorf("a holder's name of %d bytes, at most %d", len(f.B), mostName)
 			}
 			h.Name = string(f.B)
 		case f.IsNum && f.Num == 2:
@@ -85,21 +85,21 @@
 
 // AppendAnswer appends an answer, as it goes to its asker.
 func AppendAnswer(to []byte, a *Answer) []byte {
-	to = form.Number(to, 1, uint64(a.Outcome))
-	to = form.Text(to, 2, a.Lease)
-	to = form.Number(to, 3, a.Token)
-	to = form.Number(to, 4, uint64(a.TTL))
-	to = form.Number(to, 5, uint64(a.Place))
-	return form.Number(to, 6, a.Seq)
+	to = protofields.AppendUint(to, 1, uint64(a.Outcome))
+	to = protofields.AppendString(to, 2, a.Lease)
+	to = protofields.AppendUint(to, 3, a.Token)
+	to = protofields.AppendUint(to, 4, uint64(a.TTL))
+	to = protofields.AppendUint(to, 5, uint64(a.Place))
+	return protofields.AppendUint(to, 6, a.Seq)
 }
 
 // ParseAnswer reads an answer.
 func ParseAnswer(b []byte) (a Answer, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsNum && f.Num == 1:
-			if f.X < uint64(Granted) || f.X > uint64(Void) {
-				return form.Wrong("outcome %d", f.X)
+			if f.X < uint64(Granted) || f.X > uint64(Superseded) {
+				return protofields.Errorf("outcome %d", f.X)
 			}
 			a.Outcome = Outcome(f.X)
 		case !f.IsNum && f.Num == 2:
@@ -109,8 +109,8 @@
 		case f.IsNum && f.Num == 4:
 			a.TTL, err = length(f.X)
 		case f.IsNum && f.Num == 5:
-			if f.X > MostWaiters {
-				return form.Wrong("place %d in line", f.X)
+			if f.X > MaxWaiters {
+				return protofields.Errorf("place %d in line", f.X)
 			}
 			a.Place = int(f.X)
 		case f.IsNum && f.Num == 6:
@@ -119,31 +119,31 @@
 		return err
 	})
 	if err == nil && a.Outcome == 0 {
-		err = form.Wrong("an answer without an outcome")
+		err = protofields.Errorf("an answer without an outcome")
 	}
 	return a, err
 }
 
 // AppendLease appends one lease with its line, as it stands in snapshots and lists.
 func AppendLease(to []byte, l *Lease) []byte {
-	to = form.Text(to, 1, l.Name)
+	to = protofields.AppendString(to, 1, l.Name)
 	to = appendHolder(to, 2, l.Holder)
-	to = form.Number(to, 3, l.Token)
-	to = form.Number(to, 4, uint64(l.TTL))
-	to = form.Number(to, 5, l.Serial)
-	to = form.Number(to, 6, l.Seq)
+	to = protofields.AppendUint(to, 3, l.Token)
+	to = protofields.AppendUint(to, 4, uint64(l.TTL))
+	to = protofields.AppendUint(to, 5, l.Serial)
+	to = protofields.AppendUint(to, 6, l.Seq)
 	for i := range l.Waiters {
 		w := &l.Waiters[i]
 		part := appendHolder(nil, 1, w.Holder)
-		part = form.Number(form.Number(form.Number(part, 2, uint64(w.TTL)), 3, w.Serial), 4, w.Seq)
-		to = form.Bytes(to, 7, part)
+		part = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(part, 2, uint64(w.TTL)), 3, w.Serial), 4, w.Seq)
+		to = protofields.AppendBytes(to, 7, part)
 	}
 	return to
 }
 
 // ParseLease reads one lease.
 func ParseLease(b []byte) (l Lease, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case !f.IsNum && f.Num == 1:
 			l.Name = string(f.B)
@@ -158,11 +158,11 @@
 		case f.IsNum && f.Num == 6:
 			l.Seq = f.X
 		case !f.IsNum && f.Num == 7:
-			if len(l.Waiters) == MostWaiters {
-				return form.Wrong("more than %d in line", MostWaiters)
+			if len(l.Waiters) == MaxWaiters {
+				return protofields.Errorf("more than %d in line", MaxWaiters)
 			}
 			var w Waiter
-			err = form.Each(f.B, func(f form.Field) (err error) {
+			err = protofields.ForEach(f.B, func(f protofields.Field) (err error) {
 				switch {
 				case !f.IsNum && f.Num == 1:
 					w.Holder, err = parseHolder(f.B)
@@ -180,31 +180,31 @@
 		return err
 	})
 	if err == nil && (l.Name == "" || len(l.Name) > mostName) {
-		err = form.Wrong("a lease with a name of %d bytes", len(l.Name))
+		err = protofields.Errorf("a lease with a name of %d bytes", len(l.Name))
 	}
 	return l, err
 }
 
 // AppendSnapshot appends the whole state.
 func AppendSnapshot(to []byte, s *Snapshot) []byte {
-	to = form.Number(to, 1, s.Tokens)
-	to = form.Number(to, 2, s.Serials)
-	to = form.Number(to, 3, s.Applied)
+	to = protofields.AppendUint(to, 1, s.Tokens)
+	to = protofields.AppendUint(to, 2, s.Serials)
+	to = protofields.AppendUint(to, 3, s.Applied)
 	for i := range s.Leases {
-		to = form.Bytes(to, 4, AppendLease(nil, &s.Leases[i]))
+		to = protofields.AppendBytes(to, 4, AppendLease(nil, &s.Leases[i]))
 	}
 	for i := range s.Sessions {
 		x := &s.Sessions[i]
 		part := appendHolder(nil, 1, x.Holder)
-		part = form.Number(form.Number(part, 2, x.Seq), 3, x.Used)
-		to = form.Bytes(to, 5, form.Bytes(part, 4, AppendAnswer(nil, &x.Answer)))
+		part = protofields.AppendUint(protofields.AppendUint(part, 2, x.Seq), 3, x.Used)
+		to = protofields.AppendBytes(to, 5, protofields.AppendBytes(part, 4, AppendAnswer(nil, &x.Answer)))
 	}
 	return to
 }
 
 // ParseSnapshot reads the whole state.
 func ParseSnapshot(b []byte) (s Snapshot, err error) {
-	err = form.Each(b, func(f form.Field) error {
+	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
 			s.Tokens = f.X
@@ -213,18 +213,18 @@
 		case f.IsNum && f.Num == 3:
 			s.Applied = f.X
 		case !f.IsNum && f.Num == 4:
-			if len(s.Leases) == MostLeases {
-				return form.Wrong("more than %d leases", MostLeases)
+			if len(s.Leases) == MaxLeases {
+				return protofields.Errorf("more than %d leases", MaxLeases)
 			}
 			l, err := ParseLease(f.B)
 			s.Leases = append(s.Leases, l)
 			return err
 		case !f.IsNum && f.Num == 5:
-			if len(s.Sessions) == MostLives {
-				return form.Wrong("more than %d lives", MostLives)
+			if len(s.Sessions) == MaxSessions {
+				return protofields.Errorf("more than %d lives", MaxSessions)
 			}
 			var x Session
-			err := form.Each(f.B, func(f form.Field) (err error) {
+			err := protofields.ForEach(f.B, func(f protofields.Field) (err error) {
 				switch {
 				case !f.IsNum && f.Num == 1:
 					x.Holder, err = parseHolder(f.B)
@@ -238,7 +238,7 @@
 				return err
 			})
 			if err == nil && x.Answer.Outcome == 0 {
-				err = form.Wrong("a life that was told nothing")
+				err = protofields.Errorf("a life that was told nothing")
 			}
 			s.Sessions = append(s.Sessions, x)
 			return err
--- a/internal/fleet/lease/command.go
+++ b/internal/fleet/lease/command.go
@@ -20,11 +20,11 @@
 	Acquire Op = 1 + iota // take the lease, or a place in line
 	Renew
 	Release
-	Hand    // give the lease to the life named in To, which waits for it
-	Forsake // leave the line
-	End     // the leader: the lease is over, if Serial is still its last renewal
-	Drop    // the leader: a waiter has not asked again, if Serial is still its last asking
-	Force   // an operator: take the lease from its holder under Token, whatever that risks
+	Transfer   // give the lease to the life named in To, which waits for it
+	LeaveQueue // leave the line
+	End        // the leader: the lease is over, if Serial is still its last renewal
+	Drop       // the leader: a waiter has not asked again, if Serial is still its last asking
+	Force      // an operator: take the lease from its holder under Token, whatever that risks
 )
 
 // Command is one entry of the log.
@@ -41,12 +41,12 @@
 
 // Bounds.
 const (
-	MostLeases  = 4096
-	MostWaiters = 64 // of one lease
-	MostLives   = 8192
+	MaxLeases   = 4096
+	MaxWaiters  = 64 // of one lease
+	MaxSessions = 8192
 	mostName    = 128
-	LeastTTL    = time.Second
-	MostTTL     = time.Hour
+	MinTTL      = time.Second
+	MaxTTL      = time.Hour
 )
 
 // Check finds what no command can be.
@@ -58,9 +58,9 @@
 		return fmt.Errorf("lease: a name has 1 to %d bytes, this one %d", mostName, len(c.Lease))
 	case c.Op != Force && (c.Holder.Life == 0 || c.Holder.Name == "" || len(c.Holder.Name) > mostName):
 		return fmt.Errorf("lease %q: no holder has the life %d and a name of %d bytes", c.Lease, c.Holder.Life, len(c.Holder.Name))
-	case c.Op == Acquire && (c.TTL < LeastTTL || c.TTL > MostTTL):
-		return fmt.Errorf("lease %q: a time to live of %v, want %v to %v", c.Lease, c.TTL, LeastTTL, MostTTL)
-	case c.Op == Hand && (c.To.Life == 0 || c.To == c.Holder):
+	case c.Op == Acquire && (c.TTL < MinTTL || c.TTL > MaxTTL):
+		return fmt.Errorf("lease %q: a time to live of %v, want %v to %v", c.Lease, c.TTL, MinTTL, MaxTTL)
+	case c.Op == Transfer && (c.To.Life == 0 || c.To == c.Holder):
 		return fmt.Errorf("lease %q: it can't be handed to nobody, or to its holder", c.Lease)
 	}
 	return nil
@@ -71,12 +71,12 @@
 
 // The outcomes.
 const (
-	Granted Outcome = 1 + iota // held, or held on: Token, TTL
-	Waiting                    // in line: Place
-	Freed                      // released, handed on, ended, or left
-	Refused                    // not held by this life, or not any more
-	Full                       // too many leases, waiters or lives
-	Void                       // an End or Drop that something came before
+	Granted    Outcome = 1 + iota // held, or held on: Token, TTL
+	Waiting                       // in line: Place
+	Freed                         // released, handed on, ended, or left
+	Refused                       // not held by this life, or not any more
+	Full                          // too many leases, waiters or lives
+	Superseded                    // an End or Drop that something came before
 )
 
 // Answer is what a command's asker is told.
--- a/internal/fleet/lease/guard.go
+++ b/internal/fleet/lease/guard.go
@@ -5,7 +5,7 @@
 // Guard says whether an act under a lease may begin. It goes by its own clock alone, one that goes on while the process
 // stands still, and, where the system has one, while the machine sleeps.
 type Guard struct {
-	terms Terms
+	terms Timing
 	asked map[uint64]time.Duration // when requests were sent, by Seq
 	token uint64                   // 0: nothing is held
 	begun time.Duration            // from when the lease counts
@@ -20,11 +20,11 @@
 const mostAsked = 64
 
 // NewGuard returns a guard that says no.
-func NewGuard(t Terms) *Guard { return &Guard{terms: t.Default(), asked: map[uint64]time.Duration{}} }
+func NewGuard(t Timing) *Guard { return &Guard{terms: t.Default(), asked: map[uint64]time.Duration{}} }
 
 // Asked must be called before a request is sent: what it is answered counts from here. One that is sent again counts from
 // its first sending.
-func (g *Guard) Asked(now time.Duration, seq uint64) {
+func (g *Guard) RequestSent(now time.Duration, seq uint64) {
 	if _, before := g.asked[seq]; before {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // Told takes what the machine said, in any order. An answer to a request whose sending is not known counts for nothing.
-func (g *Guard) Told(a Answer) {
+func (g *Guard) HandleAnswer(a Answer) {
 	switch a.Outcome {
 	case Granted:
 		at, known := g.asked[a.Seq]
@@ -71,7 +71,7 @@
 }
 
 // May tells whether an act that takes so long at the most could begin: its token, and the time that is left.
-func (g *Guard) May(now, act time.Duration) (token uint64, left time.Duration, ok bool) {
+func (g *Guard) CanBegin(now, act time.Duration) (token uint64, left time.Duration, ok bool) {
 	if g.token == 0 || g.shut || now < g.begun || now+act > g.ends {
 		return 0, 0, false
 	}
@@ -81,7 +81,7 @@
 // Begin is to be called right before an act: it says whether it may begin, as May does, and books it. The act must be over
 // when it said it would be.
 func (g *Guard) Begin(now, act time.Duration) (token uint64, ok bool) {
-	token, _, ok = g.May(now, act)
+	token, _, ok = g.CanBegin(now, act)
 	if ok {
 		g.busy = max(g.busy, now+act)
 	}
--- a/internal/fleet/lease/keeper.go
+++ b/internal/fleet/lease/keeper.go
@@ -8,13 +8,13 @@
 )
 
 // Terms are what holders and leader count by. All nodes of a fleet must have the same.
-type Terms struct {
+type Timing struct {
 	Drift  float64       // by which the speeds of two clocks may differ, as a part; 0: 1/64
 	Linger time.Duration // a waiter that has not asked again for so long is dropped; 0: 3 s
 }
 
 // Default fills in what is not set.
-func (t Terms) Default() Terms {
+func (t Timing) Default() Timing {
 	if t.Drift <= 0 {
 		t.Drift = 1.0 / 64
 	}
@@ -25,19 +25,19 @@
 }
 
 // held is how long a holder counts a lease, by its own clock, from before it asked.
-func (t Terms) held(ttl time.Duration) time.Duration {
+func (t Timing) held(ttl time.Duration) time.Duration {
 	return ttl - time.Duration(t.Drift*float64(ttl))
 }
 
 // given is how long the leader counts it, by its own clock, from after it has applied it.
-func (t Terms) given(ttl time.Duration) time.Duration {
+func (t Timing) given(ttl time.Duration) time.Duration {
 	return ttl + time.Duration(t.Drift*float64(ttl)) + time.Millisecond
 }
 
 // Keeper is the leader's part: which leases and waiters are over by its clock. One is made when a node becomes leader,
 // and dropped when it is none any more.
-type Keeper struct {
-	terms Terms
+type ExpiryTracker struct {
+	terms Timing
 	since map[string]counted // by lease
 	lines map[waits]counted
 }
@@ -59,13 +59,13 @@
 
 // NewKeeper returns the keeper of a leader that begins now. What stands in the log by then counts from now: it was asked
 // for before, whoever led.
-func NewKeeper(t Terms) *Keeper {
-	return &Keeper{terms: t.Default(), since: map[string]counted{}, lines: map[waits]counted{}}
+func NewExpiryTracker(t Timing) *ExpiryTracker {
+	return &ExpiryTracker{terms: t.Default(), since: map[string]counted{}, lines: map[waits]counted{}}
 }
 
 // Due looks at the machine as it is applied here, and returns what is to be proposed: ends of leases that were not renewed,
 // and of waits that were not asked for again.
-func (k *Keeper) Due(now time.Duration, m *Machine) []Command {
+func (k *ExpiryTracker) Expired(now time.Duration, m *StateMachine) []Command {
 	var due []Command
 	seen := make(map[string]bool, len(m.leases))
 	waiting := map[waits]bool{}
--- a/internal/fleet/lease/machine.go
+++ b/internal/fleet/lease/machine.go
@@ -35,7 +35,7 @@
 }
 
 // Machine is the replicated state.
-type Machine struct {
+type StateMachine struct {
 	tokens   uint64 // the last that was given out
 	serials  uint64
 	applied  uint64 // commands
@@ -45,13 +45,13 @@
 }
 
 // NewMachine returns an empty one.
-func NewMachine() *Machine {
-	return &Machine{leases: map[string]*Lease{}, sessions: map[Holder]*session{}}
+func NewStateMachine() *StateMachine {
+	return &StateMachine{leases: map[string]*Lease{}, sessions: map[Holder]*session{}}
 }
 
 // Apply applies a command. The grants are leases that went to waiters by it, good until the next call. A request
 // that came before, and was lost on its way back, is answered as it was then; an older one is refused.
-func (m *Machine) Apply(c *Command) (Answer, []Grant) {
+func (m *StateMachine) Apply(c *Command) (Answer, []Grant) {
 	m.grants = m.grants[:0]
 	m.applied++
 	if c.Check() != nil {
@@ -81,7 +81,7 @@
 }
 
 // request does what a life asks for.
-func (m *Machine) request(c *Command) Answer {
+func (m *StateMachine) request(c *Command) Answer {
 	refused := Answer{Outcome: Refused, Lease: c.Lease, Seq: c.Seq}
 	l := m.leases[c.Lease]
 	if c.Op == Acquire {
@@ -90,7 +90,7 @@
 	if l == nil {
 		return refused
 	}
-	if c.Op == Forsake {
+	if c.Op == LeaveQueue {
 		at := l.waiter(c.Holder)
 		if at < 0 {
 			return refused
@@ -108,7 +108,7 @@
 	case Release:
 		m.free(l)
 		return Answer{Outcome: Freed, Lease: c.Lease, Token: c.Token, Seq: c.Seq}
-	case Hand:
+	case Transfer:
 		at := l.waiter(c.To)
 		if at < 0 {
 			return refused
@@ -121,9 +121,9 @@
 	return refused
 }
 
-func (m *Machine) acquire(c *Command, l *Lease) Answer {
+func (m *StateMachine) acquire(c *Command, l *Lease) Answer {
 	if l == nil {
-		if len(m.leases) >= MostLeases {
+		if len(m.leases) >= MaxLeases {
 			return Answer{Outcome: Full, Lease: c.Lease, Seq: c.Seq}
 		}
 		l = &Lease{Name: c.Lease}
@@ -144,7 +144,7 @@
 	switch {
 	case at >= 0:
 		l.Waiters[at] = w
-	case len(l.Waiters) >= MostWaiters:
+	case len(l.Waiters) >= MaxWaiters:
 		return Answer{Outcome: Full, Lease: c.Lease, Seq: c.Seq}
 	default:
 		at = len(l.Waiters)
@@ -153,15 +153,15 @@
 	return Answer{Outcome: Waiting, Lease: c.Lease, Place: at + 1, Seq: c.Seq}
 }
 
-func (m *Machine) renew(c *Command, l *Lease) Answer {
+func (m *StateMachine) renew(c *Command, l *Lease) Answer {
 	m.serials++
 	l.Serial, l.Seq = m.serials, c.Seq
 	return l.answer()
 }
 
 // leader does what the leader's clock or an operator says.
-func (m *Machine) leader(c *Command) Answer {
-	void := Answer{Outcome: Void, Lease: c.Lease}
+func (m *StateMachine) leader(c *Command) Answer {
+	void := Answer{Outcome: Superseded, Lease: c.Lease}
 	l := m.leases[c.Lease]
 	switch {
 	case l == nil:
@@ -188,7 +188,7 @@
 }
 
 // free takes a lease from its holder and gives it to the first in line.
-func (m *Machine) free(l *Lease) {
+func (m *StateMachine) free(l *Lease) {
 	l.Holder = Holder{}
 	if len(l.Waiters) > 0 {
 		w := l.Waiters[0]
@@ -200,14 +200,14 @@
 }
 
 // tidy forgets a lease that nobody holds or waits for. Its token is not forgotten: the count is one for all.
-func (m *Machine) tidy(l *Lease) {
+func (m *StateMachine) tidy(l *Lease) {
 	if l.Holder.Life == 0 && len(l.Waiters) == 0 {
 		delete(m.leases, l.Name)
 	}
 }
 
 // grant gives a lease to one, under a new token.
-func (m *Machine) grant(l *Lease, w Waiter) {
+func (m *StateMachine) grant(l *Lease, w Waiter) {
 	m.tokens++
 	m.serials++
 	l.Holder, l.Token, l.TTL, l.Serial, l.Seq = w.Holder, m.tokens, w.TTL, m.serials, w.Seq
@@ -225,8 +225,8 @@
 // room makes room for a session: of lives that hold nothing and wait for nothing the one that was used longest ago goes.
 // What it asks for again afterwards is done anew, which for such a life harms nobody: an old Acquire of it can at most
 // take a place in line, and a Renew or Release finds nothing that it holds.
-func (m *Machine) room() bool {
-	if len(m.sessions) < MostLives {
+func (m *StateMachine) room() bool {
+	if len(m.sessions) < MaxSessions {
 		return true
 	}
 	busy := map[Holder]bool{}
@@ -250,7 +250,7 @@
 }
 
 // Leases are all leases, by name; copies.
-func (m *Machine) Leases() []Lease {
+func (m *StateMachine) Leases() []Lease {
 	all := make([]Lease, 0, len(m.leases))
 	for _, l := range m.leases {
 		x := *l
@@ -262,10 +262,10 @@
 }
 
 // Len is how many leases there are.
-func (m *Machine) Len() int { return len(m.leases) }
+func (m *StateMachine) Len() int { return len(m.leases) }
 
 // Lease is one of them; false if nobody holds it or waits for it.
-func (m *Machine) Lease(name string) (Lease, bool) {
+func (m *StateMachine) Lease(name string) (Lease, bool) {
 	l := m.leases[name]
 	if l == nil {
 		return Lease{}, false
@@ -291,7 +291,7 @@
 }
 
 // Snapshot copies the state.
-func (m *Machine) Snapshot() Snapshot {
+func (m *StateMachine) Snapshot() Snapshot {
 	s := Snapshot{Tokens: m.tokens, Serials: m.serials, Applied: m.applied, Leases: m.Leases()}
 	for _, x := range m.sessions {
 		s.Sessions = append(s.Sessions, Session{x.Holder, x.Seq, x.used, x.Answer})
@@ -303,8 +303,8 @@
 }
 
 // Restore makes a machine of a snapshot.
-func Restore(s Snapshot) *Machine {
-	m := NewMachine()
+func Restore(s Snapshot) *StateMachine {
+	m := NewStateMachine()
 	m.tokens, m.serials, m.applied = s.Tokens, s.Serials, s.Applied
 	for i := range s.Leases {
 		l := s.Leases[i]
--- a/internal/fleet/lease/search_test.go
+++ b/internal/fleet/lease/search_test.go
@@ -33,8 +33,8 @@
 // world is one state of the search.
 type world struct {
 	now     int // s, true time
-	machine *Machine
-	keeper  *Keeper
+	machine *StateMachine
+	keeper  *ExpiryTracker
 	changes int
 	procs   [2]proc
 	mail    []mail
@@ -72,14 +72,14 @@
 	speeds                                     [3]int // of the holders' clocks and of the leader's, in quarters
 	ttl                                        time.Duration
 	act                                        int // s, true time, at the most
-	terms                                      Terms
+	terms                                      Timing
 	plain                                      bool // nothing is released, and nothing comes twice
 }
 
 func usual() bounds {
 	return bounds{
 		time: 6, asks: 2, crashes: 1, changes: 1, mail: 2, states: 15_000, speeds: [3]int{4, 4, 4}, ttl: 2 * time.Second, act: 1,
-		terms: Terms{Drift: 0.25, Linger: 2 * time.Second},
+		terms: Timing{Drift: 0.25, Linger: 2 * time.Second},
 	}
 }
 
@@ -89,7 +89,7 @@
 
 func (w *world) copy() *world {
 	x := *w
-	m := &Machine{tokens: w.machine.tokens, serials: w.machine.serials, leases: make(map[string]*Lease, 1), sessions: make(map[Holder]*session, 4)}
+	m := &StateMachine{tokens: w.machine.tokens, serials: w.machine.serials, leases: make(map[string]*Lease, 1), sessions: make(map[Holder]*session, 4)}
 	for n, l := range w.machine.leases {
 		c := *l
 		c.Waiters = slices.Clone(l.Waiters)
@@ -100,7 +100,7 @@
 		m.sessions[h] = &c
 	}
 	x.machine = m
-	x.keeper = &Keeper{w.keeper.terms, maps.Clone(w.keeper.since), maps.Clone(w.keeper.lines)}
+	x.keeper = &ExpiryTracker{w.keeper.terms, maps.Clone(w.keeper.since), maps.Clone(w.keeper.lines)}
 	for i := range x.procs {
 		g := *w.procs[i].guard
 		g.asked = maps.Clone(g.asked)
@@ -229,7 +229,7 @@
 	if w.changes < b.changes {
 		add("another node leads", func(n *world) {
 			n.changes++
-			n.keeper = NewKeeper(b.terms)
+			n.keeper = NewExpiryTracker(b.terms)
 			if x.noWait {
 				for name, l := range n.machine.leases {
 					n.keeper.since[name] = counted{serial: l.Serial, at: -time.Hour}
@@ -255,7 +255,7 @@
 				q.asks++
 				q.seq++
 				if !x.lateAsk {
-					q.guard.Asked(now, q.seq)
+					q.guard.RequestSent(now, q.seq)
 				}
 				c := Command{Op: op, Lease: "l", Holder: q.holder, Seq: q.seq, TTL: b.ttl}
 				if op != Acquire {
@@ -281,7 +281,7 @@
 			act = 0
 		}
 		// Of bert's acts it is enough that they might begin.
-		if token, _, ok := p.guard.May(now, act); ok && i == 0 && b.act > 0 && w.acts[i] <= w.now {
+		if token, _, ok := p.guard.CanBegin(now, act); ok && i == 0 && b.act > 0 && w.acts[i] <= w.now {
 			add(fmt.Sprintf("%s acts under token %d until %d s", p.holder.Name, token, w.now+b.act), func(n *world) {
 				n.procs[i].guard.Begin(now, act)
 				n.acts[i] = n.now + b.act
@@ -321,9 +321,9 @@
 				return // for a life that is over
 			}
 			if x.lateAsk {
-				q.guard.Asked(n.clock(b, m.to), m.answer.Seq)
+				q.guard.RequestSent(n.clock(b, m.to), m.answer.Seq)
 			}
-			q.guard.Told(m.answer)
+			q.guard.HandleAnswer(m.answer)
 		}
 		what := fmt.Sprintf("the log takes request %d of %s", m.c.Seq, m.c.Holder.Name)
 		if m.to >= 0 {
@@ -345,7 +345,7 @@
 
 // look has the leader look at its clock, as it does all the time, and the resource at who might come to it.
 func (w *world) look(b *bounds) {
-	w.due = w.keeper.Due(w.clock(b, 2), w.machine)
+	w.due = w.keeper.Expired(w.clock(b, 2), w.machine)
 	for k := range w.due { // what it has proposed it would wait for
 		c := &w.due[k]
 		if c.Op == End {
@@ -360,7 +360,7 @@
 		}
 	}
 	for i := range w.procs {
-		token, _, ok := w.procs[i].guard.May(w.clock(b, i), 0)
+		token, _, ok := w.procs[i].guard.CanBegin(w.clock(b, i), 0)
 		switch {
 		case !ok:
 		case token < w.seen || token == w.seen && w.by != i+1:
@@ -388,7 +388,7 @@
 	if x.noDrift {
 		b.terms.Drift = 1e-9
 	}
-	first := &world{machine: NewMachine(), keeper: NewKeeper(b.terms)}
+	first := &world{machine: NewStateMachine(), keeper: NewExpiryTracker(b.terms)}
 	for i := range first.procs {
 		first.procs[i] = proc{holder: Holder{[]string{"anna", "bert"}[i], 1, uint64(i + 1)}, guard: NewGuard(b.terms)}
 	}
--- a/internal/fleet/lease/tenant.go
+++ b/internal/fleet/lease/tenant.go
@@ -11,7 +11,7 @@
 // The phases, in the order in which they come; some may be passed over.
 const (
 	Asking    Phase = 1 + iota
-	InLine          // others hold the lease, or stand before it
+	Queued          // others hold the lease, or stand before it
 	Holding         // acts may begin, as long as the guard says so
 	Stopping        // no act may begin any more; some may still last
 	Releasing       // the machine is told that it is free
@@ -28,10 +28,10 @@
 
 // The kinds of events.
 const (
-	Moved       EventKind = 1 + iota // the phase is another one, or the place in line
-	Extended                         // the lease goes on until Until
-	Unreachable                      // nobody has answered for a while: there is no majority, or no way to it
-	Reachable                        // after that, somebody has
+	PhaseChanged EventKind = 1 + iota // the phase is another one, or the place in line
+	Extended                          // the lease goes on until Until
+	Unreachable                       // nobody has answered for a while: there is no majority, or no way to it
+	Reachable                         // after that, somebody has
 )
 
 // Event is something that a tenant's user wants to know.
@@ -47,8 +47,8 @@
 // Tenant is one life's part in one lease, from its asking to its end: it says what is to be sent, and again if no answer
 // comes, keeps the place in line, renews in time, and gives the lease up once no act lasts any more. It goes by its own
 // clock alone, which must go on while the process stands still. It is used once: who wants the lease again is another life.
-type Tenant struct {
-	terms  Terms
+type Client struct {
+	terms  Timing
 	lease  string
 	holder Holder
 	ttl    time.Duration
@@ -77,8 +77,8 @@
 )
 
 // NewTenant begins to ask for a lease.
-func NewTenant(terms Terms, name string, h Holder, ttl time.Duration, now time.Duration) (*Tenant, error) {
-	t := &Tenant{terms: terms.Default(), lease: name, holder: h, ttl: ttl, phase: Asking}
+func NewClient(terms Timing, name string, h Holder, ttl time.Duration, now time.Duration) (*Client, error) {
+	t := &Client{terms: terms.Default(), lease: name, holder: h, ttl: ttl, phase: Asking}
 	t.guard = NewGuard(t.terms)
 	c := Command{Op: Acquire, Lease: name, Holder: h, TTL: ttl}
 	if err := c.Check(); err != nil {
@@ -89,15 +89,15 @@
 }
 
 // Lease is the lease's name, Holder who asks, and Phase how far it is.
-func (t *Tenant) Lease() string  { return t.lease }
-func (t *Tenant) Holder() Holder { return t.holder }
-func (t *Tenant) Phase() Phase   { return t.phase }
+func (t *Client) Lease() string  { return t.lease }
+func (t *Client) Holder() Holder { return t.holder }
+func (t *Client) Phase() Phase   { return t.phase }
 
 // Token is what was held last; 0: nothing yet.
-func (t *Tenant) Token() uint64 { return t.guard.Token() }
+func (t *Client) Token() uint64 { return t.guard.Token() }
 
 // Tries is how often the open request was sent; 0: none is open.
-func (t *Tenant) Tries() int {
+func (t *Client) Attempts() int {
 	if t.open == nil {
 		return 0
 	}
@@ -105,29 +105,29 @@
 }
 
 // Events are what has happened since the last call.
-func (t *Tenant) Events() []Event {
+func (t *Client) Events() []Event {
 	e := t.events
 	t.events = nil
 	return e
 }
 
-func (t *Tenant) move(p Phase, why string) {
+func (t *Client) move(p Phase, why string) {
 	t.phase, t.why = p, why
-	t.events = append(t.events, Event{Kind: Moved, Phase: p, Place: t.place, Token: t.guard.Token(), Until: t.guard.ends, Why: why})
+	t.events = append(t.events, Event{Kind: PhaseChanged, Phase: p, Place: t.place, Token: t.guard.Token(), Until: t.guard.ends, Why: why})
 }
 
 // retry is how long an answer is waited for.
-func (t *Tenant) retry() time.Duration { return min(max(t.ttl/12, leastRetry), mostRetry) }
+func (t *Client) retry() time.Duration { return min(max(t.ttl/12, leastRetry), mostRetry) }
 
-func (t *Tenant) request(now time.Duration, c Command) {
+func (t *Client) request(now time.Duration, c Command) {
 	t.seq++
 	c.Lease, c.Holder, c.Seq = t.lease, t.holder, t.seq
 	t.open, t.since, t.first, t.sent, t.tries = &c, now, now, now-time.Hour, 0
-	t.guard.Asked(now, t.seq)
+	t.guard.RequestSent(now, t.seq)
 }
 
 // Begin is to be called right before an act, as the guard's is: a token, or false.
-func (t *Tenant) Begin(now, act time.Duration) (uint64, bool) {
+func (t *Client) Begin(now, act time.Duration) (uint64, bool) {
 	if t.phase != Holding {
 		return 0, false
 	}
@@ -135,24 +135,24 @@
 }
 
 // May tells how long acts may last at the most that begin now; 0: none may begin.
-func (t *Tenant) May(now time.Duration) time.Duration {
+func (t *Client) MaxActDuration(now time.Duration) time.Duration {
 	if t.phase != Holding {
 		return 0
 	}
-	_, left, _ := t.guard.May(now, 0)
+	_, left, _ := t.guard.CanBegin(now, 0)
 	return left
 }
 
 // Acted tells that all acts that had begun are over.
-func (t *Tenant) Acted(now time.Duration) { t.guard.End(now) }
+func (t *Client) ActsEnded(now time.Duration) { t.guard.End(now) }
 
 // Stop gives the lease up, or the wish for it. Once no act lasts any more the machine is told. To may name a waiter that it
 // is to go to, ahead of others in line.
-func (t *Tenant) Stop(now time.Duration, to Holder) {
+func (t *Client) Stop(now time.Duration, to Holder) {
 	switch t.phase {
-	case Asking, InLine:
+	case Asking, Queued:
 		t.end = now + patience
-		t.request(now, Command{Op: Forsake})
+		t.request(now, Command{Op: LeaveQueue})
 		t.move(Releasing, "given up")
 	case Holding:
 		t.handTo = to
@@ -163,7 +163,7 @@
 
 // Abandon has the tenant say and do nothing more: its user can't be asked any more whether its acts are over. The lease ends
 // by its time.
-func (t *Tenant) Abandon() {
+func (t *Client) Abandon() {
 	if t.phase == Over {
 		return
 	}
@@ -172,11 +172,11 @@
 }
 
 // Tick says what is to be sent now, if anything. It is to be called often, and after each other call.
-func (t *Tenant) Tick(now time.Duration) (send *Command) {
+func (t *Client) Tick(now time.Duration) (send *Command) {
 	switch t.phase {
 	case Over:
 		return nil
-	case InLine:
+	case Queued:
 		if t.open == nil && now >= t.asks {
 			t.request(now, Command{Op: Acquire, TTL: t.ttl})
 		}
@@ -191,7 +191,7 @@
 	if t.phase == Stopping && !t.guard.Busy(now) {
 		c := Command{Op: Release, Token: t.guard.Token()}
 		if t.handTo.Life != 0 {
-			c.Op, c.To = Hand, t.handTo
+			c.Op, c.To = Transfer, t.handTo
 		}
 		t.end = now + 2*t.ttl
 		t.request(now, c)
@@ -221,14 +221,14 @@
 }
 
 // Hurry has the open request sent again soon, to another voter: the last one said that it can't help.
-func (t *Tenant) Hurry(now time.Duration, seq uint64) {
+func (t *Client) RetrySoon(now time.Duration, seq uint64) {
 	if t.open != nil && t.open.Seq == seq {
 		t.sent = now - t.retry() + min(hurriedRetry<<min(t.tries, 4), t.retry())
 	}
 }
 
 // Told takes an answer of the machine, in any order.
-func (t *Tenant) Told(now time.Duration, a Answer) {
+func (t *Client) HandleAnswer(now time.Duration, a Answer) {
 	if t.phase == Over || a.Lease != t.lease {
 		return
 	}
@@ -245,10 +245,10 @@
 	case Granted:
 		t.granted(now, a, asked)
 	case Waiting:
-		if answers && (t.phase == Asking || t.phase == InLine) {
-			if t.asks = now + min(t.terms.Linger/3, t.ttl/4); t.phase != InLine || t.place != a.Place {
+		if answers && (t.phase == Asking || t.phase == Queued) {
+			if t.asks = now + min(t.terms.Linger/3, t.ttl/4); t.phase != Queued || t.place != a.Place {
 				t.place = a.Place
-				t.move(InLine, "")
+				t.move(Queued, "")
 			}
 		}
 	case Freed:
@@ -260,7 +260,7 @@
 			return
 		}
 		switch {
-		case t.phase == Releasing && asked == Hand: // nobody of that name waits: it goes to the first in line
+		case t.phase == Releasing && asked == Transfer: // nobody of that name waits: it goes to the first in line
 			t.request(now, Command{Op: Release, Token: t.guard.Token()})
 		case t.phase == Releasing:
 			t.move(Over, t.why)
@@ -275,10 +275,10 @@
 	}
 }
 
-func (t *Tenant) granted(now time.Duration, a Answer, asked Op) {
+func (t *Client) granted(now time.Duration, a Answer, asked Op) {
 	switch t.phase {
-	case Asking, InLine:
-		t.guard.Told(a)
+	case Asking, Queued:
+		t.guard.HandleAnswer(a)
 		if t.guard.Token() != a.Token {
 			return // its asking is not known any more
 		}
@@ -289,12 +289,12 @@
 		t.move(Holding, "")
 	case Holding:
 		before := t.guard.ends
-		if t.guard.Told(a); t.guard.ends > before {
+		if t.guard.HandleAnswer(a); t.guard.ends > before {
 			t.events = append(t.events, Event{Kind: Extended, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.ends})
 		}
 	case Releasing:
 		if t.guard.Token() == 0 { // it was granted while the wish was being given up
-			t.guard.Told(a)
+			t.guard.HandleAnswer(a)
 			t.guard.Stop(now)
 			t.request(now, Command{Op: Release, Token: a.Token})
 		}
@@ -302,6 +302,6 @@
 }
 
 // String is the tenant on one line.
-func (t *Tenant) String() string {
+func (t *Client) String() string {
 	return fmt.Sprintf("%s of %s/%d: %s, token %d", t.lease, t.holder.Name, t.holder.Incarnation, t.phase, t.guard.Token())
 }
--- a/internal/fleet/lease/tenant_test.go
+++ b/internal/fleet/lease/tenant_test.go
@@ -8,9 +8,9 @@
 
 const tenantTTL = 10 * time.Second
 
-func newTenant(t *testing.T) *Tenant {
+func newTenant(t *testing.T) *Client {
 	t.Helper()
-	x, err := NewTenant(Terms{}, "l", Holder{"n", 1, 7}, tenantTTL, time.Hour)
+	x, err := NewClient(Timing{}, "l", Holder{"n", 1, 7}, tenantTTL, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,11 +18,11 @@
 }
 
 // held is a tenant that holds under token 5, from an hour on.
-func held(t *testing.T) *Tenant {
+func held(t *testing.T) *Client {
 	t.Helper()
 	x := newTenant(t)
 	c := x.Tick(time.Hour)
-	x.Told(time.Hour, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: c.Seq})
+	x.HandleAnswer(time.Hour, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: c.Seq})
 	x.Events()
 	if x.Phase() != Holding || x.Token() != 5 {
 		t.Fatal(x)
@@ -32,7 +32,7 @@
 
 func kinds(events []Event) (phases []Phase) {
 	for _, e := range events {
-		if e.Kind == Moved {
+		if e.Kind == PhaseChanged {
 			phases = append(phases, e.Phase)
 		}
 	}
@@ -58,7 +58,7 @@
 	if again == nil || again.Seq != c.Seq {
 		t.Fatalf("the same request does not come again: %+v", again)
 	}
-	x.Told(at+400*time.Millisecond, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: c.Seq})
+	x.HandleAnswer(at+400*time.Millisecond, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: c.Seq})
 	until := time.Duration(0)
 	for _, e := range x.Events() {
 		if e.Kind == Extended {
@@ -82,7 +82,7 @@
 		t.Fatal("given up before its time")
 	}
 	x.Tick(until + 1)
-	if p := kinds(x.Events()); len(p) < 1 || p[0] != Stopping || x.May(until+1) > 0 {
+	if p := kinds(x.Events()); len(p) < 1 || p[0] != Stopping || x.MaxActDuration(until+1) > 0 {
 		t.Fatal(x)
 	}
 	if c := x.Tick(until + time.Second); c == nil || c.Op != Release {
@@ -101,8 +101,8 @@
 			last = c.Seq
 		}
 	}
-	x.Told(now, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: last})
-	if left := x.May(now); left < tenantTTL/2 {
+	x.HandleAnswer(now, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: last})
+	if left := x.MaxActDuration(now); left < tenantTTL/2 {
 		t.Errorf("%v of %v are left", left, tenantTTL)
 	}
 }
@@ -117,16 +117,16 @@
 	if c := x.Tick(time.Hour + time.Second); c != nil {
 		t.Fatalf("an act lasts: %+v", c)
 	}
-	x.Acted(time.Hour + time.Second)
+	x.ActsEnded(time.Hour + time.Second)
 	c := x.Tick(time.Hour + time.Second + 1)
-	if c == nil || c.Op != Hand || c.To.Life != 9 {
+	if c == nil || c.Op != Transfer || c.To.Life != 9 {
 		t.Fatalf("%+v", c)
 	}
-	x.Told(time.Hour+2*time.Second, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq}) // the other waits no more
+	x.HandleAnswer(time.Hour+2*time.Second, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq}) // the other waits no more
 	if c = x.Tick(time.Hour + 2*time.Second); c == nil || c.Op != Release {
 		t.Fatalf("%+v", c)
 	}
-	x.Told(time.Hour+2*time.Second, Answer{Outcome: Freed, Lease: "l", Token: 5, Seq: c.Seq})
+	x.HandleAnswer(time.Hour+2*time.Second, Answer{Outcome: Freed, Lease: "l", Token: 5, Seq: c.Seq})
 	if x.Phase() != Over {
 		t.Fatal(x)
 	}
@@ -136,8 +136,8 @@
 func TestTenantGivesUpItsWish(t *testing.T) {
 	x := newTenant(t)
 	c := x.Tick(time.Hour)
-	x.Told(time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 2, Seq: c.Seq})
-	if x.Phase() != InLine || x.Events()[0].Place != 2 {
+	x.HandleAnswer(time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 2, Seq: c.Seq})
+	if x.Phase() != Queued || x.Events()[0].Place != 2 {
 		t.Fatal(x)
 	}
 	next := time.Hour + x.terms.Linger/3 // asked again before it is dropped
@@ -147,12 +147,12 @@
 	}
 	x.Stop(next+1, Holder{})
 	f := x.Tick(next + 1)
-	if f == nil || f.Op != Forsake {
+	if f == nil || f.Op != LeaveQueue {
 		t.Fatalf("%+v", f)
 	}
-	x.Told(next+2, Answer{Outcome: Granted, Lease: "l", Token: 8, TTL: tenantTTL, Seq: c.Seq})
+	x.HandleAnswer(next+2, Answer{Outcome: Granted, Lease: "l", Token: 8, TTL: tenantTTL, Seq: c.Seq})
 	r := x.Tick(next + 2)
-	if r == nil || r.Op != Release || r.Token != 8 || x.May(next+2) > 0 {
+	if r == nil || r.Op != Release || r.Token != 8 || x.MaxActDuration(next+2) > 0 {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -161,22 +161,22 @@
 func TestTenantLoses(t *testing.T) {
 	x := held(t)
 	c := x.Tick(time.Hour + tenantTTL/2)
-	x.Told(time.Hour+tenantTTL/2, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq})
-	if x.Phase() != Stopping || x.May(time.Hour+tenantTTL/2) > 0 {
+	x.HandleAnswer(time.Hour+tenantTTL/2, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq})
+	if x.Phase() != Stopping || x.MaxActDuration(time.Hour+tenantTTL/2) > 0 {
 		t.Fatal(x)
 	}
 	y := newTenant(t)
 	c = y.Tick(time.Hour)
-	y.Told(time.Hour, Answer{Outcome: Full, Lease: "l", Seq: c.Seq})
+	y.HandleAnswer(time.Hour, Answer{Outcome: Full, Lease: "l", Seq: c.Seq})
 	if y.Phase() != Over {
 		t.Fatal(y)
 	}
 	z := held(t)
 	z.Abandon()
-	if z.Tick(2*time.Hour) != nil || z.Phase() != Over || z.May(time.Hour+1) > 0 {
+	if z.Tick(2*time.Hour) != nil || z.Phase() != Over || z.MaxActDuration(time.Hour+1) > 0 {
 		t.Fatal(z)
 	}
-	if _, err := NewTenant(Terms{}, "l", Holder{"n", 1, 7}, time.Millisecond, 0); err == nil {
+	if _, err := NewClient(Timing{}, "l", Holder{"n", 1, 7}, time.Millisecond, 0); err == nil {
 		t.Error("a lease of a millisecond")
 	}
 }
@@ -188,7 +188,7 @@
 	for now := time.Hour; now < time.Hour+10*time.Second; now += 10 * time.Millisecond {
 		if c := x.Tick(now); c != nil {
 			sends++
-			x.Hurry(now, c.Seq) // each voter says that it can't help
+			x.RetrySoon(now, c.Seq) // each voter says that it can't help
 		}
 		for _, e := range x.Events() {
 			if e.Kind == Unreachable {
@@ -202,7 +202,7 @@
 	if told != 1 || sends > 50 {
 		t.Errorf("told %d times, sent %d times", told, sends)
 	}
-	x.Told(2*time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 1, Seq: 1})
+	x.HandleAnswer(2*time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 1, Seq: 1})
 	if e := x.Events(); len(e) == 0 || e[0].Kind != Reachable {
 		t.Errorf("%+v", e)
 	}
@@ -227,18 +227,18 @@
 			case 0, 1:
 				if len(seqs) > 0 {
 					a := Answer{Outcome: Outcome(1 + rng.IntN(6)), Lease: "l", Token: uint64(1 + rng.IntN(3)), TTL: tenantTTL, Place: 1, Seq: seqs[rng.IntN(len(seqs))]}
-					x.Told(now, a)
+					x.HandleAnswer(now, a)
 				}
 			case 2:
 				x.Begin(now, time.Duration(rng.IntN(3000))*time.Millisecond)
 			case 3:
-				x.Hurry(now, uint64(rng.IntN(9)))
+				x.RetrySoon(now, uint64(rng.IntN(9)))
 			}
 			last := time.Duration(0)
 			for _, at := range asked {
 				last = max(last, at)
 			}
-			if left := x.May(now); left > 0 && now+left > last+tenantTTL {
+			if left := x.MaxActDuration(now); left > 0 && now+left > last+tenantTTL {
 				t.Fatalf("seed %d: holds until %v, and asked at %v at the latest", seed, now+left, last)
 			}
 			x.Events()
@@ -257,49 +257,49 @@
 // A command gets its grace before the lease ends, and is killed before it does, whatever it was told meanwhile.
 func TestWarden(t *testing.T) {
 	const until = time.Hour + 10*time.Second
-	w := NewWarden(10*time.Second, 2*time.Second, until)
-	if w.Due(until-2300*time.Millisecond) != None || w.Lost() {
+	w := NewWatchdog(10*time.Second, 2*time.Second, until)
+	if w.NextSignal(until-2300*time.Millisecond) != None || w.Lost() {
 		t.Error("too early")
 	}
-	w.Until(until + 5*time.Second)
-	w.Until(until) // a late word
-	if w.Due(until) != None {
+	w.Extend(until + 5*time.Second)
+	w.Extend(until) // a late word
+	if w.NextSignal(until) != None {
 		t.Error("it was extended")
 	}
 	last := until + 5*time.Second - 200*time.Millisecond
-	if w.Due(last-2*time.Second) != Term || !w.Lost() {
+	if w.NextSignal(last-2*time.Second) != Term || !w.Lost() {
 		t.Error("no time to end by itself")
 	}
-	if w.Due(last-time.Millisecond) != None || w.Due(last) != Kill || w.Due(last+1) != None {
+	if w.NextSignal(last-time.Millisecond) != None || w.NextSignal(last) != Kill || w.NextSignal(last+1) != None {
 		t.Error("not killed once, before the lease ends")
 	}
 	// Told to end: the grace counts from there, and never beyond the lease.
-	w = NewWarden(10*time.Second, 2*time.Second, until)
+	w = NewWatchdog(10*time.Second, 2*time.Second, until)
 	w.Stop(until - 8*time.Second)
-	if w.Due(until-8*time.Second) != Term || w.Due(until-6*time.Second-1) != None || w.Due(until-6*time.Second) != Kill || w.Lost() {
+	if w.NextSignal(until-8*time.Second) != Term || w.NextSignal(until-6*time.Second-1) != None || w.NextSignal(until-6*time.Second) != Kill || w.Lost() {
 		t.Error("told to end")
 	}
-	w = NewWarden(10*time.Second, 2*time.Second, until)
+	w = NewWatchdog(10*time.Second, 2*time.Second, until)
 	w.Stop(until - time.Second)
-	if s := w.Due(until - 200*time.Millisecond); s != Kill {
+	if s := w.NextSignal(until - 200*time.Millisecond); s != Kill {
 		t.Errorf("%v at the lease's end", s)
 	}
 	// One that was not asked for long does not waste time on a grace.
-	w = NewWarden(10*time.Second, 0, until)
-	if w.Due(until+time.Minute) != Kill || !w.Lost() {
+	w = NewWatchdog(10*time.Second, 0, until)
+	if w.NextSignal(until+time.Minute) != Kill || !w.Lost() {
 		t.Error("woken after the end")
 	}
 }
 
 // Forms are read as written, and anything can be read.
 func FuzzForms(f *testing.F) {
-	m := NewMachine()
+	m := NewStateMachine()
 	h := Holder{"n", 1, 9}
 	m.Apply(&Command{Op: Acquire, Lease: "l", Holder: h, Seq: 1, TTL: time.Minute})
 	m.Apply(&Command{Op: Acquire, Lease: "l", Holder: Holder{"o", 2, 8}, Seq: 4, TTL: time.Hour})
 	s := m.Snapshot()
 	f.Add(AppendSnapshot(nil, &s))
-	f.Add(AppendCommand(nil, &Command{Op: Hand, Lease: "l", Holder: h, Seq: 3, Token: 4, To: h, TTL: 5, Serial: 6}))
+	f.Add(AppendCommand(nil, &Command{Op: Transfer, Lease: "l", Holder: h, Seq: 3, Token: 4, To: h, TTL: 5, Serial: 6}))
 	f.Add(AppendAnswer(nil, &Answer{Granted, "l", 3, time.Second, 4, 5}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ParseSnapshot(b); err == nil {
@@ -312,7 +312,7 @@
 			if d, err := ParseCommand(AppendCommand(nil, &c)); err != nil || c != d {
 				t.Fatalf("%+v, then %+v: %v", c, d, err)
 			}
-			NewMachine().Apply(&c)
+			NewStateMachine().Apply(&c)
 		}
 		if a, err := ParseAnswer(b); err == nil {
 			if d, err := ParseAnswer(AppendAnswer(nil, &a)); err != nil || a != d {
--- a/internal/fleet/lease/warden.go
+++ b/internal/fleet/lease/warden.go
@@ -14,7 +14,7 @@
 
 // Warden says when a command that runs under a lease is to end. It goes by the clock that the lease's end is told in, and
 // must be asked often: what is not asked for Margin can't keep its word.
-type Warden struct {
+type Watchdog struct {
 	grace  time.Duration
 	margin time.Duration
 	until  time.Duration
@@ -26,25 +26,25 @@
 
 // NewWarden watches a command under a lease of a time to live that ends at until. Grace is the time that the command has to
 // end by itself; 0: a quarter of the lease.
-func NewWarden(ttl, grace, until time.Duration) *Warden {
+func NewWatchdog(ttl, grace, until time.Duration) *Watchdog {
 	if grace <= 0 {
 		grace = ttl / 4
 	}
-	return &Warden{grace: min(grace, ttl/2), margin: max(ttl/50, 20*time.Millisecond), until: until}
+	return &Watchdog{grace: min(grace, ttl/2), margin: max(ttl/50, 20*time.Millisecond), until: until}
 }
 
 // Until tells that the lease goes on until then. A word that came late changes nothing.
-func (w *Warden) Until(until time.Duration) { w.until = max(w.until, until) }
+func (w *Watchdog) Extend(until time.Duration) { w.until = max(w.until, until) }
 
 // Stop has the command end: its lease is to pass on, or its operator wants that.
-func (w *Warden) Stop(now time.Duration) {
+func (w *Watchdog) Stop(now time.Duration) {
 	if w.kill == 0 {
 		w.kill = now + w.grace
 	}
 }
 
 // Due is the signal that the command is to get now, each once. The end of the lease goes before its grace.
-func (w *Warden) Due(now time.Duration) Signal {
+func (w *Watchdog) NextSignal(now time.Duration) Signal {
 	last := w.until - w.margin
 	if now >= last-w.grace && w.kill == 0 {
 		w.lost, w.kill = true, last
@@ -64,4 +64,4 @@
 }
 
 // Lost tells whether the command had to end because nobody renewed its lease.
-func (w *Warden) Lost() bool { return w.lost }
+func (w *Watchdog) Lost() bool { return w.lost }
--- a/internal/fleet/council/asking.go
+++ b/internal/fleet/leaselog/asking.go
@@ -1,4 +1,4 @@
-package council
+package leaselog
 
 import (
 	"time"
@@ -9,7 +9,7 @@
 
 // asked takes a request: the leader puts it into its next entry, another voter passes it on. What only a leader's clock
 // says is no request.
-func (c *Council) asked(m *Message) {
+func (c *Node) asked(m *Message) {
 	if op := m.Item.Command.Op; m.Item.Work == nil && (op == lease.End || op == lease.Drop) {
 		return
 	}
@@ -21,15 +21,15 @@
 		}
 		c.batch = append(c.batch, *m.Item)
 	case to != "":
-		c.send(to, &Message{Kind: Ask, Hops: m.Hops + 1, Item: m.Item})
+		c.send(to, &Message{Kind: SubmitCommand, Hops: m.Hops + 1, Item: m.Item})
 	default:
 		c.helpless(m.Item)
 	}
 }
 
 // toLeader is where to pass on what is for the leader; "": nowhere.
-func (c *Council) toLeader(m *Message) string {
-	if c.Leads() && c.broken == nil {
+func (c *Node) toLeader(m *Message) string {
+	if c.IsLeader() && c.broken == nil {
 		return c.set.Name
 	}
 	if c.voter == nil || c.hung() || c.broken != nil || m.Hops >= mostHops-1 {
@@ -42,20 +42,20 @@
 	return c.nameOf(lead)
 }
 
-func (c *Council) list(m *Message) {
+func (c *Node) list(m *Message) {
 	switch to := c.toLeader(m); {
 	case to == c.set.Name:
 		all := c.machine.Leases()
 		pages := max(1, (len(all)+mostListed-1)/mostListed)
-		_, term := c.voter.Leads()
+		_, term := c.voter.IsLeader()
 		for page := range pages {
 			part := all[page*mostListed : min(len(all), (page+1)*mostListed)]
-			c.send(m.Origin, &Message{Kind: Listed, Ref: m.Ref, Term: term, Page: page, Pages: pages, Leases: part})
+			c.send(m.Origin, &Message{Kind: LeasePage, Ref: m.Ref, Term: term, Page: page, Pages: pages, Leases: part})
 		}
 	case to != "":
-		c.send(to, &Message{Kind: List, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
+		c.send(to, &Message{Kind: QueryLeases, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
 	default:
-		c.send(m.Origin, &Message{Kind: Helpless, Ref: m.Ref})
+		c.send(m.Origin, &Message{Kind: CannotServe, Ref: m.Ref})
 	}
 }
 
@@ -69,17 +69,17 @@
 
 // Ask sends a request of this node's own to a voter: the leader, if it is known, and with each further try another one.
 // An error tells that there is nobody to ask.
-func (c *Council) Ask(now time.Duration, cmd lease.Command, ref uint64, try int) error {
-	return c.askVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: Ask, Item: &Item{Command: cmd, Origin: c.set.Name, Ref: ref}})
+func (c *Node) SendLeaseCommand(now time.Duration, cmd lease.Command, ref uint64, try int) error {
+	return c.askVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: SubmitCommand, Item: &ForwardedCommand{Command: cmd, Origin: c.set.Name, Ref: ref}})
 }
 
 // AskList asks which leases there are.
-func (c *Council) AskList(now time.Duration, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: List, Origin: c.set.Name, Ref: ref})
+func (c *Node) RequestLeaseList(now time.Duration, ref uint64, try int) error {
+	return c.askVoter(now, ref, try, &Message{Kind: QueryLeases, Origin: c.set.Name, Ref: ref})
 }
 
 // voterFor is whom to ask at a try, from 0.
-func (c *Council) voterFor(who uint64, try int) string {
+func (c *Node) voterFor(who uint64, try int) string {
 	rows := c.note.Seats.Rows
 	if c.applies() {
 		rows = c.seats.Rows
@@ -93,7 +93,7 @@
 	return rows[(who+uint64(try))%uint64(len(rows))].Name
 }
 
-func (c *Council) askVoter(now time.Duration, ref uint64, try int, m *Message) error {
+func (c *Node) askVoter(now time.Duration, ref uint64, try int, m *Message) error {
 	c.now = max(c.now, now)
 	to := c.voterFor(ref, try)
 	if to == "" {
@@ -105,30 +105,30 @@
 }
 
 // works tells how the machines out for work stand, if this node leads.
-func (c *Council) works(m *Message) {
+func (c *Node) works(m *Message) {
 	switch to := c.toLeader(m); {
 	case to == c.set.Name:
-		c.send(m.Origin, &Message{Kind: Worked, Ref: m.Ref, Table: maintenance.AppendTable(nil, c.table)})
+		c.send(m.Origin, &Message{Kind: MaintenanceReply, Ref: m.Ref, Table: maintenance.AppendTable(nil, c.table)})
 	case to != "":
-		c.send(to, &Message{Kind: Works, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
+		c.send(to, &Message{Kind: QueryMaintenance, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
 	default:
-		c.send(m.Origin, &Message{Kind: Helpless, Ref: m.Ref})
+		c.send(m.Origin, &Message{Kind: CannotServe, Ref: m.Ref})
 	}
 }
 
 // AskWork sends a command about machines out for work; an error tells that there is nobody to ask. A command that is sent
 // again may be applied twice: each names what it rests on, or does nothing the second time.
-func (c *Council) AskWork(now time.Duration, cmd *maintenance.Command, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: Ask, Item: &Item{Work: cmd, Origin: c.set.Name, Ref: ref}})
+func (c *Node) SendMaintenanceCommand(now time.Duration, cmd *maintenance.Command, ref uint64, try int) error {
+	return c.askVoter(now, ref, try, &Message{Kind: SubmitCommand, Item: &ForwardedCommand{Work: cmd, Origin: c.set.Name, Ref: ref}})
 }
 
 // AskWorks asks how the machines out for work stand.
-func (c *Council) AskWorks(now time.Duration, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: Works, Origin: c.set.Name, Ref: ref})
+func (c *Node) RequestMaintenanceTable(now time.Duration, ref uint64, try int) error {
+	return c.askVoter(now, ref, try, &Message{Kind: QueryMaintenance, Origin: c.set.Name, Ref: ref})
 }
 
 // size is about what an item takes in an entry.
-func (i *Item) size() int {
+func (i *ForwardedCommand) size() int {
 	n := len(i.Command.Lease) + 2*mostName + 64
 	if i.Work != nil {
 		n += 128 * (1 + len(i.Work.Wishes) + len(i.Work.Lost))
--- a/internal/fleet/council/council.go
+++ b/internal/fleet/leaselog/council.go
@@ -1,4 +1,4 @@
-package council
+package leaselog
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"curlewring/internal/fleet/agree"
+	"curlewring/internal/fleet/consensus"
 	"curlewring/internal/fleet/lease"
 	"curlewring/internal/fleet/maintenance"
 )
@@ -14,8 +14,8 @@
 // Settings are what a council goes by. Terms, Agree and ReplaceAfter must be the same at all nodes of a fleet.
 type Settings struct {
 	Name, Site   string
-	Terms        lease.Terms
-	Agree        agree.Settings
+	Terms        lease.Timing
+	Agree        consensus.Settings
 	ReplaceAfter time.Duration // a voter out of the members' view for so long loses its seat; 0: 5 min
 	Compact      int           // commands between two snapshots; 0: 2,000
 }
@@ -37,7 +37,7 @@
 )
 
 // Told is something for this node's own tenants and operators.
-type Told struct {
+type LocalReply struct {
 	Kind   Kind // Answers, Helpless or Listed
 	Life   uint64
 	Seq    uint64
@@ -53,14 +53,14 @@
 }
 
 // Saving is what must be on disk before the council goes on.
-type Saving struct {
-	Begin *agree.Disk // all that there was gives way to this; nil: it stays
-	Save  agree.Save
+type PendingSave struct {
+	Begin *consensus.PersistentState // all that there was gives way to this; nil: it stays
+	Save  consensus.Update
 	Note  []byte // nil: as it was
 }
 
 // Council is one node's part.
-type Council struct {
+type Node struct {
 	set     Settings
 	rng     *rand.Rand
 	now     time.Duration
@@ -69,26 +69,26 @@
 
 	note      note
 	noteDirty bool
-	voter     *agree.Voter // nil: this node has no number
-	machine   *lease.Machine
+	voter     *consensus.Voter // nil: this node has no number
+	machine   *lease.StateMachine
 	table     *maintenance.Table
-	seats     Seats // as applied; of use while the voter has a state
-	keeper    *lease.Keeper
+	seats     VoterSet // as applied; of use while the voter has a state
+	keeper    *lease.ExpiryTracker
 	term      uint64 // of the keeper
 	commands  int    // since the last snapshot
-	batch     []Item
+	batch     []ForwardedCommand
 	heard     map[uint64]string // nodes by number, as their messages said
 	conflict  bool              // another log than this node's was met
 	broken    error
 
-	begin  *agree.Disk // to be saved, and begun from
-	saving *Saving     // on its way to the disk
-	work   *agree.Work // that it is part of; nil: of none
+	begin  *consensus.PersistentState // to be saved, and begun from
+	saving *PendingSave               // on its way to the disk
+	work   *consensus.Ready           // that it is part of; nil: of none
 	taken  bool
 	ticks  int        // since it was taken
 	queue  []*Message // to this node itself
-	outs   []Out
-	told   []Told
+	outs   []Outgoing
+	told   []LocalReply
 
 	leader     string        // who has answered last
 	askSeats   time.Duration // when to ask again who votes
@@ -112,7 +112,7 @@
 
 // New makes a council of what the disk holds. Doubt is why that is not to be trusted; "": it is. What can't be read though
 // it can be trusted, as it is a later version's, leaves the council Broken.
-func New(set Settings, disk *agree.Disk, kept []byte, doubt string, seed uint64, now time.Duration) *Council {
+func New(set Settings, disk *consensus.PersistentState, kept []byte, doubt string, seed uint64, now time.Duration) *Node {
 	if set.ReplaceAfter <= 0 {
 		set.ReplaceAfter = usualReplaceAfter
 	}
@@ -120,8 +120,8 @@
 		set.Compact = usualCompact
 	}
 	set.Terms = set.Terms.Default()
-	c := &Council{
-		set: set, now: now, rng: rand.New(rand.NewPCG(seed, 0xc0c)), machine: lease.NewMachine(), table: maintenance.NewTable(), members: map[string]Member{},
+	c := &Node{
+		set: set, now: now, rng: rand.New(rand.NewPCG(seed, 0xc0c)), machine: lease.NewStateMachine(), table: maintenance.NewTable(), members: map[string]Member{},
 		heard: map[uint64]string{}, absent: map[string]time.Duration{}, newcomers: map[string]newcomer{}, offers: map[string]*offer{},
 	}
 	var err error
@@ -131,7 +131,7 @@
 	if doubt != "" {
 		c.note = note{}
 		if disk.ID != 0 {
-			c.begin = &agree.Disk{} // the number goes with it
+			c.begin = &consensus.PersistentState{} // the number goes with it
 		}
 		return c
 	}
@@ -143,10 +143,10 @@
 }
 
 // start begins as a voter from its disk.
-func (c *Council) start(disk *agree.Disk) {
-	c.machine, c.table = lease.NewMachine(), maintenance.NewTable()
+func (c *Node) start(disk *consensus.PersistentState) {
+	c.machine, c.table = lease.NewStateMachine(), maintenance.NewTable()
 	c.keeper, c.commands, c.broken, c.work = nil, 0, nil, nil
-	if c.voter, c.broken = agree.New(c.set.Agree, disk, c.rng.Uint64()); c.broken != nil {
+	if c.voter, c.broken = consensus.New(c.set.Agree, disk, c.rng.Uint64()); c.broken != nil {
 		c.voter = nil
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (c *Council) restore(data []byte) error {
+func (c *Node) restore(data []byte) error {
 	seats, s, t, err := parseState(data)
 	if err != nil {
 		return fmt.Errorf("council: the state: %w", err)
@@ -168,7 +168,7 @@
 }
 
 // learn takes in who votes, if that is newer than what is known.
-func (c *Council) learn(s Seats) {
+func (c *Node) learn(s VoterSet) {
 	have := &c.note.Seats
 	switch {
 	case have.Founding == 0:
@@ -185,31 +185,31 @@
 }
 
 // applies tells whether this node's own state says who votes.
-func (c *Council) applies() bool { return c.voter != nil && len(c.voter.Voters()) > 0 }
+func (c *Node) applies() bool { return c.voter != nil && len(c.voter.Voters()) > 0 }
 
 // Leads tells whether this node's voter leads.
-func (c *Council) Leads() bool {
+func (c *Node) IsLeader() bool {
 	if c.voter == nil || c.hung() {
 		return false
 	}
-	leads, _ := c.voter.Leads()
+	leads, _ := c.voter.IsLeader()
 	return leads
 }
 
 // hung tells whether the disk has not ended a write for long.
-func (c *Council) hung() bool { return c.taken && c.ticks > stuckTicks }
+func (c *Node) hung() bool { return c.taken && c.ticks > stuckTicks }
 
 // Leave is to be called before this node ends: another voter leads then, without an election's wait.
-func (c *Council) Leave(now time.Duration) {
+func (c *Node) Leave(now time.Duration) {
 	c.now = max(c.now, now)
-	if c.Leads() {
-		c.voter.HandLead()
+	if c.IsLeader() {
+		c.voter.TransferLeadership()
 	}
 	c.settle()
 }
 
 // View takes the members as agreed on, by name; nil: this node is in no view.
-func (c *Council) View(now time.Duration, members map[string]Member) {
+func (c *Node) SetMembers(now time.Duration, members map[string]Member) {
 	c.now = max(c.now, now)
 	if c.inView = members != nil; c.inView {
 		c.members = members
@@ -217,7 +217,7 @@
 }
 
 // Tick is to be called every Settings.Agree.Round.
-func (c *Council) Tick(now time.Duration) {
+func (c *Node) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	if c.taken {
 		c.ticks++
@@ -233,24 +233,24 @@
 }
 
 // Receive takes a message of another node.
-func (c *Council) Receive(now time.Duration, m *Message) {
+func (c *Node) Receive(now time.Duration, m *Message) {
 	c.now = max(c.now, now)
 	c.take(m)
 	c.settle()
 }
 
 // Outs are the messages that may leave, and Told what is for this node's own, since the last call.
-func (c *Council) Outs() (outs []Out, told []Told) {
+func (c *Node) TakeOutgoing() (outs []Outgoing, told []LocalReply) {
 	outs, told = c.outs, c.told
 	c.outs, c.told = nil, nil
 	return outs, told
 }
 
 // Busy tells whether something that was taken is not on the disk yet.
-func (c *Council) Busy() bool { return c.taken }
+func (c *Node) Busy() bool { return c.taken }
 
 // Take returns what must be saved; nil if nothing, or if the last Saving is not on the disk yet.
-func (c *Council) Take() *Saving {
+func (c *Node) TakeSave() *PendingSave {
 	if c.saving == nil || c.taken {
 		return nil
 	}
@@ -259,7 +259,7 @@
 }
 
 // Saved tells that what was taken is on the disk.
-func (c *Council) Saved(now time.Duration) {
+func (c *Node) Saved(now time.Duration) {
 	c.now = max(c.now, now)
 	s := c.saving
 	if !c.taken {
@@ -276,7 +276,7 @@
 }
 
 // begun goes on from a new disk.
-func (c *Council) begun(d *agree.Disk) {
+func (c *Node) begun(d *consensus.PersistentState) {
 	c.voter, c.work = nil, nil
 	if d.ID != 0 {
 		c.start(d)
@@ -287,7 +287,7 @@
 }
 
 // send lets a message leave.
-func (c *Council) send(to string, m *Message) {
+func (c *Node) send(to string, m *Message) {
 	m.From = c.set.Name
 	if to == c.set.Name {
 		c.queue = append(c.queue, m)
@@ -297,11 +297,11 @@
 	if !ok {
 		s, _ = c.note.Seats.of(to)
 	}
-	c.outs = append(c.outs, Out{to, s.Addr, m})
+	c.outs = append(c.outs, Outgoing{to, s.Addr, m})
 }
 
 // settle goes on until there is nothing more to do without the disk or another node.
-func (c *Council) settle() {
+func (c *Node) settle() {
 	for {
 		for len(c.queue) > 0 {
 			m := c.queue[0]
@@ -315,33 +315,33 @@
 }
 
 // step does the next piece of work, and tells whether there may be more.
-func (c *Council) step() bool {
+func (c *Node) step() bool {
 	if c.saving != nil {
 		return false
 	}
 	if c.begin != nil {
-		c.saving = &Saving{Begin: c.begin, Note: appendNote(nil, &c.note)}
+		c.saving = &PendingSave{Begin: c.begin, Note: appendNote(nil, &c.note)}
 		c.begin, c.noteDirty = nil, false
 		return false
 	}
 	if c.voter != nil && c.broken == nil {
-		if c.broken = c.voter.Broken(); c.voter.Given() {
+		if c.broken = c.voter.Broken(); c.voter.DiskStale() {
 			c.giveUp()
 			return true
 		}
 		c.propose()
-		if w, ok := c.voter.Take(); ok {
+		if w, ok := c.voter.Ready(); ok {
 			if w.Save.Empty() && !c.noteDirty {
 				c.finish(&w)
 				return true
 			}
 			c.work = &w
-			c.saving = &Saving{Save: w.Save}
+			c.saving = &PendingSave{Save: w.Save}
 		}
 	}
 	if c.noteDirty {
 		if c.saving == nil {
-			c.saving = &Saving{}
+			c.saving = &PendingSave{}
 		}
 		c.saving.Note, c.noteDirty = appendNote(nil, &c.note), false
 	}
@@ -349,19 +349,19 @@
 }
 
 // giveUp ends this node's voter for good: its number is another's, or its disk has forgotten something.
-func (c *Council) giveUp() {
+func (c *Node) giveUp() {
 	c.voter, c.work, c.broken = nil, nil, nil
-	c.begin = &agree.Disk{}
+	c.begin = &consensus.PersistentState{}
 	c.note.Pledged = 0
 	c.refuse()
 }
 
 // finish does what may be done once a Work is saved.
-func (c *Council) finish(w *agree.Work) {
+func (c *Node) finish(w *consensus.Ready) {
 	for i := range w.Sends {
 		m := w.Sends[i]
 		if to := c.nameOf(m.To); to != "" {
-			c.send(to, &Message{Kind: Agree, Voter: &m})
+			c.send(to, &Message{Kind: RaftMessage, Voter: &m})
 		}
 	}
 	if w.Restore != nil {
@@ -376,11 +376,11 @@
 			return
 		}
 	}
-	if err := c.voter.Done(); err != nil {
+	if err := c.voter.Advance(); err != nil {
 		c.broken = err
 		return
 	}
-	if c.commands >= c.set.Compact || c.voter.Wants() && c.applies() && c.seats.Founding != 0 {
+	if c.commands >= c.set.Compact || c.voter.WantsSnapshot() && c.applies() && c.seats.Founding != 0 {
 		c.commands = 0
 		snap := c.machine.Snapshot()
 		if err := c.voter.Compact(c.voter.Applied(), appendState(nil, &c.seats, &snap, c.table)); err != nil {
@@ -390,7 +390,7 @@
 }
 
 // nameOf is the node of a number; "": it is not known.
-func (c *Council) nameOf(id uint64) string {
+func (c *Node) nameOf(id uint64) string {
 	if s, ok := c.seats.by(id); ok {
 		return s.Name
 	}
@@ -401,7 +401,7 @@
 }
 
 // apply does what an entry says, and answers if this node leads.
-func (c *Council) apply(e *agree.Entry) error {
+func (c *Node) apply(e *consensus.Entry) error {
 	x, err := parseEntry(e.Data)
 	if err != nil {
 		return fmt.Errorf("council: entry %d: %w", e.Index, err)
@@ -409,7 +409,7 @@
 	if x.Level > level {
 		return fmt.Errorf("council: entry %d is of level %d, and this program knows %d: it must be a later one", e.Index, x.Level, level)
 	}
-	leads := c.Leads()
+	leads := c.IsLeader()
 	if x.Change != nil && c.seats.change(x.Change.Out, x.Change.In, e.Index) {
 		c.learn(c.seats)
 	}
@@ -419,7 +419,7 @@
 		if it.Work != nil {
 			a := c.table.Apply(it.Work, c.seats.nodes())
 			if leads && it.Origin != "" {
-				c.send(it.Origin, &Message{Kind: Worked, Ref: it.Ref, Work: &a})
+				c.send(it.Origin, &Message{Kind: MaintenanceReply, Ref: it.Ref, Work: &a})
 			}
 			continue
 		}
@@ -428,22 +428,22 @@
 			continue
 		}
 		if it.Origin != "" {
-			c.send(it.Origin, &Message{Kind: Answers, Life: it.Command.Holder.Life, Seq: it.Command.Seq, Ref: it.Ref, Answer: &a})
+			c.send(it.Origin, &Message{Kind: CommandAnswer, Life: it.Command.Holder.Life, Seq: it.Command.Seq, Ref: it.Ref, Answer: &a})
 		}
 		for _, g := range grants {
 			answer := g.Answer
-			c.send(g.Holder.Name, &Message{Kind: Answers, Life: g.Holder.Life, Answer: &answer})
+			c.send(g.Holder.Name, &Message{Kind: CommandAnswer, Life: g.Holder.Life, Answer: &answer})
 		}
 	}
 	return nil
 }
 
 // propose puts what has come into one entry, if this node leads; else it goes to who does.
-func (c *Council) propose() {
+func (c *Node) propose() {
 	if len(c.batch) == 0 {
 		return
 	}
-	if !c.Leads() {
+	if !c.IsLeader() {
 		c.refuse()
 		return
 	}
@@ -462,7 +462,7 @@
 }
 
 // refuse tells all who wait for the next entry to ask again.
-func (c *Council) refuse() {
+func (c *Node) refuse() {
 	batch := c.batch
 	c.batch = nil
 	for i := range batch {
@@ -470,11 +470,11 @@
 	}
 }
 
-func (c *Council) helpless(i *Item) {
+func (c *Node) helpless(i *ForwardedCommand) {
 	if i.Origin == "" {
 		return
 	}
-	m := &Message{Kind: Helpless, Life: i.Command.Holder.Life, Seq: i.Command.Seq, Ref: i.Ref}
+	m := &Message{Kind: CannotServe, Life: i.Command.Holder.Life, Seq: i.Command.Seq, Ref: i.Ref}
 	if c.note.Seats.Founding != 0 {
 		s := c.note.Seats.clone()
 		m.Seats = &s
@@ -483,76 +483,76 @@
 }
 
 // lead does what a leader's clock says.
-func (c *Council) lead() {
-	leads, term := c.voter.Leads()
+func (c *Node) lead() {
+	leads, term := c.voter.IsLeader()
 	if !leads || !c.applies() {
 		c.keeper = nil
 		return
 	}
 	if c.keeper == nil || c.term != term {
-		c.keeper, c.term = lease.NewKeeper(c.set.Terms), term
+		c.keeper, c.term = lease.NewExpiryTracker(c.set.Terms), term
 		clear(c.absent)
 		clear(c.offers)
 		c.decided = c.now
 	}
-	for _, x := range c.keeper.Due(c.now, c.machine) {
-		c.batch = append(c.batch, Item{Command: x})
+	for _, x := range c.keeper.Expired(c.now, c.machine) {
+		c.batch = append(c.batch, ForwardedCommand{Command: x})
 	}
 	c.settleSeats()
 }
 
 // take does what a message says.
-func (c *Council) take(m *Message) {
-	if m.Seats != nil && m.Kind != Seated {
+func (c *Node) take(m *Message) {
+	if m.Seats != nil && m.Kind != VotersKnown {
 		c.learn(*m.Seats)
 	}
 	switch m.Kind {
-	case Agree:
+	case RaftMessage:
 		c.voted(m)
-	case Ask:
+	case SubmitCommand:
 		c.asked(m)
-	case Answers:
+	case CommandAnswer:
 		c.leader = m.From
-		c.told = append(c.told, Told{Kind: Answers, Life: m.Life, Seq: m.Answer.Seq, Ref: m.Ref, Answer: *m.Answer, From: m.From})
-	case Helpless:
+		c.told = append(c.told, LocalReply{Kind: CommandAnswer, Life: m.Life, Seq: m.Answer.Seq, Ref: m.Ref, Answer: *m.Answer, From: m.From})
+	case CannotServe:
 		if c.leader == m.From {
 			c.leader = ""
 		}
-		c.told = append(c.told, Told{Kind: Helpless, Life: m.Life, Seq: m.Seq, Ref: m.Ref, From: m.From})
-	case Who:
+		c.told = append(c.told, LocalReply{Kind: CannotServe, Life: m.Life, Seq: m.Seq, Ref: m.Ref, From: m.From})
+	case QueryVoters:
 		if c.note.Seats.Founding != 0 {
 			s := c.note.Seats.clone()
-			c.send(m.From, &Message{Kind: Seated, Seats: &s, Founding: m.Founding, Settled: c.agreed()})
+			c.send(m.From, &Message{Kind: VotersKnown, Seats: &s, Founding: m.Founding, Settled: c.agreed()})
 		} else {
-			c.send(m.From, &Message{Kind: Unseated, Founding: m.Founding})
+			c.send(m.From, &Message{Kind: NoVotersKnown, Founding: m.Founding})
 		}
-	case Unseated:
+	case NoVotersKnown:
 		if f := c.founding; f != nil && m.Founding == f.id {
 			f.unseated[m.From] = true
 		}
-	case Seated:
+	case VotersKnown:
 		c.seated(m)
-	case Offer:
+	case RequestID:
 		c.offered(m)
-	case Offered:
+	case IDOffered:
 		c.accepted(m)
-	case Newcomer:
+	case ReplacementVoter:
 		if s, ok := c.seats.of(m.From); ok && s.ID != m.ID && m.Founding == c.seats.Founding {
 			c.newcomers[m.From] = newcomer{m.ID, c.now}
 		}
-	case List:
+	case QueryLeases:
 		c.list(m)
-	case Works:
+	case QueryMaintenance:
 		c.works(m)
-	case Worked:
-		c.told = append(c.told, Told{Kind: Worked, Ref: m.Ref, From: m.From, Work: m.Work, Table: m.Table})
-	case Listed:
-		c.told = append(c.told, Told{Kind: Listed, Ref: m.Ref, From: m.From, Term: m.Term, Page: m.Page, Pages: m.Pages, Leases: m.Leases})
+	case MaintenanceReply:
+		c.told = append(c.told, LocalReply{Kind: MaintenanceReply, Ref: m.Ref, From: m.From, Work: m.Work, Table: m.Table})
+	case LeasePage:
+		c.told = append(c.told, LocalReply{Kind: LeasePage, Ref: m.Ref, From: m.From, Term: m.Term, Page: m.Page, Pages: m.Pages, Leases: m.Leases})
 	}
 }
 
 // voted takes a message of another voter.
-func (c *Council) voted(m *Message) {
+func (c *Node) voted(m *Message) {
 	if c.nameOf(m.Voter.From) == "" {
 		if len(c.heard) >= mostHeard {
 			clear(c.heard)
--- a/internal/fleet/council/council_test.go
+++ b/internal/fleet/leaselog/council_test.go
@@ -1,4 +1,4 @@
-package council
+package leaselog
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"curlewring/internal/fleet/agree"
+	"curlewring/internal/fleet/consensus"
 	"curlewring/internal/fleet/lease"
 )
 
@@ -18,23 +18,23 @@
 	t       *testing.T
 	now     time.Duration
 	view    map[string]Member
-	up      map[string]*Council
-	disks   map[string]*agree.Disk
+	up      map[string]*Node
+	disks   map[string]*consensus.PersistentState
 	notes   map[string][]byte
 	hangs   map[string]bool
 	held    func(from, to string, m *Message) bool
-	told    map[string][]Told
+	told    map[string][]LocalReply
 	entries int // that some voter has saved
 }
 
 func newFleet(t *testing.T, names ...string) *fleet {
 	f := &fleet{
-		t: t, now: time.Hour, view: map[string]Member{}, up: map[string]*Council{}, disks: map[string]*agree.Disk{},
-		notes: map[string][]byte{}, hangs: map[string]bool{}, told: map[string][]Told{},
+		t: t, now: time.Hour, view: map[string]Member{}, up: map[string]*Node{}, disks: map[string]*consensus.PersistentState{},
+		notes: map[string][]byte{}, hangs: map[string]bool{}, told: map[string][]LocalReply{},
 	}
 	for i, n := range names {
 		f.view[n] = Member{Site: fmt.Sprint("s", i%3), Addr: "127.0.0.1:1"}
-		f.disks[n] = &agree.Disk{}
+		f.disks[n] = &consensus.PersistentState{}
 	}
 	for _, n := range names {
 		f.start(n)
@@ -44,7 +44,7 @@
 
 func (f *fleet) start(name string) {
 	d := f.disks[name].Clone()
-	set := Settings{Name: name, Site: f.view[name].Site, ReplaceAfter: 20 * time.Second, Compact: 50, Agree: agree.Settings{Keep: 20}}
+	set := Settings{Name: name, Site: f.view[name].Site, ReplaceAfter: 20 * time.Second, Compact: 50, Agree: consensus.Settings{Keep: 20}}
 	f.up[name] = New(set, &d, f.notes[name], "", rank(name)+uint64(len(f.disks)), f.now)
 }
 
@@ -62,7 +62,7 @@
 		more = false
 		for _, n := range f.names() {
 			c := f.up[n]
-			if s := c.Take(); s != nil {
+			if s := c.TakeSave(); s != nil {
 				more = true
 				if s.Begin != nil {
 					d := s.Begin.Clone()
@@ -77,7 +77,7 @@
 					c.Saved(f.now)
 				}
 			}
-			outs, told := c.Outs()
+			outs, told := c.TakeOutgoing()
 			f.told[n] = append(f.told[n], told...)
 			for _, o := range outs {
 				more = true
@@ -103,7 +103,7 @@
 func (f *fleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 100 * time.Millisecond {
 		for _, n := range f.names() {
-			f.up[n].View(f.now, f.view)
+			f.up[n].SetMembers(f.now, f.view)
 			f.up[n].Tick(f.now)
 		}
 		f.settle()
@@ -119,10 +119,10 @@
 	}
 }
 
-func (f *fleet) leader() *Council {
-	var best *Council
+func (f *fleet) leader() *Node {
+	var best *Node
 	for _, n := range f.names() {
-		if c := f.up[n]; c.Leads() && (best == nil || c.Standing().Term > best.Standing().Term) {
+		if c := f.up[n]; c.IsLeader() && (best == nil || c.Status().Term > best.Status().Term) {
 			best = c
 		}
 	}
@@ -130,16 +130,16 @@
 }
 
 // found founds a log, and returns what came of it.
-func (f *fleet) found(at string, voters int, names ...string) (seats Seats, err error) {
+func (f *fleet) found(at string, voters int, names ...string) (seats VoterSet, err error) {
 	ended := false
-	if err := f.up[at].Found(f.now, names, voters, 0, func(s Seats, e error) { seats, err, ended = s, e, true }); err != nil {
-		return Seats{}, err
+	if err := f.up[at].Found(f.now, names, voters, 0, func(s VoterSet, e error) { seats, err, ended = s, e, true }); err != nil {
+		return VoterSet{}, err
 	}
 	f.until("the founding's end", 40*time.Second, func() bool { return ended })
 	return seats, err
 }
 
-func founded(t *testing.T, nodes, voters int) (*fleet, Seats) {
+func founded(t *testing.T, nodes, voters int) (*fleet, VoterSet) {
 	t.Helper()
 	var names []string
 	for i := range nodes {
@@ -160,10 +160,10 @@
 	f.t.Helper()
 	for try := range 30 {
 		f.told[node] = nil
-		f.up[node].Ask(f.now, c, 0, try)
+		f.up[node].SendLeaseCommand(f.now, c, 0, try)
 		f.run(300 * time.Millisecond)
 		for _, m := range f.told[node] {
-			if m.Kind == Answers && m.Life == c.Holder.Life && m.Seq == c.Seq {
+			if m.Kind == CommandAnswer && m.Life == c.Holder.Life && m.Seq == c.Seq {
 				return m.Answer
 			}
 		}
@@ -186,7 +186,7 @@
 		t.Errorf("voters %v: wanted one of each site", s.Rows)
 	}
 	f.until("all know", 40*time.Second, func() bool {
-		return !slices.ContainsFunc(f.names(), func(n string) bool { return f.up[n].Standing().Seats.Founding != s.Founding })
+		return !slices.ContainsFunc(f.names(), func(n string) bool { return f.up[n].Status().Seats.Founding != s.Founding })
 	})
 	// Once is enough, whoever asks and whatever for.
 	for _, at := range []string{"n0", "n3"} {
@@ -213,7 +213,7 @@
 	for _, cut := range []time.Duration{200, 1600, 1800, 1900, 2000, 2100, 2300, 2600} {
 		f := newFleet(t, "n0", "n1", "n2", "n3", "n4")
 		f.run(time.Second)
-		if err := f.up["n0"].Found(f.now, []string{"n1", "n2", "n3"}, 0, 0, func(Seats, error) {}); err != nil {
+		if err := f.up["n0"].Found(f.now, []string{"n1", "n2", "n3"}, 0, 0, func(VoterSet, error) {}); err != nil {
 			t.Fatal(err)
 		}
 		lost := 0
@@ -230,7 +230,7 @@
 		f.until("a leader", 10*time.Second, func() bool { return f.leader() != nil })
 		logs := map[uint64]bool{}
 		for _, n := range f.names() {
-			if s := f.up[n].Standing(); s.Voter && s.Applied > 0 {
+			if s := f.up[n].Status(); s.Voter && s.Applied > 0 {
 				logs[s.Seats.Founding] = true
 			}
 		}
@@ -246,14 +246,14 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := newFleet(t, "n0", "n1", "n2", "n3", "n4")
 		f.run(time.Second)
-		f.up["n0"].Found(f.now, nil, 3, 0, func(Seats, error) {})
+		f.up["n0"].Found(f.now, nil, 3, 0, func(VoterSet, error) {})
 		f.run(time.Duration(rng.IntN(25)) * 100 * time.Millisecond)
-		f.up["n1"].Found(f.now, []string{"n2", "n3", "n4"}, 0, 0, func(Seats, error) {})
+		f.up["n1"].Found(f.now, []string{"n2", "n3", "n4"}, 0, 0, func(VoterSet, error) {})
 		f.run(30 * time.Second)
 		leaders := map[uint64]int{}
 		for _, n := range f.names() {
-			if f.up[n].Leads() {
-				leaders[f.up[n].Standing().Seats.Founding]++
+			if f.up[n].IsLeader() {
+				leaders[f.up[n].Status().Seats.Founding]++
 			}
 		}
 		if len(leaders) > 1 {
@@ -266,7 +266,7 @@
 	f := newFleet(t, "n0", "n1", "n2")
 	f.run(time.Second)
 	c := lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 5), Seq: 1, TTL: time.Second}
-	if err := f.up["n0"].Ask(f.now, c, 0, 0); !errors.Is(err, ErrNoVoters) {
+	if err := f.up["n0"].SendLeaseCommand(f.now, c, 0, 0); !errors.Is(err, ErrNoVoters) {
 		t.Errorf("%v", err)
 	}
 	g, s := founded(t, 5, 3)
@@ -282,10 +282,10 @@
 	}
 	g.told[asker] = nil
 	for try := range 3 {
-		g.up[asker].Ask(g.now, lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder(asker, 5), Seq: 1, TTL: time.Second}, 0, try)
+		g.up[asker].SendLeaseCommand(g.now, lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder(asker, 5), Seq: 1, TTL: time.Second}, 0, try)
 	}
 	g.settle()
-	if len(g.told[asker]) != 1 || g.told[asker][0].Kind != Helpless || g.told[asker][0].Seq != 1 {
+	if len(g.told[asker]) != 1 || g.told[asker][0].Kind != CannotServe || g.told[asker][0].Seq != 1 {
 		t.Errorf("the one voter that is left says %+v", g.told[asker])
 	}
 }
@@ -297,20 +297,20 @@
 	name := was.set.Name
 	f.hangs[name] = true
 	c := lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 5), Seq: 1, TTL: time.Minute}
-	was.Ask(f.now, c, 0, 0)
+	was.SendLeaseCommand(f.now, c, 0, 0)
 	f.until("another leads", 10*time.Second, func() bool { l := f.leader(); return l != nil && l != was })
 	f.run(3 * time.Second)
-	if s := was.Standing(); !s.Hung || s.Leads {
+	if s := was.Status(); !s.Hung || s.Leads {
 		t.Errorf("%+v", s)
 	}
 	if a := f.ask("n0", c); a.Outcome != lease.Granted {
 		t.Errorf("%+v", a)
 	}
 	f.told[name] = nil
-	was.take(&Message{Kind: Ask, From: name, Item: &Item{Command: c, Origin: name}})
+	was.take(&Message{Kind: SubmitCommand, From: name, Item: &ForwardedCommand{Command: c, Origin: name}})
 	was.settle()
 	f.settle()
-	if len(f.told[name]) != 1 || f.told[name][0].Kind != Helpless {
+	if len(f.told[name]) != 1 || f.told[name][0].Kind != CannotServe {
 		t.Errorf("asked while its disk hangs: %+v", f.told[name])
 	}
 }
@@ -322,25 +322,25 @@
 	f.entries = 0
 	const n = 1000
 	for i := range uint64(n) {
-		l.Ask(f.now, lease.Command{Op: lease.Acquire, Lease: fmt.Sprint("l", i), Holder: holder(l.set.Name, i+1), Seq: 1, TTL: time.Minute}, 0, 0)
+		l.SendLeaseCommand(f.now, lease.Command{Op: lease.Acquire, Lease: fmt.Sprint("l", i), Holder: holder(l.set.Name, i+1), Seq: 1, TTL: time.Minute}, 0, 0)
 	}
 	f.run(2 * time.Second)
 	granted := 0
 	for _, m := range f.told[l.set.Name] {
-		if m.Kind == Answers && m.Answer.Outcome == lease.Granted {
+		if m.Kind == CommandAnswer && m.Answer.Outcome == lease.Granted {
 			granted++
 		}
 	}
 	if granted != n || f.entries > 3*12 {
 		t.Errorf("%d granted of %d, by %d entries at three voters", granted, n, f.entries)
 	}
-	if err := l.AskList(f.now, 9, 0); err != nil {
+	if err := l.RequestLeaseList(f.now, 9, 0); err != nil {
 		t.Fatal(err)
 	}
 	f.settle()
 	listed, pages := 0, 0
 	for _, m := range f.told[l.set.Name] {
-		if m.Kind == Listed {
+		if m.Kind == LeasePage {
 			listed, pages = listed+len(m.Leases), m.Pages
 		}
 	}
@@ -357,7 +357,7 @@
 	}
 	force := lease.Command{Op: lease.Force, Lease: "l", Token: 1}
 	for ref := range uint64(2) {
-		f.up["n1"].Ask(f.now, force, ref+7, 0)
+		f.up["n1"].SendLeaseCommand(f.now, force, ref+7, 0)
 		f.run(300 * time.Millisecond)
 	}
 	l, _ := f.leader().machine.Lease("l")
@@ -372,7 +372,7 @@
 	f.ask("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 1), Seq: 1, TTL: time.Hour})
 	l, _ := f.leader().machine.Lease("l")
 	for try := range 3 {
-		f.up["n1"].Ask(f.now, lease.Command{Op: lease.End, Lease: "l", Holder: l.Holder, Serial: l.Serial}, 0, try)
+		f.up["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.End, Lease: "l", Holder: l.Holder, Serial: l.Serial}, 0, try)
 	}
 	f.run(time.Second)
 	if l, _ := f.leader().machine.Lease("l"); l.Holder.Life != 1 {
@@ -390,7 +390,7 @@
 	f.run(time.Second)
 	for _, n := range f.names() {
 		c := f.up[n]
-		if c.Broken() == nil || !strings.Contains(c.Broken().Error(), "level 2") || c.Leads() && c.toLeader(&Message{}) == n {
+		if c.Broken() == nil || !strings.Contains(c.Broken().Error(), "level 2") || c.IsLeader() && c.toLeader(&Message{}) == n {
 			t.Errorf("%s goes on: %v", n, c.Broken())
 		}
 		f.start(n)
@@ -400,7 +400,7 @@
 		t.Error("the entry is forgotten after a start")
 	}
 	// A message of a later version's kind is passed over.
-	b, _ := AppendMessage(nil, &Message{Kind: Unseated + 1, From: "n0"})
+	b, _ := AppendMessage(nil, &Message{Kind: NoVotersKnown + 1, From: "n0"})
 	if _, err := ParseMessage(b); err == nil {
 		t.Error("a kind that is not known was taken")
 	}
@@ -425,8 +425,8 @@
 	if _, still := f.leader().seats.of(gone); !still {
 		t.Fatal("it was replaced before its time")
 	}
-	deaf := choose(f.view, slices.DeleteFunc(slices.Clone(s.Rows), func(r Seat) bool { return r.Name == gone }), 1)[0]
-	f.held = func(_, to string, m *Message) bool { return to == deaf && m.Kind == Offer }
+	deaf := choose(f.view, slices.DeleteFunc(slices.Clone(s.Rows), func(r VoterInfo) bool { return r.Name == gone }), 1)[0]
+	f.held = func(_, to string, m *Message) bool { return to == deaf && m.Kind == RequestID }
 	f.until("another has the seat", 30*time.Second, func() bool { _, still := f.leader().seats.of(gone); return !still })
 	for _, r := range f.leader().seats.Rows {
 		if _, old := s.of(r.Name); !old && (r.Site != site || r.Name == deaf || r.Addr == "") {
@@ -439,13 +439,13 @@
 	}
 	f.view[gone], f.up[gone] = member, was
 	f.run(35 * time.Second)
-	if l := f.leader(); l == nil || l.agreed() || !f.up[gone].Standing().Voter {
+	if l := f.leader(); l == nil || l.agreed() || !f.up[gone].Status().Voter {
 		t.Error("it gave its number up before another had its voice, or the voters had changed already")
 	}
 	for _, n := range f.names() {
 		f.up[n].decided = 0
 	}
-	f.until("it gives its number up", 40*time.Second, func() bool { return !f.up[gone].Standing().Voter })
+	f.until("it gives its number up", 40*time.Second, func() bool { return !f.up[gone].Status().Voter })
 	if f.disks[gone].ID != 0 {
 		t.Error("its disk keeps the number")
 	}
@@ -454,7 +454,7 @@
 // A majority that is all in one lost site: nothing goes on, and nothing is replaced, until it is back.
 func TestAMajorityIsLost(t *testing.T) {
 	f, s := founded(t, 7, 3)
-	away := map[string]*Council{}
+	away := map[string]*Node{}
 	for _, r := range s.Rows[:2] {
 		away[r.Name] = f.up[r.Name]
 		delete(f.up, r.Name)
@@ -514,11 +514,11 @@
 		}
 	}
 	for _, n := range lost {
-		f.disks[n], f.notes[n] = &agree.Disk{}, nil
+		f.disks[n], f.notes[n] = &consensus.PersistentState{}, nil
 		f.start(n)
 	}
 	f.held = func(from, to string, m *Message) bool { // newcomers take nothing in
-		return m.Kind == Agree && m.Voter.Raft != nil && slices.Contains(lost, to)
+		return m.Kind == RaftMessage && m.Voter.Raft != nil && slices.Contains(lost, to)
 	}
 	changed := func() (n int) {
 		for _, r := range f.leader().seats.Rows {
@@ -572,7 +572,7 @@
 	was                        uint64 // the number whose disk is lost
 }
 
-func newSecondLoss(f *fleet, seats Seats, ofLeader bool) *secondLoss {
+func newSecondLoss(f *fleet, seats VoterSet, ofLeader bool) *secondLoss {
 	l := &secondLoss{fleet: f, leader: f.leader().set.Name}
 	others := slices.DeleteFunc(seats.nodes(), func(n string) bool { return n == l.leader })
 	l.lost, l.second, l.rest = others[0], others[1], l.leader
@@ -587,7 +587,7 @@
 // play loses the disk and then the other voter, so many messages after the first is taken in. It tells whether both voters that
 // are left say that the change has ended.
 func (l *secondLoss) play(messages int) (settled bool) {
-	l.disks[l.lost], l.notes[l.lost] = &agree.Disk{}, nil
+	l.disks[l.lost], l.notes[l.lost] = &consensus.PersistentState{}, nil
 	l.start(l.lost)
 	ended := false
 	l.held = func(from, to string, _ *Message) bool {
@@ -604,14 +604,14 @@
 
 // takenIn tells whether the leader has given the seat to the new number, and that has begun to take in the log.
 func (l *secondLoss) takenIn() bool {
-	seats := l.up[l.leader].Standing().Seats
+	seats := l.up[l.leader].Status().Seats
 	seat, _ := seats.of(l.lost)
-	newcomer := l.up[l.lost].Standing()
+	newcomer := l.up[l.lost].Status()
 	return seat.ID != l.was && newcomer.ID == seat.ID && newcomer.Applied > 1
 }
 
 func (l *secondLoss) settled(name string) bool {
-	s := l.up[name].Standing()
+	s := l.up[name].Status()
 	_, old := s.Seats.by(l.was)
 	return s.Settled && !old
 }
--- a/internal/fleet/council/doc.go
+++ b/internal/fleet/leaselog/doc.go
@@ -1,4 +1,4 @@
-// Package council is one node's part in the fleet's leases: it may have a seat among the
+// Package leaselog is one node's part in the fleet's leases: it may have a seat among the
 // voters or none, and asks on behalf of its tenants either way.
 //
 // A Council ties package agree (the log), package lease (the replicated machine and the
@@ -13,4 +13,4 @@
 //
 // Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 4 (changes of voters),
 // 6 (clients); Burrows, "The Chubby lock service", 2006 (cells, sessions through any replica).
-package council
+package leaselog
--- a/internal/fleet/council/found.go
+++ b/internal/fleet/leaselog/found.go
@@ -1,4 +1,4 @@
-package council
+package leaselog
 
 import (
 	"cmp"
@@ -34,9 +34,9 @@
 	unseated map[string]bool
 	drawn    map[string]uint64
 	begun    map[string]bool
-	other    *Seats // somebody knows of voters already
-	seats    Seats
-	done     func(Seats, error)
+	other    *VoterSet // somebody knows of voters already
+	seats    VoterSet
+	done     func(VoterSet, error)
 }
 
 // heard takes an answer to the asking, or to the word to begin.
@@ -53,7 +53,7 @@
 // Found founds the fleet's log: n voters, chosen by rule, or those named; its tokens begin above one. It must be done once
 // for a fleet, and finds out if it was. Done is called with who votes then. An error that comes at once means that nothing
 // was begun.
-func (c *Council) Found(now time.Duration, names []string, n int, tokens uint64, done func(Seats, error)) error {
+func (c *Node) Found(now time.Duration, names []string, n int, tokens uint64, done func(VoterSet, error)) error {
 	c.now = max(c.now, now)
 	switch {
 	case c.founding != nil:
@@ -61,8 +61,8 @@
 	case !c.inView:
 		return Error("this node is in no view of the members")
 	case len(names) == 0:
-		if n < LeastSeats || n > MostSeats || n%2 == 0 {
-			return fmt.Errorf("%d voters: want an odd number from %d to %d", n, LeastSeats, MostSeats)
+		if n < MinVoters || n > MaxVoters || n%2 == 0 {
+			return fmt.Errorf("%d voters: want an odd number from %d to %d", n, MinVoters, MaxVoters)
 		}
 		names = choose(c.members, nil, n)
 		if len(names) < n {
@@ -70,8 +70,8 @@
 		}
 	}
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
-	if len(names) > MostSeats || len(names)%2 == 0 {
-		return fmt.Errorf("%d voters: want an odd number from %d to %d", len(names), LeastSeats, MostSeats)
+	if len(names) > MaxVoters || len(names)%2 == 0 {
+		return fmt.Errorf("%d voters: want an odd number from %d to %d", len(names), MinVoters, MaxVoters)
 	}
 	for _, name := range names {
 		if _, in := c.members[name]; !in {
@@ -88,14 +88,14 @@
 }
 
 // ended tells the founder.
-func (c *Council) ended(err error) {
+func (c *Node) ended(err error) {
 	f := c.founding
 	c.founding = nil
 	f.done(f.seats.clone(), err)
 }
 
 // found does the next step of a founding that was begun here.
-func (c *Council) found() {
+func (c *Node) found() {
 	f := c.founding
 	if f == nil || c.now < f.next {
 		return
@@ -108,7 +108,7 @@
 	if f.other != nil && f.step < 2 { // that one may have ended half way: it is brought to its end
 		for _, r := range f.other.Rows {
 			s := f.other.clone()
-			c.send(r.Name, &Message{Kind: Seated, Seats: &s, Begin: true})
+			c.send(r.Name, &Message{Kind: VotersKnown, Seats: &s, Begin: true})
 		}
 		f.seats = *f.other
 		c.ended(fmt.Errorf("there are voters already: %s", f.other.names()))
@@ -130,11 +130,11 @@
 
 // foundAsk asks the members whether they know of voters: a part of them in a step, and the chosen ones in each. It is over
 // once all have answered, or all were asked, some time has passed, and those chosen have answered.
-func (c *Council) foundAsk(f *founding, lasted time.Duration) {
+func (c *Node) foundAsk(f *founding, lasted time.Duration) {
 	silent := slices.DeleteFunc(slices.Clone(f.names), func(n string) bool { return n == c.set.Name || f.unseated[n] })
 	waiting := c.unanswered(f)
 	for _, name := range c.nextAsked(f, waiting, silent) {
-		c.send(name, &Message{Kind: Who, Founding: f.id})
+		c.send(name, &Message{Kind: QueryVoters, Founding: f.id})
 	}
 	switch {
 	case len(waiting)+len(silent) == 0 || f.rounds > 0 && lasted >= askFor && len(silent) == 0:
@@ -145,12 +145,12 @@
 }
 
 // unanswered are the other members that have not said that they know of no voters, by name.
-func (c *Council) unanswered(f *founding) []string {
+func (c *Node) unanswered(f *founding) []string {
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(c.members)), func(n string) bool { return n == c.set.Name || f.unseated[n] })
 }
 
 // nextAsked are those whom a step asks: the next of the members that have not answered, and the chosen ones of them.
-func (c *Council) nextAsked(f *founding, waiting, chosen []string) []string {
+func (c *Node) nextAsked(f *founding, waiting, chosen []string) []string {
 	from, found := slices.BinarySearch(waiting, f.reached)
 	if found {
 		from++
@@ -167,19 +167,19 @@
 }
 
 // foundDraw has all that were chosen draw their numbers.
-func (c *Council) foundDraw(f *founding, lasted time.Duration) {
+func (c *Node) foundDraw(f *founding, lasted time.Duration) {
 	var silent []string
 	for _, name := range f.names {
 		if f.drawn[name] == 0 {
 			silent = append(silent, name)
-			c.send(name, &Message{Kind: Offer, Founding: f.id})
+			c.send(name, &Message{Kind: RequestID, Founding: f.id})
 		}
 	}
 	switch {
 	case len(silent) == 0:
-		f.seats = Seats{Founding: f.id, Index: 1, Tokens: f.tokens}
+		f.seats = VoterSet{Founding: f.id, Index: 1, Tokens: f.tokens}
 		for _, name := range f.names {
-			f.seats.Rows = append(f.seats.Rows, Seat{ID: f.drawn[name], Name: name, Site: c.members[name].Site, Addr: c.members[name].Addr})
+			f.seats.Rows = append(f.seats.Rows, VoterInfo{ID: f.drawn[name], Name: name, Site: c.members[name].Site, Addr: c.members[name].Addr})
 		}
 		f.advance(c.now)
 	case lasted >= drawFor:
@@ -188,13 +188,13 @@
 }
 
 // foundBegin tells all of them the whole list.
-func (c *Council) foundBegin(f *founding, lasted time.Duration) {
+func (c *Node) foundBegin(f *founding, lasted time.Duration) {
 	var silent []string
 	for _, name := range f.names {
 		if !f.begun[name] {
 			silent = append(silent, name)
 			s := f.seats.clone()
-			c.send(name, &Message{Kind: Seated, Seats: &s, Begin: true, Founding: f.id})
+			c.send(name, &Message{Kind: VotersKnown, Seats: &s, Begin: true, Founding: f.id})
 		}
 	}
 	switch {
@@ -206,7 +206,7 @@
 }
 
 // names is who they are.
-func (s *Seats) names() string {
+func (s *VoterSet) names() string {
 	var all []string
 	for _, r := range s.Rows {
 		all = append(all, cmp.Or(r.Name, "?"))
@@ -215,8 +215,8 @@
 }
 
 // emptyState is the state of a log that nothing was agreed on in.
-func emptyState(s *Seats) []byte {
-	empty := lease.NewMachine().Snapshot()
+func emptyState(s *VoterSet) []byte {
+	empty := lease.NewStateMachine().Snapshot()
 	empty.Tokens = s.Tokens
 	return appendState(nil, s, &empty, maintenance.NewTable())
 }
--- a/internal/fleet/council/seats.go
+++ b/internal/fleet/leaselog/seats.go
@@ -1,4 +1,4 @@
-package council
+package leaselog
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 )
 
 // Seat is one voter's.
-type Seat struct {
+type VoterInfo struct {
 	ID   uint64 // drawn with its disk, never 0
 	Name string // of the node
 	Site string
@@ -16,48 +16,48 @@
 }
 
 // Seats is who votes.
-type Seats struct {
-	Founding uint64 // drawn when the log was founded; 0: nobody votes yet
-	Index    uint64 // of the log, at the last change
-	Tokens   uint64 // the first token is above it: where a log takes another's place
-	Rows     []Seat // by name
+type VoterSet struct {
+	Founding uint64      // drawn when the log was founded; 0: nobody votes yet
+	Index    uint64      // of the log, at the last change
+	Tokens   uint64      // the first token is above it: where a log takes another's place
+	Rows     []VoterInfo // by name
 }
 
 // Bounds of what an operator may found.
 const (
-	LeastSeats, MostSeats = 1, 7
-	mostName              = 64 // as of members
+	MinVoters, MaxVoters = 1, 7
+	mostName             = 64 // as of members
 )
 
 // clone copies them.
-func (s Seats) clone() Seats {
+func (s VoterSet) clone() VoterSet {
 	s.Rows = slices.Clone(s.Rows)
 	return s
 }
 
 // of finds a node's seat.
-func (s *Seats) of(name string) (Seat, bool) {
+func (s *VoterSet) of(name string) (VoterInfo, bool) {
 	for _, r := range s.Rows {
 		if r.Name == name {
 			return r, true
 		}
 	}
-	return Seat{}, false
+	return VoterInfo{}, false
 }
 
 // by finds the seat of a number.
-func (s *Seats) by(id uint64) (Seat, bool) {
+func (s *VoterSet) by(id uint64) (VoterInfo, bool) {
 	for _, r := range s.Rows {
 		if r.ID == id {
 			return r, true
 		}
 	}
-	return Seat{}, false
+	return VoterInfo{}, false
 }
 
 // change gives one seat to another; false if that has been done, or makes no sense.
-func (s *Seats) change(out uint64, in Seat, index uint64) bool {
-	at := slices.IndexFunc(s.Rows, func(r Seat) bool { return r.ID == out })
+func (s *VoterSet) change(out uint64, in VoterInfo, index uint64) bool {
+	at := slices.IndexFunc(s.Rows, func(r VoterInfo) bool { return r.ID == out })
 	if _, there := s.by(in.ID); at < 0 || there || in.ID == 0 {
 		return false
 	}
@@ -65,13 +65,13 @@
 		return false // a node has one seat
 	}
 	s.Rows[at] = in
-	slices.SortFunc(s.Rows, func(a, b Seat) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Rows, func(a, b VoterInfo) int { return cmp.Compare(a.Name, b.Name) })
 	s.Index = index
 	return true
 }
 
 // nodes are who has the seats.
-func (s *Seats) nodes() (names []string) {
+func (s *VoterSet) nodes() (names []string) {
 	for _, r := range s.Rows {
 		names = append(names, r.Name)
 	}
@@ -79,7 +79,7 @@
 }
 
 // majority is how many of them decide.
-func (s *Seats) majority() int { return len(s.Rows)/2 + 1 }
+func (s *VoterSet) majority() int { return len(s.Rows)/2 + 1 }
 
 // rank orders the nodes of a site, by nothing that anybody chooses.
 func rank(name string) uint64 { return xxhash.Sum64String(name) }
@@ -93,11 +93,11 @@
 // choose picks nodes for seats, so that sites have as equal a share of all seats as they can: the next one goes to the site
 // that has least of them, of several to the one with most nodes to choose from, and there to the one whose rank is lowest.
 // Members are sites by name; those who have seats already count for their sites.
-func choose(members map[string]Member, have []Seat, n int) (names []string) {
+func choose(members map[string]Member, have []VoterInfo, n int) (names []string) {
 	sites := map[string][]string{}
 	for name, m := range members {
 		site := m.Site
-		if !slices.ContainsFunc(have, func(s Seat) bool { return s.Name == name }) {
+		if !slices.ContainsFunc(have, func(s VoterInfo) bool { return s.Name == name }) {
 			sites[site] = append(sites[site], name)
 		}
 	}
--- a/internal/fleet/council/size_test.go
+++ b/internal/fleet/leaselog/size_test.go
@@ -1,4 +1,4 @@
-package council
+package leaselog
 
 import (
 	"fmt"
@@ -17,9 +17,9 @@
 	}
 	f := newFleet(t, "n00000")
 	c := f.up["n00000"]
-	c.View(f.now, members)
+	c.SetMembers(f.now, members)
 	chosen := []string{"n00000", "n00001", "n00002"}
-	if err := c.Found(f.now, chosen, 0, 0, func(Seats, error) {}); err != nil {
+	if err := c.Found(f.now, chosen, 0, 0, func(VoterSet, error) {}); err != nil {
 		t.Fatal(err)
 	}
 	asked, drawing := map[string]bool{}, false
@@ -28,17 +28,17 @@
 			t.Fatalf("%d of %d members were asked, and no number is drawn within %v", len(asked), nodes-1, drawFor)
 		}
 		c.Tick(f.now)
-		outs, _ := c.Outs()
+		outs, _ := c.TakeOutgoing()
 		step := 0
 		for _, o := range outs {
 			switch o.Message.Kind {
-			case Who:
+			case QueryVoters:
 				step++
 				asked[o.To] = true
 				if o.To == chosen[1] || o.To == chosen[2] {
-					c.Receive(f.now, &Message{Kind: Unseated, From: o.To, Founding: o.Message.Founding})
+					c.Receive(f.now, &Message{Kind: NoVotersKnown, From: o.To, Founding: o.Message.Founding})
 				}
-			case Offer:
+			case RequestID:
 				drawing = true
 			}
 		}
--- a/internal/fleet/council/standing.go
+++ b/internal/fleet/leaselog/standing.go
@@ -1,11 +1,11 @@
-package council
+package leaselog
 
 import "time"
 
 // Standing is what a node knows of the log and its voters, for operators.
-type Standing struct {
+type Status struct {
 	Name     string
-	Seats    Seats
+	Seats    VoterSet
 	Voter    bool   // this node has a number
 	ID       uint64 // that number
 	Cleared  bool   // its voter has found that its disk is no older than it was
@@ -19,27 +19,27 @@
 	// Settled: the voters that this node knows of are those that have the seats. While a seat changes hands the one that is out
 	// still counts: the loss of one more voter may leave no majority.
 	Settled bool
-	Gone    []Absent // leader: nodes with seats that are out of the members' view
+	Gone    []AbsentVoter // leader: nodes with seats that are out of the members' view
 	Leases  int
 }
 
 // Absent is a node with a seat that is out of the view.
-type Absent struct {
+type AbsentVoter struct {
 	Name   string
 	For    time.Duration
 	Within time.Duration // its seat goes to another then
 }
 
 // Mark is what of a standing is worth a look when it changes; it costs nothing to take.
-type Mark struct {
+type StatusSummary struct {
 	Leads, Hung, Conflict bool
 	ID, Index             uint64 // this node's number, and the log's at the last change of seats
 	Broken                bool
 }
 
 // Mark is the present one.
-func (c *Council) Mark() Mark {
-	m := Mark{Leads: c.Leads(), Hung: c.hung(), Conflict: c.conflict, Index: c.note.Seats.Index, Broken: c.broken != nil}
+func (c *Node) StatusSummary() StatusSummary {
+	m := StatusSummary{Leads: c.IsLeader(), Hung: c.hung(), Conflict: c.conflict, Index: c.note.Seats.Index, Broken: c.broken != nil}
 	if c.voter != nil {
 		m.ID = c.voter.ID()
 	}
@@ -47,17 +47,17 @@
 }
 
 // Standing tells what this node knows.
-func (c *Council) Standing() Standing {
-	s := Standing{Name: c.set.Name, Seats: c.note.Seats.clone(), Conflict: c.conflict, Hung: c.hung(), Leader: c.leader}
+func (c *Node) Status() Status {
+	s := Status{Name: c.set.Name, Seats: c.note.Seats.clone(), Conflict: c.conflict, Hung: c.hung(), Leader: c.leader}
 	if c.broken != nil {
 		s.Broken = c.broken.Error()
 	}
 	if c.voter == nil {
 		return s
 	}
-	s.Voter, s.ID, s.Cleared, s.Applied = true, c.voter.ID(), c.voter.Cleared(), c.voter.Applied()
-	_, s.Term = c.voter.Leads()
-	s.Leads = c.Leads()
+	s.Voter, s.ID, s.Cleared, s.Applied = true, c.voter.ID(), c.voter.BootConfirmed(), c.voter.Applied()
+	_, s.Term = c.voter.IsLeader()
+	s.Leads = c.IsLeader()
 	if !c.applies() {
 		return s
 	}
@@ -65,11 +65,11 @@
 	s.Leader = c.nameOf(c.voter.Leader())
 	for _, r := range c.seats.Rows {
 		if d := c.since(r.Name); d > 0 {
-			s.Gone = append(s.Gone, Absent{r.Name, d, max(0, c.set.ReplaceAfter-d)})
+			s.Gone = append(s.Gone, AbsentVoter{r.Name, d, max(0, c.set.ReplaceAfter-d)})
 		}
 	}
 	return s
 }
 
 // Broken is why this node's voter can't go on until it is started from its disk again; nil: it can.
-func (c *Council) Broken() error { return c.broken }
+func (c *Node) Broken() error { return c.broken }
--- a/internal/fleet/council/voters.go
+++ b/internal/fleet/leaselog/voters.go
@@ -1,15 +1,15 @@
-package council
+package leaselog
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"curlewring/internal/fleet/agree"
+	"curlewring/internal/fleet/consensus"
 )
 
 // seek finds out who votes, and says that this node's old disk is lost where it has a seat under another number.
-func (c *Council) seek() {
+func (c *Node) seek() {
 	s := &c.note.Seats
 	if c.now >= c.askSeats {
 		every := askSeatsKnown
@@ -18,7 +18,7 @@
 		}
 		c.askSeats = c.now + every
 		if to := c.somebody(); to != "" {
-			c.send(to, &Message{Kind: Who})
+			c.send(to, &Message{Kind: QueryVoters})
 		}
 	}
 	own, seated := s.of(c.set.Name)
@@ -33,14 +33,14 @@
 		c.asNewcomer = c.now + newcomerEvery
 		for _, r := range s.Rows {
 			if r.Name != c.set.Name {
-				c.send(r.Name, &Message{Kind: Newcomer, Founding: s.Founding, ID: c.voter.ID()})
+				c.send(r.Name, &Message{Kind: ReplacementVoter, Founding: s.Founding, ID: c.voter.ID()})
 			}
 		}
 	}
 }
 
 // somebody is whom to ask who votes: one who does, or any member.
-func (c *Council) somebody() string {
+func (c *Node) somebody() string {
 	var names []string
 	for _, r := range c.note.Seats.Rows {
 		names = append(names, r.Name)
@@ -56,13 +56,13 @@
 }
 
 // draw draws a number for a log, and starts a voter that knows nothing yet.
-func (c *Council) draw(founding uint64) {
+func (c *Node) draw(founding uint64) {
 	c.note.Pledged = founding
-	c.begin = &agree.Disk{ID: c.rng.Uint64() | 1}
+	c.begin = &consensus.PersistentState{ID: c.rng.Uint64() | 1}
 }
 
 // seated takes who votes, as another knows it.
-func (c *Council) seated(m *Message) {
+func (c *Node) seated(m *Message) {
 	if f := c.founding; f != nil && m.Founding == f.id {
 		f.heard(m)
 	}
@@ -77,7 +77,7 @@
 }
 
 // agreed tells whether this node votes, and those who vote are those who have the seats.
-func (c *Council) agreed() bool {
+func (c *Node) agreed() bool {
 	if !c.applies() || c.seats.Index != c.note.Seats.Index {
 		return false
 	}
@@ -88,7 +88,7 @@
 
 // leaveSeat gives this voter's number up, as another has its seat by now and its voice too: until the voters have changed
 // as the seats have, it counts among those of whom a majority must be there.
-func (c *Council) leaveSeat() {
+func (c *Node) leaveSeat() {
 	if c.voter == nil || !c.applies() || c.note.Seats.Index <= c.seats.Index || c.note.Seats.Founding != c.seats.Founding {
 		return
 	}
@@ -99,7 +99,7 @@
 }
 
 // beginFrom has a node that drew a number for this log start from its seats, unless it has.
-func (c *Council) beginFrom(m *Message) {
+func (c *Node) beginFrom(m *Message) {
 	own, has := m.Seats.of(c.set.Name)
 	if !has || m.Seats.Founding != c.note.Pledged || c.voter == nil || c.voter.ID() != own.ID {
 		return
@@ -109,12 +109,12 @@
 	}
 	if c.applies() {
 		s := m.Seats.clone()
-		c.send(m.From, &Message{Kind: Seated, Seats: &s, Founding: m.Founding})
+		c.send(m.From, &Message{Kind: VotersKnown, Seats: &s, Founding: m.Founding})
 	}
 }
 
 // offered has this node draw a number, if it has no seat.
-func (c *Council) offered(m *Message) {
+func (c *Node) offered(m *Message) {
 	if c.applies() || c.broken != nil || c.note.Seats.Founding != 0 && c.note.Seats.Founding != m.Founding || c.begin != nil {
 		return
 	}
@@ -122,11 +122,11 @@
 		c.draw(m.Founding)
 		return // it is asked again, and answers then
 	}
-	c.send(m.From, &Message{Kind: Offered, Founding: m.Founding, ID: c.voter.ID()})
+	c.send(m.From, &Message{Kind: IDOffered, Founding: m.Founding, ID: c.voter.ID()})
 }
 
 // accepted takes a number that was drawn for an offer.
-func (c *Council) accepted(m *Message) {
+func (c *Node) accepted(m *Message) {
 	if f := c.founding; f != nil && m.Founding == f.id {
 		f.drawn[m.From] = m.ID
 	}
@@ -136,7 +136,7 @@
 }
 
 // settleSeats is the leader's: it brings the voters to the seats, and the seats to who is there, one at a time.
-func (c *Council) settleSeats() {
+func (c *Node) settleSeats() {
 	for _, s := range c.seats.Rows { // every tick, so that one look into the view that shows it starts anew
 		if _, in := c.members[s.Name]; in || !c.inView {
 			delete(c.absent, s.Name)
@@ -164,9 +164,9 @@
 }
 
 // differ finds a voter without a seat and a seat without a voter; 0: there is none.
-func differ(voters []uint64, rows []Seat) (out, in uint64) {
+func differ(voters []uint64, rows []VoterInfo) (out, in uint64) {
 	for _, id := range voters {
-		if !slices.ContainsFunc(rows, func(s Seat) bool { return s.ID == id }) {
+		if !slices.ContainsFunc(rows, func(s VoterInfo) bool { return s.ID == id }) {
 			out = id
 		}
 	}
@@ -180,10 +180,10 @@
 
 // settled tells whether those who are there have what is agreed on: a newcomer that is still taking it in counts in each
 // majority, and a second one would make a majority of voters that know nothing.
-func (c *Council) settled() bool {
+func (c *Node) settled() bool {
 	there := 0
 	for _, s := range c.seats.Rows {
-		behind, heard := c.voter.Behind(s.ID)
+		behind, heard := c.voter.Lag(s.ID)
 		_, gone := c.absent[s.Name]
 		n, lost := c.newcomers[s.Name]
 		lost = lost && n.id != s.ID
@@ -198,14 +198,14 @@
 }
 
 // nextChange is which seat goes to whom; nil: all stay.
-func (c *Council) nextChange() *change {
+func (c *Node) nextChange() *change {
 	for _, s := range c.seats.Rows {
 		n, ok := c.newcomers[s.Name]
 		if !ok || n.id == s.ID || c.now-n.at > newcomerFor {
 			delete(c.newcomers, s.Name)
 			continue
 		}
-		return &change{Out: s.ID, In: Seat{ID: n.id, Name: s.Name, Site: s.Site, Addr: s.Addr}}
+		return &change{Out: s.ID, In: VoterInfo{ID: n.id, Name: s.Name, Site: s.Site, Addr: s.Addr}}
 	}
 	for _, s := range c.seats.Rows {
 		since, gone := c.absent[s.Name]
@@ -220,8 +220,8 @@
 }
 
 // successor asks the node that is to have a seat, and says so once it has drawn a number.
-func (c *Council) successor(gone Seat) *change {
-	rest := slices.DeleteFunc(slices.Clone(c.seats.Rows), func(s Seat) bool { return s.ID == gone.ID })
+func (c *Node) successor(gone VoterInfo) *change {
+	rest := slices.DeleteFunc(slices.Clone(c.seats.Rows), func(s VoterInfo) bool { return s.ID == gone.ID })
 	members := maps.Clone(c.members)
 	for name, o := range c.offers {
 		if o.id == 0 && c.now-o.at > offerFor {
@@ -241,14 +241,14 @@
 	}
 	if o.id != 0 {
 		delete(c.offers, name)
-		return &change{Out: gone.ID, In: Seat{ID: o.id, Name: name, Site: c.members[name].Site, Addr: c.members[name].Addr}}
+		return &change{Out: gone.ID, In: VoterInfo{ID: o.id, Name: name, Site: c.members[name].Site, Addr: c.members[name].Addr}}
 	}
-	c.send(name, &Message{Kind: Offer, Founding: c.seats.Founding})
+	c.send(name, &Message{Kind: RequestID, Founding: c.seats.Founding})
 	return nil
 }
 
 // stray gives up a voter that has no seat in what it has applied itself: it was replaced, and knows.
-func (c *Council) stray() {
+func (c *Node) stray() {
 	if !c.applies() || c.seats.Founding == 0 {
 		return
 	}
@@ -258,12 +258,12 @@
 }
 
 // first is the disk of a voter that begins a log together with the others.
-func first(s *Seats, id uint64) *agree.Disk {
+func first(s *VoterSet, id uint64) *consensus.PersistentState {
 	var ids []uint64
 	for _, r := range s.Rows {
 		ids = append(ids, r.ID)
 	}
-	for _, d := range agree.Found(ids) {
+	for _, d := range consensus.NewCluster(ids) {
 		if d.ID == id {
 			d.Snapshot.Data = emptyState(s)
 			return &d
@@ -274,8 +274,8 @@
 
 // Since is for how long a node with a seat has been out of the members' view, as this node's leader counts; 0: it is there,
 // or this node does not lead.
-func (c *Council) since(name string) time.Duration {
-	if at, gone := c.absent[name]; gone && c.Leads() {
+func (c *Node) since(name string) time.Duration {
+	if at, gone := c.absent[name]; gone && c.IsLeader() {
 		return c.now - at
 	}
 	return 0
--- a/internal/fleet/maintenance/code.go
+++ b/internal/fleet/maintenance/code.go
@@ -5,16 +5,16 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"curlewring/internal/fleet/form"
+	"curlewring/internal/fleet/protofields"
 )
 
 func appendMachine(to []byte, m *Machine) []byte {
-	return form.Number(form.Text(form.Text(form.Text(to, 1, m.Name), 2, m.Site), 3, m.Rack), 4, uint64(m.RackSize))
+	return protofields.AppendUint(protofields.AppendString(protofields.AppendString(protofields.AppendString(to, 1, m.Name), 2, m.Site), 3, m.Rack), 4, uint64(m.RackSize))
 }
 
 func text(b []byte) (string, error) {
 	if len(b) > mostText {
-		return "", form.Wrong("a text of %d bytes, at most %d", len(b), mostText)
+		return "", protofields.Errorf("a text of %d bytes, at most %d", len(b), mostText)
 	}
 	return string(b), nil
 }
@@ -22,20 +22,20 @@
 // small takes a number up to a bound.
 func small(x, most uint64) (int, error) {
 	if x > most {
-		return 0, form.Wrong("%d is above %d", x, most)
+		return 0, protofields.Errorf("%d is above %d", x, most)
 	}
 	return int(x), nil
 }
 
 func span(x uint64) (time.Duration, error) {
 	if x > 1<<62 {
-		return 0, form.Wrong("a time of %d ns", x)
+		return 0, protofields.Errorf("a time of %d ns", x)
 	}
 	return time.Duration(x), nil
 }
 
 func parseMachine(b []byte) (m Machine, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case !f.IsNum && f.Num == 1:
 			m.Name, err = text(f.B)
@@ -52,17 +52,17 @@
 }
 
 func appendWish(to []byte, w *Wish) []byte {
-	to = form.Bytes(to, 1, appendMachine(nil, &w.Machine))
-	to = form.Text(form.Text(to, 2, w.By), 3, w.Why)
-	to = form.Number(form.Number(to, 4, uint64(w.Length)), 5, uint64(w.Deadline))
-	to = form.Number(form.Flag(to, 6, w.Urgent), 7, uint64(w.Asked))
-	to = form.Number(form.Number(to, 8, uint64(w.State)), 9, uint64(w.Since))
-	to = form.Number(form.Number(to, 10, w.Serial), 11, w.Run)
-	return form.Text(form.Text(to, 12, w.Failed), 13, w.Reason)
+	to = protofields.AppendBytes(to, 1, appendMachine(nil, &w.Machine))
+	to = protofields.AppendString(protofields.AppendString(to, 2, w.By), 3, w.Why)
+	to = protofields.AppendUint(protofields.AppendUint(to, 4, uint64(w.Length)), 5, uint64(w.Deadline))
+	to = protofields.AppendUint(protofields.AppendBool(to, 6, w.Urgent), 7, uint64(w.Asked))
+	to = protofields.AppendUint(protofields.AppendUint(to, 8, uint64(w.State)), 9, uint64(w.Since))
+	to = protofields.AppendUint(protofields.AppendUint(to, 10, w.Serial), 11, w.Run)
+	return protofields.AppendString(protofields.AppendString(to, 12, w.Failed), 13, w.Reason)
 }
 
 func parseWish(b []byte) (w Wish, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		if f.IsNum {
 			switch f.Num {
 			case 4:
@@ -105,27 +105,27 @@
 
 // AppendCommand appends a command in its form for the log and for messages.
 func AppendCommand(to []byte, c *Command) []byte {
-	to = form.Number(form.Text(form.Number(to, 1, uint64(c.Op)), 2, c.Machine), 3, c.Serial)
-	to = form.Number(to, 4, uint64(c.To))
+	to = protofields.AppendUint(protofields.AppendString(protofields.AppendUint(to, 1, uint64(c.Op)), 2, c.Machine), 3, c.Serial)
+	to = protofields.AppendUint(to, 4, uint64(c.To))
 	for i := range c.Wishes {
-		to = form.Bytes(to, 5, appendWish(nil, &c.Wishes[i]))
+		to = protofields.AppendBytes(to, 5, appendWish(nil, &c.Wishes[i]))
 	}
 	if c.Limits != (Limits{}) {
-		to = form.Bytes(to, 6, appendLimits(nil, c.Limits))
+		to = protofields.AppendBytes(to, 6, appendLimits(nil, c.Limits))
 	}
-	to = form.Number(to, 7, uint64(max(0, c.Elapsed)))
+	to = protofields.AppendUint(to, 7, uint64(max(0, c.Elapsed)))
 	for i := range c.Lost {
-		to = form.Bytes(to, 8, appendMachine(nil, &c.Lost[i]))
+		to = protofields.AppendBytes(to, 8, appendMachine(nil, &c.Lost[i]))
 	}
-	return form.Text(form.Text(to, 9, c.By), 10, c.Reason)
+	return protofields.AppendString(protofields.AppendString(to, 9, c.By), 10, c.Reason)
 }
 
 func appendLimits(to []byte, l Limits) []byte {
-	return form.Number(form.Number(form.Number(to, 1, uint64(max(0, l.All))), 2, uint64(max(0, l.Site))), 3, uint64(max(0, l.Rack)))
+	return protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(to, 1, uint64(max(0, l.All))), 2, uint64(max(0, l.Site))), 3, uint64(max(0, l.Rack)))
 }
 
 func parseLimits(b []byte) (l Limits, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		to := map[protowire.Number]*int{1: &l.All, 2: &l.Site, 3: &l.Rack}[f.Num]
 		if f.IsNum && to != nil {
 			*to, err = small(f.X, 1<<20)
@@ -137,7 +137,7 @@
 
 // ParseCommand reads a command. It checks the form alone: what makes no sense is the table's to refuse.
 func ParseCommand(b []byte) (c Command, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		if f.IsNum {
 			var n int
 			switch f.Num {
@@ -159,7 +159,7 @@
 			c.Machine, err = text(f.B)
 		case 5:
 			if len(c.Wishes) == MostWishes {
-				return form.Wrong("more than %d wishes", MostWishes)
+				return protofields.Errorf("more than %d wishes", MostWishes)
 			}
 			var w Wish
 			w, err = parseWish(f.B)
@@ -168,7 +168,7 @@
 			c.Limits, err = parseLimits(f.B)
 		case 8:
 			if len(c.Lost) == MostLost {
-				return form.Wrong("more than %d machines lost", MostLost)
+				return protofields.Errorf("more than %d machines lost", MostLost)
 			}
 			var m Machine
 			m, err = parseMachine(f.B)
@@ -185,20 +185,20 @@
 
 // AppendTable appends the whole state, in an order that depends on nothing else.
 func AppendTable(to []byte, t *Table) []byte {
-	to = form.Number(form.Number(form.Number(to, 1, uint64(t.now)), 2, t.serials), 3, t.runs)
-	to = form.Bytes(form.Text(to, 4, t.held), 5, appendLimits(nil, t.limits))
+	to = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(to, 1, uint64(t.now)), 2, t.serials), 3, t.runs)
+	to = protofields.AppendBytes(protofields.AppendString(to, 4, t.held), 5, appendLimits(nil, t.limits))
 	all := t.All()
 	for i := range all {
-		to = form.Bytes(to, 6, appendWish(nil, &all[i]))
+		to = protofields.AppendBytes(to, 6, appendWish(nil, &all[i]))
 	}
 	for i := range t.lost {
-		to = form.Bytes(to, 7, appendMachine(nil, &t.lost[i]))
+		to = protofields.AppendBytes(to, 7, appendMachine(nil, &t.lost[i]))
 	}
 	for i := range t.history {
 		e := &t.history[i]
-		part := form.Text(form.Number(nil, 1, uint64(e.At)), 2, e.Machine)
-		part = form.Number(form.Number(part, 3, uint64(e.From)), 4, uint64(e.To))
-		to = form.Bytes(to, 8, form.Text(form.Text(part, 5, e.By), 6, e.Reason))
+		part := protofields.AppendString(protofields.AppendUint(nil, 1, uint64(e.At)), 2, e.Machine)
+		part = protofields.AppendUint(protofields.AppendUint(part, 3, uint64(e.From)), 4, uint64(e.To))
+		to = protofields.AppendBytes(to, 8, protofields.AppendString(protofields.AppendString(part, 5, e.By), 6, e.Reason))
 	}
 	return to
 }
@@ -206,7 +206,7 @@
 // ParseTable reads the whole state.
 func ParseTable(b []byte) (*Table, error) {
 	t := NewTable()
-	err := form.Each(b, func(f form.Field) (err error) {
+	err := protofields.ForEach(b, func(f protofields.Field) (err error) {
 		if f.IsNum {
 			switch f.Num {
 			case 1:
@@ -226,14 +226,14 @@
 		case 6:
 			var w Wish
 			if w, err = parseWish(f.B); err == nil && (w.Name == "" || w.State == 0 || len(t.wishes) > MostWishes+mostHistory) {
-				err = form.Wrong("a wish that is none")
+				err = protofields.Errorf("a wish that is none")
 			}
 			t.wishes[w.Name] = &w
 		case 7:
 			var m Machine
 			m, err = parseMachine(f.B)
 			if t.lost = append(t.lost, m); len(t.lost) > MostLost {
-				err = form.Wrong("more than %d machines lost", MostLost)
+				err = protofields.Errorf("more than %d machines lost", MostLost)
 			}
 		case 8:
 			var e Event
@@ -251,7 +251,7 @@
 }
 
 func parseEvent(b []byte) (e Event, err error) {
-	err = form.Each(b, func(f form.Field) (err error) {
+	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		var n int
 		switch {
 		case f.IsNum && f.Num == 1:
@@ -276,12 +276,12 @@
 
 // AppendAnswer appends an answer, as it goes to its proposer.
 func AppendAnswer(to []byte, a *Answer) []byte {
-	return form.Number(form.Text(form.Flag(to, 1, a.Done), 2, a.Reason), 3, a.Run)
+	return protofields.AppendUint(protofields.AppendString(protofields.AppendBool(to, 1, a.Done), 2, a.Reason), 3, a.Run)
 }
 
 // ParseAnswer reads an answer.
 func ParseAnswer(b []byte) (a Answer, err error) {
-	err = form.Each(b, func(f form.Field) error {
+	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
 			a.Done = f.X != 0
--- a/internal/fleet/form/form.go
+++ b/internal/fleet/protofields/form.go
@@ -1,11 +1,11 @@
-// Package form writes and reads fields in the form of protocol buffers: messages between nodes, entries
+// Package protofields writes and reads fields in the form of protocol buffers: messages between nodes, entries
 // of the agreed log and rows on disk are made of them. A reader passes over fields that it does not know,
 // so that a version before and one after live in one fleet.
 //
 // It is pure, and must not know what the fields mean. What it returns of bytes refers to what it was given.
 //
 // Source: Protocol Buffers, "Encoding" (the wire form), by google.golang.org/protobuf/encoding/protowire.
-package form
+package protofields
 
 import (
 	"fmt"
@@ -27,10 +27,10 @@
 func (e *Error) Error() string { return e.Text }
 
 // Wrong makes an Error.
-func Wrong(format string, args ...any) error { return &Error{fmt.Sprintf(format, args...)} }
+func Errorf(format string, args ...any) error { return &Error{fmt.Sprintf(format, args...)} }
 
 // Number appends a number; 0 is left out.
-func Number(to []byte, field protowire.Number, x uint64) []byte {
+func AppendUint(to []byte, field protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return to
 	}
@@ -38,7 +38,7 @@
 }
 
 // Fixed appends a number that is mostly large; 0 is left out.
-func Fixed(to []byte, field protowire.Number, x uint64) []byte {
+func AppendFixed(to []byte, field protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return to
 	}
@@ -46,12 +46,12 @@
 }
 
 // Bytes appends bytes, also none.
-func Bytes(to []byte, field protowire.Number, b []byte) []byte {
+func AppendBytes(to []byte, field protowire.Number, b []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(to, field, protowire.BytesType), b)
 }
 
 // Text appends a text; an empty one is left out.
-func Text(to []byte, field protowire.Number, s string) []byte {
+func AppendString(to []byte, field protowire.Number, s string) []byte {
 	if s == "" {
 		return to
 	}
@@ -59,19 +59,19 @@
 }
 
 // Flag appends a flag; false is left out.
-func Flag(to []byte, field protowire.Number, on bool) []byte {
+func AppendBool(to []byte, field protowire.Number, on bool) []byte {
 	if !on {
 		return to
 	}
-	return Number(to, field, 1)
+	return AppendUint(to, field, 1)
 }
 
 // Each hands out each field of some bytes. Those of types that are not used here are passed over.
-func Each(b []byte, each func(Field) error) error {
+func ForEach(b []byte, each func(Field) error) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return Wrong("a field has no number")
+			return Errorf("a field has no number")
 		}
 		b = b[n:]
 		f := Field{Num: num}
@@ -89,7 +89,7 @@
 			f.Num = 0
 		}
 		if n < 0 {
-			return Wrong("field %d is cut off", num)
+			return Errorf("field %d is cut off", num)
 		}
 		b = b[n:]
 		if f.Num == 0 {
--- a/internal/fleet/ledger/doc.go
+++ b/internal/fleet/raftstore/doc.go
@@ -1,4 +1,4 @@
-// Package ledger keeps a voter's disk in a store: number, starts, state, snapshot and log,
+// Package raftstore keeps a voter's disk in a store: number, starts, state, snapshot and log,
 // and a note of its user's beside them.
 //
 // One Save is one commit of the store, which is read back whole or not at all. What is
@@ -13,4 +13,4 @@
 //
 // Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 3.8 (what must be kept),
 // 11.7.3 (disks that forget).
-package ledger
+package raftstore
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/raftstore/ledger.go
@@ -1,4 +1,4 @@
-package ledger
+package raftstore
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"curlewring/internal/fleet/agree"
+	"curlewring/internal/fleet/consensus"
 	"curlewring/internal/store"
 )
 
@@ -38,23 +38,23 @@
 }
 
 // Found is what stood on the disk.
-type Found struct {
-	Disk agree.Disk // ID 0: none
-	Note []byte     // its user's
+type Loaded struct {
+	Disk consensus.PersistentState // ID 0: none
+	Note []byte                    // its user's
 	// Doubt says why the disk must not be trusted; "": it can be. The number is told then, and nothing else is.
 	Doubt string
 }
 
 // Ledger is a voter's disk.
-type Ledger struct {
+type Store struct {
 	s           *store.Store
 	first, last uint64 // indices of the entries there; last < first: none
 	pieces      int
 }
 
 // New looks through a store that was opened with Settings.
-func New(s *store.Store, r store.Report) (*Ledger, Found) {
-	l := &Ledger{s: s, first: 1}
+func New(s *store.Store, r store.Report) (*Store, Loaded) {
+	l := &Store{s: s, first: 1}
 	f, err := l.read()
 	var wrong []string
 	if r.Skipped > 0 || r.Broken > 0 || r.Fallback && r.Rows > 0 {
@@ -67,7 +67,7 @@
 		wrong = append(wrong, err.Error())
 	}
 	if len(wrong) > 0 {
-		f = Found{Disk: agree.Disk{ID: f.Disk.ID}, Doubt: strings.Join(wrong, "; ")}
+		f = Loaded{Disk: consensus.PersistentState{ID: f.Disk.ID}, Doubt: strings.Join(wrong, "; ")}
 	}
 	return l, f
 }
@@ -82,7 +82,7 @@
 }
 
 // read makes a disk of the rows.
-func (l *Ledger) read() (f Found, err error) {
+func (l *Store) read() (f Loaded, err error) {
 	b := l.s.Get(tableSelf, rowID)
 	if b == nil {
 		f.Note = l.s.Get(tableSelf, rowNote)
@@ -117,7 +117,7 @@
 	return f, l.readEntries(d)
 }
 
-func (l *Ledger) readSnapshot(d *agree.Disk) error {
+func (l *Store) readSnapshot(d *consensus.PersistentState) error {
 	keys := l.s.Keys(tablePieces)
 	l.pieces = len(keys)
 	b := l.s.Get(tableSelf, rowSnapshot)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (l *Ledger) readEntries(d *agree.Disk) error {
+func (l *Store) readEntries(d *consensus.PersistentState) error {
 	begin := d.Snapshot.GetMetadata().GetIndex() + 1
 	keys := l.s.Keys(tableEntries)
 	for i, k := range keys {
@@ -179,7 +179,7 @@
 
 // batch is rows that are put together.
 type batch struct {
-	l   *Ledger
+	l   *Store
 	now time.Duration
 	err error
 }
@@ -223,7 +223,7 @@
 
 // Put writes a Save, and a note if there is one, and waits for the disk. After an error nothing of it may be acted on;
 // the same Save must be put again before anything else is, and that until it succeeds.
-func (l *Ledger) Put(now time.Duration, s *agree.Save, note []byte) error {
+func (l *Store) Save(now time.Duration, s *consensus.Update, note []byte) error {
 	b := &batch{l: l, now: now}
 	if note != nil {
 		b.put(tableSelf, rowNote, note)
@@ -261,7 +261,7 @@
 }
 
 // commit writes what was put.
-func (l *Ledger) commit(b *batch) error {
+func (l *Store) commit(b *batch) error {
 	if b.err != nil {
 		return b.err
 	}
@@ -278,7 +278,7 @@
 }
 
 // Begin puts another voter's disk in the place of whatever there is.
-func (l *Ledger) Begin(now time.Duration, d *agree.Disk, note []byte) error {
+func (l *Store) Reset(now time.Duration, d *consensus.PersistentState, note []byte) error {
 	b := &batch{l: l, now: now}
 	for _, table := range []byte{tableSelf, tableBoots, tablePieces, tableEntries} {
 		for _, k := range l.s.Keys(table) {
@@ -311,8 +311,8 @@
 }
 
 // Tidy keeps the store's files short, by a bounded step; it tells whether there is more.
-func (l *Ledger) Tidy(now time.Duration) (more bool, err error) { return l.s.Compact(now) }
+func (l *Store) Compact(now time.Duration) (more bool, err error) { return l.s.Compact(now) }
 
 // Size is how many bytes the rows take, and Stats what was written.
-func (l *Ledger) Size() int          { return l.s.Bytes() }
-func (l *Ledger) Stats() store.Stats { return l.s.Stats() }
+func (l *Store) Size() int          { return l.s.Bytes() }
+func (l *Store) Stats() store.Stats { return l.s.Stats() }
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/raftstore/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package raftstore
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"curlewring/internal/fleet/agree"
+	"curlewring/internal/fleet/consensus"
 	"curlewring/internal/store"
 )
 
@@ -71,10 +71,10 @@
 func (x *file) Sync() error  { x.f.safe[x.name] = len(x.f.files[x.name]); return nil }
 func (x *file) Close() error { return nil }
 
-func open(f *folder) (*Ledger, Found) { return New(store.Open(f, Settings())) }
+func open(f *folder) (*Store, Loaded) { return New(store.Open(f, Settings())) }
 
 // text is a disk as a test compares it.
-func text(d *agree.Disk) string {
+func text(d *consensus.PersistentState) string {
 	var s strings.Builder
 	fmt.Fprint(&s, d.ID, " ", d.Boots, " ", d.Hard, " ", d.Snapshot.GetMetadata(), " ", len(d.Snapshot.GetData()), " ")
 	from := d.Snapshot.GetMetadata().GetIndex()
@@ -99,18 +99,18 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFolder()
-		model := agree.Found([]uint64{7, 8, 9})[0]
+		model := consensus.NewCluster([]uint64{7, 8, 9})[0]
 		l, found := open(f)
 		if found.Disk.ID != 0 || found.Doubt != "" {
 			t.Fatalf("an empty folder: %+v", found)
 		}
 		now := time.Hour
-		if err := l.Begin(now, &model, []byte("note")); err != nil {
+		if err := l.Reset(now, &model, []byte("note")); err != nil {
 			t.Fatal(err)
 		}
 		term, last := uint64(1), uint64(1)
 		for range 40 {
-			save := agree.Save{}
+			save := consensus.Update{}
 			if rng.IntN(3) == 0 {
 				save.Boots = map[uint64]uint64{7: model.Boots[7] + 1}
 			}
@@ -139,7 +139,7 @@
 			}
 			before := text(&model)
 			sizes := maps.Clone(f.safe)
-			if err := l.Put(now, &save, nil); err != nil {
+			if err := l.Save(now, &save, nil); err != nil {
 				t.Fatal(err)
 			}
 			model.Put(&save)
@@ -160,7 +160,7 @@
 			}
 			for more := true; more; {
 				var err error
-				if more, err = l.Tidy(now); err != nil {
+				if more, err = l.Compact(now); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -178,14 +178,14 @@
 func TestADoubtfulDiskIsTold(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	whole := newFolder()
-	d := agree.Found([]uint64{7, 8, 9})[0]
+	d := consensus.NewCluster([]uint64{7, 8, 9})[0]
 	l, _ := open(whole)
-	if err := l.Begin(time.Hour, &d, nil); err != nil {
+	if err := l.Reset(time.Hour, &d, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(2); i < 20; i++ {
-		save := agree.Save{Entries: entries(i, i, 2, rng), Hard: &raftpb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(i)}}
-		if err := l.Put(time.Hour, &save, nil); err != nil {
+		save := consensus.Update{Entries: entries(i, i, 2, rng), Hard: &raftpb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(i)}}
+		if err := l.Save(time.Hour, &save, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -233,14 +233,14 @@
 func TestAFullDisk(t *testing.T) {
 	f := newFolder()
 	l, _ := open(f)
-	d := agree.Found([]uint64{7, 8, 9})[0]
-	if err := l.Begin(time.Hour, &d, nil); err != nil {
+	d := consensus.NewCluster([]uint64{7, 8, 9})[0]
+	if err := l.Reset(time.Hour, &d, nil); err != nil {
 		t.Fatal(err)
 	}
 	f.full = true
-	save := agree.Save{Entries: entries(2, 4, 1, rand.New(rand.NewPCG(1, 2)))}
+	save := consensus.Update{Entries: entries(2, 4, 1, rand.New(rand.NewPCG(1, 2)))}
 	for i := range 5 {
-		if l.Put(time.Hour+time.Duration(i)*10*time.Millisecond, &save, nil) == nil {
+		if l.Save(time.Hour+time.Duration(i)*10*time.Millisecond, &save, nil) == nil {
 			t.Fatal("a full disk took it")
 		}
 	}
@@ -248,7 +248,7 @@
 		t.Error("what was not acknowledged is there")
 	}
 	f.full = false
-	if err := l.Put(2*time.Hour, &save, nil); err != nil {
+	if err := l.Save(2*time.Hour, &save, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, found := open(f); found.Doubt != "" || len(found.Disk.Entries) != 3 {
@@ -260,8 +260,8 @@
 func FuzzOpen(f *testing.F) {
 	d := newFolder()
 	l, _ := open(d)
-	disk := agree.Found([]uint64{7, 8, 9})[0]
-	if err := l.Begin(time.Hour, &disk, []byte("n")); err != nil {
+	disk := consensus.NewCluster([]uint64{7, 8, 9})[0]
+	if err := l.Reset(time.Hour, &disk, []byte("n")); err != nil {
 		f.Fatal(err)
 	}
 	for name, b := range d.files {
@@ -271,7 +271,7 @@
 		d := newFolder()
 		d.files[name] = b
 		if _, found := open(d); found.Doubt == "" && found.Disk.ID != 0 {
-			agree.New(agree.Settings{}, &found.Disk, 1)
+			consensus.New(consensus.Settings{}, &found.Disk, 1)
 		}
 	})
 }
--- a/internal/fleet/wire/allowance.go
+++ b/internal/fleet/wire/allowance.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"curlewring/internal/fleet/allowance"
-	"curlewring/internal/fleet/form"
+	"curlewring/internal/fleet/protofields"
 )
 
 // The topics of carried messages. They are never used anew for something else.
@@ -20,46 +20,46 @@
 
 // AppendClaim appends the body of a claim.
 func AppendClaim(to []byte, c *allowance.Claim) []byte {
-	to = form.Fixed(to, 1, c.Holder)
-	to = form.Number(to, 2, c.Seq)
-	to = form.Number(to, 3, c.Stamp)
+	to = protofields.AppendFixed(to, 1, c.Holder)
+	to = protofields.AppendUint(to, 2, c.Seq)
+	to = protofields.AppendUint(to, 3, c.Stamp)
 	var part []byte
 	for i := range c.Items {
 		it := &c.Items[i]
 		part = server(part[:0], it.Server)
-		part = form.Fixed(part, 3, math.Float64bits(it.Rate))
-		part = form.Number(part, 4, uint64(it.Used))
-		part = form.Number(part, 5, uint64(it.Back))
-		part = form.Number(part, 6, uint64(it.Want))
-		part = form.Number(part, 7, uint64(it.Answered))
-		to = form.Bytes(to, 4, part)
+		part = protofields.AppendFixed(part, 3, math.Float64bits(it.Rate))
+		part = protofields.AppendUint(part, 4, uint64(it.Used))
+		part = protofields.AppendUint(part, 5, uint64(it.Back))
+		part = protofields.AppendUint(part, 6, uint64(it.Want))
+		part = protofields.AppendUint(part, 7, uint64(it.Answered))
+		to = protofields.AppendBytes(to, 4, part)
 	}
 	return to
 }
 
 // AppendGrant appends the body of a grant.
 func AppendGrant(to []byte, g *allowance.Grant) []byte {
-	to = form.Number(to, 1, g.Seq)
-	to = form.Number(to, 2, g.Stamp)
+	to = protofields.AppendUint(to, 1, g.Seq)
+	to = protofields.AppendUint(to, 2, g.Stamp)
 	var part []byte
 	for i := range g.Items {
 		part = server(part[:0], g.Items[i].Server)
-		part = form.Number(part, 3, uint64(g.Items[i].Sends))
-		part = form.Number(part, 4, uint64(g.Items[i].Total))
-		to = form.Bytes(to, 3, part)
+		part = protofields.AppendUint(part, 3, uint64(g.Items[i].Sends))
+		part = protofields.AppendUint(part, 4, uint64(g.Items[i].Total))
+		to = protofields.AppendBytes(to, 3, part)
 	}
 	return to
 }
 
 func server(to []byte, b allowance.Server) []byte {
-	return form.Number(form.Bytes(to, 1, []byte(b.ID)), 2, protowire.EncodeZigZag(int64(b.Started)))
+	return protofields.AppendUint(protofields.AppendBytes(to, 1, []byte(b.ID)), 2, protowire.EncodeZigZag(int64(b.Started)))
 }
 
 // ParseClaim reads the body of a claim.
 func ParseClaim(b []byte) (*allowance.Claim, error) {
 	c := &allowance.Claim{}
 	var r reader
-	err := r.fields(b, func(f form.Field) error {
+	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
 			c.Holder = f.X
@@ -72,7 +72,7 @@
 				return fault(Malformed, "a claim for more than %d servers", allowance.MostItems)
 			}
 			var it allowance.Item
-			err := r.fields(f.B, func(f form.Field) (err error) {
+			err := r.fields(f.B, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsNum && f.Num == 3:
 					it.Rate = math.Float64frombits(f.X)
@@ -109,7 +109,7 @@
 func ParseGrant(b []byte) (*allowance.Grant, error) {
 	g := &allowance.Grant{}
 	var r reader
-	err := r.fields(b, func(f form.Field) error {
+	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
 			g.Seq = f.X
@@ -120,7 +120,7 @@
 				return fault(Malformed, "a grant for more than %d servers", allowance.MostItems)
 			}
 			var x allowance.Dealt
-			err := r.fields(f.B, func(f form.Field) (err error) {
+			err := r.fields(f.B, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsNum && f.Num == 3:
 					x.Sends, err = count(f.X)
@@ -144,7 +144,7 @@
 	return g, nil
 }
 
-func readServer(b *allowance.Server, f form.Field) {
+func readServer(b *allowance.Server, f protofields.Field) {
 	switch {
 	case !f.IsNum && f.Num == 1:
 		b.ID = string(f.B)
--- a/internal/fleet/wire/list.go
+++ b/internal/fleet/wire/list.go
@@ -4,27 +4,27 @@
 	"net/netip"
 	"time"
 
-	"curlewring/internal/fleet/form"
-	"curlewring/internal/fleet/record"
+	"curlewring/internal/fleet/bootstrap"
+	"curlewring/internal/fleet/protofields"
 )
 
 // ListMessage is a message about lists of servers, with its sender's address.
 type ListMessage struct {
-	record.Message
+	bootstrap.Message
 	At netip.AddrPort
 }
 
 // AppendList appends the body of a message about lists.
 func AppendList(to []byte, m *ListMessage) []byte {
-	to = form.Text(form.Number(to, 1, uint64(m.Kind)), 2, m.From)
-	to = form.Number(to, 3, m.List.Generation)
-	to = form.Text(to, 4, m.List.Discovery)
-	to = form.Number(to, 5, uint64(m.List.Age))
+	to = protofields.AppendString(protofields.AppendUint(to, 1, uint64(m.Kind)), 2, m.From)
+	to = protofields.AppendUint(to, 3, m.List.Generation)
+	to = protofields.AppendString(to, 4, m.List.Discovery)
+	to = protofields.AppendUint(to, 5, uint64(m.List.Age))
 	if len(m.Body) > 0 {
-		to = form.Bytes(to, 6, m.Body)
+		to = protofields.AppendBytes(to, 6, m.Body)
 	}
 	if m.At.IsValid() {
-		to = form.Text(to, 7, m.At.String())
+		to = protofields.AppendString(to, 7, m.At.String())
 	}
 	return to
 }
@@ -38,13 +38,13 @@
 func ParseList(b []byte) (*ListMessage, error) {
 	m := &ListMessage{}
 	var r reader
-	err := r.fields(b, func(f form.Field) error {
+	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
-			if f.X < uint64(record.Want) || f.X > uint64(record.Here) {
+			if f.X < uint64(bootstrap.ListQuery) || f.X > uint64(bootstrap.ListReply) {
 				return fault(Malformed, "kind %d", f.X)
 			}
-			m.Kind = record.Kind(f.X)
+			m.Kind = bootstrap.Kind(f.X)
 		case !f.IsNum && f.Num == 2:
 			if len(f.B) > mostListName {
 				return fault(Malformed, "a name of %d bytes", len(f.B))
@@ -73,7 +73,7 @@
 		}
 		return nil
 	})
-	if err == nil && (m.Kind == 0 || m.From == "" || m.Kind == record.Here && len(m.Body) == 0) {
+	if err == nil && (m.Kind == 0 || m.From == "" || m.Kind == bootstrap.ListReply && len(m.Body) == 0) {
 		err = fault(Malformed, "a message about lists that lacks what it is for")
 	}
 	if err != nil {
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -9,8 +9,8 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"curlewring/internal/fleet/form"
 	"curlewring/internal/fleet/membership"
+	"curlewring/internal/fleet/protofields"
 )
 
 // Version is that of the form. A reader passes over others.
@@ -83,12 +83,12 @@
 	to = append(to, 0xC1, 0x7E, Version, 0)
 	to = binary.BigEndian.AppendUint32(to, fleet)
 	to = append(to, 0, 0, 0, 0)
-	to = form.Number(to, fieldKind, uint64(m.Kind))
-	to = form.Fixed(to, fieldRoot, m.Root)
-	to = form.Number(to, fieldNumber, m.Number)
-	to = form.Fixed(to, fieldLife, m.Life)
+	to = protofields.AppendUint(to, fieldKind, uint64(m.Kind))
+	to = protofields.AppendFixed(to, fieldRoot, m.Root)
+	to = protofields.AppendUint(to, fieldNumber, m.Number)
+	to = protofields.AppendFixed(to, fieldLife, m.Life)
 	to = member(to, fieldSelf, m.Self)
-	to = form.Number(to, fieldSeq, m.Seq)
+	to = protofields.AppendUint(to, fieldSeq, m.Seq)
 	var part []byte
 	for _, a := range m.Alerts {
 		down := uint64(0)
@@ -98,12 +98,12 @@
 		part = protowire.AppendVarint(part[:0], uint64(a.Subject))
 		part = protowire.AppendVarint(part, uint64(a.Slot)<<1|down)
 		part = protowire.AppendVarint(part, uint64(a.Seq))
-		to = form.Bytes(to, fieldAlert, part)
+		to = protofields.AppendBytes(to, fieldAlert, part)
 	}
 	for _, a := range m.Alive {
 		part = protowire.AppendVarint(part[:0], uint64(a.Member))
 		part = protowire.AppendVarint(part, uint64(a.Seq))
-		to = form.Bytes(to, fieldAlive, part)
+		to = protofields.AppendBytes(to, fieldAlive, part)
 	}
 	leaving := make([]uint32, 0, len(m.Leaving))
 	for _, l := range m.Leaving {
@@ -115,32 +115,32 @@
 	}
 	to = packed(to, fieldLeaving, leaving)
 	if m.Vote != nil {
-		to = form.Bytes(to, fieldVote, appendVote(nil, m.Vote))
+		to = protofields.AppendBytes(to, fieldVote, appendVote(nil, m.Vote))
 	}
 	for i := range m.Joins {
 		part = member(part[:0], 1, &m.Joins[i].Member)
-		to = form.Bytes(to, fieldJoin, form.Number(form.Number(part, 2, uint64(m.Joins[i].Slot)), 3, m.Joins[i].Number))
+		to = protofields.AppendBytes(to, fieldJoin, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joins[i].Slot)), 3, m.Joins[i].Number))
 	}
 	to = member(to, fieldHolder, m.Holder)
-	to = form.Number(to, fieldLow, uint64(m.Low))
-	to = form.Fixed(to, fieldWant, m.Want)
+	to = protofields.AppendUint(to, fieldLow, uint64(m.Low))
+	to = protofields.AppendFixed(to, fieldWant, m.Want)
 	if v := m.View; v != nil {
-		part = form.Number(form.Fixed(nil, 1, v.Root), 2, v.Number)
+		part = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.Root), 2, v.Number)
 		for i := range v.Members {
 			part = member(part, 3, &v.Members[i])
 		}
-		to = form.Bytes(to, fieldView, part)
+		to = protofields.AppendBytes(to, fieldView, part)
 	}
 	if p := m.Change; p != nil {
-		part = packed(form.Number(form.Number(nil, 1, p.Of), 4, p.Number), 2, p.Remove)
+		part = packed(protofields.AppendUint(protofields.AppendUint(nil, 1, p.Of), 4, p.Number), 2, p.Remove)
 		for i := range p.Add {
 			part = member(part, 3, &p.Add[i])
 		}
-		to = form.Bytes(to, fieldChange, part)
+		to = protofields.AppendBytes(to, fieldChange, part)
 	}
-	to = form.Number(to, fieldTopic, uint64(m.Topic))
+	to = protofields.AppendUint(to, fieldTopic, uint64(m.Topic))
 	if len(m.Body) > 0 {
-		to = form.Bytes(to, fieldBody, m.Body)
+		to = protofields.AppendBytes(to, fieldBody, m.Body)
 	}
 	binary.BigEndian.PutUint32(to[start+8:], checksum(to[start:]))
 	return to
@@ -160,7 +160,7 @@
 	for _, x := range all {
 		part = protowire.AppendVarint(part, uint64(x))
 	}
-	return form.Bytes(to, field, part)
+	return protofields.AppendBytes(to, field, part)
 }
 
 func member(to []byte, field protowire.Number, m *membership.Member) []byte {
@@ -169,33 +169,33 @@
 	}
 	var part []byte
 	if m.Name != "" {
-		part = form.Bytes(part, 1, []byte(m.Name))
+		part = protofields.AppendBytes(part, 1, []byte(m.Name))
 	}
 	if m.Site != "" {
-		part = form.Bytes(part, 2, []byte(m.Site))
+		part = protofields.AppendBytes(part, 2, []byte(m.Site))
 	}
 	if m.Addr.IsValid() {
 		addr, _ := m.Addr.MarshalBinary() // it never fails
-		part = form.Bytes(part, 3, addr)
+		part = protofields.AppendBytes(part, 3, addr)
 	}
-	part = form.Number(form.Fixed(part, 4, m.Life), 5, m.Incarnation)
-	return form.Bytes(to, field, part)
+	part = protofields.AppendUint(protofields.AppendFixed(part, 4, m.Life), 5, m.Incarnation)
+	return protofields.AppendBytes(to, field, part)
 }
 
 func appendVote(to []byte, v *membership.Vote) []byte {
-	to = form.Number(form.Number(to, 1, v.Of), 2, v.Ballot)
+	to = protofields.AppendUint(protofields.AppendUint(to, 1, v.Of), 2, v.Ballot)
 	if len(v.Promises) > 0 {
-		to = form.Bytes(to, 3, v.Promises)
+		to = protofields.AppendBytes(to, 3, v.Promises)
 	}
-	to = form.Fixed(form.Fixed(form.Number(to, 4, v.Accepted), 5, v.Best), 6, v.Value)
+	to = protofields.AppendFixed(protofields.AppendFixed(protofields.AppendUint(to, 4, v.Accepted), 5, v.Best), 6, v.Value)
 	if v.Forced {
-		to = form.Number(to, 7, 1)
+		to = protofields.AppendUint(to, 7, 1)
 	}
 	if len(v.Accepts) > 0 {
-		to = form.Bytes(to, 8, v.Accepts)
+		to = protofields.AppendBytes(to, 8, v.Accepts)
 	}
 	if len(v.Took) > 0 {
-		to = form.Bytes(to, 9, v.Took)
+		to = protofields.AppendBytes(to, 9, v.Took)
 	}
 	return to
 }
@@ -216,7 +216,7 @@
 	}
 	m := &membership.Message{}
 	r := reader{watchers: watchers}
-	if err := r.fields(b[Head:], func(f form.Field) error { return r.message(m, f) }); err != nil {
+	if err := r.fields(b[Head:], func(f protofields.Field) error { return r.message(m, f) }); err != nil {
 		return nil, err
 	}
 	if m.Kind < membership.Probe || m.Kind > membership.Carry {
@@ -231,9 +231,9 @@
 type reader struct{ watchers int }
 
 // fields hands out each field of some bytes.
-func (r *reader) fields(b []byte, each func(form.Field) error) error {
-	err := form.Each(b, each)
-	if bad := (*form.Error)(nil); errors.As(err, &bad) {
+func (r *reader) fields(b []byte, each func(protofields.Field) error) error {
+	err := protofields.ForEach(b, each)
+	if bad := (*protofields.Error)(nil); errors.As(err, &bad) {
 		return fault(Malformed, "%s", bad.Text)
 	}
 	return err
@@ -247,7 +247,7 @@
 	return uint32(x), nil
 }
 
-func (r *reader) message(m *membership.Message, f form.Field) (err error) {
+func (r *reader) message(m *membership.Message, f protofields.Field) (err error) {
 	if f.IsNum {
 		switch f.Num {
 		case fieldKind:
@@ -298,7 +298,7 @@
 		m.Vote, err = r.vote(f.B)
 	case fieldJoin:
 		c := membership.Candidate{}
-		err = r.fields(f.B, func(f form.Field) error {
+		err = r.fields(f.B, func(f protofields.Field) error {
 			switch {
 			case f.Num == 1 && !f.IsNum:
 				x, err := r.member(f.B)
@@ -347,7 +347,7 @@
 
 func (r *reader) member(b []byte) (*membership.Member, error) {
 	m := &membership.Member{}
-	err := r.fields(b, func(f form.Field) error {
+	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.Num == 1 && !f.IsNum:
 			m.Name = string(f.B)
@@ -380,7 +380,7 @@
 
 func (r *reader) vote(b []byte) (*membership.Vote, error) {
 	v := &membership.Vote{}
-	err := r.fields(b, func(f form.Field) error {
+	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
 			v.Of = f.X
@@ -409,7 +409,7 @@
 func (r *reader) view(b []byte) (*membership.View, error) {
 	root, num := uint64(0), uint64(0)
 	var members []membership.Member
-	err := r.fields(b, func(f form.Field) error {
+	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
 			root = f.X
@@ -436,7 +436,7 @@
 
 func (r *reader) change(b []byte) (*membership.Proposal, error) {
 	p := &membership.Proposal{}
-	err := r.fields(b, func(f form.Field) (err error) {
+	err := r.fields(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsNum && f.Num == 1:
 			p.Of = f.X
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -12,8 +12,8 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
+	"curlewring/internal/fleet/bootstrap"
 	"curlewring/internal/fleet/membership"
-	"curlewring/internal/fleet/record"
 )
 
 func someone(rng *rand.Rand) *membership.Member {
@@ -186,7 +186,7 @@
 
 // A message about lists may be anything.
 func FuzzParseList(f *testing.F) {
-	f.Add(AppendList(nil, &ListMessage{Message: record.Message{Kind: record.Here, From: "n", List: record.List{Generation: 4, Discovery: "d", Age: time.Second}, Body: []byte("{}")}, At: netip.MustParseAddrPort("127.0.0.1:1")}))
+	f.Add(AppendList(nil, &ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListReply, From: "n", List: bootstrap.List{Generation: 4, Discovery: "d", Age: time.Second}, Body: []byte("{}")}, At: netip.MustParseAddrPort("127.0.0.1:1")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := ParseList(b)
 		if err != nil {
--- a/internal/lessee/lessee.go
+++ b/internal/lessee/lessee.go
@@ -76,13 +76,13 @@
 					return 0, 0, fmt.Errorf("%w: no majority of the voters answers", ErrNotHeld)
 				}
 				o.Say("no majority of the voters answers; waiting")
-			case e.Kind != lease.Moved:
+			case e.Kind != lease.PhaseChanged:
 			case e.Phase == lease.Holding:
 				return e.Token, e.Until, nil
-			case e.Phase == lease.InLine && o.Wait == 0:
+			case e.Phase == lease.Queued && o.Wait == 0:
 				h.Stop()
 				return 0, 0, fmt.Errorf("%w: another holds it", ErrNotHeld)
-			case e.Phase == lease.InLine:
+			case e.Phase == lease.Queued:
 				o.Say("in line for %q, place %d", o.Lease, e.Place)
 			case e.Phase == lease.Over:
 				return 0, 0, fmt.Errorf("%w: %s", ErrNotHeld, e.Why)
@@ -101,8 +101,8 @@
 
 // act runs the command while the lease lasts.
 func act(ctx context.Context, h *leases.Held, o *Options, token uint64, until time.Duration) (int, error) {
-	w := lease.NewWarden(o.TTL, o.Grace, until)
-	if w.Due(clock.Boot()) != lease.None {
+	w := lease.NewWatchdog(o.TTL, o.Grace, until)
+	if w.NextSignal(clock.Boot()) != lease.None {
 		return 0, fmt.Errorf("%w: it was over before the command could start", ErrNotHeld)
 	}
 	cmd := exec.Command(o.Command[0], o.Command[1:]...)
@@ -138,10 +138,10 @@
 				events = nil
 			case e.Kind == lease.Extended:
 				until = e.Until
-				w.Until(until)
+				w.Extend(until)
 			case e.Kind == lease.Unreachable:
 				o.Say("no majority of the voters answers; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
-			case e.Kind == lease.Moved && e.Phase >= lease.Stopping:
+			case e.Kind == lease.PhaseChanged && e.Phase >= lease.Stopping:
 				o.Say("the lease goes: %s", e.Why)
 				w.Stop(clock.Boot())
 				gone = true
@@ -156,7 +156,7 @@
 		if !running {
 			break
 		}
-		switch w.Due(clock.Boot()) {
+		switch w.NextSignal(clock.Boot()) {
 		case lease.Term:
 			kill(syscall.SIGTERM)
 		case lease.Kill:
--- a/internal/node/handed.go
+++ b/internal/node/handed.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"curlewring/internal/fleet/record"
+	"curlewring/internal/fleet/bootstrap"
 	"curlewring/internal/node/keeper"
 	"curlewring/internal/servers/endpoints"
 	"curlewring/internal/servers/recall"
@@ -15,15 +15,15 @@
 	turn   struct{} // discovery may be asked
 	handed struct { // a list of another node's
 		list  *endpoints.List
-		about record.List
+		about bootstrap.List
 	}
 	wantsList struct{ reply chan<- *endpoints.List } // room for one
 )
 
 // recordLoop is what the record of lists needs of the loop.
-func (l *loop) recordLoop() (ask func(), hand func([]byte, record.List), list func(context.Context) []byte) {
+func (l *loop) recordLoop() (ask func(), hand func([]byte, bootstrap.List), list func(context.Context) []byte) {
 	ask = func() { l.post(turn{}) }
-	hand = func(text []byte, about record.List) {
+	hand = func(text []byte, about bootstrap.List) {
 		m, err := endpoints.Parse(text)
 		if err != nil || !m.Whole || m.Generation != about.Generation {
 			l.log.Warn("a list that another node handed on makes no sense", "err", err)
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -9,8 +9,8 @@
 	"net"
 	"time"
 
-	"curlewring/internal/fleet/council"
 	"curlewring/internal/fleet/lease"
+	"curlewring/internal/fleet/leaselog"
 	"curlewring/internal/node/clock"
 )
 
@@ -27,16 +27,16 @@
 
 // Reply is what it is answered, one JSON object a line. A request but "hold" gets one.
 type Reply struct {
-	Error    string            `json:",omitempty"`
-	Event    *lease.Event      `json:",omitempty"`
-	Leases   []lease.Lease     `json:",omitempty"`
-	Leader   string            `json:",omitempty"`
-	Term     uint64            `json:",omitempty"`
-	Answer   *lease.Answer     `json:",omitempty"`
-	Standing *council.Standing `json:",omitempty"`
-	Seats    *council.Seats    `json:",omitempty"`
-	Syncs    int64             `json:",omitempty"` // standing: of this node's disk, since its start
-	Written  int64             `json:",omitempty"` // standing: bytes
+	Error    string             `json:",omitempty"`
+	Event    *lease.Event       `json:",omitempty"`
+	Leases   []lease.Lease      `json:",omitempty"`
+	Leader   string             `json:",omitempty"`
+	Term     uint64             `json:",omitempty"`
+	Answer   *lease.Answer      `json:",omitempty"`
+	Standing *leaselog.Status   `json:",omitempty"`
+	Seats    *leaselog.VoterSet `json:",omitempty"`
+	Syncs    int64              `json:",omitempty"` // standing: of this node's disk, since its start
+	Written  int64              `json:",omitempty"` // standing: bytes
 }
 
 const (
@@ -94,11 +94,11 @@
 	now := clock.Boot()
 	switch q.Do {
 	case "standing":
-		s := l.council.Standing()
+		s := l.council.Status()
 		say(Reply{Standing: &s, Syncs: l.disk.syncs.Load(), Written: l.disk.bytes.Load()})
 	case "found":
 		l.look() // the view of now
-		if err := l.council.Found(now, q.Names, q.Voters, q.Tokens, func(s council.Seats, err error) {
+		if err := l.council.Found(now, q.Names, q.Voters, q.Tokens, func(s leaselog.VoterSet, err error) {
 			r := Reply{Seats: &s}
 			if err != nil {
 				r.Error = err.Error()
@@ -108,7 +108,7 @@
 			fail(err)
 		}
 	case "list":
-		l.list(func(all []lease.Lease, m *council.Told) { say(Reply{Leases: all, Leader: m.From, Term: m.Term}) }, fail)
+		l.list(func(all []lease.Lease, m *leaselog.LocalReply) { say(Reply{Leases: all, Leader: m.From, Term: m.Term}) }, fail)
 	case "force":
 		l.force(q, say, fail)
 	case "hand":
@@ -119,10 +119,10 @@
 }
 
 // list asks the leader which leases there are.
-func (l *Leases) list(done func([]lease.Lease, *council.Told), fail func(error)) {
+func (l *Leases) list(done func([]lease.Lease, *leaselog.LocalReply), fail func(error)) {
 	pages := map[int][]lease.Lease{}
-	first := &council.Told{}
-	a := &asking{fail: fail, answer: func(m *council.Told) bool {
+	first := &leaselog.LocalReply{}
+	a := &asking{fail: fail, answer: func(m *leaselog.LocalReply) bool {
 		if m.Term != first.Term || m.From != first.From { // another leader's
 			first = m
 			clear(pages)
@@ -138,23 +138,23 @@
 		done(all, m)
 		return true
 	}}
-	a.send = func(try int) error { return l.council.AskList(clock.Boot(), a.ref, try) }
+	a.send = func(try int) error { return l.council.RequestLeaseList(clock.Boot(), a.ref, try) }
 	l.ask(a)
 }
 
 // force takes a lease from who holds it now, and from nobody else if the word has to be said again.
 func (l *Leases) force(q *Request, say func(Reply), fail func(error)) {
-	l.list(func(all []lease.Lease, _ *council.Told) {
+	l.list(func(all []lease.Lease, _ *leaselog.LocalReply) {
 		for i := range all {
 			if all[i].Name != q.Lease || all[i].Holder.Life == 0 {
 				continue
 			}
-			a := &asking{fail: fail, answer: func(m *council.Told) bool {
+			a := &asking{fail: fail, answer: func(m *leaselog.LocalReply) bool {
 				say(Reply{Answer: &m.Answer, Leader: m.From})
 				return true
 			}}
 			x := lease.Command{Op: lease.Force, Lease: q.Lease, Token: all[i].Token}
-			a.send = func(try int) error { return l.council.Ask(clock.Boot(), x, a.ref, try) }
+			a.send = func(try int) error { return l.council.SendLeaseCommand(clock.Boot(), x, a.ref, try) }
 			l.ask(a)
 			return
 		}
@@ -164,7 +164,7 @@
 
 // handOn has the tenant of this node that holds a lease give it to another node's waiter.
 func (l *Leases) handOn(q *Request, say func(Reply), fail func(error)) {
-	var own *lease.Tenant
+	var own *lease.Client
 	for _, h := range l.tenants {
 		if h.tenant.Lease() == q.Lease && h.tenant.Phase() == lease.Holding {
 			own = h.tenant
@@ -174,7 +174,7 @@
 		fail(fmt.Errorf("%q is not held at this node: ask the node that holds it", q.Lease))
 		return
 	}
-	l.list(func(all []lease.Lease, _ *council.Told) {
+	l.list(func(all []lease.Lease, _ *leaselog.LocalReply) {
 		for i := range all {
 			if all[i].Name != q.Lease {
 				continue
@@ -195,7 +195,7 @@
 // that it stopped leaves the lease to run out: nobody knows whether it still acts.
 func (l *Leases) serveHolder(ctx context.Context, c net.Conn, in *json.Decoder, q *Request) {
 	events := make(chan lease.Event, mostEvents)
-	var t *lease.Tenant
+	var t *lease.Client
 	var wrong error
 	tell := func(e lease.Event) bool {
 		select {
@@ -227,7 +227,7 @@
 				l.call(ctx, func() { t.Stop(now, lease.Holder{}) })
 			case "stopped":
 				l.call(ctx, func() {
-					t.Acted(clock.Boot())
+					t.ActsEnded(clock.Boot())
 					t.Stop(clock.Boot(), lease.Holder{})
 				})
 			}
@@ -237,7 +237,7 @@
 	for !over {
 		select {
 		case e := <-events:
-			over = e.Kind == lease.Moved && e.Phase == lease.Over
+			over = e.Kind == lease.PhaseChanged && e.Phase == lease.Over
 			if write(c, Reply{Event: &e}) != nil {
 				over = true
 			}
--- a/internal/node/leases/keeper.go
+++ b/internal/node/leases/keeper.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"curlewring/internal/fleet/council"
-	"curlewring/internal/fleet/ledger"
+	"curlewring/internal/fleet/leaselog"
+	"curlewring/internal/fleet/raftstore"
 	"curlewring/internal/node/clock"
 	"curlewring/internal/store"
 )
@@ -15,12 +15,12 @@
 // keeper writes what the council wants saved, one thing after another, and goes on trying until it is written.
 type keeper struct {
 	fs       store.FS
-	ledger   *ledger.Ledger
+	ledger   *raftstore.Store
 	log      *slog.Logger
-	todo     chan *council.Saving
+	todo     chan *leaselog.PendingSave
 	again    chan struct{} // read all from the disk again
 	done     chan struct{}
-	reopened chan ledger.Found
+	reopened chan raftstore.Loaded
 	syncs    atomic.Int64
 	bytes    atomic.Int64
 }
@@ -28,22 +28,22 @@
 // writeAgain is the wait after a write that failed.
 const writeAgain = 250 * time.Millisecond
 
-func openKeeper(fs store.FS, log *slog.Logger) (*keeper, ledger.Found) {
+func openKeeper(fs store.FS, log *slog.Logger) (*keeper, raftstore.Loaded) {
 	k := &keeper{
-		fs: fs, log: log, todo: make(chan *council.Saving, 1), again: make(chan struct{}, 1), done: make(chan struct{}, 1),
-		reopened: make(chan ledger.Found, 1),
+		fs: fs, log: log, todo: make(chan *leaselog.PendingSave, 1), again: make(chan struct{}, 1), done: make(chan struct{}, 1),
+		reopened: make(chan raftstore.Loaded, 1),
 	}
 	return k, k.open()
 }
 
-func (k *keeper) open() (found ledger.Found) {
-	s, report := store.Open(k.fs, ledger.Settings())
-	k.ledger, found = ledger.New(s, report)
+func (k *keeper) open() (found raftstore.Loaded) {
+	s, report := store.Open(k.fs, raftstore.Settings())
+	k.ledger, found = raftstore.New(s, report)
 	return found
 }
 
 // put hands something over. What was handed over before must be done.
-func (k *keeper) put(s *council.Saving) { k.todo <- s }
+func (k *keeper) put(s *leaselog.PendingSave) { k.todo <- s }
 
 // reopen has everything read again, once what was handed over is written.
 func (k *keeper) reopen() {
@@ -71,14 +71,14 @@
 }
 
 // save writes until it is written; false if the context ended before.
-func (k *keeper) save(ctx context.Context, s *council.Saving) bool {
+func (k *keeper) save(ctx context.Context, s *leaselog.PendingSave) bool {
 	wrong := false
 	for {
 		var err error
 		if s.Begin != nil {
-			err = k.ledger.Begin(clock.Boot(), s.Begin, s.Note)
+			err = k.ledger.Reset(clock.Boot(), s.Begin, s.Note)
 		} else {
-			err = k.ledger.Put(clock.Boot(), &s.Save, s.Note)
+			err = k.ledger.Save(clock.Boot(), &s.Save, s.Note)
 		}
 		if err == nil {
 			st := k.ledger.Stats()
@@ -104,7 +104,7 @@
 func (k *keeper) tidy() {
 	for more := true; more; {
 		var err error
-		if more, err = k.ledger.Tidy(clock.Boot()); err != nil {
+		if more, err = k.ledger.Compact(clock.Boot()); err != nil {
 			k.log.Warn("the leases' files could not be made shorter", "err", err)
 			return
 		}
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"curlewring/internal/fleet/council"
 	"curlewring/internal/fleet/lease"
-	"curlewring/internal/fleet/ledger"
+	"curlewring/internal/fleet/leaselog"
 	"curlewring/internal/fleet/membership"
+	"curlewring/internal/fleet/raftstore"
 	"curlewring/internal/fleet/wire"
 	"curlewring/internal/node/accept"
 	"curlewring/internal/node/clock"
@@ -58,17 +58,17 @@
 	folder *disk.Folder
 	ctl    net.Listener
 	disk   *keeper
-	found  ledger.Found
+	found  raftstore.Loaded
 
-	in      chan *council.Message
+	in      chan *leaselog.Message
 	calls   chan func()
 	ended   chan struct{}
-	council *council.Council // Run's, with all below
+	council *leaselog.Node // Run's, with all below
 	view    *membership.View
 	tenants map[uint64]*holding
 	asks    map[uint64]*asking
 	refs    uint64
-	seen    council.Mark
+	seen    leaselog.StatusSummary
 	// The disk is read again: what the present council wants saved is not handed over any more.
 	reopening bool
 }
@@ -76,7 +76,7 @@
 // Open opens the folder and the operators' socket. It must be called before the members run.
 func Open(set Settings, fleet Fleet, log *slog.Logger) (_ *Leases, err error) {
 	l := &Leases{
-		set: set, fleet: fleet, log: log, in: make(chan *council.Message, inbox), calls: make(chan func()), ended: make(chan struct{}),
+		set: set, fleet: fleet, log: log, in: make(chan *leaselog.Message, inbox), calls: make(chan func()), ended: make(chan struct{}),
 		tenants: map[uint64]*holding{}, asks: map[uint64]*asking{},
 	}
 	defer func() {
@@ -109,9 +109,9 @@
 	if l.found.Doubt != "" {
 		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.found.Disk.ID), "why", l.found.Doubt)
 	}
-	set := council.Settings{Name: l.set.Name, Site: l.set.Site, ReplaceAfter: l.set.ReplaceAfter}
+	set := leaselog.Settings{Name: l.set.Name, Site: l.set.Site, ReplaceAfter: l.set.ReplaceAfter}
 	set.Agree.Round = round
-	l.council = council.New(set, &l.found.Disk, l.found.Note, l.found.Doubt, rand.Uint64(), clock.Boot())
+	l.council = leaselog.New(set, &l.found.Disk, l.found.Note, l.found.Doubt, rand.Uint64(), clock.Boot())
 	l.view, l.reopening = nil, false
 }
 
@@ -128,7 +128,7 @@
 
 // take reads what came by the members' sockets.
 func (l *Leases) take(body []byte) {
-	m, err := council.ParseMessage(body)
+	m, err := leaselog.ParseMessage(body)
 	if err != nil {
 		return // of another version, or made up
 	}
@@ -220,15 +220,15 @@
 		return
 	}
 	l.view = v
-	var members map[string]council.Member
+	var members map[string]leaselog.Member
 	if v != nil {
-		members = make(map[string]council.Member, len(v.Members))
+		members = make(map[string]leaselog.Member, len(v.Members))
 		for i := range v.Members {
 			m := &v.Members[i]
-			members[m.Name] = council.Member{Site: m.Site, Addr: m.Addr.String()}
+			members[m.Name] = leaselog.Member{Site: m.Site, Addr: m.Addr.String()}
 		}
 	}
-	l.council.View(clock.Boot(), members)
+	l.council.SetMembers(clock.Boot(), members)
 }
 
 // save hands over what must be on the disk.
@@ -236,7 +236,7 @@
 	if l.reopening {
 		return
 	}
-	if s := l.council.Take(); s != nil {
+	if s := l.council.TakeSave(); s != nil {
 		l.disk.put(s)
 	}
 }
@@ -244,11 +244,11 @@
 // carry does what the council wants done.
 func (l *Leases) carry() {
 	l.save()
-	outs, told := l.council.Outs()
+	outs, told := l.council.TakeOutgoing()
 	for len(outs)+len(told) > 0 {
 		for i := range outs {
 			outs[i].Message.Addr = l.fleet.Address().String()
-			b, err := council.AppendMessage(nil, outs[i].Message)
+			b, err := leaselog.AppendMessage(nil, outs[i].Message)
 			if err != nil {
 				l.log.Error("a message of the leases can't be written", "err", err)
 				continue
@@ -259,19 +259,19 @@
 		for i := range told {
 			l.told(&told[i])
 		}
-		outs, told = l.council.Outs()
+		outs, told = l.council.TakeOutgoing()
 	}
 	l.save()
 }
 
 // note logs what has changed, and tells whether the council must be made anew from the disk.
 func (l *Leases) note() (reopen bool) {
-	now, was := l.council.Mark(), l.seen
+	now, was := l.council.StatusSummary(), l.seen
 	if now == was {
 		return false
 	}
 	l.seen = now
-	s := l.council.Standing()
+	s := l.council.Status()
 	if now.Leads != was.Leads {
 		l.log.Info("the leases' log", "leads", now.Leads, "term", s.Term)
 	}
--- a/internal/node/leases/tenants.go
+++ b/internal/node/leases/tenants.go
@@ -7,26 +7,26 @@
 	"math/rand/v2"
 	"time"
 
-	"curlewring/internal/fleet/council"
 	"curlewring/internal/fleet/lease"
+	"curlewring/internal/fleet/leaselog"
 	"curlewring/internal/node/clock"
 )
 
 // holding is a tenant with its user.
 type holding struct {
-	tenant *lease.Tenant
+	tenant *lease.Client
 	tell   func(lease.Event) bool // must not wait; false: the user is gone
 }
 
 const mostTenants = 4096
 
 // hold begins to ask for a lease. Run's goroutine alone may call it.
-func (l *Leases) hold(name string, ttl time.Duration, tell func(lease.Event) bool) (*lease.Tenant, error) {
+func (l *Leases) hold(name string, ttl time.Duration, tell func(lease.Event) bool) (*lease.Client, error) {
 	if len(l.tenants) >= mostTenants {
 		return nil, fmt.Errorf("%d leases are asked for at this node, which is the most", mostTenants)
 	}
 	h := lease.Holder{Name: l.set.Name, Incarnation: uint64(l.incarnation()), Life: rand.Uint64() | 1}
-	t, err := lease.NewTenant(lease.Terms{}, name, h, ttl, clock.Boot())
+	t, err := lease.NewClient(lease.Timing{}, name, h, ttl, clock.Boot())
 	if err != nil {
 		return nil, err
 	}
@@ -55,12 +55,12 @@
 
 // turnOf has one of them do so.
 func (l *Leases) turnOf(now time.Duration, life uint64, h *holding) {
-	tries := h.tenant.Tries()
-	if c := h.tenant.Tick(now); c != nil && l.council.Ask(now, *c, 0, tries) != nil {
-		h.tenant.Hurry(now, c.Seq) // nobody to ask yet
+	tries := h.tenant.Attempts()
+	if c := h.tenant.Tick(now); c != nil && l.council.SendLeaseCommand(now, *c, 0, tries) != nil {
+		h.tenant.RetrySoon(now, c.Seq) // nobody to ask yet
 	}
 	for _, e := range h.tenant.Events() {
-		if e.Kind == lease.Moved && e.Phase == lease.Holding || e.Kind == lease.Extended {
+		if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding || e.Kind == lease.Extended {
 			h.tenant.Begin(now, e.Until-now) // the user acts as long as it may, unless it says otherwise
 		}
 		if !h.tell(e) {
@@ -84,13 +84,13 @@
 }
 
 // told hands out what came for this node's own.
-func (l *Leases) told(m *council.Told) {
+func (l *Leases) told(m *leaselog.LocalReply) {
 	if h := l.tenants[m.Life]; h != nil {
 		switch m.Kind {
-		case council.Answers:
-			h.tenant.Told(clock.Boot(), m.Answer)
-		case council.Helpless:
-			h.tenant.Hurry(clock.Boot(), m.Seq)
+		case leaselog.CommandAnswer:
+			h.tenant.HandleAnswer(clock.Boot(), m.Answer)
+		case leaselog.CannotServe:
+			h.tenant.RetrySoon(clock.Boot(), m.Seq)
 		}
 		l.turnOf(clock.Boot(), m.Life, h)
 		return
@@ -107,7 +107,7 @@
 	sent   time.Duration
 	try    int
 	send   func(try int) error
-	answer func(m *council.Told) (done bool)
+	answer func(m *leaselog.LocalReply) (done bool)
 	fail   func(error)
 }
 
@@ -127,8 +127,8 @@
 	l.asks[a.ref] = a
 }
 
-func (a *asking) told(m *council.Told) {
-	if m.Kind == council.Helpless {
+func (a *asking) told(m *leaselog.LocalReply) {
+	if m.Kind == leaselog.CannotServe {
 		a.sent = min(a.sent, clock.Boot()-askAgain+50*time.Millisecond)
 		return
 	}
@@ -177,7 +177,7 @@
 // run ends with Give, or with the leases.
 func (x *Local) run() {
 	ctx := context.Background() // a call ends with the leases
-	var t *lease.Tenant
+	var t *lease.Client
 	tell := func(e lease.Event) bool {
 		select {
 		case x.Events <- e:
@@ -194,7 +194,7 @@
 		return
 	}
 	x.leases.call(ctx, func() {
-		t.Acted(clock.Boot())
+		t.ActsEnded(clock.Boot())
 		t.Stop(clock.Boot(), lease.Holder{})
 	})
 }
--- a/internal/node/record/record.go
+++ b/internal/node/record/record.go
@@ -14,9 +14,9 @@
 	"net/netip"
 	"time"
 
+	"curlewring/internal/fleet/bootstrap"
 	"curlewring/internal/fleet/lease"
 	"curlewring/internal/fleet/membership"
-	"curlewring/internal/fleet/record"
 	"curlewring/internal/fleet/wire"
 	"curlewring/internal/node/clock"
 	"curlewring/internal/node/leases"
@@ -34,7 +34,7 @@
 // Loop is what it needs of the node's loop.
 type Loop struct {
 	Ask  func()                                  // discovery may be asked
-	Hand func(list []byte, about record.List)    // a list that was handed to this node
+	Hand func(list []byte, about bootstrap.List) // a list that was handed to this node
 	List func(ctx context.Context) (list []byte) // the present one as discovery writes it; nil: none
 }
 
@@ -116,7 +116,7 @@
 
 // Run takes part until the context ends.
 func (r *Record) Run(ctx context.Context) {
-	c := record.New(record.Settings{Name: r.set.Name}, r.set.Has, rand.Uint64(), clock.Boot())
+	c := bootstrap.New(bootstrap.Settings{Name: r.set.Name}, r.set.Has, rand.Uint64(), clock.Boot())
 	look := time.NewTicker(tick)
 	defer look.Stop()
 	hand := time.NewTicker(handGap)
@@ -131,7 +131,7 @@
 	}()
 	phase := c.Phase()
 	var view *membership.View
-	c.Know(r.near(nil))
+	c.SetPeers(r.near(nil))
 	for {
 		var events <-chan lease.Event
 		if site != nil {
@@ -143,21 +143,21 @@
 		case <-look.C:
 			if v := r.fleet.View(); v != view {
 				view = v
-				c.Know(r.near(v))
+				c.SetPeers(r.near(v))
 			}
 			c.Tick(clock.Boot())
 		case m := <-r.in:
 			c.Receive(clock.Boot(), &m.Message)
 		case t := <-r.told:
 			if t.lost {
-				c.Lost(clock.Boot())
+				c.ListUnusable(clock.Boot())
 			} else {
-				c.Told(clock.Boot(), t.generation, t.discovery)
+				c.DiscoveryAnswered(clock.Boot(), t.generation, t.discovery)
 			}
 		case e := <-events:
-			if e.Kind == lease.Moved && e.Phase == lease.Holding {
+			if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
 				r.log.Info("this node asks for the list of servers on behalf of its site", "site", r.set.Site, "token", e.Token)
-				c.Held(clock.Boot())
+				c.LeaseAcquired(clock.Boot())
 			}
 		case <-hand.C:
 			if len(queue) == 0 {
@@ -169,7 +169,7 @@
 		}
 		outs, asks, list := c.Take()
 		for _, o := range outs {
-			if o.Kind == record.Here {
+			if o.Kind == bootstrap.ListReply {
 				if len(queue) < mostQueue {
 					if queue = append(queue, o.To); len(queue) == 1 {
 						hand.Reset(handGap)
@@ -177,7 +177,7 @@
 				}
 				continue
 			}
-			r.send(o.To, &record.Message{Kind: o.Kind})
+			r.send(o.To, &bootstrap.Message{Kind: o.Kind})
 		}
 		if list != nil {
 			r.loop.Hand(list.Body, list.List)
@@ -187,14 +187,14 @@
 		}
 		if p := c.Phase(); p != phase {
 			r.log.Debug("the list of servers", "was", phase.String(), "is", p.String())
-			if phase = p; p == record.Having {
+			if phase = p; p == bootstrap.HasList {
 				look.Reset(idle)
 			}
 		}
 		switch {
-		case c.Wants() && site == nil:
+		case c.WantsLease() && site == nil:
 			site = r.leases.Hold("list/"+r.set.Site, leaseTTL)
-		case !c.Wants() && phase == record.Having && site != nil:
+		case !c.WantsLease() && phase == bootstrap.HasList && site != nil:
 			site.Give()
 			site = nil
 		}
@@ -225,14 +225,14 @@
 }
 
 // send sends to a name, or to an address of one that has none here yet.
-func (r *Record) send(to string, m *record.Message) {
+func (r *Record) send(to string, m *bootstrap.Message) {
 	m.From = r.set.Name
 	at, _ := netip.ParseAddrPort(to) // a name is none
 	r.fleet.Carry(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, At: r.fleet.Address()}))
 }
 
 // hand sends the present list.
-func (r *Record) hand(ctx context.Context, c *record.Record, to string) {
+func (r *Record) hand(ctx context.Context, c *bootstrap.Bootstrapper, to string) {
 	about, ok := c.List(clock.Boot())
 	if !ok {
 		return
@@ -240,6 +240,6 @@
 	ctx, cancel := context.WithTimeout(ctx, listWait)
 	defer cancel()
 	if list := r.loop.List(ctx); list != nil {
-		r.send(to, &record.Message{Kind: record.Here, List: about, Body: list})
+		r.send(to, &bootstrap.Message{Kind: bootstrap.ListReply, List: about, Body: list})
 	}
 }
--- a/internal/node/record/size_test.go
+++ b/internal/node/record/size_test.go
@@ -6,8 +6,8 @@
 	"net/netip"
 	"testing"
 
+	"curlewring/internal/fleet/bootstrap"
 	"curlewring/internal/fleet/membership"
-	"curlewring/internal/fleet/record"
 	"curlewring/internal/fleet/wire"
 )
 
@@ -26,7 +26,7 @@
 	f := &silentFleet{}
 	r := New(Settings{Name: "x"}, f, nil, Loop{}, slog.New(slog.DiscardHandler))
 	for i := range nodes {
-		f.take(wire.AppendList(nil, &wire.ListMessage{Message: record.Message{Kind: record.Want, From: fmt.Sprint("n", i)}}))
+		f.take(wire.AppendList(nil, &wire.ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListQuery, From: fmt.Sprint("n", i)}}))
 	}
 	if len(r.in) != nodes {
 		t.Errorf("%d of %d questions wait", len(r.in), nodes)
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"curlewring/decide"
+	fleetrecord "curlewring/internal/fleet/bootstrap"
 	"curlewring/internal/fleet/membership"
-	fleetrecord "curlewring/internal/fleet/record"
 	"curlewring/internal/fleet/wire"
 	. "curlewring/internal/node/nodetest"
 	"curlewring/internal/servers/endpoints"
@@ -119,7 +119,7 @@
 func TestPlannedServersHandedOn(t *testing.T) {
 	list := textOf(t, plannedServers(64))
 	body := wire.AppendList(nil, &wire.ListMessage{Message: fleetrecord.Message{
-		Kind: fleetrecord.Here, From: "n0", List: fleetrecord.List{Generation: 1, Discovery: "127.0.0.1:1"}, Body: list,
+		Kind: fleetrecord.ListReply, From: "n0", List: fleetrecord.List{Generation: 1, Discovery: "127.0.0.1:1"}, Body: list,
 	}})
 	const fleet, watchers = 7, 10
 	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Carry, Life: 1, Topic: wire.TopicList, Body: body})
