--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"curlewring/internal/fleet/council"
 	"curlewring/internal/fleet/lease"
+	"curlewring/internal/fleet/leaselog"
 	"curlewring/internal/node/clock"
 	"curlewring/internal/node/leases"
 	"curlewring/internal/rig/relay"
@@ -88,12 +88,12 @@
 }
 
 // standing asks a node; false if it does not answer.
-func (x *leasing) standing(node string) (council.Standing, bool) {
+func (x *leasing) standing(node string) (leaselog.Status, bool) {
 	ctx, cancel := context.WithTimeout(x.ctx, time.Second)
 	defer cancel()
 	r, err := leases.Ask(ctx, x.StateOf(node), leases.Request{Do: "standing"})
 	if err != nil || r.Standing == nil {
-		return council.Standing{}, false
+		return leaselog.Status{}, false
 	}
 	return *r.Standing, true
 }
@@ -104,7 +104,7 @@
 	if !ok || !s.Settled {
 		return false
 	}
-	return slices.ContainsFunc(s.Seats.Rows, func(r council.Seat) bool { return r.Name == lost && r.ID == number })
+	return slices.ContainsFunc(s.Seats.Rows, func(r leaselog.VoterInfo) bool { return r.Name == lost && r.ID == number })
 }
 
 // leader is who leads in the highest term; "" if nobody says that it does.
@@ -204,7 +204,7 @@
 			from := time.Now()
 			h.Stopped()
 			for e := range h.Events {
-				if e.Kind == lease.Moved && e.Phase == lease.Over {
+				if e.Kind == lease.PhaseChanged && e.Phase == lease.Over {
 					if e.Why == "given up" {
 						x.note(client, from, leaseOp{"release", token}, 0)
 					}
@@ -228,11 +228,11 @@
 				until = e.Until
 				x.note(client, last, leaseOp{"renew", token}, 0)
 				last = time.Now()
-			case e.Kind == lease.Moved && e.Phase == lease.Holding:
+			case e.Kind == lease.PhaseChanged && e.Phase == lease.Holding:
 				token, until, gives = e.Token, e.Until, clock.Boot()+time.Duration(200+rng.IntN(3000))*time.Millisecond
 				x.note(client, last, leaseOp{kind: "acquire"}, token)
 				last = time.Now()
-			case e.Kind == lease.Moved && e.Phase >= lease.Stopping:
+			case e.Kind == lease.PhaseChanged && e.Phase >= lease.Stopping:
 				h.Stopped()
 				return
 			}
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 		for e := range h.Events {
-			if e.Kind == lease.Moved && e.Phase == lease.Holding {
+			if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
 				return h, time.Since(begun)
 			}
 		}
@@ -40,7 +40,7 @@
 		begun := time.Now()
 		h.Stopped()
 		for e := range h.Events {
-			if e.Kind == lease.Moved && e.Phase == lease.Over {
+			if e.Kind == lease.PhaseChanged && e.Phase == lease.Over {
 				break
 			}
 		}
--- a/internal/rig/leases/cost.go
+++ b/internal/rig/leases/cost.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"curlewring/internal/fleet/council"
+	"curlewring/internal/fleet/leaselog"
 )
 
 // datagramHeads is what UDP and IP add to a message.
@@ -14,8 +14,8 @@
 type Traffic struct{ Messages, Bytes int }
 
 // count adds a message to what the node has sent.
-func (p *peer) count(m *council.Message) {
-	text, err := council.AppendMessage(nil, m)
+func (p *peer) count(m *leaselog.Message) {
+	text, err := leaselog.AppendMessage(nil, m)
 	if err != nil {
 		p.s.Wrong = append(p.s.Wrong, fmt.Sprintf("%s sends what has no form: %v", p.name, err))
 		return
@@ -48,7 +48,7 @@
 	if leader == nil || len(s.Wrong) > 0 {
 		return cost, fmt.Errorf("%d nodes with %d voters: no leader after %v, %v", nodes, voters, settle, s.Wrong)
 	}
-	if st := leader.council.Standing(); st.Leases != cost.Leases {
+	if st := leader.council.Status(); st.Leases != cost.Leases {
 		return cost, fmt.Errorf("%d nodes: %d of %d leases are held after %v", nodes, st.Leases, cost.Leases, settle)
 	}
 	before := make([]Traffic, nodes)
--- a/internal/rig/leases/faults.go
+++ b/internal/rig/leases/faults.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"curlewring/internal/fleet/agree"
+	"curlewring/internal/fleet/consensus"
 )
 
 // trouble draws something that goes wrong; disk has it be a voter's disk, or its long absence.
@@ -37,7 +37,7 @@
 	case 4:
 		for _, p := range s.peers { // whoever holds
 			for _, x := range p.tenants {
-				if x.t.May(p.clock()) > 0 {
+				if x.t.MaxActDuration(p.clock()) > 0 {
 					p.pause(lasts)
 				}
 			}
@@ -45,7 +45,7 @@
 	case 5:
 		for _, p := range s.peers {
 			for _, x := range p.tenants {
-				if x.t.May(p.clock()) > 0 {
+				if x.t.MaxActDuration(p.clock()) > 0 {
 					s.killFor(p, lasts)
 				}
 			}
@@ -98,7 +98,7 @@
 	if p.dead {
 		return
 	}
-	old, note := agree.Disk{}, []byte(nil)
+	old, note := consensus.PersistentState{}, []byte(nil)
 	if s.rng.IntN(2) == 0 {
 		old, note = p.disk.Clone(), p.note
 	}
@@ -159,9 +159,9 @@
 	if wrong || leader == nil {
 		return false
 	}
-	applied := leader.council.Standing().Applied
-	for _, r := range leader.council.Standing().Seats.Rows {
-		if st := s.byName[r.Name].council.Standing(); s.byName[r.Name].dead || st.Applied+20 < applied {
+	applied := leader.council.Status().Applied
+	for _, r := range leader.council.Status().Seats.Rows {
+		if st := s.byName[r.Name].council.Status(); s.byName[r.Name].dead || st.Applied+20 < applied {
 			return false
 		}
 	}
@@ -175,9 +175,9 @@
 		s.Wrong = append(s.Wrong, fmt.Sprintf("%d voters at the end, of %d, leader %v", len(all), voters, leader != nil))
 		return
 	}
-	seats := leader.council.Standing().Seats
+	seats := leader.council.Status().Seats
 	for _, p := range s.peers {
-		st, id := p.council.Standing(), uint64(0)
+		st, id := p.council.Status(), uint64(0)
 		for _, r := range seats.Rows {
 			if r.Name == p.name {
 				id = r.ID
--- a/internal/rig/leases/leases_test.go
+++ b/internal/rig/leases/leases_test.go
@@ -72,7 +72,7 @@
 	if leader == nil || len(s.Wrong) > 0 {
 		t.Fatalf("%v", s.Wrong)
 	}
-	st := leader.council.Standing()
+	st := leader.council.Status()
 	t.Logf("%d leases of %v, %d grants, %d entries in the log, %d saves at the leader", st.Leases, simTTL, s.Grants, st.Applied, leader.syncs)
 	if st.Leases != nodes*each || s.Grants != nodes*each {
 		t.Errorf("%d leases, %d grants", st.Leases, s.Grants)
--- a/internal/rig/leases/sim.go
+++ b/internal/rig/leases/sim.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"time"
 
-	"curlewring/internal/fleet/agree"
-	"curlewring/internal/fleet/council"
+	"curlewring/internal/fleet/consensus"
 	"curlewring/internal/fleet/lease"
+	"curlewring/internal/fleet/leaselog"
 	"curlewring/internal/rig/timeline"
 )
 
@@ -17,7 +17,7 @@
 	rng     *rand.Rand
 	now     time.Duration
 	events  timeline.Events
-	terms   lease.Terms
+	terms   lease.Timing
 	peers   []*peer
 	byName  map[string]*peer
 	Acts    []Act
@@ -64,11 +64,11 @@
 	skew  float64
 	base  time.Duration
 
-	disk    agree.Disk
+	disk    consensus.PersistentState
 	note    []byte
 	syncs   int
 	sent    Traffic
-	council *council.Council
+	council *leaselog.Node
 	tenants map[uint64]*tenant
 }
 
@@ -137,7 +137,7 @@
 		if p.council.Broken() != nil { // as a node does: from the disk again
 			p.open()
 		}
-		p.council.View(p.clock(), p.s.view())
+		p.council.SetMembers(p.clock(), p.s.view())
 		p.council.Tick(p.clock())
 		p.carry()
 	})
@@ -147,19 +147,19 @@
 // open makes a council of the disk.
 func (p *peer) open() {
 	disk := p.disk.Clone()
-	set := council.Settings{
+	set := leaselog.Settings{
 		Name: p.name, Site: p.site, Terms: p.s.terms, ReplaceAfter: simReplaceAfter, Compact: 40,
-		Agree: agree.Settings{Round: simRound, Keep: 8},
+		Agree: consensus.Settings{Round: simRound, Keep: 8},
 	}
-	p.council = council.New(set, &disk, p.note, "", p.s.rng.Uint64(), p.clock())
+	p.council = leaselog.New(set, &disk, p.note, "", p.s.rng.Uint64(), p.clock())
 }
 
 // view is who the members are by agreement: a stand-in for the membership, which finds the dead after a while.
-func (s *Sim) view() map[string]council.Member {
-	view := map[string]council.Member{}
+func (s *Sim) view() map[string]leaselog.Member {
+	view := map[string]leaselog.Member{}
 	for _, p := range s.peers {
 		if !p.dead || s.now-p.since < 5*time.Second {
-			view[p.name] = council.Member{Site: p.site}
+			view[p.name] = leaselog.Member{Site: p.site}
 		}
 	}
 	return view
@@ -167,7 +167,7 @@
 
 // carry does what the council wants done: the disk first, then what rests on it.
 func (p *peer) carry() {
-	if s := p.council.Take(); s != nil {
+	if s := p.council.TakeSave(); s != nil {
 		life, c := p.life, p.council
 		put := func() {
 			if s.Begin != nil {
@@ -195,7 +195,7 @@
 			})
 		}
 	}
-	outs, told := p.council.Outs()
+	outs, told := p.council.TakeOutgoing()
 	for i := range outs {
 		if to := p.s.byName[outs[i].To]; to != nil {
 			m := outs[i].Message
@@ -231,7 +231,7 @@
 
 // New starts nodes, and founds their log with so many voters.
 func New(seed uint64, nodes, voters int) *Sim {
-	s := &Sim{rng: rand.New(rand.NewPCG(seed, 99)), byName: map[string]*peer{}, numbers: map[uint64]bool{}, terms: lease.Terms{}.Default(), slow: 2 * time.Millisecond}
+	s := &Sim{rng: rand.New(rand.NewPCG(seed, 99)), byName: map[string]*peer{}, numbers: map[uint64]bool{}, terms: lease.Timing{}.Default(), slow: 2 * time.Millisecond}
 	for i := range nodes {
 		p := &peer{
 			s: s, name: fmt.Sprint("n", i), site: fmt.Sprint("s", i%3), base: time.Duration(s.rng.Int64N(int64(1000 * time.Hour))),
@@ -244,8 +244,8 @@
 	}
 	s.after(500*time.Millisecond, func() {
 		p := s.peers[s.rng.IntN(nodes)]
-		p.council.View(p.clock(), s.view())
-		if err := p.council.Found(p.clock(), nil, voters, 0, func(_ council.Seats, err error) {
+		p.council.SetMembers(p.clock(), s.view())
+		if err := p.council.Found(p.clock(), nil, voters, 0, func(_ leaselog.VoterSet, err error) {
 			if err != nil {
 				s.Wrong = append(s.Wrong, "founding: "+err.Error())
 			}
@@ -259,12 +259,12 @@
 
 // voters are the peers that have seats, as the one who leads knows, and who that is; nil if nobody does.
 func (s *Sim) voters() (all []*peer, leader *peer) {
-	var best council.Standing
+	var best leaselog.Status
 	for _, p := range s.peers {
 		if p.dead {
 			continue
 		}
-		if st := p.council.Standing(); st.Leads && (leader == nil || st.Term > best.Term) {
+		if st := p.council.Status(); st.Leads && (leader == nil || st.Term > best.Term) {
 			best, leader = st, p
 		} else if leader == nil && st.Seats.Index > best.Seats.Index {
 			best.Seats = st.Seats
--- a/internal/rig/leases/tenant.go
+++ b/internal/rig/leases/tenant.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"time"
 
-	"curlewring/internal/fleet/council"
 	"curlewring/internal/fleet/lease"
+	"curlewring/internal/fleet/leaselog"
 )
 
 // tenant is one life that wants the lease, on a node.
 type tenant struct {
-	t     *lease.Tenant
+	t     *lease.Client
 	until time.Duration // when it gives the lease up
 	held  uint64
 	hand  bool
@@ -25,7 +25,7 @@
 			name, until = fmt.Sprint(p.name, "/", len(p.tenants)), now+time.Hour
 		}
 		h := lease.Holder{Name: p.name, Incarnation: uint64(p.life), Life: p.s.rng.Uint64() | 1}
-		t, err := lease.NewTenant(p.s.terms, name, h, simTTL, now)
+		t, err := lease.NewClient(p.s.terms, name, h, simTTL, now)
 		if err != nil {
 			p.s.Wrong = append(p.s.Wrong, err.Error())
 			return
@@ -58,12 +58,12 @@
 		}
 		x.t.Stop(now, to)
 	}
-	tries := x.t.Tries()
-	if c := x.t.Tick(now); c != nil && p.council.Ask(now, *c, 0, tries) != nil {
-		x.t.Hurry(now, c.Seq)
+	tries := x.t.Attempts()
+	if c := x.t.Tick(now); c != nil && p.council.SendLeaseCommand(now, *c, 0, tries) != nil {
+		x.t.RetrySoon(now, c.Seq)
 	}
 	for _, e := range x.t.Events() {
-		if e.Kind == lease.Moved && e.Phase == lease.Holding {
+		if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
 			p.s.Grants++
 			x.held = e.Token
 			if p.s.Wants == 0 {
@@ -77,7 +77,7 @@
 func (s *Sim) waiter() lease.Holder {
 	for _, p := range s.peers {
 		for _, x := range p.tenants {
-			if x.t.Phase() == lease.InLine {
+			if x.t.Phase() == lease.Queued {
 				return x.t.Holder()
 			}
 		}
@@ -85,15 +85,15 @@
 	return lease.Holder{}
 }
 
-func (p *peer) told(m *council.Told) {
+func (p *peer) told(m *leaselog.LocalReply) {
 	x := p.tenants[m.Life]
 	if x == nil {
 		return
 	}
 	switch m.Kind {
-	case council.Answers:
-		x.t.Told(p.clock(), m.Answer)
-	case council.Helpless:
-		x.t.Hurry(p.clock(), m.Seq)
+	case leaselog.CommandAnswer:
+		x.t.HandleAnswer(p.clock(), m.Answer)
+	case leaselog.CannotServe:
+		x.t.RetrySoon(p.clock(), m.Seq)
 	}
 }
--- a/pure_test.go
+++ b/pure_test.go
@@ -17,7 +17,7 @@
 	return []string{"decide", "internal/operators/routes", "internal/operators/apps", "internal/operators/document", "internal/budget",
 		"internal/sched/wheel", "internal/conns/hold", "internal/sched/background", "internal/conns/pressure",
 		"internal/store", "internal/servers/recall", "internal/servers/doubt", "internal/servers/endpoints", "internal/fleet/membership", "internal/fleet/wire",
-		"internal/fleet/allowance", "internal/fleet/lease", "internal/fleet/agree", "internal/fleet/form", "internal/fleet/ledger", "internal/fleet/council", "internal/fleet/record", "internal/fleet/maintenance",
+		"internal/fleet/allowance", "internal/fleet/lease", "internal/fleet/consensus", "internal/fleet/protofields", "internal/fleet/raftstore", "internal/fleet/leaselog", "internal/fleet/bootstrap", "internal/fleet/maintenance",
 		"internal/rig/registry",
 	}
 }
