--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -209,12 +209,12 @@
 	case m.Check != nil:
 		err = h.probed(n, m.Check)
 	case m.Reminder != nil:
-		h.buf = n.balancer.Timer(h.now, decide.Timer{Token: m.Reminder.Handle}, h.buf)
+		h.buf = n.balancer.HandleTimer(h.now, decide.Timer{Token: m.Reminder.Handle}, h.buf)
 	case m.Cancelled != nil:
 		if m.Cancelled.ID == nil {
 			return errors.New("a departure names no request")
 		}
-		h.buf = n.balancer.Gone(h.now, decide.Gone{Request: *m.Cancelled.ID}, h.buf)
+		h.buf = n.balancer.HandleDisconnect(h.now, decide.Disconnect{Request: *m.Cancelled.ID}, h.buf)
 	}
 	if err != nil {
 		return err
@@ -232,14 +232,14 @@
 	if err != nil {
 		return err
 	}
-	m := decide.Members{Change: change}
+	m := decide.ListUpdate{Kind: change}
 	if change != decide.ListFailed {
 		if v.Roster < 0 || v.Roster >= rosters || h.lists[v.Roster] == nil {
 			return fmt.Errorf("list %d was never given", v.Roster)
 		}
 		m.Servers = h.lists[v.Roster]
 	}
-	h.buf = n.balancer.Members(h.now, m, h.buf)
+	h.buf = n.balancer.HandleList(h.now, m, h.buf)
 	return nil
 }
 
@@ -255,8 +255,8 @@
 	if r.ID == nil || r.TTL < 0 || r.Work < 0 {
 		return errors.New("a request needs an id and times that are not negative")
 	}
-	h.buf = n.balancer.Request(h.now, decide.Request{
-		ID: *r.ID, Class: class, Tenant: tenant, TTL: r.TTL, Work: r.Work, Repeat: r.Repeat,
+	h.buf = n.balancer.HandleRequest(h.now, decide.Request{
+		ID: *r.ID, Class: class, Tenant: tenant, TTL: r.TTL, Work: r.Work, IsRetry: r.Repeat,
 	}, h.buf)
 	return nil
 }
@@ -269,7 +269,7 @@
 	if o.ID == nil || o.Attempt < 0 || o.Server == "" || o.Took < 0 {
 		return errors.New("an outcome needs a request, an attempt, a server and a time")
 	}
-	h.buf = n.balancer.Outcome(h.now, decide.Outcome{
+	h.buf = n.balancer.HandleOutcome(h.now, decide.Outcome{
 		Request: *o.ID, Attempt: o.Attempt, Server: o.Server, Result: result, Elapsed: o.Took, Final: o.Complete,
 	}, h.buf)
 	return nil
@@ -280,7 +280,7 @@
 	if err != nil {
 		return err
 	}
-	h.buf = n.balancer.Probed(h.now, decide.Probed{Server: o.Server, Result: result, Elapsed: o.Took}, h.buf)
+	h.buf = n.balancer.HandleProbe(h.now, decide.ProbeResult{Server: o.Server, Result: result, Elapsed: o.Took}, h.buf)
 	return nil
 }
 
@@ -297,15 +297,15 @@
 		return h.write("abandon", abandon{i, a.Request, a.Attempt})
 	case decide.Probe:
 		return h.write("ping", toServer{i, a.Server})
-	case decide.Watch:
+	case decide.WatchList:
 		return h.write("stream_changes", streamChanges{i, true})
-	case decide.Unwatch:
+	case decide.UnwatchList:
 		return h.write("stream_changes", streamChanges{i, false})
-	case decide.HangUp:
+	case decide.CloseIdle:
 		return h.write("hang_up", toServer{i, a.Server})
-	case decide.Fetch:
+	case decide.FetchList:
 		return h.write("get_list", getList{i})
-	case decide.After:
+	case decide.StartTimer:
 		return h.write("defer", deferral{i, a.Wait, a.Token})
 	case decide.Log:
 		return h.write("emit", text{i, a.Text})
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -139,10 +139,10 @@
 
 var (
 	results = map[string]decide.Result{
-		"S": decide.Served, "E": decide.Errored, "F": decide.Full, "T": decide.TimedOut,
-		"C": decide.Unconnected, "R": decide.Broken, "X": decide.Cancelled, "N": decide.NotSent,
+		"S": decide.Served, "E": decide.Errored, "F": decide.Rejected, "T": decide.TimedOut,
+		"C": decide.ConnectFailed, "R": decide.ConnectionLost, "X": decide.Cancelled, "N": decide.NotSent,
 	}
-	changes = map[string]decide.Change{
+	changes = map[string]decide.ListKind{
 		"diff": decide.ListDiff, "snapshot": decide.ListFull, "disk": decide.ListStored, "error": decide.ListFailed,
 	}
 	states = map[string]decide.Health{
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -27,7 +27,7 @@
 // aim is the time within which a request earns its full worth.
 func (b *Balancer) aim(r *Request) time.Duration {
 	class := &b.set.Classes[r.Class]
-	return min(class.Aim+time.Duration(class.AimStretch*float64(r.Work)), class.Deadline)
+	return min(class.LatencyTarget+time.Duration(class.TargetPerWork*float64(r.Work)), class.Deadline)
 }
 
 // aimLeft is what remains of the aim. A try with less time than others of its class is a later one, cut
@@ -117,13 +117,13 @@
 }
 
 // retryAfter spreads the return of refused clients.
-func (b *Balancer) retryAfter(bounds *Bounds, aimLeft time.Duration) time.Duration {
-	if !b.set.MayAdviseReturn {
+func (b *Balancer) retryAfter(bounds *RoutePolicy, aimLeft time.Duration) time.Duration {
+	if !b.set.MayAdviseRetry {
 		return 0
 	}
 	wait := max(0, b.set.MaxRetryAfter)
-	if bounds.RetryAfter > 0 {
-		wait = min(wait, bounds.RetryAfter)
+	if bounds.MaxRetryAfter > 0 {
+		wait = min(wait, bounds.MaxRetryAfter)
 	}
 	if aimLeft > 0 {
 		wait = min(wait, aimLeft/2)
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -10,16 +10,16 @@
 func benchFleet(n int) (*Balancer, []Server) {
 	zones := []string{"a", "b", "c", "d"}
 	b := New(Settings{
-		Node: 7, Nodes: max(1, min(100, n/4)), Zone: "a", Zones: 4, MaxTries: 4, AnswerGrace: 10 * ms,
-		ColdFrom: 0.3, ColdFor: 8 * time.Second, FallMultiple: 2.5, FallFor: time.Second,
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}, {Aim: time.Second, Deadline: 2 * time.Second, Worth: 12}},
+		Node: 7, Nodes: max(1, min(100, n/4)), Zone: "a", Zones: 4, MaxAttempts: 4, AnswerGrace: 10 * ms,
+		ColdCapacity: 0.3, WarmupTime: 8 * time.Second, CollapseMultiple: 2.5, CollapseWindow: time.Second,
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}, {LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 12}},
 	}, 1, time.Second)
 	list := make([]Server, n)
 	for i := range list {
 		list[i] = Server{ID: fmt.Sprintf("s%05d", i), Zone: zones[i%4], Cell: i / 8}
 	}
-	b.Members(time.Second, Members{Change: ListFull, Servers: list}, nil)
-	b.Routes(time.Second, []Bounds{{AttemptTimeout: 300 * ms, Attempts: 3}}, nil)
+	b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
+	b.SetRoutePolicies(time.Second, []RoutePolicy{{AttemptTimeout: 300 * ms, MaxAttempts: 3}}, nil)
 	return b, list
 }
 
@@ -40,7 +40,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 500 * time.Microsecond
 				r := Request{ID: uint64(i), Class: i % 2, Route: i % 3, Tenant: -1, TTL: 2 * time.Second}
-				buf = d.Request(now, r, buf[:0])
+				buf = d.HandleRequest(now, r, buf[:0])
 				for _, a := range buf {
 					if a.Kind == Send {
 						out = append(out, flying{a.Request, a.Server})
@@ -49,7 +49,7 @@
 				if len(out) > 8 {
 					f := out[0]
 					out = append(out[:0], out[1:]...)
-					buf = d.Outcome(now, Outcome{Request: f.id, Server: f.server, Elapsed: 4 * ms, Final: true}, buf[:0])
+					buf = d.HandleOutcome(now, Outcome{Request: f.id, Server: f.server, Elapsed: 4 * ms, Final: true}, buf[:0])
 				}
 			}
 		})
@@ -67,7 +67,7 @@
 				now += 10 * ms
 				e := list[i%n]
 				e.Started = now
-				d.Members(now, Members{Change: ListDiff, Servers: []Server{e}}, nil)
+				d.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{e}}, nil)
 			}
 		})
 	}
--- a/decide/bounds_test.go
+++ b/decide/bounds_test.go
@@ -16,14 +16,14 @@
 	to  string   // the last of them
 }
 
-func underBounds(t *testing.T, class Class, copies bool, bounds Bounds) *bounded {
+func underBounds(t *testing.T, class Class, copies bool, bounds RoutePolicy) *bounded {
 	t.Helper()
-	set := Settings{Nodes: 1, MaxTries: 4, MaySecondCopy: copies, MayCancel: true, MayAdviseReturn: true,
+	set := Settings{Nodes: 1, MaxAttempts: 4, MayHedge: copies, MayCancel: true, MayAdviseRetry: true,
 		MaxRetryAfter: 2 * time.Second, Tier: 1, Classes: []Class{class}}
 	d := &bounded{t: t, b: New(set, 1, time.Second), now: time.Second, id: 7}
-	d.b.Members(d.now, Members{Change: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, nil)
-	d.b.Routes(d.now, []Bounds{{Attempts: 1}, bounds}, nil)
-	d.took(d.b.Request(d.now, Request{ID: d.id, Route: 2, Tenant: -1, TTL: class.Deadline}, nil))
+	d.b.HandleList(d.now, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, nil)
+	d.b.SetRoutePolicies(d.now, []RoutePolicy{{MaxAttempts: 1}, bounds}, nil)
+	d.took(d.b.HandleRequest(d.now, Request{ID: d.id, Route: 2, Tenant: -1, TTL: class.Deadline}, nil))
 	return d
 }
 
@@ -38,7 +38,7 @@
 }
 
 // find returns the first action of a kind in the last answer.
-func (d *bounded) find(k Kind) (Action, bool) {
+func (d *bounded) find(k ActionKind) (Action, bool) {
 	for _, a := range d.out {
 		if a.Kind == k {
 			return a, true
@@ -50,16 +50,16 @@
 // outcome ends the last attempt after a while.
 func (d *bounded) outcome(after time.Duration, r Result) {
 	d.now += after
-	d.took(d.b.Outcome(d.now, Outcome{Request: d.id, Attempt: d.n - 1, Server: d.to, Result: r, Elapsed: after}, nil))
+	d.took(d.b.HandleOutcome(d.now, Outcome{Request: d.id, Attempt: d.n - 1, Server: d.to, Result: r, Elapsed: after}, nil))
 }
 
 // tick passes time and rings the request's timer.
 func (d *bounded) tick(after time.Duration) {
 	d.now += after
-	d.took(d.b.Timer(d.now, Timer{Token: d.id}, nil))
+	d.took(d.b.HandleTimer(d.now, Timer{Token: d.id}, nil))
 }
 
-func (d *bounded) want(k Kind) Action {
+func (d *bounded) want(k ActionKind) Action {
 	d.t.Helper()
 	a, ok := d.find(k)
 	if !ok {
@@ -68,7 +68,7 @@
 	return a
 }
 
-func (d *bounded) wantNot(k Kind) {
+func (d *bounded) wantNot(k ActionKind) {
 	d.t.Helper()
 	if a, ok := d.find(k); ok {
 		d.t.Fatalf("got %+v", a)
@@ -76,11 +76,11 @@
 }
 
 func safe(deadline time.Duration) Class {
-	return Class{Aim: time.Second, Deadline: deadline, Worth: 1}
+	return Class{LatencyTarget: time.Second, Deadline: deadline, Worth: 1}
 }
 
 func TestAttemptTimeoutCutsAnAttempt(t *testing.T) {
-	d := underBounds(t, safe(2*time.Second), false, Bounds{AttemptTimeout: 300 * ms})
+	d := underBounds(t, safe(2*time.Second), false, RoutePolicy{AttemptTimeout: 300 * ms})
 	if a := d.want(Send); a.Wait != 300*ms {
 		t.Errorf("the attempt lasts %v", a.Wait)
 	}
@@ -94,7 +94,7 @@
 
 // With 30 ms left an attempt lasts no longer than that, whatever its bounds allow.
 func TestAttemptTimeoutWithLittleLeft(t *testing.T) {
-	d := underBounds(t, safe(330*ms), false, Bounds{AttemptTimeout: 300 * ms})
+	d := underBounds(t, safe(330*ms), false, RoutePolicy{AttemptTimeout: 300 * ms})
 	d.outcome(300*ms, TimedOut)
 	if a := d.want(Send); a.Wait != 30*ms {
 		t.Errorf("the second attempt lasts %v with 30 ms left", a.Wait)
@@ -102,10 +102,10 @@
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
-	d := underBounds(t, safe(2*time.Second), false, Bounds{Attempts: 2})
-	d.outcome(ms, Broken)
+	d := underBounds(t, safe(2*time.Second), false, RoutePolicy{MaxAttempts: 2})
+	d.outcome(ms, ConnectionLost)
 	d.want(Send)
-	d.outcome(ms, Broken)
+	d.outcome(ms, ConnectionLost)
 	d.want(Refuse)
 	if d.n != 2 {
 		t.Errorf("%d attempts", d.n)
@@ -113,11 +113,11 @@
 }
 
 func TestBackoffDoublesUpToItsMost(t *testing.T) {
-	d := underBounds(t, safe(5*time.Second), false, Bounds{BackoffFirst: 100 * ms, BackoffMost: 150 * ms})
+	d := underBounds(t, safe(5*time.Second), false, RoutePolicy{BackoffInitial: 100 * ms, BackoffMax: 150 * ms})
 	for i, want := range []time.Duration{100 * ms, 150 * ms, 150 * ms} {
-		d.outcome(ms, Broken)
+		d.outcome(ms, ConnectionLost)
 		d.wantNot(Send)
-		if a := d.want(After); a.Wait != want {
+		if a := d.want(StartTimer); a.Wait != want {
 			t.Errorf("back-off %d: %v, want %v", i, a.Wait, want)
 		}
 		d.tick(want - ms) // a timer of before must not end the wait
@@ -130,13 +130,13 @@
 func TestBackoffJitterTakesOff(t *testing.T) {
 	least, most := time.Second, time.Duration(0)
 	for id := range uint64(200) {
-		d := underBounds(t, safe(5*time.Second), false, Bounds{BackoffFirst: 100 * ms, BackoffJitter: 0.5})
+		d := underBounds(t, safe(5*time.Second), false, RoutePolicy{BackoffInitial: 100 * ms, BackoffJitter: 0.5})
 		d.b.rng.Uint64()
 		for range id { // another draw each time
 			d.b.rng.Uint64()
 		}
-		d.outcome(ms, Broken)
-		wait := d.want(After).Wait
+		d.outcome(ms, ConnectionLost)
+		wait := d.want(StartTimer).Wait
 		least, most = min(least, wait), max(most, wait)
 	}
 	if least < 50*ms || most > 100*ms || most-least < 30*ms {
@@ -146,8 +146,8 @@
 
 // What could only be sent after the request's time is given up at once, not held back.
 func TestBackoffBeyondTheTimeLeft(t *testing.T) {
-	d := underBounds(t, safe(300*ms), false, Bounds{BackoffFirst: 400 * ms})
-	d.outcome(ms, Broken)
+	d := underBounds(t, safe(300*ms), false, RoutePolicy{BackoffInitial: 400 * ms})
+	d.outcome(ms, ConnectionLost)
 	d.want(Refuse)
 }
 
@@ -155,33 +155,33 @@
 func TestBackoffAndTheKeysWindow(t *testing.T) {
 	for _, c := range []struct {
 		wait time.Duration
-		kind Kind
-	}{{890 * ms, After}, {891 * ms, Fail}} {
+		kind ActionKind
+	}{{890 * ms, StartTimer}, {891 * ms, Fail}} {
 		class := safe(5 * time.Second)
-		class.Effect, class.Group, class.KeyTTL = Keyed, GroupCell, time.Second
-		d := underBounds(t, class, false, Bounds{BackoffFirst: c.wait})
-		d.outcome(10*ms, Broken) // the window runs from the send, 10 ms ago
+		class.Idempotency, class.Group, class.KeyTTL = Keyed, GroupCell, time.Second
+		d := underBounds(t, class, false, RoutePolicy{BackoffInitial: c.wait})
+		d.outcome(10*ms, ConnectionLost) // the window runs from the send, 10 ms ago
 		d.want(c.kind)
 	}
 }
 
 func TestRetryOnlyOnWhatIsNamed(t *testing.T) {
-	for r := Errored; r <= Spoilt; r++ {
+	for r := Errored; r <= Malformed; r++ {
 		if r == Cancelled {
 			continue
 		}
-		d := underBounds(t, safe(2*time.Second), false, Bounds{RetryOn: Full.Bit() | Broken.Bit()})
+		d := underBounds(t, safe(2*time.Second), false, RoutePolicy{RetryOn: Rejected.Bit() | ConnectionLost.Bit()})
 		d.outcome(ms, r)
-		if _, again := d.find(Send); again != (r == Full || r == Broken) {
+		if _, again := d.find(Send); again != (r == Rejected || r == ConnectionLost) {
 			t.Errorf("after result %d: %+v", r, d.out)
 		}
 	}
 }
 
 func TestSecondCopyAfter(t *testing.T) {
-	bounds := Bounds{SecondCopyAfter: 200 * ms}
+	bounds := RoutePolicy{HedgeAfter: 200 * ms}
 	d := underBounds(t, safe(2*time.Second), true, bounds)
-	if a := d.want(After); a.Wait != 200*ms {
+	if a := d.want(StartTimer); a.Wait != 200*ms {
 		t.Fatalf("looks for a copy after %v", a.Wait)
 	}
 	d.tick(199 * ms)
@@ -194,13 +194,13 @@
 	d.tick(300 * ms) // no third
 	d.wantNot(Send)
 	// The first to answer ends the request, and the other copy is called off.
-	d.took(d.b.Outcome(d.now, Outcome{Request: d.id, Attempt: 1, Server: d.to, Result: Served, Final: true}, nil))
+	d.took(d.b.HandleOutcome(d.now, Outcome{Request: d.id, Attempt: 1, Server: d.to, Result: Served, Final: true}, nil))
 	if a := d.want(Cancel); a.Attempt != 0 {
 		t.Errorf("called off attempt %d", a.Attempt)
 	}
 
 	keyed := safe(2 * time.Second)
-	keyed.Effect, keyed.KeyTTL = Keyed, 10*time.Second
+	keyed.Idempotency, keyed.KeyTTL = Keyed, 10*time.Second
 	for name, d := range map[string]*bounded{
 		"where copies are ruled out": underBounds(t, safe(2*time.Second), false, bounds),
 		"of a keyed class":           underBounds(t, keyed, true, bounds),
@@ -213,7 +213,7 @@
 }
 
 func TestDeadlineCap(t *testing.T) {
-	d := underBounds(t, safe(2*time.Second), false, Bounds{DeadlineCap: 250 * ms})
+	d := underBounds(t, safe(2*time.Second), false, RoutePolicy{DeadlineCap: 250 * ms})
 	if a := d.want(Send); a.Wait != 250*ms {
 		t.Errorf("the attempt lasts %v", a.Wait)
 	}
@@ -222,8 +222,8 @@
 }
 
 func TestRetryAfterIsBounded(t *testing.T) {
-	d := underBounds(t, safe(5*time.Second), false, Bounds{Attempts: 1, RetryAfter: 60 * ms})
-	d.outcome(ms, Full)
+	d := underBounds(t, safe(5*time.Second), false, RoutePolicy{MaxAttempts: 1, MaxRetryAfter: 60 * ms})
+	d.outcome(ms, Rejected)
 	if a := d.want(Refuse); a.Wait <= 0 || a.Wait > 60*ms {
 		t.Errorf("advice of %v", a.Wait)
 	}
@@ -231,9 +231,9 @@
 
 // New bounds hold for requests that come from then on: one in the middle of its second attempt keeps its own.
 func TestNewBoundsSpareWhatIsUnderWay(t *testing.T) {
-	d := underBounds(t, safe(2*time.Second), false, Bounds{Attempts: 3, AttemptTimeout: 100 * ms})
+	d := underBounds(t, safe(2*time.Second), false, RoutePolicy{MaxAttempts: 3, AttemptTimeout: 100 * ms})
 	d.outcome(100*ms, TimedOut)
-	d.took(d.b.Routes(d.now, []Bounds{{}, {Attempts: 1, AttemptTimeout: 50 * ms}}, nil))
+	d.took(d.b.SetRoutePolicies(d.now, []RoutePolicy{{}, {MaxAttempts: 1, AttemptTimeout: 50 * ms}}, nil))
 	d.outcome(100*ms, TimedOut)
 	if a := d.want(Send); a.Wait != 100*ms {
 		t.Errorf("the third attempt lasts %v", a.Wait)
@@ -242,7 +242,7 @@
 	d.want(Refuse)
 
 	d.id, d.n = 8, 0
-	d.took(d.b.Request(d.now, Request{ID: d.id, Route: 2, Tenant: -1, TTL: time.Second}, nil))
+	d.took(d.b.HandleRequest(d.now, Request{ID: d.id, Route: 2, Tenant: -1, TTL: time.Second}, nil))
 	if a := d.want(Send); a.Wait != 50*ms {
 		t.Errorf("a new request's attempt lasts %v", a.Wait)
 	}
@@ -254,13 +254,13 @@
 // known: the advice is cut to that, and after the window there is no refusal.
 func TestAdviceStaysInTheKeysWindow(t *testing.T) {
 	class := safe(10 * time.Second)
-	class.Aim, class.Effect, class.Group, class.KeyTTL = 10*time.Second, Keyed, GroupAll, time.Second
-	d := underBounds(t, class, false, Bounds{Attempts: 1})
-	d.outcome(800*ms, Broken)
+	class.LatencyTarget, class.Idempotency, class.Group, class.KeyTTL = 10*time.Second, Keyed, GroupAll, time.Second
+	d := underBounds(t, class, false, RoutePolicy{MaxAttempts: 1})
+	d.outcome(800*ms, ConnectionLost)
 	if a := d.want(Refuse); a.Wait > 100*ms {
 		t.Errorf("advice of %v, the key is known for 100 ms more at the most", a.Wait)
 	}
-	d = underBounds(t, class, false, Bounds{Attempts: 1})
-	d.outcome(950*ms, Broken)
+	d = underBounds(t, class, false, RoutePolicy{MaxAttempts: 1})
+	d.outcome(950*ms, ConnectionLost)
 	d.want(Fail)
 }
--- a/decide/choice.go
+++ b/decide/choice.go
@@ -41,10 +41,10 @@
 // cold is the part of its capacity that a server surely has; 1 when warm.
 func (b *Balancer) cold(s *server) float64 {
 	age := b.now - s.Started
-	if s.Started == 0 || age >= b.set.ColdFor {
+	if s.Started == 0 || age >= b.set.WarmupTime {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(0, float64(age)/float64(b.set.ColdFor))
+	return b.set.ColdCapacity + (1-b.set.ColdCapacity)*max(0, float64(age)/float64(b.set.WarmupTime))
 }
 
 // slowStart is what this node may send a cold server by itself, in sends a second. All nodes together may
@@ -53,8 +53,8 @@
 func (b *Balancer) slowStart(s *server, safety float64) float64 {
 	subset, members := float64(max(1, len(b.near)+len(b.far))), float64(max(1, b.members()))
 	sharing := max(1, float64(b.set.Nodes)*subset/members)
-	rate := max(b.answers()/subset, b.before) * safety * b.set.FallMultiple * b.cold(s)
-	return max(rate, 1/sharing/b.set.FallFor.Seconds())
+	rate := max(b.answers()/subset, b.before) * safety * b.set.CollapseMultiple * b.cold(s)
+	return max(rate, 1/sharing/b.set.CollapseWindow.Seconds())
 }
 
 // may tells if a cold server's budget has room. While its part is lent a node sends what it is dealt.
@@ -70,7 +70,7 @@
 		return s.held(b.now) > 0
 	}
 	rate := b.slowStart(s, coldSafety)
-	s.tokens = min(s.tokens+rate*(b.now-s.filled).Seconds(), 1+rate*b.set.FallFor.Seconds()/4)
+	s.tokens = min(s.tokens+rate*(b.now-s.filled).Seconds(), 1+rate*b.set.CollapseWindow.Seconds()/4)
 	s.filled = b.now
 	return s.tokens >= 1
 }
@@ -79,7 +79,7 @@
 // is taken where it is idler by its cost. Where half the subset is ejected the fault is hardly the servers',
 // and none of it is trusted.
 func (b *Balancer) pick(c *call) *server {
-	if c.ran && b.set.Classes[c.Class].Effect == Keyed && b.set.Classes[c.Class].Group != GroupAll {
+	if c.ran && b.set.Classes[c.Class].Idempotency == Keyed && b.set.Classes[c.Class].Group != GroupAll {
 		for _, trust := range [...]bool{true, false} {
 			b.scratch = b.usable(c, b.homes, trust, b.scratch[:0])
 			if b.scratch = b.usable(c, b.others, trust, b.scratch); len(b.scratch) > 0 {
@@ -96,7 +96,7 @@
 	if near == nil && far == nil {
 		return b.leastDoubtful(c)
 	}
-	if near == nil || far != nil && (b.cost(b.set.Prices.CrossZone)*b.load(far) < b.load(near)) {
+	if near == nil || far != nil && (b.cost(b.set.Penalties.CrossZone)*b.load(far) < b.load(near)) {
 		return far
 	}
 	return near
@@ -160,7 +160,7 @@
 func (b *Balancer) load(s *server) float64 {
 	load := float64(s.inflight+1) * b.slowness(s)
 	if len(s.idle) == 0 {
-		load *= b.cost(b.set.Prices.Handshake)
+		load *= b.cost(b.set.Penalties.Handshake)
 	}
 	return load
 }
@@ -197,7 +197,7 @@
 // allowed tells whether the rules let a server take a call: its key's group, a cold server's budget, and
 // what may answer at its address.
 func (b *Balancer) allowed(c *call, s *server) bool {
-	return b.inGroup(c, s) && b.may(s) && !(s.Untried && b.set.Classes[c.Class].Effect == Once)
+	return b.inGroup(c, s) && b.may(s) && !(s.Unverified && b.set.Classes[c.Class].Idempotency == AtMostOnce)
 }
 
 // usable appends the servers of a list that may take a call.
@@ -222,7 +222,7 @@
 // inGroup tells whether a keyed call that may have run is known to this server.
 func (b *Balancer) inGroup(c *call, s *server) bool {
 	class := &b.set.Classes[c.Class]
-	return !c.ran || class.Effect != Keyed || class.Group == GroupAll ||
+	return !c.ran || class.Idempotency != Keyed || class.Group == GroupAll ||
 		class.Group == GroupZone && s.Zone == c.ranOn.Zone ||
 		class.Group == GroupCell && s.Cell == c.ranOn.Cell
 }
@@ -235,7 +235,7 @@
 		b.rate, b.rateAt = b.answers()+1/rateMemory.Seconds(), b.now
 		s.served()
 		s.zone.served()
-	case TimedOut, Unconnected, Broken, Errored: // errors in a row are the server's own, not its zone's
+	case TimedOut, ConnectFailed, ConnectionLost, Errored: // errors in a row are the server's own, not its zone's
 		if r != Errored && (s.fails == 0 || s.zone.ejections > 0) { // one bad server is counted once
 			s.zone.fail(b.now, min(2*ejectAfter, max(ejectAfter, s.zone.members)))
 		}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -11,24 +11,24 @@
 // then each node gets some at once. It returns the most that the server is sent in a window, and what it may be.
 func burst(nodes int, busy float64, lull time.Duration, each int, seed uint64) (worst, bound float64) {
 	set := Settings{
-		Nodes: nodes, MaxTries: 4, ColdFrom: 0.3, ColdFor: 8400 * ms, FallMultiple: 2.5, FallFor: time.Second, AnswerGrace: 10 * ms,
+		Nodes: nodes, MaxAttempts: 4, ColdCapacity: 0.3, WarmupTime: 8400 * ms, CollapseMultiple: 2.5, CollapseWindow: time.Second, AnswerGrace: 10 * ms,
 		Tier: 1, Tiers: 2, // below the front nothing is refused for the time it takes
-		Classes: []Class{{Aim: 3 * time.Second, Deadline: 3 * time.Second, Worth: 1}},
+		Classes: []Class{{LatencyTarget: 3 * time.Second, Deadline: 3 * time.Second, Worth: 1}},
 	}
 	const warm, start = 30 * time.Second, 60 * time.Second
 	all := make([]*Balancer, nodes)
 	for i := range all {
 		set.Node = i
 		all[i] = New(set, seed*1000+uint64(i), 0)
-		all[i].Members(0, Members{Change: ListFull, Servers: []Server{{ID: "a"}}}, nil)
+		all[i].HandleList(0, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}}}, nil)
 		every := time.Duration(float64(nodes) / busy * float64(time.Second))
 		id := uint64(0)
 		for now := warm + every*time.Duration(i)/time.Duration(nodes); now < start; now += every {
 			id++
-			all[i].Request(now, Request{ID: id, Tenant: -1, TTL: 3 * time.Second}, nil)
-			all[i].Outcome(now+20*ms, Outcome{Request: id, Server: "a", Result: Served, Elapsed: 20 * ms, Final: true}, nil)
+			all[i].HandleRequest(now, Request{ID: id, Tenant: -1, TTL: 3 * time.Second}, nil)
+			all[i].HandleOutcome(now+20*ms, Outcome{Request: id, Server: "a", Result: Served, Elapsed: 20 * ms, Final: true}, nil)
 		}
-		all[i].Members(start, Members{Change: ListDiff, Servers: []Server{{ID: "a", Started: start}}}, nil)
+		all[i].HandleList(start, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "a", Started: start}}}, nil)
 	}
 	type due struct {
 		node int
@@ -41,8 +41,8 @@
 			switch a.Kind {
 			case Send:
 				sent = append(sent, now)
-				all[node].Outcome(now, Outcome{Request: id, Server: "a", Result: Served, Elapsed: 20 * ms, Final: true}, nil)
-			case After:
+				all[node].HandleOutcome(now, Outcome{Request: id, Server: "a", Result: Served, Elapsed: 20 * ms, Final: true}, nil)
+			case StartTimer:
 				at := now + max(a.Wait, ms)
 				waits[at] = append(waits[at], due{node, id})
 			}
@@ -52,23 +52,23 @@
 	for i := range all {
 		for k := range each {
 			id := uint64(1_000_000 + k)
-			take(begin, i, id, all[i].Request(begin, Request{ID: id, Tenant: -1, TTL: 2 * time.Second}, nil))
+			take(begin, i, id, all[i].HandleRequest(begin, Request{ID: id, Tenant: -1, TTL: 2 * time.Second}, nil))
 		}
 	}
 	for now := begin; now < begin+2*time.Second; now += ms {
 		for _, d := range waits[now] {
-			take(now, d.node, d.id, all[d.node].Timer(now, Timer{d.id}, nil))
+			take(now, d.node, d.id, all[d.node].HandleTimer(now, Timer{d.id}, nil))
 		}
 	}
 	for i, at := range sent {
 		n := 0
 		for _, x := range sent[i:] {
-			if x < at+set.FallFor && x < start+set.ColdFor { // none that is warm falls
+			if x < at+set.CollapseWindow && x < start+set.WarmupTime { // none that is warm falls
 				n++
 			}
 		}
-		warmth := set.ColdFrom + (1-set.ColdFrom)*min(1, float64(at-start)/float64(set.ColdFor))
-		if calls := set.FallMultiple * warmth * busy; warmth < 1 && float64(n)/(calls+2*math.Sqrt(calls)+2) > worst/max(bound, 1e-9) {
+		warmth := set.ColdCapacity + (1-set.ColdCapacity)*min(1, float64(at-start)/float64(set.WarmupTime))
+		if calls := set.CollapseMultiple * warmth * busy; warmth < 1 && float64(n)/(calls+2*math.Sqrt(calls)+2) > worst/max(bound, 1e-9) {
 			worst, bound = float64(n), calls+2*math.Sqrt(calls)+2
 		}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -47,9 +47,9 @@
 	zones   map[string]*zone
 	calls   map[uint64]*call
 	tenants []tenant
-	bounds  []Bounds  // the operators', behind those of no route; never written to: calls point into it
-	levels  []float64 // distinct worths, ascending
-	offered []float64 // arrivals on each, of late
+	bounds  []RoutePolicy // the operators', behind those of no route; never written to: calls point into it
+	levels  []float64     // distinct worths, ascending
+	offered []float64     // arrivals on each, of late
 
 	r            float64 // smoothed response time in units of the aim
 	sum          float64 // time that calls spent here this period, in aims
@@ -89,7 +89,7 @@
 		calls:       map[uint64]*call{},
 		zones:       map[string]*zone{},
 		tenants:     make([]tenant, len(set.Tenants)),
-		bounds:      make([]Bounds, 1),
+		bounds:      make([]RoutePolicy, 1),
 		longest:     make([]time.Duration, len(set.Classes)),
 		periodEnd:   now + period,
 		rateAt:      now,
@@ -98,16 +98,16 @@
 	}
 	aim := time.Duration(math.MaxInt64)
 	for _, c := range set.Classes {
-		b.levels, aim = append(b.levels, c.Worth), min(aim, c.Aim)
+		b.levels, aim = append(b.levels, c.Worth), min(aim, c.LatencyTarget)
 	}
-	if set.MarksRepeats {
+	if set.MarksRetries {
 		b.stack(repeatWorth)
 	}
 	if len(set.Tenants) > 0 {
 		b.stack(set.OverShareWorth)
 	}
 	// A server also holds the calls that wait for the tiers below.
-	b.room = newRoom(set.Room, float64(1+tierCrowd*max(2, set.Tiers-set.Tier)), now, aim)
+	b.room = newRoom(set.LimitMode, float64(1+tierCrowd*max(2, set.Tiers-set.Tier)), now, aim)
 	slices.Sort(b.levels)
 	b.levels = slices.Compact(b.levels)
 	b.offered = slices.Repeat([]float64{mixMemory / float64(max(1, len(b.levels)))}, len(b.levels))
@@ -155,14 +155,14 @@
 }
 
 // Routes takes new bounds, for requests that come from now on; those under way keep theirs.
-func (b *Balancer) Routes(now time.Duration, bounds []Bounds, out []Action) []Action {
+func (b *Balancer) SetRoutePolicies(now time.Duration, bounds []RoutePolicy, out []Action) []Action {
 	b.begin(now, out)
-	b.bounds = append([]Bounds{{}}, bounds...)
+	b.bounds = append([]RoutePolicy{{}}, bounds...)
 	return b.out
 }
 
 // within returns the bounds of a request.
-func (b *Balancer) within(r *Request) *Bounds {
+func (b *Balancer) within(r *Request) *RoutePolicy {
 	if r.Route < 0 || r.Route >= len(b.bounds) {
 		return &b.bounds[0]
 	}
@@ -171,7 +171,7 @@
 
 // Request takes a new call: a verdict at the front, then a server. A call of an unknown class fails, one told
 // twice is passed over, an unknown tenant counts as none.
-func (b *Balancer) Request(now time.Duration, r Request, out []Action) []Action {
+func (b *Balancer) HandleRequest(now time.Duration, r Request, out []Action) []Action {
 	b.begin(now, out)
 	if b.calls[r.ID] != nil {
 		return b.out // told twice
@@ -185,7 +185,7 @@
 	if r.Tenant >= 0 && r.Tenant < len(b.tenants) && !b.withinShare(r.Tenant) {
 		worth *= b.set.OverShareWorth
 	}
-	if r.Repeat { // part of its aim is gone, and refused clients would crowd out the first tries
+	if r.IsRetry { // part of its aim is gone, and refused clients would crowd out the first tries
 		worth *= repeatWorth
 	}
 	bounds := b.within(&r)
@@ -215,7 +215,7 @@
 		if b.crowding() > 1 {
 			b.limited, b.room.wanted = true, true
 		}
-		b.act(Action{Kind: Refuse, Request: r.ID, Wait: b.retryAfter(bounds, aimLeft), Reason: Crowded})
+		b.act(Action{Kind: Refuse, Request: r.ID, Wait: b.retryAfter(bounds, aimLeft), Reason: Overloaded})
 		b.release(c)
 		return b.out
 	}
@@ -235,7 +235,7 @@
 }
 
 // Outcome takes the end of an attempt.
-func (b *Balancer) Outcome(now time.Duration, o Outcome, out []Action) []Action {
+func (b *Balancer) HandleOutcome(now time.Duration, o Outcome, out []Action) []Action {
 	b.begin(now, out)
 	c := b.calls[o.Request]
 	if c != nil && (o.Attempt < 0 || o.Attempt >= len(c.attempts) || c.attempts[o.Attempt].done) {
@@ -256,16 +256,16 @@
 	}
 	a := &c.attempts[o.Attempt]
 	a.done, a.result = true, o.Result
-	c.Extra -= o.Spent
+	c.ExtraAttempts -= o.Spent
 	b.unmade *= 1 - 1.0/unmadeMemory
-	if o.Result == Unconnected {
+	if o.Result == ConnectFailed {
 		b.unmade += 1.0 / unmadeMemory
 	}
-	if o.Result == Served || o.Result == Errored || o.Result == Full || o.Result == Spoilt {
-		if b.idled(a, false); !o.Closed && o.Result != Spoilt {
+	if o.Result == Served || o.Result == Errored || o.Result == Rejected || o.Result == Malformed {
+		if b.idled(a, false); !o.ConnClosed && o.Result != Malformed {
 			a.server.idle = append(a.server.idle, b.now)
 		}
-	} else if o.Result == Broken || o.Result == TimedOut && !a.overdue {
+	} else if o.Result == ConnectionLost || o.Result == TimedOut && !a.overdue {
 		b.idled(a, true)
 	}
 	c.open--
@@ -278,7 +278,7 @@
 		}
 		x := float64(took) / float64(max(1, aim))
 		b.learn(a.server, x)
-		b.room.took(now, x-float64(o.Dial)/float64(max(1, aim)), o.Result == Full, b.perServer())
+		b.room.took(now, x-float64(o.DialTime)/float64(max(1, aim)), o.Result == Rejected, b.perServer())
 	}
 	if o.Final {
 		b.drop(c, 0)
@@ -286,7 +286,7 @@
 		b.release(c)
 		return b.out
 	}
-	if o.Result != Full && o.Result != Unconnected && o.Result != NotSent {
+	if o.Result != Rejected && o.Result != ConnectFailed && o.Result != NotSent {
 		b.maybeRan(c, a)
 	}
 	if c.open == 0 {
@@ -296,18 +296,18 @@
 }
 
 // Probed takes the result of a probe.
-func (b *Balancer) Probed(now time.Duration, p Probed, out []Action) []Action {
+func (b *Balancer) HandleProbe(now time.Duration, p ProbeResult, out []Action) []Action {
 	b.begin(now, out)
 	return b.out
 }
 
 // Timer takes a due After.
-func (b *Balancer) Timer(now time.Duration, t Timer, out []Action) []Action {
+func (b *Balancer) HandleTimer(now time.Duration, t Timer, out []Action) []Action {
 	b.begin(now, out)
 	if t.Token == askToken {
 		if !b.asking && !b.watching {
 			b.asking = true
-			b.act(Action{Kind: Watch})
+			b.act(Action{Kind: WatchList})
 		}
 		return b.out
 	}
@@ -322,7 +322,7 @@
 }
 
 // Gone takes word that a client has left.
-func (b *Balancer) Gone(now time.Duration, g Gone, out []Action) []Action {
+func (b *Balancer) HandleDisconnect(now time.Duration, g Disconnect, out []Action) []Action {
 	b.begin(now, out)
 	if c := b.calls[g.Request]; c != nil {
 		b.drop(c, 0)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -27,17 +27,17 @@
 // node returns a front proxy, alone before n servers, with a low and a high worth.
 func node(n int) *Balancer {
 	b := New(Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * ms,
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms,
 		Classes: []Class{
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Aim: time.Second, Deadline: 2 * time.Second, Worth: 9},
+			{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 9},
 		},
 	}, 1, time.Second)
 	var list []Server
 	for i := range n {
 		list = append(list, Server{ID: fmt.Sprint("s", i)})
 	}
-	b.Members(time.Second, Members{Change: ListFull, Servers: list}, nil)
+	b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	return b
 }
 
@@ -47,7 +47,7 @@
 	for range n {
 		nextID++
 		r := Request{ID: nextID, Class: class, Tenant: -1, TTL: 2 * time.Second}
-		for _, a := range b.Request(now, r, nil) {
+		for _, a := range b.HandleRequest(now, r, nil) {
 			if a.Kind == Send {
 				sent++
 			}
@@ -75,10 +75,10 @@
 // twoZones returns a front proxy of zone x among four, before two servers in each of zones x and y.
 func twoZones(price float64) *Balancer {
 	b := New(Settings{
-		Nodes: 4, MaxTries: 3, AnswerGrace: 10 * ms, Zone: "x", Prices: Prices{CrossZone: price},
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 4, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x", Penalties: Penalties{CrossZone: price},
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
-	b.Members(time.Second, Members{Change: ListFull, Servers: []Server{
+	b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{
 		{ID: "x1", Zone: "x"}, {ID: "x2", Zone: "x"}, {ID: "y1", Zone: "y"}, {ID: "y2", Zone: "y"},
 	}}, nil)
 	return b
@@ -91,7 +91,7 @@
 	}{{0, 0.4, 1}, {0.2, 0.4, 2}, {0.2, 0.25, 5}, {0.2, 0.1, 1000}, {0.2, 0, 1000}} {
 		b := twoZones(c.price)
 		b.late = c.late
-		if got := b.cost(b.set.Prices.CrossZone); math.Abs(got-c.want) > 1e-6 {
+		if got := b.cost(b.set.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("price %v, response time %v: a far server counts %v times, want %v", c.price, c.late, got, c.want)
 		}
 	}
@@ -105,11 +105,11 @@
 		want          string
 	}{{0, 1.05, "b"}, {0.03, 1.05, "a"}, {0.03, 1.2, "b"}} {
 		b := node(0)
-		b.Members(time.Second, Members{Change: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}}}, nil)
-		b.set.Prices.Handshake, b.late = c.price, 0.3
+		b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}}}, nil)
+		b.set.Penalties.Handshake, b.late = c.price, 0.3
 		b.servers["a"].idle = []time.Duration{time.Second}
 		b.servers["a"].late, b.servers["a"].lateAt = c.slower-1, time.Second
-		out := b.Request(time.Second, Request{ID: 1, Tenant: -1, TTL: time.Second}, nil)
+		out := b.HandleRequest(time.Second, Request{ID: 1, Tenant: -1, TTL: time.Second}, nil)
 		if len(out) == 0 || out[0].Kind != Send || out[0].Server != c.want {
 			t.Errorf("price %v, the connected one %v times as slow: %+v, want a send to %s", c.price, c.slower, out, c.want)
 		}
@@ -121,7 +121,7 @@
 	for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 		c := b.calls[id]
 		if n := len(c.attempts) - 1; n >= 0 && c.open > 0 && c.attempts[n].server.ID == server {
-			b.Outcome(now, Outcome{Request: id, Attempt: n, Server: server, Result: TimedOut, Elapsed: time.Second}, nil)
+			b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: server, Result: TimedOut, Elapsed: time.Second}, nil)
 		}
 	}
 }
@@ -159,22 +159,22 @@
 // and each call that cannot connect loses time.
 func TestZoneCutOffIsEjected(t *testing.T) {
 	b := New(Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * ms, Zone: "x",
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x",
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	var list []Server
 	for i := range 5 {
 		list = append(list, Server{ID: fmt.Sprint("x", i), Zone: "x"}, Server{ID: fmt.Sprint("y", i), Zone: "y"})
 	}
 	now := time.Second
-	b.Members(now, Members{Change: ListFull, Servers: list}, nil)
+	b.HandleList(now, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	for _, id := range []string{"y0", "y0", "y0", "y0", "y1", "y2", "y3"} {
-		b.judge(b.servers[id], Unconnected)
+		b.judge(b.servers[id], ConnectFailed)
 	}
 	if b.zones["y"].out(now) {
 		t.Error("a zone is ejected though one of its servers was not tried")
 	}
-	b.judge(b.servers["y4"], Unconnected)
+	b.judge(b.servers["y4"], ConnectFailed)
 	if !b.zones["y"].out(now) {
 		t.Fatal("all servers of a zone failed in a row, and it is not ejected")
 	}
@@ -201,12 +201,12 @@
 	b := node(4)
 	s := b.servers["s1"]
 	for range 3 {
-		b.judge(s, Broken)
+		b.judge(s, ConnectionLost)
 		b.learn(s, 5)
 	}
 	now := 2 * time.Second
-	b.set.ColdFrom, b.set.ColdFor, b.set.FallFor, b.set.FallMultiple = 1, time.Second, time.Second, 2
-	b.Members(now, Members{Change: ListDiff, Servers: []Server{{ID: "s1", Started: now}}}, nil)
+	b.set.ColdCapacity, b.set.WarmupTime, b.set.CollapseWindow, b.set.CollapseMultiple = 1, time.Second, time.Second, 2
+	b.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "s1", Started: now}}}, nil)
 	if s.out(now) {
 		t.Error("a new process is ejected for the old one's failures")
 	}
@@ -220,7 +220,7 @@
 func TestChanceIsNoCrowd(t *testing.T) {
 	few, many := node(1), node(100)
 	for b, n := range map[*Balancer]float64{few: 1, many: 100} {
-		b.room.rule = RoomPresumed
+		b.room.rule = LimitFixed
 		b.crowd = n * b.room.calls()
 	}
 	if c := few.crowding(); c > 0.9 {
@@ -258,7 +258,7 @@
 	for i := range 12 {
 		list = append(list, Server{ID: fmt.Sprint("s", i)})
 	}
-	b.Members(2*time.Second, Members{Change: ListFull, Servers: list}, nil)
+	b.HandleList(2*time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	if c := b.crowding(); c < before {
 		t.Errorf("crowding falls from %v to %v as servers are added", before, c)
 	}
@@ -276,8 +276,8 @@
 // keeps a tier full.
 // Those without a connection did not; where servers accept few, a request must find the one that does.
 func TestRetriesDrawOnTheBudget(t *testing.T) {
-	for result, most := range map[Result]int{Full: 8 + retryBurst, TimedOut: 8 + retryBurst, Unconnected: 8 * 3} {
-		if sends := storm(result); sends > most || result == Unconnected && sends < most {
+	for result, most := range map[Result]int{Rejected: 8 + retryBurst, TimedOut: 8 + retryBurst, ConnectFailed: 8 * 3} {
+		if sends := storm(result); sends > most || result == ConnectFailed && sends < most {
 			t.Errorf("%d sends of 8 requests that all end with %d, want %d", sends, result, most)
 		}
 	}
@@ -292,7 +292,7 @@
 			c := b.calls[id]
 			n := len(c.attempts) - 1
 			end := Outcome{Request: id, Attempt: n, Server: c.attempts[n].server.ID, Result: result}
-			for _, a := range b.Outcome(time.Second, end, nil) {
+			for _, a := range b.HandleOutcome(time.Second, end, nil) {
 				if a.Kind == Send {
 					sends++
 				}
@@ -334,22 +334,22 @@
 		{"one server hangs", func(id string) bool { return id == "s0" }, false},
 	} {
 		b := node(6)
-		b.set.MaySecondCopy = true
+		b.set.MayHedge = true
 		now, hung, copies := time.Second, false, 0
 		for range 12 {
 			for range 4 { // leave some idle
 				nextID++
 				b.calls = map[uint64]*call{}
-				for _, a := range b.Request(now, Request{ID: nextID, Class: 1, Tenant: -1, TTL: 2 * time.Second}, nil) {
-					hung = hung || a.Kind == HangUp
+				for _, a := range b.HandleRequest(now, Request{ID: nextID, Class: 1, Tenant: -1, TTL: 2 * time.Second}, nil) {
+					hung = hung || a.Kind == CloseIdle
 					if a.Kind != Send {
 						continue
 					}
 					if span := b.calls[nextID].attempts[0].span; span < 0 || !c.lost(a.Server) {
-						b.Outcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms, Final: true}, nil)
+						b.HandleOutcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms, Final: true}, nil)
 						continue
 					}
-					for _, again := range b.Timer(now+900*ms, Timer{nextID}, nil) {
+					for _, again := range b.HandleTimer(now+900*ms, Timer{nextID}, nil) {
 						if again.Kind == Send {
 							copies++
 						}
@@ -392,7 +392,7 @@
 		b := node(4)
 		b.set.MayCancel = may
 		offer(b, time.Second, 0, 1)
-		out := b.Gone(time.Second, Gone{nextID}, nil)
+		out := b.HandleDisconnect(time.Second, Disconnect{nextID}, nil)
 		if got := len(out) == 1 && out[0] == (Action{Kind: Cancel, Request: nextID}); got != may {
 			t.Errorf("cancels allowed: %v, actions %v", may, out)
 		}
@@ -402,7 +402,7 @@
 // Refused clients come back at once; marked repeats must not crowd out the first tries of their worth, nor
 // give way to first tries of a lesser one.
 func TestRepeatsGiveWayToFirstTries(t *testing.T) {
-	b := New(Settings{MarksRepeats: true, Classes: []Class{{Worth: 1}, {Worth: 9}}}, 1, 0)
+	b := New(Settings{MarksRetries: true, Classes: []Class{{Worth: 1}, {Worth: 9}}}, 1, 0)
 	for at := 0.0; at < 1; at += 0.01 {
 		b.r = curveFoot + at*(curveTop-curveFoot)
 		p := []float64{b.admits(1 * repeatWorth), b.admits(1), b.admits(9 * repeatWorth), b.admits(9)}
@@ -426,7 +426,7 @@
 	half := map[string]int{} // by the first half of the nodes, as if these were one zone's
 	for i := range nodes {
 		b := New(Settings{Node: i, Nodes: nodes, Classes: []Class{{Worth: 1}}}, uint64(i), 0)
-		b.Members(0, Members{Change: ListFull, Servers: list}, nil)
+		b.HandleList(0, ListUpdate{Kind: ListFull, Servers: list}, nil)
 		for k := range len(b.near) + len(b.far) {
 			known[b.subset(k).ID]++
 			if i < nodes/2 {
@@ -450,17 +450,17 @@
 	b := node(1)
 	offer(b, time.Second, 0, 2)
 	id := nextID
-	lost := Outcome{Request: id, Server: "s0", Result: Broken, Elapsed: ms}
+	lost := Outcome{Request: id, Server: "s0", Result: ConnectionLost, Elapsed: ms}
 	for _, attempt := range []int{-1, 1, 7} {
 		lost.Attempt = attempt
-		b.Outcome(time.Second, lost, nil)
+		b.HandleOutcome(time.Second, lost, nil)
 	}
 	if got := b.servers["s0"].inflight; got != 2 {
 		t.Errorf("%d calls in flight after odd outcomes, want 2", got)
 	}
 	lost.Attempt = 0
-	b.Outcome(time.Second, lost, nil) // goes again
-	b.Outcome(time.Second, lost, nil)
+	b.HandleOutcome(time.Second, lost, nil) // goes again
+	b.HandleOutcome(time.Second, lost, nil)
 	if c := b.calls[id]; c == nil || c.open != 1 || len(c.attempts) != 2 {
 		t.Errorf("an outcome told twice counts twice: %+v", c)
 	}
@@ -470,12 +470,12 @@
 func TestNonsenseIsAnswered(t *testing.T) {
 	for i, set := range []Settings{
 		{},
-		{Node: -7, Nodes: -2, MaxTries: -1, Classes: []Class{{Aim: -time.Second, Deadline: -1, Worth: -3}}},
-		{Tier: 9, Tiers: 2, MayAdviseReturn: true, MaxRetryAfter: -time.Second, Classes: []Class{{Worth: 1}}, MustAsk: true},
-		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Effect: 77, Group: 99, KeyTTL: -1}}, ColdFor: -1, FallFor: -1},
+		{Node: -7, Nodes: -2, MaxAttempts: -1, Classes: []Class{{LatencyTarget: -time.Second, Deadline: -1, Worth: -3}}},
+		{Tier: 9, Tiers: 2, MayAdviseRetry: true, MaxRetryAfter: -time.Second, Classes: []Class{{Worth: 1}}, MustSubscribe: true},
+		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Idempotency: 77, Group: 99, KeyTTL: -1}}, WarmupTime: -1, CollapseWindow: -1},
 	} {
 		b := New(set, 1, time.Second)
-		b.Members(time.Second, Members{Change: ListFull, Servers: []Server{{}, {ID: "s", Weight: -1, Started: 5}}}, nil)
+		b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{{}, {ID: "s", Weight: -1, Started: 5}}}, nil)
 		answers, sends := map[uint64]int{}, map[uint64]string{}
 		take := func(out []Action) {
 			for _, a := range out {
@@ -492,20 +492,20 @@
 		}
 		for id := range uint64(6) {
 			r := Request{ID: id, Class: int(id) - 2, Tenant: int(id) - 1, TTL: time.Duration(int(id)-1) * time.Second, Work: -1}
-			take(b.Request(time.Second, r, nil))
+			take(b.HandleRequest(time.Second, r, nil))
 			if id == 3 && sends[id] != "" { // told twice
-				take(b.Request(time.Second, r, nil))
+				take(b.HandleRequest(time.Second, r, nil))
 			}
-			take(b.Outcome(time.Second, Outcome{Request: id, Attempt: 5, Server: "never", Result: 99, Elapsed: -1}, nil))
-			take(b.Probed(time.Second, Probed{Server: "never"}, nil))
+			take(b.HandleOutcome(time.Second, Outcome{Request: id, Attempt: 5, Server: "never", Result: 99, Elapsed: -1}, nil))
+			take(b.HandleProbe(time.Second, ProbeResult{Server: "never"}, nil))
 		}
 		now := 20 * time.Second
 		for range 3 {
 			for _, id := range slices.Sorted(maps.Keys(b.calls)) {
-				take(b.Timer(now, Timer{id}, nil))
+				take(b.HandleTimer(now, Timer{id}, nil))
 				if c := b.calls[id]; c != nil && c.open > 0 {
 					n := len(c.attempts) - 1
-					take(b.Outcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
+					take(b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
 				}
 			}
 		}
@@ -525,9 +525,9 @@
 	b.ReportAllocs()
 	for id := uint64(1); b.Loop(); id++ {
 		now += ms
-		out = n.Request(now, Request{ID: id, Class: 1, Tenant: -1, TTL: time.Second}, out[:0])
+		out = n.HandleRequest(now, Request{ID: id, Class: 1, Tenant: -1, TTL: time.Second}, out[:0])
 		if out[0].Kind == Send {
-			n.Outcome(now+ms/2, Outcome{Request: id, Server: out[0].Server, Elapsed: ms / 2, Final: true}, out[:0])
+			n.HandleOutcome(now+ms/2, Outcome{Request: id, Server: out[0].Server, Elapsed: ms / 2, Final: true}, out[:0])
 		}
 	}
 }
@@ -551,7 +551,7 @@
 // A keyed call whose cell has one server may go there again; it must not wait, polling, until its end.
 func TestKeyedCallReturnsToItsOnlyServer(t *testing.T) {
 	b := node(3) // all servers in one cell but for the first
-	b.set.Classes[0].Effect, b.set.Classes[0].Group, b.set.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
+	b.set.Classes[0].Idempotency, b.set.Classes[0].Group, b.set.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
 	b.servers["s0"].Cell = 1
 	c := &call{Request: Request{ID: 1, TTL: time.Second}, ran: true, ranOn: b.servers["s0"]}
 	c.attempts = []attempt{{server: b.servers["s0"], done: true}}
@@ -589,20 +589,20 @@
 		now += 10 * time.Second // idle for long
 		nextID++
 		sent := false
-		for _, a := range b.Request(now, Request{ID: nextID, Tenant: -1, TTL: 2 * time.Second}, nil) {
+		for _, a := range b.HandleRequest(now, Request{ID: nextID, Tenant: -1, TTL: 2 * time.Second}, nil) {
 			sent = sent || a.Kind == Send
 		}
 		if !sent {
 			t.Fatal("not sent")
 		}
-		b.Outcome(now+ms, Outcome{Request: nextID, Server: "s0", Result: result, Final: true, Closed: closed}, nil)
+		b.HandleOutcome(now+ms, Outcome{Request: nextID, Server: "s0", Result: result, Final: true, ConnClosed: closed}, nil)
 	}
 	send(Served, false)
 	if len(s.idle) != 1 {
 		t.Errorf("%d idle connections after an answer", len(s.idle))
 	}
 	for range 2 * ejectAfter {
-		send(Spoilt, true)
+		send(Malformed, true)
 		if len(s.idle) != 0 {
 			t.Errorf("%d idle connections after a spoilt answer", len(s.idle))
 		}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,26 +10,26 @@
 // A node keeps one Balancer, hands it each event with the time, and carries out what comes back.
 func Example() {
 	set := decide.Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * time.Millisecond,
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * time.Millisecond,
 		Classes: []decide.Class{{
-			Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Effect: decide.Repeatable,
+			LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Idempotency: decide.Idempotent,
 		}},
 	}
 	now := time.Duration(0) // the node's own monotonic clock
 	b := decide.New(set, 1, now)
-	b.Members(now, decide.Members{Change: decide.ListFull, Servers: []decide.Server{
+	b.HandleList(now, decide.ListUpdate{Kind: decide.ListFull, Servers: []decide.Server{
 		{ID: "10.0.0.1:80"}, {ID: "10.0.0.2:80"},
 	}}, nil)
 
 	request := decide.Request{ID: 7, Tenant: -1, TTL: time.Second}
-	for _, a := range b.Request(now, request, nil) {
+	for _, a := range b.HandleRequest(now, request, nil) {
 		if a.Kind != decide.Send {
 			continue
 		}
 		fmt.Println("send request", a.Request)
 		now += 20 * time.Millisecond // the server is not there
-		lost := decide.Outcome{Request: 7, Server: a.Server, Result: decide.Unconnected, Elapsed: 20 * time.Millisecond}
-		for _, again := range b.Outcome(now, lost, nil) {
+		lost := decide.Outcome{Request: 7, Server: a.Server, Result: decide.ConnectFailed, Elapsed: 20 * time.Millisecond}
+		for _, again := range b.HandleOutcome(now, lost, nil) {
 			if again.Kind == decide.Send {
 				fmt.Println("send again to another server:", again.Server != a.Server)
 			}
--- a/decide/members.go
+++ b/decide/members.go
@@ -21,17 +21,17 @@
 )
 
 // Members takes word of the servers.
-func (b *Balancer) Members(now time.Duration, m Members, out []Action) []Action {
+func (b *Balancer) HandleList(now time.Duration, m ListUpdate, out []Action) []Action {
 	b.begin(now, out)
-	if b.set.MustAsk && m.Change != ListKept {
-		b.follow(m.Change)
+	if b.set.MustSubscribe && m.Kind != ListRestored {
+		b.follow(m.Kind)
 	}
 	b.confirm(&m)
-	if m.Change == ListFailed {
+	if m.Kind == ListFailed {
 		return b.out
 	}
-	whole := m.Change != ListDiff && m.Change != ListKept
-	b.before, b.there = m.Rate, float64(m.There)
+	whole := m.Kind != ListDiff && m.Kind != ListRestored
+	b.before, b.there = m.PriorRate, float64(m.FleetSize)
 	if whole {
 		for _, s := range b.servers {
 			s.seen, s.listed = false, false
@@ -166,13 +166,13 @@
 }
 
 // follow keeps a watch on a list that comes only when asked for, and asks again with back-off and jitter.
-func (b *Balancer) follow(c Change) {
+func (b *Balancer) follow(c ListKind) {
 	b.asking, b.watching = false, c == ListDiff || c == ListFull
-	wait := max(holdStep, min(askStep<<min(b.askTries, 8), askMost, b.set.AskWithin/2))
+	wait := max(holdStep, min(askStep<<min(b.askTries, 8), askMost, b.set.ResubscribeWithin/2))
 	if b.watching {
 		b.askTries = 0
 		return
 	}
 	b.askTries++
-	b.act(Action{Kind: After, Token: askToken, Wait: b.jitter(wait)})
+	b.act(Action{Kind: StartTimer, Token: askToken, Wait: b.jitter(wait)})
 }
--- a/decide/pool.go
+++ b/decide/pool.go
@@ -34,7 +34,7 @@
 
 // Deal takes word of what the nodes have settled. Of sends that are good for different times the shorter holds for
 // all that are in hand.
-func (b *Balancer) Deal(now time.Duration, deals []Deal, out []Action) []Action {
+func (b *Balancer) HandleGrants(now time.Duration, deals []Grant, out []Action) []Action {
 	b.begin(now, out)
 	for i := range deals {
 		d := &deals[i]
@@ -43,21 +43,21 @@
 			continue
 		}
 		had := s.held(now)
-		s.lent = max(s.lent, d.Lent)
-		if d.Sends <= 0 || now >= d.Until {
+		s.lent = max(s.lent, d.LentUntil)
+		if d.Sends <= 0 || now >= d.ValidUntil {
 			continue
 		}
 		if s.dealt = had + d.Sends; had == 0 {
-			s.until = d.Until
+			s.until = d.ValidUntil
 		} else {
-			s.until = min(s.until, d.Until)
+			s.until = min(s.until, d.ValidUntil)
 		}
 	}
 	return b.out
 }
 
 // Colds appends the cold servers of the subset.
-func (b *Balancer) Colds(now time.Duration, to []Cold) []Cold {
+func (b *Balancer) ColdServers(now time.Duration, to []ColdServer) []ColdServer {
 	b.begin(now, nil)
 	for i := range len(b.near) + len(b.far) {
 		s := b.subset(i)
@@ -68,9 +68,9 @@
 		if s.near {
 			calls = max(b.answers()/float64(max(1, len(b.near)+len(b.far))), b.before)
 		}
-		to = append(to, Cold{
-			Server: s.ID, Zone: s.Zone, Started: s.Started, Rate: b.slowStart(s, coldPooled),
-			Calls: calls, Used: s.used, Held: s.held(now), Short: s.short, Answered: s.answered,
+		to = append(to, ColdServer{
+			Server: s.ID, Zone: s.Zone, Started: s.Started, SendRate: b.slowStart(s, coldPooled),
+			MeanSendRate: calls, GrantsUsed: s.used, GrantsHeld: s.held(now), Starved: s.short, Answered: s.answered,
 		})
 		s.short = false
 	}
--- a/decide/proof.go
+++ b/decide/proof.go
@@ -49,13 +49,13 @@
 // since the connection was opened.
 func (s *server) prove(now time.Duration, o *Outcome) {
 	sent := now - o.Elapsed
-	opened := min(sent, now-o.Age)
+	opened := min(sent, now-o.ConnAge)
 	switch o.Result {
 	case Served:
 		s.provenAt = max(s.provenAt, sent)
-	case Full:
+	case Rejected:
 		s.deniedAt = max(s.deniedAt, sent)
-	case Errored, Spoilt: // it answers
+	case Errored, Malformed: // it answers
 	default:
 		return
 	}
@@ -70,12 +70,12 @@
 	switch r {
 	case Served:
 		z.refusals, z.missed = 0, 0
-	case Full:
+	case Rejected:
 		z.missed = 0
 		z.refuse(now)
-	case Errored, Spoilt: // it answers
+	case Errored, Malformed: // it answers
 		z.missed = 0
-	case Unconnected:
+	case ConnectFailed:
 		z.refuse(now)
 		z.miss(now)
 	}
@@ -110,15 +110,15 @@
 }
 
 // confirm books until when the list is confirmed.
-func (b *Balancer) confirm(m *Members) {
-	if m.Change == ListDiff || m.Change == ListFull {
+func (b *Balancer) confirm(m *ListUpdate) {
+	if m.Kind == ListDiff || m.Kind == ListFull {
 		b.heard, b.unconfirmed = b.now, 0
 	}
 	if m.AsOf > 0 {
 		b.heard, b.unconfirmed = m.AsOf, 0
 	}
-	if m.Confirmed > 0 && (b.unconfirmed == 0 || m.Confirmed < b.unconfirmed) {
-		b.unconfirmed = m.Confirmed
+	if m.ConfirmedUntil > 0 && (b.unconfirmed == 0 || m.ConfirmedUntil < b.unconfirmed) {
+		b.unconfirmed = m.ConfirmedUntil
 	}
 }
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -23,7 +23,7 @@
 	s := b.pick(c)
 	if c.held = s == nil; c.held {
 		if c.open == 0 { // a second copy does not wait
-			b.act(Action{Kind: After, Token: c.ID, Wait: min(holdStep, left)})
+			b.act(Action{Kind: StartTimer, Token: c.ID, Wait: min(holdStep, left)})
 		}
 		return
 	}
@@ -37,22 +37,22 @@
 	}
 	due := b.usually(c)
 	a := attempt{server: s, sent: b.now, due: b.now + due, span: b.connect(s)}
-	copying := c.bounds.SecondCopyAfter
-	if copying > 0 && copying < left && c.open == 0 && b.set.Classes[c.Class].Effect == Repeatable {
+	copying := c.bounds.HedgeAfter
+	if copying > 0 && copying < left && c.open == 0 && b.set.Classes[c.Class].Idempotency == Idempotent {
 		a.copyAt = b.now + copying
 	}
 	c.attempts = append(c.attempts, a)
 	c.open++
 	act := Action{Kind: Send, Request: c.ID, Server: s.ID, Wait: left}
-	if class := &b.set.Classes[c.Class]; c.ran && class.Effect == Keyed { // it may wait for a connection
-		act.Within = max(1, class.KeyTTL*9/10-(b.now-c.ranAt))
+	if class := &b.set.Classes[c.Class]; c.ran && class.Idempotency == Keyed { // it may wait for a connection
+		act.SendWithin = max(1, class.KeyTTL*9/10-(b.now-c.ranAt))
 	}
 	b.act(act)
 	if a.span >= 0 && due < left {
-		b.act(Action{Kind: After, Token: c.ID, Wait: due})
+		b.act(Action{Kind: StartTimer, Token: c.ID, Wait: due})
 	}
 	if a.copyAt > 0 {
-		b.act(Action{Kind: After, Token: c.ID, Wait: copying})
+		b.act(Action{Kind: StartTimer, Token: c.ID, Wait: copying})
 	}
 }
 
@@ -62,15 +62,15 @@
 	case c.held:
 		return NoServer
 	case left <= 0:
-		return OutOfTime
+		return DeadlineExceeded
 	}
-	return KeyForgotten
+	return KeyExpired
 }
 
 // forgotten tells whether the servers may have dropped a keyed call's key by then, some time kept in hand.
 func (b *Balancer) forgotten(c *call, then time.Duration) bool {
 	class := &b.set.Classes[c.Class]
-	return c.ran && class.Effect == Keyed && then-c.ranAt > class.KeyTTL*9/10
+	return c.ran && class.Idempotency == Keyed && then-c.ranAt > class.KeyTTL*9/10
 }
 
 // connect takes the connection for a send and returns the span of its idle time. Connections that idled for
@@ -83,7 +83,7 @@
 	}
 	gap := b.now - s.idle[len(s.idle)-1]
 	s.idle = s.idle[:len(s.idle)-1]
-	if b.set.ConnIdle > 0 && gap >= b.set.ConnIdle {
+	if b.set.ConnIdleTimeout > 0 && gap >= b.set.ConnIdleTimeout {
 		s.idle = s.idle[:0] // closed by itself, and so are those that idled for longer
 		return -1
 	}
@@ -93,7 +93,7 @@
 	}
 	if span >= b.stale {
 		s.idle = s.idle[:0]
-		b.act(Action{Kind: HangUp, Server: s.ID})
+		b.act(Action{Kind: CloseIdle, Server: s.ID})
 		return -1
 	}
 	return span
@@ -158,26 +158,26 @@
 	if c.ran {
 		since = c.ranAt
 	}
-	return b.set.MaySecondCopy && class.Effect != Once && c.open == 1 && len(c.attempts) < b.most(c) &&
-		b.retryBudget >= 1 && c.until > b.now && (class.Effect != Keyed || b.now-since < class.KeyTTL*9/10)
+	return b.set.MayHedge && class.Idempotency != AtMostOnce && c.open == 1 && len(c.attempts) < b.most(c) &&
+		b.retryBudget >= 1 && c.until > b.now && (class.Idempotency != Keyed || b.now-since < class.KeyTTL*9/10)
 }
 
 // most is the number of attempts that a call may have.
 func (b *Balancer) most(c *call) int {
-	most := b.set.MaxTries
-	if c.bounds.Attempts > 0 {
-		most = min(most, c.bounds.Attempts)
+	most := b.set.MaxAttempts
+	if c.bounds.MaxAttempts > 0 {
+		most = min(most, c.bounds.MaxAttempts)
 	}
 	if c.Budgeted {
-		most = min(most, 1+c.Extra)
+		most = min(most, 1+c.ExtraAttempts)
 	}
 	return most
 }
 
 // backoff is the wait before a call's next attempt.
 func (b *Balancer) backoff(c *call) time.Duration {
-	wait := c.bounds.BackoffFirst << min(len(c.attempts)-1, 16)
-	if most := c.bounds.BackoffMost; most > 0 {
+	wait := c.bounds.BackoffInitial << min(len(c.attempts)-1, 16)
+	if most := c.bounds.BackoffMax; most > 0 {
 		wait = min(wait, most)
 	}
 	return wait - time.Duration(c.bounds.BackoffJitter*b.rng.Float64()*float64(wait))
@@ -196,29 +196,29 @@
 	// Drawn on also where nothing ran: tries turned away by a full tier multiply from tier to tier into the
 	// storm that keeps it full. Those that found no connection reached no server's queue, and are free.
 	last := c.attempts[len(c.attempts)-1].result
-	free := last == Unconnected
+	free := last == ConnectFailed
 	allowed := c.bounds.RetryOn == 0 || c.bounds.RetryOn&last.Bit() != 0
 	stop := NoReason
 	switch {
 	case len(c.attempts) >= b.most(c):
 		stop = OutOfAttempts
 	case b.now >= c.until:
-		stop = OutOfTime
+		stop = DeadlineExceeded
 	case !free && b.retryBudget < 1:
 		stop = OutOfRetryBudget
-	case c.ran && class.Effect == Once:
+	case c.ran && class.Idempotency == AtMostOnce:
 		stop = MayHaveRun
 	case !allowed:
-		stop = RouteForbids
+		stop = RouteDisallowsRetry
 	}
 	wait := time.Duration(0)
-	if stop == NoReason && c.bounds.BackoffFirst > 0 {
+	if stop == NoReason && c.bounds.BackoffInitial > 0 {
 		// What would come too late after the wait is given up now.
 		wait = b.backoff(c)
 		if b.now+wait >= c.until {
-			stop = OutOfTime
+			stop = DeadlineExceeded
 		} else if b.forgotten(c, b.now+wait) {
-			stop = KeyForgotten
+			stop = KeyExpired
 		}
 	}
 	if stop != NoReason {
@@ -230,7 +230,7 @@
 	}
 	if wait > 0 {
 		c.resume = b.now + wait
-		b.act(Action{Kind: After, Token: c.ID, Wait: wait})
+		b.act(Action{Kind: StartTimer, Token: c.ID, Wait: wait})
 		return
 	}
 	b.send(c)
@@ -240,11 +240,11 @@
 // where that is true.
 func (b *Balancer) end(c *call, why Reason) {
 	class := &b.set.Classes[c.Class]
-	harmless := !c.ran || class.Effect == Repeatable ||
-		class.Effect == Keyed && class.Group == GroupAll && !b.forgotten(c, b.now)
+	harmless := !c.ran || class.Idempotency == Idempotent ||
+		class.Idempotency == Keyed && class.Group == GroupAll && !b.forgotten(c, b.now)
 	if harmless && b.now < c.until {
 		wait := b.retryAfter(c.bounds, b.aim(&c.Request)-(b.now-c.arrived))
-		if c.ran && class.Effect == Keyed { // the client must be back while its key is known
+		if c.ran && class.Idempotency == Keyed { // the client must be back while its key is known
 			wait = min(wait, class.KeyTTL*9/10-(b.now-c.ranAt))
 		}
 		b.act(Action{Kind: Refuse, Request: c.ID, Wait: wait, Reason: why})
--- a/decide/room.go
+++ b/decide/room.go
@@ -29,7 +29,7 @@
 // response time seen of late. Cores are learned from below: while calls are refused for want of room, and
 // answers take no longer for more calls, there are more. All times are in units of the aim.
 type room struct {
-	rule     RoomRule
+	rule     LimitMode
 	presumed float64 // calls, without measurement
 
 	sum, count float64 // response times since ...
@@ -45,7 +45,7 @@
 	bound   float64 // calls at which servers turned away, less some; grows back
 }
 
-func newRoom(rule RoomRule, presumed float64, now, aim time.Duration) room {
+func newRoom(rule LimitMode, presumed float64, now, aim time.Duration) room {
 	return room{
 		rule: rule, presumed: presumed, since: now, turned: now, aim: max(1, aim),
 		learned: 1, bound: math.Inf(1),
@@ -119,9 +119,9 @@
 // calls is the room of a server.
 func (m *room) calls() float64 {
 	switch m.rule {
-	case RoomPresumed:
+	case LimitFixed:
 		return m.presumed
-	case RoomNone:
+	case LimitNone:
 		return math.Inf(1)
 	}
 	return max(m.presumed, min(m.bound, clearPart*m.learned/m.usual()))
--- a/decide/room_test.go
+++ b/decide/room_test.go
@@ -16,7 +16,7 @@
 }
 
 func newLearner(cores, took float64) *learner {
-	return &learner{room: newRoom(RoomLearned, 5, 0, time.Second), cores: cores, took: took}
+	return &learner{room: newRoom(LimitLearned, 5, 0, time.Second), cores: cores, took: took}
 }
 
 // hold plays so many answers at so many calls held a server, a millisecond apart;
@@ -33,7 +33,7 @@
 }
 
 func TestRoomBeforeAnyAnswer(t *testing.T) {
-	m := newRoom(RoomLearned, 5, 0, time.Second)
+	m := newRoom(LimitLearned, 5, 0, time.Second)
 	if c := m.calls(); c != clearPart/leastStart {
 		t.Errorf("room for %v calls", c)
 	}
@@ -42,7 +42,7 @@
 // A node that starts in the midst of an overload has no answer to go by, but it
 // waits for one: the longer, the less room. Without calls it waits for nothing.
 func TestRoomWhileTheFirstAnswerIsWaitedFor(t *testing.T) {
-	m := newRoom(RoomLearned, 5, 0, time.Second)
+	m := newRoom(LimitLearned, 5, 0, time.Second)
 	m.measure(10*time.Second, 0)
 	if c := m.calls(); c != clearPart/leastStart {
 		t.Errorf("idle for 10 s: room for %v calls", c)
@@ -139,7 +139,7 @@
 }
 
 func TestRulesForComparison(t *testing.T) {
-	for rule, want := range map[RoomRule]float64{RoomPresumed: 5, RoomNone: math.Inf(1)} {
+	for rule, want := range map[LimitMode]float64{LimitFixed: 5, LimitNone: math.Inf(1)} {
 		if m := newRoom(rule, 5, 0, time.Second); m.calls() != want {
 			t.Errorf("rule %d: room for %v calls, want %v", rule, m.calls(), want)
 		}
@@ -196,8 +196,8 @@
 		offer(b, time.Second, 0, 64)
 		for id := from + 1; id <= nextID; id++ {
 			c := b.calls[id]
-			b.Outcome(time.Second+100*ms, Outcome{
-				Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: 100 * ms, Dial: dial, Final: true,
+			b.HandleOutcome(time.Second+100*ms, Outcome{
+				Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: 100 * ms, DialTime: dial, Final: true,
 			}, nil)
 		}
 		if got, want := b.room.least[0], (100*ms - dial).Seconds(); math.Abs(got-want) > 1e-9 {
@@ -211,17 +211,17 @@
 func TestPartOfAnOldList(t *testing.T) {
 	var list []Server
 	for i := range 8 {
-		list = append(list, Server{ID: string(rune('a' + i)), Untried: true})
+		list = append(list, Server{ID: string(rune('a' + i)), Unverified: true})
 	}
 	start := func(there int) *Balancer {
 		b := New(Settings{
-			Nodes: 300, MaxTries: 3, AnswerGrace: 10 * ms,
+			Nodes: 300, MaxAttempts: 3, AnswerGrace: 10 * ms,
 			Classes: []Class{
-				{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-				{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: Once},
+				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: AtMostOnce},
 			},
 		}, 1, time.Second)
-		b.Members(time.Second, Members{Change: ListStored, Servers: list, There: there}, nil)
+		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list, FleetSize: there}, nil)
 		return b
 	}
 	for _, there := range []int{0, 300} {
@@ -234,8 +234,8 @@
 		t.Error("an unsafe request went to an untried server")
 	}
 	proven := list[0]
-	proven.Untried = false
-	b.Members(time.Second, Members{Change: ListKept, Servers: []Server{proven}, There: 300}, nil)
+	proven.Unverified = false
+	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{proven}, FleetSize: 300}, nil)
 	if sent := offer(b, time.Second, 1, 2); sent != 2 {
 		t.Errorf("%d of 2 unsafe requests went to the one that has answered", sent)
 	}
@@ -246,7 +246,7 @@
 func TestFirstReadingCountsByItsOutcomes(t *testing.T) {
 	answer := func(b *Balancer, id uint64, at, took time.Duration) {
 		c := b.calls[id]
-		b.Outcome(at, Outcome{Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: took, Final: true}, nil)
+		b.HandleOutcome(at, Outcome{Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: took, Final: true}, nil)
 	}
 	for late := 10 * ms; late <= 30*ms; late += 2 * ms {
 		for answers := uint64(1); answers <= 4; answers++ {
@@ -266,14 +266,14 @@
 	b, done := node(8), nextID
 	now := time.Second
 	for ; now < time.Second+3*period; now += 10 * ms {
-		b.Request(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
+		b.HandleRequest(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
 		nextID++
 		if now%(70*ms) == 0 && b.calls[done+1] != nil {
 			answer(b, done+1, now, 200*ms)
 			done++
 		}
 	}
-	b.Request(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
+	b.HandleRequest(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
 	nextID++
 	if b.r < curveTop {
 		t.Errorf("after three periods of overload r is %.2f", b.r)
--- a/decide/rows.go
+++ b/decide/rows.go
@@ -70,7 +70,7 @@
 // call is a request that still needs its final answer.
 type call struct {
 	Request
-	bounds         *Bounds       // those that it arrived under
+	bounds         *RoutePolicy  // those that it arrived under
 	arrived, until time.Duration // until: when an answer stops being of use
 	resume         time.Duration // no further attempt before this
 	attempts       []attempt
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -28,7 +28,7 @@
 	timers   []timer
 	nextID   uint64
 	sends    map[string][]time.Duration // to cold servers
-	bounds   []Bounds
+	bounds   []RoutePolicy
 	broken   bool // the rules are broken on purpose
 }
 
@@ -39,7 +39,7 @@
 
 type owed struct {
 	Request
-	bounds   Bounds // those that it arrived under
+	bounds   RoutePolicy // those that it arrived under
 	came     time.Duration
 	deadline time.Duration
 	sent     []try
@@ -82,17 +82,17 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	zones := []string{"x", "y", "z"}[:1+rng.IntN(3)]
 	set := Settings{
-		Node: rng.IntN(3), Nodes: 3, Tier: rng.IntN(3), Zone: zones[0], MustAsk: rng.IntN(2) == 0,
-		AskWithin: 4 * time.Second, ColdFrom: 0.3, ColdFor: 5 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
-		AnswerGrace: 8 * ms, MaxTries: 1 + rng.IntN(6), MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
-		MaySecondCopy: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayAdviseReturn: rng.IntN(2) == 0,
+		Node: rng.IntN(3), Nodes: 3, Tier: rng.IntN(3), Zone: zones[0], MustSubscribe: rng.IntN(2) == 0,
+		ResubscribeWithin: 4 * time.Second, ColdCapacity: 0.3, WarmupTime: 5 * time.Second, CollapseMultiple: 3, CollapseWindow: 2 * time.Second,
+		AnswerGrace: 8 * ms, MaxAttempts: 1 + rng.IntN(6), MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
+		MayHedge: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayAdviseRetry: rng.IntN(2) == 0,
 		OverShareWorth: 0.2,
 	}
-	for effect := Repeatable; effect <= Once; effect++ {
+	for effect := Idempotent; effect <= AtMostOnce; effect++ {
 		for group := GroupAll; group <= GroupCell; group++ {
 			set.Classes = append(set.Classes, Class{
-				Aim: 300 * ms, Deadline: 900 * ms, Worth: float64(1 + rng.IntN(3)), LateWorth: float64(rng.IntN(2)) / 2,
-				Effect: effect, Group: group, KeyTTL: 400 * ms,
+				LatencyTarget: 300 * ms, Deadline: 900 * ms, Worth: float64(1 + rng.IntN(3)), LateWorth: float64(rng.IntN(2)) / 2,
+				Idempotency: effect, Group: group, KeyTTL: 400 * ms,
 			})
 		}
 	}
@@ -107,7 +107,7 @@
 	for i := range first {
 		first[i] = w.newServer(zones)
 	}
-	w.members(Members{Change: ListStored, Servers: first})
+	w.members(ListUpdate{Kind: ListStored, Servers: first})
 	return w
 }
 
@@ -121,8 +121,8 @@
 	return s
 }
 
-func (w *world) members(m Members) {
-	if m.Change == ListFull || m.Change == ListStored {
+func (w *world) members(m ListUpdate) {
+	if m.Kind == ListFull || m.Kind == ListStored {
 		for _, s := range w.servers {
 			s.gone = true
 		}
@@ -130,7 +130,7 @@
 	for _, e := range m.Servers {
 		w.servers[e.ID] = &listed{Server: e, gone: e.Health != Healthy}
 	}
-	w.take(w.balancer.Members(w.now, m, w.buf[:0]))
+	w.take(w.balancer.HandleList(w.now, m, w.buf[:0]))
 }
 
 // step plays the next millisecond.
@@ -143,13 +143,13 @@
 		c := w.open[f.request]
 		if c != nil {
 			c.sent[f.attempt].open, c.sent[f.attempt].result = false, f.result
-			c.sent[f.attempt].harmful = f.result != Full && f.result != Unconnected && f.result != NotSent
+			c.sent[f.attempt].harmful = f.result != Rejected && f.result != ConnectFailed && f.result != NotSent
 		}
 		final := f.result == Served && c != nil && w.now <= c.deadline
 		w.handle(func(out []Action) []Action {
-			return w.balancer.Outcome(w.now, Outcome{
+			return w.balancer.HandleOutcome(w.now, Outcome{
 				Request: f.request, Attempt: f.attempt, Server: f.server, Result: f.result, Elapsed: f.took,
-				Final: final, Closed: f.result == Spoilt,
+				Final: final, ConnClosed: f.result == Malformed,
 			}, out)
 		}, func() {
 			if final {
@@ -161,7 +161,7 @@
 		if tm := w.timers[i]; tm.at <= w.now {
 			w.timers = append(w.timers[:i], w.timers[i+1:]...)
 			i--
-			w.take(w.balancer.Timer(w.now, Timer{tm.token}, w.buf[:0]))
+			w.take(w.balancer.HandleTimer(w.now, Timer{tm.token}, w.buf[:0]))
 		}
 	}
 	if w.now < until {
@@ -214,9 +214,9 @@
 			}
 		}
 		w.open[r.ID] = c
-		w.take(w.balancer.Request(w.now, r, w.buf[:0]))
+		w.take(w.balancer.HandleRequest(w.now, r, w.buf[:0]))
 	case p < 203:
-		w.members(Members{Change: ListDiff, Servers: []Server{w.newServer(zones)}})
+		w.members(ListUpdate{Kind: ListDiff, Servers: []Server{w.newServer(zones)}})
 	case p < 208 && len(w.ids) > 0:
 		if s := w.servers[w.ids[w.rng.IntN(len(w.ids))]]; s != nil {
 			e := s.Server
@@ -224,7 +224,7 @@
 			if e.Health == Healthy {
 				e.Started = w.now
 			}
-			w.members(Members{Change: ListDiff, Servers: []Server{e}})
+			w.members(ListUpdate{Kind: ListDiff, Servers: []Server{e}})
 		}
 	case p < 209:
 		var full []Server
@@ -233,39 +233,39 @@
 				full = append(full, s.Server)
 			}
 		}
-		w.members(Members{Change: ListFull, Servers: full})
+		w.members(ListUpdate{Kind: ListFull, Servers: full})
 	case p >= 990 && p < 992:
 		w.route()
-	case p < 210 && w.set.MustAsk:
-		w.members(Members{Change: ListFailed, Confirmed: time.Duration(w.rng.IntN(2)) * (w.now + time.Duration(w.rng.IntN(6000))*ms)})
+	case p < 210 && w.set.MustSubscribe:
+		w.members(ListUpdate{Kind: ListFailed, ConfirmedUntil: time.Duration(w.rng.IntN(2)) * (w.now + time.Duration(w.rng.IntN(6000))*ms)})
 	case p < 215:
 		for _, id := range slices.Sorted(maps.Keys(w.open)) {
 			if id%7 == 0 {
 				delete(w.open, id)
-				w.take(w.balancer.Gone(w.now, Gone{id}, w.buf[:0]))
+				w.take(w.balancer.HandleDisconnect(w.now, Disconnect{id}, w.buf[:0]))
 				break
 			}
 		}
 	case p < 217: // events for what is not held
-		w.take(w.balancer.Gone(w.now, Gone{1 << 40}, w.buf[:0]))
-		w.take(w.balancer.Timer(w.now, Timer{1 << 41}, w.buf[:0]))
-		w.take(w.balancer.Outcome(w.now, Outcome{Request: 1 << 40, Server: "unknown"}, w.buf[:0]))
-		w.take(w.balancer.Probed(w.now, Probed{Server: "unknown"}, w.buf[:0]))
+		w.take(w.balancer.HandleDisconnect(w.now, Disconnect{1 << 40}, w.buf[:0]))
+		w.take(w.balancer.HandleTimer(w.now, Timer{1 << 41}, w.buf[:0]))
+		w.take(w.balancer.HandleOutcome(w.now, Outcome{Request: 1 << 40, Server: "unknown"}, w.buf[:0]))
+		w.take(w.balancer.HandleProbe(w.now, ProbeResult{Server: "unknown"}, w.buf[:0]))
 	}
 }
 
 // route gives the module new bounds, whatever they are: those that make no sense must break no rule either.
 func (w *world) route() {
 	span := func(most int) time.Duration { return time.Duration(w.rng.IntN(2)*w.rng.IntN(most)) * ms }
-	w.bounds = make([]Bounds, w.rng.IntN(4))
+	w.bounds = make([]RoutePolicy, w.rng.IntN(4))
 	for i := range w.bounds {
-		w.bounds[i] = Bounds{
-			AttemptTimeout: span(400), Attempts: w.rng.IntN(8), BackoffFirst: span(200), BackoffMost: span(300),
-			BackoffJitter: w.rng.Float64(), RetryOn: Outcomes(w.rng.IntN(2) * w.rng.IntN(1<<9)),
-			SecondCopyAfter: span(200), DeadlineCap: span(500), RetryAfter: span(1500),
+		w.bounds[i] = RoutePolicy{
+			AttemptTimeout: span(400), MaxAttempts: w.rng.IntN(8), BackoffInitial: span(200), BackoffMax: span(300),
+			BackoffJitter: w.rng.Float64(), RetryOn: ResultSet(w.rng.IntN(2) * w.rng.IntN(1<<9)),
+			HedgeAfter: span(200), DeadlineCap: span(500), MaxRetryAfter: span(1500),
 		}
 	}
-	w.take(w.balancer.Routes(w.now, w.bounds, w.buf[:0]))
+	w.take(w.balancer.SetRoutePolicies(w.now, w.bounds, w.buf[:0]))
 }
 
 // take checks and carries out a reply.
@@ -281,15 +281,15 @@
 			}
 			if a.Kind == Refuse {
 				w.mayRefuse(c)
-				if limit := c.bounds.RetryAfter; limit > 0 && a.Wait > limit {
+				if limit := c.bounds.MaxRetryAfter; limit > 0 && a.Wait > limit {
 					w.fail("retry-after of %v, %v are allowed", a.Wait, limit)
 				}
-				if a.Wait < 0 || a.Wait > w.set.MaxRetryAfter || a.Wait > 0 && !w.set.MayAdviseReturn {
+				if a.Wait < 0 || a.Wait > w.set.MaxRetryAfter || a.Wait > 0 && !w.set.MayAdviseRetry {
 					w.fail("retry-after of %v", a.Wait)
 				}
 			}
 			delete(w.open, a.Request)
-		case After:
+		case StartTimer:
 			if a.Wait < 0 {
 				w.fail("a timer in the past")
 			}
@@ -298,8 +298,8 @@
 			if !w.set.MayCancel {
 				w.fail("a cancel that is not permitted")
 			}
-		case Watch, Fetch:
-			if !w.set.MustAsk {
+		case WatchList, FetchList:
+			if !w.set.MustSubscribe {
 				w.fail("asked for a list that comes by itself")
 			}
 		case Probe:
@@ -318,10 +318,10 @@
 		w.fail("a send for request %d, which is not owed", a.Request)
 	case s == nil || s.gone:
 		w.fail("a send to %s, which drains or is gone", a.Server)
-	case len(c.sent) >= w.set.MaxTries:
-		w.fail("more than %d attempts", w.set.MaxTries)
-	case c.bounds.Attempts > 0 && len(c.sent) >= c.bounds.Attempts:
-		w.fail("more than the %d attempts of its bounds", c.bounds.Attempts)
+	case len(c.sent) >= w.set.MaxAttempts:
+		w.fail("more than %d attempts", w.set.MaxAttempts)
+	case c.bounds.MaxAttempts > 0 && len(c.sent) >= c.bounds.MaxAttempts:
+		w.fail("more than the %d attempts of its bounds", c.bounds.MaxAttempts)
 	case c.bounds.AttemptTimeout > 0 && a.Wait > c.bounds.AttemptTimeout:
 		w.fail("an attempt of %v, its bounds allow %v", a.Wait, c.bounds.AttemptTimeout)
 	case a.Wait <= 0 || w.now+a.Wait > c.deadline:
@@ -341,34 +341,34 @@
 			continue
 		}
 		switch {
-		case class.Effect == Once:
+		case class.Idempotency == AtMostOnce:
 			w.fail("an effect could happen twice")
-		case class.Effect == Keyed && w.now-t.at > class.KeyTTL:
+		case class.Idempotency == Keyed && w.now-t.at > class.KeyTTL:
 			w.fail("a repeat after the key was forgotten")
-		case class.Effect == Keyed && class.Group == GroupZone && s.Zone != t.server.Zone,
-			class.Effect == Keyed && class.Group == GroupCell && s.Cell != t.server.Cell:
+		case class.Idempotency == Keyed && class.Group == GroupZone && s.Zone != t.server.Zone,
+			class.Idempotency == Keyed && class.Group == GroupCell && s.Cell != t.server.Cell:
 			w.fail("a repeat outside the group that drops it")
 		}
 	}
-	if open > 1 || open == 1 && !w.set.MaySecondCopy {
+	if open > 1 || open == 1 && !w.set.MayHedge {
 		w.fail("%d attempts at once", open+1)
 	}
 	c.sent = append(c.sent, try{server: s, at: w.now, open: true})
-	if s.Started > 0 && w.now-s.Started < w.set.ColdFor {
+	if s.Started > 0 && w.now-s.Started < w.set.WarmupTime {
 		// The budget of one of three nodes, were the server able to do 100 requests a second.
 		w.sends[s.ID] = append(w.sends[s.ID], w.now)
 		n := 0
 		for _, at := range w.sends[s.ID] {
-			if w.now-at < w.set.FallFor {
+			if w.now-at < w.set.CollapseWindow {
 				n++
 			}
 		}
-		if room := w.set.FallMultiple * w.set.ColdFrom * 100 * w.set.FallFor.Seconds() / 3; float64(n) > room+0.5 {
-			w.fail("%d sends to cold %s within %v, room for %.0f", n, s.ID, w.set.FallFor, room)
+		if room := w.set.CollapseMultiple * w.set.ColdCapacity * 100 * w.set.CollapseWindow.Seconds() / 3; float64(n) > room+0.5 {
+			w.fail("%d sends to cold %s within %v, room for %.0f", n, s.ID, w.set.CollapseWindow, room)
 		}
 	}
 	took := time.Duration(1+w.rng.IntN(300)) * ms
-	result := []Result{Served, Served, Served, Errored, Full, Unconnected, Broken, Served, Spoilt}[w.rng.IntN(9)]
+	result := []Result{Served, Served, Served, Errored, Rejected, ConnectFailed, ConnectionLost, Served, Malformed}[w.rng.IntN(9)]
 	if took >= a.Wait || w.rng.IntN(20) == 0 { // slow, or silent for ever
 		took, result = a.Wait, TimedOut
 	}
@@ -381,7 +381,7 @@
 		if !t.open && !t.harmful {
 			continue
 		}
-		if class.Effect == Once || class.Effect == Keyed && class.Group != GroupAll {
+		if class.Idempotency == AtMostOnce || class.Idempotency == Keyed && class.Group != GroupAll {
 			w.fail("a refusal of what may have run")
 		}
 	}
@@ -451,7 +451,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, 3)
-			w.broken, w.set.MaxTries = true, 9
+			w.broken, w.set.MaxAttempts = true, 9
 			w.servers = map[string]*listed{
 				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, gone: true},
 				"cold": {Server: Server{ID: "cold", Cell: 1, Started: w.now}},
@@ -484,7 +484,7 @@
 	for i := range nodes {
 		set.Node = i
 		b := New(set, uint64(i), 0)
-		b.Members(0, Members{Change: ListStored, Servers: list}, nil)
+		b.HandleList(0, ListUpdate{Kind: ListStored, Servers: list}, nil)
 		all = append(all, b)
 	}
 	var sends []time.Duration
@@ -493,16 +493,16 @@
 	for now := time.Duration(0); now < length; now += 10 * ms {
 		if started, yes := restart(int(now / (10 * ms))); yes {
 			for _, b := range all {
-				b.Members(now, Members{Change: ListDiff, Servers: []Server{{ID: "s0", Started: started}}}, nil)
+				b.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "s0", Started: started}}}, nil)
 			}
 		}
 		for len(flying) > 0 && flying[0].at <= now {
-			all[flying[0].node].Outcome(now, flying[0].outcome, nil)
+			all[flying[0].node].HandleOutcome(now, flying[0].outcome, nil)
 			flying = flying[1:]
 		}
 		for i, b := range all {
 			id++
-			for _, a := range b.Request(now, Request{ID: id, Tenant: -1, TTL: 9 * time.Second}, nil) {
+			for _, a := range b.HandleRequest(now, Request{ID: id, Tenant: -1, TTL: 9 * time.Second}, nil) {
 				if a.Kind != Send {
 					continue
 				}
@@ -522,8 +522,8 @@
 	const restartAt = 5 * time.Second
 	for _, nodes := range []int{4, 24} {
 		set := Settings{
-			ColdFrom: 0.1, ColdFor: 20 * time.Second, FallMultiple: 2.5, FallFor: time.Second, MaxTries: 2,
-			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{Aim: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
+			ColdCapacity: 0.1, WarmupTime: 20 * time.Second, CollapseMultiple: 2.5, CollapseWindow: time.Second, MaxAttempts: 2,
+			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{LatencyTarget: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
 		}
 		// Every node takes 100 requests a second; the servers, twice as many, can just do that, and hold so
 		// many calls that a cold one looks idle.
@@ -539,13 +539,13 @@
 			cold++
 			n := 0
 			for _, other := range sends[:i+1] {
-				if other > at-set.FallFor && other >= restartAt {
+				if other > at-set.CollapseWindow && other >= restartAt {
 					n++
 				}
 			}
-			age := (at - restartAt).Seconds() / set.ColdFor.Seconds()
-			if room := set.FallMultiple * (set.ColdFrom + (1-set.ColdFrom)*age) * capacity; float64(n) > room {
-				t.Fatalf("%d nodes: %d sends within %v at age %v, room for %.1f", nodes, n, set.FallFor, at-restartAt, room)
+			age := (at - restartAt).Seconds() / set.WarmupTime.Seconds()
+			if room := set.CollapseMultiple * (set.ColdCapacity + (1-set.ColdCapacity)*age) * capacity; float64(n) > room {
+				t.Fatalf("%d nodes: %d sends within %v at age %v, room for %.1f", nodes, n, set.CollapseWindow, at-restartAt, room)
 			}
 		}
 		if cold < 5 {
@@ -558,41 +558,41 @@
 // draining or gone, whatever the order of lists, failures and repeats; and an empty list loses no call.
 func TestStaleListIsFollowed(t *testing.T) {
 	set := Settings{
-		Nodes: 1, MustAsk: true, AskWithin: 4 * time.Second, MaxTries: 3, AnswerGrace: 10 * ms,
-		Classes: []Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}},
+		Nodes: 1, MustSubscribe: true, ResubscribeWithin: 4 * time.Second, MaxAttempts: 3, AnswerGrace: 10 * ms,
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}},
 	}
 	b := New(set, 1, 0)
 	asked := 0
 	watch := func(actions []Action) {
 		for _, a := range actions {
-			if a.Kind == Watch || a.Kind == After && a.Token == askToken {
+			if a.Kind == WatchList || a.Kind == StartTimer && a.Token == askToken {
 				asked++
 			}
 		}
 	}
-	watch(b.Members(0, Members{Change: ListStored, Servers: []Server{{ID: "old"}, {ID: "kept"}}}, nil))
-	watch(b.Timer(ms, Timer{askToken}, nil))
-	watch(b.Members(2*ms, Members{Change: ListFailed}, nil))
+	watch(b.HandleList(0, ListUpdate{Kind: ListStored, Servers: []Server{{ID: "old"}, {ID: "kept"}}}, nil))
+	watch(b.HandleTimer(ms, Timer{askToken}, nil))
+	watch(b.HandleList(2*ms, ListUpdate{Kind: ListFailed}, nil))
 	if asked < 3 {
 		t.Errorf("asked %d times after a stored list and a failure", asked)
 	}
-	b.Members(3*ms, Members{Change: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
-	b.Members(3*ms, Members{Change: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
-	b.Members(3*ms, Members{Change: ListDiff, Servers: []Server{{ID: "new", Health: Draining}, {ID: "odd", Health: Removed}}}, nil)
+	b.HandleList(3*ms, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
+	b.HandleList(3*ms, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
+	b.HandleList(3*ms, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "new", Health: Draining}, {ID: "odd", Health: Removed}}}, nil)
 	for id := range uint64(20) {
-		for _, a := range b.Request(4*ms, Request{ID: id, Tenant: -1, TTL: time.Second}, nil) {
+		for _, a := range b.HandleRequest(4*ms, Request{ID: id, Tenant: -1, TTL: time.Second}, nil) {
 			if a.Kind == Send && a.Server != "kept" {
 				t.Errorf("sent to %s, which drains or is gone", a.Server)
 			}
 		}
 	}
-	b.Members(5*ms, Members{Change: ListFull}, nil)
+	b.HandleList(5*ms, ListUpdate{Kind: ListFull}, nil)
 	b.calls = map[uint64]*call{}
-	held := b.Request(6*ms, Request{ID: 99, Tenant: -1, TTL: 20 * ms}, nil)
-	if len(held) != 1 || held[0].Kind != After {
+	held := b.HandleRequest(6*ms, Request{ID: 99, Tenant: -1, TTL: 20 * ms}, nil)
+	if len(held) != 1 || held[0].Kind != StartTimer {
 		t.Fatalf("with no server: %v, want the call held", held)
 	}
-	if end := b.Timer(26*ms, Timer{99}, nil); len(end) != 1 || end[0].Kind != Fail && end[0].Kind != Refuse {
+	if end := b.HandleTimer(26*ms, Timer{99}, nil); len(end) != 1 || end[0].Kind != Fail && end[0].Kind != Refuse {
 		t.Errorf("at the end of its time: %v, want an answer", end)
 	}
 }
@@ -600,13 +600,13 @@
 // What discovery has known for 6 s counts as told, whatever calls have failed: after any number of failures the module must
 // ask again so soon that one call that is lost, and one that waits in turn, still fit into that.
 func TestAskingNeverPausesForLong(t *testing.T) {
-	b := New(Settings{MustAsk: true, AskWithin: 10 * time.Second}, 1, 0)
+	b := New(Settings{MustSubscribe: true, ResubscribeWithin: 10 * time.Second}, 1, 0)
 	now, longest := time.Duration(0), time.Duration(0)
 	pauses := map[time.Duration]bool{}
 	for range 40 {
 		wait := time.Duration(-1)
-		for _, a := range b.Members(now, Members{Change: ListFailed}, nil) {
-			if a.Kind == After {
+		for _, a := range b.HandleList(now, ListUpdate{Kind: ListFailed}, nil) {
+			if a.Kind == StartTimer {
 				wait = a.Wait
 			}
 		}
@@ -616,7 +616,7 @@
 		longest = max(longest, wait)
 		pauses[wait] = true
 		now += wait
-		if out := b.Timer(now, Timer{Token: askToken}, nil); len(out) != 1 || out[0].Kind != Watch {
+		if out := b.HandleTimer(now, Timer{Token: askToken}, nil); len(out) != 1 || out[0].Kind != WatchList {
 			t.Fatalf("after the pause: %v", out)
 		}
 		now += time.Second
@@ -634,15 +634,15 @@
 // first attempt, and those of other effects, are bound by nothing but the client's time.
 func TestRepeatsSayByWhenTheyLeave(t *testing.T) {
 	const window = 400 * ms
-	for _, effect := range []Effect{Repeatable, Keyed} {
+	for _, effect := range []Idempotency{Idempotent, Keyed} {
 		b := New(Settings{
-			Nodes: 1, MaxTries: 4, AnswerGrace: 10 * ms,
-			Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: effect, Group: GroupAll, KeyTTL: window}},
+			Nodes: 1, MaxAttempts: 4, AnswerGrace: 10 * ms,
+			Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: effect, Group: GroupAll, KeyTTL: window}},
 		}, 1, 0)
-		b.Members(0, Members{Change: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, nil)
+		b.HandleList(0, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, nil)
 		now, attempts := 10*ms, 0
 		first := now
-		out := b.Request(now, Request{ID: 1, Tenant: -1, TTL: 2 * time.Second}, nil)
+		out := b.HandleRequest(now, Request{ID: 1, Tenant: -1, TTL: 2 * time.Second}, nil)
 		for len(out) > 0 {
 			sent := false
 			for _, a := range out {
@@ -651,11 +651,11 @@
 				}
 				sent = true
 				repeat := effect == Keyed && attempts > 0
-				if (a.Within > 0) != repeat || repeat && now+a.Within > first+window {
-					t.Errorf("effect %v: attempt %d at %v must leave within %v", effect, attempts, now, a.Within)
+				if (a.SendWithin > 0) != repeat || repeat && now+a.SendWithin > first+window {
+					t.Errorf("effect %v: attempt %d at %v must leave within %v", effect, attempts, now, a.SendWithin)
 				}
 				now += 100 * ms
-				out = b.Outcome(now, Outcome{Request: 1, Attempt: attempts, Server: a.Server, Result: Broken, Elapsed: 100 * ms}, nil)
+				out = b.HandleOutcome(now, Outcome{Request: 1, Attempt: attempts, Server: a.Server, Result: ConnectionLost, Elapsed: 100 * ms}, nil)
 				attempts++
 				break
 			}
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -17,9 +17,9 @@
 	}
 	all := make([]*Balancer, nodes)
 	for i := range all {
-		all[i] = New(Settings{Node: i, Nodes: nodes, Zone: fmt.Sprint("z", i%zones), Zones: zones, MaxTries: 1,
-			Classes: []Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}}}, uint64(i), 0)
-		all[i].Members(0, Members{Change: ListFull, Servers: list}, nil)
+		all[i] = New(Settings{Node: i, Nodes: nodes, Zone: fmt.Sprint("z", i%zones), Zones: zones, MaxAttempts: 1,
+			Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}}}, uint64(i), 0)
+		all[i].HandleList(0, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	}
 	return all, list
 }
@@ -60,7 +60,7 @@
 			for _, s := range []Server{gone, fresh} {
 				for i, b := range all {
 					old := b.servers[s.ID]
-					b.Members(time.Second, Members{Change: ListDiff, Servers: []Server{s}}, nil)
+					b.HandleList(time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{s}}, nil)
 					if s.Health == Removed && kept[i][old] {
 						must++
 					} else if fresh := b.servers[s.ID]; s.Health == Healthy && (slices.Contains(b.near, fresh) || slices.Contains(b.far, fresh)) {
--- a/decide/unconfirmed_test.go
+++ b/decide/unconfirmed_test.go
@@ -11,24 +11,24 @@
 // askingNode returns the only node before servers of a list that comes when asked for, as discovery has just told it.
 func askingNode(servers ...string) *Balancer {
 	b := New(Settings{
-		Nodes: 1, MaxTries: 3, AnswerGrace: 10 * ms, MustAsk: true, AskWithin: 10 * time.Second,
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second,
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	var list []Server
 	for _, id := range servers {
 		list = append(list, Server{ID: id})
 	}
-	b.Members(time.Second, Members{Change: ListFull, Servers: list}, nil)
+	b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	return b
 }
 
 // ask sends one request and ends its attempt with what the server answers; it returns the server, "" if there was none.
 func ask(b *Balancer, now time.Duration, result func(server string) Result) string {
 	nextID++
-	for _, a := range b.Request(now, Request{ID: nextID, Tenant: -1, TTL: 2 * time.Second}, nil) {
+	for _, a := range b.HandleRequest(now, Request{ID: nextID, Tenant: -1, TTL: 2 * time.Second}, nil) {
 		if a.Kind == Send {
 			r := result(a.Server)
-			b.Outcome(now+10*ms, Outcome{Request: nextID, Server: a.Server, Result: r, Elapsed: 10 * ms, Final: true}, nil)
+			b.HandleOutcome(now+10*ms, Outcome{Request: nextID, Server: a.Server, Result: r, Elapsed: 10 * ms, Final: true}, nil)
 			return a.Server
 		}
 	}
@@ -56,18 +56,18 @@
 	at := 2 * time.Second
 	drained := func(server string) Result { // two have drained in between, and turn away what comes
 		if server == "c" || server == "d" {
-			return Full
+			return Rejected
 		}
 		return Served
 	}
-	b.Members(at, Members{Change: ListFailed, Confirmed: 7 * time.Second}, nil)
+	b.HandleList(at, ListUpdate{Kind: ListFailed, ConfirmedUntil: 7 * time.Second}, nil)
 	if got := asked(b, at, 7*time.Second, drained); len(got) != 4 {
 		t.Fatalf("while the list is confirmed only %v are asked", got)
 	}
 	if got := asked(b, 7*time.Second, 20*time.Second, drained); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("with the list unconfirmed %v are asked, want a and b", got)
 	}
-	b.Members(20*time.Second, Members{Change: ListDiff}, nil)
+	b.HandleList(20*time.Second, ListUpdate{Kind: ListDiff}, nil)
 	if got := asked(b, 20*time.Second, 40*time.Second, serveAll); !slices.Contains(got, "c") && !slices.Contains(got, "d") {
 		t.Errorf("with the list confirmed only %v are asked", got)
 	}
@@ -77,10 +77,10 @@
 // last, never with one that has turned it away since, and not refuse all it gets.
 func TestUnconfirmedListWithoutProof(t *testing.T) {
 	b := askingNode("a", "b", "c")
-	b.Members(time.Second, Members{Change: ListFailed, Confirmed: 3 * time.Second}, nil)
+	b.HandleList(time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 3 * time.Second}, nil)
 	asked(b, time.Second, 2*time.Second, func(server string) Result {
 		if server == "c" {
-			return Full
+			return Rejected
 		}
 		return Served
 	})
@@ -88,7 +88,7 @@
 	for last == "c" {
 		t.Fatal("the seed has to be another: the last one served is the one that drains")
 	}
-	if got := ask(b, 30*time.Second, func(string) Result { return Full }); got != last {
+	if got := ask(b, 30*time.Second, func(string) Result { return Rejected }); got != last {
 		t.Errorf("after a pause %q is asked, want %q, which served last", got, last)
 	}
 	if got := ask(b, 31*time.Second, serveAll); got == last || got == "c" || got == "" {
@@ -99,8 +99,8 @@
 // A server that has started lately is none that drains: it must be among those that an unconfirmed list leaves.
 func TestUnconfirmedListLeavesStartedServers(t *testing.T) {
 	b := askingNode("a", "b")
-	b.Members(9*time.Second, Members{Change: ListDiff, Servers: []Server{{ID: "new1", Started: 9 * time.Second}, {ID: "new2", Started: 9 * time.Second}}}, nil)
-	b.Members(9*time.Second, Members{Change: ListFailed, Confirmed: 10 * time.Second}, nil)
+	b.HandleList(9*time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "new1", Started: 9 * time.Second}, {ID: "new2", Started: 9 * time.Second}}}, nil)
+	b.HandleList(9*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
 	if got := asked(b, 10*time.Second, 12*time.Second, serveAll); !slices.Equal(got, []string{"new1", "new2"}) {
 		t.Errorf("%v are asked, want those that have just started", got)
 	}
@@ -128,16 +128,16 @@
 		{"the list names one that started long before", 10 * time.Second, []answer{{24 * time.Second, 26 * time.Second}}, false},
 	} {
 		b := askingNode("a")
-		b.Members(heard, Members{Change: ListDiff, Servers: []Server{{ID: "a", Started: c.started}}}, nil)
+		b.HandleList(heard, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "a", Started: c.started}}}, nil)
 		s := b.servers["a"]
 		for _, x := range c.answers {
-			s.prove(x.sent, &Outcome{Result: Served, Age: x.sent - x.opened})
+			s.prove(x.sent, &Outcome{Result: Served, ConnAge: x.sent - x.opened})
 		}
-		b.Members(now, Members{Change: ListFailed, Confirmed: now}, nil)
+		b.HandleList(now, ListUpdate{Kind: ListFailed, ConfirmedUntil: now}, nil)
 		if got := !b.unproven(s); got != c.proven {
 			t.Errorf("%s: proven %v, want %v", c.name, got, c.proven)
 		}
-		b.Members(now, Members{Change: ListDiff}, nil)
+		b.HandleList(now, ListUpdate{Kind: ListDiff}, nil)
 		if b.unproven(s) {
 			t.Errorf("%s: doubted though the list is confirmed", c.name)
 		}
@@ -152,8 +152,8 @@
 		ask(b, time.Second, serveAll) // leaves a connection
 		b.servers["a"].alive = lifetime{}
 		nextID++
-		b.Request(9*time.Second, Request{ID: nextID, Tenant: -1, TTL: time.Second}, nil)
-		b.Outcome(9*time.Second+10*ms, Outcome{Request: nextID, Server: "a", Result: Served, Elapsed: 10 * ms, Age: age, Final: true}, nil)
+		b.HandleRequest(9*time.Second, Request{ID: nextID, Tenant: -1, TTL: time.Second}, nil)
+		b.HandleOutcome(9*time.Second+10*ms, Outcome{Request: nextID, Server: "a", Result: Served, Elapsed: 10 * ms, ConnAge: age, Final: true}, nil)
 		if got := b.servers["a"].alive.from; got != want {
 			t.Errorf("on a connection of %v: it lives since %v, want %v", age, got, want)
 		}
@@ -174,8 +174,8 @@
 		{"the only zone", slowToTell, 0, false},
 	} {
 		b := New(Settings{
-			Nodes: 10, MaxTries: 3, AnswerGrace: 10 * ms, MustAsk: true, AskWithin: 10 * time.Second, Zone: "near",
-			Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+			Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second, Zone: "near",
+			Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 		}, 1, time.Second)
 		var list []Server
 		for i := range c.near + c.far {
@@ -185,7 +185,7 @@
 			}
 			list = append(list, Server{ID: fmt.Sprintf("%s-%d", zone, i), Zone: zone})
 		}
-		b.Members(time.Second, Members{Change: ListStored, Servers: list, Confirmed: 3 * time.Second}, nil)
+		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list, ConfirmedUntil: 3 * time.Second}, nil)
 		near := func(from, until time.Duration) bool {
 			return slices.ContainsFunc(asked(b, from, until, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
 		}
@@ -198,7 +198,7 @@
 		if got := asked(b, 20*time.Second, 21*time.Second, serveAll); len(got) == 0 {
 			t.Errorf("%s: nobody is asked", c.name)
 		}
-		b.Members(21*time.Second, Members{Change: ListKept, AsOf: 20 * time.Second}, nil)
+		b.HandleList(21*time.Second, ListUpdate{Kind: ListRestored, AsOf: 20 * time.Second}, nil)
 		if !near(21*time.Second, 40*time.Second) {
 			t.Errorf("%s: none of it is asked once discovery is heard", c.name)
 		}
@@ -215,23 +215,23 @@
 		heard   time.Duration
 		asked   string
 	}{
-		{"all turned away", []Result{Full, Full, Full}, 3 * time.Second, "far"},
-		{"all unreachable", []Result{Unconnected, Unconnected, Unconnected}, 3 * time.Second, "far"},
-		{"one serves", []Result{Full, Full, Served, Full}, 3 * time.Second, "near"},
-		{"few refusals", []Result{Full, Full}, 3 * time.Second, "near"},
-		{"discovery has listed it", []Result{Full, Full, Full}, 9 * time.Second, "near"},
+		{"all turned away", []Result{Rejected, Rejected, Rejected}, 3 * time.Second, "far"},
+		{"all unreachable", []Result{ConnectFailed, ConnectFailed, ConnectFailed}, 3 * time.Second, "far"},
+		{"one serves", []Result{Rejected, Rejected, Served, Rejected}, 3 * time.Second, "near"},
+		{"few refusals", []Result{Rejected, Rejected}, 3 * time.Second, "near"},
+		{"discovery has listed it", []Result{Rejected, Rejected, Rejected}, 9 * time.Second, "near"},
 	} {
 		b := nodeOfTwoZones(20)
 		for i := range 20 {
-			b.servers[fmt.Sprint("far-", i)].prove(2*time.Second, &Outcome{Result: Served, Age: time.Second})
-			b.servers[fmt.Sprint("near-", i)].prove(2500*ms, &Outcome{Result: Served, Age: time.Second})
+			b.servers[fmt.Sprint("far-", i)].prove(2*time.Second, &Outcome{Result: Served, ConnAge: time.Second})
+			b.servers[fmt.Sprint("near-", i)].prove(2500*ms, &Outcome{Result: Served, ConnAge: time.Second})
 		}
 		for i, r := range c.results {
 			b.servers[fmt.Sprint("near-", i)].prove(3500*ms, &Outcome{Result: r})
 			b.zones["near"].book(3500*ms, r)
 		}
-		b.Members(10*time.Second, Members{Change: ListKept, AsOf: c.heard}, nil)
-		b.Members(10*time.Second, Members{Change: ListFailed, Confirmed: 10 * time.Second}, nil)
+		b.HandleList(10*time.Second, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
+		b.HandleList(10*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
 		if got := ask(b, 12*time.Second, serveAll); !strings.HasPrefix(got, c.asked) {
 			t.Errorf("%s: %q is asked, want one that is %s", c.name, got, c.asked)
 		}
@@ -242,7 +242,7 @@
 func TestDenialOutlivesAnOlderList(t *testing.T) {
 	for heard, denied := range map[time.Duration]bool{0: true, 4 * time.Second: true, 3*time.Second + listedWithin: false} {
 		b := askingNode("a")
-		b.servers["a"].prove(3*time.Second, &Outcome{Result: Full})
+		b.servers["a"].prove(3*time.Second, &Outcome{Result: Rejected})
 		b.heard = heard
 		if got := b.denied(b.servers["a"]); got != denied {
 			t.Errorf("denied at 3 s, the list is as of %v: denied still %v, want %v", heard, got, denied)
@@ -256,8 +256,8 @@
 // nodeOfZones returns a node before so many servers in its own zone and so many in another, as discovery has just told it.
 func nodeOfZones(near, far int) *Balancer {
 	b := New(Settings{
-		Nodes: 10, MaxTries: 3, AnswerGrace: 10 * ms, MustAsk: true, AskWithin: 10 * time.Second, Zone: "near",
-		Classes: []Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second, Zone: "near",
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	var list []Server
 	for i := range near {
@@ -266,7 +266,7 @@
 	for i := range far {
 		list = append(list, Server{ID: fmt.Sprint("far-", i), Zone: "far"})
 	}
-	b.Members(time.Second, Members{Change: ListFull, Servers: list}, nil)
+	b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	return b
 }
 
@@ -298,11 +298,11 @@
 			}
 			changes = append(changes, e)
 		}
-		b.Members(told, Members{Change: ListDiff, Servers: changes}, nil)
-		b.Members(told, Members{Change: ListKept, AsOf: c.heard}, nil)
-		b.Members(told, Members{Change: ListFailed, Confirmed: 9 * time.Second}, nil)
+		b.HandleList(told, ListUpdate{Kind: ListDiff, Servers: changes}, nil)
+		b.HandleList(told, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
+		b.HandleList(told, ListUpdate{Kind: ListFailed, ConfirmedUntil: 9 * time.Second}, nil)
 		for _, s := range b.servers {
-			s.prove(9*time.Second, &Outcome{Result: Served, Age: 9 * time.Second})
+			s.prove(9*time.Second, &Outcome{Result: Served, ConnAge: 9 * time.Second})
 		}
 		got := slices.ContainsFunc(asked(b, 9*time.Second, 10*time.Second, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
 		if got != c.asked {
@@ -339,17 +339,17 @@
 	} {
 		b := nodeOfZones(c.near, c.far)
 		for _, after := range c.failures {
-			b.zones["near"].book(lost+after, Unconnected)
+			b.zones["near"].book(lost+after, ConnectFailed)
 		}
 		opened := back
 		if c.kept {
 			opened = time.Second
 		}
 		for _, s := range b.servers {
-			s.prove(c.now, &Outcome{Result: Served, Age: c.now - opened})
+			s.prove(c.now, &Outcome{Result: Served, ConnAge: c.now - opened})
 			s.zone.book(back, Served)
 		}
-		b.Members(c.now, Members{Change: ListKept, AsOf: c.heard}, nil)
+		b.HandleList(c.now, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
 		got := slices.ContainsFunc(asked(b, c.now, c.now+900*ms, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
 		if got != c.asked {
 			t.Errorf("%s: servers of the zone are asked: %v, want %v", c.name, got, c.asked)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -32,35 +32,35 @@
 
 // call is one call that comes to a node of a tier. place names it by the calls
 // above it, whatever attempt of these made it.
-func (w *world) call(tier int, place string, given *Budget, truth Truth) (ok bool, spent int) {
+func (w *world) call(tier int, place string, given *Budget, truth LocalLimits) (ok bool, spent int) {
 	grant, _ := Clamp(given, truth)
-	if grant.Left > truth.Left || grant.Extra > truth.Extra {
+	if grant.TimeLeft > truth.TimeLeft || grant.ExtraAttempts > truth.ExtraAttempts {
 		w.wrong = "more than the truth"
 	}
-	grant = w.ledger[tier].Open(w.now, grant)
-	a := Open(grant, ms)
+	grant = w.ledger[tier].BeginCall(w.now, grant)
+	a := OpenAccount(grant, ms)
 	if w.naive {
-		a = Open(Budget{Left: grant.Left, Extra: w.limit - 1}, ms)
+		a = OpenAccount(Budget{TimeLeft: grant.TimeLeft, ExtraAttempts: w.limit - 1}, ms)
 	}
 	begun := w.now
-	for a.MayTry() {
+	for a.CanAttempt() {
 		w.ids++
-		down, sent := a.Send(fmt.Sprintf("n%d", tier), fmt.Sprint("a", w.ids), w.now-begun)
+		down, sent := a.BeginAttempt(fmt.Sprintf("n%d", tier), fmt.Sprint("a", w.ids), w.now-begun)
 		if !sent {
 			w.wrong = "may try, and cannot"
 			break
 		}
-		if a.spent+a.out > a.grant.Extra {
-			w.wrong = fmt.Sprintf("%d spent and %d out of %d", a.spent, a.out, a.grant.Extra)
+		if a.spent+a.out > a.grant.ExtraAttempts {
+			w.wrong = fmt.Sprintf("%d spent and %d out of %d", a.spent, a.out, a.grant.ExtraAttempts)
 		}
-		if down.Left > grant.Left-(w.now-begun) && down.Left > 0 {
+		if down.TimeLeft > grant.TimeLeft-(w.now-begun) && down.TimeLeft > 0 {
 			w.wrong = "time grew"
 		}
 		w.at[place]++
 		w.worst = max(w.worst, w.at[place])
 		w.now += time.Duration(rapid.IntRange(0, 20).Draw(w.t, "way")) * ms
 		if rapid.IntRange(0, 3).Draw(w.t, "not run") == 0 {
-			a.Back(Unknown, false)
+			a.EndAttempt(UnknownSpent, false)
 			continue
 		}
 		good, below := true, 0
@@ -71,7 +71,7 @@
 					b = &down
 				}
 				var n int
-				good, n = w.call(tier+1, fmt.Sprintf("%s.%d", place, i), b, Truth{Left: down.Left, Extra: w.limit - 1})
+				good, n = w.call(tier+1, fmt.Sprintf("%s.%d", place, i), b, LocalLimits{TimeLeft: down.TimeLeft, ExtraAttempts: w.limit - 1})
 				below = n
 				if !good {
 					break
@@ -80,9 +80,9 @@
 		}
 		good = good && rapid.IntRange(0, 2).Draw(w.t, "good") > 0
 		if !w.carries || rapid.IntRange(0, 4).Draw(w.t, "lost") == 0 {
-			below = Unknown
+			below = UnknownSpent
 		}
-		a.Back(below, true)
+		a.EndAttempt(below, true)
 		if good {
 			ok = true
 			break
@@ -91,10 +91,10 @@
 	if w.naive {
 		return ok, 0
 	}
-	if a.Spent() > grant.Extra {
-		w.wrong = fmt.Sprintf("%d spent of %d", a.Spent(), grant.Extra)
+	if a.Spent() > grant.ExtraAttempts {
+		w.wrong = fmt.Sprintf("%d spent of %d", a.Spent(), grant.ExtraAttempts)
 	}
-	return ok, w.ledger[tier].Close(grant, a.Spent())
+	return ok, w.ledger[tier].EndCall(grant, a.Spent())
 }
 
 // graph draws a graph and plays it.
@@ -108,7 +108,7 @@
 	for range w.depth {
 		w.ledger = append(w.ledger, NewLedger(rapid.SampledFrom([]int{1, 1000}).Draw(t, "ledger")))
 	}
-	w.call(0, "entry", nil, Truth{Left: time.Second, Extra: w.limit - 1, Worth: 1})
+	w.call(0, "entry", nil, LocalLimits{TimeLeft: time.Second, ExtraAttempts: w.limit - 1, Worth: 1})
 	return w
 }
 
@@ -141,16 +141,16 @@
 }
 
 func TestClamp(t *testing.T) {
-	truth := Truth{Left: time.Second, Extra: 2, Worth: 5, Class: "a"}
+	truth := LocalLimits{TimeLeft: time.Second, ExtraAttempts: 2, Worth: 5, Class: "a"}
 	for _, x := range []struct {
 		b    *Budget
 		want Budget
-		lies Lie
+		lies Excess
 	}{
-		{nil, Budget{Left: time.Second, Extra: 2, Worth: 5, Class: "a"}, 0},
-		{&Budget{Left: ms, Extra: 1, Worth: 4, Class: "b"}, Budget{Left: ms, Extra: 1, Worth: 4, Class: "b"}, 0},
-		{&Budget{Left: 2 * time.Second, Extra: 1, Worth: 4}, Budget{Left: time.Second, Extra: 1, Worth: 4}, LieTime},
-		{&Budget{Left: ms, Extra: 3, Worth: 6}, Budget{Left: ms, Extra: 2, Worth: 5}, LieExtra | LieWorth},
+		{nil, Budget{TimeLeft: time.Second, ExtraAttempts: 2, Worth: 5, Class: "a"}, 0},
+		{&Budget{TimeLeft: ms, ExtraAttempts: 1, Worth: 4, Class: "b"}, Budget{TimeLeft: ms, ExtraAttempts: 1, Worth: 4, Class: "b"}, 0},
+		{&Budget{TimeLeft: 2 * time.Second, ExtraAttempts: 1, Worth: 4}, Budget{TimeLeft: time.Second, ExtraAttempts: 1, Worth: 4}, ExcessTime},
+		{&Budget{TimeLeft: ms, ExtraAttempts: 3, Worth: 6}, Budget{TimeLeft: ms, ExtraAttempts: 2, Worth: 5}, ExcessAttempts | ExcessWorth},
 	} {
 		if got, lies := Clamp(x.b, truth); !reflect.DeepEqual(got, x.want) || lies != x.lies {
 			t.Errorf("%+v: %+v, %v", x.b, got, lies)
@@ -160,10 +160,10 @@
 
 func TestLoops(t *testing.T) {
 	b := Budget{Path: []string{"a", "b", "c"}}
-	if loop, crossed := b.Crossed("b"); !crossed || strings.Join(loop, ">") != "b>c>b" {
+	if loop, crossed := b.FindLoop("b"); !crossed || strings.Join(loop, ">") != "b>c>b" {
 		t.Error(loop, crossed)
 	}
-	if _, crossed := b.Crossed("d"); crossed {
+	if _, crossed := b.FindLoop("d"); crossed {
 		t.Error("a loop where there is none")
 	}
 }
@@ -172,24 +172,24 @@
 func TestFullLedger(t *testing.T) {
 	l := NewLedger(2)
 	for i, id := range []string{"a", "b", "c"} {
-		b := l.Open(0, Budget{ID: id, Left: time.Second, Extra: 3})
-		if want := []int{3, 3, 0}[i]; b.Extra != want {
-			t.Errorf("%s: %d further attempts, want %d", id, b.Extra, want)
+		b := l.BeginCall(0, Budget{AttemptID: id, TimeLeft: time.Second, ExtraAttempts: 3})
+		if want := []int{3, 3, 0}[i]; b.ExtraAttempts != want {
+			t.Errorf("%s: %d further attempts, want %d", id, b.ExtraAttempts, want)
 		}
-		l.Close(b, 2)
+		l.EndCall(b, 2)
 	}
-	if b := l.Open(500*ms, Budget{ID: "a", Left: 500 * ms, Extra: 3}); b.Extra != 1 {
-		t.Errorf("the second call has %d further attempts, want 1", b.Extra)
+	if b := l.BeginCall(500*ms, Budget{AttemptID: "a", TimeLeft: 500 * ms, ExtraAttempts: 3}); b.ExtraAttempts != 1 {
+		t.Errorf("the second call has %d further attempts, want 1", b.ExtraAttempts)
 	} else {
-		l.Close(b, 0)
+		l.EndCall(b, 0)
 	}
-	if b := l.Open(2*time.Second, Budget{ID: "d", Left: time.Second, Extra: 3}); b.Extra != 3 || l.Len() != 1 {
-		t.Errorf("%d further attempts, %d attempts kept", b.Extra, l.Len())
+	if b := l.BeginCall(2*time.Second, Budget{AttemptID: "d", TimeLeft: time.Second, ExtraAttempts: 3}); b.ExtraAttempts != 3 || l.Len() != 1 {
+		t.Errorf("%d further attempts, %d attempts kept", b.ExtraAttempts, l.Len())
 	}
 }
 
 func TestHeaders(t *testing.T) {
-	b := Budget{Left: 1850 * ms, Extra: 2, Worth: 12, Class: "notruf-abfrage", ID: "7f", Path: []string{"n0", "leit@zh-1"}}
+	b := Budget{TimeLeft: 1850 * ms, ExtraAttempts: 2, Worth: 12, Class: "notruf-abfrage", AttemptID: "7f", Path: []string{"n0", "leit@zh-1"}}
 	const want = "1;t=1850;a=2;w=12;c=notruf-abfrage;i=7f;p=n0,leit@zh-1"
 	if got := b.Encode(); got != want {
 		t.Fatalf("%s, want %s", got, want)
@@ -198,16 +198,16 @@
 	if err != nil || !reflect.DeepEqual(*got, b) {
 		t.Errorf("%+v %v", got, err)
 	}
-	line := b.InBaggage("user=x, curlewring-budget=old ,q=1;p=2")
+	line := b.AddToBaggage("user=x, curlewring-budget=old ,q=1;p=2")
 	if !strings.HasPrefix(line, "user=x,q=1;p=2,curlewring-budget=1%3Bt%3D1850") {
 		t.Error(line)
 	}
-	if got, err := Read(nil, []string{line}); err != nil || !reflect.DeepEqual(*got, b) {
+	if got, err := FromHeaders(nil, []string{line}); err != nil || !reflect.DeepEqual(*got, b) {
 		t.Errorf("%+v %v", got, err)
 	}
 	smaller := b
-	smaller.Extra, smaller.Path = 1, nil
-	if got, err := Read([]string{smaller.Encode()}, []string{line}); err != nil || got.Extra != 1 || len(got.Path) != 2 {
+	smaller.ExtraAttempts, smaller.Path = 1, nil
+	if got, err := FromHeaders([]string{smaller.Encode()}, []string{line}); err != nil || got.ExtraAttempts != 1 || len(got.Path) != 2 {
 		t.Errorf("%+v %v", got, err)
 	}
 	if _, err := Parse("2;t=1;x=new;a=1;w=1;c=a;z=2"); err != nil {
@@ -217,21 +217,21 @@
 		"", "1", "0;t=1;a=1;w=1;c=a", "x;t=1;a=1;w=1;c=a", "1;t=1;a=1;w=1", "1;t=-1;a=1;w=1;c=a", "1;t=1;a=1;w=1;c=a;", "1;t=1;t=1;a=1;w=1;c=a",
 		"1;a=1;t=1;w=1;c=a", "1;t=1;a=99;w=1;c=a", "1;t=1;a=1;w=1e9;c=a", "1;t=1;a=1;w=1.;c=a", "1;t=1;a=1;w=nan;c=a", "1;t=1;a=1;w=1;c=ä",
 		"1;t=1;a=1;w=1;c=a;p=", "1;t=1;a=1;w=1;c=a;p=a,,b", "1;t=999999999;a=1;w=1;c=a", "1;t=1;a=1;w=1;c=a;x=1", "1;t=1;a=1;w=9999999;c=a",
-		"1;t=1;a=1;w=1;c=" + strings.Repeat("a", 33), "1;t=1;a=1;w=1;c=a;p=" + strings.Repeat("a,", MostHops) + "a", want + strings.Repeat("a", 10<<10),
+		"1;t=1;a=1;w=1;c=" + strings.Repeat("a", 33), "1;t=1;a=1;w=1;c=a;p=" + strings.Repeat("a,", MaxHops) + "a", want + strings.Repeat("a", 10<<10),
 	} {
 		if b, err := Parse(bad); err == nil {
 			t.Errorf("%.60q was read as %+v", bad, b)
 		}
 	}
-	if _, err := Read([]string{want, want}, nil); err == nil {
+	if _, err := FromHeaders([]string{want, want}, nil); err == nil {
 		t.Error("a header that stands there twice was read")
 	}
-	if b, err := Read([]string{want}, []string{"curlewring-budget=%zz"}); err == nil || b == nil {
+	if b, err := FromHeaders([]string{want}, []string{"curlewring-budget=%zz"}); err == nil || b == nil {
 		t.Error("an odd baggage must be told, and leave the header:", b, err)
 	}
-	for value, spent := range map[string]int{"1;s=2": 2, "1;s=0;r=loop": 0, "": Unknown, "1;s=-1": Unknown, "1;s=2;r=what": Unknown, "2;s=1": Unknown, "1;s=99": Unknown} {
+	for value, spent := range map[string]int{"1;s=2": 2, "1;s=0;r=loop": 0, "": UnknownSpent, "1;s=-1": UnknownSpent, "1;s=2;r=what": UnknownSpent, "2;s=1": UnknownSpent, "1;s=99": UnknownSpent} {
 		got, _, err := ParseSpent([]string{value})
-		if got != spent || (err == nil) != (spent != Unknown) {
+		if got != spent || (err == nil) != (spent != UnknownSpent) {
 			t.Errorf("%q: %d, %v", value, got, err)
 		}
 	}
@@ -243,18 +243,18 @@
 // A call of the planned fleet goes through 22 nodes. The last of them must read the budget all the same, whatever the names
 // of the nodes are and in which form it came: without it each tier would have all attempts again.
 func TestBudgetsPassThroughLongPaths(t *testing.T) {
-	for _, hops := range []int{22, MostHops} {
+	for _, hops := range []int{22, MaxHops} {
 		b := Budget{
-			Left: MostTime, Extra: MostExtra, Worth: 12.345678, Class: strings.Repeat("c", MostName), ID: strings.Repeat("i", MostName),
+			TimeLeft: MaxTimeLeft, ExtraAttempts: MaxExtraAttempts, Worth: 12.345678, Class: strings.Repeat("c", MaxNameBytes), AttemptID: strings.Repeat("i", MaxNameBytes),
 		}
 		for i := range hops {
 			name := strconv.Itoa(i)
-			b.Path = append(b.Path, name+strings.Repeat("n", MostName-len(name)))
+			b.Path = append(b.Path, name+strings.Repeat("n", MaxNameBytes-len(name)))
 		}
-		if got, err := Read([]string{b.Encode()}, nil); err != nil || !reflect.DeepEqual(*got, b) {
+		if got, err := FromHeaders([]string{b.Encode()}, nil); err != nil || !reflect.DeepEqual(*got, b) {
 			t.Errorf("%d nodes, header: %v", hops, err)
 		}
-		if got, err := Read(nil, []string{b.InBaggage("")}); err != nil || !reflect.DeepEqual(*got, b) {
+		if got, err := FromHeaders(nil, []string{b.AddToBaggage("")}); err != nil || !reflect.DeepEqual(*got, b) {
 			t.Errorf("%d nodes, baggage: %v", hops, err)
 		}
 	}
@@ -271,14 +271,14 @@
 		if err != nil {
 			return
 		}
-		if b.Left < 0 || b.Left > MostTime || b.Extra < 0 || b.Extra > MostExtra || !(b.Worth >= 0 && b.Worth <= MostWorth) || b.Hops() > MostHops {
+		if b.TimeLeft < 0 || b.TimeLeft > MaxTimeLeft || b.ExtraAttempts < 0 || b.ExtraAttempts > MaxExtraAttempts || !(b.Worth >= 0 && b.Worth <= MaxWorth) || b.Hops() > MaxHops {
 			t.Fatalf("%q: %+v", value, b)
 		}
 		again, err := Parse(b.Encode())
 		if err != nil || !reflect.DeepEqual(again, b) {
 			t.Errorf("%q: %+v, again %+v, %v", value, b, again, err)
 		}
-		carried, err := Read(nil, []string{b.InBaggage("")})
+		carried, err := FromHeaders(nil, []string{b.AddToBaggage("")})
 		if err != nil || !reflect.DeepEqual(carried, b) {
 			t.Errorf("%q: carried %+v, %v", value, carried, err)
 		}
@@ -289,7 +289,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add("1;t=1;a=1;w=1;c=a", "a=b,curlewring-budget=1%3Bt%3D1%3Ba%3D1%3Bw%3D1%3Bc%3Da;prop=1")
 	f.Fuzz(func(t *testing.T, own, baggage string) {
-		Read([]string{own}, []string{baggage, own})
+		FromHeaders([]string{own}, []string{baggage, own})
 		ParseSpent([]string{own})
 	})
 }
--- a/internal/budget/header.go
+++ b/internal/budget/header.go
@@ -10,34 +10,34 @@
 
 // The headers.
 const (
-	Header        = "Curlewring-Budget"       // of a request
-	SpentHeader   = "Curlewring-Budget-Spent" // of an answer
-	Baggage       = "Baggage"                 // W3C Baggage, section 3.2
-	BaggageMember = "curlewring-budget"
-	version       = "1"
+	HeaderName        = "Curlewring-Budget"       // of a request
+	SpentHeaderName   = "Curlewring-Budget-Spent" // of an answer
+	BaggageHeaderName = "Baggage"                 // W3C Baggage, section 3.2
+	BaggageKey        = "curlewring-budget"
+	version           = "1"
 )
 
 // Odd is why a header is not taken: the request is as if there were none.
-type Odd string
+type HeaderError string
 
-func (o Odd) Error() string { return "odd budget header: " + string(o) }
+func (o HeaderError) Error() string { return "odd budget header: " + string(o) }
 
-func odd(format string, args ...any) error { return Odd(fmt.Sprintf(format, args...)) }
+func odd(format string, args ...any) error { return HeaderError(fmt.Sprintf(format, args...)) }
 
 // Encode writes a budget as the header's value.
 func (b *Budget) Encode() string {
 	s := make([]byte, 0, 96)
 	s = append(s, version+";t="...)
-	s = strconv.AppendInt(s, int64(max(0, b.Left)/time.Millisecond), 10)
+	s = strconv.AppendInt(s, int64(max(0, b.TimeLeft)/time.Millisecond), 10)
 	s = append(s, ";a="...)
-	s = strconv.AppendInt(s, int64(b.Extra), 10)
+	s = strconv.AppendInt(s, int64(b.ExtraAttempts), 10)
 	s = append(s, ";w="...)
 	s = strconv.AppendFloat(s, b.Worth, 'f', -1, 64)
 	s = append(s, ";c="...)
 	s = append(s, b.Class...)
-	if b.ID != "" {
+	if b.AttemptID != "" {
 		s = append(s, ";i="...)
-		s = append(s, b.ID...)
+		s = append(s, b.AttemptID...)
 	}
 	if len(b.Path) > 0 {
 		s = append(s, ";p="...)
@@ -49,8 +49,8 @@
 // Parse reads a header's value. Fields come in their order, each once; a later
 // version is read as far as it is known.
 func Parse(value string) (*Budget, error) {
-	if len(value) > MostHeader {
-		return nil, odd("%d bytes, at most %d", len(value), MostHeader)
+	if len(value) > MaxHeaderBytes {
+		return nil, odd("%d bytes, at most %d", len(value), MaxHeaderBytes)
 	}
 	if strings.HasSuffix(value, ";") {
 		return nil, odd("it ends with a semicolon")
@@ -87,13 +87,13 @@
 		case "t":
 			var ms int64
 			ms, err = number(value, 9)
-			if b.Left = time.Duration(ms) * time.Millisecond; err == nil && b.Left > MostTime {
-				err = odd("a time of %v", b.Left)
+			if b.TimeLeft = time.Duration(ms) * time.Millisecond; err == nil && b.TimeLeft > MaxTimeLeft {
+				err = odd("a time of %v", b.TimeLeft)
 			}
 		case "a":
 			var n int64
 			n, err = number(value, 2)
-			if b.Extra = int(n); err == nil && n > MostExtra {
+			if b.ExtraAttempts = int(n); err == nil && n > MaxExtraAttempts {
 				err = odd("%d attempts", n)
 			}
 		case "w":
@@ -101,10 +101,10 @@
 		case "c":
 			b.Class, err = value, name(value)
 		case "i":
-			b.ID, err = value, name(value)
+			b.AttemptID, err = value, name(value)
 		case "p":
 			b.Path = strings.Split(value, ",")
-			if len(b.Path) > MostHops {
+			if len(b.Path) > MaxHops {
 				return nil, odd("%d nodes on the path", len(b.Path))
 			}
 			for _, n := range b.Path {
@@ -151,7 +151,7 @@
 		}
 	}
 	w, err := strconv.ParseFloat(s, 64)
-	if err != nil || w > MostWorth {
+	if err != nil || w > MaxWorth {
 		return 0, odd("the worth %.20q", s)
 	}
 	return w, nil
@@ -160,7 +160,7 @@
 // name checks a class's or a node's name: what a header's token may hold (RFC
 // 9110, section 5.6.2) less what stands between fields here.
 func name(s string) error {
-	if s == "" || len(s) > MostName {
+	if s == "" || len(s) > MaxNameBytes {
 		return odd("the name %.40q", s)
 	}
 	for _, c := range []byte(s) {
@@ -175,7 +175,7 @@
 // Read finds the budget of a request: its own header, and the member of a W3C
 // baggage, the smaller of both. A header that stands there twice is none: which
 // one counts would be for each to guess.
-func Read(own, baggage []string) (*Budget, error) {
+func FromHeaders(own, baggage []string) (*Budget, error) {
 	var b *Budget
 	if len(own) > 1 {
 		return nil, odd("the header stands there %d times", len(own))
@@ -193,7 +193,7 @@
 		}
 		for member := range strings.SplitSeq(line, ",") {
 			key, value, _ := strings.Cut(member, "=")
-			if strings.TrimSpace(key) != BaggageMember {
+			if strings.TrimSpace(key) != BaggageKey {
 				continue
 			}
 			if members++; members > 1 {
@@ -216,21 +216,21 @@
 
 // InBaggage puts a budget into a baggage that the request already has, in the
 // place of the one there.
-func (b *Budget) InBaggage(line string) string {
+func (b *Budget) AddToBaggage(line string) string {
 	var members []string
 	for member := range strings.SplitSeq(line, ",") {
 		key, _, _ := strings.Cut(member, "=")
-		if strings.TrimSpace(key) != BaggageMember && strings.TrimSpace(member) != "" {
+		if strings.TrimSpace(key) != BaggageKey && strings.TrimSpace(member) != "" {
 			members = append(members, strings.TrimSpace(member))
 		}
 	}
 	escaped := strings.NewReplacer("%", "%25", ";", "%3B", ",", "%2C", "=", "%3D", "@", "%40").Replace(b.Encode())
-	return strings.Join(append(members, BaggageMember+"="+escaped), ",")
+	return strings.Join(append(members, BaggageKey+"="+escaped), ",")
 }
 
 // EncodeSpent writes what an answer says: how much was spent here and below, and
 // a word if it is an error.
-func EncodeSpent(spent int, w Word) string {
+func EncodeSpent(spent int, w RetryAdvice) string {
 	s := version + ";s=" + strconv.Itoa(spent)
 	if w != "" {
 		s += ";r=" + string(w)
@@ -239,29 +239,29 @@
 }
 
 // ParseSpent reads it.
-func ParseSpent(values []string) (spent int, w Word, err error) {
+func ParseSpent(values []string) (spent int, w RetryAdvice, err error) {
 	if len(values) == 0 {
-		return Unknown, "", nil
+		return UnknownSpent, "", nil
 	}
-	if len(values) > 1 || len(values[0]) > MostHeader {
-		return Unknown, "", odd("the header stands there twice, or is too long")
+	if len(values) > 1 || len(values[0]) > MaxHeaderBytes {
+		return UnknownSpent, "", odd("the header stands there twice, or is too long")
 	}
 	parts := strings.Split(values[0], ";")
 	if len(parts) < 2 || len(parts) > 3 || parts[0] != version {
-		return Unknown, "", odd("%.40q", values[0])
+		return UnknownSpent, "", odd("%.40q", values[0])
 	}
 	text, found := strings.CutPrefix(parts[1], "s=")
 	n, err := number(text, 2)
-	if !found || err != nil || n > MostExtra {
-		return Unknown, "", odd("%.40q", values[0])
+	if !found || err != nil || n > MaxExtraAttempts {
+		return UnknownSpent, "", odd("%.40q", values[0])
 	}
 	if len(parts) == 3 {
 		text, found := strings.CutPrefix(parts[2], "r=")
-		switch w = Word(text); {
+		switch w = RetryAdvice(text); {
 		case !found:
-			return Unknown, "", odd("%.40q", values[0])
+			return UnknownSpent, "", odd("%.40q", values[0])
 		case w != Overloaded && w != OutOfBudget && w != MayHaveRun && w != HasNotRun && w != Loop:
-			return Unknown, "", odd("the word %.20q", text)
+			return UnknownSpent, "", odd("the word %.20q", text)
 		}
 	}
 	return int(n), w, nil
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -30,38 +30,38 @@
 
 // Open takes a call in, and returns its budget: what was granted, less what the
 // calls before it have spent and those beside it may.
-func (l *Ledger) Open(now time.Duration, b Budget) Budget {
-	if b.ID == "" {
+func (l *Ledger) BeginCall(now time.Duration, b Budget) Budget {
+	if b.AttemptID == "" {
 		return b
 	}
-	r := l.rows[b.ID]
+	r := l.rows[b.AttemptID]
 	if r == nil {
 		if len(l.rows) >= l.most {
-			l.Forget(now, sweepAtOnce)
+			l.Expire(now, sweepAtOnce)
 		}
 		if len(l.rows) >= l.most {
-			b.Extra = 0
+			b.ExtraAttempts = 0
 			return b
 		}
 		r = &row{}
-		l.rows[b.ID] = r
-		l.order = append(l.order, b.ID)
+		l.rows[b.AttemptID] = r
+		l.order = append(l.order, b.AttemptID)
 	}
-	r.until = max(r.until, now+b.Left)
-	b.Extra = max(0, b.Extra-r.spent-r.out)
-	r.out += b.Extra
+	r.until = max(r.until, now+b.TimeLeft)
+	b.ExtraAttempts = max(0, b.ExtraAttempts-r.spent-r.out)
+	r.out += b.ExtraAttempts
 	return b
 }
 
 // Close books what a call has spent of the budget that Open gave it, and returns
 // what all calls of the attempt have spent: that goes into the answer.
-func (l *Ledger) Close(b Budget, spent int) (all int) {
-	r := l.rows[b.ID]
-	if b.ID == "" || r == nil {
+func (l *Ledger) EndCall(b Budget, spent int) (all int) {
+	r := l.rows[b.AttemptID]
+	if b.AttemptID == "" || r == nil {
 		return spent
 	}
-	r.out = max(0, r.out-b.Extra)
-	r.spent += min(max(0, spent), b.Extra)
+	r.out = max(0, r.out-b.ExtraAttempts)
+	r.spent += min(max(0, spent), b.ExtraAttempts)
 	return r.spent
 }
 
@@ -69,7 +69,7 @@
 const sweepAtOnce = 64
 
 // Forget looks at the next few attempts, and forgets those whose time is over.
-func (l *Ledger) Forget(now time.Duration, most int) {
+func (l *Ledger) Expire(now time.Duration, most int) {
 	for range min(most, len(l.order)) {
 		id := l.order[0]
 		l.order = l.order[1:]
--- a/internal/fleet/allowance/holder.go
+++ b/internal/fleet/allowance/holder.go
@@ -34,7 +34,7 @@
 	members []Member // as Tick was told last, by life
 	id      uint64
 	seq     uint64
-	deals   []decide.Deal
+	deals   []decide.Grant
 	asked   []asked // claims that may be answered yet, by Seq
 }
 
@@ -46,7 +46,7 @@
 
 // part is this node's part of one cold server.
 type part struct {
-	cold    decide.Cold
+	cold    decide.ColdServer
 	to      uint64        // the dealer that it is lent to; 0: to none
 	lent    time.Duration // until then
 	seen    int           // cold.Used as it was last
@@ -76,7 +76,7 @@
 
 // Tick takes what the module says of cold servers, and who is a member; nobody, where that is not known. It
 // returns claims to send, and what the module is to know. Both are good until the next call.
-func (h *Holder) Tick(now time.Duration, members []Member, colds []decide.Cold) ([]Out, []decide.Deal) {
+func (h *Holder) Tick(now time.Duration, members []Member, colds []decide.ColdServer) ([]Out, []decide.Grant) {
 	h.deals = h.deals[:0]
 	h.members = members
 	for _, p := range h.parts {
@@ -93,15 +93,15 @@
 				p.lent = now
 			}
 			if p.lent = max(p.lent, h.quiet); now < p.lent {
-				h.deals = append(h.deals, decide.Deal{Server: server.ID, Started: server.Started, Lent: p.lent})
+				h.deals = append(h.deals, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lent})
 			}
 		}
-		more := colds[i].Used - p.seen
+		more := colds[i].GrantsUsed - p.seen
 		if more < 0 { // the module had forgotten the server, and counts anew
-			more = colds[i].Used
+			more = colds[i].GrantsUsed
 		}
 		p.used += more
-		p.cold, p.seen, p.listed = colds[i], colds[i].Used, true
+		p.cold, p.seen, p.listed = colds[i], colds[i].GrantsUsed, true
 	}
 	for server, p := range h.parts {
 		if !p.listed && now >= p.lent {
@@ -168,10 +168,10 @@
 			p.to, p.used, p.granted, p.lost = to, 0, 0, 0
 		}
 		p.lent = now + h.set.held()
-		h.deals = append(h.deals, decide.Deal{Server: server.ID, Started: server.Started, Lent: p.lent})
+		h.deals = append(h.deals, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lent})
 		c.Items = append(c.Items, Item{
-			Server: server, Rate: min(p.cold.Rate, mostRate), Want: p.want, Answered: p.cold.Answered,
-			Used: p.used, Back: max(0, p.granted+p.lost-p.used-p.cold.Held),
+			Server: server, Rate: min(p.cold.SendRate, mostRate), Want: p.want, Answered: p.cold.Answered,
+			Used: p.used, Back: max(0, p.granted+p.lost-p.used-p.cold.GrantsHeld),
 		})
 	}
 	return c
@@ -179,11 +179,11 @@
 
 // share says how many sends to ask for: as many as this node is likely to use before they are no good any more, of those
 // servers first that it was short of, and in an order that is drawn anew each time.
-func (h *Holder) share(colds []decide.Cold) {
+func (h *Holder) share(colds []decide.ColdServer) {
 	soon, held := 0.0, 0
 	for i := range colds {
-		soon += colds[i].Calls * (h.set.Good + h.set.Every).Seconds()
-		held += colds[i].Held
+		soon += colds[i].MeanSendRate * (h.set.Good + h.set.Every).Seconds()
+		held += colds[i].GrantsHeld
 	}
 	left := int(math.Ceil(soon)) - held
 	order := h.rng.Perm(len(colds))
@@ -191,12 +191,12 @@
 		for _, i := range order {
 			c := &colds[i]
 			p := h.parts[Server{c.Server, c.Started}]
-			if c.Short != short {
+			if c.Starved != short {
 				continue
 			}
 			p.want = 0
-			if left > 0 && c.Held == 0 {
-				p.want = min(left, max(1, int(c.Calls*(h.set.Good+h.set.Every).Seconds())))
+			if left > 0 && c.GrantsHeld == 0 {
+				p.want = min(left, max(1, int(c.MeanSendRate*(h.set.Good+h.set.Every).Seconds())))
 				left -= p.want
 			}
 		}
@@ -256,7 +256,7 @@
 
 // Grant takes an answer of a member, and returns what the module is to know; what comes too late is no good to it. One
 // that comes after a later one was taken counts as lost; its sends are told to be back.
-func (h *Holder) Grant(now time.Duration, from uint64, g *Grant) []decide.Deal {
+func (h *Holder) Grant(now time.Duration, from uint64, g *Grant) []decide.Grant {
 	h.deals = h.deals[:0]
 	i, open := slices.BinarySearchFunc(h.asked, g.Seq, func(a asked, seq uint64) int { return cmp.Compare(a.seq, seq) })
 	d := h.dealers[from]
@@ -276,7 +276,7 @@
 		}
 		p.lost = x.Total - p.granted - x.Sends
 		p.granted += x.Sends
-		h.deals = append(h.deals, decide.Deal{Server: x.ID, Started: x.Started, Lent: p.lent, Sends: x.Sends, Until: until})
+		h.deals = append(h.deals, decide.Grant{Server: x.ID, Started: x.Started, LentUntil: p.lent, Sends: x.Sends, ValidUntil: until})
 	}
 	return h.deals
 }
--- a/internal/fleet/allowance/sim_test.go
+++ b/internal/fleet/allowance/sim_test.go
@@ -145,11 +145,11 @@
 
 func (p *process) tick() {
 	now := p.clock()
-	var colds []decide.Cold
+	var colds []decide.ColdServer
 	for _, b := range p.w.servers {
 		r := p.rows[b]
-		colds = append(colds, decide.Cold{
-			Server: b.ID, Started: b.Started, Zone: "s0", Rate: r.rate, Calls: r.calls, Used: r.used, Held: r.held(now), Short: r.short, Answered: r.answered,
+		colds = append(colds, decide.ColdServer{
+			Server: b.ID, Started: b.Started, Zone: "s0", SendRate: r.rate, MeanSendRate: r.calls, GrantsUsed: r.used, GrantsHeld: r.held(now), Starved: r.short, Answered: r.answered,
 		})
 		r.short = false
 	}
@@ -175,23 +175,23 @@
 	}
 }
 
-func (p *process) take(deals []decide.Deal, from *process, life int) {
+func (p *process) take(deals []decide.Grant, from *process, life int) {
 	now := p.clock()
 	for _, d := range deals {
 		r := p.rows[Server{d.Server, d.Started}]
 		had := r.held(now)
-		if now >= r.lent && d.Lent > now {
+		if now >= r.lent && d.LentUntil > now {
 			r.tokens = 0
 		}
-		r.lent = max(r.lent, d.Lent)
-		if d.Sends == 0 || now >= d.Until {
+		r.lent = max(r.lent, d.LentUntil)
+		if d.Sends == 0 || now >= d.ValidUntil {
 			continue
 		}
 		r.from, r.fromLife = from, life
 		if r.dealt = had + d.Sends; had == 0 {
-			r.until = d.Until
+			r.until = d.ValidUntil
 		} else {
-			r.until = min(r.until, d.Until)
+			r.until = min(r.until, d.ValidUntil)
 		}
 	}
 }
@@ -529,8 +529,8 @@
 	h := NewHolder(Settings{}, 1, now)
 	now += h.set.held()
 	members := []Member{{7, "s"}}
-	cold := []decide.Cold{{Server: "b", Zone: "s", Started: 1, Rate: 5, Calls: 5}}
-	step := func(g Grant, after time.Duration) (Claim, []decide.Deal) {
+	cold := []decide.ColdServer{{Server: "b", Zone: "s", Started: 1, SendRate: 5, MeanSendRate: 5}}
+	step := func(g Grant, after time.Duration) (Claim, []decide.Grant) {
 		out, _ := h.Tick(now, members, cold)
 		if len(out) != 1 || out[0].To != 7 {
 			t.Fatalf("%+v", out)
@@ -548,11 +548,11 @@
 	if c.Stamp != 1 || len(c.Items) != 1 || c.Items[0].Rate != 5 || c.Items[0].Want == 0 {
 		t.Errorf("%+v", c)
 	}
-	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].Until != asked+h.set.Good {
+	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.set.Good {
 		t.Errorf("asked at %v: %+v", asked, deals)
 	}
 	// Three of five never came here; of the two one was used, the other is held.
-	cold[0].Used, cold[0].Held = 1, 1
+	cold[0].GrantsUsed, cold[0].GrantsHeld = 1, 1
 	now += time.Second
 	if c, _ = step(Grant{Stamp: 3}, 0); c.Items[0].Used != 1 || c.Items[0].Back != 3 {
 		t.Errorf("%+v", c)
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -47,7 +47,7 @@
 	baggage string // the request's, which travels on
 	since   time.Duration
 	closed  bool
-	word    budget.Word // what the last attempt's error said
+	word    budget.RetryAdvice // what the last attempt's error said
 }
 
 // once counts something rare, and logs it when it is seen for the first time.
@@ -60,19 +60,19 @@
 // read finds a request's budget, cut to what is true. loop is not empty if the
 // request has been here before.
 func (b *budgets) read(r *http.Request, class int, left time.Duration) (g *graph, loop string) {
-	own, baggage := r.Header[budget.Header], r.Header[budget.Baggage]
-	given, err := budget.Read(own, baggage)
+	own, baggage := r.Header[budget.HeaderName], r.Header[budget.BaggageHeaderName]
+	given, err := budget.FromHeaders(own, baggage)
 	if err != nil {
 		b.once(&b.odd, "a request's budget is odd, and not taken", "err", err)
 	}
-	truth := budget.Truth{
-		Left: left, Extra: max(0, b.set.MaxTries-1), Worth: b.set.Classes[class].Worth, Class: b.classes[class],
+	truth := budget.LocalLimits{
+		TimeLeft: left, ExtraAttempts: max(0, b.set.MaxAttempts-1), Worth: b.set.Classes[class].Worth, Class: b.classes[class],
 	}
 	grant, lies := budget.Clamp(given, truth)
 	if lies != 0 {
 		b.once(&b.lies, "a request's budget says more than is true, and is cut", "budget", given.Encode())
 	}
-	if round, crossed := grant.Crossed(b.name); crossed {
+	if round, crossed := grant.FindLoop(b.name); crossed {
 		b.once(&b.loops, "a request has come round in a loop", "loop", strings.Join(round, " -> "))
 		return nil, strings.Join(round, " -> ")
 	}
@@ -88,10 +88,10 @@
 	if p.graph == nil {
 		return
 	}
-	p.graph.grant = b.ledger.Open(now, p.graph.grant)
-	p.graph.account = budget.Open(p.graph.grant, answerMargin)
+	p.graph.grant = b.ledger.BeginCall(now, p.graph.grant)
+	p.graph.account = budget.OpenAccount(p.graph.grant, answerMargin)
 	p.graph.since = now
-	p.request.Budgeted, p.request.Extra = true, p.graph.grant.Extra
+	p.request.Budgeted, p.request.ExtraAttempts = true, p.graph.grant.ExtraAttempts
 }
 
 // send takes an attempt out of a request's account, and returns the headers that
@@ -101,17 +101,17 @@
 		return ""
 	}
 	b.next++
-	down, ok := g.account.Send(b.name, b.name[:min(len(b.name), 15)]+"."+strconv.FormatUint(b.next, 36), now-g.since)
+	down, ok := g.account.BeginAttempt(b.name, b.name[:min(len(b.name), 15)]+"."+strconv.FormatUint(b.next, 36), now-g.since)
 	if b.leaf {
-		g.account.Keep()
-		down.Extra = 0
+		g.account.RevokeGrant()
+		down.ExtraAttempts = 0
 	}
 	if !ok { // the module has made sure that there is one; without, the tier below goes by its own
 		return ""
 	}
-	lines := budget.Header + ": " + down.Encode() + "\r\n"
+	lines := budget.HeaderName + ": " + down.Encode() + "\r\n"
 	if g.baggage != "" {
-		lines += budget.Baggage + ": " + down.InBaggage(g.baggage) + "\r\n"
+		lines += budget.BaggageHeaderName + ": " + down.AddToBaggage(g.baggage) + "\r\n"
 	}
 	return lines
 }
@@ -122,17 +122,17 @@
 	if g == nil {
 		return 0
 	}
-	before := g.account.Below()
+	before := g.account.SpentBelow()
 	spent, word, err := budget.ParseSpent(o.Spent)
 	if err != nil {
 		b.once(&b.odd, "an answer's word of what was spent is odd, and not taken", "err", err)
 	}
-	ran := o.Result != decide.Full && o.Result != decide.Unconnected && o.Result != decide.NotSent
-	g.account.Back(spent, ran)
+	ran := o.Result != decide.Rejected && o.Result != decide.ConnectFailed && o.Result != decide.NotSent
+	g.account.EndAttempt(spent, ran)
 	g.word = word
-	below = g.account.Below() - before
-	if !word.Again() { // another attempt would end as this one
-		below = max(below, g.account.Remains())
+	below = g.account.SpentBelow() - before
+	if !word.RetryUseful() { // another attempt would end as this one
+		below = max(below, g.account.Remaining())
 	}
 	return below
 }
@@ -143,15 +143,15 @@
 		return ""
 	}
 	g.closed = true
-	all := b.ledger.Close(g.grant, g.account.Committed())
-	word := budget.Word("")
+	all := b.ledger.EndCall(g.grant, g.account.Committed())
+	word := budget.RetryAdvice("")
 	switch {
 	case e == served:
 	case e == refused && !ran:
 		word = budget.Overloaded
 	case g.word == budget.Loop:
 		word = budget.Loop
-	case g.account.Remains() == 0 && g.grant.Extra > 0:
+	case g.account.Remaining() == 0 && g.grant.ExtraAttempts > 0:
 		word = budget.OutOfBudget
 	case ran:
 		word = budget.MayHaveRun
--- a/internal/node/budgets_test.go
+++ b/internal/node/budgets_test.go
@@ -32,7 +32,7 @@
 	for _, s := range servers {
 		s.Mu.Lock()
 		for _, r := range s.Requests {
-			if line := r.Header.Get(budget.Header); line != "" {
+			if line := r.Header.Get(budget.HeaderName); line != "" {
 				b, _ := budget.Parse(line)
 				all, lines = append(all, b), append(lines, line)
 			}
@@ -75,13 +75,13 @@
 			t.Parallel()
 			n, servers := withBudgets(t, x.on, func(w http.ResponseWriter, _ *http.Request) {
 				if x.says != "" {
-					w.Header().Set(budget.SpentHeader, x.says)
+					w.Header().Set(budget.SpentHeaderName, x.says)
 				}
 				w.WriteHeader(http.StatusInternalServerError)
 			})
 			r := request(t, n.url, "/look/1", "")
 			if x.given != "" {
-				r.Header.Set(budget.Header, x.given)
+				r.Header.Set(budget.HeaderName, x.given)
 			}
 			resp, _ := exchange(t, r)
 			// The class may run again: its end is a refusal, or a failure.
@@ -92,7 +92,7 @@
 			if got := attempts(servers); got != x.attempts {
 				t.Errorf("%d attempts, want %d; %q", got, x.attempts, lines)
 			}
-			said := resp.Header.Get(budget.SpentHeader)
+			said := resp.Header.Get(budget.SpentHeaderName)
 			if !x.on {
 				if said != "" || len(lines) > 0 {
 					t.Errorf("off, and it says %q and sends %q", said, lines)
@@ -104,7 +104,7 @@
 				t.Errorf("the answer says %q (%v) of %d attempts", said, err, x.attempts)
 			}
 			for _, b := range all {
-				if b == nil || b.Extra > 2 || b.Left <= 0 || len(b.Path) != 1 || b.ID == "" || b.Class != "look" {
+				if b == nil || b.ExtraAttempts > 2 || b.TimeLeft <= 0 || len(b.Path) != 1 || b.AttemptID == "" || b.Class != "look" {
 					t.Errorf("sent %q", lines)
 				}
 			}
@@ -123,33 +123,33 @@
 	})
 	name := budget.NodeName(n.Node.config.Name)
 	for _, class := range []string{"look", "act", "note"} {
-		r := request(t, n.url, "/"+class+"/1", "x", budget.Header, "1;t=9000;a=2;w=1;c="+class+";p=a,"+name+",b")
+		r := request(t, n.url, "/"+class+"/1", "x", budget.HeaderName, "1;t=9000;a=2;w=1;c="+class+";p=a,"+name+",b")
 		resp, body := exchange(t, r)
 		if resp.StatusCode != http.StatusLoopDetected || !strings.Contains(body, name+" -> b -> "+name) || reached.Load() != 0 {
 			t.Errorf("%s: answered %s %q, %d reached a server", class, resp.Status, body, reached.Load())
 		}
-		if _, word, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeader)); word != budget.Loop {
+		if _, word, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeaderName)); word != budget.Loop {
 			t.Errorf("%s: the answer says %q", class, word)
 		}
 	}
-	r := request(t, n.url, "/look/1", "", budget.Header, "1;t=9000;a=2;w=1;c=look;p=a,b", budget.Baggage, "user=x")
-	if resp, body := exchange(t, r); resp.StatusCode != http.StatusOK || body != "fine" || resp.Header.Get(budget.SpentHeader) != "1;s=1" {
+	r := request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;p=a,b", budget.BaggageHeaderName, "user=x")
+	if resp, body := exchange(t, r); resp.StatusCode != http.StatusOK || body != "fine" || resp.Header.Get(budget.SpentHeaderName) != "1;s=1" {
 		// One of two was granted to the server, which gave no word of it.
 		t.Errorf("answered %s %q %q", resp.Status, body, resp.Header)
 	}
 	all, lines := seen(servers)
-	if len(all) != 1 || fmt.Sprint(all[0].Path) != fmt.Sprint([]string{"a", "b", name}) || all[0].Left > 9*1e9 {
+	if len(all) != 1 || fmt.Sprint(all[0].Path) != fmt.Sprint([]string{"a", "b", name}) || all[0].TimeLeft > 9*1e9 {
 		t.Errorf("sent %q", lines)
 	}
 	carried := ""
 	for _, s := range servers {
 		s.Mu.Lock()
 		for _, r := range s.Requests {
-			carried = r.Header.Get(budget.Baggage)
+			carried = r.Header.Get(budget.BaggageHeaderName)
 		}
 		s.Mu.Unlock()
 	}
-	if b, err := budget.Read(nil, []string{carried}); err != nil || b == nil || !strings.HasPrefix(carried, "user=x,") {
+	if b, err := budget.FromHeaders(nil, []string{carried}); err != nil || b == nil || !strings.HasPrefix(carried, "user=x,") {
 		t.Errorf("the baggage is %q", carried)
 	}
 }
@@ -158,19 +158,19 @@
 func TestCallsOfOneAttemptShare(t *testing.T) {
 	t.Parallel()
 	n, servers := withBudgets(t, true, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(budget.SpentHeader, "1;s=0")
+		w.Header().Set(budget.SpentHeaderName, "1;s=0")
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	total := 0
 	for i, want := range []int{3, 1, 1} {
-		r := request(t, n.url, "/look/1", "", budget.Header, "1;t=9000;a=2;w=1;c=look;i=7f;p=a")
+		r := request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;i=7f;p=a")
 		resp, _ := exchange(t, r)
 		got := attempts(servers) - total
 		total += got
 		if got != want {
 			t.Errorf("call %d: %d attempts, want %d", i, got, want)
 		}
-		if spent, _, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeader)); spent != 2 {
+		if spent, _, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeaderName)); spent != 2 {
 			t.Errorf("call %d: the answer says that %d are spent, want 2", i, spent)
 		}
 	}
@@ -186,12 +186,12 @@
 	c.Budgets, c.Settings.Tiers, c.Settings.Tier = true, 2, 1
 	n := startNode(t, c)
 	servers := []*Server{s, other}
-	resp, _ := exchange(t, request(t, n.url, "/look/1", "", budget.Header, "1;t=9000;a=2;w=1;c=look;p=a"))
+	resp, _ := exchange(t, request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;p=a"))
 	all, lines := seen(servers)
-	if got := attempts(servers); got != 3 || len(all) != 3 || all[0].Extra != 0 {
+	if got := attempts(servers); got != 3 || len(all) != 3 || all[0].ExtraAttempts != 0 {
 		t.Errorf("%d attempts, want 3; %q", got, lines)
 	}
-	if spent, _, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeader)); spent != 2 {
-		t.Errorf("the answer says %q", resp.Header.Get(budget.SpentHeader))
+	if spent, _, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeaderName)); spent != 2 {
+		t.Errorf("the answer says %q", resp.Header.Get(budget.SpentHeaderName))
 	}
 }
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -27,7 +27,7 @@
 	loop    *loop
 	classes map[string]int
 	tenants map[string]int
-	effects []decide.Effect
+	effects []decide.Idempotency
 	budgets *budgets        // nil: off
 	waits   []time.Duration // how long clients wait at the most, by class
 	front   *front.Server
@@ -44,7 +44,7 @@
 	}
 	for i, name := range c.Classes {
 		s.classes[name] = i
-		s.effects = append(s.effects, c.Settings.Classes[i].Effect)
+		s.effects = append(s.effects, c.Settings.Classes[i].Idempotency)
 		s.waits = append(s.waits, c.Settings.Classes[i].Deadline)
 	}
 	for i, name := range c.Tenants {
@@ -74,7 +74,7 @@
 			spent = budget.EncodeSpent(0, budget.Loop)
 			p, status, why = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
 		} else {
-			p.deadline = min(p.deadline, now+g.grant.Left)
+			p.deadline = min(p.deadline, now+g.grant.TimeLeft)
 		}
 	}
 	if p != nil && !s.begin(p.call.Txn) {
@@ -85,7 +85,7 @@
 		// no request at all: part of this one's body, say.
 		a := &front.Answer{Status: status, Text: why, Close: true}
 		if spent != "" {
-			a.Name, a.Value = budget.SpentHeader, spent
+			a.Name, a.Value = budget.SpentHeaderName, spent
 		}
 		return nil, -1, a
 	}
@@ -127,7 +127,7 @@
 // answer passes the final answer on. It does not wait.
 func (s *callers) answer(p *pending, a answer) {
 	s.end(p.txn)
-	to := front.Answer{Name: budget.SpentHeader, Value: a.spent, Until: p.deadline + front.WriteGrace}
+	to := front.Answer{Name: budget.SpentHeaderName, Value: a.spent, Until: p.deadline + front.WriteGrace}
 	if a.spent == "" {
 		to.Name = ""
 	}
@@ -171,8 +171,8 @@
 	}
 	key := r.Header.Get("Idempotency-Key")
 	switch effect := s.effects[class]; {
-	case effect == decide.Repeatable && r.Method != http.MethodGet,
-		effect != decide.Repeatable && r.Method != http.MethodPost:
+	case effect == decide.Idempotent && r.Method != http.MethodGet,
+		effect != decide.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, "the class does not go with the method"
 	case effect == decide.Keyed && key == "":
 		return nil, http.StatusBadRequest, "the class needs an Idempotency-Key"
@@ -193,7 +193,7 @@
 		path:     r.URL.Path,
 		txn:      txn,
 		deadline: now + wait,
-		request:  decide.Request{Class: class, Tenant: -1, Repeat: r.Header.Get("X-Resent") == "1"},
+		request:  decide.Request{Class: class, Tenant: -1, IsRetry: r.Header.Get("X-Resent") == "1"},
 	}
 	if tenant, ok := s.tenants[r.Header.Get("X-Org")]; ok {
 		p.request.Tenant = tenant
@@ -216,7 +216,7 @@
 	if r.Body == http.NoBody {
 		return p, 0, ""
 	}
-	if s.effects[class] == decide.Repeatable {
+	if s.effects[class] == decide.Idempotent {
 		return nil, http.StatusBadRequest, "the class takes no body"
 	}
 	if r.ContentLength > upstream.MostBody {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -145,7 +145,7 @@
 		MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Settings: set, Sidecar: raw.Sidecar,
 		Budgets: raw.Budgets,
 	}
-	if c.Budgets && set.MaySecondCopy {
+	if c.Budgets && set.MayHedge {
 		return nil, errors.New("budgets: they do not go with second_copies: what two copies spend below is not told apart")
 	}
 	for _, class := range raw.Settings.Categories {
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -29,7 +29,7 @@
 	l.view.Begin(stored)
 	l.discovery.Servers(l.view.Serving())
 	l.members(stored, decide.ListStored)
-	if !l.set.MustAsk {
+	if !l.set.MustSubscribe {
 		return
 	}
 	if until := l.confirmation.Begin(len(stored.Entries)); until > 0 { // the list is as old as the last life
@@ -40,15 +40,15 @@
 // accepted takes word that discovery keeps a long poll open: it has nothing newer.
 func (l *loop) accepted() {
 	asOf, until := l.confirmation.Accepted(l.now)
-	l.carryOut(l.balancer.Members(l.now, decide.Members{
-		Change: decide.ListKept, AsOf: max(1, asOf), Confirmed: until, There: l.past.there(), Rate: l.past.rate(),
+	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
+		Kind: decide.ListRestored, AsOf: max(1, asOf), ConfirmedUntil: until, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}, l.actions[:0]))
 }
 
 // unconfirm tells the module from when on changes that this node lacks may count as told.
 func (l *loop) unconfirm(from time.Duration) {
-	l.carryOut(l.balancer.Members(l.now, decide.Members{
-		Change: decide.ListKept, Confirmed: from, There: l.past.there(), Rate: l.past.rate(),
+	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
+		Kind: decide.ListRestored, ConfirmedUntil: from, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}, l.actions[:0]))
 }
 
@@ -84,8 +84,8 @@
 	if answer.Unwatched {
 		confirmed = l.confirmation.Until()
 	}
-	l.carryOut(l.balancer.Members(l.now, decide.Members{
-		Change: decide.ListKept, AsOf: asOf, Confirmed: confirmed, There: l.past.there(), Rate: l.past.rate(),
+	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
+		Kind: decide.ListRestored, AsOf: asOf, ConfirmedUntil: confirmed, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}, l.actions[:0]))
 	l.later()
 }
@@ -93,30 +93,30 @@
 // unlisted takes a call to discovery that brought no list, or not yet.
 func (l *loop) unlisted(u *discovery.Update) {
 	f := u.Failure
-	m := decide.Members{
-		Change: decide.ListFailed, There: l.past.there(), Rate: l.past.rate(),
+	m := decide.ListUpdate{
+		Kind: decide.ListFailed, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}
 	switch {
 	case f.Reason == endpoints.Silent, u.Ongoing: // the watch goes on by itself
-		m.Change = decide.ListKept
+		m.Kind = decide.ListRestored
 	default:
 		l.signs.Answered(l.now, false)
 	}
 	// An agent that is silent has learnt nothing either; one that has begun to answer has.
-	if l.set.MustAsk || f.Reason == endpoints.Partial {
-		m.Confirmed = l.confirmation.Failed(l.now, f)
+	if l.set.MustSubscribe || f.Reason == endpoints.Partial {
+		m.ConfirmedUntil = l.confirmation.Failed(l.now, f)
 	}
-	l.trace.unlisted(f, l.told, m.Confirmed-l.now)
+	l.trace.unlisted(f, l.told, m.ConfirmedUntil-l.now)
 	if bad := l.view.Partial(l.now, u.Bad); len(bad) > 0 {
 		l.remember(nil, bad)
-		l.changed(bad, decide.ListKept)
+		l.changed(bad, decide.ListRestored)
 	}
-	l.carryOut(l.balancer.Members(l.now, m, l.actions[:0]))
+	l.carryOut(l.balancer.HandleList(l.now, m, l.actions[:0]))
 }
 
 // moved takes a move of discovery to another address.
 func (l *loop) moved() {
-	if l.set.MustAsk {
+	if l.set.MustSubscribe {
 		l.unconfirm(l.confirmation.Moved(l.now))
 	}
 }
@@ -132,7 +132,7 @@
 		l.laterAt = 0
 		if due := l.view.Due(l.now); len(due) > 0 {
 			l.remember(nil, due)
-			l.changed(due, decide.ListKept)
+			l.changed(due, decide.ListRestored)
 		}
 		l.later()
 	}})
@@ -163,7 +163,7 @@
 	}
 	l.asked = true
 	wait := l.asking.First(l.sendable > 0, l.draw.Float64())
-	if within := l.set.AskWithin / 2; within > 0 {
+	if within := l.set.ResubscribeWithin / 2; within > 0 {
 		wait = min(wait, within)
 	}
 	if wait <= 0 {
@@ -176,8 +176,8 @@
 // weigh looks at how an attempt ended for signs that the list is old.
 func (l *loop) weigh(server string, r decide.Result, took time.Duration) {
 	switch r {
-	case decide.Unconnected, decide.Full:
-		if !l.set.MustAsk {
+	case decide.ConnectFailed, decide.Rejected:
+		if !l.set.MustSubscribe {
 			break
 		}
 		if wait, ok := l.signs.Failed(l.now, server); ok {
@@ -195,7 +195,7 @@
 
 // changed carries out changes of the list. What is drained or gone gets nothing new from this moment; the rest of
 // many is background work with a deadline.
-func (l *loop) changed(entries []endpoints.Entry, change decide.Change) {
+func (l *loop) changed(entries []endpoints.Entry, change decide.ListKind) {
 	if len(entries) <= l.longList && l.coming.Len() == 0 {
 		l.members(&endpoints.List{Entries: entries}, change)
 		return
@@ -210,7 +210,7 @@
 	l.ready.Store(l.sendable > 0)
 	l.coming.Add(entries)
 	// The module hears at once whether discovery answers.
-	l.carryOut(l.balancer.Members(l.now, decide.Members{Change: change, There: l.past.there(), Rate: l.past.rate()}, l.actions[:0]))
+	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{Kind: change, FleetSize: l.past.there(), PriorRate: l.past.rate()}, l.actions[:0]))
 	l.entries()
 }
 
@@ -218,7 +218,7 @@
 func (l *loop) takeIn(slice time.Duration) (took time.Duration, more bool) {
 	begun := l.clock.Now()
 	for l.coming.Len() > 0 {
-		l.members(&endpoints.List{Entries: l.coming.Take(listStep)}, decide.ListKept)
+		l.members(&endpoints.List{Entries: l.coming.Take(listStep)}, decide.ListRestored)
 		if l.clock.Now() >= begun+slice {
 			break
 		}
@@ -227,7 +227,7 @@
 }
 
 // members takes a list of servers and tells the module.
-func (l *loop) members(m *endpoints.List, change decide.Change) {
+func (l *loop) members(m *endpoints.List, change decide.ListKind) {
 	if change == decide.ListStored {
 		named := make(map[string]bool, len(m.Entries))
 		for i := range m.Entries {
@@ -257,8 +257,8 @@
 		l.allow(p, e.Health == decide.Healthy)
 	}
 	l.ready.Store(l.sendable > 0)
-	l.carryOut(l.balancer.Members(l.now, decide.Members{
-		Change: change, Servers: m.Servers(), There: l.past.there(), Rate: l.past.rate(),
+	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
+		Kind: change, Servers: m.Servers(), FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}, l.actions[:0]))
 	if l.pool != nil { // before the next request: a new cold server is not this node's alone
 		l.claim()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -293,11 +293,11 @@
 // table always change together.
 func (l *loop) route(t *routes.Table) {
 	l.routes = t
-	var bounds []decide.Bounds
+	var bounds []decide.RoutePolicy
 	if t != nil {
 		bounds = t.Bounds()
 	}
-	l.carryOut(l.balancer.Routes(l.now, bounds, l.actions[:0]))
+	l.carryOut(l.balancer.SetRoutePolicies(l.now, bounds, l.actions[:0]))
 }
 
 // arrive gives a request to the module.
@@ -307,7 +307,7 @@
 		l.answer(p, answer{ending: failed})
 		return
 	}
-	if l.set.MaxHeld > 0 && len(l.pending) >= l.set.MaxHeld {
+	if l.set.MaxOpenRequests > 0 && len(l.pending) >= l.set.MaxOpenRequests {
 		p.answered = true
 		l.answer(p, answer{ending: refused})
 		return
@@ -325,7 +325,7 @@
 		l.budgets.open(l.now, p)
 	}
 	l.trace.arrived(p)
-	l.carryOut(l.balancer.Request(l.now, p.request, l.actions[:0]))
+	l.carryOut(l.balancer.HandleRequest(l.now, p.request, l.actions[:0]))
 	if !p.answered {
 		l.at(p.deadline-safetyMargin, timer{overdue: p})
 	}
@@ -334,7 +334,7 @@
 // leave tells the module that a request is over, whatever it holds, and calls
 // its attempts off.
 func (l *loop) leave(p *pending) {
-	l.carryOut(l.balancer.Gone(l.now, decide.Gone{Request: p.request.ID}, l.actions[:0]))
+	l.carryOut(l.balancer.HandleDisconnect(l.now, decide.Disconnect{Request: p.request.ID}, l.actions[:0]))
 	for _, t := range p.attempts {
 		t.Cancel()
 	}
@@ -344,7 +344,7 @@
 // expire fails a request in the module's place.
 func (l *loop) expire(p *pending) {
 	if !p.answered {
-		l.finish(p, answer{ending: overdue}, decide.OutOfTime)
+		l.finish(p, answer{ending: overdue}, decide.DeadlineExceeded)
 		l.leave(p)
 	}
 }
@@ -386,16 +386,16 @@
 	below := 0
 	if l.budgets != nil {
 		below = l.budgets.back(p.graph, &e.Outcome)
-		p.ran = p.ran || e.Result != decide.Full && e.Result != decide.Unconnected && e.Result != decide.NotSent
+		p.ran = p.ran || e.Result != decide.Rejected && e.Result != decide.ConnectFailed && e.Result != decide.NotSent
 	}
 	if e.Result == decide.Served {
 		l.finish(p, answer{ending: served, response: e.Response}, decide.NoReason)
 	}
 	final := p.answered
 	l.forget(p)
-	l.carryOut(l.balancer.Outcome(l.now, decide.Outcome{
+	l.carryOut(l.balancer.HandleOutcome(l.now, decide.Outcome{
 		Request: p.request.ID, Attempt: e.number, Server: e.server, Result: e.Result,
-		Elapsed: e.elapsed, Age: e.Age, Dial: e.Dial, Final: final, Closed: e.Closed, Spent: below,
+		Elapsed: e.elapsed, ConnAge: e.Age, DialTime: e.Dial, Final: final, ConnClosed: e.Closed, Spent: below,
 	}, l.actions[:0]))
 	l.weigh(e.server, e.Result, e.elapsed-e.Dial)
 }
@@ -416,15 +416,15 @@
 			if p != nil && a.Attempt < len(p.attempts) {
 				p.attempts[a.Attempt].Cancel()
 			}
-		case decide.Watch:
+		case decide.WatchList:
 			l.watch()
-		case decide.Unwatch:
+		case decide.UnwatchList:
 			l.discovery.SetWatch(false)
-		case decide.Fetch:
+		case decide.FetchList:
 			l.discovery.AskOnce()
-		case decide.HangUp:
+		case decide.CloseIdle:
 			l.upstream.HangUp(a.Server)
-		case decide.After:
+		case decide.StartTimer:
 			l.after(a.Wait, timer{token: a.Token})
 		case decide.Log:
 			l.log.Info("module", "text", a.Text)
@@ -461,8 +461,8 @@
 	}
 	until := min(sent+a.Wait, p.deadline-safetyMargin)
 	by := until
-	if a.Within > 0 {
-		by = sent + a.Within
+	if a.SendWithin > 0 {
+		by = sent + a.SendWithin
 	}
 	l.tries.Go(func() {
 		o := l.upstream.Attempt(&t.Ticket, &server.Peer, call, more, by, until)
@@ -503,7 +503,7 @@
 			l.expire(p)
 		}
 	default:
-		l.carryOut(l.balancer.Timer(l.now, decide.Timer{Token: t.token}, l.actions[:0]))
+		l.carryOut(l.balancer.HandleTimer(l.now, decide.Timer{Token: t.token}, l.actions[:0]))
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,8 +87,8 @@
 	n.loop.lag = n.worker.Lag
 	n.upstream.OnClose(n.loop.trace.closes())
 	place := endpoints.Place{
-		Node: c.Settings.Node, Nodes: c.Settings.Nodes, Tier: c.Settings.Tier, AskWithin: c.Settings.AskWithin,
-		Pushed: !c.Settings.MustAsk, Seed: c.Seed,
+		Node: c.Settings.Node, Nodes: c.Settings.Nodes, Tier: c.Settings.Tier, AskWithin: c.Settings.ResubscribeWithin,
+		Pushed: !c.Settings.MustSubscribe, Seed: c.Seed,
 	}
 	n.loop.discovery = discovery.New(c.Discovery, place, log, func(u discovery.Update) { n.loop.post(u) })
 	n.loop.budgets = newBudgets(c, log)
@@ -148,7 +148,7 @@
 	}
 	if c.Members != nil {
 		set := *c.Members
-		set.Window = c.Settings.FallFor
+		set.Window = c.Settings.CollapseWindow
 		if n.members, err = members.Open(set, n.clock, log); err != nil {
 			l.Close()
 			return nil, err
--- a/internal/node/past.go
+++ b/internal/node/past.go
@@ -148,7 +148,7 @@
 				e.Started = l.now
 				p.entries[o.ID] = e
 			}
-			e.Untried = o.Is == doubt.Trying
+			e.Unverified = o.Is == doubt.Trying
 		}
 		entries = append(entries, e)
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	if offers := p.table.Outcome(l.now, server, r); len(offers) > 0 {
-		l.members(&endpoints.List{Entries: l.offered(offers)}, decide.ListKept)
+		l.members(&endpoints.List{Entries: l.offered(offers)}, decide.ListRestored)
 	}
 	l.retry()
 }
@@ -188,7 +188,7 @@
 			return
 		}
 		if offers := l.past.table.Due(l.now); len(offers) > 0 {
-			l.members(&endpoints.List{Entries: l.offered(offers)}, decide.ListKept)
+			l.members(&endpoints.List{Entries: l.offered(offers)}, decide.ListRestored)
 		}
 		l.retry()
 	}})
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -29,11 +29,11 @@
 	holder  *allowance.Holder
 	view    *membership.View // that members are of
 	members []allowance.Member
-	colds   []decide.Cold
+	colds   []decide.ColdServer
 }
 
 func newPool(f fleet, c *Config, now time.Duration) *pool {
-	return &pool{fleet: f, holder: allowance.NewHolder(allowance.Settings{Window: c.Settings.FallFor}, c.Seed^uint64(now), now)}
+	return &pool{fleet: f, holder: allowance.NewHolder(allowance.Settings{Window: c.Settings.CollapseWindow}, c.Seed^uint64(now), now)}
 }
 
 // known are the members of the present view; nobody, where there is none.
@@ -60,7 +60,7 @@
 // claim lends this node's parts of cold servers, and asks for sends.
 func (l *loop) claim() {
 	p := l.pool
-	p.colds = l.balancer.Colds(l.now, p.colds[:0])
+	p.colds = l.balancer.ColdServers(l.now, p.colds[:0])
 	if len(p.colds) == 0 && p.holder.Lent(l.now) == 0 {
 		return
 	}
@@ -72,8 +72,8 @@
 }
 
 // pooled tells the module what the nodes have settled.
-func (l *loop) pooled(deals []decide.Deal) {
+func (l *loop) pooled(deals []decide.Grant) {
 	if len(deals) > 0 {
-		l.carryOut(l.balancer.Deal(l.now, deals, l.actions[:0]))
+		l.carryOut(l.balancer.HandleGrants(l.now, deals, l.actions[:0]))
 	}
 }
--- a/internal/node/steps.go
+++ b/internal/node/steps.go
@@ -9,7 +9,7 @@
 // forgetOld drops what is no longer needed of other tiers' attempts, as background work.
 func (l *loop) forgetOld(slice time.Duration) (took time.Duration, more bool) {
 	begun := l.clock.Now()
-	l.budgets.ledger.Forget(l.now, mostForgotten)
+	l.budgets.ledger.Expire(l.now, mostForgotten)
 	return l.clock.Now() - begun, false
 }
 
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -32,7 +32,7 @@
 			if t.isOff() {
 				return Outcome{Result: decide.NotSent, Closed: true}
 			}
-			return Outcome{Result: decide.Unconnected, Closed: true}
+			return Outcome{Result: decide.ConnectFailed, Closed: true}
 		}
 		dialled = u.clock.Now() - begun
 	}
@@ -62,7 +62,7 @@
 	}
 	message, err := q.Encode(c.message[:0], p.Address, more, left)
 	if err != nil {
-		return Outcome{Result: decide.Unconnected}, false
+		return Outcome{Result: decide.ConnectFailed}, false
 	}
 	if c.message = message; cap(message) > mostKept {
 		c.message = nil
@@ -71,7 +71,7 @@
 		if t.isOff() || u.clock.Now() > by {
 			return Outcome{Result: decide.NotSent}, false
 		}
-		return Outcome{Result: decide.Unconnected}, false
+		return Outcome{Result: decide.ConnectFailed}, false
 	}
 	resp, body, err := c.read(q.Method)
 	if err != nil {
@@ -81,9 +81,9 @@
 		case isTimeout(err):
 			return Outcome{Result: decide.TimedOut}, false
 		case c.limit.N > 0 && isBreak(err):
-			return Outcome{Result: decide.Broken}, false
+			return Outcome{Result: decide.ConnectionLost}, false
 		}
-		return Outcome{Result: decide.Spoilt}, false
+		return Outcome{Result: decide.Malformed}, false
 	}
 	// Only a call-off that has not begun leaves the connection as it was, and
 	// only an answer with nothing behind it.
@@ -96,13 +96,13 @@
 	case resp.StatusCode == http.StatusOK:
 		return Outcome{
 			Result: decide.Served, Response: &Response{Kind: resp.Header.Get("Content-Type"), Body: body},
-			Spent: resp.Header[budget.SpentHeader],
+			Spent: resp.Header[budget.SpentHeaderName],
 		}, keep
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Turned-Away") == "1":
-		return Outcome{Result: decide.Full}, keep
+		return Outcome{Result: decide.Rejected}, keep
 	}
-	return Outcome{Result: decide.Errored, Spent: resp.Header[budget.SpentHeader]}, keep
+	return Outcome{Result: decide.Errored, Spent: resp.Header[budget.SpentHeaderName]}, keep
 }
 
 // Encode appends the request as it goes on the wire, to be sent in one piece:
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -134,7 +134,7 @@
 
 func New(clock clock.Clock, sockets *Sockets, set *decide.Settings) *Pool {
 	u := &Pool{
-		clock: clock, sockets: sockets, connectTimeout: set.ConnectTimeout, idleFor: set.ConnIdle,
+		clock: clock, sockets: sockets, connectTimeout: set.ConnectTimeout, idleFor: set.ConnIdleTimeout,
 		idle: map[string][]*conn{}, timers: wheel.New(idleTick, clock.Now()),
 	}
 	if u.connectTimeout <= 0 {
--- a/internal/node/upstream/upstream_test.go
+++ b/internal/node/upstream/upstream_test.go
@@ -22,7 +22,7 @@
 }
 
 func newTestUpstream() *Pool {
-	return New(clock.New(), NewSockets(100), &decide.Settings{ConnectTimeout: Patience, ConnIdle: Patience})
+	return New(clock.New(), NewSockets(100), &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience})
 }
 
 // Whatever a server sends for an answer, it must be told apart from one that is
@@ -48,7 +48,7 @@
 			u := newTestUpstream()
 			address := RawServer(t, func(c net.Conn) { io.WriteString(c, text) })
 			begun := u.clock.Now()
-			if o := testAttempt(t, u, address); o.Result != decide.Spoilt || !o.Closed {
+			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.Closed {
 				t.Errorf("ended as %v, closed %v", o.Result, o.Closed)
 			}
 			if took := u.clock.Now() - begun; took > Patience/2 {
@@ -77,7 +77,7 @@
 				io.WriteString(c, parts[0])
 				Endless(parts[1], sent)(c)
 			})
-			if o := testAttempt(t, u, address); o.Result != decide.Spoilt || !o.Closed {
+			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.Closed {
 				t.Errorf("ended as %v, closed %v", o.Result, o.Closed)
 			}
 			<-sent // the connection is closed while the server still writes
@@ -165,7 +165,7 @@
 // a request may be over. The code looks again before it writes.
 func TestLooksAgainBeforeItWrites(t *testing.T) {
 	s := NewServer(t, Say("fine"))
-	set := &decide.Settings{ConnectTimeout: Patience, ConnIdle: Patience}
+	set := &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience}
 	clock, budget := clock.New(), NewSockets(1000)
 	up := New(clock, budget, set)
 	q := &Call{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: "1"}
@@ -186,7 +186,7 @@
 	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()-1, clock.Now()+Patience); o.Result != decide.NotSent {
 		t.Errorf("after the window for repeats: %v", o.Result)
 	}
-	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()+Patience, clock.Now()-1); o.Result != decide.Unconnected {
+	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()+Patience, clock.Now()-1); o.Result != decide.ConnectFailed {
 		t.Errorf("with no time left: %v", o.Result)
 	}
 	if s.Seen() != 0 || budget.open.Load() != 0 {
--- a/internal/operators/apps/apps_test.go
+++ b/internal/operators/apps/apps_test.go
@@ -106,7 +106,7 @@
 	}
 	class := got.Classes[0]
 	if len(got.Classes) != 1 || class.Deadline != 6*time.Second || class.KeyTTL != 10*time.Second || class.Worth != 2 || got.Nodes != 4 ||
-		got.MaxTries != 4 || got.DrainGrace != 500*time.Millisecond || !got.PassesDeadline {
+		got.MaxAttempts != 4 || got.DrainGrace != 500*time.Millisecond || !got.PropagatesDeadline {
 		t.Errorf("%+v", got)
 	}
 	if !strings.Contains(string(all[0].Text), `"<&>"`) {
--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -318,8 +318,8 @@
 		b := a.table.Bounds()[a.table.Match(slices.Index(a.Classes.V, class), or(r.Path.V, "/"+class), -1)-1]
 		o := plain
 		o.line, o.path, o.timeout = r.Line, r.Path.V, b.AttemptTimeout
-		if b.Attempts > 0 && c.Effect.V != "once" {
-			o.attempts = b.Attempts
+		if b.MaxAttempts > 0 && c.Effect.V != "once" {
+			o.attempts = b.MaxAttempts
 		}
 		if b.DeadlineCap > 0 {
 			o.limit = min(o.limit, b.DeadlineCap)
--- a/internal/operators/routes/check.go
+++ b/internal/operators/routes/check.go
@@ -25,8 +25,8 @@
 // outcomes are the words of retry_on.
 func outcomes() map[string]decide.Result {
 	return map[string]decide.Result{
-		"error": decide.Errored, "turned-away": decide.Full, "timeout": decide.TimedOut,
-		"unconnected": decide.Unconnected, "reset": decide.Broken, "spoilt": decide.Spoilt,
+		"error": decide.Errored, "turned-away": decide.Rejected, "timeout": decide.TimedOut,
+		"unconnected": decide.ConnectFailed, "reset": decide.ConnectionLost, "spoilt": decide.Malformed,
 	}
 }
 
@@ -207,12 +207,12 @@
 func (c *checker) values(p *placed) {
 	r := c.inherit(p)
 	set, class, name := &c.env.Settings, &c.env.Settings.Classes[p.class], c.env.Classes[p.class]
-	b := decide.Bounds{
-		AttemptTimeout: r.AttemptTimeout.V, Attempts: r.Attempts.V, BackoffFirst: r.BackoffFirst.V,
-		BackoffMost: r.BackoffMost.V, BackoffJitter: r.BackoffJitter.V, SecondCopyAfter: r.SecondCopyAfter.V,
-		DeadlineCap: r.DeadlineCap.V, RetryAfter: r.RetryAfter.V,
+	b := decide.RoutePolicy{
+		AttemptTimeout: r.AttemptTimeout.V, MaxAttempts: r.Attempts.V, BackoffInitial: r.BackoffFirst.V,
+		BackoffMax: r.BackoffMost.V, BackoffJitter: r.BackoffJitter.V, HedgeAfter: r.SecondCopyAfter.V,
+		DeadlineCap: r.DeadlineCap.V, MaxRetryAfter: r.RetryAfter.V,
 	}
-	attempts := max(1, set.MaxTries)
+	attempts := max(1, set.MaxAttempts)
 	if r.Attempts.Set() {
 		if r.Attempts.V > attempts {
 			c.find(TooManyAttempts, r.Attempts.Line, "attempts", strconv.Itoa(r.Attempts.V),
@@ -241,7 +241,7 @@
 }
 
 // add puts a route's row into the table.
-func (p *placed) add(t *Table, b decide.Bounds) {
+func (p *placed) add(t *Table, b decide.RoutePolicy) {
 	t.bounds = append(t.bounds, b)
 	t.classes[p.class] = append(t.classes[p.class], matcher{p.Path.V, p.tenant, len(t.bounds)})
 }
@@ -267,7 +267,7 @@
 	}
 }
 
-func (c *checker) outcomes(r *Route, b *decide.Bounds, class *decide.Class, name string, attempts int) {
+func (c *checker) outcomes(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int) {
 	if !r.RetryOn.Set() {
 		return
 	}
@@ -282,7 +282,7 @@
 				"error, reset, spoilt, timeout, turned-away, unconnected", "there is no such outcome")
 		case b.RetryOn&result.Bit() != 0:
 			c.find(SameOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word), "", "the outcome stands there twice")
-		case class.Effect == decide.Once && result != decide.Full && result != decide.Unconnected:
+		case class.Idempotency == decide.AtMostOnce && result != decide.Rejected && result != decide.ConnectFailed:
 			c.find(RetryUnsafe, r.RetryOn.Line, "retry_on", strconv.Quote(word), harmless,
 				"class "+name+" is unsafe to repeat, and this may have run")
 		}
@@ -306,13 +306,13 @@
 	}
 	const key = "second_copy_after"
 	line, value := r.SecondCopyAfter.Line, quoted(r.SecondCopyAfter.V)
-	if !c.env.Settings.MaySecondCopy {
+	if !c.env.Settings.MayHedge {
 		c.find(CopiesRuledOut, line, key, value, "no such key", "the platform rules out a second attempt beside the first")
 	}
-	switch class.Effect {
+	switch class.Idempotency {
 	case decide.Keyed:
 		c.find(CopyOfKeyed, line, key, value, "no such key", "class "+name+" is keyed")
-	case decide.Once:
+	case decide.AtMostOnce:
 		c.find(CopyOfUnsafe, line, key, value, "no such key", "class "+name+" is unsafe to repeat")
 	}
 	if r.AttemptTimeout.Set() {
@@ -331,11 +331,11 @@
 
 // Waits is the longest that all waits between so many attempts can be under a
 // row's bounds.
-func Waits(b decide.Bounds, attempts int) time.Duration {
+func Waits(b decide.RoutePolicy, attempts int) time.Duration {
 	sum := time.Duration(0)
-	for i, wait := 1, b.BackoffFirst; i < attempts; i, wait = i+1, min(2*wait, 2*mostDuration) {
-		if b.BackoffMost > 0 {
-			wait = min(wait, b.BackoffMost)
+	for i, wait := 1, b.BackoffInitial; i < attempts; i, wait = i+1, min(2*wait, 2*mostDuration) {
+		if b.BackoffMax > 0 {
+			wait = min(wait, b.BackoffMax)
 		}
 		sum += wait
 	}
@@ -343,10 +343,10 @@
 }
 
 // times checks attempts and waits against the request's time and the key's window.
-func (c *checker) times(r *Route, b *decide.Bounds, class *decide.Class, name string, attempts int, limit time.Duration) {
+func (c *checker) times(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int, limit time.Duration) {
 	// Faults of the values themselves are told; what follows from them says nothing new.
 	if r.AttemptTimeout.Bad || r.Attempts.Bad || r.BackoffFirst.Bad || r.BackoffMost.Bad || r.DeadlineCap.Bad ||
-		attempts > max(1, c.env.Settings.MaxTries) {
+		attempts > max(1, c.env.Settings.MaxAttempts) {
 		return
 	}
 	bounded := r.AttemptTimeout.Set() || r.BackoffFirst.Set() || r.Attempts.Set()
@@ -369,7 +369,7 @@
 				attempts, orWhole(b.AttemptTimeout), pause, all, name))
 		return
 	}
-	if class.Effect != decide.Keyed {
+	if class.Idempotency != decide.Keyed {
 		return
 	}
 	// From the first send that may have run to the last send. An attempt without a
@@ -413,7 +413,7 @@
 		return
 	}
 	line, value := r.RetryAfter.Line, quoted(r.RetryAfter.V)
-	if !set.MayAdviseReturn {
+	if !set.MayAdviseRetry {
 		c.find(NoAdvice, line, "retry_after", value, "no such key", "refusals carry no advice on this platform")
 	} else if r.RetryAfter.V > set.MaxRetryAfter {
 		c.find(LongAdvice, line, "retry_after", value, "up to "+set.MaxRetryAfter.String(), "beyond the longest Retry-After")
--- a/internal/operators/routes/property_test.go
+++ b/internal/operators/routes/property_test.go
@@ -46,8 +46,8 @@
 		w.servers[s.ID] = s
 		list = append(list, s)
 	}
-	w.b.Members(w.now, decide.Members{Change: decide.ListFull, Servers: list}, nil)
-	w.b.Routes(w.now, table.Bounds(), nil)
+	w.b.HandleList(w.now, decide.ListUpdate{Kind: decide.ListFull, Servers: list}, nil)
+	w.b.SetRoutePolicies(w.now, table.Bounds(), nil)
 	return w
 }
 
@@ -57,7 +57,7 @@
 	w.class, w.began = class, w.now
 	ttl := w.env.Settings.Classes[class].Deadline
 	r := decide.Request{ID: 1, Class: class, Route: row, Tenant: -1, TTL: ttl}
-	if err := w.take(w.b.Request(w.now, r, nil)); err != nil {
+	if err := w.take(w.b.HandleRequest(w.now, r, nil)); err != nil {
 		return err
 	}
 	ends := map[int]time.Duration{}
@@ -101,12 +101,12 @@
 			s := &w.sends[which]
 			s.open = false
 			delete(ends, which)
-			out = w.b.Outcome(w.now, decide.Outcome{
+			out = w.b.HandleOutcome(w.now, decide.Outcome{
 				Request: 1, Attempt: which, Server: s.server, Result: s.result, Elapsed: w.now - s.at,
 			}, nil)
 		} else {
 			w.timers = append(w.timers[:timer], w.timers[timer+1:]...)
-			out = w.b.Timer(w.now, decide.Timer{Token: 1}, nil)
+			out = w.b.HandleTimer(w.now, decide.Timer{Token: 1}, nil)
 		}
 		if err := w.take(out); err != nil {
 			return err
@@ -117,7 +117,7 @@
 
 // mayRun tells whether an attempt that ended so may have run.
 func mayRun(s *sent) bool {
-	return s.open || s.result != decide.Full && s.result != decide.Unconnected && s.result != decide.NotSent
+	return s.open || s.result != decide.Rejected && s.result != decide.ConnectFailed && s.result != decide.NotSent
 }
 
 // take checks the module's actions against the rules.
@@ -129,8 +129,8 @@
 			if w.answer != nil {
 				return fmt.Errorf("sent after the answer")
 			}
-			if len(w.sends) >= w.env.Settings.MaxTries {
-				return fmt.Errorf("attempt %d, the platform allows %d", len(w.sends)+1, w.env.Settings.MaxTries)
+			if len(w.sends) >= w.env.Settings.MaxAttempts {
+				return fmt.Errorf("attempt %d, the platform allows %d", len(w.sends)+1, w.env.Settings.MaxAttempts)
 			}
 			if w.now+a.Wait > w.began+class.Deadline {
 				return fmt.Errorf("an attempt beyond the deadline")
@@ -138,7 +138,7 @@
 			first := -1
 			for i := range w.sends {
 				s := &w.sends[i]
-				if s.open && !(w.env.Settings.MaySecondCopy && class.Effect == decide.Repeatable) {
+				if s.open && !(w.env.Settings.MayHedge && class.Idempotency == decide.Idempotent) {
 					return fmt.Errorf("two attempts out at once")
 				}
 				if first < 0 && mayRun(s) {
@@ -149,17 +149,17 @@
 				f := &w.sends[first]
 				here, there := w.servers[a.Server], w.servers[f.server]
 				switch {
-				case class.Effect == decide.Once:
+				case class.Idempotency == decide.AtMostOnce:
 					return fmt.Errorf("an unsafe request sent again after it may have run")
-				case class.Effect == decide.Keyed && w.now-f.at > class.KeyTTL:
+				case class.Idempotency == decide.Keyed && w.now-f.at > class.KeyTTL:
 					return fmt.Errorf("a repeat after %v, the key is kept for %v", w.now-f.at, class.KeyTTL)
-				case class.Effect == decide.Keyed && class.Group == decide.GroupCell && here.Cell != there.Cell,
-					class.Effect == decide.Keyed && class.Group == decide.GroupZone && here.Zone != there.Zone:
+				case class.Idempotency == decide.Keyed && class.Group == decide.GroupCell && here.Cell != there.Cell,
+					class.Idempotency == decide.Keyed && class.Group == decide.GroupZone && here.Zone != there.Zone:
 					return fmt.Errorf("a repeat outside the group")
 				}
 			}
 			w.sends = append(w.sends, sent{at: w.now, wait: a.Wait, server: a.Server, open: true})
-		case decide.After:
+		case decide.StartTimer:
 			w.timers = append(w.timers, w.now+a.Wait)
 		case decide.Refuse, decide.Fail:
 			if w.answer != nil {
@@ -181,10 +181,10 @@
 		if !mayRun(s) {
 			continue
 		}
-		if class.Effect == decide.Once || class.Effect == decide.Keyed && class.Group != decide.GroupAll {
+		if class.Idempotency == decide.AtMostOnce || class.Idempotency == decide.Keyed && class.Group != decide.GroupAll {
 			return fmt.Errorf("refused though it may have run")
 		}
-		if back := w.now + advice - s.at; class.Effect == decide.Keyed && advice > 0 && back > class.KeyTTL {
+		if back := w.now + advice - s.at; class.Idempotency == decide.Keyed && advice > 0 && back > class.KeyTTL {
 			return fmt.Errorf("told to return %v after the first send, the key is kept for %v", back, class.KeyTTL)
 		}
 	}
@@ -196,11 +196,11 @@
 
 // does checks that a row does what its file says when attempts fail, one after
 // another, in a way that may be tried again.
-func does(env Env, table *Table, class, row int, b decide.Bounds, seed uint64) error {
+func does(env Env, table *Table, class, row int, b decide.RoutePolicy, seed uint64) error {
 	deadline := env.Settings.Classes[class].Deadline
 	result := decide.TimedOut
 	if b.AttemptTimeout == 0 || b.RetryOn != 0 && b.RetryOn&decide.TimedOut.Bit() == 0 {
-		for _, r := range []decide.Result{decide.Broken, decide.Errored, decide.Spoilt, decide.Full, decide.Unconnected, decide.TimedOut} {
+		for _, r := range []decide.Result{decide.ConnectionLost, decide.Errored, decide.Malformed, decide.Rejected, decide.ConnectFailed, decide.TimedOut} {
 			if result = r; b.RetryOn == 0 || b.RetryOn&r.Bit() != 0 {
 				break
 			}
@@ -209,7 +209,7 @@
 	w := newWorld(env, table, seed)
 	err := w.play(class, row, func(s sent) (time.Duration, decide.Result) {
 		switch {
-		case b.SecondCopyAfter > 0:
+		case b.HedgeAfter > 0:
 			return s.wait, decide.TimedOut
 		case result == decide.TimedOut:
 			return s.wait, result
@@ -231,32 +231,32 @@
 	case b.DeadlineCap > 0 && w.ended > w.began+min(b.DeadlineCap, deadline):
 		return fmt.Errorf("ended after %v, the file says %v", w.ended-w.began, b.DeadlineCap)
 	}
-	if b.SecondCopyAfter > 0 {
-		if len(w.sends) < 2 || w.sends[1].at != first.at+b.SecondCopyAfter {
-			return fmt.Errorf("no second copy after %v: %+v", b.SecondCopyAfter, w.sends)
+	if b.HedgeAfter > 0 {
+		if len(w.sends) < 2 || w.sends[1].at != first.at+b.HedgeAfter {
+			return fmt.Errorf("no second copy after %v: %+v", b.HedgeAfter, w.sends)
 		}
 		return nil
 	}
 	// Which outcomes may be tried again is the class's matter where the file is silent.
 	named := b.RetryOn&^decide.NotSent.Bit() != 0
-	if once := env.Settings.Classes[class].Effect == decide.Once; once && !named {
+	if once := env.Settings.Classes[class].Idempotency == decide.AtMostOnce; once && !named {
 		return nil
 	}
-	if b.Attempts > 0 && (b.RetryOn == 0 || named) && len(w.sends) != b.Attempts {
-		return fmt.Errorf("%d attempts after %v each, the file says %d", len(w.sends), result, b.Attempts)
+	if b.MaxAttempts > 0 && (b.RetryOn == 0 || named) && len(w.sends) != b.MaxAttempts {
+		return fmt.Errorf("%d attempts after %v each, the file says %d", len(w.sends), result, b.MaxAttempts)
 	}
-	if named && b.Attempts == 0 && len(w.sends) < 2 {
+	if named && b.MaxAttempts == 0 && len(w.sends) < 2 {
 		return fmt.Errorf("not tried again after %v, which the file names", result)
 	}
-	if len(w.sends) > 1 && b.BackoffFirst > 0 {
+	if len(w.sends) > 1 && b.BackoffInitial > 0 {
 		took := time.Duration(quick)
 		if result == decide.TimedOut {
 			took = first.wait
 		}
 		wait := w.sends[1].at - first.at - took
-		least := time.Duration((1 - b.BackoffJitter) * float64(b.BackoffFirst))
-		if wait > b.BackoffFirst || wait < least-time.Microsecond {
-			return fmt.Errorf("a first wait of %v, the file says %v to %v", wait, least, b.BackoffFirst)
+		least := time.Duration((1 - b.BackoffJitter) * float64(b.BackoffInitial))
+		if wait > b.BackoffInitial || wait < least-time.Microsecond {
+			return fmt.Errorf("a first wait of %v, the file says %v to %v", wait, least, b.BackoffInitial)
 		}
 	}
 	return nil
@@ -336,7 +336,7 @@
 // outcomes, and does what it says. It tells whether the file was accepted.
 func holds(d draft, skip map[Code]bool) (accepted bool, err error) {
 	env := testEnv()
-	env.Settings.MaySecondCopy = d.copies
+	env.Settings.MayHedge = d.copies
 	f, findings := Parse([]byte(d.text))
 	if len(findings) > 0 {
 		return false, nil
@@ -355,7 +355,7 @@
 				w := newWorld(env, table, rng.Uint64())
 				err := w.play(class, m.row, func(s sent) (time.Duration, decide.Result) {
 					took := time.Duration(rng.Float64() * 1.2 * float64(s.wait))
-					return took, decide.Errored + decide.Result(rng.IntN(int(decide.Broken-decide.Errored)+1))
+					return took, decide.Errored + decide.Result(rng.IntN(int(decide.ConnectionLost-decide.Errored)+1))
 				})
 				if err != nil {
 					return true, fmt.Errorf("class %s, random outcomes: %w", env.Classes[class], err)
--- a/internal/operators/routes/routes_test.go
+++ b/internal/operators/routes/routes_test.go
@@ -19,18 +19,18 @@
 
 // testEnv is a platform with classes of all effects.
 func testEnv() Env {
-	class := func(effect decide.Effect, group decide.Group, deadline, ttl time.Duration) decide.Class {
-		return decide.Class{Aim: time.Second, Deadline: deadline, Worth: 1, Effect: effect, Group: group, KeyTTL: ttl}
+	class := func(effect decide.Idempotency, group decide.Group, deadline, ttl time.Duration) decide.Class {
+		return decide.Class{LatencyTarget: time.Second, Deadline: deadline, Worth: 1, Idempotency: effect, Group: group, KeyTTL: ttl}
 	}
 	return Env{
 		Classes: []string{"notruf-abfrage", "zustand", "stoerung", "auftrag", "meldung", "buchung"},
 		Tenants: []string{"leitstelle", "technik"},
 		Settings: decide.Settings{
-			Nodes: 1, MaxTries: 4, MayAdviseReturn: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
+			Nodes: 1, MaxAttempts: 4, MayAdviseRetry: true, MaxRetryAfter: 5 * time.Second, MayCancel: true,
 			Classes: []decide.Class{
-				class(decide.Repeatable, 0, 5*time.Second, 0), class(decide.Repeatable, 0, 2500*ms, 0),
+				class(decide.Idempotent, 0, 5*time.Second, 0), class(decide.Idempotent, 0, 2500*ms, 0),
 				class(decide.Keyed, decide.GroupCell, 6*time.Second, 10*time.Second),
-				class(decide.Once, 0, 4*time.Second, 0),
+				class(decide.AtMostOnce, 0, 4*time.Second, 0),
 				class(decide.Keyed, decide.GroupZone, 30*time.Second, 10*time.Second),
 				class(decide.Keyed, decide.GroupAll, 8*time.Second, 10*time.Second),
 			},
@@ -42,9 +42,9 @@
 // envOf is the platform that a file of the corpus asks for.
 func envOf(text []byte) Env {
 	env := testEnv()
-	env.Settings.MaySecondCopy = bytes.Contains(text, []byte("# env: copies"))
+	env.Settings.MayHedge = bytes.Contains(text, []byte("# env: copies"))
 	if bytes.Contains(text, []byte("# env: noadvice")) {
-		env.Settings.MayAdviseReturn = false
+		env.Settings.MayAdviseRetry = false
 	}
 	return env
 }
@@ -233,18 +233,18 @@
 	for _, c := range []struct {
 		path   string
 		tenant int
-		want   decide.Bounds
+		want   decide.RoutePolicy
 	}{
-		{"/zustand", none, decide.Bounds{Attempts: 2, AttemptTimeout: 500 * ms}},
-		{"/zustand/zuerich/1", desk, decide.Bounds{Attempts: 2, AttemptTimeout: 500 * ms}},
-		{"/zustand/zuerich/1", technik, decide.Bounds{Attempts: 3, AttemptTimeout: 500 * ms}},
-		{"/zustand/genf", none, decide.Bounds{Attempts: 2, AttemptTimeout: 300 * ms}},
-		{"/zustand/genf/1", desk, decide.Bounds{Attempts: 2, AttemptTimeout: 300 * ms}},
-		{"/zustand/genfx", desk, decide.Bounds{Attempts: 2, AttemptTimeout: 500 * ms}},
+		{"/zustand", none, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 500 * ms}},
+		{"/zustand/zuerich/1", desk, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 500 * ms}},
+		{"/zustand/zuerich/1", technik, decide.RoutePolicy{MaxAttempts: 3, AttemptTimeout: 500 * ms}},
+		{"/zustand/genf", none, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 300 * ms}},
+		{"/zustand/genf/1", desk, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 300 * ms}},
+		{"/zustand/genfx", desk, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 500 * ms}},
 		// The path's route is the nearer one; what it leaves open comes from the tenant's.
-		{"/zustand/genf/1", technik, decide.Bounds{Attempts: 3, AttemptTimeout: 300 * ms, DeadlineCap: 2 * time.Second}},
+		{"/zustand/genf/1", technik, decide.RoutePolicy{MaxAttempts: 3, AttemptTimeout: 300 * ms, DeadlineCap: 2 * time.Second}},
 		// A longer path wins over a tenant, and inherits only from what contains it.
-		{"/zustand/genf/nord/2", technik, decide.Bounds{Attempts: 4, AttemptTimeout: 300 * ms}},
+		{"/zustand/genf/nord/2", technik, decide.RoutePolicy{MaxAttempts: 4, AttemptTimeout: 300 * ms}},
 	} {
 		row := table.Match(1, c.path, c.tenant)
 		if row == 0 || table.Bounds()[row-1] != c.want {
@@ -318,8 +318,8 @@
 			return
 		}
 		for _, b := range table.Bounds() {
-			if b.AttemptTimeout < 0 || b.Attempts < 0 || b.Attempts > env.Settings.MaxTries || b.BackoffFirst < 0 ||
-				b.BackoffJitter < 0 || b.BackoffJitter > 1 || b.DeadlineCap < 0 || b.RetryAfter < 0 || b.SecondCopyAfter < 0 {
+			if b.AttemptTimeout < 0 || b.MaxAttempts < 0 || b.MaxAttempts > env.Settings.MaxAttempts || b.BackoffInitial < 0 ||
+				b.BackoffJitter < 0 || b.BackoffJitter > 1 || b.DeadlineCap < 0 || b.MaxRetryAfter < 0 || b.HedgeAfter < 0 {
 				t.Fatalf("accepted %+v", b)
 			}
 		}
--- a/internal/operators/routes/table.go
+++ b/internal/operators/routes/table.go
@@ -12,7 +12,7 @@
 // Table is what a checked file says: the module's bounds, and which requests
 // they are for. The zero table has no routes.
 type Table struct {
-	bounds  []decide.Bounds
+	bounds  []decide.RoutePolicy
 	classes [][]matcher // by class; the most specific first
 	idle    *hold.Rules // nil: the file says nothing of idle connections
 }
@@ -25,7 +25,7 @@
 }
 
 // Bounds are the rows of the table, for decide.Balancer.Routes.
-func (t *Table) Bounds() []decide.Bounds { return t.bounds }
+func (t *Table) Bounds() []decide.RoutePolicy { return t.bounds }
 
 // Idle says how long connections may wait for their next request; nil: the file says
 // nothing of that.
--- a/internal/operators/settings/settings.go
+++ b/internal/operators/settings/settings.go
@@ -90,10 +90,10 @@
 }
 
 var (
-	effects = map[string]decide.Effect{"repeatable": decide.Repeatable, "by_key": decide.Keyed, "once": decide.Once}
-	weights = map[string]decide.Weights{
-		"none": decide.WeightsNone, "nominal": decide.WeightsNominal, "rough": decide.WeightsRough,
-		"live": decide.WeightsLive,
+	effects = map[string]decide.Idempotency{"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.AtMostOnce}
+	weights = map[string]decide.WeightSource{
+		"none": decide.WeightNone, "nominal": decide.WeightNominal, "rough": decide.WeightApproximate,
+		"live": decide.WeightLive,
 	}
 	// mustAsk tells of each way of lists whether they come only when asked for.
 	mustAsk = map[string]bool{"subscribe": true, "automatic": false, "": false}
@@ -112,49 +112,49 @@
 // Translate turns the settings into the module's.
 func (s *Object) Translate() (decide.Settings, error) {
 	set := decide.Settings{
-		Node:           s.Me,
-		Nodes:          s.Instances,
-		Tier:           s.Tier,
-		Tiers:          len(s.Tiers),
-		Zones:          len(s.Areas),
-		ByWork:         s.CountedBy == "work",
-		DrainGrace:     s.Obligations.DrainGrace,
-		Tick:           s.Period,
-		PassesDeadline: s.Family.PassesDeadline,
-		MaxHeld:        s.Limits.MostHeld,
-		ConnIdle:       s.Limits.ConnIdle,
-		ConnectTimeout: s.Limits.ConnectTimeout,
-		Streams:        s.Limits.StreamsPerConn,
-		Zone:           s.Zone,
-		OverShareWorth: s.OverShareWorth,
-		AskWithin:      s.Obligations.AskWithin,
-		ColdFrom:       s.Obligations.ColdFrom,
-		ColdFor:        s.Obligations.ColdFor,
-		FallMultiple:   s.Obligations.FallMultiple,
-		FallFor:        s.Obligations.FallFor,
-		AnswerGrace:    s.Obligations.AnswerGrace,
-		MarksRepeats:   s.Callers.MarksRetry,
-		Prices: decide.Prices{
-			CrossZone: s.Deductions.CrossZone,
-			Handshake: s.Deductions.Handshake,
-			Probe:     s.Deductions.Probe,
-			Waste:     s.Deductions.Waste,
-			LateFail:  s.Deductions.LateFail,
+		Node:               s.Me,
+		Nodes:              s.Instances,
+		Tier:               s.Tier,
+		Tiers:              len(s.Tiers),
+		Zones:              len(s.Areas),
+		ByWork:             s.CountedBy == "work",
+		DrainGrace:         s.Obligations.DrainGrace,
+		MinEventInterval:   s.Period,
+		PropagatesDeadline: s.Family.PassesDeadline,
+		MaxOpenRequests:    s.Limits.MostHeld,
+		ConnIdleTimeout:    s.Limits.ConnIdle,
+		ConnectTimeout:     s.Limits.ConnectTimeout,
+		StreamsPerConn:     s.Limits.StreamsPerConn,
+		Zone:               s.Zone,
+		OverShareWorth:     s.OverShareWorth,
+		ResubscribeWithin:  s.Obligations.AskWithin,
+		ColdCapacity:       s.Obligations.ColdFrom,
+		WarmupTime:         s.Obligations.ColdFor,
+		CollapseMultiple:   s.Obligations.FallMultiple,
+		CollapseWindow:     s.Obligations.FallFor,
+		AnswerGrace:        s.Obligations.AnswerGrace,
+		MarksRetries:       s.Callers.MarksRetry,
+		Penalties: decide.Penalties{
+			CrossZone:   s.Deductions.CrossZone,
+			Handshake:   s.Deductions.Handshake,
+			Probe:       s.Deductions.Probe,
+			Waste:       s.Deductions.Waste,
+			LateFailure: s.Deductions.LateFail,
 		},
-		Goal: decide.Goal{
-			Whole:       s.Objective.Whole,
+		Objective: decide.Objective{
+			Overall:     s.Objective.Whole,
 			WorstWindow: s.Objective.WorstWindow,
 			WorstClass:  s.Objective.WorstClass,
 			WorstTenant: s.Objective.WorstTenant,
 			Nines:       s.Objective.LogLossPart,
-			NinesFull:   s.Objective.TopNines,
+			FullNines:   s.Objective.TopNines,
 		},
-		MaxTries:        s.Limits.MostTries,
-		MaxRetryAfter:   s.Limits.MaxRetryAfter,
-		MayCancel:       s.Limits.Cancel,
-		MayProbe:        s.Limits.MayProbe,
-		MaySecondCopy:   s.Limits.SecondCopies,
-		MayAdviseReturn: s.Limits.RetryAfter,
+		MaxAttempts:    s.Limits.MostTries,
+		MaxRetryAfter:  s.Limits.MaxRetryAfter,
+		MayCancel:      s.Limits.Cancel,
+		MayProbe:       s.Limits.MayProbe,
+		MayHedge:       s.Limits.SecondCopies,
+		MayAdviseRetry: s.Limits.RetryAfter,
 	}
 	if len(s.Categories) == 0 {
 		return set, errors.New("settings name no class")
@@ -163,13 +163,13 @@
 	if err != nil {
 		return set, err
 	}
-	set.MustAsk = asks
+	set.MustSubscribe = asks
 	if s.WeightSource != "" {
 		kind, err := Named(weights, "weight source", s.WeightSource)
 		if err != nil {
 			return set, err
 		}
-		set.Weights = kind
+		set.WeightSource = kind
 	}
 	for _, c := range s.Categories {
 		effect, err := Named(effects, "semantics", c.Semantics)
@@ -183,8 +183,8 @@
 			}
 		}
 		set.Classes = append(set.Classes, decide.Class{
-			Aim: c.Aim, AimStretch: c.AimStretch, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth,
-			Effect: effect, Group: group, KeyTTL: c.KeyTTL,
+			LatencyTarget: c.Aim, TargetPerWork: c.AimStretch, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth,
+			Idempotency: effect, Group: group, KeyTTL: c.KeyTTL,
 		})
 	}
 	for _, t := range s.Tenants {
--- a/internal/operators/settings/settings_test.go
+++ b/internal/operators/settings/settings_test.go
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	c := set.Classes[0]
-	if c.Effect != decide.Keyed || c.Group != decide.GroupCell || c.KeyTTL != 10*time.Second ||
-		c.Deadline != 900*time.Millisecond || set.Weights != decide.WeightsLive || set.MaxTries != 4 {
+	if c.Idempotency != decide.Keyed || c.Group != decide.GroupCell || c.KeyTTL != 10*time.Second ||
+		c.Deadline != 900*time.Millisecond || set.WeightSource != decide.WeightLive || set.MaxAttempts != 4 {
 		t.Errorf("got %+v", set)
 	}
 	for _, word := range []string{"by_key", "cell", "live"} {
--- a/internal/rig/lab/agree_test.go
+++ b/internal/rig/lab/agree_test.go
@@ -22,10 +22,10 @@
 	for i := range p.Boxes {
 		c.Kinds = append(c.Kinds, virtual.Kind{Count: 1, Cores: p.Cores, Speed: p.Speeds[i%len(p.Speeds)], Slots: p.Slots, Queue: p.Queue})
 	}
-	effects := map[judge.Effect]decide.Effect{judge.Safe: decide.Repeatable, judge.Keyed: decide.Keyed, judge.Unsafe: decide.Once}
+	effects := map[judge.Effect]decide.Idempotency{judge.Safe: decide.Idempotent, judge.Keyed: decide.Keyed, judge.Unsafe: decide.AtMostOnce}
 	for _, x := range p.Classes {
 		c.Classes = append(c.Classes, virtual.Class{
-			Class: decide.Class{Aim: x.Aim, Deadline: x.Deadline, Worth: x.Worth, Effect: effects[x.Effect], Group: decide.GroupCell, KeyTTL: x.Window},
+			Class: decide.Class{LatencyTarget: x.Aim, Deadline: x.Deadline, Worth: x.Worth, Idempotency: effects[x.Effect], Group: decide.GroupCell, KeyTTL: x.Window},
 			Share: x.Share, Work: x.Work, Spread: x.Spread,
 		})
 	}
--- a/internal/rig/scale/path.go
+++ b/internal/rig/scale/path.go
@@ -11,7 +11,7 @@
 // PathHeader returns the length of the budget header of a call that has come through so many nodes, whose names have so many
 // bytes, and an error if the next node would not take it.
 func PathHeader(hops, nameBytes int) (length int, err error) {
-	b := budget.Budget{Left: 5 * time.Second, Extra: 3, Worth: 12, Class: "notruf-abfrage", ID: "9b1f03aa5c7e2d41"}
+	b := budget.Budget{TimeLeft: 5 * time.Second, ExtraAttempts: 3, Worth: 12, Class: "notruf-abfrage", AttemptID: "9b1f03aa5c7e2d41"}
 	for i := range hops {
 		name := fmt.Sprintf("n%d", i)
 		b.Path = append(b.Path, name+strings.Repeat("x", max(0, nameBytes-len(name))))
--- a/internal/rig/scale/servers.go
+++ b/internal/rig/scale/servers.go
@@ -36,13 +36,13 @@
 	view := endpoints.New(endpoints.Settings{})
 	update := view.Apply(0, list)
 	balancer := decide.New(decide.Settings{
-		Node: 7, Nodes: max(8, len(list.Entries)/4), Zone: "z0", Zones: 17, MaxTries: 4,
-		AnswerGrace: 10 * time.Millisecond, DrainGrace: 500 * time.Millisecond, MustAsk: true, AskWithin: 10 * time.Second,
-		ColdFrom: 0.3, ColdFor: 8 * time.Second, FallMultiple: 2.5, FallFor: time.Second,
-		Classes: []decide.Class{{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Node: 7, Nodes: max(8, len(list.Entries)/4), Zone: "z0", Zones: 17, MaxAttempts: 4,
+		AnswerGrace: 10 * time.Millisecond, DrainGrace: 500 * time.Millisecond, MustSubscribe: true, ResubscribeWithin: 10 * time.Second,
+		ColdCapacity: 0.3, WarmupTime: 8 * time.Second, CollapseMultiple: 2.5, CollapseWindow: time.Second,
+		Classes: []decide.Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	changes := endpoints.List{Entries: update.Changes}
-	balancer.Members(time.Second, decide.Members{Change: decide.ListFull, Servers: changes.Servers()}, nil)
+	balancer.HandleList(time.Second, decide.ListUpdate{Kind: decide.ListFull, Servers: changes.Servers()}, nil)
 	return view, balancer
 }
 
@@ -86,7 +86,7 @@
 		now := time.Second + time.Duration(i)*time.Millisecond
 		update := view.Apply(now, &endpoints.List{Generation: generation, Entries: []endpoints.Entry{entry}})
 		changed := endpoints.List{Entries: update.Changes}
-		balancer.Members(now, decide.Members{Change: decide.ListDiff, Servers: changed.Servers()}, nil)
+		balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListDiff, Servers: changed.Servers()}, nil)
 	}
 	return time.Since(begun) / changes
 }
@@ -98,11 +98,11 @@
 	begun := time.Now()
 	for i := range requests {
 		now := 2*time.Second + time.Duration(i)*time.Millisecond
-		actions = balancer.Request(now, decide.Request{ID: uint64(i + 1), Tenant: -1, TTL: 2 * time.Second}, actions[:0])
+		actions = balancer.HandleRequest(now, decide.Request{ID: uint64(i + 1), Tenant: -1, TTL: 2 * time.Second}, actions[:0])
 		for _, action := range actions {
 			if action.Kind == decide.Send {
 				outcome := decide.Outcome{Request: action.Request, Server: action.Server, Elapsed: 4 * time.Millisecond, Final: true}
-				balancer.Outcome(now+4*time.Millisecond, outcome, nil)
+				balancer.HandleOutcome(now+4*time.Millisecond, outcome, nil)
 				break
 			}
 		}
--- a/internal/rig/standin/box.go
+++ b/internal/rig/standin/box.go
@@ -369,7 +369,7 @@
 		good, spent = b.call(ctx, class, r, j)
 	}
 	if spent != "" { // as an application does that hands on what its last call said
-		w.Header().Set(budget.SpentHeader, spent)
+		w.Header().Set(budget.SpentHeaderName, spent)
 	}
 	if !good {
 		v.ended(judge.Erred)
@@ -433,7 +433,7 @@
 		index, _ := b.plan.class(class.Name)
 		a := b.below.Do(ctx, Ask{
 			ID: id, Class: index, Path: r.URL.EscapedPath(), Key: key, Wait: left, Body: j.body,
-			Budget: r.Header.Get(budget.Header),
+			Budget: r.Header.Get(budget.HeaderName),
 		})
 		spent = a.Spent
 		if a.Ending != judge.Served {
--- a/internal/rig/standin/client.go
+++ b/internal/rig/standin/client.go
@@ -126,7 +126,7 @@
 		fmt.Fprintf(&b, "X-Org: %s\r\n", a.Tenant)
 	}
 	if a.Budget != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", budget.Header, a.Budget)
+		fmt.Fprintf(&b, "%s: %s\r\n", budget.HeaderName, a.Budget)
 	}
 	if a.Resent {
 		b.WriteString("X-Resent: 1\r\n")
@@ -224,7 +224,7 @@
 	if err != nil {
 		return Answer{}, "", fmt.Errorf("reading the body: %w", err)
 	}
-	answer := Answer{Status: resp.StatusCode, Spent: resp.Header.Get(budget.SpentHeader)}
+	answer := Answer{Status: resp.StatusCode, Spent: resp.Header.Get(budget.SpentHeaderName)}
 	maker := ""
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/rig/virtual/boxes.go
+++ b/internal/rig/virtual/boxes.go
@@ -13,7 +13,7 @@
 func (r *run) come(t *task, way time.Duration, life int) {
 	b := t.box
 	if b.down {
-		r.after(way, func() { r.outcome(t, life, decide.Unconnected) })
+		r.after(way, func() { r.outcome(t, life, decide.ConnectFailed) })
 		return
 	}
 	b.sent++
@@ -29,12 +29,12 @@
 		return
 	case b.turns || b.held >= b.room || t.left:
 		r.end(t, judge.TurnedAway)
-		r.after(way, func() { r.outcome(t, life, decide.Full) })
+		r.after(way, func() { r.outcome(t, life, decide.Rejected) })
 		return
 	}
 	if r.tooMuch(b, r.c.Classes[t.call.class].Work) {
 		r.down(b)
-		r.after(way, func() { r.outcome(t, life, decide.Broken) })
+		r.after(way, func() { r.outcome(t, life, decide.ConnectionLost) })
 		return
 	}
 	r.mean(b)
@@ -87,7 +87,7 @@
 // first tells whether a box's rack has not seen a keyed request within its window.
 func (r *run) first(t *task) bool {
 	class := &r.c.Classes[t.call.class]
-	if class.Effect != decide.Keyed {
+	if class.Idempotency != decide.Keyed {
 		return true
 	}
 	key := fmt.Sprintf("%d/%d/%s", t.box.tier, r.cell(t.box), t.call.key)
@@ -146,7 +146,7 @@
 	case r.cutOff(t.node, b) || r.mute > 0 && r.rng.Float64() < r.mute:
 		return // the node waits until the attempt's time is up
 	case r.resets > 0 && r.rng.Float64() < r.resets:
-		result = decide.Broken
+		result = decide.ConnectionLost
 	}
 	r.after(way, func() { r.outcome(t, life, result) })
 }
@@ -196,17 +196,17 @@
 	r.result.ToCold++
 	b.fall = append(b.fall, arrival{r.now, work})
 	sum := time.Duration(0)
-	for i := len(b.fall) - 1; i >= 0 && r.now-b.fall[i].at < r.set.FallFor; i-- {
+	for i := len(b.fall) - 1; i >= 0 && r.now-b.fall[i].at < r.set.CollapseWindow; i-- {
 		sum += b.fall[i].work
 	}
-	can := float64(r.set.FallFor) * float64(b.cores) * b.speed * r.warmth(b)
-	calls := r.set.FallMultiple * can / float64(r.c.meanWork())
+	can := float64(r.set.CollapseWindow) * float64(b.cores) * b.speed * r.warmth(b)
+	calls := r.set.CollapseMultiple * can / float64(r.c.meanWork())
 	r.result.ColdWindow = max(r.result.ColdWindow, float64(sum)/float64(r.c.meanWork())/(calls+2*math.Sqrt(calls)+2))
-	r.result.Crowded = max(r.result.Crowded, float64(sum)/(1.1*r.set.FallMultiple*can+float64(2*work)))
-	if float64(sum) > 1.1*r.set.FallMultiple*can+float64(2*work) {
+	r.result.Crowded = max(r.result.Crowded, float64(sum)/(1.1*r.set.CollapseMultiple*can+float64(2*work)))
+	if float64(sum) > 1.1*r.set.CollapseMultiple*can+float64(2*work) {
 		b.fallen = true
 		r.result.Fallen++
-		r.judge.Fell(r.now, b.id, fmt.Sprintf("%v of work in %v", sum, r.set.FallFor))
+		r.judge.Fell(r.now, b.id, fmt.Sprintf("%v of work in %v", sum, r.set.CollapseWindow))
 		return true
 	}
 	return false
@@ -244,7 +244,7 @@
 	r.end(t, judge.Cut)
 	t.arrived = min(t.arrived, -2)
 	life := t.node.life
-	r.after(r.c.Hop, func() { r.outcome(t, life, decide.Broken) })
+	r.after(r.c.Hop, func() { r.outcome(t, life, decide.ConnectionLost) })
 }
 
 // up starts a box's process again, cold.
--- a/internal/rig/virtual/callers.go
+++ b/internal/rig/virtual/callers.go
@@ -52,7 +52,7 @@
 		r.open--
 		took := r.now - begun
 		switch {
-		case e == judge.Served && took <= k.Aim:
+		case e == judge.Served && took <= k.LatencyTarget:
 			site[0] += k.Worth
 			count.Served++
 			count.sum += took
@@ -112,7 +112,7 @@
 	}
 	power := b.speed * r.warmth(b) / b.slow(r)
 	took := float64(b.backlog)/float64(b.cores)/power + float64(work)/power
-	return r.now-begun+time.Duration(took) <= r.c.Classes[class].Aim
+	return r.now-begun+time.Duration(took) <= r.c.Classes[class].LatencyTarget
 }
 
 // ask gives a request to a node.
@@ -125,15 +125,15 @@
 	}
 	n.calls[c.id] = c
 	const margin = 10 * time.Millisecond
-	r.carry(n, n.b.Request(r.start(r.now), decide.Request{
-		ID: c.id, Class: class, Tenant: -1, TTL: max(0, ttl-margin), Repeat: again,
+	r.carry(n, n.b.HandleRequest(r.start(r.now), decide.Request{
+		ID: c.id, Class: class, Tenant: -1, TTL: max(0, ttl-margin), IsRetry: again,
 	}, n.buf[:0]))
 	if !c.answered {
 		life := n.life
 		r.after(max(0, ttl-margin/2), func() {
 			if !c.answered && n.life == life { // as a real node does in the module's place
 				r.answer(n, c, judge.Failed, 0, "")
-				r.carry(n, n.b.Gone(r.start(r.now), decide.Gone{Request: c.id}, n.buf[:0]))
+				r.carry(n, n.b.HandleDisconnect(r.start(r.now), decide.Disconnect{Request: c.id}, n.buf[:0]))
 			}
 		})
 	}
