--- a/internal/rig/virtual/config.go
+++ b/internal/rig/virtual/config.go
@@ -82,7 +82,7 @@
 	ColdFor   time.Duration
 	Hop       time.Duration // one way within a site
 	Cross     time.Duration // one way between sites
-	Room      decide.RoomRule
+	Room      decide.LimitMode
 	Copies    bool
 	JudgeOne  int // one request in so many is judged; 0: all
 	Past      *Past
@@ -96,8 +96,8 @@
 	c := Config{
 		Seed: 1, Nodes: 4, Sites: 2, Kinds: []Kind{{Count: 12, Cores: 2, Speed: 1}},
 		Classes: []Class{
-			{Class: decide.Class{Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 12}, Share: 0.16, Work: 100 * time.Millisecond, Spread: 0.8},
-			{Class: decide.Class{Aim: time.Second, Deadline: 2500 * time.Millisecond, Worth: 1}, Share: 0.84, Work: 100 * time.Millisecond, Spread: 0.8},
+			{Class: decide.Class{LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second, Worth: 12}, Share: 0.16, Work: 100 * time.Millisecond, Spread: 0.8},
+			{Class: decide.Class{LatencyTarget: time.Second, Deadline: 2500 * time.Millisecond, Worth: 1}, Share: 0.84, Work: 100 * time.Millisecond, Spread: 0.8},
 		},
 		Length: 20 * time.Second, Retries: 1, Backoff: 200 * time.Millisecond, ListDelay: 2 * time.Second,
 		ColdFrom: 0.4, ColdFor: 5 * time.Second, Hop: 200 * time.Microsecond, Cross: 5 * time.Millisecond,
--- a/internal/rig/virtual/hard_test.go
+++ b/internal/rig/virtual/hard_test.go
@@ -13,7 +13,7 @@
 type spread struct{ mean, least, most float64 }
 
 // over plays a configuration with so many seeds under a rule.
-func over(c Config, rule decide.RoomRule, seeds int, figure func(*Result) float64) (s spread, breaches []string) {
+func over(c Config, rule decide.LimitMode, seeds int, figure func(*Result) float64) (s spread, breaches []string) {
 	all := make([]*Result, seeds)
 	var wg sync.WaitGroup
 	for i := range seeds {
@@ -106,9 +106,9 @@
 		c := Default()
 		x.set(&c)
 		service := func(r *Result) float64 { return r.Service }
-		learned, breaches := over(c, decide.RoomLearned, seeds, service)
-		presumed, _ := over(c, decide.RoomPresumed, seeds, service)
-		alone, _ := over(c, decide.RoomNone, seeds, service)
+		learned, breaches := over(c, decide.LimitLearned, seeds, service)
+		presumed, _ := over(c, decide.LimitFixed, seeds, service)
+		alone, _ := over(c, decide.LimitNone, seeds, service)
 		t.Logf("| %s | %.3f (%.3f to %.3f) | %.3f | %.3f |", x.name, learned.mean, learned.least, learned.most, presumed.mean, alone.mean)
 		if learned.mean < x.least || learned.mean < presumed.mean-0.03 {
 			t.Errorf("%s: learned %.3f, presumed %.3f, at least %.3f is wanted", x.name, learned.mean, presumed.mean, x.least)
@@ -134,10 +134,10 @@
 		c.Rate = c.Capacity() * x.load
 		others := func(r *Result) float64 { return (r.Sites[0] + r.Sites[2] + r.Sites[3]) / 3 }
 		hurt := func(r *Result) float64 { return r.Sites[1] }
-		before, _ := over(c, decide.RoomLearned, seeds, others)
+		before, _ := over(c, decide.LimitLearned, seeds, others)
 		c.Steps = []Step{{At: 4 * time.Second, Boxes: func(i, site int) bool { return site == 1 && i%20 != 1 }, Down: true}}
-		after, breaches := over(c, decide.RoomLearned, seeds, others)
-		own, _ := over(c, decide.RoomLearned, seeds, hurt)
+		after, breaches := over(c, decide.LimitLearned, seeds, others)
+		own, _ := over(c, decide.LimitLearned, seeds, hurt)
 		t.Logf("| %.1f | %.3f | %.3f (%.3f to %.3f) | %.3f (%.3f to %.3f) |", x.load, before.mean, after.mean, after.least, after.most,
 			own.mean, own.least, own.most)
 		if after.mean < x.least {
--- a/internal/rig/virtual/mass_test.go
+++ b/internal/rig/virtual/mass_test.go
@@ -14,9 +14,9 @@
 	c.Nodes, c.Sites = 300, 4
 	c.Kinds = []Kind{{Count: 44, Cores: 2, Speed: 1.6}, {Count: 50, Cores: 2, Speed: 0.97}, {Count: 26, Cores: 2, Speed: 0.6}}
 	c.Classes = []Class{
-		{Class: decide.Class{Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 12}, Share: 0.16, Work: 245 * time.Millisecond, Spread: 0.8},
-		{Class: decide.Class{Aim: time.Second, Deadline: 2500 * time.Millisecond, Worth: 1}, Share: 0.52, Work: 140 * time.Millisecond, Spread: 0.8},
-		{Class: decide.Class{Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, Effect: decide.Keyed, Group: decide.GroupCell, KeyTTL: 10 * time.Second},
+		{Class: decide.Class{LatencyTarget: 2 * time.Second, Deadline: 5 * time.Second, Worth: 12}, Share: 0.16, Work: 245 * time.Millisecond, Spread: 0.8},
+		{Class: decide.Class{LatencyTarget: time.Second, Deadline: 2500 * time.Millisecond, Worth: 1}, Share: 0.52, Work: 140 * time.Millisecond, Spread: 0.8},
+		{Class: decide.Class{LatencyTarget: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1, Idempotency: decide.Keyed, Group: decide.GroupCell, KeyTTL: 10 * time.Second},
 			Share: 0.32, Work: 300 * time.Millisecond, Spread: 0.8},
 	}
 	c.ColdFrom, c.ColdFor, c.DrainFor, c.ListDelay = 0.3, 8400*time.Millisecond, 3*time.Second, 2*time.Second
--- a/internal/rig/virtual/nodes.go
+++ b/internal/rig/virtual/nodes.go
@@ -26,11 +26,11 @@
 			if c := n.calls[a.Request]; c != nil {
 				r.answer(n, c, judge.Failed, 0, "")
 			}
-		case decide.After:
+		case decide.StartTimer:
 			token := a.Token
 			r.after(a.Wait, func() {
 				if n.life == life && !n.dead {
-					r.carry(n, n.b.Timer(r.start(r.now), decide.Timer{Token: token}, n.buf[:0]))
+					r.carry(n, n.b.HandleTimer(r.start(r.now), decide.Timer{Token: token}, n.buf[:0]))
 				}
 			})
 		}
@@ -60,11 +60,11 @@
 	}
 	cut := r.cutOff(n, b)
 	if b.down && !cut {
-		r.after(2*way, func() { r.outcome(t, life, decide.Unconnected) })
+		r.after(2*way, func() { r.outcome(t, life, decide.ConnectFailed) })
 		return
 	}
 	if _, has := n.used[b]; cut && !has { // no connection can be made
-		r.after(min(a.Wait, connectWithin), func() { r.outcome(t, life, decide.Unconnected) })
+		r.after(min(a.Wait, connectWithin), func() { r.outcome(t, life, decide.ConnectFailed) })
 		return
 	}
 	r.after(a.Wait, func() { // the node stops waiting
@@ -95,14 +95,14 @@
 		return
 	}
 	t.over = true
-	if result == decide.Served || result == decide.Errored || result == decide.Full {
+	if result == decide.Served || result == decide.Errored || result == decide.Rejected {
 		n.idle[t.box]++
 	}
 	age := time.Duration(0)
 	if since, has := n.used[t.box]; has {
 		age = r.now - since
 	}
-	if result == decide.Unconnected {
+	if result == decide.ConnectFailed {
 		delete(n.used, t.box)
 	}
 	final := t.call.answered
@@ -110,8 +110,8 @@
 		r.answer(n, t.call, judge.Served, 0, t.box.id)
 		final = true
 	}
-	r.carry(n, n.b.Outcome(r.start(r.now), decide.Outcome{
-		Request: t.call.id, Attempt: t.number, Server: t.box.id, Result: result, Elapsed: r.now - t.sent, Age: age, Final: final,
+	r.carry(n, n.b.HandleOutcome(r.start(r.now), decide.Outcome{
+		Request: t.call.id, Attempt: t.number, Server: t.box.id, Result: result, Elapsed: r.now - t.sent, ConnAge: age, Final: final,
 	}, n.buf[:0]))
 	r.weigh(n, t.box.id, result)
 }
--- a/internal/rig/virtual/past.go
+++ b/internal/rig/virtual/past.go
@@ -68,9 +68,9 @@
 	}
 	switch p.Arm {
 	case Trusts:
-		r.listed(n, decide.Members{Change: decide.ListStored, Servers: all})
+		r.listed(n, decide.ListUpdate{Kind: decide.ListStored, Servers: all})
 	case Waits:
-		r.listed(n, decide.Members{Change: decide.ListStored})
+		r.listed(n, decide.ListUpdate{Kind: decide.ListStored})
 	default:
 		work, share := 0.0, 0.0
 		for _, c := range r.c.Classes {
@@ -92,16 +92,16 @@
 				now = append(now, r.entry(b, decide.Healthy))
 			}
 		}
-		r.listed(n, decide.Members{Change: decide.ListFull, Servers: now})
+		r.listed(n, decide.ListUpdate{Kind: decide.ListFull, Servers: now})
 	})
 }
 
-func (r *run) listed(n *node, m decide.Members) {
-	r.carry(n, n.b.Members(r.start(r.now), m, n.buf[:0]))
+func (r *run) listed(n *node, m decide.ListUpdate) {
+	r.carry(n, n.b.HandleList(r.start(r.now), m, n.buf[:0]))
 }
 
 // offer tells a module which servers it may try, as a node's loop does.
-func (r *run) offer(n *node, offers []doubt.Offer, change decide.Change) {
+func (r *run) offer(n *node, offers []doubt.Offer, change decide.ListKind) {
 	var servers []decide.Server
 	for _, o := range offers {
 		e := n.past[o.ID]
@@ -112,13 +112,13 @@
 				e.Started = r.start(r.now)
 				n.past[o.ID] = e
 			}
-			e.Untried = o.Is == doubt.Trying
+			e.Unverified = o.Is == doubt.Trying
 		}
 		servers = append(servers, e)
 	}
-	m := decide.Members{Change: change, Servers: servers, Rate: n.rate, There: n.doubts.There()}
+	m := decide.ListUpdate{Kind: change, Servers: servers, PriorRate: n.rate, FleetSize: n.doubts.There()}
 	if n.doubts.Young() {
-		m.Rate, m.There = 0, 0
+		m.PriorRate, m.FleetSize = 0, 0
 	}
 	r.listed(n, m)
 	r.tryAgain(n)
@@ -138,7 +138,7 @@
 		}
 		n.againAt = 0
 		if offers := n.doubts.Due(r.now); len(offers) > 0 {
-			r.offer(n, offers, decide.ListKept)
+			r.offer(n, offers, decide.ListRestored)
 			return
 		}
 		r.tryAgain(n)
@@ -151,7 +151,7 @@
 		return
 	}
 	if offers := n.doubts.Outcome(r.now, id, result); len(offers) > 0 {
-		r.offer(n, offers, decide.ListKept)
+		r.offer(n, offers, decide.ListRestored)
 	} else {
 		r.tryAgain(n)
 	}
@@ -163,10 +163,10 @@
 	r.result.Misses++
 	switch t.box.stale {
 	case nobody:
-		r.after(2*way, func() { r.outcome(t, life, decide.Unconnected) })
+		r.after(2*way, func() { r.outcome(t, life, decide.ConnectFailed) })
 	case stranger:
 		r.result.Strangers++
-		if r.c.Classes[t.call.class].Effect == decide.Once {
+		if r.c.Classes[t.call.class].Idempotency == decide.AtMostOnce {
 			r.result.Unsafe++
 		}
 		r.after(2*way, func() { r.outcome(t, life, decide.Errored) })
--- a/internal/rig/virtual/past_test.go
+++ b/internal/rig/virtual/past_test.go
@@ -18,7 +18,7 @@
 	c.Rate = load * c.Capacity()
 	c.Length = 40 * time.Second
 	c.Past = &Past{Arm: arm, Age: 7 * 24 * time.Hour, Stale: 36, Out: 30 * time.Second, Cold: true}
-	c.Classes[0].Effect = decide.Once // an unsafe request to a stranger is what must not happen
+	c.Classes[0].Idempotency = decide.AtMostOnce // an unsafe request to a stranger is what must not happen
 	return c
 }
 
--- a/internal/rig/virtual/pool.go
+++ b/internal/rig/virtual/pool.go
@@ -25,7 +25,7 @@
 	member uint64 // of its life
 	holder *allowance.Holder
 	dealer *allowance.Dealer
-	colds  []decide.Cold
+	colds  []decide.ColdServer
 }
 
 // enroll begins a life's part in the pool.
@@ -34,7 +34,7 @@
 		return
 	}
 	now := r.start(r.now)
-	set := allowance.Settings{Window: r.set.FallFor}
+	set := allowance.Settings{Window: r.set.CollapseWindow}
 	born := now
 	if r.now == 0 { // none has had a life before
 		born = now - time.Minute
@@ -82,13 +82,13 @@
 // poolStep is one tick of a node's holder.
 func (r *run) poolStep(n *node) {
 	now := r.start(r.now)
-	n.pool.colds = n.b.Colds(now, n.pool.colds[:0])
+	n.pool.colds = n.b.ColdServers(now, n.pool.colds[:0])
 	if len(n.pool.colds) == 0 && n.pool.holder.Lent(now) == 0 {
 		return
 	}
 	outs, deals := n.pool.holder.Tick(now, r.roll, n.pool.colds)
 	if len(deals) > 0 {
-		r.carry(n, n.b.Deal(now, deals, n.buf[:0]))
+		r.carry(n, n.b.HandleGrants(now, deals, n.buf[:0]))
 	}
 	for _, o := range outs {
 		claim := o.Claim
@@ -105,7 +105,7 @@
 					for _, x := range deals {
 						r.result.Dealt += x.Sends
 					}
-					r.carry(n, n.b.Deal(now, deals, n.buf[:0]))
+					r.carry(n, n.b.HandleGrants(now, deals, n.buf[:0]))
 				}
 			})
 		})
--- a/internal/rig/virtual/registry_asker_test.go
+++ b/internal/rig/virtual/registry_asker_test.go
@@ -39,8 +39,8 @@
 func newAsker(now, wall time.Duration, place endpoints.Place, askWithin time.Duration, draw float64) *asker {
 	settings := decide.Settings{
 		Node: place.Node, Nodes: place.Nodes, Tier: place.Tier, Tiers: place.Tier + 1,
-		MustAsk: true, AskWithin: askWithin,
-		Classes: []decide.Class{{Aim: time.Second, Deadline: time.Second, Worth: 1}},
+		MustSubscribe: true, ResubscribeWithin: askWithin,
+		Classes: []decide.Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}},
 	}
 	pace := endpoints.NewPace(place)
 	asking := endpoints.NewAsking(place.Nodes, time.Second)
@@ -63,7 +63,7 @@
 // pauseIn finds the pause among actions. The module asks for one whenever it has no watch.
 func pauseIn(actions []decide.Action) pause {
 	for _, action := range actions {
-		if action.Kind == decide.After {
+		if action.Kind == decide.StartTimer {
 			return pause{action.Wait, action.Token}
 		}
 	}
@@ -72,7 +72,7 @@
 
 // started takes the list of the node's last life, and returns the pause before the first call.
 func (a *asker) started(now time.Duration) pause {
-	return pauseIn(a.balancer.Members(now, decide.Members{Change: decide.ListStored}, nil))
+	return pauseIn(a.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListStored}, nil))
 }
 
 // answered takes an answer, which may hold the whole list, and returns the pause before the next call.
@@ -82,14 +82,14 @@
 	if whole {
 		change = decide.ListFull
 	}
-	a.balancer.Members(now, decide.Members{Change: change}, nil)
+	a.balancer.HandleList(now, decide.ListUpdate{Kind: change}, nil)
 	return a.pace.Answered(a.wall+now, answer)
 }
 
 // failed takes a call that ended without an answer, and returns the pause before the next.
 func (a *asker) failed(now, took time.Duration, servers int, how failure) pause {
 	a.lost = how == noConnection
-	p := pauseIn(a.balancer.Members(now, decide.Members{Change: decide.ListFailed}, nil))
+	p := pauseIn(a.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListFailed}, nil))
 	switch how {
 	case refusedByStatus:
 		p.wait = max(p.wait, a.pace.Overloaded(a.wall+now, endpoints.Overload{Took: took, Heard: a.heard, Servers: servers}))
@@ -104,8 +104,8 @@
 
 // resume takes the end of a pause, and tells whether the node asks now.
 func (a *asker) resume(now time.Duration, token uint64) bool {
-	for _, action := range a.balancer.Timer(now, decide.Timer{Token: token}, nil) {
-		if action.Kind == decide.Watch {
+	for _, action := range a.balancer.HandleTimer(now, decide.Timer{Token: token}, nil) {
+		if action.Kind == decide.WatchList {
 			return true
 		}
 	}
--- a/internal/rig/virtual/run.go
+++ b/internal/rig/virtual/run.go
@@ -137,12 +137,12 @@
 	r.result.Classes = make([]ClassResult, len(c.Classes))
 	r.sites = make([][2]float64, max(1, c.Sites))
 	rules := judge.Rules{MostAttempts: 4, DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond, SecondCopies: c.Copies}
-	effects := map[decide.Effect]judge.Effect{decide.Repeatable: judge.Safe, decide.Keyed: judge.Keyed, decide.Once: judge.Unsafe}
+	effects := map[decide.Idempotency]judge.Effect{decide.Idempotent: judge.Safe, decide.Keyed: judge.Keyed, decide.AtMostOnce: judge.Unsafe}
 	groups := map[decide.Group]judge.Group{decide.GroupAll: judge.All, decide.GroupZone: judge.Site, decide.GroupCell: judge.Rack}
 	for i, x := range c.Classes {
 		r.set.Classes = append(r.set.Classes, x.Class)
 		rules.Classes = append(rules.Classes, judge.Class{
-			Name: strconv.Itoa(i), Effect: effects[x.Effect], Group: groups[x.Group], Window: x.KeyTTL,
+			Name: strconv.Itoa(i), Effect: effects[x.Idempotency], Group: groups[x.Group], Window: x.KeyTTL,
 		})
 	}
 	r.judge = judge.New(rules)
@@ -183,12 +183,12 @@
 		told = max(0, c.TellNodes)
 	}
 	r.set.Nodes, r.set.Tiers, r.set.Zones = told, tiers, c.Sites
-	r.set.MaxTries, r.set.MayCancel, r.set.MaySecondCopy = 4, true, c.Copies
-	r.set.MayAdviseReturn, r.set.MaxRetryAfter = c.Advice > 0, c.Advice
-	r.set.ColdFrom, r.set.ColdFor, r.set.FallMultiple, r.set.FallFor = c.ColdFrom, c.ColdFor, 2.5, time.Second
-	r.set.DrainGrace, r.set.AnswerGrace, r.set.ConnIdle = 500*time.Millisecond, 10*time.Millisecond, 10*time.Second
-	r.set.MarksRepeats, r.set.PassesDeadline, r.set.Room = true, true, c.Room
-	r.set.Prices.Handshake = c.Handshake
+	r.set.MaxAttempts, r.set.MayCancel, r.set.MayHedge = 4, true, c.Copies
+	r.set.MayAdviseRetry, r.set.MaxRetryAfter = c.Advice > 0, c.Advice
+	r.set.ColdCapacity, r.set.WarmupTime, r.set.CollapseMultiple, r.set.CollapseWindow = c.ColdFrom, c.ColdFor, 2.5, time.Second
+	r.set.DrainGrace, r.set.AnswerGrace, r.set.ConnIdleTimeout = 500*time.Millisecond, 10*time.Millisecond, 10*time.Second
+	r.set.MarksRetries, r.set.PropagatesDeadline, r.set.LimitMode = true, true, c.Room
+	r.set.Penalties.Handshake = c.Handshake
 }
 
 func (r *run) fleet() {
@@ -269,7 +269,7 @@
 			all = append(all, r.entry(b, decide.Healthy))
 		}
 	}
-	r.carry(n, n.b.Members(r.start(r.now), decide.Members{Change: decide.ListFull, Servers: all}, n.buf[:0]))
+	r.carry(n, n.b.HandleList(r.start(r.now), decide.ListUpdate{Kind: decide.ListFull, Servers: all}, n.buf[:0]))
 }
 
 // start makes times of the module: they count from one hour, so that a box's
@@ -309,7 +309,7 @@
 				state := map[decide.Health]judge.State{decide.Healthy: judge.Serving, decide.Draining: judge.Draining, decide.Removed: judge.Gone}[h]
 				r.judge.Told(r.now, n.name, b.id, state)
 			}
-			r.carry(n, n.b.Members(r.start(r.now), decide.Members{Change: decide.ListDiff, Servers: []decide.Server{e}}, n.buf[:0]))
+			r.carry(n, n.b.HandleList(r.start(r.now), decide.ListUpdate{Kind: decide.ListDiff, Servers: []decide.Server{e}}, n.buf[:0]))
 			if n.pool != nil && h == decide.Healthy { // before the next request
 				r.poolStep(n)
 			}
--- a/internal/rig/virtual/sidecar_test.go
+++ b/internal/rig/virtual/sidecar_test.go
@@ -21,8 +21,8 @@
 		c.Nodes, c.Steps, c.Length = nodes, steps, 20*time.Second
 		c.Kinds = []Kind{{Count: 24, Cores: 2, Speed: 1}}
 		c.Rate = c.Capacity() * load
-		s, breaches := over(c, decide.RoomLearned, seeds, service)
-		conns, _ := over(c, decide.RoomLearned, 1, func(r *Result) float64 { return r.Connections })
+		s, breaches := over(c, decide.LimitLearned, seeds, service)
+		conns, _ := over(c, decide.LimitLearned, 1, func(r *Result) float64 { return r.Connections })
 		return s, conns.mean, breaches
 	}
 	restart := []Step{
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -49,7 +49,7 @@
 	if m := r.Classes[1].Mean(); m < 100*ms || m > 150*ms {
 		t.Errorf("a mean of %v at half load, the work is 100 ms", m)
 	}
-	c.Rate, c.Room, c.Retries, c.Length = 2*c.Capacity(), decide.RoomNone, 0, 30*time.Second
+	c.Rate, c.Room, c.Retries, c.Length = 2*c.Capacity(), decide.LimitNone, 0, 30*time.Second
 	r = Run(c)
 	served := 0
 	for _, x := range r.Classes {
@@ -90,10 +90,10 @@
 			})
 		}
 		c.Classes = append(c.Classes, Class{
-			Class: decide.Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, Effect: decide.Keyed, Group: decide.GroupCell, KeyTTL: 2 * time.Second},
+			Class: decide.Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Worth: 1, Idempotency: decide.Keyed, Group: decide.GroupCell, KeyTTL: 2 * time.Second},
 			Share: 0.3, Work: 50 * ms, Spread: 0.5,
 		}, Class{
-			Class: decide.Class{Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: decide.Once}, Share: 0.1, Work: 20 * ms, Spread: 0.5,
+			Class: decide.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: decide.AtMostOnce}, Share: 0.1, Work: 20 * ms, Spread: 0.5,
 		})
 		if rapid.Bool().Draw(t, "second tier") {
 			c.Below, c.Calls = []Kind{{Count: rapid.IntRange(1, 8).Draw(t, "below"), Cores: 2, Speed: 1}}, 2
@@ -165,7 +165,7 @@
 }
 
 // play runs a cell under a rule and returns service, wrong refusals and lateness.
-func (x cell) play(rule decide.RoomRule, seed uint64) (service, wrong, late float64) {
+func (x cell) play(rule decide.LimitMode, seed uint64) (service, wrong, late float64) {
 	c := Default()
 	c.Seed, c.Room, c.Nodes = seed, rule, 4
 	c.Kinds = []Kind{{Count: max(4, 16/x.cores), Cores: x.cores, Speed: 1, Slots: 32 * x.cores, Queue: 64 * x.cores}}
@@ -185,7 +185,7 @@
 // presumed one, at any load; where that refused needlessly it must be better.
 func TestLearnedRoomAgainstTheOldRule(t *testing.T) {
 	cores, services, loads, seeds := []int{2, 8, 64}, []time.Duration{ms, 20 * ms, 200 * ms}, []float64{0.3, 0.9, 2}, 2
-	rules := []decide.RoomRule{decide.RoomLearned, decide.RoomPresumed, decide.RoomNone}
+	rules := []decide.LimitMode{decide.LimitLearned, decide.LimitFixed, decide.LimitNone}
 	names := "learned | presumed | r alone"
 	if long() {
 		cores, loads, seeds = []int{1, 2, 8, 64}, []float64{0.3, 0.6, 0.9, 1.2, 2, 3}, 10
@@ -200,7 +200,7 @@
 				}
 				x := cell{n, s, load}
 				fmt.Fprintf(&table, "| %d | %v | %.1f |", n, s, load)
-				means := map[decide.RoomRule]float64{}
+				means := map[decide.LimitMode]float64{}
 				for _, rule := range rules {
 					mean, least, most, wrong, late := 0.0, 2.0, 0.0, 0.0, 0.0
 					var plays [10][3]float64
@@ -218,8 +218,8 @@
 					fmt.Fprintf(&table, " %.3f (%.3f to %.3f) %.1f%% %.1f%% |", mean, least, most, 100*wrong, 100*late)
 				}
 				table.WriteByte('\n')
-				if means[decide.RoomLearned] < means[decide.RoomPresumed]-0.03 {
-					t.Errorf("%+v: learned %.3f, presumed %.3f", x, means[decide.RoomLearned], means[decide.RoomPresumed])
+				if means[decide.LimitLearned] < means[decide.LimitFixed]-0.03 {
+					t.Errorf("%+v: learned %.3f, presumed %.3f", x, means[decide.LimitLearned], means[decide.LimitFixed])
 				}
 			}
 		}
@@ -262,7 +262,7 @@
 // A node whose peers are gone must come to use what they could: the boxes are as
 // idle as before, and more calls do not lengthen answers.
 func TestNodeLeftAlone(t *testing.T) {
-	play := func(rule decide.RoomRule) *Result {
+	play := func(rule decide.LimitMode) *Result {
 		c := Default()
 		c.Room, c.Nodes, c.Length = rule, 8, 40*time.Second
 		c.Kinds = []Kind{{Count: 16, Cores: 8, Speed: 1}}
@@ -270,7 +270,7 @@
 		c.Steps = []Step{{At: 5 * time.Second, Nodes: func(i int) bool { return i > 0 }, Dies: true}}
 		return Run(c)
 	}
-	learned, presumed := play(decide.RoomLearned), play(decide.RoomPresumed)
+	learned, presumed := play(decide.LimitLearned), play(decide.LimitFixed)
 	t.Logf("service with seven of eight nodes gone: learned %.3f, presumed %.3f", learned.Service, presumed.Service)
 	if learned.Service < 0.9 || learned.Service < presumed.Service-0.01 {
 		t.Errorf("learned %.3f, presumed %.3f", learned.Service, presumed.Service)
--- a/internal/servers/doubt/table.go
+++ b/internal/servers/doubt/table.go
@@ -197,16 +197,16 @@
 	}
 	odds := 0.0
 	switch r {
-	case decide.Served, decide.Full:
+	case decide.Served, decide.Rejected:
 		t.prove(now, s)
 		return t.out
-	case decide.Unconnected:
+	case decide.ConnectFailed:
 		odds = refusedOdds
-	case decide.TimedOut, decide.Broken:
+	case decide.TimedOut, decide.ConnectionLost:
 		odds = silentOdds
 	case decide.Errored:
 		odds = errorOdds
-	case decide.Spoilt:
+	case decide.Malformed:
 		odds = foreignOdds
 	default:
 		return nil
@@ -215,7 +215,7 @@
 		return nil // it is there; what ails it is the module's to judge
 	}
 	s.odds += odds
-	if t.doubt(s) < givenUp && r != decide.Unconnected {
+	if t.doubt(s) < givenUp && r != decide.ConnectFailed {
 		return nil
 	}
 	if t.whole {
--- a/internal/servers/doubt/table_test.go
+++ b/internal/servers/doubt/table_test.go
@@ -49,11 +49,11 @@
 	}
 	x.Outcome(0, "s0", decide.Served)
 	for i := range 3 {
-		if offers := x.Outcome(0, fmt.Sprint("s", i+1), decide.Unconnected); len(offers) > 0 {
+		if offers := x.Outcome(0, fmt.Sprint("s", i+1), decide.ConnectFailed); len(offers) > 0 {
 			t.Fatalf("%d failed: %v", i+1, offers)
 		}
 	}
-	x.Outcome(0, "s4", decide.Unconnected)
+	x.Outcome(0, "s4", decide.ConnectFailed)
 	if x.Young() {
 		t.Error("four of five failed, and it is trusted")
 	}
@@ -71,7 +71,7 @@
 		t.Fatalf("%d tried at first", len(offers))
 	}
 	first := offers[0].ID
-	offers = x.Outcome(0, first, decide.Unconnected)
+	offers = x.Outcome(0, first, decide.ConnectFailed)
 	if len(offers) != 2 || offers[0].ID != first || offers[0].Is != Out || offers[1].Is != Trying {
 		t.Errorf("after a refusal: %v", offers)
 	}
@@ -112,7 +112,7 @@
 			for _, o := range append([]Offer{}, offers...) {
 				if o.Is == Trying {
 					tries[o.ID]++
-					next = append(next, x.Outcome(now, o.ID, decide.Unconnected)...)
+					next = append(next, x.Outcome(now, o.ID, decide.ConnectFailed)...)
 				}
 			}
 			offers = next
@@ -154,7 +154,7 @@
 			y.is = Trying
 			x.trying++
 		}
-		x.Outcome(0, s, decide.Unconnected)
+		x.Outcome(0, s, decide.ConnectFailed)
 	}
 	if bad, other := x.Doubt("s3"), x.Doubt("s9"); bad <= other {
 		t.Errorf("the rack's last: %v, one of another: %v", bad, other)
@@ -205,8 +205,8 @@
 			}
 		}
 		take(x.Begin(now))
-		results := []decide.Result{decide.Served, decide.Errored, decide.Full, decide.TimedOut, decide.Unconnected,
-			decide.Broken, decide.Cancelled, decide.NotSent, decide.Spoilt}
+		results := []decide.Result{decide.Served, decide.Errored, decide.Rejected, decide.TimedOut, decide.ConnectFailed,
+			decide.ConnectionLost, decide.Cancelled, decide.NotSent, decide.Malformed}
 		for range rng.IntN(200) {
 			now += time.Duration(rng.IntN(1000)) * time.Millisecond
 			take(x.Due(now))
@@ -225,7 +225,7 @@
 				}
 			case r == decide.Served && after > before+1e-12:
 				t.Fatalf("an answer raises the doubt of %s from %v to %v", id, before, after)
-			case r != decide.Served && r != decide.Full && x.Standing(id) != Waiting && after < before-1e-12:
+			case r != decide.Served && r != decide.Rejected && x.Standing(id) != Waiting && after < before-1e-12:
 				t.Fatalf("%v lowers the doubt of %s from %v to %v", r, id, before, after)
 			}
 			trying, proven := 0, 0
