--- a/cmd/curlewctl/recall.go
+++ b/cmd/curlewctl/recall.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"curlewring/internal/node/disk"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 	"curlewring/internal/store"
 )
 
@@ -46,9 +46,9 @@
 func (readOnly) SyncDir() error                    { return errReadOnly }
 
 // look reads a folder without holding it.
-func look(folder string) (*recall.Memory, store.Report, []string) {
+func look(folder string) (*serverdb.DB, store.Report, []string) {
 	s, report := store.Open(readOnly{disk.Look(folder)}, store.Settings{})
-	m, notes := recall.Open(s, recall.Settings{}, 0)
+	m, notes := serverdb.Open(s, serverdb.Settings{}, 0)
 	return m, report, notes
 }
 
@@ -57,11 +57,11 @@
 func (c *recallShow) print(w io.Writer, now time.Time) error {
 	m, report, _ := look(c.Folder)
 	l := m.List()
-	var servers []recall.Server
-	counts := map[recall.State]int{}
+	var servers []serverdb.Server
+	counts := map[serverdb.State]int{}
 	for _, s := range m.Servers() {
 		counts[s.State]++
-		if s.State != recall.Gone || c.Gone {
+		if s.State != serverdb.Gone || c.Gone {
 			servers = append(servers, s)
 		}
 	}
@@ -73,12 +73,12 @@
 		age = a.Round(time.Second).String() + " old"
 	}
 	complete := "complete"
-	if !l.Sound {
+	if !l.Consistent {
 		complete = "not complete: the next start asks for the whole list"
 	}
 	fmt.Fprintf(w, "the list   generation %d of %s, %s, %s\n", l.Generation, l.Discovery, age, complete)
 	fmt.Fprintf(w, "servers    %d serving, %d draining, %d gone; %.1f answers a second of each\n",
-		counts[recall.Serving], counts[recall.Draining], counts[recall.Gone], l.Rate)
+		counts[serverdb.Serving], counts[serverdb.Draining], counts[serverdb.Gone], l.ServerRate)
 	fmt.Fprintf(w, "the store  %s\n\n", report)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "server\taddress\tzone\tcell\tstate\tsince\tserved")
@@ -89,7 +89,7 @@
 		return t.UTC().Format("2006-01-02T15:04:05Z")
 	}
 	for _, s := range servers {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", s.ID, s.Address, s.Zone, s.Cell, s.State, day(s.Changed), day(s.Served))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", s.ID, s.Address, s.Zone, s.Cell, s.State, day(s.StateSince), day(s.LastServed))
 	}
 	return t.Flush()
 }
@@ -107,7 +107,7 @@
 	case report.Fallback || report.Skipped > 0 || len(notes) > 0:
 		fmt.Fprintln(w, "rows are lost, or may be; the node uses the others and asks for the whole list")
 		return found(2)
-	case report.Tail > 0 || len(report.Notes) > 0 || l.Generation > 0 && !l.Sound:
+	case report.Tail > 0 || len(report.Notes) > 0 || l.Generation > 0 && !l.Consistent:
 		fmt.Fprintln(w, "the last write was cut short, or a file is none of this store; the node uses what is there")
 		return found(1)
 	}
--- a/cmd/curlewctl/recall_test.go
+++ b/cmd/curlewctl/recall_test.go
@@ -11,7 +11,7 @@
 
 	"curlewring/internal/node/disk"
 	"curlewring/internal/node/keeper"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 )
 
 // remembered writes a folder as a node leaves it, an hour ago.
@@ -19,11 +19,11 @@
 	t.Helper()
 	folder := t.TempDir()
 	then := time.Now().Add(-time.Hour)
-	var servers []recall.Server
-	for id, state := range map[string]recall.State{"box-1": recall.Serving, "box-2": recall.Draining, "box-3": recall.Gone} {
-		servers = append(servers, recall.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, Changed: then})
+	var servers []serverdb.Server
+	for id, state := range map[string]serverdb.State{"box-1": serverdb.Serving, "box-2": serverdb.Draining, "box-3": serverdb.Gone} {
+		servers = append(servers, serverdb.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, StateSince: then})
 	}
-	list := recall.List{Generation: 9, Discovery: "127.0.0.1:2", Confirmed: then, Rate: 3, Servers: 1}
+	list := serverdb.List{Generation: 9, Discovery: "127.0.0.1:2", Confirmed: then, ServerRate: 3, ServingCount: 1}
 	if err := keeper.Write(folder, servers, list); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/conns/hold/doc.go
+++ b/internal/conns/idleconns/doc.go
@@ -1,4 +1,4 @@
-// Package hold says which clients' connections may stay while nothing is asked on
+// Package idleconns says which clients' connections may stay while nothing is asked on
 // them: for how long, by class and source network, and which go first where
 // descriptors or memory run short.
 //
@@ -9,4 +9,4 @@
 //
 // It must not close anything, and it does not know requests: whether one is taken in
 // is package decide's.
-package hold
+package idleconns
--- a/internal/conns/hold/table_test.go
+++ b/internal/conns/idleconns/table_test.go
@@ -1,4 +1,4 @@
-package hold
+package idleconns
 
 import (
 	"fmt"
--- a/internal/conns/pressure/ledger_test.go
+++ b/internal/conns/membudget/ledger_test.go
@@ -1,4 +1,4 @@
-package pressure
+package membudget
 
 import (
 	"testing"
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -46,25 +46,25 @@
 	report   func(Update)                                                       // called with what came of each call
 	pushed   bool                                                               // an agent has the lists, and nobody asks for the watch
 	poll     func(wall time.Duration, lost bool) (wait, patience time.Duration) // PollSchedule.Wait; RunWatch's
-	pace     *endpoints.Pace                                                    // RunWatch's
+	pace     *endpoints.CallPacer                                               // RunWatch's
 	accepted time.Duration                                                      // a long poll that is out for so long is kept open; RunWatch's
 	queued   time.Duration                                                      // RunWatch's: a call this young may still wait in discovery's queue
 	spread   func() time.Duration                                               // waits before the first call at a new address; RunWatch's
 
 	mu     sync.Mutex
-	asking *endpoints.Asking // how long calls for the whole list may take
+	asking *endpoints.CallTiming // how long calls for the whole list may take
 }
 
 // Update is what came of a call to discovery.
 type Update struct {
-	List      *endpoints.List   // nil: the call failed, or is still out
-	Took      time.Duration     // List: the call
-	Wait      time.Duration     // List: for which discovery was asked to wait for changes
-	Unwatched bool              // List: no call follows at once, so that what changes now is heard with the next answer
-	Accepted  bool              // it is a long poll that discovery keeps open: it has nothing newer than this node
-	Failure   endpoints.Failure // why there is no list; meaningless otherwise
-	Bad       []endpoints.Entry // Partial: servers that drain or are gone, by what has come
-	Ongoing   bool              // Partial: the rest of the answer, or another call's, may still come
+	List      *endpoints.List       // nil: the call failed, or is still out
+	Took      time.Duration         // List: the call
+	Wait      time.Duration         // List: for which discovery was asked to wait for changes
+	Unwatched bool                  // List: no call follows at once, so that what changes now is heard with the next answer
+	Accepted  bool                  // it is a long poll that discovery keeps open: it has nothing newer than this node
+	Failure   endpoints.CallFailure // why there is no list; meaningless otherwise
+	Bad       []endpoints.Entry     // Partial: servers that drain or are gone, by what has come
+	Ongoing   bool                  // Partial: the rest of the answer, or another call's, may still come
 }
 
 // service is discovery at one address.
@@ -92,9 +92,9 @@
 }
 
 // New makes the calls of a node that stands there in its fleet.
-func New(address string, place endpoints.Place, log *slog.Logger, report func(Update)) *Discovery {
-	asking := endpoints.NewAsking(place.Nodes, callWait)
-	pace := endpoints.NewPace(place)
+func New(address string, place endpoints.FleetPosition, log *slog.Logger, report func(Update)) *Discovery {
+	asking := endpoints.NewCallTiming(place.NodeCount, callWait)
+	pace := endpoints.NewCallPacer(place)
 	d := &Discovery{
 		log:    log,
 		watch:  make(chan bool, 1),
@@ -102,10 +102,10 @@
 		fetch:  make(chan struct{}, 1),
 		report: report,
 		pushed: place.Pushed,
-		poll:   endpoints.NewPollSchedule(place).Wait,
+		poll:   endpoints.NewPollSchedule(place).NextPoll,
 		pace:   pace,
-		spread: func() time.Duration { return pace.Spread(asking.Spread()) },
-		queued: queued, accepted: endpoints.AcceptedAfter,
+		spread: func() time.Duration { return pace.SpreadDelay(asking.StartSpread()) },
+		queued: queued, accepted: endpoints.PollAcceptedAfter,
 		asking: asking,
 	}
 	d.service.Store(newService(address))
@@ -154,7 +154,7 @@
 // whole asks for the whole list, for as long as is worth waiting for: no longer than most, unless that is 0.
 func (d *Discovery) whole(ctx context.Context, ask asks, most time.Duration) (*endpoints.List, error) {
 	d.mu.Lock()
-	wait := d.asking.Patience()
+	wait := d.asking.Timeout()
 	d.mu.Unlock()
 	if most > 0 {
 		wait = min(wait, most)
@@ -164,7 +164,7 @@
 	took := time.Since(begun)
 	if ctx.Err() == nil && !errors.Is(err, errMoved) {
 		d.mu.Lock()
-		d.asking.Ended(took, err != nil && took >= wait)
+		d.asking.RecordCall(took, err != nil && took >= wait)
 		d.mu.Unlock()
 	}
 	return l, err
@@ -203,7 +203,7 @@
 
 // begun reports an answer that has begun and takes its time: what it will tell counts as told already.
 func (d *Discovery) begun() {
-	d.report(Update{Failure: endpoints.Failure{Reason: endpoints.Partial}, Ongoing: true})
+	d.report(Update{Failure: endpoints.CallFailure{Reason: endpoints.PartialAnswer}, Ongoing: true})
 }
 
 // partial returns what came of an answer that broke off, if that is what an error says.
@@ -224,17 +224,17 @@
 func (e statusError) Error() string { return "discovery answered " + string(e) }
 
 // failure says why a call brought no list.
-func failure(err error, took, wait time.Duration) endpoints.Failure {
-	f := endpoints.Failure{Took: took, Wait: wait}
+func failure(err error, took, wait time.Duration) endpoints.CallFailure {
+	f := endpoints.CallFailure{Took: took, PollWait: wait}
 	var status statusError
 	var partial *PartialError
 	switch {
 	case errors.As(err, &partial):
-		f.Reason = endpoints.Partial
+		f.Reason = endpoints.PartialAnswer
 	case errors.As(err, &status):
 		f.Reason = endpoints.Overloaded
 	case took >= openLeast && connectionEnded(err):
-		f.Reason = endpoints.Reset
+		f.Reason = endpoints.PollReset
 	}
 	return f
 }
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -17,13 +17,13 @@
 )
 
 // place is that of the only node.
-func place() endpoints.Place { return endpoints.Place{Nodes: 1} }
+func place() endpoints.FleetPosition { return endpoints.FleetPosition{NodeCount: 1} }
 
 // listsTo passes on what the module would be told of: lists, and nil for calls that failed. A silent long poll is none of
 // these.
 func listsTo(lists chan<- *endpoints.List) func(Update) {
 	return func(u Update) {
-		if u.List != nil || u.Failure.Reason != endpoints.Silent {
+		if u.List != nil || u.Failure.Reason != endpoints.PollTimedOut {
 			lists <- u.List
 		}
 	}
@@ -360,7 +360,7 @@
 func TestPushedListsAreFollowed(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 100)
-	d := New(s.address, endpoints.Place{Nodes: 4, Pushed: true}, Quiet(), listsTo(reports))
+	d := New(s.address, endpoints.FleetPosition{NodeCount: 4, Pushed: true}, Quiet(), listsTo(reports))
 	stop := running(t, d, 3)
 	for range 4 { // silent: each call ends by itself, and the next one comes
 		c := s.call(t)
--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -91,8 +91,8 @@
 	}
 	defer listener.Close()
 	updates := make(chan Update, 10)
-	at := endpoints.Place{Node: 1, Nodes: 3}
-	pause := endpoints.NewPace(at).Reset()
+	at := endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}
+	pause := endpoints.NewCallPacer(at).RecordReset()
 	watched := New(listener.Addr().String(), at, Quiet(), func(u Update) { updates <- u })
 	stop := running(t, watched, 3)
 	defer stop()
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	first.Close()
-	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.Reset {
+	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.PollReset {
 		t.Errorf("reported %+v", u)
 	}
 	reset := time.Now()
@@ -139,7 +139,7 @@
 	defer stop()
 	watched.SetWatch(true)
 	d.Tell(t, "") // 503
-	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.Overloaded || u.Failure.Wait <= 0 {
+	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.Overloaded || u.Failure.PollWait <= 0 {
 		t.Errorf("reported %+v", u)
 	}
 	failed := time.Now()
@@ -244,14 +244,14 @@
 			call.write(t, half)
 			end(t, call)
 			for u := range reports {
-				if u.Failure.Reason == endpoints.Partial && u.Ongoing && u.List == nil {
+				if u.Failure.Reason == endpoints.PartialAnswer && u.Ongoing && u.List == nil {
 					continue // it takes its time
 				}
 				if name == "late" {
 					if u.List == nil || u.List.Generation != 4 || len(u.List.Entries) != 3 {
 						t.Errorf("reported %+v, want the list", u)
 					}
-				} else if u.Failure.Reason != endpoints.Partial || len(u.Bad) != 1 || u.Bad[0].ID != "a" {
+				} else if u.Failure.Reason != endpoints.PartialAnswer || len(u.Bad) != 1 || u.Bad[0].ID != "a" {
 					t.Errorf("reported %+v, want a partial answer that says a is gone", u)
 				}
 				return
@@ -265,9 +265,9 @@
 func TestOverloadedWatchAsksForTheWholeList(t *testing.T) {
 	s := newHeldServer(t)
 	updates := make(chan Update, 10)
-	d := New(s.address, endpoints.Place{Node: 1, Nodes: 3}, Quiet(), func(u Update) { updates <- u })
+	d := New(s.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
 	d.Servers(3)
-	d.pace.Overloaded(wallClock(), endpoints.Overload{Took: time.Second, Heard: true, Servers: int(d.servers.Load())})
+	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: int(d.servers.Load())})
 	stop := running(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
@@ -294,9 +294,9 @@
 	const spread = 400 * time.Millisecond
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
-	d := New(old.address, endpoints.Place{Node: 1, Nodes: 3}, Quiet(), func(u Update) { updates <- u })
+	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
 	d.spread = func() time.Duration { return spread }
-	d.pace.Overloaded(wallClock(), endpoints.Overload{Took: time.Second, Heard: true, Servers: 3})
+	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
 	stop := running(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
@@ -319,9 +319,9 @@
 func TestPeriodicPausesKeepTheCallBefore(t *testing.T) {
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
-	d := New(old.address, endpoints.Place{Node: 1, Nodes: 3}, Quiet(), func(u Update) { updates <- u })
+	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
 	d.spread = func() time.Duration { return 0 }
-	d.pace.Overloaded(wallClock(), endpoints.Overload{Took: time.Second, Heard: true, Servers: 3})
+	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
 	stop := running(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -124,7 +124,7 @@
 		w.since = from
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	whole := w.whole || w.since == nil || w.pace.AsksForWhole()
+	whole := w.whole || w.since == nil || w.pace.FetchesWholeList()
 	p := &poll{whole: whole, since: w.since, cancel: cancel, begun: time.Now()}
 	w.newest, w.whole = p, false
 	w.kept.Stop()
@@ -212,7 +212,7 @@
 	case w.before:
 		w.before = nil
 		if e.err != nil { // the newer one tells whether discovery answers
-			if f := failure(e.err, 0, 0); f.Reason == endpoints.Partial {
+			if f := failure(e.err, 0, 0); f.Reason == endpoints.PartialAnswer {
 				w.report(Update{Failure: f, Bad: partial(e.err), Ongoing: true})
 			}
 			return
@@ -253,8 +253,8 @@
 // answered takes an answer to the newest call, and puts the next one off if the pace has it so.
 func (w *watch) answered(e ended) {
 	news := w.since == nil || e.list.Generation != *w.since
-	answer := endpoints.Answer{Took: time.Since(e.begun), Whole: e.whole, News: news}
-	if pause := w.pace.Answered(wallClock(), answer); pause > 0 {
+	answer := endpoints.Answer{Took: time.Since(e.begun), Whole: e.whole, Changed: news}
+	if pause := w.pace.RecordAnswer(wallClock(), answer); pause > 0 {
 		w.rest(pause)
 	}
 }
@@ -262,9 +262,9 @@
 // failed takes the end of the newest call, which brought no list.
 func (w *watch) failed(e ended) {
 	f := failure(e.err, time.Since(e.begun), e.wait)
-	w.lost = f.Reason == endpoints.Unreachable || f.Reason == endpoints.Partial
-	if f.Reason != endpoints.Partial && !e.whole && errors.Is(e.err, context.DeadlineExceeded) {
-		f.Reason, w.lost = endpoints.Silent, true // it took long enough: the next begins at once
+	w.lost = f.Reason == endpoints.Unreachable || f.Reason == endpoints.PartialAnswer
+	if f.Reason != endpoints.PartialAnswer && !e.whole && errors.Is(e.err, context.DeadlineExceeded) {
+		f.Reason, w.lost = endpoints.PollTimedOut, true // it took long enough: the next begins at once
 		w.report(Update{Failure: f})
 		return
 	}
@@ -274,10 +274,10 @@
 	case w.pushed:
 		w.rest(agentPause)
 	case f.Reason == endpoints.Overloaded: // the module's own pause may end before
-		w.rest(w.pace.Overloaded(wallClock(), endpoints.Overload{Took: f.Took, Heard: w.heard, Servers: int(w.servers.Load())}))
-	case f.Reason == endpoints.Reset:
+		w.rest(w.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: f.Took, AnsweredBefore: w.heard, Servers: int(w.servers.Load())}))
+	case f.Reason == endpoints.PollReset:
 		w.heard = true // every change would have come on it
-		if pause := w.pace.Reset(); pause > 0 {
+		if pause := w.pace.RecordReset(); pause > 0 {
 			w.rest(pause)
 		}
 	}
--- a/internal/node/front/hard_test.go
+++ b/internal/node/front/hard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"curlewring/internal/conns/hold"
+	"curlewring/internal/conns/idleconns"
 )
 
 // client adds one with this stream, all of which is sent.
@@ -22,7 +22,7 @@
 
 // rest makes connections rest for so long.
 func (g *game) rest(d time.Duration) {
-	rules, err := hold.Compile([]hold.Rule{{Class: -1, For: d}}, 2)
+	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, For: d}}, 2)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGame(t, 10, 1<<20)
-			g.server.set.Policy = hold.Recency
+			g.server.set.Policy = idleconns.Recency
 			c := g.client(post("one"), "one", "two")
 			g.answer(0, 0)
 			g.net.mu.Lock() // the bytes are there, and their event is not
--- a/internal/node/front/machine_test.go
+++ b/internal/node/front/machine_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"curlewring/internal/conns/hold"
-	"curlewring/internal/conns/pressure"
+	"curlewring/internal/conns/idleconns"
+	"curlewring/internal/conns/membudget"
 )
 
 // game plays a front in one goroutine and virtual time, with a script in the place
@@ -52,7 +52,7 @@
 	g.net.on = true
 	g.server = New(Config{
 		Transport: g.net, Handler: g, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return g.now },
-		MostConns: most, Spare: 2, Memory: memoryBytes, Worths: []float64{1, 12}, Policy: hold.Value,
+		MostConns: most, Spare: 2, Memory: memoryBytes, Worths: []float64{1, 12}, Policy: idleconns.Value,
 		MostHead: 1 << 10, MostBody: 1 << 10,
 	})
 	return g
@@ -225,7 +225,7 @@
 	if g.net.closes != len(g.clients) {
 		g.t.Fatalf("%d connections, %d closed", len(g.clients), g.net.closes)
 	}
-	if sum, pool := s.ledger.Sum(), s.ledger.Used(pressure.Pooled); sum != pool {
+	if sum, pool := s.ledger.Sum(), s.ledger.Used(membudget.Pooled); sum != pool {
 		g.t.Fatalf("%d bytes booked, %d of them pooled", sum, pool)
 	}
 }
--- a/internal/node/front/read.go
+++ b/internal/node/front/read.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"strings"
 
-	"curlewring/internal/conns/pressure"
+	"curlewring/internal/conns/membudget"
 )
 
 const (
@@ -40,7 +40,7 @@
 	if c.work == nil {
 		if n := len(s.pool); n > 0 {
 			c.work, s.pool = s.pool[n-1], s.pool[:n-1]
-			s.ledger.Add(pressure.Pooled, -c.work.bytes())
+			s.ledger.Add(membudget.Pooled, -c.work.bytes())
 		} else {
 			c.work = &work{}
 		}
@@ -50,7 +50,7 @@
 
 // book tells the ledger what a work takes for a use: 0 for reading, 1 for what is open.
 func (s *Server) book(w *work, which, bytes int) {
-	use := [...]pressure.Use{pressure.Reading, pressure.Open}[which]
+	use := [...]membudget.Use{membudget.Reading, membudget.Open}[which]
 	s.ledger.Add(use, bytes-w.booked[which])
 	w.booked[which] = bytes
 }
@@ -64,13 +64,13 @@
 	c.work = nil
 	s.book(w, 0, 0)
 	s.book(w, 1, 0)
-	s.ledger.Add(pressure.Answers, -len(w.out))
+	s.ledger.Add(membudget.Answers, -len(w.out))
 	if len(s.pool) >= mostPool || cap(w.buf) > keptBuf {
 		return
 	}
 	*w = work{buf: w.buf[:0]}
 	s.pool = append(s.pool, w)
-	s.ledger.Add(pressure.Pooled, w.bytes())
+	s.ledger.Add(membudget.Pooled, w.bytes())
 	if len(s.pool) == leastPool+1 && s.set.Hooks.Release != nil {
 		s.set.Hooks.Release()
 	}
@@ -85,7 +85,7 @@
 	s.wheel.Cancel(i)
 	s.hold.Gone(i)
 	s.set.Transport.Close(c.socket)
-	s.ledger.Add(pressure.Parked, -rowBytes)
+	s.ledger.Add(membudget.Parked, -rowBytes)
 	s.table.give(i)
 	s.freed = true
 }
@@ -103,14 +103,14 @@
 func (s *Server) readable(i int32, c *conn) {
 	switch c.state {
 	case parked:
-		if s.ledger.Level() != pressure.Roomy {
+		if s.ledger.Level() != membudget.Roomy {
 			s.postpone(i, c)
 			return
 		}
 		s.begin(i, c)
 		s.read(i, c)
 	case reading:
-		if c.work == nil && s.ledger.Level() != pressure.Roomy {
+		if c.work == nil && s.ledger.Level() != membudget.Roomy {
 			s.postpone(i, c)
 			return
 		}
@@ -154,14 +154,14 @@
 	c.state = deferred
 	s.stats.Deferred++
 	s.later[s.hold.Band(i, bands)].push(s.table.token(i))
-	if s.set.Hooks.Room != nil && s.ledger.Level() == pressure.Full {
+	if s.set.Hooks.Room != nil && s.ledger.Level() == membudget.Full {
 		s.set.Hooks.Room()
 	}
 }
 
 // waiting tells whether a deferred connection could be taken up now.
 func (s *Server) waiting() bool {
-	if s.ledger.Level() != pressure.Roomy {
+	if s.ledger.Level() != membudget.Roomy {
 		return false
 	}
 	for band := range s.later {
--- a/internal/node/front/scale_test.go
+++ b/internal/node/front/scale_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"curlewring/internal/conns/hold"
+	"curlewring/internal/conns/idleconns"
 	"curlewring/internal/node/worker"
 	"curlewring/internal/sched/background"
 )
@@ -88,7 +88,7 @@
 	t.Helper()
 	clock := &heldClock{start: time.Now()}
 	now := clock.now
-	rules, err := hold.Compile([]hold.Rule{{Class: -1, For: rest}}, 1)
+	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, For: rest}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	var expired, release *worker.Job
 	config := Config{
 		Transport: c.net, Log: slog.New(slog.DiscardHandler), Now: now, MostConns: most, Memory: 1 << 30,
-		Worths: []float64{1}, Policy: hold.Value, Habits: 1 << 10, Rules: rules, MostHead: 1 << 10, MostBody: 1 << 10,
+		Worths: []float64{1}, Policy: idleconns.Value, Habits: 1 << 10, Rules: rules, MostHead: 1 << 10, MostBody: 1 << 10,
 	}
 	if !hurried {
 		config.Hooks = Hooks{Expired: func() { expired.Wake(10 * time.Second) }, Release: func() { release.Wake(0) }}
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"curlewring/internal/conns/hold"
-	"curlewring/internal/conns/pressure"
-	"curlewring/internal/sched/wheel"
+	"curlewring/internal/conns/idleconns"
+	"curlewring/internal/conns/membudget"
+	"curlewring/internal/sched/timerwheel"
 )
 
 // Times and bounds that are the same for every node.
@@ -51,16 +51,16 @@
 	Handler   Handler
 	Log       *slog.Logger
 	Now       func() time.Duration
-	MostConns int         // connections at the most, besides Spare
-	Spare     int         // let in over that to be refused, while each of the others has a request open
-	Memory    int         // bytes that connections may take
-	Worths    []float64   // of classes
-	Policy    hold.Policy // in what order idle connections go
-	Habits    int         // clients whose habits are remembered beyond their connections
-	Rules     *hold.Rules // how long they may stay; nil: hold.DefaultFor
-	Hooks     Hooks       // background work; the zero value does it at once
-	MostHead  int         // bytes of a request's head
-	MostBody  int64       // of its body
+	MostConns int              // connections at the most, besides Spare
+	Spare     int              // let in over that to be refused, while each of the others has a request open
+	Memory    int              // bytes that connections may take
+	Worths    []float64        // of classes
+	Policy    idleconns.Policy // in what order idle connections go
+	Habits    int              // clients whose habits are remembered beyond their connections
+	Rules     *idleconns.Rules // how long they may stay; nil: hold.DefaultFor
+	Hooks     Hooks            // background work; the zero value does it at once
+	MostHead  int              // bytes of a request's head
+	MostBody  int64            // of its body
 }
 
 // Hooks tell that background work has come up; they must not wait. Whoever sets them
@@ -80,9 +80,9 @@
 type Server struct {
 	set       Config
 	table     table
-	wheel     *wheel.Wheel
-	hold      *hold.Table
-	ledger    *pressure.Ledger
+	wheel     *timerwheel.Wheel
+	hold      *idleconns.Table
+	ledger    *membudget.Ledger
 	scratch   []byte
 	out       []byte
 	parser    parser
@@ -137,9 +137,9 @@
 func New(c Config) *Server {
 	now := c.Now()
 	return &Server{
-		set: c, wheel: wheel.New(timerTick, now), now: now,
-		hold:   hold.New(hold.Settings{Policy: c.Policy, Worths: c.Worths, Newcomer: Newcomer, Habits: c.Habits}, c.Rules, now),
-		ledger: pressure.New(c.Memory), scratch: make([]byte, readSize),
+		set: c, wheel: timerwheel.New(timerTick, now), now: now,
+		hold:   idleconns.New(idleconns.Settings{Policy: c.Policy, Worths: c.Worths, Newcomer: Newcomer, Habits: c.Habits}, c.Rules, now),
+		ledger: membudget.New(c.Memory), scratch: make([]byte, readSize),
 		seed:    maphash.MakeSeed(),
 		tracing: c.Log != nil && c.Log.Enabled(context.Background(), slog.LevelDebug),
 		steps:   make(chan func()), ended: make(chan struct{}), answer: make(chan struct{}, 1),
@@ -188,7 +188,7 @@
 
 // UseRules takes other rules for idle connections. What is parked keeps no more and no
 // less time than they give it: Recheck brings them to it by and by.
-func (s *Server) UseRules(r *hold.Rules) {
+func (s *Server) UseRules(r *idleconns.Rules) {
 	s.Do(func() {
 		s.set.Rules = r
 		s.hold.Use(r)
@@ -391,7 +391,7 @@
 	i, c := s.table.take()
 	c.socket, c.state, c.crowded = socket, reading, crowded
 	c.rules = s.rules
-	s.ledger.Add(pressure.Parked, rowBytes)
+	s.ledger.Add(membudget.Parked, rowBytes)
 	s.hold.Came(s.now, i, s.set.Rules.Source(from), s.who(from))
 	s.wheel.Arm(i, s.now+RequestWait)
 	s.accepted.Store(int64(s.now))
@@ -405,7 +405,7 @@
 // who is a hash of an address by a key of this process: nobody outside can pick
 // addresses that fall together. 0: no address.
 func (s *Server) who(a netip.Addr) uint32 {
-	if !a.IsValid() || s.set.Policy != hold.Value {
+	if !a.IsValid() || s.set.Policy != idleconns.Value {
 		return 0
 	}
 	b := a.As16()
@@ -422,9 +422,9 @@
 		s.set.Hooks.Room()
 	}
 	switch s.oust() {
-	case hold.Found:
+	case idleconns.Found:
 		return true
-	case hold.Nobody:
+	case idleconns.Nobody:
 		return s.table.open < s.set.MostConns+s.set.Spare
 	}
 	return false
@@ -432,10 +432,10 @@
 
 // oust closes the connection that goes first. One on which bytes have come
 // meanwhile is no longer idle: it is read instead.
-func (s *Server) oust() hold.Word {
+func (s *Server) oust() idleconns.Word {
 	for tries := 0; ; tries++ {
 		i, word := s.hold.Victim(s.now)
-		if word != hold.Found {
+		if word != idleconns.Found {
 			return word
 		}
 		c := s.table.at(i)
@@ -444,7 +444,7 @@
 		}
 		s.stats.MadeRoom++
 		s.drop(i, c, closeForRoom)
-		return hold.Found
+		return idleconns.Found
 	}
 }
 
@@ -530,11 +530,11 @@
 // not each has to wait for a close of its own.
 func (s *Server) MakeRoom(slice time.Duration) (took time.Duration, more bool) {
 	return s.step(slice, func(may func() bool) bool {
-		for s.table.open > s.set.MostConns-s.set.MostConns/64 || s.ledger.Level() == pressure.Full {
+		for s.table.open > s.set.MostConns-s.set.MostConns/64 || s.ledger.Level() == membudget.Full {
 			if !may() {
 				return true
 			}
-			if s.hold.Idle() == 0 || s.oust() != hold.Found {
+			if s.hold.Idle() == 0 || s.oust() != idleconns.Found {
 				return false
 			}
 		}
@@ -550,7 +550,7 @@
 				return true
 			}
 			n := len(s.pool) - 1
-			s.ledger.Add(pressure.Pooled, -s.pool[n].bytes())
+			s.ledger.Add(membudget.Pooled, -s.pool[n].bytes())
 			s.pool[n] = nil
 			s.pool = s.pool[:n]
 		}
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -18,7 +18,7 @@
 
 	"curlewring/internal/node/nodetest"
 
-	"curlewring/internal/conns/hold"
+	"curlewring/internal/conns/idleconns"
 )
 
 // real is a front on sockets, and the node behind it.
@@ -275,8 +275,8 @@
 // Rules that are changed hold for what is parked already.
 func TestShorterRestOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
-		rules := func(d time.Duration) *hold.Rules {
-			r, err := hold.Compile([]hold.Rule{{Class: -1, For: d}}, 1)
+		rules := func(d time.Duration) *idleconns.Rules {
+			r, err := idleconns.Compile([]idleconns.Rule{{Class: -1, For: d}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/node/front/write.go
+++ b/internal/node/front/write.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"curlewring/internal/conns/pressure"
+	"curlewring/internal/conns/membudget"
 )
 
 // Answer is what a client gets for a request.
@@ -85,7 +85,7 @@
 	s.book(w, 1, cap(w.buf))
 	if n < len(s.out) {
 		w.out = append([]byte(nil), s.out[n:]...)
-		s.ledger.Add(pressure.Answers, len(w.out))
+		s.ledger.Add(membudget.Answers, len(w.out))
 		c.state = writing
 		until := a.Until
 		if until == 0 {
@@ -110,7 +110,7 @@
 	w := c.work
 	for len(w.out) > 0 {
 		n, err := s.set.Transport.Write(c.socket, w.out)
-		s.ledger.Add(pressure.Answers, -n)
+		s.ledger.Add(membudget.Answers, -n)
 		w.out = w.out[n:]
 		if errors.Is(err, ErrAgain) || err == nil && n == 0 {
 			if s.set.Transport.WantWrite(c.socket, s.table.token(i)) != nil {
--- a/internal/node/handed.go
+++ b/internal/node/handed.go
@@ -7,7 +7,7 @@
 	"curlewring/internal/fleet/bootstrap"
 	"curlewring/internal/node/keeper"
 	"curlewring/internal/servers/endpoints"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 )
 
 // Events of the loop that have to do with lists of other nodes.
@@ -40,7 +40,7 @@
 			if m == nil {
 				return nil
 			}
-			text, err := m.Text()
+			text, err := m.Encode()
 			if err != nil {
 				l.log.Error("the list can't be written for another node", "err", err)
 				return nil
@@ -61,8 +61,8 @@
 		return // discovery has spoken, or there is a list of this node's own
 	}
 	wall := l.clock.Wall(l.now)
-	known := keeper.Known{Node: p.known.Node, List: recall.List{
-		Generation: h.list.Generation, Discovery: h.about.Discovery, Confirmed: wall.Add(-h.about.Age), Servers: len(h.list.Entries), Sound: true,
+	known := keeper.Known{Node: p.known.Node, List: serverdb.List{
+		Generation: h.list.Generation, Discovery: h.about.Discovery, Confirmed: wall.Add(-h.about.Age), ServingCount: len(h.list.Entries), Consistent: true,
 	}}
 	for i := range h.list.Entries {
 		known.Servers = append(known.Servers, row(&h.list.Entries[i], wall))
@@ -80,5 +80,5 @@
 	if l.told == 0 && !l.past.handed {
 		return nil
 	}
-	return l.view.Told()
+	return l.view.LatestList()
 }
--- a/internal/node/keeper/keeper.go
+++ b/internal/node/keeper/keeper.go
@@ -10,7 +10,7 @@
 
 	"curlewring/internal/node/clock"
 	"curlewring/internal/node/disk"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 	"curlewring/internal/store"
 )
 
@@ -23,8 +23,8 @@
 // Known is what was found at the start.
 type Known struct {
 	Node    string
-	Servers []recall.Server
-	List    recall.List
+	Servers []serverdb.Server
+	List    serverdb.List
 }
 
 // Keeper is the way to what is remembered. Note, Confirm and Step do not wait, and any goroutine may call them.
@@ -33,14 +33,14 @@
 	clock  clock.Clock
 	folder io.Closer // nil: it is not the keeper's
 	store  *store.Store
-	memory *recall.Memory
+	memory *serverdb.DB
 
 	grants chan struct{}
 	ended  chan struct{}
 
 	mu    sync.Mutex // guards what follows; never held while the disk is waited for
-	notes map[string]recall.Note
-	list  *recall.List
+	notes map[string]serverdb.Observation
+	list  *serverdb.List
 	asked bool // a step is wanted already
 	wake  func(within time.Duration)
 	took  time.Duration // of steps since the last grant, not counting the disk
@@ -62,7 +62,7 @@
 // New is Open on any folder, which stays its owner's.
 func New(folder store.FS, set Settings, node string, c clock.Clock, log *slog.Logger) (*Keeper, Known) {
 	s, report := store.Open(folder, store.Settings{MostBytes: set.MostMB << 20})
-	m, notes := recall.Open(s, recall.Settings{}, c.Now())
+	m, notes := serverdb.Open(s, serverdb.Settings{}, c.Now())
 	if len(report.Notes) > 0 || report.Skipped > 0 || report.Tail > 0 || report.Fallback {
 		log.Warn("the store is damaged; what is sound of it is used", "folder", set.Folder, "report", report.String())
 	}
@@ -72,7 +72,7 @@
 	k := &Keeper{
 		log: log, clock: c, store: s, memory: m,
 		grants: make(chan struct{}, 1), ended: make(chan struct{}),
-		notes: map[string]recall.Note{}, wake: func(time.Duration) {},
+		notes: map[string]serverdb.Observation{}, wake: func(time.Duration) {},
 	}
 	return k, Known{Node: node, Servers: m.Servers(), List: m.List()}
 }
@@ -81,17 +81,17 @@
 func (k *Keeper) OnWork(wake func(within time.Duration)) { k.wake = wake }
 
 // Note takes what was seen of a server. Two of one server are merged; word of its end stays.
-func (k *Keeper) Note(n recall.Note) {
+func (k *Keeper) Note(n serverdb.Observation) {
 	k.mu.Lock()
 	old, ok := k.notes[n.ID]
 	switch {
 	case !ok:
-	case n.Told:
-		if n.Served.IsZero() && n.Started <= old.Started {
-			n.Served = old.Served
+	case n.FromDiscovery:
+		if n.LastServed.IsZero() && n.Started <= old.Started {
+			n.LastServed = old.LastServed
 		}
 	default: // it served, whatever was told of it
-		old.Served = n.Served
+		old.LastServed = n.LastServed
 		n = old
 	}
 	k.notes[n.ID] = n
@@ -99,8 +99,8 @@
 }
 
 // urgency is how soon a note should be written: what was told drained or gone at once.
-func urgency(n *recall.Note) time.Duration {
-	if n.Told && n.State != recall.Serving {
+func urgency(n *serverdb.Observation) time.Duration {
+	if n.FromDiscovery && n.State != serverdb.Serving {
 		return urgentWithin
 	}
 	return 0
@@ -109,7 +109,7 @@
 const urgentWithin = 20 * time.Millisecond
 
 // Confirm takes word that discovery has answered.
-func (k *Keeper) Confirm(l recall.List) {
+func (k *Keeper) Confirm(l serverdb.List) {
 	k.mu.Lock()
 	k.list = &l
 	k.want(0)
@@ -187,7 +187,7 @@
 	}
 	k.mu.Lock()
 	k.took += busy
-	k.stats, k.lost = k.store.Stats(), k.memory.Lost()
+	k.stats, k.lost = k.store.Stats(), k.memory.DroppedRows()
 	k.mu.Unlock()
 	now := k.clock.Now()
 	wait := time.Hour
@@ -206,7 +206,7 @@
 // take hands the memory what was told, and tells whether it has more to write.
 func (k *Keeper) take() (more bool) {
 	k.mu.Lock()
-	notes := make([]recall.Note, 0, len(k.notes))
+	notes := make([]serverdb.Observation, 0, len(k.notes))
 	for _, n := range k.notes {
 		notes = append(notes, n)
 	}
@@ -215,11 +215,11 @@
 	k.list, k.asked = nil, false
 	k.mu.Unlock()
 	now := k.clock.Now()
-	k.memory.Take(now, notes)
+	k.memory.Record(now, notes)
 	if list != nil {
-		k.memory.Confirm(now, *list)
+		k.memory.RecordConfirmation(now, *list)
 	}
-	return k.memory.Catch(now)
+	return k.memory.WritePending(now)
 }
 
 // Wait waits for the end of Run, no longer than that.
--- a/internal/node/keeper/write.go
+++ b/internal/node/keeper/write.go
@@ -4,26 +4,26 @@
 	"time"
 
 	"curlewring/internal/node/disk"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 	"curlewring/internal/store"
 )
 
 // Write leaves a folder as a node does that knew these servers and this list at its end. Labs and tests start from it.
-func Write(folder string, servers []recall.Server, l recall.List) error {
+func Write(folder string, servers []serverdb.Server, l serverdb.List) error {
 	f, err := disk.Open(folder)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	s, _ := store.Open(f, store.Settings{})
-	m, _ := recall.Open(s, recall.Settings{}, 0)
+	m, _ := serverdb.Open(s, serverdb.Settings{}, 0)
 	now := time.Duration(0)
 	for _, x := range servers {
 		now += time.Second // rows a second are bounded
-		m.Take(now, []recall.Note{{Server: x, Told: true}})
+		m.Record(now, []serverdb.Observation{{Server: x, FromDiscovery: true}})
 	}
 	now += time.Minute
-	m.Confirm(now, l)
-	m.Catch(now)
+	m.RecordConfirmation(now, l)
+	m.WritePending(now)
 	return s.Close(now)
 }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -26,20 +26,20 @@
 	if known != nil {
 		stored = known
 	}
-	l.view.Begin(stored)
+	l.view.Restore(stored)
 	l.discovery.Servers(l.view.Serving())
 	l.members(stored, decide.ListStored)
 	if !l.set.MustSubscribe {
 		return
 	}
-	if until := l.confirmation.Begin(len(stored.Entries)); until > 0 { // the list is as old as the last life
+	if until := l.confirmation.Restore(len(stored.Entries)); until > 0 { // the list is as old as the last life
 		l.unconfirm(until)
 	}
 }
 
 // accepted takes word that discovery keeps a long poll open: it has nothing newer.
 func (l *loop) accepted() {
-	asOf, until := l.confirmation.Accepted(l.now)
+	asOf, until := l.confirmation.RecordOpenPoll(l.now)
 	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
 		Kind: decide.ListRestored, AsOf: max(1, asOf), ConfirmedUntil: until, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}, l.actions[:0]))
@@ -56,14 +56,14 @@
 func (l *loop) listed(answer *discovery.Update) {
 	m := answer.List
 	l.told = m.Generation
-	asOf := max(1, l.confirmation.Answered(l.now, answer.Took, answer.Wait))
+	asOf := max(1, l.confirmation.RecordAnswer(l.now, answer.Took, answer.Wait))
 	u := l.view.Apply(l.now, m)
 	l.discovery.Servers(l.view.Serving())
 	l.trace.listed(m, len(u.Changes))
-	l.strange(u.Odd)
-	l.signs.Answered(l.now, len(u.Changes) > 0)
-	if u.Again {
-		if wait, ok := l.signs.Doubted(l.now); ok {
+	l.strange(u.Anomalies)
+	l.signs.RecordFetch(l.now, len(u.Changes) > 0)
+	if u.RefetchWhole {
+		if wait, ok := l.signs.RequestRefetch(l.now); ok {
 			l.after(wait, timer{do: func() { l.discovery.Renew(true) }})
 		}
 	}
@@ -75,14 +75,14 @@
 		l.record.Told(m.Generation, l.discovery.Address())
 		if l.past.handed { // what was handed on is discovery's word by now
 			l.past.handed = false
-			l.remember(m, l.view.Told().Entries)
+			l.remember(m, l.view.LatestList().Entries)
 		}
 	}
 	l.remember(m, u.Changes)
 	l.changed(changes, decide.ListDiff)
 	confirmed := time.Duration(0)
 	if answer.Unwatched {
-		confirmed = l.confirmation.Until()
+		confirmed = l.confirmation.ConfirmedUntil()
 	}
 	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
 		Kind: decide.ListRestored, AsOf: asOf, ConfirmedUntil: confirmed, FleetSize: l.past.there(), PriorRate: l.past.rate(),
@@ -97,17 +97,17 @@
 		Kind: decide.ListFailed, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}
 	switch {
-	case f.Reason == endpoints.Silent, u.Ongoing: // the watch goes on by itself
+	case f.Reason == endpoints.PollTimedOut, u.Ongoing: // the watch goes on by itself
 		m.Kind = decide.ListRestored
 	default:
-		l.signs.Answered(l.now, false)
+		l.signs.RecordFetch(l.now, false)
 	}
 	// An agent that is silent has learnt nothing either; one that has begun to answer has.
-	if l.set.MustSubscribe || f.Reason == endpoints.Partial {
-		m.ConfirmedUntil = l.confirmation.Failed(l.now, f)
+	if l.set.MustSubscribe || f.Reason == endpoints.PartialAnswer {
+		m.ConfirmedUntil = l.confirmation.RecordFailure(l.now, f)
 	}
 	l.trace.unlisted(f, l.told, m.ConfirmedUntil-l.now)
-	if bad := l.view.Partial(l.now, u.Bad); len(bad) > 0 {
+	if bad := l.view.ApplyPartial(l.now, u.Bad); len(bad) > 0 {
 		l.remember(nil, bad)
 		l.changed(bad, decide.ListRestored)
 	}
@@ -117,20 +117,20 @@
 // moved takes a move of discovery to another address.
 func (l *loop) moved() {
 	if l.set.MustSubscribe {
-		l.unconfirm(l.confirmation.Moved(l.now))
+		l.unconfirm(l.confirmation.RecordMove(l.now))
 	}
 }
 
 // later passes on what the view lets wait, once it is time.
 func (l *loop) later() {
-	at, ok := l.view.Next()
+	at, ok := l.view.NextRelease()
 	if !ok || l.laterAt > l.now && l.laterAt <= at {
 		return
 	}
 	l.laterAt = at
 	l.at(at, timer{do: func() {
 		l.laterAt = 0
-		if due := l.view.Due(l.now); len(due) > 0 {
+		if due := l.view.ReleaseDue(l.now); len(due) > 0 {
 			l.remember(nil, due)
 			l.changed(due, decide.ListRestored)
 		}
@@ -141,7 +141,7 @@
 // mostStrange is how many odd things of one list are logged.
 const mostStrange = 4
 
-func (l *loop) strange(odd []endpoints.Odd) {
+func (l *loop) strange(odd []endpoints.Anomaly) {
 	for i, o := range odd {
 		if i == mostStrange {
 			l.log.Warn("the list is odd in more places", "more", len(odd)-i)
@@ -162,7 +162,7 @@
 		return
 	}
 	l.asked = true
-	wait := l.asking.First(l.sendable > 0, l.draw.Float64())
+	wait := l.asking.StartDelay(l.sendable > 0, l.draw.Float64())
 	if within := l.set.ResubscribeWithin / 2; within > 0 {
 		wait = min(wait, within)
 	}
@@ -180,12 +180,12 @@
 		if !l.set.MustSubscribe {
 			break
 		}
-		if wait, ok := l.signs.Failed(l.now, server); ok {
+		if wait, ok := l.signs.RecordFailure(l.now, server); ok {
 			l.after(wait, timer{do: func() { l.discovery.Renew(false) }})
 		}
 	case decide.Served:
-		if !l.signs.Quiet() {
-			l.signs.Served(server)
+		if !l.signs.Empty() {
+			l.signs.RecordSuccess(server)
 		}
 	}
 	if l.past != nil {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -128,13 +128,13 @@
 	tidy      func()                       // called every sweepEvery: what is old may go
 	lag       func(now, lag time.Duration) // told how long requests wait for the loop
 
-	view         *endpoints.View         // what to believe of discovery
-	signs        *endpoints.Signs        // when to ask it early
-	confirmation *endpoints.Confirmation // until when its list is as good as confirmed
-	asking       *endpoints.Asking       // when to ask it first
-	past         *past                   // what is left of the last life; nil: nothing
-	record       *record.Record          // how a node without a list comes by one; nil: it asks discovery
-	pool         *pool                   // cold servers' budgets, pooled with other nodes'; nil: this node goes by itself
+	view         *endpoints.View              // what to believe of discovery
+	signs        *endpoints.StalenessDetector // when to ask it early
+	confirmation *endpoints.Confirmation      // until when its list is as good as confirmed
+	asking       *endpoints.CallTiming        // when to ask it first
+	past         *past                        // what is left of the last life; nil: nothing
+	record       *record.Record               // how a node without a list comes by one; nil: it asks discovery
+	pool         *pool                        // cold servers' budgets, pooled with other nodes'; nil: this node goes by itself
 
 	ctx    context.Context // its end ends the loop and all attempts
 	events chan any
@@ -151,12 +151,12 @@
 	pending  map[uint64]*pending
 	peers    map[string]*peer
 	started  map[string]time.Duration
-	sendable int                // peers that may get something new
-	coming   endpoints.Incoming // of long lists, still to be taken in
-	told     uint64             // generation of the last list that came
-	asked    bool               // the watch was wanted before
-	laterAt  time.Duration      // when the view is looked at again; 0: never
-	retryAt  time.Duration      // when servers of the past that failed are; 0: never
+	sendable int                   // peers that may get something new
+	coming   endpoints.ChangeQueue // of long lists, still to be taken in
+	told     uint64                // generation of the last list that came
+	asked    bool                  // the watch was wanted before
+	laterAt  time.Duration         // when the view is looked at again; 0: never
+	retryAt  time.Duration         // when servers of the past that failed are; 0: never
 	timers   timers
 	actions  []decide.Action
 	draw     *rand.Rand
@@ -174,9 +174,9 @@
 		started:      map[string]time.Duration{},
 		longList:     longList,
 		view:         endpoints.New(endpoints.Settings{}),
-		signs:        endpoints.NewSigns(c.Settings.Nodes, c.Seed),
+		signs:        endpoints.NewStalenessDetector(c.Settings.Nodes, c.Seed),
 		confirmation: endpoints.NewConfirmation(clock.Now()),
-		asking:       endpoints.NewAsking(c.Settings.Nodes, 0),
+		asking:       endpoints.NewCallTiming(c.Settings.Nodes, 0),
 		draw:         rand.New(rand.NewPCG(c.Seed, 0x6e6f6465)),
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"curlewring/internal/conns/hold"
+	"curlewring/internal/conns/idleconns"
 	"curlewring/internal/fleet/allowance"
 	"curlewring/internal/node/clock"
 	"curlewring/internal/node/discovery"
@@ -86,8 +86,8 @@
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
 	n.loop.lag = n.worker.Lag
 	n.upstream.OnClose(n.loop.trace.closes())
-	place := endpoints.Place{
-		Node: c.Settings.Node, Nodes: c.Settings.Nodes, Tier: c.Settings.Tier, AskWithin: c.Settings.ResubscribeWithin,
+	place := endpoints.FleetPosition{
+		NodeIndex: c.Settings.Node, NodeCount: c.Settings.Nodes, Tier: c.Settings.Tier, ListObligation: c.Settings.ResubscribeWithin,
 		Pushed: !c.Settings.MustSubscribe, Seed: c.Seed,
 	}
 	n.loop.discovery = discovery.New(c.Discovery, place, log, func(u discovery.Update) { n.loop.post(u) })
@@ -110,9 +110,9 @@
 		worths[i] = c.Settings.Classes[i].Worth
 	}
 	// Without rules of the operators' all stays as the platform knows it.
-	policy, habits := hold.Recency, 0
+	policy, habits := idleconns.Recency, 0
 	if c.Routes.Idle() != nil {
-		policy, habits = hold.Value, clients
+		policy, habits = idleconns.Value, clients
 	}
 	var stood func() bool
 	if c.Members != nil { // opened below, before the front runs
--- a/internal/node/past.go
+++ b/internal/node/past.go
@@ -6,9 +6,9 @@
 
 	"curlewring/decide"
 	"curlewring/internal/node/keeper"
-	"curlewring/internal/servers/doubt"
 	"curlewring/internal/servers/endpoints"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
+	"curlewring/internal/servers/stalelist"
 )
 
 // past is what a node has of its last life, and what it keeps for the next. It belongs to the loop, but for the
@@ -16,7 +16,7 @@
 type past struct {
 	keeper  *keeper.Keeper
 	known   keeper.Known
-	table   *doubt.Table // nil: discovery has spoken, or the list is young and trusted as it is
+	table   *stalelist.Table // nil: discovery has spoken, or the list is young and trusted as it is
 	entries map[string]endpoints.Entry
 	answers float64 // a second, averaged
 	served  float64 // since the last sweep
@@ -39,18 +39,18 @@
 
 // rate is what each server answered each node a second in the last life, as long as that is all there is to go by.
 func (p *past) rate() float64 {
-	if !p.doubts() || p.table.Young() {
+	if !p.doubts() || p.table.Fresh() {
 		return 0
 	}
-	return max(p.known.List.Rate, leastRate)
+	return max(p.known.List.ServerRate, leastRate)
 }
 
 // there is how many servers there are likely to be, as long as not all are offered.
 func (p *past) there() int {
-	if !p.doubts() || p.table.Young() {
+	if !p.doubts() || p.table.Fresh() {
 		return 0
 	}
-	return p.table.There()
+	return p.table.EstimatedAlive()
 }
 
 // since is the generation that the first watch may ask from; nil: it must ask for the whole list.
@@ -62,7 +62,7 @@
 	if p == nil || len(p.known.Servers) == 0 {
 		return since
 	}
-	if p.known.List.Sound && (since == nil || p.known.List.Generation >= *since) {
+	if p.known.List.Consistent && (since == nil || p.known.List.Generation >= *since) {
 		return &p.known.List.Generation
 	}
 	if since != nil && *since > p.known.List.Generation {
@@ -72,8 +72,8 @@
 }
 
 // entry is a server in the list's form.
-func entry(s *recall.Server) endpoints.Entry {
-	health := [...]decide.Health{recall.Serving: decide.Healthy, recall.Draining: decide.Draining, recall.Gone: decide.Removed}
+func entry(s *serverdb.Server) endpoints.Entry {
+	health := [...]decide.Health{serverdb.Serving: decide.Healthy, serverdb.Draining: decide.Draining, serverdb.Gone: decide.Removed}
 	return endpoints.Entry{
 		Server: decide.Server{
 			ID: s.ID, Zone: s.Zone, Cell: s.Cell, Weight: s.Weight, Started: s.Started, Health: health[s.State],
@@ -83,11 +83,11 @@
 }
 
 // row is an entry as the memory keeps it.
-func row(e *endpoints.Entry, wall time.Time) recall.Server {
-	state := [...]recall.State{decide.Healthy: recall.Serving, decide.Draining: recall.Draining, decide.Removed: recall.Gone}
-	return recall.Server{
+func row(e *endpoints.Entry, wall time.Time) serverdb.Server {
+	state := [...]serverdb.State{decide.Healthy: serverdb.Serving, decide.Draining: serverdb.Draining, decide.Removed: serverdb.Gone}
+	return serverdb.Server{
 		ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Started: e.Started,
-		State: state[e.Health], Changed: wall,
+		State: state[e.Health], StateSince: wall,
 	}
 }
 
@@ -95,11 +95,11 @@
 func newPast(k *keeper.Keeper, known keeper.Known, c *Config, wall time.Time) *past {
 	p := &past{keeper: k, known: known, entries: map[string]endpoints.Entry{}, address: c.Discovery}
 	if c.Known != nil {
-		brought := make([]recall.Server, len(c.Known.Entries))
+		brought := make([]serverdb.Server, len(c.Known.Entries))
 		for i := range c.Known.Entries {
 			brought[i] = row(&c.Known.Entries[i], wall)
 		}
-		p.known.Servers = recall.Merge(p.known.Servers, brought)
+		p.known.Servers = serverdb.Merge(p.known.Servers, brought)
 	}
 	return p
 }
@@ -108,47 +108,47 @@
 func (l *loop) recall() {
 	p := l.past
 	all := &endpoints.List{Generation: p.known.List.Generation, Whole: true}
-	var serving []doubt.Server
+	var serving []stalelist.Server
 	for i := range p.known.Servers {
 		e := entry(&p.known.Servers[i])
 		all.Entries = append(all.Entries, e)
 		if e.Health == decide.Healthy {
 			p.entries[e.ID] = e
-			serving = append(serving, doubt.Server{ID: e.ID, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
+			serving = append(serving, stalelist.Server{ID: e.ID, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
 		}
 	}
-	l.view.Begin(all)
+	l.view.Restore(all)
 	age, known := p.known.List.Age(l.clock.Wall(l.now))
 	if !known && len(p.known.Servers) > 0 && p.known.List.Confirmed.IsZero() {
 		age, known = 0, true // the configuration's list alone: the platform's word, as without a memory
 	}
-	p.table = doubt.New(doubt.Settings{Node: p.known.Node, Nodes: l.set.Nodes}, age, known, serving)
+	p.table = stalelist.New(stalelist.Settings{NodeName: p.known.Node, NodeCount: l.set.Nodes}, age, known, serving)
 	if len(serving) > 0 {
 		l.log.Info("the node remembers", "servers", len(serving), "age", age.Round(time.Second).String(), "age known", known,
-			"generation", p.known.List.Generation, "complete", p.known.List.Sound, "trusted", p.table.Young())
+			"generation", p.known.List.Generation, "complete", p.known.List.Consistent, "trusted", p.table.Fresh())
 	}
-	l.members(&endpoints.List{Entries: l.offered(p.table.Begin(l.now))}, decide.ListStored)
+	l.members(&endpoints.List{Entries: l.offered(p.table.OfferFirst(l.now))}, decide.ListStored)
 	l.retry()
 }
 
 // offered are offers in the list's form.
-func (l *loop) offered(offers []doubt.Offer) []endpoints.Entry {
+func (l *loop) offered(offers []stalelist.Change) []endpoints.Entry {
 	p := l.past
 	entries := make([]endpoints.Entry, 0, len(offers))
 	for _, o := range offers {
 		e := p.entries[o.ID]
 		switch {
-		case o.Is == doubt.Out:
+		case o.State == stalelist.Withdrawn:
 			e.Health = decide.Removed
-		case p.table.Young():
+		case p.table.Fresh():
 		default:
 			// Nobody knows when what answers there started: as far as this node knows, just now. Once it is proven
 			// it keeps the start that it was offered with.
-			if o.Is == doubt.Trying {
+			if o.State == stalelist.Trying {
 				e.Started = l.now
 				p.entries[o.ID] = e
 			}
-			e.Unverified = o.Is == doubt.Trying
+			e.Unverified = o.State == stalelist.Trying
 		}
 		entries = append(entries, e)
 	}
@@ -169,7 +169,7 @@
 	if p.table == nil {
 		return
 	}
-	if offers := p.table.Outcome(l.now, server, r); len(offers) > 0 {
+	if offers := p.table.RecordResult(l.now, server, r); len(offers) > 0 {
 		l.members(&endpoints.List{Entries: l.offered(offers)}, decide.ListRestored)
 	}
 	l.retry()
@@ -177,7 +177,7 @@
 
 // retry tries again what failed, once it is time.
 func (l *loop) retry() {
-	at, ok := l.past.table.Next()
+	at, ok := l.past.table.NextRetry()
 	if !ok || l.retryAt > l.now && l.retryAt <= at {
 		return
 	}
@@ -187,7 +187,7 @@
 		if !l.past.doubts() {
 			return
 		}
-		if offers := l.past.table.Due(l.now); len(offers) > 0 {
+		if offers := l.past.table.OfferDue(l.now); len(offers) > 0 {
 			l.members(&endpoints.List{Entries: l.offered(offers)}, decide.ListRestored)
 		}
 		l.retry()
@@ -200,7 +200,7 @@
 	trying, proven, rest := l.past.table.Counts()
 	l.log.Info("discovery has spoken", "tried", trying, "proven", proven, "not tried", rest, "serving", l.view.Serving())
 	l.past.table, l.past.entries = nil, nil
-	all := l.view.All()
+	all := l.view.Published()
 	named := make(map[string]bool, len(all))
 	for i := range all {
 		named[all[i].ID] = true
@@ -221,11 +221,11 @@
 	}
 	wall := l.clock.Wall(l.now)
 	for i := range changes {
-		p.keeper.Note(recall.Note{Server: row(&changes[i], wall), Told: true})
+		p.keeper.Note(serverdb.Observation{Server: row(&changes[i], wall), FromDiscovery: true})
 	}
 	if m != nil {
-		p.keeper.Confirm(recall.List{
-			Generation: m.Generation, Discovery: p.address, Confirmed: wall, Rate: l.perServer(), Servers: l.view.Serving(),
+		p.keeper.Confirm(serverdb.List{
+			Generation: m.Generation, Discovery: p.address, Confirmed: wall, ServerRate: l.perServer(), ServingCount: l.view.Serving(),
 		})
 	}
 }
@@ -257,7 +257,7 @@
 	for _, x := range l.peers { // in any order: what is left comes with the next look
 		if x.served > x.noted+servedStep {
 			x.noted = x.served
-			l.past.keeper.Note(recall.Note{Server: recall.Server{ID: x.ID, Served: l.clock.Wall(x.served)}})
+			l.past.keeper.Note(serverdb.Observation{Server: serverdb.Server{ID: x.ID, LastServed: l.clock.Wall(x.served)}})
 			if noted++; noted == mostNoted || l.clock.Now() > begun+slice {
 				break
 			}
--- a/internal/node/past_test.go
+++ b/internal/node/past_test.go
@@ -18,27 +18,27 @@
 	"curlewring/internal/node/disk"
 	"curlewring/internal/node/keeper"
 	. "curlewring/internal/node/nodetest"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 	"curlewring/internal/store"
 )
 
 // life writes a folder as a node leaves it that last heard from discovery so long ago.
-func life(t *testing.T, age time.Duration, servers ...recall.Server) (folder string) {
+func life(t *testing.T, age time.Duration, servers ...serverdb.Server) (folder string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "state")
 	then := time.Now().Add(-age)
 	for i := range servers {
-		servers[i].Changed = then
+		servers[i].StateSince = then
 	}
-	list := recall.List{Generation: 7, Discovery: "d", Confirmed: then, Rate: 50, Servers: len(servers)}
+	list := serverdb.List{Generation: 7, Discovery: "d", Confirmed: then, ServerRate: 50, ServingCount: len(servers)}
 	if err := keeper.Write(folder, servers, list); err != nil {
 		t.Fatal(err)
 	}
 	return folder
 }
 
-func remembered(id, address string, state recall.State) recall.Server {
-	return recall.Server{ID: id, Address: address, Zone: "a", Weight: 1, State: state}
+func remembered(id, address string, state serverdb.State) serverdb.Server {
+	return serverdb.Server{ID: id, Address: address, Zone: "a", Weight: 1, State: state}
 }
 
 // withPast runs a node on what is left of its last life.
@@ -87,7 +87,7 @@
 	t.Parallel()
 	a := NewServer(t, Say("fine"))
 	d := NewDiscoveryServer(t)
-	folder := life(t, time.Minute, remembered("s0", a.Addr(), recall.Serving))
+	folder := life(t, time.Minute, remembered("s0", a.Addr(), serverdb.Serving))
 	n := withPast(t, d.Listener.Addr().String(), folder)
 	WaitFor(t, "it asks", func() bool { return d.Calls() > 0 })
 	if q := d.Query(0); !strings.HasPrefix(q, "since=7&") {
@@ -120,15 +120,15 @@
 				fmt.Fprint(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 			})
 			mine := NewServer(t, Say("fine"))
-			servers := []recall.Server{remembered("mine", mine.Addr(), recall.Serving)}
+			servers := []serverdb.Server{remembered("mine", mine.Addr(), serverdb.Serving)}
 			for i := range 6 {
 				if age < time.Hour { // the control: others answer at all the other addresses
-					servers = append(servers, remembered(fmt.Sprint("foreign", i), foreign, recall.Serving))
+					servers = append(servers, remembered(fmt.Sprint("foreign", i), foreign, serverdb.Serving))
 					continue
 				}
-				servers = append(servers, remembered(fmt.Sprint("dead", i), DeadAddress(t), recall.Serving))
+				servers = append(servers, remembered(fmt.Sprint("dead", i), DeadAddress(t), serverdb.Serving))
 			}
-			servers = append(servers, remembered("foreign", foreign, recall.Serving))
+			servers = append(servers, remembered("foreign", foreign, serverdb.Serving))
 			n := withPast(t, DeadAddress(t), life(t, age, servers...))
 			var all sync.WaitGroup
 			var wrong atomic.Int32
@@ -166,7 +166,7 @@
 	old, proven, fresh := NewServer(t, Say("old")), NewServer(t, Say("proven")), NewServer(t, Say("fresh"))
 	d := NewDiscoveryServer(t)
 	n := withPast(t, d.Listener.Addr().String(), life(t, 7*24*time.Hour,
-		remembered("s0", proven.Addr(), recall.Serving), remembered("old", old.Addr(), recall.Serving)))
+		remembered("s0", proven.Addr(), serverdb.Serving), remembered("old", old.Addr(), serverdb.Serving)))
 	WaitFor(t, "both have answered", func() bool {
 		exchange(t, request(t, n.url, "/look/1", ""))
 		return proven.Seen() > 0 && old.Seen() > 0
@@ -281,7 +281,7 @@
 		t.Fatal(err)
 	}
 	defer owner.Close()
-	damaged := life(t, time.Minute, remembered("s0", a.Addr(), recall.Serving))
+	damaged := life(t, time.Minute, remembered("s0", a.Addr(), serverdb.Serving))
 	paths, _ := filepath.Glob(filepath.Join(damaged, "journal-*"))
 	for _, p := range paths {
 		if err := os.WriteFile(p, []byte("this is no journal"), 0o600); err != nil {
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -16,7 +16,7 @@
 	"curlewring/internal/fleet/wire"
 	. "curlewring/internal/node/nodetest"
 	"curlewring/internal/servers/endpoints"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 )
 
 // plannedSize is how many nodes and how many servers the operators plan. Each list must hold as many.
@@ -46,7 +46,7 @@
 
 func textOf(t *testing.T, l *endpoints.List) []byte {
 	t.Helper()
-	text, err := l.Text()
+	text, err := l.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 // A node's memory holds them over a restart, with the least room that may be set.
 func TestPlannedServersOverARestart(t *testing.T) {
 	all := plannedServers(64)
-	servers := make([]recall.Server, len(all.Entries))
+	servers := make([]serverdb.Server, len(all.Entries))
 	for i := range all.Entries {
 		servers[i] = row(&all.Entries[i], time.Time{})
 	}
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -54,9 +54,9 @@
 	}
 }
 
-func (t *trace) unlisted(f endpoints.Failure, version uint64, confirmed time.Duration) {
+func (t *trace) unlisted(f endpoints.CallFailure, version uint64, confirmed time.Duration) {
 	if t != nil {
-		t.log.Debug("no list", "reason", f.Reason.String(), "took", f.Took, "wait", f.Wait, "version", version,
+		t.log.Debug("no list", "reason", f.Reason.String(), "took", f.Took, "wait", f.PollWait, "version", version,
 			"confirmed_for", confirmed)
 	}
 }
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -14,7 +14,7 @@
 
 	"curlewring/decide"
 	"curlewring/internal/node/clock"
-	"curlewring/internal/sched/wheel"
+	"curlewring/internal/sched/timerwheel"
 )
 
 const (
@@ -71,7 +71,7 @@
 
 	mu     sync.Mutex
 	idle   map[string][]*conn // by server; the last was used last
-	timers *wheel.Wheel       // when idle connections have idled for too long
+	timers *timerwheel.Wheel  // when idle connections have idled for too long
 	rows   []*conn            // by timer
 	free   []int32            // timers that no connection has
 	due    []int32
@@ -135,7 +135,7 @@
 func New(clock clock.Clock, sockets *Sockets, set *decide.Settings) *Pool {
 	u := &Pool{
 		clock: clock, sockets: sockets, connectTimeout: set.ConnectTimeout, idleFor: set.ConnIdleTimeout,
-		idle: map[string][]*conn{}, timers: wheel.New(idleTick, clock.Now()),
+		idle: map[string][]*conn{}, timers: timerwheel.New(idleTick, clock.Now()),
 	}
 	if u.connectTimeout <= 0 {
 		u.connectTimeout = time.Second
--- a/internal/operators/routes/idle.go
+++ b/internal/operators/routes/idle.go
@@ -8,7 +8,7 @@
 
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"curlewring/internal/conns/hold"
+	"curlewring/internal/conns/idleconns"
 )
 
 // Idle is one [[idle]] as it stands in the file: how long connections may wait for
@@ -18,7 +18,7 @@
 	Class   Value[string] // of the last request; none: any
 	Network Value[string] // where they come from, as an address or prefix; none: anywhere
 	For     Value[string] // a duration
-	length  hold.Rule
+	length  idleconns.Rule
 	bad     bool // something in it was not understood
 }
 
@@ -61,12 +61,12 @@
 }
 
 // idles checks the [[idle]] tables and compiles them.
-func (c *checker) idles(all []Idle) *hold.Rules {
+func (c *checker) idles(all []Idle) *idleconns.Rules {
 	if len(all) == 0 {
 		return nil
 	}
-	if len(all) > hold.MostRule {
-		c.find(TooManyIdle, all[hold.MostRule].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(hold.MostRule),
+	if len(all) > idleconns.MostRule {
+		c.find(TooManyIdle, all[idleconns.MostRule].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MostRule),
 			"too many idle rules")
 		return nil
 	}
@@ -75,7 +75,7 @@
 		network netip.Prefix
 	}
 	seen := map[where]int{}
-	var rules []hold.Rule
+	var rules []idleconns.Rule
 	for k := range all {
 		i := &all[k]
 		rule, ok := i.length, !i.bad
@@ -94,15 +94,15 @@
 					"not a network")
 				ok = false
 			} else {
-				rule.Network = hold.Unmap(network)
+				rule.Network = idleconns.Unmap(network)
 			}
 		}
 		switch {
 		case i.For.Line == 0 && !i.bad:
 			c.find(SetsNothing, i.Line, "for", "", "", "an idle rule without for sets nothing")
 			ok = false
-		case i.For.Set() && (rule.For < hold.LeastFor || rule.For > hold.MostFor):
-			c.find(OddIdle, i.For.Line, "for", i.For.V, hold.LeastFor.String()+" to "+hold.MostFor.String(),
+		case i.For.Set() && (rule.For < idleconns.LeastFor || rule.For > idleconns.MostFor):
+			c.find(OddIdle, i.For.Line, "for", i.For.V, idleconns.LeastFor.String()+" to "+idleconns.MostFor.String(),
 				"connections can't wait for so short or so long")
 			ok = false
 		}
@@ -120,7 +120,7 @@
 	if len(c.findings) > 0 {
 		return nil
 	}
-	compiled, err := hold.Compile(rules, len(c.env.Classes))
+	compiled, err := idleconns.Compile(rules, len(c.env.Classes))
 	if err != nil { // the checks above have found all that Compile does
 		c.find(OddIdle, all[0].Line, "[[idle]]", "", "", err.Error())
 		return nil
--- a/internal/operators/routes/table.go
+++ b/internal/operators/routes/table.go
@@ -6,15 +6,15 @@
 	"strings"
 
 	"curlewring/decide"
-	"curlewring/internal/conns/hold"
+	"curlewring/internal/conns/idleconns"
 )
 
 // Table is what a checked file says: the module's bounds, and which requests
 // they are for. The zero table has no routes.
 type Table struct {
 	bounds  []decide.RoutePolicy
-	classes [][]matcher // by class; the most specific first
-	idle    *hold.Rules // nil: the file says nothing of idle connections
+	classes [][]matcher      // by class; the most specific first
+	idle    *idleconns.Rules // nil: the file says nothing of idle connections
 }
 
 // matcher finds the requests of one route.
@@ -29,7 +29,7 @@
 
 // Idle says how long connections may wait for their next request; nil: the file says
 // nothing of that.
-func (t *Table) Idle() *hold.Rules {
+func (t *Table) Idle() *idleconns.Rules {
 	if t == nil {
 		return nil
 	}
--- a/internal/rig/lab/past.go
+++ b/internal/rig/lab/past.go
@@ -13,7 +13,7 @@
 	"curlewring/internal/node/keeper"
 	"curlewring/internal/rig/standin"
 	"curlewring/internal/servers/endpoints"
-	"curlewring/internal/servers/recall"
+	"curlewring/internal/servers/serverdb"
 )
 
 // Arm is what a node makes of an old list.
@@ -86,21 +86,21 @@
 		return nil, err
 	}
 	then := time.Now().Add(-p.Age)
-	var all []recall.Server
+	var all []serverdb.Server
 	for _, b := range l.Fleet.Boxes {
-		all = append(all, recall.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, Changed: then})
+		all = append(all, serverdb.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, StateSince: then})
 	}
 	for i, address := range l.strangers.addresses {
 		site := i % len(l.options.Plan.Sites)
-		all = append(all, recall.Server{
-			ID: fmt.Sprintf("old-%04d", i), Address: address, Zone: l.options.Plan.Sites[site], Cell: 900_000 + i/4, Weight: 1, Changed: then,
+		all = append(all, serverdb.Server{
+			ID: fmt.Sprintf("old-%04d", i), Address: address, Zone: l.options.Plan.Sites[site], Cell: 900_000 + i/4, Weight: 1, StateSince: then,
 		})
 	}
 	if p.More != nil {
 		for _, e := range p.More.Entries {
 			if e.Health == decide.Healthy {
-				all = append(all, recall.Server{
-					ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Started: e.Started, Changed: then,
+				all = append(all, serverdb.Server{
+					ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Started: e.Started, StateSince: then,
 				})
 			}
 		}
@@ -120,7 +120,7 @@
 	}
 	folder := filepath.Join(l.dir, s.Name+".state")
 	rate := max(l.options.Traffic.Rate/float64(max(1, len(all))), 1/l.options.Plan.MeanWork().Seconds()) / float64(max(1, l.options.Nodes))
-	list := recall.List{Generation: foreignGeneration, Discovery: l.lists[s.Name], Confirmed: then, Rate: rate, Servers: len(all)}
+	list := serverdb.List{Generation: foreignGeneration, Discovery: l.lists[s.Name], Confirmed: then, ServerRate: rate, ServingCount: len(all)}
 	if err := keeper.Write(folder, all, list); err != nil {
 		return nil, err
 	}
--- a/internal/rig/scale/discovery.go
+++ b/internal/rig/scale/discovery.go
@@ -30,7 +30,7 @@
 	var events timeline.Events
 	var now, last time.Duration
 	for i := range nodes {
-		pace := endpoints.NewPace(endpoints.Place{Node: i, Nodes: nodes, Seed: uint64(i)})
+		pace := endpoints.NewCallPacer(endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Seed: uint64(i)})
 		var call func()
 		call = func() {
 			admission := service.Call(now, 0)
@@ -38,8 +38,8 @@
 				last = max(last, admission.At)
 				return
 			}
-			failed := endpoints.Overload{Took: admission.At - now, Heard: true}
-			events.At(admission.At+pace.Overloaded(admission.At, failed), call)
+			failed := endpoints.OverloadedCall{Took: admission.At - now, AnsweredBefore: true}
+			events.At(admission.At+pace.RecordOverload(admission.At, failed), call)
 		}
 		events.At(0, call)
 	}
--- a/internal/rig/scale/servers.go
+++ b/internal/rig/scale/servers.go
@@ -49,7 +49,7 @@
 // MeasureServers takes a whole list of one length in, changes it and decides by it. Times are of this machine.
 func MeasureServers(servers int) (ServersCost, error) {
 	list := serverList(servers)
-	text, err := list.Text()
+	text, err := list.Encode()
 	if err != nil {
 		return ServersCost{}, fmt.Errorf("a list of %d servers: %w", servers, err)
 	}
--- a/internal/rig/virtual/past.go
+++ b/internal/rig/virtual/past.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"curlewring/decide"
-	"curlewring/internal/servers/doubt"
+	"curlewring/internal/servers/stalelist"
 )
 
 // Arm is what nodes make of an old list.
@@ -58,12 +58,12 @@
 	p := r.c.Past
 	n.past = map[string]decide.Server{}
 	var all []decide.Server
-	var known []doubt.Server
+	var known []stalelist.Server
 	for _, b := range append(append([]*box{}, r.boxes[0]...), r.old...) {
 		e := r.entry(b, decide.Healthy)
 		e.Started = 0 // as of the list's time: long ago
 		all = append(all, e)
-		known = append(known, doubt.Server{ID: b.id, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
+		known = append(known, stalelist.Server{ID: b.id, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
 		n.past[b.id] = e
 	}
 	switch p.Arm {
@@ -77,8 +77,8 @@
 			work, share = work+c.Share*c.Work.Seconds(), share+c.Share
 		}
 		n.rate = max(r.c.Rate/float64(len(all)), share/work) / float64(max(1, r.c.Nodes))
-		n.doubts = doubt.New(doubt.Settings{Node: n.name, Nodes: r.set.Nodes}, p.Age, true, known)
-		r.offer(n, n.doubts.Begin(r.now), decide.ListStored)
+		n.doubts = stalelist.New(stalelist.Settings{NodeName: n.name, NodeCount: r.set.Nodes}, p.Age, true, known)
+		r.offer(n, n.doubts.OfferFirst(r.now), decide.ListStored)
 	}
 	life := n.life
 	r.at(r.now+p.Out+time.Duration(r.rng.Float64()*float64(300*time.Millisecond)), func() {
@@ -101,23 +101,23 @@
 }
 
 // offer tells a module which servers it may try, as a node's loop does.
-func (r *run) offer(n *node, offers []doubt.Offer, change decide.ListKind) {
+func (r *run) offer(n *node, offers []stalelist.Change, change decide.ListKind) {
 	var servers []decide.Server
 	for _, o := range offers {
 		e := n.past[o.ID]
-		if o.Is == doubt.Out {
+		if o.State == stalelist.Withdrawn {
 			e.Health = decide.Removed
-		} else if !n.doubts.Young() {
-			if o.Is == doubt.Trying {
+		} else if !n.doubts.Fresh() {
+			if o.State == stalelist.Trying {
 				e.Started = r.start(r.now)
 				n.past[o.ID] = e
 			}
-			e.Unverified = o.Is == doubt.Trying
+			e.Unverified = o.State == stalelist.Trying
 		}
 		servers = append(servers, e)
 	}
-	m := decide.ListUpdate{Kind: change, Servers: servers, PriorRate: n.rate, FleetSize: n.doubts.There()}
-	if n.doubts.Young() {
+	m := decide.ListUpdate{Kind: change, Servers: servers, PriorRate: n.rate, FleetSize: n.doubts.EstimatedAlive()}
+	if n.doubts.Fresh() {
 		m.PriorRate, m.FleetSize = 0, 0
 	}
 	r.listed(n, m)
@@ -126,7 +126,7 @@
 
 // tryAgain looks at those that failed once it is time.
 func (r *run) tryAgain(n *node) {
-	at, ok := n.doubts.Next()
+	at, ok := n.doubts.NextRetry()
 	if !ok || n.againAt > r.now && n.againAt <= at {
 		return
 	}
@@ -137,7 +137,7 @@
 			return
 		}
 		n.againAt = 0
-		if offers := n.doubts.Due(r.now); len(offers) > 0 {
+		if offers := n.doubts.OfferDue(r.now); len(offers) > 0 {
 			r.offer(n, offers, decide.ListRestored)
 			return
 		}
@@ -150,7 +150,7 @@
 	if n.doubts == nil {
 		return
 	}
-	if offers := n.doubts.Outcome(r.now, id, result); len(offers) > 0 {
+	if offers := n.doubts.RecordResult(r.now, id, result); len(offers) > 0 {
 		r.offer(n, offers, decide.ListRestored)
 	} else {
 		r.tryAgain(n)
--- a/internal/rig/virtual/registry_asker_test.go
+++ b/internal/rig/virtual/registry_asker_test.go
@@ -27,7 +27,7 @@
 type asker struct {
 	balancer *decide.Balancer
 	polls    *endpoints.PollSchedule
-	pace     *endpoints.Pace
+	pace     *endpoints.CallPacer
 	first    time.Duration // how long a starting node that has a list leaves the turn to others
 	spread   time.Duration // the same after the registry has moved
 	wall     time.Duration // at the run's begin
@@ -36,21 +36,21 @@
 }
 
 // newAsker starts the code of one node of a tier.
-func newAsker(now, wall time.Duration, place endpoints.Place, askWithin time.Duration, draw float64) *asker {
+func newAsker(now, wall time.Duration, place endpoints.FleetPosition, askWithin time.Duration, draw float64) *asker {
 	settings := decide.Settings{
-		Node: place.Node, Nodes: place.Nodes, Tier: place.Tier, Tiers: place.Tier + 1,
+		Node: place.NodeIndex, Nodes: place.NodeCount, Tier: place.Tier, Tiers: place.Tier + 1,
 		MustSubscribe: true, ResubscribeWithin: askWithin,
 		Classes: []decide.Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}},
 	}
-	pace := endpoints.NewPace(place)
-	asking := endpoints.NewAsking(place.Nodes, time.Second)
+	pace := endpoints.NewCallPacer(place)
+	asking := endpoints.NewCallTiming(place.NodeCount, time.Second)
 	return &asker{
 		wall:     wall,
 		balancer: decide.New(settings, place.Seed, now),
 		polls:    endpoints.NewPollSchedule(place),
 		pace:     pace,
-		first:    min(asking.First(true, draw), askWithin/2),
-		spread:   pace.Spread(asking.Spread()),
+		first:    min(asking.StartDelay(true, draw), askWithin/2),
+		spread:   pace.SpreadDelay(asking.StartSpread()),
 	}
 }
 
@@ -83,7 +83,7 @@
 		change = decide.ListFull
 	}
 	a.balancer.HandleList(now, decide.ListUpdate{Kind: change}, nil)
-	return a.pace.Answered(a.wall+now, answer)
+	return a.pace.RecordAnswer(a.wall+now, answer)
 }
 
 // failed takes a call that ended without an answer, and returns the pause before the next.
@@ -92,10 +92,10 @@
 	p := pauseIn(a.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListFailed}, nil))
 	switch how {
 	case refusedByStatus:
-		p.wait = max(p.wait, a.pace.Overloaded(a.wall+now, endpoints.Overload{Took: took, Heard: a.heard, Servers: servers}))
+		p.wait = max(p.wait, a.pace.RecordOverload(a.wall+now, endpoints.OverloadedCall{Took: took, AnsweredBefore: a.heard, Servers: servers}))
 	case pollReset: // the node's own pause, whatever the module's
 		a.heard = true
-		if pause := a.pace.Reset(); pause > 0 {
+		if pause := a.pace.RecordReset(); pause > 0 {
 			p.wait = pause
 		}
 	}
@@ -114,10 +114,10 @@
 
 // wait is how long a call that begins now may wait at the registry, and after which time it is given up.
 func (a *asker) wait(now time.Duration) (wait, patience time.Duration) {
-	if a.pace.AsksForWhole() {
+	if a.pace.FetchesWholeList() {
 		return 0, wholePatience
 	}
-	return a.polls.Wait(a.wall+now, a.lost)
+	return a.polls.NextPoll(a.wall+now, a.lost)
 }
 
 // gaveUp takes a long poll without an answer in its time. The next call begins at once.
--- a/internal/rig/virtual/registry_fleet_test.go
+++ b/internal/rig/virtual/registry_fleet_test.go
@@ -119,7 +119,7 @@
 		for i := range nodes {
 			n := &fleetNode{
 				service: &r.service, tier: tier, askWithin: r.day.askWithin,
-				place: endpoints.Place{Node: i, Nodes: nodes, Tier: tier, AskWithin: r.day.askWithin},
+				place: endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Tier: tier, ListObligation: r.day.askWithin},
 			}
 			r.nodes = append(r.nodes, n)
 			r.events.At(r.draw(begin), func() { r.startNode(n) })
--- a/internal/rig/virtual/registry_node_test.go
+++ b/internal/rig/virtual/registry_node_test.go
@@ -48,7 +48,7 @@
 // fleetNode is one node as it asks the registry, and the judge of what it was told in time.
 type fleetNode struct {
 	service   *service
-	place     endpoints.Place
+	place     endpoints.FleetPosition
 	tier      int
 	askWithin time.Duration
 	asker     *asker
@@ -125,7 +125,7 @@
 	if n.standing == watching && s.now-n.lastAnswer > watchGap {
 		n.become(paused)
 	}
-	c := &registryCall{node: n, begun: s.now, waitEnd: s.now + wait, whole: n.asker.pace.AsksForWhole()}
+	c := &registryCall{node: n, begun: s.now, waitEnd: s.now + wait, whole: n.asker.pace.FetchesWholeList()}
 	n.call = c
 	if last := len(n.gaps) - 1; last >= 0 {
 		n.gaps[last].until = min(n.gaps[last].until, s.now)
@@ -173,7 +173,7 @@
 	n.lastAnswer = s.now
 	n.hear()
 	whole := c.whole || s.lists[n.tier].whole && news
-	pause := n.asker.answered(s.now, whole, endpoints.Answer{Took: s.now - c.begun, Whole: c.whole, News: news})
+	pause := n.asker.answered(s.now, whole, endpoints.Answer{Took: s.now - c.begun, Whole: c.whole, Changed: news})
 	life := n.life
 	s.after(networkDelay+pause, func() { n.pollIn(life) })
 }
--- a/internal/rig/virtual/run.go
+++ b/internal/rig/virtual/run.go
@@ -11,7 +11,7 @@
 	"curlewring/internal/fleet/allowance"
 	"curlewring/internal/rig/standin/judge"
 	"curlewring/internal/rig/timeline"
-	"curlewring/internal/servers/doubt"
+	"curlewring/internal/servers/stalelist"
 )
 
 // box is one box.
@@ -66,7 +66,7 @@
 	idle   map[*box]int           // connections
 	nextID uint64
 	// While it goes by an old list:
-	doubts  *doubt.Table
+	doubts  *stalelist.Table
 	past    map[string]decide.Server
 	rate    float64
 	againAt time.Duration
--- a/internal/sched/wheel/doc.go
+++ b/internal/sched/timerwheel/doc.go
@@ -1,4 +1,4 @@
-// Package wheel keeps timers by the million.
+// Package timerwheel keeps timers by the million.
 //
 // Its job is to say which timers are due. The owner names them by small numbers of
 // its own (a slot in a table, say), so that a timer costs eight bytes, and arming,
@@ -7,4 +7,4 @@
 // It is pure: time comes in, numbers go out. It belongs to one goroutine.
 //
 // It must not call anything when a timer is due, nor decide what a timer means.
-package wheel
+package timerwheel
--- a/internal/sched/wheel/wheel.go
+++ b/internal/sched/timerwheel/wheel.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"fmt"
--- a/internal/servers/endpoints/asking.go
+++ b/internal/servers/endpoints/asking.go
@@ -32,7 +32,7 @@
 )
 
 // Signs weighs signs that the list is old, and says when to ask early.
-type Signs struct {
+type StalenessDetector struct {
 	nodes   int
 	rng     *rand.Rand
 	servers []sign // bounded: the oldest gives way
@@ -48,13 +48,13 @@
 }
 
 // NewSigns returns signs of nothing, for one of so many nodes.
-func NewSigns(nodes int, seed uint64) *Signs {
-	return &Signs{nodes: max(1, nodes), rng: rand.New(rand.NewPCG(seed, 0x51475)), gap: leastGap}
+func NewStalenessDetector(nodes int, seed uint64) *StalenessDetector {
+	return &StalenessDetector{nodes: max(1, nodes), rng: rand.New(rand.NewPCG(seed, 0x51475)), gap: leastGap}
 }
 
 // Failed takes a connection that failed, or an attempt that was turned away. If ok, discovery is to be asked
 // after the wait.
-func (s *Signs) Failed(now time.Duration, id string) (wait time.Duration, ok bool) {
+func (s *StalenessDetector) RecordFailure(now time.Duration, id string) (wait time.Duration, ok bool) {
 	kept := s.servers[:0]
 	found := -1
 	for _, x := range s.servers {
@@ -84,7 +84,7 @@
 }
 
 // Served takes an answer: what was held against its server is void.
-func (s *Signs) Served(id string) {
+func (s *StalenessDetector) RecordSuccess(id string) {
 	for i := range s.servers {
 		if s.servers[i].id == id {
 			s.servers = append(s.servers[:i], s.servers[i+1:]...)
@@ -94,10 +94,10 @@
 }
 
 // Quiet tells whether there is nothing to forget: the usual case.
-func (s *Signs) Quiet() bool { return len(s.servers) == 0 }
+func (s *StalenessDetector) Empty() bool { return len(s.servers) == 0 }
 
 // Doubted asks for a second look at a list. One beyond the budget waits for it, as no further sign may come.
-func (s *Signs) Doubted(now time.Duration) (wait time.Duration, ok bool) {
+func (s *StalenessDetector) RequestRefetch(now time.Duration) (wait time.Duration, ok bool) {
 	if s.asked {
 		return 0, false
 	}
@@ -105,13 +105,13 @@
 	return max(0, s.nextAt-now) + s.spread(), true
 }
 
-func (s *Signs) spread() time.Duration {
+func (s *StalenessDetector) spread() time.Duration {
 	most := min(time.Duration(s.nodes)*spreadANode, mostSpread)
 	return time.Duration(s.rng.Float64() * float64(most))
 }
 
 // Answered takes what came of a question, early or not: whether it was an answer, and brought news.
-func (s *Signs) Answered(now time.Duration, news bool) {
+func (s *StalenessDetector) RecordFetch(now time.Duration, news bool) {
 	if news {
 		s.gap, s.servers = leastGap, s.servers[:0]
 	} else if s.asked {
@@ -123,7 +123,7 @@
 }
 
 // Asking says when a starting node asks first, and how long a call may take.
-type Asking struct {
+type CallTiming struct {
 	nodes    int
 	least    time.Duration
 	most     time.Duration
@@ -131,29 +131,31 @@
 }
 
 // NewAsking is for one of so many nodes, whose calls may take that long at the least.
-func NewAsking(nodes int, least time.Duration) *Asking {
+func NewCallTiming(nodes int, least time.Duration) *CallTiming {
 	nodes = max(1, nodes)
 	least = max(least, time.Duration(nodes)*leastANode)
-	return &Asking{nodes: nodes, least: least, most: max(patienceTimes*least, time.Duration(nodes)*mostANode), patience: least}
+	return &CallTiming{nodes: nodes, least: least, most: max(patienceTimes*least, time.Duration(nodes)*mostANode), patience: least}
 }
 
 // First is how long a starting node waits before it asks discovery, if its turn is after such a part of the time that the
 // fleet needs. One that has a list serves meanwhile, and leaves the turn to those that have none.
-func (a *Asking) First(haveList bool, turn float64) time.Duration {
+func (a *CallTiming) StartDelay(haveList bool, turn float64) time.Duration {
 	if !haveList {
 		return 0
 	}
-	return time.Duration(turn * float64(min(a.Spread(), mostAtStart)))
+	return time.Duration(turn * float64(min(a.StartSpread(), mostAtStart)))
 }
 
 // Spread is the time over which the first calls of a fleet are spread.
-func (a *Asking) Spread() time.Duration { return min(time.Duration(a.nodes)*firstANode, mostFirst) }
+func (a *CallTiming) StartSpread() time.Duration {
+	return min(time.Duration(a.nodes)*firstANode, mostFirst)
+}
 
 // Patience is how long a call may take: the more its kind was lost of late, the longer.
-func (a *Asking) Patience() time.Duration { return a.patience }
+func (a *CallTiming) Timeout() time.Duration { return a.patience }
 
 // Ended takes how long a call took, and whether it ended by its own patience.
-func (a *Asking) Ended(took time.Duration, lost bool) {
+func (a *CallTiming) RecordCall(took time.Duration, lost bool) {
 	if lost {
 		a.patience = min(patienceTimes*a.patience, a.most)
 	} else {
--- a/internal/servers/endpoints/asking_test.go
+++ b/internal/servers/endpoints/asking_test.go
@@ -9,41 +9,41 @@
 )
 
 func TestSigns(t *testing.T) {
-	x := NewSigns(2, 1)
-	if _, ok := x.Failed(0, "a"); ok {
+	x := NewStalenessDetector(2, 1)
+	if _, ok := x.RecordFailure(0, "a"); ok {
 		t.Error("one failure makes the node ask")
 	}
-	if wait, ok := x.Failed(time.Second, "b"); !ok || wait > 10*time.Millisecond {
+	if wait, ok := x.RecordFailure(time.Second, "b"); !ok || wait > 10*time.Millisecond {
 		t.Errorf("two servers: %v, %v", wait, ok)
 	}
-	if _, ok := x.Failed(time.Second, "c"); ok {
+	if _, ok := x.RecordFailure(time.Second, "c"); ok {
 		t.Error("asked twice at once")
 	}
-	x.Answered(2*time.Second, true)
+	x.RecordFetch(2*time.Second, true)
 	for i := range 3 {
-		_, ok := x.Failed(4*time.Second+time.Duration(i), "a")
+		_, ok := x.RecordFailure(4*time.Second+time.Duration(i), "a")
 		if ok != (i == 2) {
 			t.Errorf("failure %d of one server: %v", i+1, ok)
 		}
 	}
 	// What brought nothing makes the next question wait for longer.
-	x.Answered(5*time.Second, false)
+	x.RecordFetch(5*time.Second, false)
 	for i := range 3 {
-		if _, ok := x.Failed(8*time.Second+time.Duration(i), "a"); ok {
+		if _, ok := x.RecordFailure(8*time.Second+time.Duration(i), "a"); ok {
 			t.Error("asked again 3 s after a question that brought nothing")
 		}
 	}
-	if _, ok := x.Failed(9*time.Second+1, "a"); !ok {
+	if _, ok := x.RecordFailure(9*time.Second+1, "a"); !ok {
 		t.Error("not asked 4 s after it")
 	}
 	// Failures far apart, and those of a server that has answered since, are no signs.
-	x = NewSigns(2, 1)
-	x.Failed(0, "a")
-	if _, ok := x.Failed(20*time.Second, "b"); ok {
+	x = NewStalenessDetector(2, 1)
+	x.RecordFailure(0, "a")
+	if _, ok := x.RecordFailure(20*time.Second, "b"); ok {
 		t.Error("failures 20 s apart make the node ask")
 	}
-	x.Served("b")
-	if !x.Quiet() {
+	x.RecordSuccess("b")
+	if !x.Empty() {
 		t.Error("not quiet after an answer")
 	}
 }
@@ -51,12 +51,12 @@
 // With failures all the time an early question that brings nothing comes once a minute in the end, whatever fails;
 // memory is bounded.
 func TestSignsAreWithinABudget(t *testing.T) {
-	x := NewSigns(100, 1)
+	x := NewStalenessDetector(100, 1)
 	var asked []time.Duration
 	for now := time.Duration(0); now < time.Hour; now += 10 * time.Millisecond {
-		if _, ok := x.Failed(now, fmt.Sprint(now)); ok {
+		if _, ok := x.RecordFailure(now, fmt.Sprint(now)); ok {
 			asked = append(asked, now)
-			x.Answered(now+time.Second, false)
+			x.RecordFetch(now+time.Second, false)
 		}
 		if len(x.servers) > mostSigns {
 			t.Fatalf("%d servers remembered", len(x.servers))
@@ -105,7 +105,7 @@
 	var q events
 	told := 0
 	for n := range nodes {
-		a := NewAsking(nodes, 5*time.Second)
+		a := NewCallTiming(nodes, 5*time.Second)
 		want := lines
 		if n < stored {
 			want = changed
@@ -116,23 +116,23 @@
 		ask = func(now time.Duration) {
 			wait := 5 * time.Second
 			if patient {
-				wait = a.Patience()
+				wait = a.Timeout()
 			}
 			end := l.call(now, want)
 			if end-now <= wait {
-				a.Ended(end-now, false)
+				a.RecordCall(end-now, false)
 				told++
 				last = max(last, end)
 				return
 			}
-			a.Ended(wait, true)
+			a.RecordCall(wait, true)
 			tries++
 			back := time.Duration((0.5 + rng.Float64()/2) * float64(250*time.Millisecond<<min(tries, 8)))
 			heap.Push(&q, event{now + wait + back, func() { ask(now + wait + back) }})
 		}
 		first := time.Duration((0.5 + rng.Float64()/2) * float64(250*time.Millisecond))
 		if patient {
-			first += a.First(n < stored, rng.Float64())
+			first += a.StartDelay(n < stored, rng.Float64())
 		}
 		heap.Push(&q, event{first, func() { ask(first) }})
 	}
@@ -175,7 +175,7 @@
 	const away, noticed, forTheAnswer = 5 * time.Second, 2 * time.Second, 500 * time.Millisecond
 	counts := noticed + toldAfterFailure - away
 	for _, nodes := range []int{1, 8, 47, 267, 900, 5400} {
-		if last := NewAsking(nodes, 0).First(true, 1); last+forTheAnswer > counts {
+		if last := NewCallTiming(nodes, 0).StartDelay(true, 1); last+forTheAnswer > counts {
 			t.Errorf("%d nodes: the last asks %v after its start, a loss counts after %v", nodes, last, counts)
 		}
 	}
--- a/internal/servers/endpoints/confirm.go
+++ b/internal/servers/endpoints/confirm.go
@@ -23,19 +23,19 @@
 )
 
 // Reason is why a call to discovery brought no list.
-type Reason int
+type FailureReason int
 
 // The reasons.
 const (
-	Unreachable Reason = iota // no connection, or an answer that can't be read
-	Overloaded                // an HTTP error: discovery is down, or has more calls than it can work through
-	Silent                    // nothing came in time on a long poll; the next one begins at once
-	Reset                     // the connection of an open long poll was ended: the network delivers
-	Partial                   // an answer has begun and did not come whole, or has not yet: it counts as told
+	Unreachable   FailureReason = iota // no connection, or an answer that can't be read
+	Overloaded                         // an HTTP error: discovery is down, or has more calls than it can work through
+	PollTimedOut                       // nothing came in time on a long poll; the next one begins at once
+	PollReset                          // the connection of an open long poll was ended: the network delivers
+	PartialAnswer                      // an answer has begun and did not come whole, or has not yet: it counts as told
 )
 
 // String names the reason, as logs have it.
-func (r Reason) String() string {
+func (r FailureReason) String() string {
 	names := [...]string{"unreachable", "overloaded", "silent", "reset", "partial"}
 	if r < 0 || int(r) >= len(names) {
 		return "unknown"
@@ -44,10 +44,10 @@
 }
 
 // Failure is a call to discovery that brought no list.
-type Failure struct {
-	Reason Reason
-	Took   time.Duration
-	Wait   time.Duration // how long discovery was asked to wait for a change
+type CallFailure struct {
+	Reason   FailureReason
+	Took     time.Duration
+	PollWait time.Duration // how long discovery was asked to wait for a change
 }
 
 // Confirmation tracks until when a node's list is as good as confirmed: no change that the node has not received can count
@@ -59,15 +59,15 @@
 
 // AcceptedAfter is how long a long poll has to be out until discovery surely keeps it open: what it had for the node by the
 // time at which the call came would have been written, or the call have failed in the queue.
-const AcceptedAfter = longestQueue + 500*time.Millisecond
+const PollAcceptedAfter = longestQueue + 500*time.Millisecond
 
 // Accepted takes a long poll that has been out for AcceptedAfter. It returns as of when that confirms the list, and until when: 0,
 // as long as the poll is open, unless a call has failed since the last answer. Discovery may then be so slow that what changes waits
 // in its queue for too long.
-func (c *Confirmation) Accepted(now time.Duration) (asOf, until time.Duration) {
-	c.heard = max(c.heard, now-AcceptedAfter)
+func (c *Confirmation) RecordOpenPoll(now time.Duration) (asOf, until time.Duration) {
+	c.heard = max(c.heard, now-PollAcceptedAfter)
 	if c.troubled {
-		until = c.Until()
+		until = c.ConfirmedUntil()
 	}
 	return c.heard, until
 }
@@ -76,20 +76,20 @@
 func NewConfirmation(now time.Duration) *Confirmation { return &Confirmation{heard: now} }
 
 // Begin takes the list of so many servers that a node starts with, and returns until when it is confirmed; 0: until a call fails.
-func (c *Confirmation) Begin(servers int) (until time.Duration) {
+func (c *Confirmation) Restore(servers int) (until time.Duration) {
 	if servers < longList {
 		return 0
 	}
 	c.heard -= longestRestart
-	return c.Until()
+	return c.ConfirmedUntil()
 }
 
 // Until is until when the list is confirmed as long as nothing is heard of discovery.
-func (c *Confirmation) Until() time.Duration { return c.heard + toldAfterFailure }
+func (c *Confirmation) ConfirmedUntil() time.Duration { return c.heard + toldAfterFailure }
 
 // Answered takes an answer to a call that took so long and let discovery wait for changes, and returns as of when it confirms the
 // list. One that came before the end of that wait may have been made up to longestQueue before, and have waited in the queue.
-func (c *Confirmation) Answered(now, took, wait time.Duration) (asOf time.Duration) {
+func (c *Confirmation) RecordAnswer(now, took, wait time.Duration) (asOf time.Duration) {
 	if asOf = now - min(took, longestQueue); wait > 0 && took >= wait {
 		asOf = now - (took - wait)
 	}
@@ -98,14 +98,14 @@
 }
 
 // Failed takes a call that failed and returns until when the list is confirmed.
-func (c *Confirmation) Failed(now time.Duration, failure Failure) (until time.Duration) {
+func (c *Confirmation) RecordFailure(now time.Duration, failure CallFailure) (until time.Duration) {
 	c.troubled = true
 	switch failure.Reason {
-	case Partial:
+	case PartialAnswer:
 		return now
-	case Silent:
+	case PollTimedOut:
 		begun := now - failure.Took
-		return begun + failure.Wait + toldAfterWait
+		return begun + failure.PollWait + toldAfterWait
 	}
 	if failure.Took > openAfter {
 		if failure.Reason == Overloaded {
@@ -113,11 +113,11 @@
 		}
 		c.heard = max(c.heard, now)
 	}
-	return c.Until()
+	return c.ConfirmedUntil()
 }
 
 // Moved takes a move of discovery to another address and returns until when the list is confirmed.
-func (c *Confirmation) Moved(now time.Duration) (until time.Duration) {
+func (c *Confirmation) RecordMove(now time.Duration) (until time.Duration) {
 	c.troubled = true
 	return now + toldAfterMove
 }
--- a/internal/servers/endpoints/confirm_test.go
+++ b/internal/servers/endpoints/confirm_test.go
@@ -11,62 +11,62 @@
 	const heard = 10 * time.Second
 	for name, c := range map[string]struct {
 		now     time.Duration
-		failure Failure
+		failure CallFailure
 		until   time.Duration
 	}{
-		"turned away at once":        {12 * time.Second, Failure{Reason: Overloaded}, 16 * time.Second},
-		"timed out in the queue":     {13 * time.Second, Failure{Reason: Overloaded, Took: 2 * time.Second, Wait: time.Minute}, 16 * time.Second},
-		"its answer waited too long": {40 * time.Second, Failure{Reason: Overloaded, Took: 30 * time.Second, Wait: time.Minute}, 43 * time.Second},
-		"an open poll is reset":      {40 * time.Second, Failure{Reason: Unreachable, Took: 30 * time.Second, Wait: time.Minute}, 46 * time.Second},
-		"a silent poll":              {40300 * time.Millisecond, Failure{Reason: Silent, Took: 30300 * time.Millisecond, Wait: 30 * time.Second}, 42 * time.Second},
-		"no connection, much later":  {50 * time.Second, Failure{Reason: Unreachable}, 16 * time.Second},
+		"turned away at once":        {12 * time.Second, CallFailure{Reason: Overloaded}, 16 * time.Second},
+		"timed out in the queue":     {13 * time.Second, CallFailure{Reason: Overloaded, Took: 2 * time.Second, PollWait: time.Minute}, 16 * time.Second},
+		"its answer waited too long": {40 * time.Second, CallFailure{Reason: Overloaded, Took: 30 * time.Second, PollWait: time.Minute}, 43 * time.Second},
+		"an open poll is reset":      {40 * time.Second, CallFailure{Reason: Unreachable, Took: 30 * time.Second, PollWait: time.Minute}, 46 * time.Second},
+		"a silent poll":              {40300 * time.Millisecond, CallFailure{Reason: PollTimedOut, Took: 30300 * time.Millisecond, PollWait: 30 * time.Second}, 42 * time.Second},
+		"no connection, much later":  {50 * time.Second, CallFailure{Reason: Unreachable}, 16 * time.Second},
 	} {
 		confirmation := NewConfirmation(time.Second)
-		confirmation.Answered(heard, 0, 0)
-		if until := confirmation.Failed(c.now, c.failure); until != c.until {
+		confirmation.RecordAnswer(heard, 0, 0)
+		if until := confirmation.RecordFailure(c.now, c.failure); until != c.until {
 			t.Errorf("%s: confirmed until %v, want %v", name, until, c.until)
 		}
 	}
-	if until := NewConfirmation(time.Second).Failed(3*time.Second, Failure{Reason: Overloaded}); until != 7*time.Second {
+	if until := NewConfirmation(time.Second).RecordFailure(3*time.Second, CallFailure{Reason: Overloaded}); until != 7*time.Second {
 		t.Errorf("a new process: confirmed until %v, want 6 s from its start", until)
 	}
 	long, short := NewConfirmation(10*time.Second), NewConfirmation(10*time.Second)
-	if until := long.Begin(longList); until != 12*time.Second {
+	if until := long.Restore(longList); until != 12*time.Second {
 		t.Errorf("a long list: confirmed until %v, want 6 s from the end of the last life, 4 s before the start at the most", until)
 	}
-	if until := short.Begin(longList - 1); until != 0 {
+	if until := short.Restore(longList - 1); until != 0 {
 		t.Errorf("a short list: confirmed until %v, want until a call fails", until)
 	}
-	if until := long.Failed(11*time.Second, Failure{Reason: Overloaded}); until != 12*time.Second {
+	if until := long.RecordFailure(11*time.Second, CallFailure{Reason: Overloaded}); until != 12*time.Second {
 		t.Errorf("a long list and a call in vain: confirmed until %v", until)
 	}
-	if until := NewConfirmation(0).Moved(time.Minute); until != 64*time.Second {
+	if until := NewConfirmation(0).RecordMove(time.Minute); until != 64*time.Second {
 		t.Errorf("after a move: confirmed until %v", until)
 	}
 	accepted := NewConfirmation(0)
-	if asOf, until := accepted.Accepted(30 * time.Second); asOf != 30*time.Second-AcceptedAfter || until != 0 {
+	if asOf, until := accepted.RecordOpenPoll(30 * time.Second); asOf != 30*time.Second-PollAcceptedAfter || until != 0 {
 		t.Errorf("an open poll confirms the list as of %v until %v", asOf, until)
 	}
-	if until := accepted.Failed(31*time.Second, Failure{Reason: Overloaded}); until != 36*time.Second-AcceptedAfter {
+	if until := accepted.RecordFailure(31*time.Second, CallFailure{Reason: Overloaded}); until != 36*time.Second-PollAcceptedAfter {
 		t.Errorf("after an open poll and a call in vain: confirmed until %v", until)
 	}
-	if asOf, until := accepted.Accepted(40 * time.Second); until != asOf+6*time.Second {
+	if asOf, until := accepted.RecordOpenPoll(40 * time.Second); until != asOf+6*time.Second {
 		t.Errorf("an open poll after a call in vain confirms the list as of %v until %v", asOf, until)
 	}
-	for _, failure := range []Failure{{Reason: Unreachable}, {Reason: Reset, Took: time.Second}, {Reason: Silent, Took: time.Second}, {Reason: Partial}} {
-		accepted.Answered(41*time.Second, 0, 0)
-		accepted.Failed(42*time.Second, failure)
-		if asOf, until := accepted.Accepted(50 * time.Second); until != asOf+6*time.Second {
+	for _, failure := range []CallFailure{{Reason: Unreachable}, {Reason: PollReset, Took: time.Second}, {Reason: PollTimedOut, Took: time.Second}, {Reason: PartialAnswer}} {
+		accepted.RecordAnswer(41*time.Second, 0, 0)
+		accepted.RecordFailure(42*time.Second, failure)
+		if asOf, until := accepted.RecordOpenPoll(50 * time.Second); until != asOf+6*time.Second {
 			t.Errorf("an open poll after a %v call confirms the list as of %v until %v", failure.Reason, asOf, until)
 		}
 	}
-	accepted.Answered(41*time.Second, 0, 0)
-	accepted.Moved(42 * time.Second)
-	if asOf, until := accepted.Accepted(50 * time.Second); until != asOf+6*time.Second {
+	accepted.RecordAnswer(41*time.Second, 0, 0)
+	accepted.RecordMove(42 * time.Second)
+	if asOf, until := accepted.RecordOpenPoll(50 * time.Second); until != asOf+6*time.Second {
 		t.Errorf("an open poll after a move confirms the list as of %v until %v", asOf, until)
 	}
-	accepted.Answered(41*time.Second, 0, 0)
-	if _, until := accepted.Accepted(50 * time.Second); until != 0 {
+	accepted.RecordAnswer(41*time.Second, 0, 0)
+	if _, until := accepted.RecordOpenPoll(50 * time.Second); until != 0 {
 		t.Errorf("an open poll after an answer confirms the list until %v", until)
 	}
 	for _, c := range []struct{ took, wait, age time.Duration }{
@@ -76,7 +76,7 @@
 		{time.Second, 30 * time.Second, time.Second},                         // no older than the call
 		{time.Second, 0, time.Second},                                        // a whole list
 	} {
-		if asOf := NewConfirmation(0).Answered(time.Minute, c.took, c.wait); asOf != time.Minute-c.age {
+		if asOf := NewConfirmation(0).RecordAnswer(time.Minute, c.took, c.wait); asOf != time.Minute-c.age {
 			t.Errorf("an answer after %v of %v confirms the list as of %v, want %v before it came", c.took, c.wait, asOf, c.age)
 		}
 	}
--- a/internal/servers/endpoints/incoming_test.go
+++ b/internal/servers/endpoints/incoming_test.go
@@ -11,7 +11,7 @@
 // A server that a newer list says is gone must not be opened again by an older word that still waits, and word of such servers
 // must go first.
 func TestNewerWordGoesFirst(t *testing.T) {
-	var q Incoming
+	var q ChangeQueue
 	q.Add([]Entry{entry("a", serving, 0), entry("b", serving, 0), entry("c", deleted, 0)})
 	q.Add([]Entry{entry("d", serving, 0), entry("a", deleted, 0)})
 	want(t, "in order", changed(q.Take(2)), []string{"a gone", "c gone"})
@@ -22,7 +22,7 @@
 // Whatever comes between the steps, each server ends as its newest word says, and once that is bad no good one follows.
 func TestIncomingEndsWithTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var q Incoming
+		var q ChangeQueue
 		newest, state := map[string]decide.Health{}, map[string]decide.Health{}
 		take := func(most int) {
 			for _, e := range q.Take(most) {
--- a/internal/servers/endpoints/list.go
+++ b/internal/servers/endpoints/list.go
@@ -53,7 +53,7 @@
 )
 
 // Text writes a list in discovery's form.
-func (l *List) Text() ([]byte, error) {
+func (l *List) Encode() ([]byte, error) {
 	all := make([]Instance, len(l.Entries))
 	states := [...]string{decide.Healthy: "SERVING", decide.Draining: "DRAINING", decide.Removed: "DELETED"}
 	for i := range l.Entries {
--- a/internal/servers/endpoints/pace.go
+++ b/internal/servers/endpoints/pace.go
@@ -73,7 +73,7 @@
 // short list asks for the whole of it instead, once in a period: that is no watch, and one answer tells all changes of the period.
 // Where discovery is too slow for that as well, long polls come as seldom. What changes in the 200 ms after their answers is heard
 // late then; where all nodes go on with one long poll after the other, most that changes is.
-type Pace struct {
+type CallPacer struct {
 	turn     float64       // part of a period after which this node's turn is
 	failures float64       // calls in a row that discovery had no capacity for; an answer takes half of them back
 	first    time.Duration // pause after an overloaded call ...
@@ -89,36 +89,36 @@
 }
 
 // NewPace returns the pace of a node that stands there in its fleet.
-func NewPace(p Place) *Pace {
-	nodes := time.Duration(max(0, p.Nodes))
+func NewCallPacer(p FleetPosition) *CallPacer {
+	nodes := time.Duration(max(0, p.NodeCount))
 	if nodes <= 1 {
-		return &Pace{turn: p.turn(), first: backOffFirst, most: backOffAlone}
+		return &CallPacer{turn: p.turn(), first: backOffFirst, most: backOffAlone}
 	}
-	return &Pace{
+	return &CallPacer{
 		turn:  p.turn(),
 		first: min(max(backOffFirst, nodes*backOffTurn), backOffSoon),
 		most:  min(max(backOffFleet, nodes*backOffANode), backOffMost),
 		reset: resetSpread,
 
-		seldom: p.AskWithin == 0 || p.AskWithin >= periodicLeast,
+		seldom: p.ListObligation == 0 || p.ListObligation >= periodicLeast,
 	}
 }
 
 // Overload is a call that discovery had no capacity for.
-type Overload struct {
-	Took    time.Duration
-	Heard   bool // discovery has been heard since the node's start
-	Servers int  // that the node's list has; 0: not known
+type OverloadedCall struct {
+	Took           time.Duration
+	AnsweredBefore bool // discovery has been heard since the node's start
+	Servers        int  // that the node's list has; 0: not known
 }
 
 // Overloaded takes an overload that ended at a time of the wall clock, and returns the pause before the next call.
-func (p *Pace) Overloaded(wall time.Duration, call Overload) (pause time.Duration) {
+func (p *CallPacer) RecordOverload(wall time.Duration, call OverloadedCall) (pause time.Duration) {
 	if p.askPeriodically(call) {
 		return p.until(wall, p.period, periodicSoonest)
 	}
 	doublings := min(max(0, p.failures-backOffHeld), 8)
 	first := p.first
-	if call.Heard {
+	if call.AnsweredBefore {
 		first = max(first, min(backOffWaits*call.Took, backOffSoon))
 	}
 	period := min(time.Duration(math.Exp2(doublings)*float64(first)), p.most)
@@ -131,11 +131,11 @@
 }
 
 // askPeriodically takes an overload, and tells whether the node asks once in a period from now on.
-func (p *Pace) askPeriodically(call Overload) bool {
+func (p *CallPacer) askPeriodically(call OverloadedCall) bool {
 	switch {
 	case p.mode == longPollOnly || !p.seldom || call.Servers == 0 || call.Servers > periodicServers:
 		p.mode = longPollOnly
-	case p.mode == longPolling && call.Heard:
+	case p.mode == longPolling && call.AnsweredBefore:
 		p.mode, p.period, p.slow, p.failed, p.quiet = periodic, periodicCalls, false, 0, 0
 	case p.mode == periodic && call.Took >= queuedLeast:
 		p.periodicFailed()
@@ -145,7 +145,7 @@
 }
 
 // periodicFailed takes a periodic call that waited in vain. The next one costs discovery less, if that is possible, or comes later.
-func (p *Pace) periodicFailed() {
+func (p *CallPacer) periodicFailed() {
 	if p.slow {
 		p.period = min(2*p.period, p.most)
 	}
@@ -156,21 +156,21 @@
 }
 
 // Periodic tells whether the node makes its calls once in a period.
-func (p *Pace) Periodic() bool { return p.mode == periodic }
+func (p *CallPacer) Periodic() bool { return p.mode == periodic }
 
 // AsksForWhole tells whether the next call of a node that has a list is for the whole list, and no long poll.
-func (p *Pace) AsksForWhole() bool { return p.mode == periodic && !p.slow }
+func (p *CallPacer) FetchesWholeList() bool { return p.mode == periodic && !p.slow }
 
 // Answer is an answer of discovery.
 type Answer struct {
-	Took  time.Duration
-	Whole bool // to a call for the whole list; else to a long poll
-	News  bool // it holds what the node did not have
+	Took    time.Duration
+	Whole   bool // to a call for the whole list; else to a long poll
+	Changed bool // it holds what the node did not have
 }
 
 // Answered takes an answer that came at a time of the wall clock, and returns the pause before the next call; 0: none. One answer
 // does not end an overload.
-func (p *Pace) Answered(wall time.Duration, answer Answer) (pause time.Duration) {
+func (p *CallPacer) RecordAnswer(wall time.Duration, answer Answer) (pause time.Duration) {
 	p.failures /= 2
 	if p.mode == longPollOnly && p.failures < overloadEnded {
 		p.mode = longPolling
@@ -186,7 +186,7 @@
 		p.slow = true
 	}
 	p.quiet++
-	if answer.News {
+	if answer.Changed {
 		p.quiet = 0
 	}
 	if p.quiet >= periodicQuiet || !answer.Whole && answer.Took > p.period { // it was open for long: discovery has time
@@ -197,14 +197,16 @@
 }
 
 // Reset takes a long poll that was reset while it was open, and returns the pause before the next.
-func (p *Pace) Reset() (pause time.Duration) { return p.Spread(p.reset) }
+func (p *CallPacer) RecordReset() (pause time.Duration) { return p.SpreadDelay(p.reset) }
 
 // Spread is the pause before a node's first call at an address to which all of the fleet come at once, of a time that the
 // fleet may need.
-func (p *Pace) Spread(all time.Duration) time.Duration { return time.Duration(p.turn * float64(all)) }
+func (p *CallPacer) SpreadDelay(all time.Duration) time.Duration {
+	return time.Duration(p.turn * float64(all))
+}
 
 // until is the time up to the node's next turn in a period, or the one after that if it is nearer than a part of the period.
-func (p *Pace) until(wall, period time.Duration, soonest float64) time.Duration {
+func (p *CallPacer) until(wall, period time.Duration, soonest float64) time.Duration {
 	wait := (time.Duration(p.turn*float64(period)) - wall%period + period) % period
 	if wait < time.Duration(soonest*float64(period)) {
 		wait += period
--- a/internal/servers/endpoints/pace_test.go
+++ b/internal/servers/endpoints/pace_test.go
@@ -6,9 +6,9 @@
 )
 
 // overloads has a node that has heard discovery meet overloaded calls in a row, and returns the pauses.
-func overloads(p *Pace, wall, took time.Duration, n int) (pauses []time.Duration) {
+func overloads(p *CallPacer, wall, took time.Duration, n int) (pauses []time.Duration) {
 	for range n {
-		pause := p.Overloaded(wall, Overload{Took: took, Heard: true})
+		pause := p.RecordOverload(wall, OverloadedCall{Took: took, AnsweredBefore: true})
 		pauses = append(pauses, pause)
 		wall += pause + took
 	}
@@ -21,20 +21,20 @@
 func TestPausesGrowWithOverload(t *testing.T) {
 	const slow = 2 * time.Second
 	for node := range 20 {
-		at := Place{Node: node, Nodes: 60}
-		pauses := overloads(NewPace(at), time.Hour, slow, 8)
+		at := FleetPosition{NodeIndex: node, NodeCount: 60}
+		pauses := overloads(NewCallPacer(at), time.Hour, slow, 8)
 		if pauses[0] > 6250*time.Millisecond || pauses[1] > 6250*time.Millisecond || pauses[7] < 12*time.Second || pauses[7] > 60*time.Second {
 			t.Errorf("of 60 nodes %d pauses for %v", node, pauses)
 		}
 		sum, sumTurned := time.Duration(0), time.Duration(0)
-		for i, pause := range overloads(NewPace(at), time.Hour, 0, 8) {
+		for i, pause := range overloads(NewCallPacer(at), time.Hour, 0, 8) {
 			sum, sumTurned = sum+pauses[i], sumTurned+pause
 		}
 		if sumTurned > sum/2 {
 			t.Errorf("node %d: turned away at once it pauses for %v in all, after a wait for %v", node, sumTurned, sum)
 		}
 	}
-	for _, pause := range overloads(NewPace(Place{Nodes: 1, Seed: 7}), time.Hour, slow, 8) {
+	for _, pause := range overloads(NewCallPacer(FleetPosition{NodeCount: 1, Seed: 7}), time.Hour, slow, 8) {
 		if pause > 2500*time.Millisecond {
 			t.Errorf("one node alone pauses for %v", pause)
 		}
@@ -47,10 +47,10 @@
 	var calls [slots]int
 	fleet := fleetOf(30, 70)
 	for _, at := range fleet {
-		p := NewPace(at)
+		p := NewCallPacer(at)
 		overloads(p, time.Hour, 2*time.Second, 4)
 		const period = 40 * time.Second // the fifth
-		pause := p.Overloaded(2*time.Hour, Overload{Took: 2 * time.Second})
+		pause := p.RecordOverload(2*time.Hour, OverloadedCall{Took: 2 * time.Second})
 		calls[int(pause%period*slots/period)]++
 	}
 	for slot, n := range calls {
@@ -64,33 +64,33 @@
 // after the start leaves time for one more call before what discovery has counts as told. Where calls go on failing the pauses
 // grow beyond what a few nodes of one tier need, as others call too.
 func TestPausesOfASmallFleet(t *testing.T) {
-	at := Place{Node: 1, Nodes: 3}
+	at := FleetPosition{NodeIndex: 1, NodeCount: 3}
 	const wall, took = time.Hour, 2 * time.Second
 	for step := range 20 {
 		now := wall + time.Duration(step)*100*time.Millisecond
-		if pause := NewPace(at).Overloaded(now, Overload{Took: took}); pause < backOffFirst/4 || took+pause+took > toldAfterFailure {
+		if pause := NewCallPacer(at).RecordOverload(now, OverloadedCall{Took: took}); pause < backOffFirst/4 || took+pause+took > toldAfterFailure {
 			t.Errorf("after its start it pauses for %v", pause)
 		}
-		if pause := NewPace(at).Overloaded(now, Overload{Took: took, Heard: true}); pause < backOffSoon/4 || pause > backOffSoon*5/4 {
+		if pause := NewCallPacer(at).RecordOverload(now, OverloadedCall{Took: took, AnsweredBefore: true}); pause < backOffSoon/4 || pause > backOffSoon*5/4 {
 			t.Errorf("having heard discovery it pauses for %v", pause)
 		}
 	}
-	if pauses := overloads(NewPace(at), wall, took, 10); pauses[9] < 4*time.Second || pauses[9] > backOffFleet*5/4 {
+	if pauses := overloads(NewCallPacer(at), wall, took, 10); pauses[9] < 4*time.Second || pauses[9] > backOffFleet*5/4 {
 		t.Errorf("in the end it pauses for %v", pauses[9])
 	}
 }
 
 // Long polls that are reset together come back in turn, early enough for an answer before what discovery has counts as told.
 func TestResetPollsComeBackInTurn(t *testing.T) {
-	if pause := NewPace(Place{Nodes: 1, Seed: 7}).Reset(); pause != 0 {
+	if pause := NewCallPacer(FleetPosition{NodeCount: 1, Seed: 7}).RecordReset(); pause != 0 {
 		t.Errorf("a node alone pauses for %v", pause)
 	}
-	for _, fleet := range [][]Place{fleetOf(2), fleetOf(3, 5), fleetOf(50, 250)} {
+	for _, fleet := range [][]FleetPosition{fleetOf(2), fleetOf(3, 5), fleetOf(50, 250)} {
 		const parts = 2
 		var calls [parts]int
 		for _, at := range fleet {
-			p := NewPace(at)
-			pause := p.Reset()
+			p := NewCallPacer(at)
+			pause := p.RecordReset()
 			if pause < 0 || pause > toldAfterFailure-2*time.Second {
 				t.Errorf("%+v pauses for %v", at, pause)
 			}
@@ -104,27 +104,27 @@
 
 // One answer does not end an overload: the next pause goes on from a part of the last one, and several answers end it.
 func TestAnswersEndAnOverload(t *testing.T) {
-	p := NewPace(Place{Node: 3, Nodes: 60})
+	p := NewCallPacer(FleetPosition{NodeIndex: 3, NodeCount: 60})
 	overloads(p, time.Hour, 2*time.Second, 6)
-	p.Answered(2*time.Hour, Answer{})
+	p.RecordAnswer(2*time.Hour, Answer{})
 	if p.failures != 3 {
 		t.Errorf("after one answer %v of 6 failures count", p.failures)
 	}
 	for range 8 {
-		p.Answered(2*time.Hour, Answer{})
+		p.RecordAnswer(2*time.Hour, Answer{})
 	}
-	if pause := p.Overloaded(3*time.Hour, Overload{Took: 2 * time.Second}); pause > 6250*time.Millisecond {
+	if pause := p.RecordOverload(3*time.Hour, OverloadedCall{Took: 2 * time.Second}); pause > 6250*time.Millisecond {
 		t.Errorf("after many answers it pauses for %v", pause)
 	}
 }
 
 // periodicPace is the pace of a node with a short list whose call has just timed out in the queue.
-func periodicPace(t *testing.T) *Pace {
+func periodicPace(t *testing.T) *CallPacer {
 	t.Helper()
-	p := NewPace(Place{Node: 5, Nodes: 24})
-	pause := p.Overloaded(time.Hour, Overload{Took: 2 * time.Second, Heard: true, Servers: periodicServers})
-	if !p.AsksForWhole() || pause < periodicCalls/2 || pause > periodicCalls*3/2 {
-		t.Fatalf("asks for the whole list: %v, after %v", p.AsksForWhole(), pause)
+	p := NewCallPacer(FleetPosition{NodeIndex: 5, NodeCount: 24})
+	pause := p.RecordOverload(time.Hour, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers})
+	if !p.FetchesWholeList() || pause < periodicCalls/2 || pause > periodicCalls*3/2 {
+		t.Fatalf("asks for the whole list: %v, after %v", p.FetchesWholeList(), pause)
 	}
 	return p
 }
@@ -133,25 +133,25 @@
 // each node for each change. A long list would cost it more than that, a node alone or one that has not heard discovery asks soon, and one
 // without a watch that is held to its list for less than a period must keep one.
 func TestShortListsAreAskedForInAnOverload(t *testing.T) {
-	at := Place{Node: 5, Nodes: 24}
+	at := FleetPosition{NodeIndex: 5, NodeCount: 24}
 	for name, c := range map[string]struct {
-		at       Place
-		overload Overload
+		at       FleetPosition
+		overload OverloadedCall
 		whole    bool
 	}{
-		"a short list":   {at, Overload{Took: 2 * time.Second, Heard: true, Servers: periodicServers}, true},
-		"turned away":    {at, Overload{Heard: true, Servers: 1}, true},
-		"a long list":    {at, Overload{Took: 2 * time.Second, Heard: true, Servers: periodicServers + 1}, false},
-		"not known":      {at, Overload{Took: 2 * time.Second, Heard: true}, false},
-		"a new process":  {at, Overload{Took: 2 * time.Second, Servers: periodicServers}, false},
-		"held for long":  {Place{Node: 5, Nodes: 24, AskWithin: periodicLeast}, Overload{Took: 2 * time.Second, Heard: true, Servers: 1}, true},
-		"held briefly":   {Place{Node: 5, Nodes: 24, AskWithin: periodicLeast - 1}, Overload{Took: 2 * time.Second, Heard: true, Servers: 1}, false},
-		"one node alone": {Place{Nodes: 1}, Overload{Took: 2 * time.Second, Heard: true, Servers: periodicServers}, false},
+		"a short list":   {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers}, true},
+		"turned away":    {at, OverloadedCall{AnsweredBefore: true, Servers: 1}, true},
+		"a long list":    {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers + 1}, false},
+		"not known":      {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true}, false},
+		"a new process":  {at, OverloadedCall{Took: 2 * time.Second, Servers: periodicServers}, false},
+		"held for long":  {FleetPosition{NodeIndex: 5, NodeCount: 24, ListObligation: periodicLeast}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, true},
+		"held briefly":   {FleetPosition{NodeIndex: 5, NodeCount: 24, ListObligation: periodicLeast - 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, false},
+		"one node alone": {FleetPosition{NodeCount: 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers}, false},
 	} {
-		p := NewPace(c.at)
-		p.Overloaded(time.Hour, c.overload)
-		if p.AsksForWhole() != c.whole {
-			t.Errorf("%s: the whole list is asked for: %v", name, p.AsksForWhole())
+		p := NewCallPacer(c.at)
+		p.RecordOverload(time.Hour, c.overload)
+		if p.FetchesWholeList() != c.whole {
+			t.Errorf("%s: the whole list is asked for: %v", name, p.FetchesWholeList())
 		}
 	}
 }
@@ -160,19 +160,19 @@
 func TestPeriodicCallsEndWhenTheListIsQuiet(t *testing.T) {
 	p, wall := periodicPace(t), time.Hour
 	for range 5 {
-		pause := p.Answered(wall, Answer{Took: time.Second / 10, Whole: true, News: true})
-		if pause < periodicCalls/2 || pause > periodicCalls*3/2 || !p.AsksForWhole() {
+		pause := p.RecordAnswer(wall, Answer{Took: time.Second / 10, Whole: true, Changed: true})
+		if pause < periodicCalls/2 || pause > periodicCalls*3/2 || !p.FetchesWholeList() {
 			t.Fatalf("after news it pauses for %v", pause)
 		}
 		wall += pause
 	}
-	if pause := p.Answered(wall, Answer{Whole: true}); pause == 0 {
+	if pause := p.RecordAnswer(wall, Answer{Whole: true}); pause == 0 {
 		t.Error("one quiet answer ends it")
 	}
-	if pause := p.Answered(wall, Answer{Whole: true}); pause != 0 || p.AsksForWhole() {
+	if pause := p.RecordAnswer(wall, Answer{Whole: true}); pause != 0 || p.FetchesWholeList() {
 		t.Errorf("after two quiet answers it pauses for %v", pause)
 	}
-	if pause := p.Answered(wall, Answer{News: true}); pause != 0 {
+	if pause := p.RecordAnswer(wall, Answer{Changed: true}); pause != 0 {
 		t.Errorf("after an answer to a long poll it pauses for %v", pause)
 	}
 }
@@ -181,17 +181,17 @@
 // ends the overload.
 func TestSlowAnswersEndWholeLists(t *testing.T) {
 	p := periodicPace(t)
-	if pause := p.Answered(time.Hour, Answer{Took: answeredLate * 3 / 2, Whole: true, News: true}); pause == 0 || p.AsksForWhole() {
-		t.Errorf("after a slow answer it pauses for %v and asks for the whole list: %v", pause, p.AsksForWhole())
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: answeredLate * 3 / 2, Whole: true, Changed: true}); pause == 0 || p.FetchesWholeList() {
+		t.Errorf("after a slow answer it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	if pause := p.Answered(time.Hour, Answer{Took: answeredLate, News: true}); pause == 0 || p.AsksForWhole() {
-		t.Errorf("after a long poll it pauses for %v and asks for the whole list: %v", pause, p.AsksForWhole())
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: answeredLate, Changed: true}); pause == 0 || p.FetchesWholeList() {
+		t.Errorf("after a long poll it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	if pause := p.Answered(time.Hour, Answer{Took: answeredSoon / 2, News: true}); pause == 0 || !p.AsksForWhole() {
-		t.Errorf("after a quick answer it pauses for %v and asks for the whole list: %v", pause, p.AsksForWhole())
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: answeredSoon / 2, Changed: true}); pause == 0 || !p.FetchesWholeList() {
+		t.Errorf("after a quick answer it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	p.Answered(time.Hour, Answer{Took: answeredLate * 3 / 2, Whole: true, News: true})
-	if pause := p.Answered(time.Hour, Answer{Took: 2 * periodicCalls, News: true}); pause != 0 {
+	p.RecordAnswer(time.Hour, Answer{Took: answeredLate * 3 / 2, Whole: true, Changed: true})
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: 2 * periodicCalls, Changed: true}); pause != 0 {
 		t.Errorf("after a poll that was open for long it pauses for %v", pause)
 	}
 }
@@ -200,24 +200,24 @@
 // overload has ended.
 func TestPeriodicCallsInVain(t *testing.T) {
 	p := periodicPace(t)
-	vain := Overload{Took: 2 * time.Second, Heard: true, Servers: periodicServers}
-	if pause := p.Overloaded(time.Hour, vain); pause > periodicCalls*3/2 || p.AsksForWhole() {
-		t.Errorf("after one call in vain it pauses for %v and asks for the whole list: %v", pause, p.AsksForWhole())
+	vain := OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers}
+	if pause := p.RecordOverload(time.Hour, vain); pause > periodicCalls*3/2 || p.FetchesWholeList() {
+		t.Errorf("after one call in vain it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	if pause := p.Overloaded(time.Hour, vain); pause < periodicCalls || pause > 3*periodicCalls {
+	if pause := p.RecordOverload(time.Hour, vain); pause < periodicCalls || pause > 3*periodicCalls {
 		t.Errorf("after two calls in vain it pauses for %v", pause)
 	}
 	for range 3 {
-		p.Overloaded(time.Hour, vain)
+		p.RecordOverload(time.Hour, vain)
 	}
-	if p.AsksForWhole() || p.mode != longPollOnly {
+	if p.FetchesWholeList() || p.mode != longPollOnly {
 		t.Errorf("after many calls in vain its mode is %v", p.mode)
 	}
 	for range 8 {
-		p.Answered(time.Hour, Answer{News: true})
+		p.RecordAnswer(time.Hour, Answer{Changed: true})
 	}
-	p.Overloaded(time.Hour, vain)
-	if !p.AsksForWhole() {
+	p.RecordOverload(time.Hour, vain)
+	if !p.FetchesWholeList() {
 		t.Error("the next overload does not begin anew")
 	}
 }
--- a/internal/servers/endpoints/poll.go
+++ b/internal/servers/endpoints/poll.go
@@ -33,12 +33,12 @@
 )
 
 // Place is where a node stands in its fleet.
-type Place struct {
-	Node, Nodes int // its number in its tier; under 0: unknown
-	Tier        int
-	AskWithin   time.Duration // a node without a watch is held to its list for so long after a call; 0: for good
-	Pushed      bool          // lists come from an agent beside it, at no cost
-	Seed        uint64
+type FleetPosition struct {
+	NodeIndex, NodeCount int // its number in its tier; under 0: unknown
+	Tier                 int
+	ListObligation       time.Duration // a node without a watch is held to its list for so long after a call; 0: for good
+	Pushed               bool          // lists come from an agent beside it, at no cost
+	Seed                 uint64
 }
 
 // PollSchedule says how long each long poll of a watch may wait. The polls of a fleet end one after the other: a network
@@ -52,19 +52,19 @@
 }
 
 // NewPollSchedule returns the schedule of one node.
-func NewPollSchedule(p Place) *PollSchedule {
+func NewPollSchedule(p FleetPosition) *PollSchedule {
 	s := &PollSchedule{pushed: p.Pushed, rng: rand.New(rand.NewPCG(p.Seed, 0x706f6c6c))}
-	s.period = min(max(pollLeast, time.Duration(max(0, p.Nodes))*pollANode), pollMost)
+	s.period = min(max(pollLeast, time.Duration(max(0, p.NodeCount))*pollANode), pollMost)
 	s.phase = time.Duration(p.turn() * float64(s.period))
 	return s
 }
 
 // turn is the part of a period after which the node's turn is. One with no number, or alone, has it by chance.
-func (p Place) turn() float64 {
-	if p.Node < 0 || p.Nodes <= 1 {
+func (p FleetPosition) turn() float64 {
+	if p.NodeIndex < 0 || p.NodeCount <= 1 {
 		return rand.New(rand.NewPCG(p.Seed, 0x7475726e)).Float64()
 	}
-	_, at := math.Modf(float64(p.Node)*turnsApart + between(p.Tier))
+	_, at := math.Modf(float64(p.NodeIndex)*turnsApart + between(p.Tier))
 	return at
 }
 
@@ -79,7 +79,7 @@
 // Wait returns how long a poll that begins at a time of the wall clock may wait at discovery, and after which time
 // without an answer it is lost. lost: the call before it did not get through. Discovery that turns calls away has too many,
 // and gets no short ones.
-func (s *PollSchedule) Wait(wall time.Duration, lost bool) (wait, patience time.Duration) {
+func (s *PollSchedule) NextPoll(wall time.Duration, lost bool) (wait, patience time.Duration) {
 	if s.pushed {
 		return agentWait, agentPatience
 	}
--- a/internal/servers/endpoints/poll_test.go
+++ b/internal/servers/endpoints/poll_test.go
@@ -8,10 +8,10 @@
 )
 
 // fleetOf lists the places of a fleet with so many nodes in each tier.
-func fleetOf(tiers ...int) (all []Place) {
+func fleetOf(tiers ...int) (all []FleetPosition) {
 	for tier, nodes := range tiers {
 		for node := range nodes {
-			all = append(all, Place{Node: node, Nodes: nodes, Tier: tier, Seed: uint64(len(all))})
+			all = append(all, FleetPosition{NodeIndex: node, NodeCount: nodes, Tier: tier, Seed: uint64(len(all))})
 		}
 	}
 	return all
@@ -23,11 +23,11 @@
 	for nodes, want := range map[int]struct{ least, most, period time.Duration }{
 		0: {2800, 9000, 6000}, 2: {2800, 9000, 6000}, 20: {6500, 37500, 30000}, 500: {10500, 60000, 48000},
 	} {
-		s := NewPollSchedule(Place{Nodes: nodes, Seed: 3})
+		s := NewPollSchedule(FleetPosition{NodeCount: nodes, Seed: 3})
 		wall, polls := time.Duration(rand.Int64N(int64(time.Hour))), 0
 		end := wall + time.Hour
 		for wall < end {
-			wait, patience := s.Wait(wall, false)
+			wait, patience := s.NextPoll(wall, false)
 			if wait < want.least*time.Millisecond || wait > want.most*time.Millisecond || patience <= wait || patience > wait+time.Second {
 				t.Fatalf("%d nodes: a poll waits %v, and is lost after %v", nodes, wait, patience)
 			}
@@ -75,9 +75,9 @@
 			for _, p := range fleetOf(c.tiers...) {
 				p.Seed += seed * 1000
 				begun := wall + time.Duration(rng.Int64N(int64(200*time.Millisecond)))
-				wait, _ := NewPollSchedule(p).Wait(begun, false)
+				wait, _ := NewPollSchedule(p).NextPoll(begun, false)
 				ends = append(ends, begun+wait)
-				long := min(max(6*time.Second, time.Duration(p.Nodes)*1500*time.Millisecond), time.Minute)
+				long := min(max(6*time.Second, time.Duration(p.NodeCount)*1500*time.Millisecond), time.Minute)
 				together = append(together, begun+long-time.Duration(rng.Int64N(int64(long/10))))
 			}
 			worst = max(worst, answered(ends, pollLate, c.all, rng))
@@ -96,7 +96,7 @@
 // After a failed call the next poll is short whatever the fleet's size, and discovery may let it wait in turn.
 func TestPollsAfterAFailureAreShort(t *testing.T) {
 	for _, p := range fleetOf(2, 40) {
-		if wait, patience := NewPollSchedule(p).Wait(time.Hour, true); wait > 2*time.Second || patience < wait+time.Second || patience > 4*time.Second {
+		if wait, patience := NewPollSchedule(p).NextPoll(time.Hour, true); wait > 2*time.Second || patience < wait+time.Second || patience > 4*time.Second {
 			t.Fatalf("%+v: waits %v, and is lost after %v", p, wait, patience)
 		}
 	}
@@ -104,11 +104,11 @@
 
 // Nodes that do not know their number, or are told the same one, must not all call at the same moment.
 func TestPollsWithoutANumberAreSpread(t *testing.T) {
-	for name, p := range map[string]Place{"unknown": {Node: -1, Nodes: 40}, "alone": {Node: 0, Nodes: 1}} {
+	for name, p := range map[string]FleetPosition{"unknown": {NodeIndex: -1, NodeCount: 40}, "alone": {NodeIndex: 0, NodeCount: 1}} {
 		var ends []time.Duration
 		for seed := range uint64(200) {
 			p.Seed = seed
-			wait, _ := NewPollSchedule(p).Wait(0, false)
+			wait, _ := NewPollSchedule(p).NextPoll(0, false)
 			ends = append(ends, wait)
 		}
 		slices.Sort(ends)
--- a/internal/servers/endpoints/view.go
+++ b/internal/servers/endpoints/view.go
@@ -12,28 +12,28 @@
 
 // Settings bound a view's doubts. The zero value of each field stands for its default.
 type Settings struct {
-	LossShare  float64       // part of the serving servers whose loss by one list is asked about again; 0.5
-	LossLeast  int           // and so many at the least; 3
-	BackHold   time.Duration // how long what an older list brings back waits; 30 s
-	FlapWindow time.Duration // returns further apart than this are none of one flapping; 30 s
-	FlapFree   int           // returns in the window that are believed at once; 2
-	FlapFirst  time.Duration // wait of the next one, doubled with each further; 2 s
-	FlapMost   time.Duration // up to this; 30 s
-	MostGone   int           // servers remembered as gone; 4096
+	LossFraction     float64       // part of the serving servers whose loss by one list is asked about again; 0.5
+	MinLoss          int           // and so many at the least; 3
+	RollbackDelay    time.Duration // how long what an older list brings back waits; 30 s
+	FlapWindow       time.Duration // returns further apart than this are none of one flapping; 30 s
+	FlapThreshold    int           // returns in the window that are believed at once; 2
+	FlapInitialDelay time.Duration // wait of the next one, doubled with each further; 2 s
+	FlapMaxDelay     time.Duration // up to this; 30 s
+	MaxTombstones    int           // servers remembered as gone; 4096
 }
 
 func (s Settings) withDefaults() Settings {
-	s.LossShare, s.LossLeast = cmp.Or(s.LossShare, 0.5), cmp.Or(s.LossLeast, 3)
-	s.BackHold, s.FlapWindow = cmp.Or(s.BackHold, 30*time.Second), cmp.Or(s.FlapWindow, 30*time.Second)
-	s.FlapFree, s.FlapFirst = cmp.Or(s.FlapFree, 2), cmp.Or(s.FlapFirst, 2*time.Second)
-	s.FlapMost, s.MostGone = cmp.Or(s.FlapMost, 30*time.Second), cmp.Or(s.MostGone, 4096)
+	s.LossFraction, s.MinLoss = cmp.Or(s.LossFraction, 0.5), cmp.Or(s.MinLoss, 3)
+	s.RollbackDelay, s.FlapWindow = cmp.Or(s.RollbackDelay, 30*time.Second), cmp.Or(s.FlapWindow, 30*time.Second)
+	s.FlapThreshold, s.FlapInitialDelay = cmp.Or(s.FlapThreshold, 2), cmp.Or(s.FlapInitialDelay, 2*time.Second)
+	s.FlapMaxDelay, s.MaxTombstones = cmp.Or(s.FlapMaxDelay, 30*time.Second), cmp.Or(s.MaxTombstones, 4096)
 	return s
 }
 
 // LongestDoubt is how long good news of a list waits at the most.
-func (s Settings) LongestDoubt() time.Duration {
+func (s Settings) MaxDelay() time.Duration {
 	s = s.withDefaults()
-	return max(s.BackHold, s.FlapMost)
+	return max(s.RollbackDelay, s.FlapMaxDelay)
 }
 
 // row is what is known of a server, gone ones included.
@@ -70,7 +70,7 @@
 	gone       []goneID // oldest first
 	nextGone   uint64
 	out        []Entry
-	odd        []Odd
+	odd        []Anomaly
 }
 
 type goneID struct {
@@ -79,27 +79,27 @@
 }
 
 // Kind is what is odd about a list.
-type Kind string
+type AnomalyKind string
 
 // The kinds.
 const (
-	Backwards Kind = "the generation runs backwards"
-	Loss      Kind = "most servers are gone at once"
-	Empty     Kind = "the whole list is empty"
-	Flapping  Kind = "a server comes and goes"
-	Duplicate Kind = "a server stands in one list twice"
-	Conflict  Kind = "two servers are said to be at one address"
-	Returned  Kind = "an older list brings a server back"
+	GenerationRollback AnomalyKind = "the generation runs backwards"
+	MassRemoval        AnomalyKind = "most servers are gone at once"
+	EmptyList          AnomalyKind = "the whole list is empty"
+	Flapping           AnomalyKind = "a server comes and goes"
+	DuplicateEntry     AnomalyKind = "a server stands in one list twice"
+	AddressConflict    AnomalyKind = "two servers are said to be at one address"
+	ReturnInOlderList  AnomalyKind = "an older list brings a server back"
 )
 
 // Odd is one thing that is odd about a list.
-type Odd struct {
-	Kind Kind
+type Anomaly struct {
+	Kind AnomalyKind
 	ID   string // of the server; "": the list as a whole
 	Text string
 }
 
-func (o Odd) String() string {
+func (o Anomaly) String() string {
 	if o.ID == "" {
 		return fmt.Sprintf("%s: %s", o.Kind, o.Text)
 	}
@@ -108,9 +108,9 @@
 
 // Update is what comes of a list.
 type Update struct {
-	Changes []Entry // to be carried out now; valid until the next call
-	Odd     []Odd   // the same
-	Again   bool    // the whole list should be asked for once more
+	Changes      []Entry   // to be carried out now; valid until the next call
+	Anomalies    []Anomaly // the same
+	RefetchWhole bool      // the whole list should be asked for once more
 }
 
 // New returns a view of nothing.
@@ -119,7 +119,7 @@
 }
 
 // Begin takes a list that the node had before it started. All of it is held to be passed on.
-func (v *View) Begin(l *List) {
+func (v *View) Restore(l *List) {
 	for i := range l.Entries {
 		e := &l.Entries[i]
 		r := &row{Entry: *e, passed: e.Health}
@@ -148,14 +148,14 @@
 	backwards := v.begun && l.Generation < v.generation
 	above := l.Generation > v.highest
 	if backwards {
-		v.strange(Backwards, "", fmt.Sprintf("from %d to %d", v.generation, l.Generation))
+		v.strange(GenerationRollback, "", fmt.Sprintf("from %d to %d", v.generation, l.Generation))
 	}
 	before := v.serving
 	entries := v.once(l.Entries)
 	if l.Whole {
 		v.missing(now, entries)
 		if len(entries) == 0 && before > 0 {
-			v.strange(Empty, "", fmt.Sprintf("%d servers were serving", before))
+			v.strange(EmptyList, "", fmt.Sprintf("%d servers were serving", before))
 		}
 	}
 	// Bad news first: an address that is given up may be taken in the same list.
@@ -171,13 +171,13 @@
 		}
 	}
 	v.revive()
-	again := lost >= v.set.LossLeast && float64(lost) > v.set.LossShare*float64(before) ||
+	again := lost >= v.set.MinLoss && float64(lost) > v.set.LossFraction*float64(before) ||
 		l.Whole && len(entries) == 0 && before > 0
-	if again && v.serving+v.set.LossLeast > before { // replaced in the same list
+	if again && v.serving+v.set.MinLoss > before { // replaced in the same list
 		again = false
 	}
 	if again {
-		v.strange(Loss, "", fmt.Sprintf("%d of %d", lost, before))
+		v.strange(MassRemoval, "", fmt.Sprintf("%d of %d", lost, before))
 	}
 	v.generation, v.highest, v.begun = l.Generation, max(v.highest, l.Generation), true
 	return Update{v.out, v.odd, again}
@@ -185,7 +185,7 @@
 
 // Partial takes what a list that broke off told of servers that drain or are gone, and returns the changes. The list's
 // generation is not reached: the next one tells the same again.
-func (v *View) Partial(now time.Duration, bad []Entry) []Entry {
+func (v *View) ApplyPartial(now time.Duration, bad []Entry) []Entry {
 	v.out = v.out[:0]
 	for i := range bad {
 		v.bad(now, &bad[i])
@@ -194,7 +194,7 @@
 }
 
 // Due passes on what has waited long enough.
-func (v *View) Due(now time.Duration) []Entry {
+func (v *View) ReleaseDue(now time.Duration) []Entry {
 	v.out = v.out[:0]
 	left := v.held[:0]
 	for _, id := range v.held {
@@ -214,7 +214,7 @@
 }
 
 // Next is when Due has something to do, and false if never.
-func (v *View) Next() (at time.Duration, ok bool) {
+func (v *View) NextRelease() (at time.Duration, ok bool) {
 	for _, id := range v.held {
 		if r := v.rows[id]; r != nil && r.heldUntil > 0 && (!ok || r.heldUntil < at) {
 			at, ok = r.heldUntil, true
@@ -224,7 +224,7 @@
 }
 
 // All are the servers that were passed on and not taken back, in order of their ids.
-func (v *View) All() []Entry {
+func (v *View) Published() []Entry {
 	var all []Entry
 	for _, r := range v.rows {
 		if r.passed != decide.Removed {
@@ -238,7 +238,7 @@
 }
 
 // Told is the newest list as discovery told it, gone servers left out, whatever of it is doubted here.
-func (v *View) Told() *List {
+func (v *View) LatestList() *List {
 	l := &List{Generation: v.generation, Whole: true}
 	for _, r := range v.rows {
 		if r.Health != decide.Removed {
@@ -257,7 +257,7 @@
 	return decide.Removed
 }
 
-func (v *View) strange(k Kind, id, text string) { v.odd = append(v.odd, Odd{k, id, text}) }
+func (v *View) strange(k AnomalyKind, id, text string) { v.odd = append(v.odd, Anomaly{k, id, text}) }
 
 // pass makes a change.
 func (v *View) pass(r *row, h decide.Health) {
@@ -303,7 +303,7 @@
 			continue
 		}
 		old := &kept[i]
-		v.strange(Duplicate, e.ID, fmt.Sprintf("at %s and %s", old.Address, e.Address))
+		v.strange(DuplicateEntry, e.ID, fmt.Sprintf("at %s and %s", old.Address, e.Address))
 		if e.Started > old.Started || e.Started == old.Started && e.Health > old.Health {
 			*old = e
 		}
@@ -411,10 +411,10 @@
 	switch {
 	case newer:
 	case backwards:
-		wait, r.byGeneration = v.set.BackHold, true
-		v.strange(Returned, e.ID, fmt.Sprintf("it waits for %v, or a newer list", wait))
-	case r.returns >= v.set.FlapFree:
-		wait = min(v.set.FlapFirst<<min(r.returns-v.set.FlapFree, 16), v.set.FlapMost)
+		wait, r.byGeneration = v.set.RollbackDelay, true
+		v.strange(ReturnInOlderList, e.ID, fmt.Sprintf("it waits for %v, or a newer list", wait))
+	case r.returns >= v.set.FlapThreshold:
+		wait = min(v.set.FlapInitialDelay<<min(r.returns-v.set.FlapThreshold, 16), v.set.FlapMaxDelay)
 		v.strange(Flapping, e.ID, fmt.Sprintf("%d returns, the next waits for %v", r.returns, wait))
 	}
 	r.returns++
@@ -430,7 +430,7 @@
 func (v *View) admit(now time.Duration, r *row) {
 	if id, ok := v.owners[r.Address]; ok && id != r.ID {
 		other := v.rows[id]
-		v.strange(Conflict, r.ID, fmt.Sprintf("%s is at %s too", id, r.Address))
+		v.strange(AddressConflict, r.ID, fmt.Sprintf("%s is at %s too", id, r.Address))
 		switch {
 		case r.Started > other.Started && other.Started > 0:
 			v.pass(other, decide.Draining)
@@ -470,7 +470,7 @@
 	v.nextGone++
 	r.gonePlace = v.nextGone
 	v.gone = append(v.gone, goneID{r.ID, v.nextGone})
-	for len(v.gone) > v.set.MostGone {
+	for len(v.gone) > v.set.MaxTombstones {
 		g := v.gone[0]
 		v.gone = v.gone[1:]
 		if x := v.rows[g.id]; x != nil && x.gonePlace == g.place {
--- a/internal/servers/endpoints/view_test.go
+++ b/internal/servers/endpoints/view_test.go
@@ -36,7 +36,7 @@
 	return all
 }
 
-func kinds(odd []Odd) (all []Kind) {
+func kinds(odd []Anomaly) (all []AnomalyKind) {
 	for _, o := range odd {
 		all = append(all, o.Kind)
 	}
@@ -69,7 +69,7 @@
 	u = v.Apply(3*s, whole(12, entry("b", serving, s), entry("c", serving, s), entry("d", serving, s),
 		entry("e", serving, s), entry("f", serving, 2*s)))
 	want(t, "a whole list", changed(u.Changes), "[a gone]")
-	want(t, "odd", u.Odd, "[]")
+	want(t, "odd", u.Anomalies, "[]")
 	// A server that starts again, or moves, is told with its new start or address.
 	u = v.Apply(4*s, diff(13, entry("b", serving, 4*s)))
 	want(t, "a new process", changed(u.Changes), "[b serves]")
@@ -85,20 +85,20 @@
 	v := fleet()
 	u := v.Apply(2*s, whole(11))
 	want(t, "changes", changed(u.Changes), "[a gone b gone c gone d gone e gone]")
-	want(t, "odd", kinds(u.Odd), "[most servers are gone at once the whole list is empty]")
-	want(t, "again", u.Again, true)
+	want(t, "odd", kinds(u.Anomalies), "[most servers are gone at once the whole list is empty]")
+	want(t, "again", u.RefetchWhole, true)
 	u = v.Apply(3*s, whole(12, entry("a", serving, s), entry("b", serving, s)))
 	want(t, "they return", changed(u.Changes), "[a serves b serves]")
 	v = fleet()
 	u = v.Apply(2*s, diff(11, entry("a", deleted, s), entry("b", draining, s), entry("c", deleted, s)))
-	want(t, "three of five", u.Again, true)
+	want(t, "three of five", u.RefetchWhole, true)
 	v = fleet()
 	u = v.Apply(2*s, diff(11, entry("a", deleted, s), entry("b", draining, s)))
-	want(t, "two of five", u.Again, false)
+	want(t, "two of five", u.RefetchWhole, false)
 	v = fleet()
 	u = v.Apply(2*s, diff(11, entry("a", deleted, s), entry("b", deleted, s), entry("c", deleted, s),
 		entry("a2", serving, 2*s), entry("b2", serving, 2*s), entry("c2", serving, 2*s)))
-	want(t, "replaced in one list", u.Again, false)
+	want(t, "replaced in one list", u.RefetchWhole, false)
 }
 
 // A list from a backup: its bad news counts, what it brings back waits; a newer process, and what the old list
@@ -109,22 +109,22 @@
 	u := v.Apply(3*s, whole(8, entry("a", serving, s), entry("b", serving, s), entry("c", serving, 3*s),
 		entry("d", serving, s), entry("new", serving, s)))
 	want(t, "changes", changed(u.Changes), "[c serves e gone new serves]")
-	want(t, "odd", kinds(u.Odd), "[an older list brings a server back the generation runs backwards]")
-	at, ok := v.Next()
+	want(t, "odd", kinds(u.Anomalies), "[an older list brings a server back the generation runs backwards]")
+	at, ok := v.NextRelease()
 	want(t, "next", fmt.Sprint(at, ok), "33s true")
-	want(t, "before its time", changed(v.Due(32*s)), "[]")
+	want(t, "before its time", changed(v.ReleaseDue(32*s)), "[]")
 	// It counts on from there: no further doubt about what is told next.
 	u = v.Apply(4*s, diff(9, entry("x", serving, s)))
 	want(t, "the next", changed(u.Changes), "[x serves]")
-	want(t, "odd", u.Odd, "[]")
-	want(t, "in time", changed(v.Due(33*s)), "[a serves b serves]")
+	want(t, "odd", u.Anomalies, "[]")
+	want(t, "in time", changed(v.ReleaseDue(33*s)), "[a serves b serves]")
 	// A list above the highest generation settles it at once; bad news does too.
 	v = fleet()
 	v.Apply(2*s, diff(20, entry("a", draining, s), entry("b", deleted, s)))
 	v.Apply(3*s, whole(8, entry("a", serving, s), entry("b", serving, s), entry("c", serving, s), entry("d", serving, s), entry("e", serving, s)))
 	u = v.Apply(4*s, diff(21, entry("a", serving, s), entry("b", draining, s)))
 	want(t, "above the highest", changed(u.Changes), "[a serves b drains]")
-	want(t, "nothing waits", changed(v.Due(time.Hour)), "[]")
+	want(t, "nothing waits", changed(v.ReleaseDue(time.Hour)), "[]")
 }
 
 // Two registries that disagree, asked in turns: what drains by one of them gets nothing but for the waits' ends.
@@ -138,7 +138,7 @@
 		} else {
 			v.Apply(now, diff(uint64(50+i), entry("a", serving, s)))
 		}
-		v.Due(now)
+		v.ReleaseDue(now)
 		if v.Health("a") == serving {
 			up++
 		}
@@ -163,10 +163,10 @@
 		if v.Health("a") == serving {
 			return 0
 		}
-		at, _ := v.Next()
+		at, _ := v.NextRelease()
 		wait = at - now
 		now = at
-		want(t, "in time", changed(v.Due(now)), "[a serves]")
+		want(t, "in time", changed(v.ReleaseDue(now)), "[a serves]")
 		return wait
 	}
 	var waits []time.Duration
@@ -186,7 +186,7 @@
 	v := fleet()
 	u := v.Apply(2*s, diff(11, entry("a", serving, s), entry("a", draining, s), entry("b", deleted, s), entry("b", serving, 2*s)))
 	want(t, "worse news, newer process", changed(u.Changes), "[a drains b serves]")
-	want(t, "odd", kinds(u.Odd), "[a server stands in one list twice]")
+	want(t, "odd", kinds(u.Anomalies), "[a server stands in one list twice]")
 	// Two at one address: the newer process has it, until it goes.
 	at := func(id string, h decide.Health, started time.Duration) Entry {
 		e := entry(id, h, started)
@@ -195,7 +195,7 @@
 	}
 	u = v.Apply(3*s, diff(12, at("new", serving, 3*s)))
 	want(t, "the newer", changed(u.Changes), "[c drains new serves]")
-	want(t, "odd", kinds(u.Odd), "[two servers are said to be at one address]")
+	want(t, "odd", kinds(u.Anomalies), "[two servers are said to be at one address]")
 	u = v.Apply(3*s, diff(13, at("old", serving, s/2)))
 	want(t, "the older", changed(u.Changes), "[old drains]")
 	u = v.Apply(4*s, diff(14, at("new", deleted, 3*s)))
@@ -209,7 +209,7 @@
 }
 
 func TestBoundOnTheGone(t *testing.T) {
-	v := New(Settings{MostGone: 10})
+	v := New(Settings{MaxTombstones: 10})
 	for i := range 1000 {
 		id := fmt.Sprint("x", i)
 		v.Apply(s, diff(uint64(2*i+1), entry(id, serving, s)))
@@ -237,7 +237,7 @@
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "lists") {
 			now += time.Duration(rng.IntN(5000)) * time.Millisecond
-			take(v.Due(now))
+			take(v.ReleaseDue(now))
 			l := &List{Generation: uint64(rng.IntN(40)), Whole: rng.IntN(3) == 0}
 			told := map[string][]Entry{}
 			for range rng.IntN(8) {
@@ -291,9 +291,9 @@
 			}
 		}
 		// No further list: all that serves by the newest word is served to, or another has its address.
-		now += Settings{}.LongestDoubt()
-		take(v.Due(now))
-		if _, ok := v.Next(); ok {
+		now += Settings{}.MaxDelay()
+		take(v.ReleaseDue(now))
+		if _, ok := v.NextRelease(); ok {
 			t.Fatal("something waits for longer than stated")
 		}
 		for id, e := range last {
--- a/internal/servers/recall/doc.go
+++ b/internal/servers/serverdb/doc.go
@@ -1,4 +1,4 @@
-// Package recall is what a node knows of its tier's servers over its restarts: the rows
+// Package serverdb is what a node knows of its tier's servers over its restarts: the rows
 // of package store that tell of servers and of the list, and what they mean.
 //
 // A Memory owns its store, and belongs to one goroutine, which is not the loop's. What the
@@ -7,4 +7,4 @@
 // tombstones go by number alone.
 //
 // It must not decide whether a server may be sent to: that is doubt's and the module's.
-package recall
+package serverdb
--- a/internal/servers/recall/memory.go
+++ b/internal/servers/serverdb/memory.go
@@ -1,4 +1,4 @@
-package recall
+package serverdb
 
 import (
 	"cmp"
@@ -21,17 +21,17 @@
 
 // Settings bound a memory. The zero value of each field stands for its default.
 type Settings struct {
-	MostGone    int           // tombstones; 4096
-	MostServers int           // rows besides; 20,000
-	ServedStep  time.Duration // between two times of serving that are told apart; 10 min
-	ListStep    time.Duration // between two confirmations; 1 min
-	Writes      float64       // rows a second that are not urgent; 20
+	MaxTombstones    int           // tombstones; 4096
+	MaxServers       int           // rows besides; 20,000
+	ServedResolution time.Duration // between two times of serving that are told apart; 10 min
+	ConfirmInterval  time.Duration // between two confirmations; 1 min
+	WritesPerSecond  float64       // rows a second that are not urgent; 20
 }
 
 func (s Settings) withDefaults() Settings {
-	s.MostGone, s.MostServers = cmp.Or(s.MostGone, 4096), cmp.Or(s.MostServers, 20_000)
-	s.ServedStep, s.ListStep = cmp.Or(s.ServedStep, 10*time.Minute), cmp.Or(s.ListStep, time.Minute)
-	s.Writes = cmp.Or(s.Writes, 20)
+	s.MaxTombstones, s.MaxServers = cmp.Or(s.MaxTombstones, 4096), cmp.Or(s.MaxServers, 20_000)
+	s.ServedResolution, s.ConfirmInterval = cmp.Or(s.ServedResolution, 10*time.Minute), cmp.Or(s.ConfirmInterval, time.Minute)
+	s.WritesPerSecond = cmp.Or(s.WritesPerSecond, 20)
 	return s
 }
 
@@ -39,13 +39,13 @@
 const writesBurst = 5
 
 // Note is what the loop tells of a server, the newest for each. Told is set where discovery has spoken.
-type Note struct {
+type Observation struct {
 	Server
-	Told bool
+	FromDiscovery bool
 }
 
 // Memory is what a node knows over its restarts.
-type Memory struct {
+type DB struct {
 	set              Settings
 	store            *store.Store
 	servers          map[string]*kept
@@ -73,11 +73,11 @@
 }
 
 // Open reads what the store has. The notes are rows that it could not make sense of, a line each.
-func Open(s *store.Store, set Settings, now time.Duration) (*Memory, []string) {
-	m := &Memory{
+func Open(s *store.Store, set Settings, now time.Duration) (*DB, []string) {
+	m := &DB{
 		set: set.withDefaults(), store: s, servers: map[string]*kept{}, late: map[string]struct{}{}, filled: now,
 	}
-	m.tokens = m.set.Writes * writesBurst
+	m.tokens = m.set.WritesPerSecond * writesBurst
 	var notes []string
 	for _, id := range s.Keys(tableServers) {
 		x, err := decodeServer(id, s.Get(tableServers, id))
@@ -89,7 +89,7 @@
 		m.digest ^= x.digest()
 	}
 	for _, x := range slices.SortedFunc(maps.Values(m.servers), func(x, y *kept) int {
-		return cmp.Or(x.Changed.Compare(y.Changed), strings.Compare(x.ID, y.ID))
+		return cmp.Or(x.StateSince.Compare(y.StateSince), strings.Compare(x.ID, y.ID))
 	}) {
 		m.entomb(x)
 	}
@@ -99,13 +99,13 @@
 			notes = append(notes, err.Error())
 		}
 		// A row was lost or is older than the list's: what changed since that generation is not all that changed.
-		m.list.Sound = err == nil && m.list.Digest == m.digest
+		m.list.Consistent = err == nil && m.list.Digest == m.digest
 	}
 	return m, notes
 }
 
 // Servers are all that are known, by id, gone ones included.
-func (m *Memory) Servers() []Server {
+func (m *DB) Servers() []Server {
 	all := make([]Server, 0, len(m.servers))
 	for _, k := range m.servers {
 		all = append(all, k.Server)
@@ -115,10 +115,10 @@
 }
 
 // List is what is known of the list.
-func (m *Memory) List() List { return m.list }
+func (m *DB) List() List { return m.list }
 
 // Lost is how many rows did not fit.
-func (m *Memory) Lost() int { return m.lost }
+func (m *DB) DroppedRows() int { return m.lost }
 
 // Age is how old the list is, by wall time. It is not known where the list has no time, or one after now
 // by more than a minute: then a clock is wrong, and nobody can tell which.
@@ -134,20 +134,20 @@
 }
 
 // Take takes what was seen since the last time. What discovery told of drains and ends is urgent.
-func (m *Memory) Take(now time.Duration, notes []Note) {
+func (m *DB) Record(now time.Duration, notes []Observation) {
 	m.fill(now)
 	for i := range notes {
 		m.take(now, &notes[i])
 	}
 }
 
-func (m *Memory) take(now time.Duration, n *Note) {
+func (m *DB) take(now time.Duration, n *Observation) {
 	k := m.servers[n.ID]
 	if k == nil {
-		if !n.Told {
+		if !n.FromDiscovery {
 			return // nobody has said that it exists
 		}
-		if len(m.servers)-m.buried >= m.set.MostServers {
+		if len(m.servers)-m.buried >= m.set.MaxServers {
 			m.lost++
 			return
 		}
@@ -155,24 +155,24 @@
 		m.servers[n.ID] = k
 	}
 	was := k.Server
-	if n.Told {
-		served := k.Served
+	if n.FromDiscovery {
+		served := k.LastServed
 		if n.Started > k.Started { // a new process, which has not served yet
 			served = time.Time{}
 		}
-		changed := k.Changed
+		changed := k.StateSince
 		if was.ID == "" || was.State != n.State {
-			changed = n.Changed
+			changed = n.StateSince
 		}
 		k.Server = n.Server
-		k.Served, k.Changed = served, changed
+		k.LastServed, k.StateSince = served, changed
 		k.Started = max(k.Started, was.Started)
 		if k.Address == "" { // word of an end may name none
 			k.Address = was.Address
 		}
 	}
-	if !n.Served.IsZero() {
-		k.Served = n.Served
+	if !n.LastServed.IsZero() {
+		k.LastServed = n.LastServed
 	}
 	m.digest ^= was.digest() ^ k.digest()
 	if k.State != Gone && k.place > 0 {
@@ -180,7 +180,7 @@
 		m.buried--
 	}
 	m.entomb(k)
-	urgent := n.Told && k.State != Serving && (was.ID == "" || was.State != k.State)
+	urgent := n.FromDiscovery && k.State != Serving && (was.ID == "" || was.State != k.State)
 	if urgent || m.matters(k) {
 		m.write(now, k, urgent)
 	}
@@ -188,22 +188,22 @@
 }
 
 // matters tells whether a row differs from what is written by enough.
-func (m *Memory) matters(k *kept) bool {
+func (m *DB) matters(k *kept) bool {
 	x, y := &k.Server, &k.written
 	if y.ID == "" || x.State != y.State || x.Address != y.Address || x.Zone != y.Zone || x.Cell != y.Cell ||
 		x.Started != y.Started || float32(x.Weight) != float32(y.Weight) {
 		return true
 	}
-	return x.Served.Sub(y.Served) >= m.set.ServedStep || y.Served.IsZero() != x.Served.IsZero()
+	return x.LastServed.Sub(y.LastServed) >= m.set.ServedResolution || y.LastServed.IsZero() != x.LastServed.IsZero()
 }
 
 // write puts a row to the store, if there are tokens or it is urgent.
-func (m *Memory) write(now time.Duration, k *kept, urgent bool) {
+func (m *DB) write(now time.Duration, k *kept, urgent bool) {
 	if m.tokens < 1 && !urgent {
 		m.late[k.ID] = struct{}{}
 		return
 	}
-	m.tokens = max(m.tokens-1, -m.set.Writes*writesBurst)
+	m.tokens = max(m.tokens-1, -m.set.WritesPerSecond*writesBurst)
 	m.buffer = k.encode(m.buffer[:0])
 	if _, err := m.store.Put(now, tableServers, k.ID, m.buffer, urgent); err != nil {
 		m.lost++
@@ -214,7 +214,7 @@
 }
 
 // entomb counts a server that is gone among those.
-func (m *Memory) entomb(k *kept) {
+func (m *DB) entomb(k *kept) {
 	if k.State != Gone || k.place > 0 {
 		return
 	}
@@ -225,8 +225,8 @@
 }
 
 // bury forgets those gone longest where there are too many.
-func (m *Memory) bury(now time.Duration) {
-	for m.buried > m.set.MostGone {
+func (m *DB) bury(now time.Duration) {
+	for m.buried > m.set.MaxTombstones {
 		g := m.gone[0]
 		m.gone = m.gone[1:]
 		if k := m.servers[g.id]; k != nil && k.place == g.place {
@@ -240,15 +240,15 @@
 
 // Confirm takes word that discovery answered. Rate is what a server answers this node a second, 0 if that is
 // not known; servers are those that serve.
-func (m *Memory) Confirm(now time.Duration, l List) {
+func (m *DB) RecordConfirmation(now time.Duration, l List) {
 	m.fill(now)
-	if l.Rate == 0 {
-		l.Rate = m.list.Rate
+	if l.ServerRate == 0 {
+		l.ServerRate = m.list.ServerRate
 	}
 	old := m.list
 	m.list = l
 	if l.Generation != old.Generation || l.Discovery != old.Discovery ||
-		l.Confirmed.Sub(old.Confirmed) >= m.set.ListStep || l.Confirmed.Before(old.Confirmed) {
+		l.Confirmed.Sub(old.Confirmed) >= m.set.ConfirmInterval || l.Confirmed.Before(old.Confirmed) {
 		m.listDue = true
 	} else {
 		m.list.Confirmed = old.Confirmed
@@ -257,12 +257,12 @@
 }
 
 // flush writes the list's row.
-func (m *Memory) flush(now time.Duration) {
+func (m *DB) flush(now time.Duration) {
 	if !m.listDue || m.tokens < 1 {
 		return
 	}
 	m.tokens--
-	m.list.Digest, m.list.Sound = m.digest, true
+	m.list.Digest, m.list.Consistent = m.digest, true
 	m.buffer = m.list.encode(m.buffer[:0])
 	if _, err := m.store.Put(now, tableList, listKey, m.buffer, false); err != nil {
 		m.lost++
@@ -272,7 +272,7 @@
 }
 
 // Catch writes what waited for tokens, as far as there are any now, and tells whether there is more.
-func (m *Memory) Catch(now time.Duration) (more bool) {
+func (m *DB) WritePending(now time.Duration) (more bool) {
 	m.fill(now)
 	m.flush(now)
 	for id := range m.late {
@@ -287,8 +287,8 @@
 	return len(m.late) > 0 || m.listDue
 }
 
-func (m *Memory) fill(now time.Duration) {
-	m.tokens = min(m.tokens+m.set.Writes*(now-m.filled).Seconds(), m.set.Writes*writesBurst)
+func (m *DB) fill(now time.Duration) {
+	m.tokens = min(m.tokens+m.set.WritesPerSecond*(now-m.filled).Seconds(), m.set.WritesPerSecond*writesBurst)
 	m.filled = now
 }
 
@@ -322,11 +322,11 @@
 // String is a server on one line.
 func (s Server) String() string {
 	text := fmt.Sprintf("%s %s at %s, zone %s, cell %d", s.ID, s.State, s.Address, s.Zone, s.Cell)
-	if !s.Changed.IsZero() {
-		text += ", since " + s.Changed.UTC().Format(time.RFC3339)
+	if !s.StateSince.IsZero() {
+		text += ", since " + s.StateSince.UTC().Format(time.RFC3339)
 	}
-	if !s.Served.IsZero() {
-		text += ", served " + s.Served.UTC().Format(time.RFC3339)
+	if !s.LastServed.IsZero() {
+		text += ", served " + s.LastServed.UTC().Format(time.RFC3339)
 	}
 	return text
 }
--- a/internal/servers/recall/recall_test.go
+++ b/internal/servers/serverdb/recall_test.go
@@ -1,4 +1,4 @@
-package recall
+package serverdb
 
 import (
 	"errors"
@@ -70,7 +70,7 @@
 
 // life is a memory in one process.
 type life struct {
-	*Memory
+	*DB
 	store *store.Store
 }
 
@@ -83,7 +83,7 @@
 // commit writes what waits, as the keeper does, with all the time it takes.
 func (l life) commit(t interface{ Fatal(...any) }, now time.Duration) time.Duration {
 	for range 10_000 {
-		more := l.Catch(now)
+		more := l.WritePending(now)
 		now += 10 * time.Second
 		if err := l.store.Commit(now); err != nil {
 			t.Fatal(err)
@@ -103,27 +103,27 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-func told(id string, s State, started time.Duration, at time.Time) Note {
-	return Note{Server: Server{ID: id, Address: id + ":1", Zone: "a", Cell: 3, Weight: 2, State: s, Started: started, Changed: at}, Told: true}
+func told(id string, s State, started time.Duration, at time.Time) Observation {
+	return Observation{Server: Server{ID: id, Address: id + ":1", Zone: "a", Cell: 3, Weight: 2, State: s, Started: started, StateSince: at}, FromDiscovery: true}
 }
 
 func TestRowsComeBack(t *testing.T) {
 	f := newFolder()
 	l, _ := open(f, Settings{}, 0)
-	l.Take(0, []Note{told("a", Serving, time.Hour, noon), told("b", Draining, 0, noon), told("c", Serving, 0, noon)})
-	l.Take(0, []Note{{Server: Server{ID: "a", Served: noon.Add(time.Minute)}}, told("c", Gone, 0, noon.Add(time.Second))})
-	l.Take(0, []Note{{Server: Server{ID: "nobody told of it", Served: noon}}})
-	l.Confirm(0, List{Generation: 7, Discovery: "d:1", Confirmed: noon, Rate: 12.5, Servers: 1})
+	l.Record(0, []Observation{told("a", Serving, time.Hour, noon), told("b", Draining, 0, noon), told("c", Serving, 0, noon)})
+	l.Record(0, []Observation{{Server: Server{ID: "a", LastServed: noon.Add(time.Minute)}}, told("c", Gone, 0, noon.Add(time.Second))})
+	l.Record(0, []Observation{{Server: Server{ID: "nobody told of it", LastServed: noon}}})
+	l.RecordConfirmation(0, List{Generation: 7, Discovery: "d:1", Confirmed: noon, ServerRate: 12.5, ServingCount: 1})
 	l.commit(t, time.Second)
 	again, notes := open(f, Settings{}, 0)
 	if len(notes) > 0 || !slices.Equal(again.Servers(), l.Servers()) || len(again.Servers()) != 3 {
 		t.Errorf("%v: %v, want %v", notes, again.Servers(), l.Servers())
 	}
-	if got := again.List(); !got.Sound || got.Generation != 7 || got.Rate != 12.5 || got.Servers != 1 || got.Discovery != "d:1" || !got.Confirmed.Equal(noon) {
+	if got := again.List(); !got.Consistent || got.Generation != 7 || got.ServerRate != 12.5 || got.ServingCount != 1 || got.Discovery != "d:1" || !got.Confirmed.Equal(noon) {
 		t.Errorf("the list: %+v", got)
 	}
 	a := again.Servers()[0]
-	if a.Served.IsZero() || a.Started != time.Hour || a.Weight != 2 || a.Cell != 3 || a.Zone != "a" {
+	if a.LastServed.IsZero() || a.Started != time.Hour || a.Weight != 2 || a.Cell != 3 || a.Zone != "a" {
 		t.Errorf("a row: %+v", a)
 	}
 }
@@ -131,20 +131,20 @@
 // A row that was lost, or is newer than the list's row, is noticed: changes since that generation would not be all.
 func TestUnsoundRowsAreNoticed(t *testing.T) {
 	for name, change := range map[string]func(life){
-		"a newer row": func(l life) { l.Take(0, []Note{told("b", Draining, 1, noon)}) },
+		"a newer row": func(l life) { l.Record(0, []Observation{told("b", Draining, 1, noon)}) },
 		"a lost row":  func(l life) { l.store.Delete(0, tableServers, "a", true) },
 	} {
 		f := newFolder()
 		l, _ := open(f, Settings{}, 0)
-		l.Take(0, []Note{told("a", Serving, 1, noon), told("b", Serving, 1, noon)})
-		l.Confirm(0, List{Generation: 7, Confirmed: noon})
+		l.Record(0, []Observation{told("a", Serving, 1, noon), told("b", Serving, 1, noon)})
+		l.RecordConfirmation(0, List{Generation: 7, Confirmed: noon})
 		l.commit(t, 0)
-		if l, _ = open(f, Settings{}, 0); !l.List().Sound {
+		if l, _ = open(f, Settings{}, 0); !l.List().Consistent {
 			t.Fatal("not sound before")
 		}
 		change(l)
 		l.commit(t, 0)
-		if x, _ := open(f, Settings{}, 0); x.List().Sound {
+		if x, _ := open(f, Settings{}, 0); x.List().Consistent {
 			t.Errorf("%s is not noticed", name)
 		}
 	}
@@ -173,23 +173,23 @@
 func TestTombstonesGoByNumber(t *testing.T) {
 	f := newFolder()
 	for _, wall := range []time.Time{noon, noon.AddDate(1, 0, 0), noon.AddDate(-1, 0, 0)} {
-		l, _ := open(f, Settings{MostGone: 3}, 0)
-		l.Take(0, []Note{told("x"+wall.Format("2006"), Serving, 1, wall)})
-		l.Take(0, []Note{told("x"+wall.Format("2006"), Gone, 1, wall)})
+		l, _ := open(f, Settings{MaxTombstones: 3}, 0)
+		l.Record(0, []Observation{told("x"+wall.Format("2006"), Serving, 1, wall)})
+		l.Record(0, []Observation{told("x"+wall.Format("2006"), Gone, 1, wall)})
 		l.commit(t, 0)
 	}
-	l, _ := open(f, Settings{MostGone: 3}, 0)
+	l, _ := open(f, Settings{MaxTombstones: 3}, 0)
 	if len(l.Servers()) != 3 {
 		t.Fatalf("known: %v", l.Servers())
 	}
 	for i := range 10 {
-		l.Take(0, []Note{told(fmt.Sprint("y", i), Gone, 1, noon)})
+		l.Record(0, []Observation{told(fmt.Sprint("y", i), Gone, 1, noon)})
 	}
 	if got := fmt.Sprint(ids(l.Servers())); got != "[y7 y8 y9]" {
 		t.Errorf("left: %v", got)
 	}
 	// One that came back and went again is the newest.
-	l.Take(0, []Note{told("y7", Serving, 2, noon), told("y7", Gone, 2, noon), told("y10", Gone, 1, noon)})
+	l.Record(0, []Observation{told("y7", Serving, 2, noon), told("y7", Gone, 2, noon), told("y10", Gone, 1, noon)})
 	if got := fmt.Sprint(ids(l.Servers())); got != "[y10 y7 y9]" {
 		t.Errorf("left: %v", got)
 	}
@@ -215,21 +215,21 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	names, next := make([]string, boxes), 0
 	now, wall, largest := time.Duration(0), noon, 0
-	fresh := func() Note {
+	fresh := func() Observation {
 		next++
 		return told(fmt.Sprintf("box-%08x", next), Serving, time.Duration(next)*time.Second, wall)
 	}
 	for i := range names {
 		n := fresh()
 		names[i] = n.ID
-		l.Take(now, []Note{n})
+		l.Record(now, []Observation{n})
 	}
 	now = l.commit(t, now)
 	before := l.store.Stats()
 	for hour := range hours {
 		for minute := range 60 {
 			now, wall = now+time.Minute, wall.Add(time.Minute)
-			var notes []Note
+			var notes []Observation
 			if minute%6 == 0 { // ten an hour: one percent
 				i := rng.IntN(boxes)
 				gone := told(names[i], Gone, 0, wall)
@@ -238,11 +238,11 @@
 				notes = append(notes, gone, n)
 			}
 			for range 50 { // those that have served
-				notes = append(notes, Note{Server: Server{ID: names[rng.IntN(boxes)], Served: wall}})
+				notes = append(notes, Observation{Server: Server{ID: names[rng.IntN(boxes)], LastServed: wall}})
 			}
-			l.Take(now, notes)
-			l.Confirm(now, List{Generation: uint64(hour*60 + minute), Confirmed: wall, Rate: 3, Servers: boxes})
-			l.Catch(now)
+			l.Record(now, notes)
+			l.RecordConfirmation(now, List{Generation: uint64(hour*60 + minute), Confirmed: wall, ServerRate: 3, ServingCount: boxes})
+			l.WritePending(now)
 			if err := l.store.Commit(now); err != nil {
 				t.Fatal(err)
 			}
@@ -262,7 +262,7 @@
 		t.Errorf("%d bytes, %d rows, %.0f rows an hour", largest, l.store.Len(), rows)
 	}
 	again, _ := open(f, Settings{}, now)
-	if !again.List().Sound || len(again.Servers()) != l.store.Len()-1 {
+	if !again.List().Consistent || len(again.Servers()) != l.store.Len()-1 {
 		t.Errorf("not as it was: %+v", again.List())
 	}
 }
@@ -272,19 +272,19 @@
 	f := newFolder()
 	l, _ := open(f, Settings{}, 0)
 	for i := range 500 {
-		l.Take(0, []Note{told(fmt.Sprint("s", i), Serving, time.Second, noon)})
+		l.Record(0, []Observation{told(fmt.Sprint("s", i), Serving, time.Second, noon)})
 	}
-	l.Confirm(0, List{Generation: 3, Confirmed: noon, Rate: 2})
+	l.RecordConfirmation(0, List{Generation: 3, Confirmed: noon, ServerRate: 2})
 	now := l.commit(t, 0)
 	size, want := f.size(), l.Servers()
 	for i := range 300 {
 		x, _ := open(f, Settings{}, now)
 		now += time.Second
-		x.Take(now, []Note{{Server: Server{ID: fmt.Sprint("s", i), Served: noon.Add(time.Second)}}})
+		x.Record(now, []Observation{{Server: Server{ID: fmt.Sprint("s", i), LastServed: noon.Add(time.Second)}}})
 		if err := x.store.Commit(now); err != nil { // not due yet
 			t.Fatal(err)
 		}
-		if x.List().Rate != 2 || !x.List().Sound {
+		if x.List().ServerRate != 2 || !x.List().Consistent {
 			t.Fatalf("life %d: %+v", i, x.List())
 		}
 	}
@@ -308,7 +308,7 @@
 		safe := map[string]State{}           // bad news as of the last commit
 		generation := uint64(0)
 		for range rapid.IntRange(1, 6).Draw(t, "lives") {
-			l, notes := open(f, Settings{MostGone: 1000, Writes: 1 + float64(rng.IntN(20))}, now)
+			l, notes := open(f, Settings{MaxTombstones: 1000, WritesPerSecond: 1 + float64(rng.IntN(20))}, now)
 			if len(notes) > 0 {
 				t.Fatalf("notes: %v", notes)
 			}
@@ -324,7 +324,7 @@
 					t.Fatalf("%s was told %v, and comes back as %v", id, state, known[id].State)
 				}
 			}
-			if g := l.List(); g.Sound {
+			if g := l.List(); g.Consistent {
 				for id, s := range at[g.Generation] {
 					k := known[id]
 					if s.State != Gone && (k.State != s.State || k.Started != s.Started || k.Address != s.Address) {
@@ -333,15 +333,15 @@
 				}
 			}
 			// The next life goes on from what was known, as discovery tells all anew.
-			var all []Note
+			var all []Observation
 			for _, s := range truth {
-				all = append(all, Note{Server: s, Told: true})
+				all = append(all, Observation{Server: s, FromDiscovery: true})
 			}
-			l.Take(now, all)
+			l.Record(now, all)
 			for range rng.IntN(30) {
 				now += time.Duration(rng.IntN(2000)) * time.Millisecond
 				wall = wall.Add(time.Second)
-				var changes []Note
+				var changes []Observation
 				for range rng.IntN(4) {
 					id := string(rune('a' + rng.IntN(8)))
 					n := told(id, State(rng.IntN(3)), max(truth[id].Started, time.Duration(rng.IntN(4))*time.Second), wall)
@@ -351,15 +351,15 @@
 					changes = append(changes, n)
 					truth[id] = n.Server
 				}
-				l.Take(now, changes)
+				l.Record(now, changes)
 				generation++
 				m := map[string]Server{}
 				for id, s := range truth {
 					m[id] = s
 				}
 				at[generation] = m
-				l.Confirm(now, List{Generation: generation, Confirmed: wall})
-				l.Catch(now)
+				l.RecordConfirmation(now, List{Generation: generation, Confirmed: wall})
+				l.WritePending(now)
 				f.full = rng.IntN(5) == 0
 				before := l.store.Durable()
 				l.store.Commit(now)
@@ -419,7 +419,7 @@
 func FuzzRows(f *testing.F) {
 	s := told("a", Draining, time.Hour, noon).Server
 	f.Add(s.encode(nil))
-	l := List{Generation: 9, Discovery: "d:1", Confirmed: noon, Rate: 2, Servers: 4}
+	l := List{Generation: 9, Discovery: "d:1", Confirmed: noon, ServerRate: 2, ServingCount: 4}
 	f.Add(l.encode(nil))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if s, err := decodeServer("a", value); err == nil {
@@ -441,33 +441,33 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	l, _ := open(newFolder(), Settings{Writes: 1e9}, 0)
+	l, _ := open(newFolder(), Settings{WritesPerSecond: 1e9}, 0)
 	names := make([]string, 10_000)
 	for i := range names {
 		names[i] = fmt.Sprint("box-", i)
-		l.Take(0, []Note{told(names[i], Serving, 1, noon)})
+		l.Record(0, []Observation{told(names[i], Serving, 1, noon)})
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		n := told(names[i%len(names)], Serving, time.Duration(i+2), noon)
-		l.Take(0, []Note{n})
+		l.Record(0, []Observation{n})
 	}
 }
 
 func BenchmarkOpen(b *testing.B) {
 	f := newFolder()
-	l, _ := open(f, Settings{Writes: 1e9}, 0)
+	l, _ := open(f, Settings{WritesPerSecond: 1e9}, 0)
 	for i := range 10_000 {
-		l.Take(0, []Note{told(fmt.Sprintf("box-%08x", i), Serving, time.Second, noon)})
+		l.Record(0, []Observation{told(fmt.Sprintf("box-%08x", i), Serving, time.Second, noon)})
 	}
-	l.Confirm(0, List{Generation: 1, Confirmed: noon})
-	l.Catch(0)
+	l.RecordConfirmation(0, List{Generation: 1, Confirmed: noon})
+	l.WritePending(0)
 	if err := l.store.Close(time.Hour); err != nil {
 		b.Fatal(err)
 	}
 	b.ReportMetric(float64(f.size()), "bytes")
 	for b.Loop() {
-		if x, _ := open(f, Settings{}, 0); len(x.Servers()) != 10_000 || !x.List().Sound {
+		if x, _ := open(f, Settings{}, 0); len(x.Servers()) != 10_000 || !x.List().Consistent {
 			b.Fatal("not all is there")
 		}
 	}
--- a/internal/servers/recall/row.go
+++ b/internal/servers/serverdb/row.go
@@ -1,4 +1,4 @@
-package recall
+package serverdb
 
 import (
 	"encoding/binary"
@@ -33,26 +33,26 @@
 
 // Server is what is known of one. Times are wall times; the zero time: unknown.
 type Server struct {
-	ID      string
-	Address string
-	Zone    string
-	Cell    int
-	Weight  float64
-	State   State
-	Started time.Duration // since 1970, as discovery tells it; 0: unknown
-	Changed time.Time     // when its state became what it is
-	Served  time.Time     // when it last served, to ten minutes
+	ID         string
+	Address    string
+	Zone       string
+	Cell       int
+	Weight     float64
+	State      State
+	Started    time.Duration // since 1970, as discovery tells it; 0: unknown
+	StateSince time.Time     // when its state became what it is
+	LastServed time.Time     // when it last served, to ten minutes
 }
 
 // List is what is known of the list as a whole.
 type List struct {
-	Generation uint64
-	Discovery  string    // its address
-	Confirmed  time.Time // when discovery answered last, to a minute
-	Rate       float64   // answers a second of one server to this node; 0: unknown
-	Servers    int       // that served then
-	Digest     uint64    // of what the list said of all servers
-	Sound      bool      // the rows are those of this generation; not written
+	Generation   uint64
+	Discovery    string    // its address
+	Confirmed    time.Time // when discovery answered last, to a minute
+	ServerRate   float64   // answers a second of one server to this node; 0: unknown
+	ServingCount int       // that served then
+	Digest       uint64    // of what the list said of all servers
+	Consistent   bool      // the rows are those of this generation; not written
 }
 
 // rowVersion begins each value. Later versions append fields, and readers pass over what they
@@ -93,8 +93,8 @@
 	to = binary.AppendVarint(to, int64(s.Cell))
 	to = appendFloat(to, s.Weight)
 	to = binary.AppendVarint(to, s.Started.Milliseconds())
-	to = binary.AppendUvarint(to, millis(s.Changed))
-	return binary.AppendUvarint(to, millis(s.Served))
+	to = binary.AppendUvarint(to, millis(s.StateSince))
+	return binary.AppendUvarint(to, millis(s.LastServed))
 }
 
 // cursor reads a value. After its end everything is zero, and short is set.
@@ -187,7 +187,7 @@
 	s.Address, s.Zone = c.text(), c.text()
 	s.Cell, s.Weight = int(c.varint()), c.float()
 	s.Started = c.millis()
-	s.Changed, s.Served = fromMillis(c.uvarint()), fromMillis(c.uvarint())
+	s.StateSince, s.LastServed = fromMillis(c.uvarint()), fromMillis(c.uvarint())
 	if c.short {
 		return Server{}, errShort{id}
 	}
@@ -202,8 +202,8 @@
 	to = binary.AppendUvarint(to, l.Generation)
 	to = appendText(to, l.Discovery)
 	to = binary.AppendUvarint(to, millis(l.Confirmed))
-	to = appendFloat(to, l.Rate)
-	to = binary.AppendUvarint(to, uint64(max(0, l.Servers)))
+	to = appendFloat(to, l.ServerRate)
+	to = binary.AppendUvarint(to, uint64(max(0, l.ServingCount)))
 	return binary.LittleEndian.AppendUint64(to, l.Digest)
 }
 
@@ -212,13 +212,13 @@
 	if c.byte() == 0 {
 		return List{}, fmt.Errorf("the list's value has no version")
 	}
-	l := List{Generation: c.uvarint(), Discovery: c.text(), Confirmed: fromMillis(c.uvarint()), Rate: c.float()}
+	l := List{Generation: c.uvarint(), Discovery: c.text(), Confirmed: fromMillis(c.uvarint()), ServerRate: c.float()}
 	n := c.uvarint()
 	digest := c.take(8)
 	if c.short {
 		return List{}, errShort{"the list"}
 	}
 	l.Digest = binary.LittleEndian.Uint64(digest)
-	l.Servers = int(min(n, math.MaxInt32))
+	l.ServingCount = int(min(n, math.MaxInt32))
 	return l, nil
 }
--- a/internal/servers/doubt/doc.go
+++ b/internal/servers/stalelist/doc.go
@@ -1,4 +1,4 @@
-// Package doubt says which servers of an old list a starting node may try, while
+// Package stalelist says which servers of an old list a starting node may try, while
 // discovery is silent.
 //
 // Each server of a Table has a doubt, the odds that nothing of its tier is at its address any
@@ -8,4 +8,4 @@
 //
 // It is pure. A Table belongs to the loop. It must not choose the server of a request: it says
 // which there are, and which of these are untried.
-package doubt
+package stalelist
--- a/internal/servers/doubt/table.go
+++ b/internal/servers/stalelist/table.go
@@ -1,4 +1,4 @@
-package doubt
+package stalelist
 
 import (
 	"cmp"
@@ -13,21 +13,21 @@
 
 // Settings bound a table. The zero value of each field but Node and Nodes stands for its default.
 type Settings struct {
-	Node  string        // its name: each node tries in an order of its own
-	Nodes int           // of the tier
-	Size  int           // servers that a node keeps to; 8
-	Stale time.Duration // age at which 1/e of a list are still there; 7.6 days: three fifths are gone after a week
-	Young float64       // doubt by age up to which a list is offered whole; 0.05
-	Unset time.Duration // age that a list of unknown age is taken to have; 7 days
-	First time.Duration // a server that failed is tried again after this, doubled each time; 1 s
-	Most  time.Duration // up to this; 60 s
+	NodeName          string        // its name: each node tries in an order of its own
+	NodeCount         int           // of the tier
+	MinOffered        int           // servers that a node keeps to; 8
+	DecayTime         time.Duration // age at which 1/e of a list are still there; 7.6 days: three fifths are gone after a week
+	FreshLimit        float64       // doubt by age up to which a list is offered whole; 0.05
+	DefaultAge        time.Duration // age that a list of unknown age is taken to have; 7 days
+	InitialRetryDelay time.Duration // a server that failed is tried again after this, doubled each time; 1 s
+	MaxRetryDelay     time.Duration // up to this; 60 s
 }
 
 func (s Settings) withDefaults() Settings {
-	s.Size, s.Stale = cmp.Or(s.Size, 8), cmp.Or(s.Stale, 182*time.Hour)
-	s.Young, s.Unset = cmp.Or(s.Young, 0.05), cmp.Or(s.Unset, 7*24*time.Hour)
-	s.First, s.Most = cmp.Or(s.First, time.Second), cmp.Or(s.Most, time.Minute)
-	s.Nodes = max(1, s.Nodes)
+	s.MinOffered, s.DecayTime = cmp.Or(s.MinOffered, 8), cmp.Or(s.DecayTime, 182*time.Hour)
+	s.FreshLimit, s.DefaultAge = cmp.Or(s.FreshLimit, 0.05), cmp.Or(s.DefaultAge, 7*24*time.Hour)
+	s.InitialRetryDelay, s.MaxRetryDelay = cmp.Or(s.InitialRetryDelay, time.Second), cmp.Or(s.MaxRetryDelay, time.Minute)
+	s.NodeCount = max(1, s.NodeCount)
 	return s
 }
 
@@ -55,27 +55,27 @@
 }
 
 // Offer is a change of what the module may know.
-type Offer struct {
-	ID    string
-	Is    Standing
-	Doubt float64
+type Change struct {
+	ID              string
+	State           State
+	GoneProbability float64
 }
 
 // Standing is what becomes of a server.
-type Standing int
+type State int
 
 // The standings.
 const (
-	Waiting Standing = iota // not offered yet
-	Trying                  // offered, as untried and cold
-	Proven                  // offered, and it has answered
-	Out                     // taken back
+	Waiting   State = iota // not offered yet
+	Trying                 // offered, as untried and cold
+	Proven                 // offered, and it has answered
+	Withdrawn              // taken back
 )
 
 type server struct {
 	Server
 	order  uint64
-	is     Standing
+	is     State
 	odds   float64 // of its own
 	fails  int
 	until  time.Duration // Out: not tried before
@@ -101,32 +101,32 @@
 	trying  int
 	proven  int
 	whole   bool // the list is young: all is offered
-	out     []Offer
+	out     []Change
 	wake    time.Duration // when one that is out may be tried again; 0: never
 }
 
 // ByAge is the doubt of an entry that nothing is known of but its list's age, from 0 to 1.
-func (s Settings) ByAge(age time.Duration) float64 {
+func (s Settings) GoneProbability(age time.Duration) float64 {
 	s = s.withDefaults()
-	return min(max(1-math.Exp(-max(0, age.Seconds())/s.Stale.Seconds()), leastPrior), mostPrior)
+	return min(max(1-math.Exp(-max(0, age.Seconds())/s.DecayTime.Seconds()), leastPrior), mostPrior)
 }
 
 // New returns a table of a list that is so old; where that is not known, known is false. Begin offers the first.
 func New(set Settings, age time.Duration, known bool, servers []Server) *Table {
 	set = set.withDefaults()
 	if !known {
-		age = set.Unset
+		age = set.DefaultAge
 	}
-	p := set.ByAge(age)
+	p := set.GoneProbability(age)
 	t := &Table{
-		set: set, prior: math.Log(p / (1 - p)), whole: p <= set.Young,
+		set: set, prior: math.Log(p / (1 - p)), whole: p <= set.FreshLimit,
 		servers: make(map[string]*server, len(servers)), racks: map[string]*tally{},
 	}
 	for _, s := range servers {
 		if t.servers[s.ID] != nil {
 			continue
 		}
-		x := &server{Server: s, order: xxhash.Sum64String(set.Node + "\x00" + s.ID)}
+		x := &server{Server: s, order: xxhash.Sum64String(set.NodeName + "\x00" + s.ID)}
 		t.servers[s.ID] = x
 		t.line = append(t.line, x)
 		if t.racks[s.Rack] == nil {
@@ -140,10 +140,10 @@
 }
 
 // Young tells whether the list is offered whole, as discovery last told it.
-func (t *Table) Young() bool { return t.whole }
+func (t *Table) Fresh() bool { return t.whole }
 
 // Doubt is the odds that a server is not there, as a part from 0 to 1; 1 for one that the table has not.
-func (t *Table) Doubt(id string) float64 {
+func (t *Table) GoneProbability(id string) float64 {
 	s := t.servers[id]
 	if s == nil {
 		return 1
@@ -157,11 +157,11 @@
 }
 
 // Standing is what has become of a server.
-func (t *Table) Standing(id string) Standing {
+func (t *Table) State(id string) State {
 	if s := t.servers[id]; s != nil {
 		return s.is
 	}
-	return Out
+	return Withdrawn
 }
 
 // Counts are how many are tried, proven, and not offered now.
@@ -170,14 +170,14 @@
 }
 
 // Begin offers the first servers.
-func (t *Table) Begin(now time.Duration) []Offer {
+func (t *Table) OfferFirst(now time.Duration) []Change {
 	t.out = t.out[:0]
 	t.fill(now)
 	return t.out
 }
 
 // Due offers servers again that failed before, once it is time.
-func (t *Table) Due(now time.Duration) []Offer {
+func (t *Table) OfferDue(now time.Duration) []Change {
 	t.out = t.out[:0]
 	if t.wake > 0 && now >= t.wake {
 		t.fill(now)
@@ -186,13 +186,13 @@
 }
 
 // Next is when Due has something to do, and false if never.
-func (t *Table) Next() (at time.Duration, ok bool) { return t.wake, t.wake > 0 }
+func (t *Table) NextRetry() (at time.Duration, ok bool) { return t.wake, t.wake > 0 }
 
 // Outcome takes how an attempt at a server ended.
-func (t *Table) Outcome(now time.Duration, id string, r decide.Result) []Offer {
+func (t *Table) RecordResult(now time.Duration, id string, r decide.Result) []Change {
 	t.out = t.out[:0]
 	s := t.servers[id]
-	if s == nil || s.is == Waiting || s.is == Out {
+	if s == nil || s.is == Waiting || s.is == Withdrawn {
 		return nil
 	}
 	odds := 0.0
@@ -234,7 +234,7 @@
 // answered is untried from now on, and what failed is out.
 func (t *Table) turn(now time.Duration) {
 	t.whole = false
-	p := t.set.ByAge(t.set.Unset)
+	p := t.set.GoneProbability(t.set.DefaultAge)
 	t.prior = math.Log(p / (1 - p))
 	t.line = t.line[:0]
 	var rest []*server
@@ -252,7 +252,7 @@
 		t.trying--
 		s.is = Waiting
 		t.line = append(t.line, s)
-		t.out = append(t.out, Offer{s.ID, Out, t.doubt(s)})
+		t.out = append(t.out, Change{s.ID, Withdrawn, t.doubt(s)})
 	}
 	t.fill(now)
 }
@@ -267,7 +267,7 @@
 	t.trying--
 	t.proven++
 	t.count(s, true)
-	t.out = append(t.out, Offer{s.ID, Proven, t.doubt(s)})
+	t.out = append(t.out, Change{s.ID, Proven, t.doubt(s)})
 	t.fill(now)
 }
 
@@ -294,15 +294,15 @@
 // take takes a server back.
 func (t *Table) take(now time.Duration, s *server) {
 	t.trying--
-	s.is = Out
-	s.until = now + min(t.set.First<<min(s.fails, 16), t.set.Most)
+	s.is = Withdrawn
+	s.until = now + min(t.set.InitialRetryDelay<<min(s.fails, 16), t.set.MaxRetryDelay)
 	s.fails++
 	t.count(s, false)
-	t.out = append(t.out, Offer{s.ID, Out, t.doubt(s)})
+	t.out = append(t.out, Change{s.ID, Withdrawn, t.doubt(s)})
 }
 
 // There is how many servers of the list are likely to be there.
-func (t *Table) There() int {
+func (t *Table) EstimatedAlive() int {
 	fleet := 1 / (1 + math.Exp(-(t.prior + t.fleet.odds(fleetPart))))
 	return int(math.Ceil(float64(t.proven) + (1-fleet)*float64(len(t.servers)-t.proven)))
 }
@@ -312,21 +312,21 @@
 	if t.whole {
 		return len(t.servers)
 	}
-	share := int(math.Ceil(float64(t.set.Size*t.There()) / float64(t.set.Nodes)))
-	return min(len(t.servers), max(t.set.Size, share))
+	share := int(math.Ceil(float64(t.set.MinOffered*t.EstimatedAlive()) / float64(t.set.NodeCount)))
+	return min(len(t.servers), max(t.set.MinOffered, share))
 }
 
 // fill offers further servers: never more untried ones at once than a few, or than have proved to be there.
 func (t *Table) fill(now time.Duration) {
 	t.wake = 0 // with all places taken, the next look comes with the next that falls free
-	for t.trying+t.proven < t.want() && (t.whole || t.trying < max(t.set.Size, t.proven)) {
+	for t.trying+t.proven < t.want() && (t.whole || t.trying < max(t.set.MinOffered, t.proven)) {
 		s := t.next(now)
 		if s == nil {
 			break
 		}
 		s.is = Trying
 		t.trying++
-		t.out = append(t.out, Offer{s.ID, Trying, t.doubt(s)})
+		t.out = append(t.out, Change{s.ID, Trying, t.doubt(s)})
 	}
 }
 
@@ -349,7 +349,7 @@
 	later := time.Duration(0)
 	for _, s := range t.servers {
 		switch {
-		case s.is != Out:
+		case s.is != Withdrawn:
 		case s.until > now:
 			if later == 0 || s.until < later {
 				later = s.until
--- a/pure_test.go
+++ b/pure_test.go
@@ -15,8 +15,8 @@
 // actions back: all else would make a decision depend on what no test can set.
 func pure() []string {
 	return []string{"decide", "internal/operators/routes", "internal/operators/apps", "internal/operators/document", "internal/budget",
-		"internal/sched/wheel", "internal/conns/hold", "internal/sched/background", "internal/conns/pressure",
-		"internal/store", "internal/servers/recall", "internal/servers/doubt", "internal/servers/endpoints", "internal/fleet/membership", "internal/fleet/wire",
+		"internal/sched/timerwheel", "internal/conns/idleconns", "internal/sched/background", "internal/conns/membudget",
+		"internal/store", "internal/servers/serverdb", "internal/servers/stalelist", "internal/servers/endpoints", "internal/fleet/membership", "internal/fleet/wire",
 		"internal/fleet/allowance", "internal/fleet/lease", "internal/fleet/consensus", "internal/fleet/protofields", "internal/fleet/raftstore", "internal/fleet/leaselog", "internal/fleet/bootstrap", "internal/fleet/maintenance",
 		"internal/rig/registry",
 	}
