--- a/cmd/curlewctl/members.go
+++ b/cmd/curlewctl/members.go
@@ -118,7 +118,7 @@
 		p := &r.Pools[i]
 		fmt.Fprintf(w, "deals for %s: %d nodes lend, %.2f sends a second, %d out, %d used in the last window\n", p.ID, p.Lenders, p.Rate, p.Out, p.Used)
 	}
-	slices.SortFunc(s.Gone, func(a, b membership.Removed) int { return int(a.Ago - b.Ago) })
+	slices.SortFunc(s.Gone, func(a, b membership.RemovedMember) int { return int(a.Ago - b.Ago) })
 	for _, g := range s.Gone[:min(len(s.Gone), 10)] {
 		fmt.Fprintf(w, "taken out %s, %v ago, %d times of late", g.Name, g.Ago.Round(time.Second), g.Times)
 		if g.Wait > 0 {
--- a/internal/fleet/allowance/dealer.go
+++ b/internal/fleet/allowance/dealer.go
@@ -9,7 +9,7 @@
 )
 
 // Dealer deals what was lent to it.
-type Dealer struct {
+type Allocator struct {
 	set   Settings
 	pools map[Server]*pool
 	heard map[uint64]uint64 // the last claim of each holder
@@ -46,30 +46,30 @@
 )
 
 // NewDealer returns a dealer that holds nothing.
-func NewDealer(set Settings) *Dealer {
-	return &Dealer{set: set.Default(), pools: map[Server]*pool{}, heard: map[uint64]uint64{}}
+func NewAllocator(set Settings) *Allocator {
+	return &Allocator{set: set.Default(), pools: map[Server]*pool{}, heard: map[uint64]uint64{}}
 }
 
 // Pools is the number of servers that something is lent for.
-func (d *Dealer) Pools() int { return len(d.pools) }
+func (d *Allocator) Pools() int { return len(d.pools) }
 
 // Claim takes a claim, and answers it; false if it is none to answer.
-func (d *Dealer) Claim(now time.Duration, c *Claim) (Grant, bool) {
-	if c.Check() != nil || c.Seq <= d.heard[c.Holder] {
+func (d *Allocator) HandleClaim(now time.Duration, c *Claim) (Grant, bool) {
+	if c.Check() != nil || c.Seq <= d.heard[c.Lender] {
 		return Grant{}, false // late, or doubled: the holder has gone on
 	}
-	if d.sweep(now); d.heard[c.Holder] == 0 && len(d.heard) >= mostHolders {
+	if d.sweep(now); d.heard[c.Lender] == 0 && len(d.heard) >= mostHolders {
 		return Grant{}, false
 	}
-	d.heard[c.Holder] = c.Seq
+	d.heard[c.Lender] = c.Seq
 	g := Grant{Seq: c.Seq, Stamp: stampOf(now)}
 	if c.Stamp == 0 || c.Stamp > g.Stamp { // the second is of a life of this member that counted otherwise
 		return g, true
 	}
 	since := time.Duration(c.Stamp - 1)
 	for i := range c.Items {
-		if n, total := d.lend(now, since, c.Holder, &c.Items[i]); n > 0 {
-			g.Items = append(g.Items, Dealt{c.Items[i].Server, n, total})
+		if n, total := d.lend(now, since, c.Lender, &c.Items[i]); n > 0 {
+			g.Items = append(g.Items, Allotment{c.Items[i].Server, n, total})
 		}
 	}
 	return g, true
@@ -79,7 +79,7 @@
 func stampOf(now time.Duration) uint64 { return uint64(max(0, now)) + 1 }
 
 // lend books a part and deals on it: so many sends now, and so many on this loan in all.
-func (d *Dealer) lend(now, since time.Duration, holder uint64, it *Item) (n, total int) {
+func (d *Allocator) lend(now, since time.Duration, holder uint64, it *ClaimItem) (n, total int) {
 	p := d.pools[it.Server]
 	if p == nil {
 		if len(d.pools) >= mostPools {
@@ -99,22 +99,22 @@
 	l := p.loans[at]
 	l.told(p, now, it)
 	l.rate, l.until = it.Rate, since+d.set.term()
-	if n = min(it.Want, mostWant, d.free(p, now)); n <= 0 || !d.covers(l, now) {
+	if n = min(it.Wanted, mostWant, d.free(p, now)); n <= 0 || !d.covers(l, now) {
 		return 0, 0
 	}
 	p.tokens -= float64(n)
 	p.out += n
 	l.dealt += n
 	for range n {
-		l.out = append(l.out, now+d.set.Good)
+		l.out = append(l.out, now+d.set.SendLifetime)
 	}
 	return n, l.dealt
 }
 
 // told books what a node says became of its sends. It tells totals: what a lost claim told, the next tells too.
 // Where it is not clear which were used, more are taken to be so.
-func (l *loan) told(p *pool, now time.Duration, it *Item) {
-	n := min(max(it.Used+it.Back-l.done, 0), len(l.out))
+func (l *loan) told(p *pool, now time.Duration, it *ClaimItem) {
+	n := min(max(it.Used+it.Unused-l.done, 0), len(l.out))
 	used := min(max(it.Used-l.used, 0), n)
 	l.used = max(l.used, it.Used)
 	if l.answered >= 0 { // what came before the loan tells nothing of now
@@ -133,12 +133,12 @@
 }
 
 // covers tells whether a loan lasts until what is dealt now has left the window.
-func (d *Dealer) covers(l *loan, now time.Duration) bool {
-	return l.until >= now+d.set.Good+d.set.Window
+func (d *Allocator) covers(l *loan, now time.Duration) bool {
+	return l.until >= now+d.set.SendLifetime+d.set.Window
 }
 
 // settle brings a pool to a time: what is no good any more was used at the latest then, and loans end.
-func (d *Dealer) settle(p *pool, now time.Duration) {
+func (d *Allocator) settle(p *pool, now time.Duration) {
 	rate := 0.0
 	for _, l := range p.loans {
 		n := 0
@@ -157,14 +157,14 @@
 	slices.Sort(p.used)
 	n, _ := slices.BinarySearch(p.used, now-d.set.Window)
 	p.used = p.used[n:]
-	n, _ = slices.BinarySearch(p.answered, now-memory*d.set.Window-d.set.Every)
+	n, _ = slices.BinarySearch(p.answered, now-memory*d.set.Window-d.set.ClaimInterval)
 	p.answered = p.answered[n:]
 	p.tokens = min(p.tokens+rate*(now-p.filled).Seconds(), max(1, rate*d.set.Window.Seconds()))
 	p.filled = now
 }
 
 // rate is the sum of what is lent for longer than it takes to use it.
-func (d *Dealer) rate(p *pool, now time.Duration) (sum float64) {
+func (d *Allocator) rate(p *pool, now time.Duration) (sum float64) {
 	for _, l := range p.loans {
 		if d.covers(l, now) {
 			sum += l.rate
@@ -185,14 +185,14 @@
 // free is how many sends may be dealt now: within the rate, and no more in the window, with those that are out, than
 // the parts allow and the server has shown that it can answer. Parts that sum up to less than one send still allow one,
 // as often as the rate has it.
-func (d *Dealer) free(p *pool, now time.Duration) int {
+func (d *Allocator) free(p *pool, now time.Duration) int {
 	most := int(math.Ceil(d.rate(p, now)*d.set.Window.Seconds() - 1e-9))
 	most = min(most, first+int(growth*float64(len(p.answered))))
 	return min(int(p.tokens+1e-9), max(1, most)-p.out-len(p.used))
 }
 
 // sweep forgets servers that nothing is lent for, and lives that are not heard of any more.
-func (d *Dealer) sweep(now time.Duration) {
+func (d *Allocator) sweep(now time.Duration) {
 	if now-d.swept < d.set.term() {
 		return
 	}
@@ -217,7 +217,7 @@
 }
 
 // Standing is a pool as operators see it.
-type Standing struct {
+type PoolStatus struct {
 	Server
 	Lenders int
 	Rate    float64 // sends a second, of what is lent
@@ -226,15 +226,15 @@
 }
 
 // Standings are all pools, by server.
-func (d *Dealer) Standings(now time.Duration) []Standing {
-	var all []Standing
+func (d *Allocator) PoolStatuses(now time.Duration) []PoolStatus {
+	var all []PoolStatus
 	for server, p := range d.pools {
 		d.settle(p, now)
 		if len(p.loans) > 0 {
-			all = append(all, Standing{server, len(p.loans), d.rate(p, now), p.out, len(p.used)})
+			all = append(all, PoolStatus{server, len(p.loans), d.rate(p, now), p.out, len(p.used)})
 		}
 	}
-	slices.SortFunc(all, func(a, b Standing) int {
+	slices.SortFunc(all, func(a, b PoolStatus) int {
 		return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.Started, b.Started))
 	})
 	return all
--- a/internal/fleet/allowance/holder.go
+++ b/internal/fleet/allowance/holder.go
@@ -19,13 +19,13 @@
 }
 
 // Out is a claim on its way to a member.
-type Out struct {
+type Outgoing struct {
 	To    uint64 // its life
 	Claim Claim
 }
 
 // Holder lends this node's parts and keeps what is dealt to it.
-type Holder struct {
+type Lender struct {
 	set     Settings
 	rng     *rand.Rand
 	quiet   time.Duration // until then the last life's parts may still be lent
@@ -67,8 +67,8 @@
 }
 
 // NewHolder returns the holder of a life that starts now.
-func NewHolder(set Settings, seed uint64, now time.Duration) *Holder {
-	h := &Holder{set: set.Default(), rng: rand.New(rand.NewPCG(seed, 0xc01d)), parts: map[Server]*part{}, dealers: map[uint64]*dealer{}}
+func NewLender(set Settings, seed uint64, now time.Duration) *Lender {
+	h := &Lender{set: set.Default(), rng: rand.New(rand.NewPCG(seed, 0xc01d)), parts: map[Server]*part{}, dealers: map[uint64]*dealer{}}
 	h.quiet = now + h.set.held()
 	h.id = h.rng.Uint64() | 1
 	return h
@@ -76,7 +76,7 @@
 
 // Tick takes what the module says of cold servers, and who is a member; nobody, where that is not known. It
 // returns claims to send, and what the module is to know. Both are good until the next call.
-func (h *Holder) Tick(now time.Duration, members []Member, colds []decide.ColdServer) ([]Out, []decide.Grant) {
+func (h *Lender) Tick(now time.Duration, members []Member, colds []decide.ColdServer) ([]Outgoing, []decide.Grant) {
 	h.deals = h.deals[:0]
 	h.members = members
 	for _, p := range h.parts {
@@ -89,7 +89,7 @@
 			p = &part{}
 			h.parts[server] = p
 			// Its part is about to be lent: what this node sent meanwhile by itself nobody would count.
-			if p.lent = now + h.set.Silent/2; len(members) < 2 {
+			if p.lent = now + h.set.SilentAfter/2; len(members) < 2 {
 				p.lent = now
 			}
 			if p.lent = max(p.lent, h.quiet); now < p.lent {
@@ -113,9 +113,9 @@
 }
 
 // claims lends and asks, once a while with each dealer.
-func (h *Holder) claims(now time.Duration) []Out {
+func (h *Lender) claims(now time.Duration) []Outgoing {
 	h.look(now)
-	h.asked = slices.DeleteFunc(h.asked, func(a asked) bool { return now-a.at >= h.set.Silent })
+	h.asked = slices.DeleteFunc(h.asked, func(a asked) bool { return now-a.at >= h.set.SilentAfter })
 	byDealer := map[uint64][]Server{}
 	for server, p := range h.parts {
 		if !p.listed {
@@ -132,7 +132,7 @@
 			byDealer[to] = append(byDealer[to], server)
 		}
 	}
-	var all []Out
+	var all []Outgoing
 	for _, to := range slices.Sorted(maps.Keys(byDealer)) {
 		servers, d := byDealer[to], h.dealers[to]
 		if d == nil {
@@ -142,23 +142,23 @@
 		if now < d.next || now < d.avoid {
 			continue
 		}
-		d.next = now + time.Duration((0.75+h.rng.Float64()/2)*float64(h.set.Every))
+		d.next = now + time.Duration((0.75+h.rng.Float64()/2)*float64(h.set.ClaimInterval))
 		if d.waiting == 0 {
 			d.waiting = now
 		}
 		slices.SortFunc(servers, func(a, b Server) int { return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.Started, b.Started)) })
-		for part := range slices.Chunk(servers, MostItems) {
-			all = append(all, Out{to, h.claim(now, to, d, part)})
+		for part := range slices.Chunk(servers, MaxClaimItems) {
+			all = append(all, Outgoing{to, h.claim(now, to, d, part)})
 		}
 	}
 	return all
 }
 
 // claim makes one claim. Without a stamp it lends nothing, and only asks for one.
-func (h *Holder) claim(now time.Duration, to uint64, d *dealer, servers []Server) Claim {
+func (h *Lender) claim(now time.Duration, to uint64, d *dealer, servers []Server) Claim {
 	h.seq++
 	h.asked = append(h.asked, asked{h.seq, now, to})
-	c := Claim{Holder: h.id, Seq: h.seq, Stamp: d.stamp}
+	c := Claim{Lender: h.id, Seq: h.seq, Stamp: d.stamp}
 	if d.stamp == 0 || now < h.quiet { // what the last life lent is not to be lent again
 		return c
 	}
@@ -169,9 +169,9 @@
 		}
 		p.lent = now + h.set.held()
 		h.deals = append(h.deals, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lent})
-		c.Items = append(c.Items, Item{
-			Server: server, Rate: min(p.cold.SendRate, mostRate), Want: p.want, Answered: p.cold.Answered,
-			Used: p.used, Back: max(0, p.granted+p.lost-p.used-p.cold.GrantsHeld),
+		c.Items = append(c.Items, ClaimItem{
+			Server: server, Rate: min(p.cold.SendRate, mostRate), Wanted: p.want, Answered: p.cold.Answered,
+			Used: p.used, Unused: max(0, p.granted+p.lost-p.used-p.cold.GrantsHeld),
 		})
 	}
 	return c
@@ -179,10 +179,10 @@
 
 // share says how many sends to ask for: as many as this node is likely to use before they are no good any more, of those
 // servers first that it was short of, and in an order that is drawn anew each time.
-func (h *Holder) share(colds []decide.ColdServer) {
+func (h *Lender) share(colds []decide.ColdServer) {
 	soon, held := 0.0, 0
 	for i := range colds {
-		soon += colds[i].MeanSendRate * (h.set.Good + h.set.Every).Seconds()
+		soon += colds[i].MeanSendRate * (h.set.SendLifetime + h.set.ClaimInterval).Seconds()
 		held += colds[i].GrantsHeld
 	}
 	left := int(math.Ceil(soon)) - held
@@ -196,7 +196,7 @@
 			}
 			p.want = 0
 			if left > 0 && c.GrantsHeld == 0 {
-				p.want = min(left, max(1, int(c.MeanSendRate*(h.set.Good+h.set.Every).Seconds())))
+				p.want = min(left, max(1, int(c.MeanSendRate*(h.set.SendLifetime+h.set.ClaimInterval).Seconds())))
 				left -= p.want
 			}
 		}
@@ -204,11 +204,11 @@
 }
 
 // look finds dealers that do not answer, and forgets those that are members no more.
-func (h *Holder) look(now time.Duration) {
+func (h *Lender) look(now time.Duration) {
 	for life, d := range h.dealers {
 		switch {
-		case d.waiting > 0 && now-d.waiting >= h.set.Silent:
-			*d = dealer{avoid: now + h.set.Avoid, seq: d.seq}
+		case d.waiting > 0 && now-d.waiting >= h.set.SilentAfter:
+			*d = dealer{avoid: now + h.set.AvoidFor, seq: d.seq}
 		case !h.there(life) && now >= d.avoid: // what it holds is over by itself
 			delete(h.dealers, life)
 		}
@@ -216,13 +216,13 @@
 }
 
 // there tells whether a life is a member.
-func (h *Holder) there(life uint64) bool {
+func (h *Lender) there(life uint64) bool {
 	return slices.ContainsFunc(h.members, func(m Member) bool { return m.Life == life })
 }
 
 // choose is the dealer for a server: of the members of its own site, or of all where there are none, the one that
 // hashing sets highest for this server and that answers.
-func (h *Holder) choose(now time.Duration, server Server, site string) (best uint64) {
+func (h *Lender) choose(now time.Duration, server Server, site string) (best uint64) {
 	most := uint64(0)
 	for _, own := range [...]bool{true, false} {
 		for _, m := range h.members {
@@ -256,7 +256,7 @@
 
 // Grant takes an answer of a member, and returns what the module is to know; what comes too late is no good to it. One
 // that comes after a later one was taken counts as lost; its sends are told to be back.
-func (h *Holder) Grant(now time.Duration, from uint64, g *Grant) []decide.Grant {
+func (h *Lender) HandleGrant(now time.Duration, from uint64, g *Grant) []decide.Grant {
 	h.deals = h.deals[:0]
 	i, open := slices.BinarySearchFunc(h.asked, g.Seq, func(a asked, seq uint64) int { return cmp.Compare(a.seq, seq) })
 	d := h.dealers[from]
@@ -268,7 +268,7 @@
 		d.next = now // nothing was lent without it
 	}
 	d.seq, d.stamp, d.waiting = g.Seq, max(d.stamp, g.Stamp), 0
-	until := a.at + h.set.Good
+	until := a.at + h.set.SendLifetime
 	for _, x := range g.Items {
 		p := h.parts[x.Server]
 		if p == nil || p.to != from || x.Sends <= 0 || x.Total < p.granted+p.lost+x.Sends {
@@ -282,7 +282,7 @@
 }
 
 // Lent is the number of servers of which this node's part is lent now.
-func (h *Holder) Lent(now time.Duration) (n int) {
+func (h *Lender) LentServers(now time.Duration) (n int) {
 	for _, p := range h.parts {
 		if now < p.lent {
 			n++
--- a/internal/fleet/allowance/sim_test.go
+++ b/internal/fleet/allowance/sim_test.go
@@ -45,8 +45,8 @@
 	member uint64
 	skew   float64
 	offset time.Duration
-	holder *Holder
-	dealer *Dealer
+	holder *Lender
+	dealer *Allocator
 	still  bool
 	queue  []func()
 	view   []Member
@@ -75,7 +75,7 @@
 		w.servers = append(w.servers, Server{fmt.Sprintf("server-%d", i), time.Duration(i+1) * time.Hour})
 	}
 	for i := range nodes {
-		p := &process{w: w, index: i, skew: 1 + w.set.Drift/2*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(1000 * time.Hour)))}
+		p := &process{w: w, index: i, skew: 1 + w.set.ClockDrift/2*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(1000 * time.Hour)))}
 		w.nodes = append(w.nodes, p)
 		p.start(rate)
 	}
@@ -103,8 +103,8 @@
 	if p.holder != nil {
 		p.former = append(p.former, p.holder.id)
 	}
-	p.holder = NewHolder(Settings{}, p.w.rng.Uint64(), p.clock())
-	p.dealer = NewDealer(Settings{})
+	p.holder = NewLender(Settings{}, p.w.rng.Uint64(), p.clock())
+	p.dealer = NewAllocator(Settings{})
 	p.rows = map[Server]*row{}
 	p.still, p.queue = false, nil
 	for _, b := range p.w.servers {
@@ -163,13 +163,13 @@
 		claim := o.Claim
 		claim.Items = slices.Clone(claim.Items)
 		p.w.carry(p, o.To, func(d *process) {
-			g, ok := d.dealer.Claim(d.clock(), &claim)
+			g, ok := d.dealer.HandleClaim(d.clock(), &claim)
 			if !ok {
 				return
 			}
 			from, dealerLife := d.member, d.life
 			p.w.carry(d, p.member, func(p *process) {
-				p.take(p.holder.Grant(p.clock(), from, &g), d, dealerLife)
+				p.take(p.holder.HandleGrant(p.clock(), from, &g), d, dealerLife)
 			})
 		})
 	}
@@ -408,7 +408,7 @@
 			out        []time.Duration // when each is used; negative: it comes back then
 		}
 		all := make([]holder, holders)
-		d := NewDealer(Settings{})
+		d := NewAllocator(Settings{})
 		var uses []time.Duration
 		dealt := 0
 		for now := time.Hour; now < time.Hour+90*time.Second; now += 5 * time.Millisecond {
@@ -431,11 +431,11 @@
 				}
 				h.next = now + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
 				h.seq++
-				it := Item{Server: Server{"b", 1}, Rate: rate / float64(holders), Want: 1 + rng.IntN(4), Used: h.used, Back: h.back, Answered: h.used}
+				it := ClaimItem{Server: Server{"b", 1}, Rate: rate / float64(holders), Wanted: 1 + rng.IntN(4), Used: h.used, Unused: h.back, Answered: h.used}
 				if rng.Float64() < silent {
-					it.Used, it.Back = 0, 0
+					it.Used, it.Unused = 0, 0
 				}
-				g, ok := d.Claim(now, &Claim{Holder: uint64(i + 1), Seq: h.seq, Stamp: h.stamp, Items: []Item{it}})
+				g, ok := d.HandleClaim(now, &Claim{Lender: uint64(i + 1), Seq: h.seq, Stamp: h.stamp, Items: []ClaimItem{it}})
 				if !ok {
 					t.Fatal("not answered")
 				}
@@ -449,10 +449,10 @@
 				for _, x := range g.Items {
 					dealt += x.Sends
 					for range x.Sends {
-						wait := time.Duration(rng.Int64N(int64(set.Good)))
+						wait := time.Duration(rng.Int64N(int64(set.SendLifetime)))
 						switch {
 						case rng.Float64() < late:
-							wait = set.Good - 1
+							wait = set.SendLifetime - 1
 						case rng.IntN(3) == 0:
 							wait = -wait - 2*now
 						}
@@ -477,13 +477,13 @@
 // What a server answers to all nodes together tells what it may get: one that answers little, whatever its parts sum up to.
 func TestSlowServersGetLittle(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		d := NewDealer(Settings{})
+		d := NewAllocator(Settings{})
 		now, stamp, dealt, answered := time.Hour, uint64(0), [3]int{}, 0
 		for seq := uint64(1); seq < 200; seq++ {
 			now += 50 * time.Millisecond
 			for h := range uint64(3) {
-				g, _ := d.Claim(now, &Claim{Holder: h + 1, Seq: seq, Stamp: stamp, Items: []Item{{
-					Server: Server{"b", 1}, Rate: 5, Want: 1, Used: dealt[h], Answered: answered,
+				g, _ := d.HandleClaim(now, &Claim{Lender: h + 1, Seq: seq, Stamp: stamp, Items: []ClaimItem{{
+					Server: Server{"b", 1}, Rate: 5, Wanted: 1, Used: dealt[h], Answered: answered,
 				}}})
 				stamp = g.Stamp
 				for _, x := range g.Items {
@@ -504,16 +504,16 @@
 
 // A loan that ends before what is dealt on it would have left the window counts no more.
 func TestLoanOutlastsWhatIsDealt(t *testing.T) {
-	d := NewDealer(Settings{})
+	d := NewAllocator(Settings{})
 	set := d.set
 	for i, x := range []struct {
 		age  time.Duration
 		want bool
-	}{{0, true}, {set.Slack, true}, {set.Slack + 1, false}, {set.term() - 1, false}, {time.Hour, false}} {
+	}{{0, true}, {set.RenewalSlack, true}, {set.RenewalSlack + 1, false}, {set.term() - 1, false}, {time.Hour, false}} {
 		now := time.Duration(i+10) * time.Hour
 		server := Server{"b", time.Duration(i)}
 		lend := func(at time.Duration, seq uint64) Grant {
-			g, _ := d.Claim(at, &Claim{Holder: 1, Seq: uint64(10*i) + seq, Stamp: stampOf(now - x.age), Items: []Item{{Server: server, Rate: 9, Want: 1}}})
+			g, _ := d.HandleClaim(at, &Claim{Lender: 1, Seq: uint64(10*i) + seq, Stamp: stampOf(now - x.age), Items: []ClaimItem{{Server: server, Rate: 9, Wanted: 1}}})
 			return g
 		}
 		lend(now-x.age, 1)
@@ -526,7 +526,7 @@
 // A send is good from before it was asked for, for as long as that took on the way.
 func TestGoodFromBeforeTheAsking(t *testing.T) {
 	now := time.Hour
-	h := NewHolder(Settings{}, 1, now)
+	h := NewLender(Settings{}, 1, now)
 	now += h.set.held()
 	members := []Member{{7, "s"}}
 	cold := []decide.ColdServer{{Server: "b", Zone: "s", Started: 1, SendRate: 5, MeanSendRate: 5}}
@@ -537,42 +537,42 @@
 		}
 		now += after
 		g.Seq = out[0].Claim.Seq
-		return out[0].Claim, slices.Clone(h.Grant(now, 7, &g))
+		return out[0].Claim, slices.Clone(h.HandleGrant(now, 7, &g))
 	}
 	if c, _ := step(Grant{Stamp: 1}, 0); len(c.Items) != 0 || c.Stamp != 0 {
 		t.Errorf("a first claim lends: %+v", c)
 	}
 	now += time.Second
 	asked := now
-	c, deals := step(Grant{Stamp: 2, Items: []Dealt{{Server{"b", 1}, 2, 5}}}, 300*time.Millisecond)
-	if c.Stamp != 1 || len(c.Items) != 1 || c.Items[0].Rate != 5 || c.Items[0].Want == 0 {
+	c, deals := step(Grant{Stamp: 2, Items: []Allotment{{Server{"b", 1}, 2, 5}}}, 300*time.Millisecond)
+	if c.Stamp != 1 || len(c.Items) != 1 || c.Items[0].Rate != 5 || c.Items[0].Wanted == 0 {
 		t.Errorf("%+v", c)
 	}
-	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.set.Good {
+	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.set.SendLifetime {
 		t.Errorf("asked at %v: %+v", asked, deals)
 	}
 	// Three of five never came here; of the two one was used, the other is held.
 	cold[0].GrantsUsed, cold[0].GrantsHeld = 1, 1
 	now += time.Second
-	if c, _ = step(Grant{Stamp: 3}, 0); c.Items[0].Used != 1 || c.Items[0].Back != 3 {
+	if c, _ = step(Grant{Stamp: 3}, 0); c.Items[0].Used != 1 || c.Items[0].Unused != 3 {
 		t.Errorf("%+v", c)
 	}
 	// Another's answer, one to nothing that was asked, and one that comes again are none.
-	if d := h.Grant(now, 8, &Grant{Seq: c.Seq, Items: []Dealt{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
+	if d := h.HandleGrant(now, 8, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
 		t.Error("taken from another")
 	}
-	if d := h.Grant(now, 7, &Grant{Seq: c.Seq, Items: []Dealt{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
+	if d := h.HandleGrant(now, 7, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
 		t.Error("taken twice")
 	}
 }
 
 // A dealer's memory goes with what is lent.
 func TestDealerForgets(t *testing.T) {
-	d := NewDealer(Settings{})
+	d := NewAllocator(Settings{})
 	now := time.Hour
 	for i := range mostPools + 1000 {
-		c := &Claim{Holder: uint64(1 + i%500), Seq: uint64(1 + i/500), Stamp: stampOf(now), Items: []Item{{Server: Server{fmt.Sprint("b", i), 1}, Rate: 1, Want: 1}}}
-		if _, ok := d.Claim(now, c); !ok {
+		c := &Claim{Lender: uint64(1 + i%500), Seq: uint64(1 + i/500), Stamp: stampOf(now), Items: []ClaimItem{{Server: Server{fmt.Sprint("b", i), 1}, Rate: 1, Wanted: 1}}}
+		if _, ok := d.HandleClaim(now, c); !ok {
 			t.Fatal("not answered")
 		}
 	}
@@ -580,11 +580,11 @@
 		t.Errorf("%d pools, at most %d", d.Pools(), mostPools)
 	}
 	now += time.Minute
-	d.Claim(now, &Claim{Holder: 1, Seq: 1000})
+	d.HandleClaim(now, &Claim{Lender: 1, Seq: 1000})
 	if d.Pools() != 0 {
 		t.Errorf("%d pools after a minute", d.Pools())
 	}
-	if all := d.Standings(now); len(all) != 0 {
+	if all := d.PoolStatuses(now); len(all) != 0 {
 		t.Errorf("%+v", all)
 	}
 }
--- a/internal/fleet/bootstrap/record.go
+++ b/internal/fleet/bootstrap/record.go
@@ -18,9 +18,9 @@
 
 // Settings are what a record goes by. The zero value of each field stands for its default.
 type Settings struct {
-	Name string
-	Near time.Duration // how long anybody has to answer at the start; 1 s
-	Hold time.Duration // how long a node waits for others that start too, at the most; 10 s
+	Name        string
+	PeerTimeout time.Duration // how long anybody has to answer at the start; 1 s
+	MaxWait     time.Duration // how long a node waits for others that start too, at the most; 10 s
 }
 
 const (
@@ -106,16 +106,16 @@
 
 // New begins. Has tells that the node starts with a list of its own: it then only hands on.
 func New(set Settings, has bool, seed uint64, now time.Duration) *Bootstrapper {
-	if set.Near <= 0 {
-		set.Near = usualNear
+	if set.PeerTimeout <= 0 {
+		set.PeerTimeout = usualNear
 	}
-	if set.Hold <= 0 {
-		set.Hold = usualHold
+	if set.MaxWait <= 0 {
+		set.MaxWait = usualHold
 	}
 	r := &Bootstrapper{set: set, rng: rand.New(rand.NewPCG(seed, 0x12ec)), phase: AskingPeers, begun: now, wanting: map[string]time.Duration{}}
 	// Where nobody gives out leases, nodes ask by themselves, few of them early: of 300 the first after four tenths of the
 	// time, and a handful by the time that it hands its list on.
-	r.hold = time.Duration(math.Pow(r.rng.Float64(), 1.0/6) * float64(set.Hold))
+	r.hold = time.Duration(math.Pow(r.rng.Float64(), 1.0/6) * float64(set.MaxWait))
 	if has {
 		r.ask(now)
 	}
@@ -154,7 +154,7 @@
 func (r *Bootstrapper) Tick(now time.Duration) {
 	switch r.phase {
 	case AskingPeers:
-		if now-r.begun >= r.set.Near { // nobody is there, or nobody has one
+		if now-r.begun >= r.set.PeerTimeout { // nobody is there, or nobody has one
 			r.ask(now)
 		}
 	case WaitingForPeer:
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -16,21 +16,21 @@
 
 // Settings are what a voter goes by.
 type Settings struct {
-	Round    time.Duration // between two ticks; 0: 100 ms
-	Election int           // ticks without a leader before a voter asks for votes, up to twice as many; 0: 10
-	Keep     int           // entries behind the applied ones that stay in the log when it is cut; 0: 256
+	TickInterval  time.Duration // between two ticks; 0: 100 ms
+	ElectionTicks int           // ticks without a leader before a voter asks for votes, up to twice as many; 0: 10
+	KeepEntries   int           // entries behind the applied ones that stay in the log when it is cut; 0: 256
 }
 
 // Default fills in what is not set.
 func (s Settings) Default() Settings {
-	if s.Round <= 0 {
-		s.Round = 100 * time.Millisecond
+	if s.TickInterval <= 0 {
+		s.TickInterval = 100 * time.Millisecond
 	}
-	if s.Election <= 0 {
-		s.Election = 10
+	if s.ElectionTicks <= 0 {
+		s.ElectionTicks = 10
 	}
-	if s.Keep <= 0 {
-		s.Keep = 256
+	if s.KeepEntries <= 0 {
+		s.KeepEntries = 256
 	}
 	return s
 }
@@ -53,20 +53,20 @@
 
 // Save is what must be on disk, all of it or none, before anything else of its Work is done.
 type Update struct {
-	Boots    map[uint64]uint64 // those that changed; the greater holds
-	Hard     *raftpb.HardState // nil: as it was
-	Snapshot *raftpb.Snapshot  // nil: none; else the log begins anew after it
-	Entries  []*raftpb.Entry   // they take the place of all from the first one's index on
-	Cut      uint64            // entries up to here may go; they are in the snapshot that stands beside
+	Boots       map[uint64]uint64 // those that changed; the greater holds
+	Hard        *raftpb.HardState // nil: as it was
+	Snapshot    *raftpb.Snapshot  // nil: none; else the log begins anew after it
+	Entries     []*raftpb.Entry   // they take the place of all from the first one's index on
+	CompactedTo uint64            // entries up to here may go; they are in the snapshot that stands beside
 }
 
 // Empty tells whether there is nothing to save.
 func (s *Update) Empty() bool {
-	return len(s.Boots) == 0 && s.Hard == nil && s.Snapshot == nil && len(s.Entries) == 0 && s.Cut == 0
+	return len(s.Boots) == 0 && s.Hard == nil && s.Snapshot == nil && len(s.Entries) == 0 && s.CompactedTo == 0
 }
 
 // Put brings a disk to what a save says.
-func (d *PersistentState) Put(s *Update) {
+func (d *PersistentState) Apply(s *Update) {
 	if d.Boots == nil {
 		d.Boots = map[uint64]uint64{}
 	}
@@ -78,7 +78,7 @@
 	}
 	if s.Snapshot != nil {
 		d.Snapshot = s.Snapshot
-		if s.Cut == 0 { // another's: what was here is of no use
+		if s.CompactedTo == 0 { // another's: what was here is of no use
 			d.Entries = nil
 		}
 	}
@@ -90,8 +90,8 @@
 		}
 		d.Entries = append(slices.Clone(d.Entries[:n]), s.Entries...)
 	}
-	if s.Cut > 0 {
-		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= s.Cut })
+	if s.CompactedTo > 0 {
+		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= s.CompactedTo })
 	}
 }
 
@@ -112,11 +112,11 @@
 
 // Work is what is to be done, in this order: save, and wait for the disk; then send, restore, apply; then Done.
 type Ready struct {
-	Save    Update
-	Sends   []Message
-	Restore []byte // a snapshot of the applied state that takes the place of what there is; nil: none
-	Applied uint64 // with Restore: the index that it stands for
-	Entries []Entry
+	Update   Update
+	Messages []Message
+	Restore  []byte // a snapshot of the applied state that takes the place of what there is; nil: none
+	Applied  uint64 // with Restore: the index that it stands for
+	Entries  []Entry
 }
 
 // Voter is one voter's part.
@@ -198,7 +198,7 @@
 		return nil, fmt.Errorf("agree: the disk: %w", err)
 	}
 	v.node, err = raft.NewRawNode(&raft.Config{
-		ID: v.id, ElectionTick: v.set.Election, HeartbeatTick: 1, Storage: v.log, Applied: v.applied,
+		ID: v.id, ElectionTick: v.set.ElectionTicks, HeartbeatTick: 1, Storage: v.log, Applied: v.applied,
 		MaxSizePerMsg: 64 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: 1 << 20, MaxInflightMsgs: 64,
 		CheckQuorum: true, PreVote: true, Logger: quiet{},
 	})
@@ -216,7 +216,7 @@
 func starts(boot uint64) uint64 { return boot >> 32 }
 
 // draw says when this voter asks for votes, if it hears no leader till then.
-func (v *Voter) draw() { v.wait = v.set.Election + v.rng.IntN(v.set.Election) }
+func (v *Voter) draw() { v.wait = v.set.ElectionTicks + v.rng.IntN(v.set.ElectionTicks) }
 
 // ID is this voter's number, and Boot its start.
 func (v *Voter) ID() uint64   { return v.id }
@@ -285,7 +285,7 @@
 		v.snaps[id]++
 	})
 	for id, n := range v.snaps {
-		if n > v.set.Election {
+		if n > v.set.ElectionTicks {
 			delete(v.snaps, id)
 			v.node.ReportSnapshot(id, raft.SnapshotFailure)
 		}
@@ -436,14 +436,14 @@
 	if err != nil {
 		return fmt.Errorf("agree: %w", err)
 	}
-	cut := max(index, uint64(v.set.Keep)) - uint64(v.set.Keep)
+	cut := max(index, uint64(v.set.KeepEntries)) - uint64(v.set.KeepEntries)
 	if cut >= first {
 		if err := v.log.Compact(cut); err != nil {
 			return fmt.Errorf("agree: the log up to %d: %w", cut, err)
 		}
 	}
 	v.stale = false
-	v.pending.Snapshot, v.pending.Cut = s, max(cut, first-1, 1)
+	v.pending.Snapshot, v.pending.CompactedTo = s, max(cut, first-1, 1)
 	return nil
 }
 
@@ -452,13 +452,13 @@
 	if v.ready != nil || v.broken != nil {
 		return Ready{}, false
 	}
-	w := Ready{Save: v.pending, Sends: v.sends}
+	w := Ready{Update: v.pending, Messages: v.sends}
 	v.pending, v.sends = Update{}, nil
 	if len(v.newBoot) > 0 {
-		w.Save.Boots, v.newBoot = v.newBoot, map[uint64]uint64{}
+		w.Update.Boots, v.newBoot = v.newBoot, map[uint64]uint64{}
 	}
 	if v.given || !v.node.HasReady() {
-		if w.Save.Empty() && len(w.Sends) == 0 {
+		if w.Update.Empty() && len(w.Messages) == 0 {
 			return w, false
 		}
 		v.ready = &raft.Ready{}
@@ -467,15 +467,15 @@
 	r := v.node.Ready()
 	v.ready = &r
 	if !raft.IsEmptyHardState(r.HardState) {
-		w.Save.Hard = r.HardState
+		w.Update.Hard = r.HardState
 	}
-	w.Save.Entries = r.Entries
+	w.Update.Entries = r.Entries
 	if !raft.IsEmptySnap(r.Snapshot) {
-		w.Save.Snapshot, w.Save.Cut = r.Snapshot, 0
+		w.Update.Snapshot, w.Update.CompactedTo = r.Snapshot, 0
 		w.Restore, w.Applied = r.Snapshot.GetData(), r.Snapshot.GetMetadata().GetIndex()
 	}
 	for _, m := range r.Messages {
-		w.Sends = append(w.Sends, Message{From: v.id, To: m.GetTo(), Boot: v.boot, Raft: m})
+		w.Messages = append(w.Messages, Message{From: v.id, To: m.GetTo(), Boot: v.boot, Raft: m})
 	}
 	for _, e := range r.CommittedEntries {
 		if e.GetType() == raftpb.EntryNormal && len(e.GetData()) > 0 {
--- a/internal/fleet/consensus/voter_test.go
+++ b/internal/fleet/consensus/voter_test.go
@@ -34,7 +34,7 @@
 func (g *group) start(id uint64) {
 	g.t.Helper()
 	d := g.disks[id].Clone()
-	v, err := New(Settings{Keep: 5}, &d, 7+g.seed)
+	v, err := New(Settings{KeepEntries: 5}, &d, 7+g.seed)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 					break
 				}
 				more = true
-				g.disks[id].Put(&w.Save)
+				g.disks[id].Apply(&w.Update)
 				if w.Restore != nil {
 					g.said[id] = []string{string(w.Restore)}
 				}
@@ -72,9 +72,9 @@
 						g.t.Fatal(err)
 					}
 				}
-				for i := range w.Sends {
-					if to := g.up[w.Sends[i].To]; to != nil && (g.held == nil || !g.held(&w.Sends[i])) {
-						to.Receive(&w.Sends[i])
+				for i := range w.Messages {
+					if to := g.up[w.Messages[i].To]; to != nil && (g.held == nil || !g.held(&w.Messages[i])) {
+						to.Receive(&w.Messages[i])
 					}
 				}
 			}
@@ -316,7 +316,7 @@
 		v.Receive(&Message{From: from, To: to, Boot: boot, Known: known, Hello: hello})
 		v.Tick()
 		if w, ok := v.Ready(); ok {
-			d.Put(&w.Save)
+			d.Apply(&w.Update)
 			if err := v.Advance(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/fleet/lease/keeper.go
+++ b/internal/fleet/lease/keeper.go
@@ -9,29 +9,29 @@
 
 // Terms are what holders and leader count by. All nodes of a fleet must have the same.
 type Timing struct {
-	Drift  float64       // by which the speeds of two clocks may differ, as a part; 0: 1/64
-	Linger time.Duration // a waiter that has not asked again for so long is dropped; 0: 3 s
+	ClockDrift    float64       // by which the speeds of two clocks may differ, as a part; 0: 1/64
+	WaiterTimeout time.Duration // a waiter that has not asked again for so long is dropped; 0: 3 s
 }
 
 // Default fills in what is not set.
 func (t Timing) Default() Timing {
-	if t.Drift <= 0 {
-		t.Drift = 1.0 / 64
+	if t.ClockDrift <= 0 {
+		t.ClockDrift = 1.0 / 64
 	}
-	if t.Linger <= 0 {
-		t.Linger = 3 * time.Second
+	if t.WaiterTimeout <= 0 {
+		t.WaiterTimeout = 3 * time.Second
 	}
 	return t
 }
 
 // held is how long a holder counts a lease, by its own clock, from before it asked.
 func (t Timing) held(ttl time.Duration) time.Duration {
-	return ttl - time.Duration(t.Drift*float64(ttl))
+	return ttl - time.Duration(t.ClockDrift*float64(ttl))
 }
 
 // given is how long the leader counts it, by its own clock, from after it has applied it.
 func (t Timing) given(ttl time.Duration) time.Duration {
-	return ttl + time.Duration(t.Drift*float64(ttl)) + time.Millisecond
+	return ttl + time.Duration(t.ClockDrift*float64(ttl)) + time.Millisecond
 }
 
 // Keeper is the leader's part: which leases and waiters are over by its clock. One is made when a node becomes leader,
@@ -78,7 +78,7 @@
 			w := &l.Waiters[i]
 			key := waits{name, w.Holder}
 			waiting[key] = true
-			if over(k.lines, key, w.Serial, now, k.terms.Linger) {
+			if over(k.lines, key, w.Serial, now, k.terms.WaiterTimeout) {
 				due = append(due, Command{Op: Drop, Lease: name, Holder: w.Holder, Serial: w.Serial})
 			}
 		}
--- a/internal/fleet/lease/search_test.go
+++ b/internal/fleet/lease/search_test.go
@@ -79,7 +79,7 @@
 func usual() bounds {
 	return bounds{
 		time: 6, asks: 2, crashes: 1, changes: 1, mail: 2, states: 15_000, speeds: [3]int{4, 4, 4}, ttl: 2 * time.Second, act: 1,
-		terms: Timing{Drift: 0.25, Linger: 2 * time.Second},
+		terms: Timing{ClockDrift: 0.25, WaiterTimeout: 2 * time.Second},
 	}
 }
 
@@ -386,7 +386,7 @@
 // search goes through all states within the bounds, and returns the shortest way to a wrong one.
 func search(b bounds, x broken) (found string, states, depth int, whole bool) {
 	if x.noDrift {
-		b.terms.Drift = 1e-9
+		b.terms.ClockDrift = 1e-9
 	}
 	first := &world{machine: NewStateMachine(), keeper: NewExpiryTracker(b.terms)}
 	for i := range first.procs {
--- a/internal/fleet/lease/tenant.go
+++ b/internal/fleet/lease/tenant.go
@@ -246,7 +246,7 @@
 		t.granted(now, a, asked)
 	case Waiting:
 		if answers && (t.phase == Asking || t.phase == Queued) {
-			if t.asks = now + min(t.terms.Linger/3, t.ttl/4); t.phase != Queued || t.place != a.Place {
+			if t.asks = now + min(t.terms.WaiterTimeout/3, t.ttl/4); t.phase != Queued || t.place != a.Place {
 				t.place = a.Place
 				t.move(Queued, "")
 			}
--- a/internal/fleet/lease/tenant_test.go
+++ b/internal/fleet/lease/tenant_test.go
@@ -140,7 +140,7 @@
 	if x.Phase() != Queued || x.Events()[0].Place != 2 {
 		t.Fatal(x)
 	}
-	next := time.Hour + x.terms.Linger/3 // asked again before it is dropped
+	next := time.Hour + x.terms.WaiterTimeout/3 // asked again before it is dropped
 	again := x.Tick(next)
 	if again == nil || again.Op != Acquire || again.Seq <= c.Seq {
 		t.Fatalf("%+v", again)
--- a/internal/fleet/leaselog/asking.go
+++ b/internal/fleet/leaselog/asking.go
@@ -10,20 +10,20 @@
 // asked takes a request: the leader puts it into its next entry, another voter passes it on. What only a leader's clock
 // says is no request.
 func (c *Node) asked(m *Message) {
-	if op := m.Item.Command.Op; m.Item.Work == nil && (op == lease.End || op == lease.Drop) {
+	if op := m.Command.Command.Op; m.Command.Maintenance == nil && (op == lease.End || op == lease.Drop) {
 		return
 	}
 	switch to := c.toLeader(m); {
 	case to == c.set.Name:
 		if len(c.batch) >= mostBatch {
-			c.helpless(m.Item)
+			c.helpless(m.Command)
 			return
 		}
-		c.batch = append(c.batch, *m.Item)
+		c.batch = append(c.batch, *m.Command)
 	case to != "":
-		c.send(to, &Message{Kind: SubmitCommand, Hops: m.Hops + 1, Item: m.Item})
+		c.send(to, &Message{Kind: SubmitCommand, Hops: m.Hops + 1, Command: m.Command})
 	default:
-		c.helpless(m.Item)
+		c.helpless(m.Command)
 	}
 }
 
@@ -70,7 +70,7 @@
 // Ask sends a request of this node's own to a voter: the leader, if it is known, and with each further try another one.
 // An error tells that there is nobody to ask.
 func (c *Node) SendLeaseCommand(now time.Duration, cmd lease.Command, ref uint64, try int) error {
-	return c.askVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: SubmitCommand, Item: &ForwardedCommand{Command: cmd, Origin: c.set.Name, Ref: ref}})
+	return c.askVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Command: cmd, Origin: c.set.Name, Ref: ref}})
 }
 
 // AskList asks which leases there are.
@@ -108,7 +108,7 @@
 func (c *Node) works(m *Message) {
 	switch to := c.toLeader(m); {
 	case to == c.set.Name:
-		c.send(m.Origin, &Message{Kind: MaintenanceReply, Ref: m.Ref, Table: maintenance.AppendTable(nil, c.table)})
+		c.send(m.Origin, &Message{Kind: MaintenanceReply, Ref: m.Ref, MaintenanceTable: maintenance.AppendTable(nil, c.table)})
 	case to != "":
 		c.send(to, &Message{Kind: QueryMaintenance, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
 	default:
@@ -119,7 +119,7 @@
 // AskWork sends a command about machines out for work; an error tells that there is nobody to ask. A command that is sent
 // again may be applied twice: each names what it rests on, or does nothing the second time.
 func (c *Node) SendMaintenanceCommand(now time.Duration, cmd *maintenance.Command, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: SubmitCommand, Item: &ForwardedCommand{Work: cmd, Origin: c.set.Name, Ref: ref}})
+	return c.askVoter(now, ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Maintenance: cmd, Origin: c.set.Name, Ref: ref}})
 }
 
 // AskWorks asks how the machines out for work stand.
@@ -130,8 +130,8 @@
 // size is about what an item takes in an entry.
 func (i *ForwardedCommand) size() int {
 	n := len(i.Command.Lease) + 2*mostName + 64
-	if i.Work != nil {
-		n += 128 * (1 + len(i.Work.Wishes) + len(i.Work.Lost))
+	if i.Maintenance != nil {
+		n += 128 * (1 + len(i.Maintenance.Requests) + len(i.Maintenance.Lost))
 	}
 	return n
 }
--- a/internal/fleet/leaselog/code.go
+++ b/internal/fleet/leaselog/code.go
@@ -81,8 +81,8 @@
 }
 
 func appendItem(to []byte, i *ForwardedCommand) []byte {
-	if i.Work != nil {
-		to = protofields.AppendBytes(to, 4, maintenance.AppendCommand(nil, i.Work))
+	if i.Maintenance != nil {
+		to = protofields.AppendBytes(to, 4, maintenance.AppendCommand(nil, i.Maintenance))
 	} else {
 		to = protofields.AppendBytes(to, 1, lease.AppendCommand(nil, &i.Command))
 	}
@@ -101,7 +101,7 @@
 		case !f.IsNum && f.Num == 4:
 			var c maintenance.Command
 			c, err = maintenance.ParseCommand(f.B)
-			i.Work = &c
+			i.Maintenance = &c
 		}
 		return err
 	})
@@ -162,8 +162,8 @@
 	to = protofields.AppendBool(protofields.AppendFixed(protofields.AppendFixed(to, 8, m.ID), 9, m.Founding), 10, m.Begin)
 	to = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(to, 11, m.Term), 12, uint64(m.Page)), 13, uint64(m.Pages))
 	to = protofields.AppendBool(protofields.AppendString(to, 19, m.Addr), 22, m.Settled)
-	if m.Seats != nil {
-		to = protofields.AppendBytes(to, 14, appendSeats(nil, m.Seats))
+	if m.VoterSet != nil {
+		to = protofields.AppendBytes(to, 14, appendSeats(nil, m.VoterSet))
 	}
 	if m.Voter != nil {
 		b, err := appendVoter(nil, m.Voter)
@@ -172,17 +172,17 @@
 		}
 		to = protofields.AppendBytes(to, 15, b)
 	}
-	if m.Item != nil {
-		to = protofields.AppendBytes(to, 16, appendItem(nil, m.Item))
+	if m.Command != nil {
+		to = protofields.AppendBytes(to, 16, appendItem(nil, m.Command))
 	}
 	if m.Answer != nil {
 		to = protofields.AppendBytes(to, 17, lease.AppendAnswer(nil, m.Answer))
 	}
-	if m.Work != nil {
-		to = protofields.AppendBytes(to, 20, maintenance.AppendAnswer(nil, m.Work))
+	if m.MaintenanceAnswer != nil {
+		to = protofields.AppendBytes(to, 20, maintenance.AppendAnswer(nil, m.MaintenanceAnswer))
 	}
-	if len(m.Table) > 0 {
-		to = protofields.AppendBytes(to, 21, m.Table)
+	if len(m.MaintenanceTable) > 0 {
+		to = protofields.AppendBytes(to, 21, m.MaintenanceTable)
 	}
 	for i := range m.Leases {
 		to = protofields.AppendBytes(to, 18, lease.AppendLease(nil, &m.Leases[i]))
@@ -207,13 +207,13 @@
 		case 14:
 			var s VoterSet
 			s, err = parseSeats(f.B)
-			m.Seats = &s
+			m.VoterSet = &s
 		case 15:
 			m.Voter, err = parseVoter(f.B)
 		case 16:
 			var i ForwardedCommand
 			i, err = parseItem(f.B)
-			m.Item = &i
+			m.Command = &i
 		case 17:
 			var a lease.Answer
 			a, err = lease.ParseAnswer(f.B)
@@ -221,9 +221,9 @@
 		case 20:
 			var a maintenance.Answer
 			a, err = maintenance.ParseAnswer(f.B)
-			m.Work = &a
+			m.MaintenanceAnswer = &a
 		case 21:
-			m.Table = append([]byte(nil), f.B...)
+			m.MaintenanceTable = append([]byte(nil), f.B...)
 		case 18:
 			if len(m.Leases) == mostListed {
 				return protofields.Errorf("more than %d leases in a message", mostListed)
@@ -292,11 +292,11 @@
 	case RaftMessage:
 		missing = m.Voter == nil
 	case SubmitCommand:
-		missing = m.Item == nil || m.Item.Origin == ""
+		missing = m.Command == nil || m.Command.Origin == ""
 	case CommandAnswer:
 		missing = m.Answer == nil
 	case VotersKnown:
-		missing = m.Seats == nil
+		missing = m.VoterSet == nil
 	case RequestID:
 		missing = m.Founding == 0
 	case IDOffered, ReplacementVoter:
@@ -304,7 +304,7 @@
 	case QueryLeases, QueryMaintenance:
 		missing = m.Origin == ""
 	case MaintenanceReply:
-		missing = m.Work == nil && len(m.Table) == 0
+		missing = m.MaintenanceAnswer == nil && len(m.MaintenanceTable) == 0
 	}
 	if missing || m.From == "" {
 		return protofields.Errorf("a message of kind %d that lacks what it is for", m.Kind)
--- a/internal/fleet/leaselog/code_test.go
+++ b/internal/fleet/leaselog/code_test.go
@@ -22,14 +22,14 @@
 		{Kind: RaftMessage, From: "a", Voter: &consensus.Message{From: 1, To: 2, Boot: 5, Raft: &raftpb.Message{
 			Type: &kind, From: proto.Uint64(1), To: proto.Uint64(2), Entries: []*raftpb.Entry{{Index: proto.Uint64(7), Data: []byte("x")}},
 		}}},
-		{Kind: SubmitCommand, From: "a", Hops: 2, Item: &ForwardedCommand{Command: lease.Command{Op: lease.Transfer, Lease: "l", Holder: h, Seq: 8, Token: 9, TTL: time.Second, To: h}, Origin: "a", Ref: 5}},
+		{Kind: SubmitCommand, From: "a", Hops: 2, Command: &ForwardedCommand{Command: lease.Command{Op: lease.Transfer, Lease: "l", Holder: h, Seq: 8, Token: 9, TTL: time.Second, To: h}, Origin: "a", Ref: 5}},
 		{Kind: CommandAnswer, From: "a", Life: 5, Ref: 6, Answer: &lease.Answer{Outcome: lease.Waiting, Lease: "l", Place: 3, Seq: 8}},
-		{Kind: CannotServe, From: "a", Life: 5, Seq: 7, Seats: seats},
-		{Kind: VotersKnown, From: "a", Begin: true, Founding: 9, Seats: seats},
+		{Kind: CannotServe, From: "a", Life: 5, Seq: 7, VoterSet: seats},
+		{Kind: VotersKnown, From: "a", Begin: true, Founding: 9, VoterSet: seats},
 		{Kind: ReplacementVoter, From: "a", Founding: 9, ID: 5},
 		{Kind: QueryLeases, From: "a", Origin: "b", Ref: 4},
-		{Kind: MaintenanceReply, From: "a", Ref: 4, Work: &maintenance.Answer{Reason: "no", Run: 3}, Table: []byte("t")},
-		{Kind: SubmitCommand, From: "a", Item: &ForwardedCommand{Origin: "a", Work: &maintenance.Command{Op: maintenance.Step, Machine: "m", Serial: 4, To: maintenance.Out, Reason: "x"}}},
+		{Kind: MaintenanceReply, From: "a", Ref: 4, MaintenanceAnswer: &maintenance.Answer{Reason: "no", Run: 3}, MaintenanceTable: []byte("t")},
+		{Kind: SubmitCommand, From: "a", Command: &ForwardedCommand{Origin: "a", Maintenance: &maintenance.Command{Op: maintenance.Step, Machine: "m", Serial: 4, To: maintenance.OutOfService, Reason: "x"}}},
 		{Kind: LeasePage, From: "a", Ref: 4, Term: 6, Page: 1, Pages: 2, Leases: []lease.Lease{{Name: "l", Holder: h, Token: 5, TTL: time.Minute, Waiters: []lease.Waiter{{Holder: h, TTL: time.Second, Serial: 4, Seq: 3}}}}},
 	}
 }
--- a/internal/fleet/leaselog/council.go
+++ b/internal/fleet/leaselog/council.go
@@ -15,9 +15,9 @@
 type Settings struct {
 	Name, Site   string
 	Terms        lease.Timing
-	Agree        consensus.Settings
+	Consensus    consensus.Settings
 	ReplaceAfter time.Duration // a voter out of the members' view for so long loses its seat; 0: 5 min
-	Compact      int           // commands between two snapshots; 0: 2,000
+	CompactEvery int           // commands between two snapshots; 0: 2,000
 }
 
 const (
@@ -38,18 +38,18 @@
 
 // Told is something for this node's own tenants and operators.
 type LocalReply struct {
-	Kind   Kind // Answers, Helpless or Listed
-	Life   uint64
-	Seq    uint64
-	Ref    uint64
-	Answer lease.Answer
-	From   string // who answered
-	Term   uint64
-	Page   int
-	Pages  int
-	Leases []lease.Lease
-	Work   *maintenance.Answer
-	Table  []byte
+	Kind              Kind // Answers, Helpless or Listed
+	Life              uint64
+	Seq               uint64
+	Ref               uint64
+	Answer            lease.Answer
+	From              string // who answered
+	Term              uint64
+	Page              int
+	Pages             int
+	Leases            []lease.Lease
+	MaintenanceAnswer *maintenance.Answer
+	MaintenanceTable  []byte
 }
 
 // Saving is what must be on disk before the council goes on.
@@ -116,8 +116,8 @@
 	if set.ReplaceAfter <= 0 {
 		set.ReplaceAfter = usualReplaceAfter
 	}
-	if set.Compact <= 0 {
-		set.Compact = usualCompact
+	if set.CompactEvery <= 0 {
+		set.CompactEvery = usualCompact
 	}
 	set.Terms = set.Terms.Default()
 	c := &Node{
@@ -146,7 +146,7 @@
 func (c *Node) start(disk *consensus.PersistentState) {
 	c.machine, c.table = lease.NewStateMachine(), maintenance.NewTable()
 	c.keeper, c.commands, c.broken, c.work = nil, 0, nil, nil
-	if c.voter, c.broken = consensus.New(c.set.Agree, disk, c.rng.Uint64()); c.broken != nil {
+	if c.voter, c.broken = consensus.New(c.set.Consensus, disk, c.rng.Uint64()); c.broken != nil {
 		c.voter = nil
 		return
 	}
@@ -331,12 +331,12 @@
 		}
 		c.propose()
 		if w, ok := c.voter.Ready(); ok {
-			if w.Save.Empty() && !c.noteDirty {
+			if w.Update.Empty() && !c.noteDirty {
 				c.finish(&w)
 				return true
 			}
 			c.work = &w
-			c.saving = &PendingSave{Save: w.Save}
+			c.saving = &PendingSave{Save: w.Update}
 		}
 	}
 	if c.noteDirty {
@@ -358,8 +358,8 @@
 
 // finish does what may be done once a Work is saved.
 func (c *Node) finish(w *consensus.Ready) {
-	for i := range w.Sends {
-		m := w.Sends[i]
+	for i := range w.Messages {
+		m := w.Messages[i]
 		if to := c.nameOf(m.To); to != "" {
 			c.send(to, &Message{Kind: RaftMessage, Voter: &m})
 		}
@@ -380,7 +380,7 @@
 		c.broken = err
 		return
 	}
-	if c.commands >= c.set.Compact || c.voter.WantsSnapshot() && c.applies() && c.seats.Founding != 0 {
+	if c.commands >= c.set.CompactEvery || c.voter.WantsSnapshot() && c.applies() && c.seats.Founding != 0 {
 		c.commands = 0
 		snap := c.machine.Snapshot()
 		if err := c.voter.Compact(c.voter.Applied(), appendState(nil, &c.seats, &snap, c.table)); err != nil {
@@ -416,10 +416,10 @@
 	for i := range x.Items {
 		it := &x.Items[i]
 		c.commands++
-		if it.Work != nil {
-			a := c.table.Apply(it.Work, c.seats.nodes())
+		if it.Maintenance != nil {
+			a := c.table.Apply(it.Maintenance, c.seats.nodes())
 			if leads && it.Origin != "" {
-				c.send(it.Origin, &Message{Kind: MaintenanceReply, Ref: it.Ref, Work: &a})
+				c.send(it.Origin, &Message{Kind: MaintenanceReply, Ref: it.Ref, MaintenanceAnswer: &a})
 			}
 			continue
 		}
@@ -477,7 +477,7 @@
 	m := &Message{Kind: CannotServe, Life: i.Command.Holder.Life, Seq: i.Command.Seq, Ref: i.Ref}
 	if c.note.Seats.Founding != 0 {
 		s := c.note.Seats.clone()
-		m.Seats = &s
+		m.VoterSet = &s
 	}
 	c.send(i.Origin, m)
 }
@@ -503,8 +503,8 @@
 
 // take does what a message says.
 func (c *Node) take(m *Message) {
-	if m.Seats != nil && m.Kind != VotersKnown {
-		c.learn(*m.Seats)
+	if m.VoterSet != nil && m.Kind != VotersKnown {
+		c.learn(*m.VoterSet)
 	}
 	switch m.Kind {
 	case RaftMessage:
@@ -522,7 +522,7 @@
 	case QueryVoters:
 		if c.note.Seats.Founding != 0 {
 			s := c.note.Seats.clone()
-			c.send(m.From, &Message{Kind: VotersKnown, Seats: &s, Founding: m.Founding, Settled: c.agreed()})
+			c.send(m.From, &Message{Kind: VotersKnown, VoterSet: &s, Founding: m.Founding, Settled: c.agreed()})
 		} else {
 			c.send(m.From, &Message{Kind: NoVotersKnown, Founding: m.Founding})
 		}
@@ -545,7 +545,7 @@
 	case QueryMaintenance:
 		c.works(m)
 	case MaintenanceReply:
-		c.told = append(c.told, LocalReply{Kind: MaintenanceReply, Ref: m.Ref, From: m.From, Work: m.Work, Table: m.Table})
+		c.told = append(c.told, LocalReply{Kind: MaintenanceReply, Ref: m.Ref, From: m.From, MaintenanceAnswer: m.MaintenanceAnswer, MaintenanceTable: m.MaintenanceTable})
 	case LeasePage:
 		c.told = append(c.told, LocalReply{Kind: LeasePage, Ref: m.Ref, From: m.From, Term: m.Term, Page: m.Page, Pages: m.Pages, Leases: m.Leases})
 	}
--- a/internal/fleet/leaselog/council_test.go
+++ b/internal/fleet/leaselog/council_test.go
@@ -44,7 +44,7 @@
 
 func (f *fleet) start(name string) {
 	d := f.disks[name].Clone()
-	set := Settings{Name: name, Site: f.view[name].Site, ReplaceAfter: 20 * time.Second, Compact: 50, Agree: consensus.Settings{Keep: 20}}
+	set := Settings{Name: name, Site: f.view[name].Site, ReplaceAfter: 20 * time.Second, CompactEvery: 50, Consensus: consensus.Settings{KeepEntries: 20}}
 	f.up[name] = New(set, &d, f.notes[name], "", rank(name)+uint64(len(f.disks)), f.now)
 }
 
@@ -70,7 +70,7 @@
 				}
 				f.entries += len(s.Save.Entries)
 				if !f.hangs[n] {
-					f.disks[n].Put(&s.Save)
+					f.disks[n].Apply(&s.Save)
 					if s.Note != nil {
 						f.notes[n] = s.Note
 					}
@@ -132,7 +132,7 @@
 // found founds a log, and returns what came of it.
 func (f *fleet) found(at string, voters int, names ...string) (seats VoterSet, err error) {
 	ended := false
-	if err := f.up[at].Found(f.now, names, voters, 0, func(s VoterSet, e error) { seats, err, ended = s, e, true }); err != nil {
+	if err := f.up[at].FoundLog(f.now, names, voters, 0, func(s VoterSet, e error) { seats, err, ended = s, e, true }); err != nil {
 		return VoterSet{}, err
 	}
 	f.until("the founding's end", 40*time.Second, func() bool { return ended })
@@ -213,7 +213,7 @@
 	for _, cut := range []time.Duration{200, 1600, 1800, 1900, 2000, 2100, 2300, 2600} {
 		f := newFleet(t, "n0", "n1", "n2", "n3", "n4")
 		f.run(time.Second)
-		if err := f.up["n0"].Found(f.now, []string{"n1", "n2", "n3"}, 0, 0, func(VoterSet, error) {}); err != nil {
+		if err := f.up["n0"].FoundLog(f.now, []string{"n1", "n2", "n3"}, 0, 0, func(VoterSet, error) {}); err != nil {
 			t.Fatal(err)
 		}
 		lost := 0
@@ -246,9 +246,9 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := newFleet(t, "n0", "n1", "n2", "n3", "n4")
 		f.run(time.Second)
-		f.up["n0"].Found(f.now, nil, 3, 0, func(VoterSet, error) {})
+		f.up["n0"].FoundLog(f.now, nil, 3, 0, func(VoterSet, error) {})
 		f.run(time.Duration(rng.IntN(25)) * 100 * time.Millisecond)
-		f.up["n1"].Found(f.now, []string{"n2", "n3", "n4"}, 0, 0, func(VoterSet, error) {})
+		f.up["n1"].FoundLog(f.now, []string{"n2", "n3", "n4"}, 0, 0, func(VoterSet, error) {})
 		f.run(30 * time.Second)
 		leaders := map[uint64]int{}
 		for _, n := range f.names() {
@@ -307,7 +307,7 @@
 		t.Errorf("%+v", a)
 	}
 	f.told[name] = nil
-	was.take(&Message{Kind: SubmitCommand, From: name, Item: &ForwardedCommand{Command: c, Origin: name}})
+	was.take(&Message{Kind: SubmitCommand, From: name, Command: &ForwardedCommand{Command: c, Origin: name}})
 	was.settle()
 	f.settle()
 	if len(f.told[name]) != 1 || f.told[name][0].Kind != CannotServe {
--- a/internal/fleet/leaselog/found.go
+++ b/internal/fleet/leaselog/found.go
@@ -42,10 +42,10 @@
 // heard takes an answer to the asking, or to the word to begin.
 func (f *founding) heard(m *Message) {
 	switch {
-	case f.step == 2 && m.Seats.Founding == f.id:
+	case f.step == 2 && m.VoterSet.Founding == f.id:
 		f.begun[m.From] = true
 	case f.step < 2:
-		s := m.Seats.clone()
+		s := m.VoterSet.clone()
 		f.other = &s
 	}
 }
@@ -53,7 +53,7 @@
 // Found founds the fleet's log: n voters, chosen by rule, or those named; its tokens begin above one. It must be done once
 // for a fleet, and finds out if it was. Done is called with who votes then. An error that comes at once means that nothing
 // was begun.
-func (c *Node) Found(now time.Duration, names []string, n int, tokens uint64, done func(VoterSet, error)) error {
+func (c *Node) FoundLog(now time.Duration, names []string, n int, tokens uint64, done func(VoterSet, error)) error {
 	c.now = max(c.now, now)
 	switch {
 	case c.founding != nil:
@@ -108,7 +108,7 @@
 	if f.other != nil && f.step < 2 { // that one may have ended half way: it is brought to its end
 		for _, r := range f.other.Rows {
 			s := f.other.clone()
-			c.send(r.Name, &Message{Kind: VotersKnown, Seats: &s, Begin: true})
+			c.send(r.Name, &Message{Kind: VotersKnown, VoterSet: &s, Begin: true})
 		}
 		f.seats = *f.other
 		c.ended(fmt.Errorf("there are voters already: %s", f.other.names()))
@@ -194,7 +194,7 @@
 		if !f.begun[name] {
 			silent = append(silent, name)
 			s := f.seats.clone()
-			c.send(name, &Message{Kind: VotersKnown, Seats: &s, Begin: true, Founding: f.id})
+			c.send(name, &Message{Kind: VotersKnown, VoterSet: &s, Begin: true, Founding: f.id})
 		}
 	}
 	switch {
--- a/internal/fleet/leaselog/message.go
+++ b/internal/fleet/leaselog/message.go
@@ -29,36 +29,36 @@
 
 // Item is a command on its way to the leader: one of a lease, or of the machines out for work.
 type ForwardedCommand struct {
-	Command lease.Command
-	Work    *maintenance.Command // nil: Command is meant
-	Origin  string               // the node that is to be answered
-	Ref     uint64               // of the origin's, for what is no holder's
+	Command     lease.Command
+	Maintenance *maintenance.Command // nil: Command is meant
+	Origin      string               // the node that is to be answered
+	Ref         uint64               // of the origin's, for what is no holder's
 }
 
 // Message is what one node tells another.
 type Message struct {
-	Kind     Kind
-	From     string // the sender's name
-	Addr     string // where it is
-	Hops     int    // how often it was passed on
-	Life     uint64
-	Seq      uint64
-	Ref      uint64
-	Origin   string // List: who is to be answered
-	ID       uint64
-	Founding uint64
-	Begin    bool
-	Settled  bool   // Seated: the sender votes, and those who vote are those who have the seats
-	Term     uint64 // Listed
-	Page     int    // Listed, from 0
-	Pages    int
-	Seats    *VoterSet
-	Voter    *consensus.Message
-	Item     *ForwardedCommand
-	Answer   *lease.Answer
-	Leases   []lease.Lease
-	Work     *maintenance.Answer
-	Table    []byte // of package maintenance
+	Kind              Kind
+	From              string // the sender's name
+	Addr              string // where it is
+	Hops              int    // how often it was passed on
+	Life              uint64
+	Seq               uint64
+	Ref               uint64
+	Origin            string // List: who is to be answered
+	ID                uint64
+	Founding          uint64
+	Begin             bool
+	Settled           bool   // Seated: the sender votes, and those who vote are those who have the seats
+	Term              uint64 // Listed
+	Page              int    // Listed, from 0
+	Pages             int
+	VoterSet          *VoterSet
+	Voter             *consensus.Message
+	Command           *ForwardedCommand
+	Answer            *lease.Answer
+	Leases            []lease.Lease
+	MaintenanceAnswer *maintenance.Answer
+	MaintenanceTable  []byte // of package maintenance
 }
 
 // Out is a message on its way out.
--- a/internal/fleet/leaselog/size_test.go
+++ b/internal/fleet/leaselog/size_test.go
@@ -19,7 +19,7 @@
 	c := f.up["n00000"]
 	c.SetMembers(f.now, members)
 	chosen := []string{"n00000", "n00001", "n00002"}
-	if err := c.Found(f.now, chosen, 0, 0, func(VoterSet, error) {}); err != nil {
+	if err := c.FoundLog(f.now, chosen, 0, 0, func(VoterSet, error) {}); err != nil {
 		t.Fatal(err)
 	}
 	asked, drawing := map[string]bool{}, false
--- a/internal/fleet/leaselog/voters.go
+++ b/internal/fleet/leaselog/voters.go
@@ -66,7 +66,7 @@
 	if f := c.founding; f != nil && m.Founding == f.id {
 		f.heard(m)
 	}
-	c.learn(*m.Seats)
+	c.learn(*m.VoterSet)
 	if m.Begin {
 		c.beginFrom(m)
 		return
@@ -100,16 +100,16 @@
 
 // beginFrom has a node that drew a number for this log start from its seats, unless it has.
 func (c *Node) beginFrom(m *Message) {
-	own, has := m.Seats.of(c.set.Name)
-	if !has || m.Seats.Founding != c.note.Pledged || c.voter == nil || c.voter.ID() != own.ID {
+	own, has := m.VoterSet.of(c.set.Name)
+	if !has || m.VoterSet.Founding != c.note.Pledged || c.voter == nil || c.voter.ID() != own.ID {
 		return
 	}
 	if !c.applies() && c.begin == nil {
-		c.begin = first(m.Seats, own.ID)
+		c.begin = first(m.VoterSet, own.ID)
 	}
 	if c.applies() {
-		s := m.Seats.clone()
-		c.send(m.From, &Message{Kind: VotersKnown, Seats: &s, Founding: m.Founding})
+		s := m.VoterSet.clone()
+		c.send(m.From, &Message{Kind: VotersKnown, VoterSet: &s, Founding: m.Founding})
 	}
 }
 
--- a/internal/fleet/maintenance/code.go
+++ b/internal/fleet/maintenance/code.go
@@ -51,7 +51,7 @@
 	return m, err
 }
 
-func appendWish(to []byte, w *Wish) []byte {
+func appendWish(to []byte, w *Request) []byte {
 	to = protofields.AppendBytes(to, 1, appendMachine(nil, &w.Machine))
 	to = protofields.AppendString(protofields.AppendString(to, 2, w.By), 3, w.Why)
 	to = protofields.AppendUint(protofields.AppendUint(to, 4, uint64(w.Length)), 5, uint64(w.Deadline))
@@ -61,7 +61,7 @@
 	return protofields.AppendString(protofields.AppendString(to, 12, w.Failed), 13, w.Reason)
 }
 
-func parseWish(b []byte) (w Wish, err error) {
+func parseWish(b []byte) (w Request, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		if f.IsNum {
 			switch f.Num {
@@ -75,7 +75,7 @@
 				w.Asked, err = span(f.X)
 			case 8:
 				var n int
-				n, err = small(f.X, uint64(GivenUp))
+				n, err = small(f.X, uint64(Cancelled))
 				w.State = State(n)
 			case 9:
 				w.Since, err = span(f.X)
@@ -107,8 +107,8 @@
 func AppendCommand(to []byte, c *Command) []byte {
 	to = protofields.AppendUint(protofields.AppendString(protofields.AppendUint(to, 1, uint64(c.Op)), 2, c.Machine), 3, c.Serial)
 	to = protofields.AppendUint(to, 4, uint64(c.To))
-	for i := range c.Wishes {
-		to = protofields.AppendBytes(to, 5, appendWish(nil, &c.Wishes[i]))
+	for i := range c.Requests {
+		to = protofields.AppendBytes(to, 5, appendWish(nil, &c.Requests[i]))
 	}
 	if c.Limits != (Limits{}) {
 		to = protofields.AppendBytes(to, 6, appendLimits(nil, c.Limits))
@@ -147,7 +147,7 @@
 			case 3:
 				c.Serial = f.X
 			case 4:
-				n, err = small(f.X, uint64(GivenUp))
+				n, err = small(f.X, uint64(Cancelled))
 				c.To = State(n)
 			case 7:
 				c.Elapsed, err = span(f.X)
@@ -158,17 +158,17 @@
 		case 2:
 			c.Machine, err = text(f.B)
 		case 5:
-			if len(c.Wishes) == MostWishes {
-				return protofields.Errorf("more than %d wishes", MostWishes)
+			if len(c.Requests) == MaxRequests {
+				return protofields.Errorf("more than %d wishes", MaxRequests)
 			}
-			var w Wish
+			var w Request
 			w, err = parseWish(f.B)
-			c.Wishes = append(c.Wishes, w)
+			c.Requests = append(c.Requests, w)
 		case 6:
 			c.Limits, err = parseLimits(f.B)
 		case 8:
-			if len(c.Lost) == MostLost {
-				return protofields.Errorf("more than %d machines lost", MostLost)
+			if len(c.Lost) == MaxLost {
+				return protofields.Errorf("more than %d machines lost", MaxLost)
 			}
 			var m Machine
 			m, err = parseMachine(f.B)
@@ -187,7 +187,7 @@
 func AppendTable(to []byte, t *Table) []byte {
 	to = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(to, 1, uint64(t.now)), 2, t.serials), 3, t.runs)
 	to = protofields.AppendBytes(protofields.AppendString(to, 4, t.held), 5, appendLimits(nil, t.limits))
-	all := t.All()
+	all := t.Requests()
 	for i := range all {
 		to = protofields.AppendBytes(to, 6, appendWish(nil, &all[i]))
 	}
@@ -224,16 +224,16 @@
 		case 5:
 			t.limits, err = parseLimits(f.B)
 		case 6:
-			var w Wish
-			if w, err = parseWish(f.B); err == nil && (w.Name == "" || w.State == 0 || len(t.wishes) > MostWishes+mostHistory) {
+			var w Request
+			if w, err = parseWish(f.B); err == nil && (w.Name == "" || w.State == 0 || len(t.wishes) > MaxRequests+mostHistory) {
 				err = protofields.Errorf("a wish that is none")
 			}
 			t.wishes[w.Name] = &w
 		case 7:
 			var m Machine
 			m, err = parseMachine(f.B)
-			if t.lost = append(t.lost, m); len(t.lost) > MostLost {
-				err = protofields.Errorf("more than %d machines lost", MostLost)
+			if t.lost = append(t.lost, m); len(t.lost) > MaxLost {
+				err = protofields.Errorf("more than %d machines lost", MaxLost)
 			}
 		case 8:
 			var e Event
@@ -257,10 +257,10 @@
 		case f.IsNum && f.Num == 1:
 			e.At, err = span(f.X)
 		case f.IsNum && f.Num == 3:
-			n, err = small(f.X, uint64(GivenUp))
+			n, err = small(f.X, uint64(Cancelled))
 			e.From = State(n)
 		case f.IsNum && f.Num == 4:
-			n, err = small(f.X, uint64(GivenUp))
+			n, err = small(f.X, uint64(Cancelled))
 			e.To = State(n)
 		case !f.IsNum && f.Num == 2:
 			e.Machine, err = text(f.B)
--- a/internal/fleet/maintenance/code_test.go
+++ b/internal/fleet/maintenance/code_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestFormsAreReadAsWritten(t *testing.T) {
-	c := Command{Op: Ask, Machine: "m", Serial: 7, To: Out, By: "who", Reason: "why", Elapsed: time.Second, Limits: Limits{9, 3, 1},
-		Wishes: []Wish{{Machine: Machine{"a", "s", "r", 4}, Why: "disk", Length: time.Hour, Deadline: 8 * time.Hour, Urgent: true}}, Lost: []Machine{{"b", "s", "", 0}}}
+	c := Command{Op: AddRequests, Machine: "m", Serial: 7, To: OutOfService, By: "who", Reason: "why", Elapsed: time.Second, Limits: Limits{9, 3, 1},
+		Requests: []Request{{Machine: Machine{"a", "s", "r", 4}, Why: "disk", Length: time.Hour, Deadline: 8 * time.Hour, Urgent: true}}, Lost: []Machine{{"b", "s", "", 0}}}
 	if d, err := ParseCommand(AppendCommand(nil, &c)); err != nil || !reflect.DeepEqual(c, d) {
 		t.Errorf("%+v\nis read as\n%+v: %v", c, d, err)
 	}
@@ -22,27 +22,27 @@
 	}
 	b := AppendTable(nil, w.table)
 	again, err := ParseTable(b)
-	if err != nil || !bytes.Equal(b, AppendTable(nil, again)) || !reflect.DeepEqual(w.table.All(), again.All()) || !reflect.DeepEqual(w.table.History(), again.History()) {
+	if err != nil || !bytes.Equal(b, AppendTable(nil, again)) || !reflect.DeepEqual(w.table.Requests(), again.Requests()) || !reflect.DeepEqual(w.table.History(), again.History()) {
 		t.Errorf("a table is read otherwise than it was written: %v", err)
 	}
 }
 
 // Whatever stands in the log or on the disk, reading ends, and what is read can be applied.
 func FuzzForms(f *testing.F) {
-	f.Add(AppendCommand(nil, &Command{Op: Tell, Elapsed: time.Hour, Lost: []Machine{{"b", "s", "r", 2}}}))
+	f.Add(AppendCommand(nil, &Command{Op: ReportObservations, Elapsed: time.Hour, Lost: []Machine{{"b", "s", "r", 2}}}))
 	t := NewTable()
-	t.Apply(&Command{Op: Ask, Wishes: []Wish{{Machine: Machine{"a", "s", "r", 4}, Length: time.Hour}}}, nil)
+	t.Apply(&Command{Op: AddRequests, Requests: []Request{{Machine: Machine{"a", "s", "r", 4}, Length: time.Hour}}}, nil)
 	f.Add(AppendTable(nil, t))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		table, err := ParseTable(b)
 		if err != nil {
 			table = NewTable()
-		} else if again, err := ParseTable(AppendTable(nil, table)); err != nil || len(again.All()) != len(table.All()) {
+		} else if again, err := ParseTable(AppendTable(nil, table)); err != nil || len(again.Requests()) != len(table.Requests()) {
 			t.Fatal(err)
 		}
 		if c, err := ParseCommand(b); err == nil {
 			table.Apply(&c, []string{"a"})
 		}
-		NewPlanner(Rules{}, 0).Plan(time.Hour, table, &Facts{})
+		NewPlanner(Rules{}, 0).Plan(time.Hour, table, &Observations{})
 	})
 }
--- a/internal/fleet/maintenance/night_test.go
+++ b/internal/fleet/maintenance/night_test.go
@@ -96,14 +96,14 @@
 }
 
 // facts are what the nodes would tell, and how the fleet is served in this step.
-func (n *night) facts() *Facts {
-	f := &Facts{Machines: map[string]Fact{}, Sites: map[string]SiteFact{}, Discovery: true, Majority: true}
+func (n *night) facts() *Observations {
+	f := &Observations{Machines: map[string]MachineFacts{}, Sites: map[string]SiteFacts{}, Discovery: true, Majority: true}
 	room := map[string]float64{}
 	for _, m := range n.machines {
 		x := n.carries(m)
 		room[m.Site] += x
-		f.Machines[m.Name] = Fact{
-			Machine: m.Machine, Alive: n.alive(m) && !m.out, Ready: n.alive(m) && !m.out && n.now >= m.ready, Room: m.room,
+		f.Machines[m.Name] = MachineFacts{
+			Machine: m.Machine, Alive: n.alive(m) && !m.out, Ready: n.alive(m) && !m.out && n.now >= m.ready, Capacity: m.room,
 			Share: x / m.room, Served: max(0, n.now-m.ready),
 		}
 	}
@@ -133,7 +133,7 @@
 			n.served, n.asked = n.served+need*share, n.asked+need
 			n.worst = min(n.worst, share)
 		}
-		f.Sites[site] = SiteFact{Need: n.peak[site], Worth: share, Usual: 1, Spread: 0.002, Lost: lost}
+		f.Sites[site] = SiteFacts{Need: n.peak[site], Worth: share, Usual: 1, Spread: 0.002, Lost: lost}
 	}
 	return f
 }
@@ -157,12 +157,12 @@
 		edit(n)
 	}
 	t = NewTable()
-	t.Apply(&Command{Op: Bound, Limits: limits}, nil)
-	var wishes []Wish
+	t.Apply(&Command{Op: SetLimits, Limits: limits}, nil)
+	var wishes []Request
 	for _, m := range n.machines {
-		wishes = append(wishes, Wish{Machine: m.Machine, Why: "kernel", Length: nightWork})
+		wishes = append(wishes, Request{Machine: m.Machine, Why: "kernel", Length: nightWork})
 	}
-	t.Apply(&Command{Op: Ask, By: "night", Wishes: wishes}, nil)
+	t.Apply(&Command{Op: AddRequests, By: "night", Requests: wishes}, nil)
 	var p *Planner
 	for n.now = 0; n.now < cmp.Or(n.ends, 48*time.Hour); n.now += nightStep {
 		if p == nil || n.rng.IntN(700) == 0 { // every three hours or so
@@ -179,17 +179,17 @@
 			}
 		}
 		open, out, racks := 0, 0, map[string]int{}
-		for _, w := range t.All() {
+		for _, w := range t.Requests() {
 			m := n.byName[w.Name]
 			switch {
 			case w.State == Draining && !m.out: // drained within a step
-				if a := t.Apply(&Command{Op: Step, Machine: w.Name, Serial: w.Serial, To: Out}, nil); a.Done {
-					w, _ = t.Of(w.Name)
-					if b := t.Apply(&Command{Op: Begin, Machine: w.Name, Serial: w.Serial}, nil); b.Done {
+				if a := t.Apply(&Command{Op: Step, Machine: w.Name, Serial: w.Serial, To: OutOfService}, nil); a.Done {
+					w, _ = t.Request(w.Name)
+					if b := t.Apply(&Command{Op: BeginHook, Machine: w.Name, Serial: w.Serial}, nil); b.Done {
 						n.take(m)
 					}
 				}
-			case w.State == Out && m.out && n.now >= m.until:
+			case w.State == OutOfService && m.out && n.now >= m.until:
 				if a := t.Apply(&Command{Op: Step, Machine: w.Name, Serial: w.Serial, To: Returning}, nil); a.Done {
 					n.back(m)
 				}
@@ -261,7 +261,7 @@
 		n, took, table := planned(seed, machines, limits, lose)
 		if took == 0 || n.broken != "" {
 			open := map[State]int{}
-			for _, w := range table.All() {
+			for _, w := range table.Requests() {
 				open[w.State]++
 			}
 			t.Fatalf("seed %d: not done after 48 h, or broken: %q, %v", seed, n.broken, open)
@@ -286,7 +286,7 @@
 		}
 	}
 	if took != 0 || done > 20 || n.worst < 0.9 {
-		t.Errorf("%d of 160 have the bad version, a site served %.3f at its worst; %d wishes", done, n.worst, len(table.All()))
+		t.Errorf("%d of 160 have the bad version, a site served %.3f at its worst; %d wishes", done, n.worst, len(table.Requests()))
 	}
 	t.Logf("%d of 160 have it when it is held, a site served %.3f at its worst", done, n.worst)
 }
--- a/internal/fleet/maintenance/planner.go
+++ b/internal/fleet/maintenance/planner.go
@@ -11,17 +11,17 @@
 )
 
 // Fact is what a machine tells of itself, or is told of it.
-type Fact struct {
+type MachineFacts struct {
 	Machine
-	Alive  bool    // in the members' view, or on discovery's list
-	Ready  bool    // it takes requests
-	Room   float64 // requests a second that it can carry when warm
-	Share  float64 // of its fair share of the site's requests that it has served of late, from 0
-	Served time.Duration
+	Alive    bool    // in the members' view, or on discovery's list
+	Ready    bool    // it takes requests
+	Capacity float64 // requests a second that it can carry when warm
+	Share    float64 // of its fair share of the site's requests that it has served of late, from 0
+	Served   time.Duration
 }
 
 // SiteFact is what is known of a site.
-type SiteFact struct {
+type SiteFacts struct {
 	Need   float64 // requests a second that it must bear: its recent peak, and that of the day before, as a storm comes at any hour
 	Worth  float64 // share of the worth asked for that is served now
 	Usual  float64 // the recent mean of that ...
@@ -30,9 +30,9 @@
 }
 
 // Facts are what a coordinator has seen.
-type Facts struct {
-	Machines  map[string]Fact
-	Sites     map[string]SiteFact
+type Observations struct {
+	Machines  map[string]MachineFacts
+	Sites     map[string]SiteFacts
 	Crashes   int  // machines that have gone by themselves in the last two minutes
 	Discovery bool // it answers
 	Majority  bool // the members' view has one
@@ -41,19 +41,19 @@
 
 // Rules are what a planner goes by. The zero value of each field stands for its default.
 type Rules struct {
-	Spare    float64       // of a site's need that must be left over beside one machine's loss; 0.1
-	Gap      time.Duration // between two admissions of a site: connections move with each; 20 s
-	Calm     time.Duration // that a cause to stop must have been gone for; 2 min
-	Warm     time.Duration // that a machine must have served its share for; 30 s
-	ColdPart float64       // of a machine's room while it is cold; 0.4
-	Drain    time.Duration // that a machine may drain for before it is told; 1 min
-	Patience time.Duration // a wish that has waited for so long keeps room from later ones; 30 min
-	Crashes  int           // that stop everything; 2
+	SpareCapacity     float64       // of a site's need that must be left over beside one machine's loss; 0.1
+	AdmissionInterval time.Duration // between two admissions of a site: connections move with each; 20 s
+	CalmPeriod        time.Duration // that a cause to stop must have been gone for; 2 min
+	WarmPeriod        time.Duration // that a machine must have served its share for; 30 s
+	ColdCapacity      float64       // of a machine's room while it is cold; 0.4
+	DrainTimeout      time.Duration // that a machine may drain for before it is told; 1 min
+	Patience          time.Duration // a wish that has waited for so long keeps room from later ones; 30 min
+	Crashes           int           // that stop everything; 2
 }
 
 func (r Rules) withDefaults() Rules {
-	r.Spare, r.Gap, r.Calm = cmp.Or(r.Spare, 0.1), cmp.Or(r.Gap, 20*time.Second), cmp.Or(r.Calm, 2*time.Minute)
-	r.Warm, r.ColdPart, r.Drain = cmp.Or(r.Warm, 30*time.Second), cmp.Or(r.ColdPart, 0.4), cmp.Or(r.Drain, time.Minute)
+	r.SpareCapacity, r.AdmissionInterval, r.CalmPeriod = cmp.Or(r.SpareCapacity, 0.1), cmp.Or(r.AdmissionInterval, 20*time.Second), cmp.Or(r.CalmPeriod, 2*time.Minute)
+	r.WarmPeriod, r.ColdCapacity, r.DrainTimeout = cmp.Or(r.WarmPeriod, 30*time.Second), cmp.Or(r.ColdCapacity, 0.4), cmp.Or(r.DrainTimeout, time.Minute)
 	r.Patience, r.Crashes = cmp.Or(r.Patience, 30*time.Minute), cmp.Or(r.Crashes, 2)
 	return r
 }
@@ -75,15 +75,15 @@
 }
 
 // Stopped is why nothing goes out, in operators' words; "": it may. Reason is why a machine does not go out now.
-func (p *Planner) Stopped() string            { return p.stopped }
-func (p *Planner) Reason(name string) string  { return p.reasons[name] }
-func (p *Planner) Reasons() map[string]string { return p.reasons }
+func (p *Planner) StopReason() string             { return p.stopped }
+func (p *Planner) WaitReason(name string) string  { return p.reasons[name] }
+func (p *Planner) WaitReasons() map[string]string { return p.reasons }
 
 const tellEvery = 10 * time.Second
 
 // Plan looks at the table as it is applied here, and at the facts, and returns what is to be proposed. The same table and
 // facts give the same proposals.
-func (p *Planner) Plan(now time.Duration, t *Table, f *Facts) (todo []Command) {
+func (p *Planner) Plan(now time.Duration, t *Table, f *Observations) (todo []Command) {
 	clear(p.reasons)
 	cause := p.cause(f)
 	if cause != "" {
@@ -92,15 +92,15 @@
 	switch {
 	case cause != "":
 		p.stopped = cause
-	case now-p.calm < p.rules.Calm:
-		p.stopped = fmt.Sprintf("calm for %v, of %v", (now - p.calm).Round(time.Second), p.rules.Calm)
+	case now-p.calm < p.rules.CalmPeriod:
+		p.stopped = fmt.Sprintf("calm for %v, of %v", (now - p.calm).Round(time.Second), p.rules.CalmPeriod)
 	default:
 		p.stopped = ""
 	}
-	all := t.All()
+	all := t.Requests()
 	lost := p.lost(all, f)
 	if now-p.told >= tellEvery || !slices.Equal(lost, t.lost) {
-		todo = append(todo, Command{Op: Tell, Elapsed: now - p.told, Lost: lost})
+		todo = append(todo, Command{Op: ReportObservations, Elapsed: now - p.told, Lost: lost})
 		p.told = now
 	}
 	for i := range all {
@@ -115,7 +115,7 @@
 }
 
 // cause is why everything must stop; "": nothing.
-func (p *Planner) cause(f *Facts) string {
+func (p *Planner) cause(f *Observations) string {
 	sites := make([]string, 0, len(f.Sites))
 	for s := range f.Sites {
 		sites = append(sites, s)
@@ -142,37 +142,37 @@
 }
 
 // lost are machines that are out though nobody wished it.
-func (p *Planner) lost(all []Wish, f *Facts) (lost []Machine) {
+func (p *Planner) lost(all []Request, f *Observations) (lost []Machine) {
 	for _, m := range f.Machines {
 		if m.Alive {
 			continue
 		}
-		i, wished := slices.BinarySearchFunc(all, m.Name, func(w Wish, name string) int { return cmp.Compare(w.Name, name) })
+		i, wished := slices.BinarySearchFunc(all, m.Name, func(w Request, name string) int { return cmp.Compare(w.Name, name) })
 		if !wished || !all[i].State.places() {
 			lost = append(lost, m.Machine)
 		}
 	}
 	slices.SortFunc(lost, func(a, b Machine) int { return cmp.Compare(a.Name, b.Name) })
-	return lost[:min(len(lost), MostLost)]
+	return lost[:min(len(lost), MaxLost)]
 }
 
 // follow proposes the next step of a machine that is under way.
-func (p *Planner) follow(t *Table, w *Wish, f *Facts) (Command, bool) {
+func (p *Planner) follow(t *Table, w *Request, f *Observations) (Command, bool) {
 	m, known := f.Machines[w.Name]
 	step := func(to State, reason string) (Command, bool) {
 		return Command{Op: Step, Machine: w.Name, Serial: w.Serial, To: to, Reason: reason}, true
 	}
 	if p.stopped != "" && (w.State == Admitted || w.State == Draining) {
-		return step(Wished, "turns back: "+p.stopped)
+		return step(Requested, "turns back: "+p.stopped)
 	}
 	switch w.State {
-	case Wished:
+	case Requested:
 		if w.Deadline > 0 && t.now+w.Length > w.Deadline {
-			return Command{Op: Cancel, Machine: w.Name, Reason: "its work can't end before its deadline any more"}, true
+			return Command{Op: CancelRequest, Machine: w.Name, Reason: "its work can't end before its deadline any more"}, true
 		}
 	case Admitted:
 		return step(Draining, "")
-	case Out:
+	case OutOfService:
 		late := t.now - w.Since
 		switch {
 		case w.Failed != "":
@@ -191,28 +191,28 @@
 		switch {
 		case !known || !m.Alive || !m.Ready:
 			return step(Returning, "it is gone again")
-		case m.Share >= 0.5 && m.Served >= p.rules.Warm:
-			return step(Back, fmt.Sprintf("has served its share for %v", m.Served.Round(time.Second)))
+		case m.Share >= 0.5 && m.Served >= p.rules.WarmPeriod:
+			return step(InService, fmt.Sprintf("has served its share for %v", m.Served.Round(time.Second)))
 		}
-		p.reasons[w.Name] = fmt.Sprintf("serves %.0f%% of its share, for %v of %v", 100*m.Share, m.Served.Round(time.Second), p.rules.Warm)
+		p.reasons[w.Name] = fmt.Sprintf("serves %.0f%% of its share, for %v of %v", 100*m.Share, m.Served.Round(time.Second), p.rules.WarmPeriod)
 	}
 	return Command{}, false
 }
 
 // order is who is looked at first: urgent ones, then by what is left before the deadline, then who has waited longest.
-func (p *Planner) order(t *Table, all []Wish) (line []*Wish) {
+func (p *Planner) order(t *Table, all []Request) (line []*Request) {
 	for i := range all {
-		if all[i].State == Wished {
+		if all[i].State == Requested {
 			line = append(line, &all[i])
 		}
 	}
-	left := func(w *Wish) time.Duration {
+	left := func(w *Request) time.Duration {
 		if w.Deadline == 0 {
 			return math.MaxInt64
 		}
 		return w.Deadline - t.now - w.Length
 	}
-	slices.SortFunc(line, func(a, b *Wish) int {
+	slices.SortFunc(line, func(a, b *Request) int {
 		switch {
 		case a.Urgent != b.Urgent:
 			if a.Urgent {
@@ -227,7 +227,7 @@
 }
 
 // admit proposes the next machine to go, and notes why each other one does not.
-func (p *Planner) admit(now time.Duration, t *Table, all []Wish, f *Facts) (Command, bool) {
+func (p *Planner) admit(now time.Duration, t *Table, all []Request, f *Observations) (Command, bool) {
 	line := p.order(t, all)
 	if p.stopped != "" || t.held != "" {
 		why := cmp.Or(p.stopped, "held: "+t.held)
@@ -236,7 +236,7 @@
 		}
 		return Command{}, false
 	}
-	var next *Wish
+	var next *Request
 	out, rooms := t.tally(f.Voters), p.rooms(all, f)
 	kept := map[string]string{} // sites whose room is kept for one that has waited long
 	for _, w := range line {
@@ -278,7 +278,7 @@
 }
 
 // rooms are those of all sites.
-func (p *Planner) rooms(all []Wish, f *Facts) map[string]siteRoom {
+func (p *Planner) rooms(all []Request, f *Observations) map[string]siteRoom {
 	rooms := map[string]siteRoom{}
 	for _, m := range f.Machines {
 		x := p.carries(&m, all)
@@ -295,23 +295,23 @@
 }
 
 // carries is what a machine can be counted on for.
-func (p *Planner) carries(m *Fact, all []Wish) float64 {
+func (p *Planner) carries(m *MachineFacts, all []Request) float64 {
 	if !m.Alive || !m.Ready {
 		return 0
 	}
-	if i, wished := slices.BinarySearchFunc(all, m.Name, func(w Wish, name string) int { return cmp.Compare(w.Name, name) }); wished {
+	if i, wished := slices.BinarySearchFunc(all, m.Name, func(w Request, name string) int { return cmp.Compare(w.Name, name) }); wished {
 		switch all[i].State {
-		case Admitted, Draining, Out, Returning:
+		case Admitted, Draining, OutOfService, Returning:
 			return 0
 		case Warming:
-			return m.Room * p.rules.ColdPart
+			return m.Capacity * p.rules.ColdCapacity
 		}
 	}
-	return m.Room
+	return m.Capacity
 }
 
 // room tells why a site can't do without a machine now; "": it can.
-func (p *Planner) room(now time.Duration, w *Wish, r siteRoom, f *Facts) string {
+func (p *Planner) room(now time.Duration, w *Request, r siteRoom, f *Observations) string {
 	own, known := f.Machines[w.Name]
 	site, told := f.Sites[w.Site]
 	switch {
@@ -320,14 +320,14 @@
 	case !own.Alive:
 		return "it is gone by itself"
 	}
-	if at, had := p.admitted[w.Site]; had && now-at < p.rules.Gap {
-		return fmt.Sprintf("another of its site went %v ago; connections move, one every %v", (now - at).Round(time.Second), p.rules.Gap)
+	if at, had := p.admitted[w.Site]; had && now-at < p.rules.AdmissionInterval {
+		return fmt.Sprintf("another of its site went %v ago; connections move, one every %v", (now - at).Round(time.Second), p.rules.AdmissionInterval)
 	}
 	room := 0.0
 	if own.Ready {
-		room = own.Room
+		room = own.Capacity
 	}
-	if need, left := site.Need*(1+p.rules.Spare), r.left(room); left < need {
+	if need, left := site.Need*(1+p.rules.SpareCapacity), r.left(room); left < need {
 		return fmt.Sprintf("site %s would have room for %.0f a second with one more machine lost, and needs %.0f", w.Site, max(0, left), need)
 	}
 	return ""
--- a/internal/fleet/maintenance/search_test.go
+++ b/internal/fleet/maintenance/search_test.go
@@ -31,15 +31,15 @@
 func newWorld(t *testing.T, plain bool) *world {
 	w := &world{table: NewTable(), drained: make([]bool, searched), begun: make([]int, searched), plain: plain}
 	w.table.limits = Limits{All: 2, Site: 2, Rack: 1}
-	var wishes []Wish
+	var wishes []Request
 	for i := range searched {
 		m := Machine{Name: name(i), Site: "s", Rack: fmt.Sprint("r", i/2), RackSize: 2}
 		if plain {
 			m.Rack, m.RackSize = "", 0
 		}
-		wishes = append(wishes, Wish{Machine: m, Length: time.Minute})
+		wishes = append(wishes, Request{Machine: m, Length: time.Minute})
 	}
-	if a := w.table.Apply(&Command{Op: Ask, Wishes: wishes}, nil); !a.Done {
+	if a := w.table.Apply(&Command{Op: AddRequests, Requests: wishes}, nil); !a.Done {
 		t.Fatal(a.Reason)
 	}
 	return w
@@ -84,45 +84,45 @@
 		step := func(to State) {
 			all = append(all, act{fmt.Sprint(x.Name, " to ", to), Command{Op: Step, Machine: x.Name, Serial: x.Serial, To: to}, false, false})
 		}
-		begin := act{x.Name + " begins", Command{Op: Begin, Machine: x.Name, Serial: x.Serial}, false, false}
+		begin := act{x.Name + " begins", Command{Op: BeginHook, Machine: x.Name, Serial: x.Serial}, false, false}
 		switch x.State {
-		case Wished:
+		case Requested:
 			step(Admitted)
 		case Admitted:
 			step(Draining)
-			step(Wished)
+			step(Requested)
 		case Draining:
 			if w.drained[i] {
-				step(Out)
+				step(OutOfService)
 			} else {
 				all = append(all, act{x.Name + " has drained", Command{}, false, false})
 			}
-			step(Wished)
-		case Out:
+			step(Requested)
+		case OutOfService:
 			all = append(all, begin) // also a process that started anew, and knows nothing of the first
 			step(Returning)
 			if x.Run > 0 {
-				all = append(all, act{x.Name + " fails", Command{Op: Fail, Machine: x.Name}, false, false}, act{x.Name + " is confirmed", Command{Op: Confirm, Machine: x.Name}, false, false})
+				all = append(all, act{x.Name + " fails", Command{Op: HookFailed, Machine: x.Name}, false, false}, act{x.Name + " is confirmed", Command{Op: ConfirmDone, Machine: x.Name}, false, false})
 			}
 		case Returning:
 			step(Warming)
 		case Warming:
-			step(Back)
+			step(InService)
 		}
 	}
 	if w.table.held == "" {
-		all = append(all, act{"hold", Command{Op: Hold}, false, false})
+		all = append(all, act{"hold", Command{Op: Pause}, false, false})
 	} else {
 		all = append(all, act{"resume", Command{Op: Resume}, false, false})
 	}
 	if len(w.table.lost) == 0 {
-		all = append(all, act{"m3 is lost", Command{Op: Tell, Lost: []Machine{{Name: name(3), Site: "s", Rack: "r1", RackSize: 2}}}, false, false})
+		all = append(all, act{"m3 is lost", Command{Op: ReportObservations, Lost: []Machine{{Name: name(3), Site: "s", Rack: "r1", RackSize: 2}}}, false, false})
 	} else {
-		all = append(all, act{"m3 is found", Command{Op: Tell}, false, false})
+		all = append(all, act{"m3 is found", Command{Op: ReportObservations}, false, false})
 	}
 	if len(w.late) == 0 {
 		for _, a := range slices.Clone(all) {
-			if a.c.Op == Step || a.c.Op == Begin {
+			if a.c.Op == Step || a.c.Op == BeginHook {
 				all = append(all, act{a.what + ", and again later", a.c, true, false}, act{a.what + ", said and not heard yet", a.c, false, true})
 			}
 		}
@@ -160,15 +160,15 @@
 			c.Serial = x.Serial
 		}
 	case "work begins once":
-		if c.Op == Begin && x != nil {
+		if c.Op == BeginHook && x != nil {
 			x.Run = 0
 		}
 	case "hold":
-		if c.Op != Hold && c.Op != Resume {
+		if c.Op != Pause && c.Op != Resume {
 			t.held = ""
 		}
 	case "the lost count":
-		if c.Op != Tell {
+		if c.Op != ReportObservations {
 			t.lost = nil
 		}
 	}
@@ -179,10 +179,10 @@
 	if x != nil {
 		x.Rack = rack
 	}
-	if out == "hold" && c.Op != Hold && c.Op != Resume {
+	if out == "hold" && c.Op != Pause && c.Op != Resume {
 		t.held = held
 	}
-	if out == "the lost count" && c.Op != Tell {
+	if out == "the lost count" && c.Op != ReportObservations {
 		t.lost = lost
 	}
 	return a
@@ -208,13 +208,13 @@
 	if a.late {
 		w.late = []Command{a.c}
 	}
-	if a.c.Op == Begin && answer.Done {
+	if a.c.Op == BeginHook && answer.Done {
 		w.begun[i]++
 	}
 	places, racks, voters := 0, map[string]int{}, 0
 	for n, x := range w.table.wishes {
 		k := int(n[1] - '0')
-		if x.State == Wished || x.State == Admitted {
+		if x.State == Requested || x.State == Admitted {
 			w.drained[k] = false // it takes requests, or again
 		}
 		if x.State.places() {
@@ -224,10 +224,10 @@
 				voters++
 			}
 		}
-		if x.State == Out && before[n] == Draining && !w.drained[k] {
+		if x.State == OutOfService && before[n] == Draining && !w.drained[k] {
 			return n + " is out and takes requests"
 		}
-		if x.State == Admitted && before[n] == Wished {
+		if x.State == Admitted && before[n] == Requested {
 			if heldBefore {
 				return n + " goes out while all is held"
 			}
--- a/internal/fleet/maintenance/table.go
+++ b/internal/fleet/maintenance/table.go
@@ -12,14 +12,14 @@
 
 // The states, in their order.
 const (
-	Wished State = 1 + iota
+	Requested State = 1 + iota
 	Admitted
 	Draining
-	Out
+	OutOfService
 	Returning
 	Warming
-	Back
-	GivenUp
+	InService
+	Cancelled
 )
 
 // String is the state as operators read it.
@@ -32,7 +32,7 @@
 func (s State) places() bool { return s >= Admitted && s <= Warming }
 
 // ended tells whether nothing follows.
-func (s State) ended() bool { return s >= Back }
+func (s State) ended() bool { return s >= InService }
 
 // Machine is one that may go out.
 type Machine struct {
@@ -43,7 +43,7 @@
 }
 
 // Wish is one machine's work.
-type Wish struct {
+type Request struct {
 	Machine
 	By       string        // who wished
 	Why      string        // kernel, disk, ...
@@ -73,40 +73,40 @@
 
 // The operations.
 const (
-	Ask     Op = 1 + iota // wish machines out
-	Step                  // a machine goes from one state to the next
-	Begin                 // its hook begins: once for a wish
-	Fail                  // its hook has failed; it stays out until a person says what to do
-	Cancel                // the wish is given up, if its machine is not out
-	Confirm               // a person says that the work of a machine that is out has ended
-	Hold                  // nothing goes out; who is not out yet turns back
+	AddRequests   Op = 1 + iota // wish machines out
+	Step                        // a machine goes from one state to the next
+	BeginHook                   // its hook begins: once for a wish
+	HookFailed                  // its hook has failed; it stays out until a person says what to do
+	CancelRequest               // the wish is given up, if its machine is not out
+	ConfirmDone                 // a person says that the work of a machine that is out has ended
+	Pause                       // nothing goes out; who is not out yet turns back
 	Resume
-	Bound // new limits
-	Tell  // the coordinator's clock, and machines that were lost by themselves
+	SetLimits          // new limits
+	ReportObservations // the coordinator's clock, and machines that were lost by themselves
 )
 
 // Command is one entry of the log.
 type Command struct {
-	Op      Op
-	Machine string // Step, Begin, Fail, Cancel, Confirm
-	Serial  uint64 // Step, Begin, Fail: of the step that it knows as the last
-	To      State  // Step
-	Wishes  []Wish // Ask: Machine, By, Why, Length, Deadline (from now), Urgent
-	Limits  Limits // Bound
-	Elapsed time.Duration
-	Lost    []Machine // Tell: that are out though nobody wished it
-	By      string
-	Reason  string
+	Op       Op
+	Machine  string    // Step, Begin, Fail, Cancel, Confirm
+	Serial   uint64    // Step, Begin, Fail: of the step that it knows as the last
+	To       State     // Step
+	Requests []Request // Ask: Machine, By, Why, Length, Deadline (from now), Urgent
+	Limits   Limits    // Bound
+	Elapsed  time.Duration
+	Lost     []Machine // Tell: that are out though nobody wished it
+	By       string
+	Reason   string
 }
 
 // Bounds of what is kept.
 const (
-	MostWishes  = 4096
-	MostLost    = 256
+	MaxRequests = 4096
+	MaxLost     = 256
 	mostHistory = 1024
 	mostText    = 200
 	mostElapsed = time.Minute // that one Tell lets the table's time go on
-	MostLength  = 30 * 24 * time.Hour
+	MaxDuration = 30 * 24 * time.Hour
 )
 
 // Answer is what a command's proposer is told.
@@ -133,13 +133,13 @@
 	runs    uint64
 	held    string // why; "": it is not
 	limits  Limits
-	wishes  map[string]*Wish // by machine
+	wishes  map[string]*Request // by machine
 	lost    []Machine
 	history []Event // the oldest goes first
 }
 
 // NewTable returns an empty one.
-func NewTable() *Table { return &Table{wishes: map[string]*Wish{}, limits: Limits{}.Default()} }
+func NewTable() *Table { return &Table{wishes: map[string]*Request{}, limits: Limits{}.Default()} }
 
 func no(format string, args ...any) Answer { return Answer{Reason: fmt.Sprintf(format, args...)} }
 
@@ -149,9 +149,9 @@
 		return no("a reason of more than %d bytes", mostText)
 	}
 	switch c.Op {
-	case Ask:
+	case AddRequests:
 		return t.ask(c)
-	case Hold:
+	case Pause:
 		return t.hold(c)
 	case Resume:
 		if t.held == "" {
@@ -160,17 +160,17 @@
 		t.held = ""
 		t.note(Event{By: c.By, Reason: "goes on: " + c.Reason})
 		return Answer{Done: true}
-	case Bound:
+	case SetLimits:
 		l := c.Limits
-		if l.All < 1 || l.Site < 1 || l.Rack < 1 || l.All > MostWishes || l.Site > l.All || l.Rack > l.All {
+		if l.All < 1 || l.Site < 1 || l.Rack < 1 || l.All > MaxRequests || l.Site > l.All || l.Rack > l.All {
 			return no("limits of %d in all, %d a site and %d a rack: each from 1 to that in all", l.All, l.Site, l.Rack)
 		}
 		t.limits = l
 		t.note(Event{By: c.By, Reason: fmt.Sprintf("at most %d out, %d a site, %d a rack", l.All, l.Site, l.Rack)})
 		return Answer{Done: true}
-	case Tell:
+	case ReportObservations:
 		t.now += min(max(c.Elapsed, 0), mostElapsed)
-		if len(c.Lost) <= MostLost {
+		if len(c.Lost) <= MaxLost {
 			t.lost = slices.Clone(c.Lost)
 		}
 		return Answer{Done: true}
@@ -182,39 +182,39 @@
 	switch c.Op {
 	case Step:
 		return t.step(c, w, voters)
-	case Begin:
+	case BeginHook:
 		switch {
-		case w.State != Out || w.Serial != c.Serial:
+		case w.State != OutOfService || w.Serial != c.Serial:
 			return no("%s is %s, and was not told to begin", w.Name, w.State)
 		case w.Run != 0:
 			return no("the hook of %s has begun once, as run %d", w.Name, w.Run)
 		}
 		t.runs++
 		w.Run = t.runs
-		t.note(Event{Machine: w.Name, From: Out, To: Out, By: c.By, Reason: fmt.Sprintf("its work begins, run %d", w.Run)})
+		t.note(Event{Machine: w.Name, From: OutOfService, To: OutOfService, By: c.By, Reason: fmt.Sprintf("its work begins, run %d", w.Run)})
 		return Answer{Done: true, Run: w.Run}
-	case Fail:
-		if w.State != Out || w.Run == 0 || w.Failed != "" {
+	case HookFailed:
+		if w.State != OutOfService || w.Run == 0 || w.Failed != "" {
 			return no("%s has no work that could fail", w.Name)
 		}
 		w.Failed = cmp.Or(c.Reason, "its work has failed")
-		t.note(Event{Machine: w.Name, From: Out, To: Out, By: c.By, Reason: w.Failed})
+		t.note(Event{Machine: w.Name, From: OutOfService, To: OutOfService, By: c.By, Reason: w.Failed})
 		return Answer{Done: true}
-	case Confirm:
-		if w.State != Out {
+	case ConfirmDone:
+		if w.State != OutOfService {
 			return no("%s is %s, not out", w.Name, w.State)
 		}
 		w.Failed = ""
 		t.move(w, Returning, c.By, cmp.Or(c.Reason, "confirmed"))
 		return Answer{Done: true}
-	case Cancel:
-		if w.State >= Out && !w.State.ended() {
+	case CancelRequest:
+		if w.State >= OutOfService && !w.State.ended() {
 			return no("%s is %s: its work must end first", w.Name, w.State)
 		}
 		if w.State.ended() {
 			return no("%s has ended", w.Name)
 		}
-		t.move(w, GivenUp, c.By, cmp.Or(c.Reason, "cancelled"))
+		t.move(w, Cancelled, c.By, cmp.Or(c.Reason, "cancelled"))
 		return Answer{Done: true}
 	}
 	return no("no operation %d", c.Op)
@@ -222,7 +222,7 @@
 
 // ask takes wishes in.
 func (t *Table) ask(c *Command) Answer {
-	if len(c.Wishes) == 0 {
+	if len(c.Requests) == 0 {
 		return no("nobody is wished out")
 	}
 	open := 0
@@ -231,33 +231,33 @@
 			open++
 		}
 	}
-	if open+len(c.Wishes) > MostWishes {
-		return no("%d wishes and %d more: at most %d", open, len(c.Wishes), MostWishes)
+	if open+len(c.Requests) > MaxRequests {
+		return no("%d wishes and %d more: at most %d", open, len(c.Requests), MaxRequests)
 	}
-	for i := range c.Wishes { // all or none
-		w := &c.Wishes[i]
+	for i := range c.Requests { // all or none
+		w := &c.Requests[i]
 		switch had := t.wishes[w.Name]; {
 		case w.Name == "" || len(w.Name) > mostText || len(w.Site) > mostText || len(w.Rack) > mostText || len(w.Why) > mostText:
 			return no("a machine with a name, site, rack or reason of 0 or more than %d bytes", mostText)
 		case had != nil && !had.State.ended():
 			return no("%s is wished out already, by %s: %s", w.Name, had.By, had.Why)
-		case w.Length <= 0 || w.Length > MostLength:
-			return no("%s: work of %v, want up to %v", w.Name, w.Length, MostLength)
+		case w.Length <= 0 || w.Length > MaxDuration:
+			return no("%s: work of %v, want up to %v", w.Name, w.Length, MaxDuration)
 		case w.Rack != "" && w.RackSize < 2:
 			return no("%s is alone in rack %s: it can never be out, as a rack must keep who drops repeats", w.Name, w.Rack)
-		case slices.ContainsFunc(c.Wishes[:i], func(x Wish) bool { return x.Name == w.Name }):
+		case slices.ContainsFunc(c.Requests[:i], func(x Request) bool { return x.Name == w.Name }):
 			return no("%s stands there twice", w.Name)
 		}
 	}
-	for i := range c.Wishes {
-		w := c.Wishes[i]
+	for i := range c.Requests {
+		w := c.Requests[i]
 		w.By, w.Asked, w.Run, w.Failed = c.By, t.now, 0, ""
 		if w.Deadline > 0 {
 			w.Deadline += t.now
 		}
 		w.State = 0
 		t.wishes[w.Name] = &w
-		t.move(&w, Wished, c.By, w.Why)
+		t.move(&w, Requested, c.By, w.Why)
 	}
 	t.tidy()
 	return Answer{Done: true}
@@ -267,36 +267,36 @@
 func (t *Table) hold(c *Command) Answer {
 	t.held = cmp.Or(c.Reason, "held")
 	t.note(Event{By: c.By, Reason: "held: " + t.held})
-	for _, w := range t.All() {
+	for _, w := range t.Requests() {
 		if w.State == Admitted || w.State == Draining {
-			t.move(t.wishes[w.Name], Wished, c.By, "held: "+t.held)
+			t.move(t.wishes[w.Name], Requested, c.By, "held: "+t.held)
 		}
 	}
 	return Answer{Done: true}
 }
 
 // step moves a machine, if that is its next state, and fits.
-func (t *Table) step(c *Command, w *Wish, voters []string) Answer {
+func (t *Table) step(c *Command, w *Request, voters []string) Answer {
 	if w.Serial != c.Serial {
 		return no("%s has moved on: it is %s", w.Name, w.State)
 	}
 	next := map[State][]State{
-		Wished: {Admitted}, Admitted: {Draining, Wished}, Draining: {Out, Wished}, Out: {Returning}, Returning: {Warming}, Warming: {Back, Returning},
+		Requested: {Admitted}, Admitted: {Draining, Requested}, Draining: {OutOfService, Requested}, OutOfService: {Returning}, Returning: {Warming}, Warming: {InService, Returning},
 	}
 	if !slices.Contains(next[w.State], c.To) {
 		return no("%s is %s, and can't be %s next", w.Name, w.State, c.To)
 	}
 	switch c.To {
 	case Admitted:
-		if why := t.Fits(w, voters); why != "" {
+		if why := t.AdmissionBlocker(w, voters); why != "" {
 			return no("%s", why)
 		}
-	case Draining, Out:
+	case Draining, OutOfService:
 		if t.held != "" {
 			return no("held: %s", t.held)
 		}
 	case Returning:
-		if w.State == Out && (w.Run == 0 || w.Failed != "") {
+		if w.State == OutOfService && (w.Run == 0 || w.Failed != "") {
 			return no("the work of %s has not ended", w.Name)
 		}
 	}
@@ -337,9 +337,11 @@
 }
 
 // Fits tells why a machine that is wished out can't be admitted by the hard bounds; "": it can.
-func (t *Table) Fits(w *Wish, voters []string) string { return t.fits(w, voters, t.tally(voters)) }
+func (t *Table) AdmissionBlocker(w *Request, voters []string) string {
+	return t.fits(w, voters, t.tally(voters))
+}
 
-func (t *Table) fits(w *Wish, voters []string, n *tally) string {
+func (t *Table) fits(w *Request, voters []string, n *tally) string {
 	spare := (len(voters) - 1) / 2 // that may be gone
 	if spare > 1 {
 		spare-- // where there are enough, one more stays
@@ -361,11 +363,11 @@
 	return ""
 }
 
-func (t *Table) move(w *Wish, to State, by, reason string) {
+func (t *Table) move(w *Request, to State, by, reason string) {
 	t.serials++
 	t.note(Event{Machine: w.Name, From: w.State, To: to, By: by, Reason: reason})
 	w.State, w.Since, w.Serial, w.Reason = to, t.now, t.serials, reason
-	if to == Wished {
+	if to == Requested {
 		w.Run, w.Failed = 0, ""
 	}
 }
@@ -380,42 +382,42 @@
 
 // tidy forgets wishes that have ended, the oldest first, where there are too many.
 func (t *Table) tidy() {
-	if len(t.wishes) <= MostWishes {
+	if len(t.wishes) <= MaxRequests {
 		return
 	}
-	var ended []*Wish
+	var ended []*Request
 	for _, w := range t.wishes {
 		if w.State.ended() {
 			ended = append(ended, w)
 		}
 	}
-	slices.SortFunc(ended, func(a, b *Wish) int { return cmp.Compare(a.Serial, b.Serial) })
-	for _, w := range ended[:min(len(ended), len(t.wishes)-MostWishes)] {
+	slices.SortFunc(ended, func(a, b *Request) int { return cmp.Compare(a.Serial, b.Serial) })
+	for _, w := range ended[:min(len(ended), len(t.wishes)-MaxRequests)] {
 		delete(t.wishes, w.Name)
 	}
 }
 
 // All are all wishes, by name; copies.
-func (t *Table) All() []Wish {
-	all := make([]Wish, 0, len(t.wishes))
+func (t *Table) Requests() []Request {
+	all := make([]Request, 0, len(t.wishes))
 	for _, w := range t.wishes {
 		all = append(all, *w)
 	}
-	slices.SortFunc(all, func(a, b Wish) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b Request) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
 // Of is one machine's wish; false if there is none.
-func (t *Table) Of(name string) (Wish, bool) {
+func (t *Table) Request(name string) (Request, bool) {
 	if w := t.wishes[name]; w != nil {
 		return *w, true
 	}
-	return Wish{}, false
+	return Request{}, false
 }
 
 // Now is the table's time, Held why nothing goes out ("": it does), and History what has happened, the oldest first.
-func (t *Table) Now() time.Duration { return t.now }
-func (t *Table) Held() string       { return t.held }
-func (t *Table) Limits() Limits     { return t.limits }
-func (t *Table) History() []Event   { return slices.Clone(t.history) }
-func (t *Table) Lost() []Machine    { return slices.Clone(t.lost) }
+func (t *Table) Now() time.Duration  { return t.now }
+func (t *Table) PauseReason() string { return t.held }
+func (t *Table) Limits() Limits      { return t.limits }
+func (t *Table) History() []Event    { return slices.Clone(t.history) }
+func (t *Table) Lost() []Machine     { return slices.Clone(t.lost) }
--- a/internal/fleet/membership/bits.go
+++ b/internal/fleet/membership/bits.go
@@ -3,19 +3,19 @@
 import "math/bits"
 
 // Bits is a set of places in a view.
-type Bits []byte
+type BitSet []byte
 
 // NewBits is an empty set of places below n.
-func NewBits(n int) Bits { return make(Bits, (n+7)/8) }
+func NewBitSet(n int) BitSet { return make(BitSet, (n+7)/8) }
 
 // Has tells whether a place is in the set.
-func (b Bits) Has(i uint32) bool { return int(i/8) < len(b) && b[i/8]&(1<<(i%8)) != 0 }
+func (b BitSet) Has(i uint32) bool { return int(i/8) < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
 // set puts a place in.
-func (b Bits) set(i uint32) { b[i/8] |= 1 << (i % 8) }
+func (b BitSet) set(i uint32) { b[i/8] |= 1 << (i % 8) }
 
 // count is the number of places in the set.
-func (b Bits) count() (n int) {
+func (b BitSet) count() (n int) {
 	for _, x := range b {
 		n += bits.OnesCount8(x)
 	}
@@ -24,7 +24,7 @@
 
 // merge puts in all of another set of the same length, and tells whether any was new.
 // One of another length is not of this view, and is passed over.
-func (b Bits) merge(other Bits) bool {
+func (b BitSet) merge(other BitSet) bool {
 	if len(other) != len(b) {
 		return false
 	}
--- a/internal/fleet/membership/cut.go
+++ b/internal/fleet/membership/cut.go
@@ -68,7 +68,7 @@
 }
 
 // lives books a member's own word.
-func (c *cut) lives(v *View, a Alive, now time.Duration) bool {
+func (c *cut) lives(v *View, a Refutation, now time.Duration) bool {
 	if int(a.Member) >= len(v.Members) {
 		return false
 	}
--- a/internal/fleet/membership/fuzz_test.go
+++ b/internal/fleet/membership/fuzz_test.go
@@ -41,7 +41,7 @@
 		}
 		for len(data) > 0 {
 			x := next()
-			m := &Message{Kind: Kind(1 + x%9), Root: 1, Number: x >> 8 % 5, Life: x >> 16 % 8, Seq: x >> 20 % 16, Low: uint32(x >> 24 % 3)}
+			m := &Message{Kind: Kind(1 + x%9), Root: 1, Number: x >> 8 % 5, Life: x >> 16 % 8, Seq: x >> 20 % 16, LowestSeed: uint32(x >> 24 % 3)}
 			if n.view != nil && x>>30&1 == 0 {
 				m.Root, m.Number = n.view.Root, n.view.Number
 			}
@@ -50,18 +50,18 @@
 				s.Life = max(1, m.Life)
 				m.Self = &s
 				h := member()
-				m.Holder = &h
+				m.NameHolder = &h
 			}
 			y := next()
 			m.Alerts = []Alert{{uint32(y % 8), uint32(y >> 8 % 6), uint32(y >> 16 % 9), y>>24&1 == 1}}
-			m.Alive = []Alive{{uint32(y >> 26 % 8), uint32(y >> 32 % 9)}}
-			m.Leaving = []Leave{{uint32(y >> 36 % 8), y>>40&1 == 1}}
+			m.Refutations = []Refutation{{uint32(y >> 26 % 8), uint32(y >> 32 % 9)}}
+			m.Departures = []Departure{{uint32(y >> 36 % 8), y>>40&1 == 1}}
 			if y>>41&1 == 1 {
 				z := next()
-				p := &Proposal{Of: m.Number, Number: m.Number + z%3, Remove: []uint32{uint32(z >> 8 % 6), uint32(z >> 16 % 6)}, Add: []Member{member()}}
-				m.Vote = &Vote{Of: m.Number, Ballot: z >> 24 % 9 << 32, Promises: Bits{byte(z >> 32)}, Accepted: z >> 40 % 3, Best: p.Hash(), Value: p.Hash() * (z >> 44 % 2), Forced: z>>46&1 == 1, Accepts: Bits{byte(z >> 48)}}
-				m.Change, m.Want = p, p.Hash()
-				m.Joins = []Candidate{{Member: member(), Slot: uint32(z >> 56 % 20), Number: z >> 60}}
+				p := &Proposal{ViewNumber: m.Number, NextNumber: m.Number + z%3, Remove: []uint32{uint32(z >> 8 % 6), uint32(z >> 16 % 6)}, Add: []Member{member()}}
+				m.Vote = &Vote{ViewNumber: m.Number, Ballot: z >> 24 % 9 << 32, Promises: BitSet{byte(z >> 32)}, AcceptedBallot: z >> 40 % 3, AcceptedValue: p.Hash(), Value: p.Hash() * (z >> 44 % 2), Forced: z>>46&1 == 1, Accepts: BitSet{byte(z >> 48)}}
+				m.Proposal, m.WantedHash = p, p.Hash()
+				m.Joiners = []Joiner{{Member: member(), Slot: uint32(z >> 56 % 20), Number: z >> 60}}
 				if z>>50&1 == 1 {
 					m.View, _ = NewView(m.Root, m.Number+1, []Member{member(), n.self}, 10)
 				}
@@ -71,11 +71,11 @@
 				now += time.Duration(x>>33%2000) * time.Millisecond
 				n.Tick(now)
 			}
-			sends, _ := n.Take()
+			sends, _ := n.TakeOutput()
 			if len(sends) > 2000 {
 				t.Fatalf("%d messages for one", len(sends))
 			}
-			n.Standing(now)
+			n.Status(now)
 		}
 	})
 }
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -53,7 +53,7 @@
 		}
 	}
 	for _, at := range to {
-		n.send(at, &Message{Kind: Join, Low: low})
+		n.send(at, &Message{Kind: Join, LowestSeed: low})
 	}
 	if mine < 0 || s.met > 0 {
 		s.every = min(s.every*3/2, joinMost)
@@ -123,7 +123,7 @@
 	if n.now-s.steady < foundSteady {
 		return false
 	}
-	v, err := NewView(max(1, n.rng.Uint64()), s.number+1, []Member{n.self}, n.set.Watchers)
+	v, err := NewView(max(1, n.rng.Uint64()), s.number+1, []Member{n.self}, n.set.WatchersPerMember)
 	if err != nil {
 		return false
 	}
@@ -150,13 +150,13 @@
 	}
 	if n.view == nil {
 		if i := slices.Index(n.set.founders(), who.Addr); i >= 0 && n.phase == Seeking {
-			n.seek.heard[i] = seedWord{n.now, m.Low}
+			n.seek.heard[i] = seedWord{n.now, m.LowestSeed}
 			n.seek.number = max(n.seek.number, m.Number)
 		}
 		return
 	}
 	self := n.self
-	if i, ok := n.view.Named(who.Name); ok {
+	if i, ok := n.view.IndexOfName(who.Name); ok {
 		holder := n.view.Members[i]
 		if holder.Life == who.Life { // it is in, and does not know
 			n.send(who.Addr, &Message{Kind: Gossip, Self: &self})
@@ -164,28 +164,28 @@
 		}
 		if holder.Addr != who.Addr {
 			if !n.silent(i) {
-				n.send(who.Addr, &Message{Kind: Taken, Holder: &holder, Self: &self})
+				n.send(who.Addr, &Message{Kind: NameTaken, NameHolder: &holder, Self: &self})
 			}
 			return
 		}
-		n.leaving(Leave{Member: i, Ended: true})
+		n.leaving(Departure{Member: i, Ended: true})
 	}
 	if r := n.removed[who.Name]; r != nil && n.now < r.until {
 		return
 	}
 	for s, sponsor := range n.view.sponsors(who.Life) {
-		c := Candidate{*who, uint32(s), m.Number}
+		c := Joiner{*who, uint32(s), m.Number}
 		if sponsor == n.at {
 			n.sponsor(c)
 		} else {
-			n.send(n.view.Members[sponsor].Addr, &Message{Kind: Watch, Joins: []Candidate{c}})
+			n.send(n.view.Members[sponsor].Addr, &Message{Kind: ProbeJoiner, Joiners: []Joiner{c}})
 		}
 	}
 }
 
 // trial is a life that this node tries before it is let in.
 type trial struct {
-	Candidate
+	Joiner
 	until, next time.Duration
 	seqs        [4]uint64
 	turn        int
@@ -193,10 +193,10 @@
 }
 
 func (n *Node) watch(m *Message) {
-	if n.view == nil || m.Root != n.view.Root || len(m.Joins) != 1 {
+	if n.view == nil || m.Root != n.view.Root || len(m.Joiners) != 1 {
 		return
 	}
-	c := m.Joins[0]
+	c := m.Joiners[0]
 	if c.Member.Check() != nil {
 		return
 	}
@@ -205,13 +205,13 @@
 	}
 }
 
-func (n *Node) sponsor(c Candidate) {
+func (n *Node) sponsor(c Joiner) {
 	t := n.trials[c.Member.Life]
 	if t == nil {
 		if len(n.trials) >= mostPending {
 			return
 		}
-		t = &trial{Candidate: c, next: n.now}
+		t = &trial{Joiner: c, next: n.now}
 		n.trials[c.Member.Life] = t
 	}
 	t.Slot, t.Number, t.until = c.Slot, c.Number, n.now+tryFor
@@ -229,16 +229,16 @@
 	slices.Sort(lives)
 	for _, life := range lives {
 		t := n.trials[life]
-		if _, in := n.view.Index(life); in || n.now >= t.until {
+		if _, in := n.view.IndexOfLife(life); in || n.now >= t.until {
 			delete(n.trials, life)
 			continue
 		}
 		if n.now < t.next {
 			continue
 		}
-		t.next = n.now + n.set.Again
+		t.next = n.now + n.set.ProbeRetryInterval
 		if t.answered {
-			t.next = n.now + n.set.Period
+			t.next = n.now + n.set.ProbeInterval
 		}
 		n.seq++
 		t.seqs[t.turn%len(t.seqs)] = n.seq
@@ -254,12 +254,12 @@
 		return
 	}
 	t.answered = true
-	c := []Candidate{t.Candidate}
+	c := []Joiner{t.Joiner}
 	for _, i := range n.proposers(3) {
 		if i == n.at {
 			n.admitted(c[0])
 		} else {
-			n.send(n.view.Members[i].Addr, &Message{Kind: Admit, Joins: c})
+			n.send(n.view.Members[i].Addr, &Message{Kind: Admit, Joiners: c})
 		}
 	}
 }
@@ -276,15 +276,15 @@
 	if n.view == nil || m.Root != n.view.Root || m.Number != n.view.Number {
 		return
 	}
-	for _, c := range m.Joins {
+	for _, c := range m.Joiners {
 		if c.Member.Check() == nil && c.Slot < 16 {
 			n.admitted(c)
 		}
 	}
 }
 
-func (n *Node) admitted(c Candidate) {
-	if _, in := n.view.Index(c.Member.Life); in {
+func (n *Node) admitted(c Joiner) {
+	if _, in := n.view.IndexOfLife(c.Member.Life); in {
 		return
 	}
 	p := n.pending[c.Member.Life]
@@ -305,7 +305,7 @@
 // sortPending keeps of those that want in what holds for a new view too.
 func (n *Node) sortPending(v *View) {
 	for life, p := range n.pending {
-		if _, in := v.Index(life); in {
+		if _, in := v.IndexOfLife(life); in {
 			delete(n.pending, life)
 		} else if bits.OnesCount16(p.slots) < high(len(v.sponsors(life))) {
 			delete(n.pending, life) // its sponsors are others now
@@ -339,7 +339,7 @@
 			bits.OnesCount16(p.slots) < high(len(n.view.sponsors(m.Life))) {
 			continue
 		}
-		if i, ok := n.view.Named(m.Name); ok {
+		if i, ok := n.view.IndexOfName(m.Name); ok {
 			holder := &n.view.Members[i]
 			if _, goes := slices.BinarySearch(out, i); holder.Addr != m.Addr && !goes {
 				continue
@@ -368,13 +368,13 @@
 
 // taken gives way to one that has this node's name.
 func (n *Node) taken(m *Message) {
-	if n.phase != Seeking || m.Holder == nil || m.Holder.Name != n.self.Name || m.Holder.Life == n.self.Life {
+	if n.phase != Seeking || m.NameHolder == nil || m.NameHolder.Name != n.self.Name || m.NameHolder.Life == n.self.Life {
 		return
 	}
 	n.seek.held, n.seek.steady = n.now+conflictWait, 0
 	if !n.seek.told {
 		n.seek.told = true
-		n.event(Event{Kind: Conflict, Member: *m.Holder, Text: "another process has this name, and was first"})
+		n.event(Event{Kind: NameConflict, Member: *m.NameHolder, Text: "another process has this name, and was first"})
 	}
 }
 
@@ -470,7 +470,7 @@
 	if !ok {
 		return
 	}
-	n.event(Event{Kind: Foreign, Text: "another fleet of this name has a later view"})
+	n.event(Event{Kind: ForeignFleet, Text: "another fleet of this name has a later view"})
 	n.reborn()
 	n.seek.known = []netip.AddrPort{to}
 	n.seek.at, n.seek.met = n.now, n.now
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -203,13 +203,13 @@
 }
 
 // Index is the place of a life among the members; false if it is none.
-func (v *View) Index(life uint64) (uint32, bool) {
+func (v *View) IndexOfLife(life uint64) (uint32, bool) {
 	i, ok := v.byLife[life]
 	return i, ok
 }
 
 // Named is the place of the member of a name; false if there is none.
-func (v *View) Named(name string) (uint32, bool) {
+func (v *View) IndexOfName(name string) (uint32, bool) {
 	i, ok := v.byName[name]
 	return i, ok
 }
@@ -224,10 +224,10 @@
 
 // Proposal is a change of a view.
 type Proposal struct {
-	Of     uint64   // the number of the view that it changes
-	Number uint64   // of the view that it makes: the next, or beyond all that those who come in have known
-	Remove []uint32 // places in that view, ascending
-	Add    []Member // by life
+	ViewNumber uint64   // the number of the view that it changes
+	NextNumber uint64   // of the view that it makes: the next, or beyond all that those who come in have known
+	Remove     []uint32 // places in that view, ascending
+	Add        []Member // by life
 }
 
 // Hash names a proposal; never 0.
@@ -238,8 +238,8 @@
 		binary.LittleEndian.PutUint64(word[:], x)
 		h.Write(word[:])
 	}
-	put(p.Of)
-	put(p.Number)
+	put(p.ViewNumber)
+	put(p.NextNumber)
 	put(uint64(len(p.Remove)))
 	for _, i := range p.Remove {
 		put(uint64(i))
@@ -254,8 +254,8 @@
 
 // Next is the view that a proposal makes of this one.
 func (v *View) Next(p *Proposal, watchers int) (*View, error) {
-	if p.Of != v.Number || p.Number <= v.Number {
-		return nil, fmt.Errorf("a proposal of view %d for view %d came to view %d", p.Number, p.Of, v.Number)
+	if p.ViewNumber != v.Number || p.NextNumber <= v.Number {
+		return nil, fmt.Errorf("a proposal of view %d for view %d came to view %d", p.NextNumber, p.ViewNumber, v.Number)
 	}
 	members := make([]Member, 0, len(v.Members)+len(p.Add))
 	at := 0
@@ -267,10 +267,10 @@
 		members = append(members, v.Members[i])
 	}
 	if at < len(p.Remove) {
-		return nil, fmt.Errorf("a proposal for view %d takes out place %d of %d, or one twice", p.Of, p.Remove[at], len(v.Members))
+		return nil, fmt.Errorf("a proposal for view %d takes out place %d of %d, or one twice", p.ViewNumber, p.Remove[at], len(v.Members))
 	}
-	return NewView(v.Root, p.Number, append(members, p.Add...), watchers)
+	return NewView(v.Root, p.NextNumber, append(members, p.Add...), watchers)
 }
 
 // Watchers are the places of those who watch a member.
-func (v *View) Watchers(i uint32) []uint32 { return v.watchers[i] }
+func (v *View) WatchersOf(i uint32) []uint32 { return v.watchers[i] }
--- a/internal/fleet/membership/news.go
+++ b/internal/fleet/membership/news.go
@@ -112,9 +112,9 @@
 			r := n.cut.rows[i.subject]
 			switch {
 			case i.leaving:
-				m.Leaving = append(m.Leaving, Leave{i.subject, slices.Contains(n.cut.ended, i.subject)})
+				m.Departures = append(m.Departures, Departure{i.subject, slices.Contains(n.cut.ended, i.subject)})
 			case i.alive:
-				m.Alive = append(m.Alive, Alive{i.subject, r.aliveSeq})
+				m.Refutations = append(m.Refutations, Refutation{i.subject, r.aliveSeq})
 			default:
 				m.Alerts = append(m.Alerts, Alert{i.subject, i.slot, r.seqs[i.slot], r.down&(1<<i.slot) != 0})
 			}
@@ -126,7 +126,7 @@
 // gossip passes news on to some members, within the budget, and the state of a decision while there is one.
 func (n *Node) gossip() {
 	q := &n.news
-	q.tokens = min(float64(n.set.Budget), q.tokens+float64(n.set.Budget)*(n.now-q.filled).Seconds())
+	q.tokens = min(float64(n.set.NewsBytesPerSecond), q.tokens+float64(n.set.NewsBytesPerSecond)*(n.now-q.filled).Seconds())
 	q.filled = n.now
 	n.repeat()
 	q.tidy()
@@ -142,15 +142,15 @@
 		}
 		m := &Message{Kind: Gossip}
 		if q.tokens > 0 && len(q.left) > 0 {
-			q.tokens -= float64(q.pick(n, m, n.set.MostNews))
+			q.tokens -= float64(q.pick(n, m, n.set.MaxNewsBytes))
 		}
 		switch {
 		case voting:
-			m.Vote, m.Change = n.ballot(b.cur, b.proposals[b.cur.Value])
+			m.Vote, m.Proposal = n.ballot(b.cur, b.proposals[b.cur.Value])
 		case b.tell > 0 && b.last != nil:
-			m.Vote, m.Change = n.ballot(*b.last, b.made)
+			m.Vote, m.Proposal = n.ballot(*b.last, b.made)
 		}
-		if m.Vote != nil || len(m.Alerts)+len(m.Alive)+len(m.Leaving) > 0 {
+		if m.Vote != nil || len(m.Alerts)+len(m.Refutations)+len(m.Departures) > 0 {
 			n.send(to, m)
 		}
 	}
@@ -160,7 +160,7 @@
 // repeat passes a part of what is held against members on again, once in a while: gossip alone may miss some.
 func (n *Node) repeat() {
 	q := &n.news
-	if len(q.left) > 0 || len(n.cut.rows) == 0 || n.now-q.repeated < n.set.Period {
+	if len(q.left) > 0 || len(n.cut.rows) == 0 || n.now-q.repeated < n.set.ProbeInterval {
 		return
 	}
 	q.repeated = n.now
@@ -171,7 +171,7 @@
 		}
 	}
 	slices.Sort(rows)
-	items := n.set.MostNews / 2 / itemBytes
+	items := n.set.MaxNewsBytes / 2 / itemBytes
 	for k := 0; k < len(rows) && items > 0; k++ {
 		i := rows[(q.turn+k)%len(rows)]
 		for _, a := range n.against(i) {
@@ -185,10 +185,10 @@
 // ballot is a copy of a decision's state for a message, with the proposal if it is short.
 func (n *Node) ballot(v Vote, p *Proposal) (*Vote, *Proposal) {
 	if v.Value != 0 {
-		v.Promises, v.Took = nil, nil
+		v.Promises, v.PromisersWithValue = nil, nil
 		v.Accepts = slices.Clone(v.Accepts)
 	} else {
-		v.Promises, v.Took = slices.Clone(v.Promises), slices.Clone(v.Took)
+		v.Promises, v.PromisersWithValue = slices.Clone(v.Promises), slices.Clone(v.PromisersWithValue)
 		p = nil
 	}
 	if p != nil && p.bytes() > mostInline {
@@ -221,19 +221,19 @@
 			n.news.add(newsItem{alert: true, subject: a.Subject, slot: a.Slot}, n.copies())
 		}
 	}
-	for _, a := range m.Alive {
+	for _, a := range m.Refutations {
 		if a.Member != n.at && n.cut.lives(n.view, a, n.now) {
 			n.news.add(newsItem{alive: true, subject: a.Member}, n.copies())
 		}
 	}
-	for _, l := range m.Leaving {
+	for _, l := range m.Departures {
 		if int(l.Member) < len(n.view.Members) && (l.Member != n.at || !l.Ended) {
 			n.leaving(l)
 		}
 	}
 }
 
-func (n *Node) leaving(l Leave) {
+func (n *Node) leaving(l Departure) {
 	if n.cut.leaves(l.Member, l.Ended) {
 		n.cut.changed = n.now
 		n.news.add(newsItem{leaving: true, subject: l.Member}, n.copies())
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -31,7 +31,7 @@
 	past  *View // the one before this life; nil: none
 	at    uint32
 
-	sends  []Send
+	sends  []Outgoing
 	events []Event
 
 	started  time.Duration // of this life
@@ -68,8 +68,8 @@
 	n.self = n.set.Self
 	n.self.Incarnation = n.set.Incarnation
 	n.removed = map[string]*removal{}
-	n.seek.number = n.set.Number
-	n.seek.known = n.set.Known
+	n.seek.number = n.set.LastViewNumber
+	n.seek.known = n.set.KnownAddrs
 	n.reborn()
 	return n
 }
@@ -88,7 +88,7 @@
 	n.cut, n.vote = cut{}, ballots{}
 	n.news.clear()
 	n.seek.begin(n)
-	n.event(Event{Kind: Born, Member: n.self})
+	n.event(Event{Kind: NewIncarnation, Member: n.self})
 }
 
 func (n *Node) someOf(v *View, most int) []netip.AddrPort {
@@ -107,13 +107,13 @@
 func (n *Node) send(to netip.AddrPort, m *Message) {
 	n.stamp(m)
 	n.stats.Sent++
-	n.sends = append(n.sends, Send{To: to, Message: m})
+	n.sends = append(n.sends, Outgoing{To: to, Message: m})
 }
 
 // stream puts a message out that may be long.
 func (n *Node) stream(to netip.AddrPort, m *Message) {
 	n.stamp(m)
-	n.sends = append(n.sends, Send{To: to, Message: m, Stream: true})
+	n.sends = append(n.sends, Outgoing{To: to, Message: m, Stream: true})
 }
 
 func (n *Node) stamp(m *Message) {
@@ -129,7 +129,7 @@
 
 // Take hands over what came of the calls since the last one: messages to send, and events. Both
 // are the caller's until its next call of the node.
-func (n *Node) Take() ([]Send, []Event) {
+func (n *Node) TakeOutput() ([]Outgoing, []Event) {
 	sends, events := n.sends, n.events
 	n.sends, n.events = nil, nil
 	return sends, events
@@ -179,7 +179,7 @@
 // abandon leaves a view that can never change again: so many of its lives have ended that no majority is left.
 // The seeds found the fleet anew, with a higher number.
 func (n *Node) abandon() {
-	n.event(Event{Kind: Out, View: n.view, Text: fmt.Sprintf("%d of %d lives of this view have ended: it can't decide any more", len(n.cut.ended), len(n.view.Members))})
+	n.event(Event{Kind: Evicted, View: n.view, Text: fmt.Sprintf("%d of %d lives of this view have ended: it can't decide any more", len(n.cut.ended), len(n.view.Members))})
 	n.reborn()
 }
 
@@ -190,10 +190,10 @@
 	n.event(Event{Kind: Stalled, Text: gap.String()})
 	for _, e := range n.edges {
 		e.begun = n.now
-		e.round, e.tries = n.now+time.Duration(n.rng.Float64()*float64(n.set.Period)), 0
+		e.round, e.tries = n.now+time.Duration(n.rng.Float64()*float64(n.set.ProbeInterval)), 0
 	}
 	for _, t := range n.trials {
-		t.until = max(t.until, n.now+n.set.Period)
+		t.until = max(t.until, n.now+n.set.ProbeInterval)
 	}
 	if n.phase == Seeking {
 		n.seek.steady = 0
@@ -214,7 +214,7 @@
 	same := n.view != nil && m.Number == n.view.Number
 	if m.Vote != nil && m.Root != 0 {
 		n.hearVote(m)
-		if !same && n.view != nil && n.vote.last != nil && m.Vote.Of == n.vote.last.Of && m.Number < n.view.Number {
+		if !same && n.view != nil && n.vote.last != nil && m.Vote.ViewNumber == n.vote.last.ViewNumber && m.Number < n.view.Number {
 			n.catchUp(m)
 		}
 	}
@@ -228,13 +228,13 @@
 		n.acked(m)
 	case Join:
 		n.asked(m)
-	case Watch:
+	case ProbeJoiner:
 		n.watch(m)
 	case Admit:
 		n.admit(m)
-	case Taken:
+	case NameTaken:
 		n.taken(m)
-	case Pull:
+	case StateRequest:
 		n.give(m)
 	case State:
 		n.state(m)
@@ -249,7 +249,7 @@
 // addressOf is where the sender of a message is reached: as a member, or as it says itself.
 func (n *Node) addressOf(m *Message) (netip.AddrPort, bool) {
 	if n.view != nil {
-		if i, ok := n.view.Index(m.Life); ok {
+		if i, ok := n.view.IndexOfLife(m.Life); ok {
 			return n.view.Members[i].Addr, true
 		}
 	}
@@ -257,7 +257,7 @@
 		return m.Self.Addr, true
 	}
 	if n.past != nil {
-		if i, ok := n.past.Index(m.Life); ok {
+		if i, ok := n.past.IndexOfLife(m.Life); ok {
 			return n.past.Members[i].Addr, true
 		}
 	}
@@ -272,14 +272,14 @@
 	}
 	n.pulled = n.now
 	self := n.self
-	n.stream(to, &Message{Kind: Pull, Self: &self})
+	n.stream(to, &Message{Kind: StateRequest, Self: &self})
 }
 
 // catchUp tells one that still votes on what is decided how it was.
 func (n *Node) catchUp(m *Message) {
 	if to, ok := n.addressOf(m); ok {
 		c := &Message{Kind: Gossip}
-		if c.Vote, c.Change = n.ballot(*n.vote.last, n.vote.made); c.Change != nil {
+		if c.Vote, c.Proposal = n.ballot(*n.vote.last, n.vote.made); c.Proposal != nil {
 			n.send(to, c)
 		}
 	}
@@ -291,9 +291,9 @@
 	if !ok || n.view == nil {
 		return
 	}
-	if m.Want != 0 {
-		if p := n.vote.proposals[m.Want]; p != nil {
-			n.stream(to, &Message{Kind: State, Change: p, Want: m.Want})
+	if m.WantedHash != 0 {
+		if p := n.vote.proposals[m.WantedHash]; p != nil {
+			n.stream(to, &Message{Kind: State, Proposal: p, WantedHash: m.WantedHash})
 		}
 		return
 	}
@@ -302,7 +302,7 @@
 
 // state takes what was pulled.
 func (n *Node) state(m *Message) {
-	if p := m.Change; p != nil && n.view != nil && p.Of == n.view.Number && p.Hash() == m.Want {
+	if p := m.Proposal; p != nil && n.view != nil && p.ViewNumber == n.view.Number && p.Hash() == m.WantedHash {
 		n.vote.learn(p)
 		n.weigh()
 		return
@@ -312,7 +312,7 @@
 		return
 	}
 	if n.phase == Seeking {
-		if _, in := v.Index(n.self.Life); !in {
+		if _, in := v.IndexOfLife(n.self.Life); !in {
 			n.seek.meet(n, v)
 			return
 		}
@@ -324,7 +324,7 @@
 // install begins a view.
 func (n *Node) install(v *View, why string) {
 	old := n.view
-	at, in := v.Index(n.self.Life)
+	at, in := v.IndexOfLife(n.self.Life)
 	if !in {
 		if n.phase == Leaving {
 			n.phase, n.view = Gone, nil
@@ -332,7 +332,7 @@
 			return
 		}
 		n.view = v
-		n.event(Event{Kind: Out, View: v, Text: why})
+		n.event(Event{Kind: Evicted, View: v, Text: why})
 		n.reborn()
 		return
 	}
@@ -361,7 +361,7 @@
 	n.news.clear()
 	n.sortPending(v)
 	n.stats.Views++
-	n.event(Event{Kind: Changed, View: v, Text: why})
+	n.event(Event{Kind: ViewChanged, View: v, Text: why})
 	for subject, e := range n.edges {
 		if e.down { // as seen from here it is so in this view too
 			n.accuse(subject, e)
@@ -396,7 +396,7 @@
 	n.cut.leaves(n.at, false)
 	n.news.add(newsItem{leaving: true, subject: n.at}, n.copies())
 	for _, i := range n.proposers(3) {
-		n.send(n.view.Members[i].Addr, &Message{Kind: Gossip, Leaving: []Leave{{Member: n.at}}})
+		n.send(n.view.Members[i].Addr, &Message{Kind: Gossip, Departures: []Departure{{Member: n.at}}})
 	}
 }
 
--- a/internal/fleet/membership/node_test.go
+++ b/internal/fleet/membership/node_test.go
@@ -32,7 +32,7 @@
 	n := New(Settings{Self: named(i), Seeds: []netip.AddrPort{named(0).Addr}}, uint64(i), time.Second)
 	n.self = named(i)
 	n.install(v, "")
-	n.Take()
+	n.TakeOutput()
 	return n
 }
 
@@ -40,7 +40,7 @@
 func live(n *Node, lasts time.Duration, answers func(m Member) bool) {
 	for end := n.now + lasts; n.now < end; {
 		n.Tick(n.now + 100*ms)
-		sends, _ := n.Take()
+		sends, _ := n.TakeOutput()
 		for _, s := range sends {
 			for _, m := range n.view.Members {
 				if s.Message.Kind == Probe && m.Addr == s.To && answers(m) {
@@ -126,10 +126,12 @@
 		m.Alerts = append(m.Alerts, Alert{Subject: n.at, Slot: s, Seq: 1, Down: true})
 	}
 	n.Receive(n.now, m)
-	n.Take()
+	n.TakeOutput()
 	n.Tick(n.now + 100*ms)
-	sends, _ := n.Take()
-	if !slices.ContainsFunc(sends, func(s Send) bool { return len(s.Message.Alive) == 1 && s.Message.Alive[0].Member == n.at }) {
+	sends, _ := n.TakeOutput()
+	if !slices.ContainsFunc(sends, func(s Outgoing) bool {
+		return len(s.Message.Refutations) == 1 && s.Message.Refutations[0].Member == n.at
+	}) {
 		t.Error("it does not say that it lives")
 	}
 	other := among(t, 30, 3)
@@ -138,14 +140,14 @@
 	if out, _ := other.cut.verdict(other.view, other.now+time.Second); !slices.Equal(out, []uint32{subject}) {
 		t.Errorf("mute: out %v", out)
 	}
-	other.Receive(other.now, &Message{Kind: Gossip, Life: 2, Root: 9, Number: 1, Alive: []Alive{{subject, 1}}})
+	other.Receive(other.now, &Message{Kind: Gossip, Life: 2, Root: 9, Number: 1, Refutations: []Refutation{{subject, 1}}})
 	if out, _ := other.cut.verdict(other.view, other.now+time.Second); len(out) > 0 {
 		t.Errorf("it speaks: out %v", out)
 	}
 	told := false
 	for range 15 {
 		other.Tick(other.now + 100*ms)
-		sends, _ = other.Take()
+		sends, _ = other.TakeOutput()
 		for _, s := range sends {
 			told = told || s.Message.Kind == Probe && s.To == other.view.Members[subject].Addr && len(s.Message.Alerts) >= 7
 		}
@@ -159,7 +161,7 @@
 func TestTakenOutAgain(t *testing.T) {
 	n := among(t, 5, 0)
 	v := n.view
-	without, err := v.Next(&Proposal{Of: 1, Number: 2, Remove: []uint32{4}}, 10)
+	without, err := v.Next(&Proposal{ViewNumber: 1, NextNumber: 2, Remove: []uint32{4}}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +199,7 @@
 		for i := range size {
 			n := among(t, size, i)
 			extra := named(20 + i) // each would have another change
-			n.vote.wish = &Proposal{Of: 1, Number: 2, Add: []Member{extra}}
+			n.vote.wish = &Proposal{ViewNumber: 1, NextNumber: 2, Add: []Member{extra}}
 			nodes = append(nodes, n)
 		}
 		type letter struct {
@@ -211,7 +213,7 @@
 			n := nodes[i]
 			switch b := &n.vote; {
 			case n.view.Number == 1 && rng.IntN(6) == 0:
-				b.open(Vote{Of: 1, Ballot: ballotOf(b.cur.Ballot>>32+1, b.rank), Promises: NewBits(size)}, n.now)
+				b.open(Vote{ViewNumber: 1, Ballot: ballotOf(b.cur.Ballot>>32+1, b.rank), Promises: NewBitSet(size)}, n.now)
 				n.weigh()
 			case len(post) > 0 && rng.IntN(2) == 0:
 				k := rng.IntN(len(post))
@@ -222,7 +224,7 @@
 				nodes[l.to].hearVote(l.m)
 			case n.view.Number == 1 && b.cur.Ballot != 0:
 				m := &Message{Kind: Gossip, Life: n.self.Life, Root: 9, Number: 1}
-				m.Vote, m.Change = n.ballot(b.cur, b.proposals[b.cur.Value])
+				m.Vote, m.Proposal = n.ballot(b.cur, b.proposals[b.cur.Value])
 				if to := rng.IntN(size); to != i {
 					post = append(post, letter{to, m})
 				}
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -34,7 +34,7 @@
 }
 
 func (n *Node) edge(m Member) *edge {
-	return &edge{member: m, begun: n.now, round: n.now + time.Duration(n.rng.Float64()*float64(n.set.Period))}
+	return &edge{member: m, begun: n.now, round: n.now + time.Duration(n.rng.Float64()*float64(n.set.ProbeInterval))}
 }
 
 // probe sends what is due and judges who is silent.
@@ -43,7 +43,7 @@
 	for _, subject := range n.view.watched[n.at] {
 		e := n.edges[subject]
 		n.probeOne(e)
-		contact = contact || e.heard > 0 && n.now-e.heard < 2*n.set.Period || e.heard == 0 && n.now-e.begun < 2*n.set.Period
+		contact = contact || e.heard > 0 && n.now-e.heard < 2*n.set.ProbeInterval || e.heard == 0 && n.now-e.begun < 2*n.set.ProbeInterval
 	}
 	// Who hears nobody at all is itself cut off: it accuses nobody, and afterwards starts to count anew.
 	if alone := !contact && len(n.edges) > 1; alone != n.isolated {
@@ -59,7 +59,7 @@
 	}
 	for _, subject := range n.view.watched[n.at] {
 		e := n.edges[subject]
-		if silent := n.now - max(e.heard, e.begun); !e.down && silent >= n.set.Silence && e.since >= 2*attempts {
+		if silent := n.now - max(e.heard, e.begun); !e.down && silent >= n.set.AccuseAfter && e.since >= 2*attempts {
 			e.down = true
 			n.stats.Accusations++
 			n.accuse(subject, e)
@@ -79,15 +79,15 @@
 			e.loss += (x - e.loss) / 16
 		}
 		e.rounds++
-		e.round += n.set.Period
+		e.round += n.set.ProbeInterval
 		if e.round <= n.now {
-			e.round = n.now + n.set.Period
+			e.round = n.now + n.set.ProbeInterval
 		}
 		e.tries, e.next, e.answered = 0, n.now, false
 	}
 	if e.tries < attempts && !e.answered && n.now >= e.next {
 		e.tries++
-		e.next = n.now + n.set.Again
+		e.next = n.now + n.set.ProbeRetryInterval
 		e.since++
 		n.seq++
 		e.open[e.opens%len(e.open)] = sent{n.seq, n.now}
@@ -134,12 +134,12 @@
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
 	if n.view != nil {
-		if i, in := n.view.Index(m.Life); in {
+		if i, in := n.view.IndexOfLife(m.Life); in {
 			ack.Alerts = n.against(i)
 		}
 		n.defend()
 		if r := n.cut.rows[n.at]; r != nil && r.speaks(n.now) {
-			ack.Alive = []Alive{{n.at, r.aliveSeq}}
+			ack.Refutations = []Refutation{{n.at, r.aliveSeq}}
 		}
 	}
 	if m.Self != nil {
@@ -157,7 +157,7 @@
 	if n.view == nil {
 		return
 	}
-	i, ok := n.view.Index(m.Life)
+	i, ok := n.view.IndexOfLife(m.Life)
 	e := n.edges[i]
 	if !ok || e == nil {
 		return
--- a/internal/fleet/membership/settings.go
+++ b/internal/fleet/membership/settings.go
@@ -11,22 +11,22 @@
 	Self  Member           // Life and Incarnation are drawn
 	Seeds []netip.AddrPort // the same at all nodes; the first of them found the fleet
 	// Of an earlier life of this node: nothing, or what it kept.
-	Incarnation uint64           // of that life
-	Number      uint64           // of the last view that it was in
-	Known       []netip.AddrPort // some members of it
+	Incarnation    uint64           // of that life
+	LastViewNumber uint64           // of the last view that it was in
+	KnownAddrs     []netip.AddrPort // some members of it
 
-	Watchers int           // of each member
-	Period   time.Duration // between two rounds of probes of one watched member
-	Again    time.Duration // between the attempts of a round; there are three
-	Silence  time.Duration // without contact, after which a watcher accuses
-	Round    time.Duration // between two rounds of gossip, and two ticks
-	Fanout   int           // receivers of a round
-	MostNews int           // bytes of news in a datagram
-	Budget   int           // bytes of news a second, in the long run
+	WatchersPerMember  int           // of each member
+	ProbeInterval      time.Duration // between two rounds of probes of one watched member
+	ProbeRetryInterval time.Duration // between the attempts of a round; there are three
+	AccuseAfter        time.Duration // without contact, after which a watcher accuses
+	GossipInterval     time.Duration // between two rounds of gossip, and two ticks
+	Fanout             int           // receivers of a round
+	MaxNewsBytes       int           // bytes of news in a datagram
+	NewsBytesPerSecond int           // bytes of news a second, in the long run
 
 	// Next makes a view of a view and a proposal. It may hand out one view to many nodes; nil:
 	// View.Next.
-	Next func(*View, *Proposal) (*View, error)
+	NextView func(*View, *Proposal) (*View, error)
 }
 
 // Default fills in what is not set.
@@ -41,20 +41,20 @@
 			*x = d
 		}
 	}
-	or(&s.Watchers, 10)
+	or(&s.WatchersPerMember, 10)
 	or(&s.Fanout, 3)
-	or(&s.MostNews, 1100)
-	or(&s.Budget, 32<<10)
-	dur(&s.Period, time.Second)
-	dur(&s.Again, 300*time.Millisecond)
-	dur(&s.Silence, 3600*time.Millisecond)
-	dur(&s.Round, 100*time.Millisecond)
+	or(&s.MaxNewsBytes, 1100)
+	or(&s.NewsBytesPerSecond, 32<<10)
+	dur(&s.ProbeInterval, time.Second)
+	dur(&s.ProbeRetryInterval, 300*time.Millisecond)
+	dur(&s.AccuseAfter, 3600*time.Millisecond)
+	dur(&s.GossipInterval, 100*time.Millisecond)
 	if len(s.Seeds) == 0 {
 		s.Seeds = []netip.AddrPort{s.Self.Addr}
 	}
-	if s.Next == nil {
-		k := s.Watchers
-		s.Next = func(v *View, p *Proposal) (*View, error) { return v.Next(p, k) }
+	if s.NextView == nil {
+		k := s.WatchersPerMember
+		s.NextView = func(v *View, p *Proposal) (*View, error) { return v.Next(p, k) }
 	}
 	return s
 }
@@ -66,11 +66,11 @@
 	if err := self.Check(); err != nil {
 		return err
 	}
-	if s.Watchers > 16 {
-		return fmt.Errorf("watchers: at most 16, not %d", s.Watchers)
+	if s.WatchersPerMember > 16 {
+		return fmt.Errorf("watchers: at most 16, not %d", s.WatchersPerMember)
 	}
-	if s.Silence < 2*s.Period {
-		return fmt.Errorf("silence: at least two periods of %v, not %v", s.Period, s.Silence)
+	if s.AccuseAfter < 2*s.ProbeInterval {
+		return fmt.Errorf("silence: at least two periods of %v, not %v", s.ProbeInterval, s.AccuseAfter)
 	}
 	return nil
 }
--- a/internal/fleet/membership/size_test.go
+++ b/internal/fleet/membership/size_test.go
@@ -40,8 +40,8 @@
 	n := among(t, 1, 0)
 	in, all := n.self.Life, many()
 	for _, m := range all {
-		n.sponsor(Candidate{Member: m})
-		n.admitted(Candidate{Member: m})
+		n.sponsor(Joiner{Member: m})
+		n.admitted(Joiner{Member: m})
 	}
 	want := len(all) - 1 // one has the life of the only member
 	if _, is := n.trials[in]; len(n.pending) != want || !is || len(n.trials) != len(all) {
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Standing is what a node knows of all, for operators.
-type Standing struct {
+type Status struct {
 	Self     Member
 	Phase    Phase
 	Root     uint64
@@ -14,13 +14,13 @@
 	Stalls   int           // times that it stood still
 	Stalled  time.Duration // the last of these, ago; 0: never
 	Ballot   bool          // a change is being voted on
-	Members  []Seen
-	Gone     []Removed // of late, for their silence
+	Members  []MemberStatus
+	Gone     []RemovedMember // of late, for their silence
 	Stats    Stats
 }
 
 // Seen is a member as a node sees it.
-type Seen struct {
+type MemberStatus struct {
 	Member
 	Watched   bool // by this node; what follows holds then
 	Reachable bool
@@ -34,7 +34,7 @@
 }
 
 // Removed is a name that was taken out.
-type Removed struct {
+type RemovedMember struct {
 	Name  string
 	Ago   time.Duration
 	Times int
@@ -42,8 +42,8 @@
 }
 
 // Standing tells what the node knows.
-func (n *Node) Standing(now time.Duration) Standing {
-	s := Standing{
+func (n *Node) Status(now time.Duration) Status {
+	s := Status{
 		Self: n.self, Phase: n.phase, Isolated: n.isolated, Stalls: n.stalls, Stats: n.stats, Number: n.seek.number,
 		Ballot: n.vote.cur.Ballot != 0 && now-n.vote.grown < ballotLong,
 	}
@@ -51,7 +51,7 @@
 		s.Stalled = now - n.stalled
 	}
 	for name, r := range n.removed {
-		s.Gone = append(s.Gone, Removed{name, now - r.at, r.times, max(0, r.until-now)})
+		s.Gone = append(s.Gone, RemovedMember{name, now - r.at, r.times, max(0, r.until-now)})
 	}
 	if n.view == nil {
 		return s
@@ -59,7 +59,7 @@
 	s.Root, s.Number, s.Majority = n.view.Root, n.view.Number, n.view.majority()
 	for i := range n.view.Members {
 		at := uint32(i)
-		m := Seen{Member: n.view.Members[i], Watchers: len(n.view.watchers[i])}
+		m := MemberStatus{Member: n.view.Members[i], Watchers: len(n.view.watchers[i])}
 		if e := n.edges[at]; e != nil {
 			m.Watched, m.Reachable, m.RTT, m.Loss = true, !e.down, e.rtt, e.loss
 			if e.heard > 0 {
--- a/internal/fleet/membership/vote.go
+++ b/internal/fleet/membership/vote.go
@@ -69,9 +69,9 @@
 	}
 	out = append(out, replaced...)
 	slices.Sort(out)
-	p := &Proposal{Of: v.Number, Number: max(number, v.Number) + 1, Remove: slices.Compact(out), Add: adds}
+	p := &Proposal{ViewNumber: v.Number, NextNumber: max(number, v.Number) + 1, Remove: slices.Compact(out), Add: adds}
 	b := &n.vote
-	b.open(Vote{Of: v.Number, Ballot: ballotOf(b.cur.Ballot>>32+1, b.rank), Promises: NewBits(len(v.Members))}, n.now)
+	b.open(Vote{ViewNumber: v.Number, Ballot: ballotOf(b.cur.Ballot>>32+1, b.rank), Promises: NewBitSet(len(v.Members))}, n.now)
 	b.wish = p
 	n.weigh()
 }
@@ -134,18 +134,18 @@
 // hearVote takes the state of a decision and joins it with what is known here.
 func (n *Node) hearVote(m *Message) {
 	x := m.Vote
-	if n.view == nil || x.Of != n.view.Number || x.Ballot == 0 {
+	if n.view == nil || x.ViewNumber != n.view.Number || x.Ballot == 0 {
 		return
 	}
-	if p := m.Change; p != nil && p.Of == x.Of {
+	if p := m.Proposal; p != nil && p.ViewNumber == x.ViewNumber {
 		n.vote.learn(p)
 	}
-	b, size := &n.vote, len(NewBits(len(n.view.Members)))
+	b, size := &n.vote, len(NewBitSet(len(n.view.Members)))
 	if x.Ballot < b.cur.Ballot || x.Value == 0 && len(x.Promises) != size || x.Value != 0 && len(x.Accepts) != size {
 		return
 	}
 	if x.Ballot > b.cur.Ballot {
-		b.open(Vote{Of: x.Of, Ballot: x.Ballot, Promises: NewBits(len(n.view.Members))}, n.now)
+		b.open(Vote{ViewNumber: x.ViewNumber, Ballot: x.Ballot, Promises: NewBitSet(len(n.view.Members))}, n.now)
 	}
 	c := &b.cur
 	if x.Value == 0 {
@@ -153,19 +153,19 @@
 			if c.Promises.merge(x.Promises) {
 				b.grown = n.now
 			}
-			if len(x.Took) == size { // it comes with the promises that it belongs to
-				if c.Took == nil {
-					c.Took = NewBits(len(n.view.Members))
+			if len(x.PromisersWithValue) == size { // it comes with the promises that it belongs to
+				if c.PromisersWithValue == nil {
+					c.PromisersWithValue = NewBitSet(len(n.view.Members))
 				}
-				c.Took.merge(x.Took)
+				c.PromisersWithValue.merge(x.PromisersWithValue)
 			}
-			if x.Accepted > c.Accepted {
-				c.Accepted, c.Best = x.Accepted, x.Best
+			if x.AcceptedBallot > c.AcceptedBallot {
+				c.AcceptedBallot, c.AcceptedValue = x.AcceptedBallot, x.AcceptedValue
 			}
 		}
 	} else {
 		if c.Value == 0 {
-			c.Value, c.Forced, c.Accepts = x.Value, x.Forced, NewBits(len(n.view.Members))
+			c.Value, c.Forced, c.Accepts = x.Value, x.Forced, NewBitSet(len(n.view.Members))
 			b.grown = n.now
 		}
 		if c.Value != x.Value {
@@ -178,7 +178,7 @@
 	if c.Value != 0 && b.proposals[c.Value] == nil && n.now-b.asked >= pullEvery {
 		if to, ok := n.addressOf(m); ok {
 			b.asked = n.now
-			n.stream(to, &Message{Kind: Pull, Want: c.Value})
+			n.stream(to, &Message{Kind: StateRequest, WantedHash: c.Value})
 		}
 	}
 	n.weigh()
@@ -194,27 +194,27 @@
 		b.promised = c.Ballot
 		c.Promises.set(n.at)
 		if b.accepted != 0 {
-			if c.Took == nil {
-				c.Took = NewBits(len(n.view.Members))
+			if c.PromisersWithValue == nil {
+				c.PromisersWithValue = NewBitSet(len(n.view.Members))
 			}
-			c.Took.set(n.at)
+			c.PromisersWithValue.set(n.at)
 		}
-		if b.accepted > c.Accepted {
-			c.Accepted, c.Best = b.accepted, b.value
+		if b.accepted > c.AcceptedBallot {
+			c.AcceptedBallot, c.AcceptedValue = b.accepted, b.value
 		}
 	}
 	if c.Value == 0 && c.Ballot == ballotOf(c.Ballot>>32, b.rank) && c.Promises.count() >= n.view.majority() {
-		if c.Accepted != 0 && !c.undecided(len(n.view.Members), n.view.majority()) {
+		if c.AcceptedBallot != 0 && !c.undecided(len(n.view.Members), n.view.majority()) {
 			// What was accepted may have been decided. If nothing speaks for it here any more, a little later more
 			// promises may show that it can't have been.
-			if p := b.proposals[c.Best]; p == nil || n.agrees(p) || n.now-b.begun >= forceAfter {
-				c.Value, c.Forced = c.Best, true
+			if p := b.proposals[c.AcceptedValue]; p == nil || n.agrees(p) || n.now-b.begun >= forceAfter {
+				c.Value, c.Forced = c.AcceptedValue, true
 			}
 		} else if b.wish != nil && n.agrees(b.wish) { // it may have been taken back since
 			c.Value = b.learn(b.wish)
 		}
 		if c.Value != 0 {
-			c.Accepts = NewBits(len(n.view.Members))
+			c.Accepts = NewBitSet(len(n.view.Members))
 		}
 	}
 	if c.Value == 0 {
@@ -233,7 +233,7 @@
 // undecided tells whether nothing can have been decided in an earlier ballot: so many of those who have promised this one
 // had accepted nothing, and will not in an earlier one any more, that the others are no majority.
 func (v *Vote) undecided(members, majority int) bool {
-	return v.Promises.count()-v.Took.count() > members-majority
+	return v.Promises.count()-v.PromisersWithValue.count() > members-majority
 }
 
 // agrees tells whether what this node knows speaks for a proposal. It says nothing against those that come in.
@@ -252,7 +252,7 @@
 
 // decided makes the next view.
 func (n *Node) decided(p *Proposal) {
-	next, err := n.set.Next(n.view, p)
+	next, err := n.set.NextView(n.view, p)
 	if err != nil {
 		return // nobody can make a view of it: a later ballot brings another
 	}
@@ -262,7 +262,7 @@
 		for _, i := range n.cut.left {
 			if i != n.at && slices.Contains(p.Remove, i) {
 				m := &Message{Kind: Gossip}
-				m.Vote, m.Change = n.ballot(last, p)
+				m.Vote, m.Proposal = n.ballot(last, p)
 				n.send(old.Members[i].Addr, m)
 			}
 		}
@@ -273,7 +273,7 @@
 		for range 2 * n.set.Fanout {
 			if i := uint32(n.rng.IntN(len(old.Members))); i != n.at {
 				m := &Message{Kind: Gossip}
-				m.Vote, m.Change = n.ballot(last, p)
+				m.Vote, m.Proposal = n.ballot(last, p)
 				n.send(old.Members[i].Addr, m)
 				m.Root, m.Number, m.Self = old.Root, old.Number, nil
 			}
--- a/internal/fleet/raftstore/ledger.go
+++ b/internal/fleet/raftstore/ledger.go
@@ -39,8 +39,8 @@
 
 // Found is what stood on the disk.
 type Loaded struct {
-	Disk consensus.PersistentState // ID 0: none
-	Note []byte                    // its user's
+	State consensus.PersistentState // ID 0: none
+	Note  []byte                    // its user's
 	// Doubt says why the disk must not be trusted; "": it can be. The number is told then, and nothing else is.
 	Doubt string
 }
@@ -67,7 +67,7 @@
 		wrong = append(wrong, err.Error())
 	}
 	if len(wrong) > 0 {
-		f = Loaded{Disk: consensus.PersistentState{ID: f.Disk.ID}, Doubt: strings.Join(wrong, "; ")}
+		f = Loaded{State: consensus.PersistentState{ID: f.State.ID}, Doubt: strings.Join(wrong, "; ")}
 	}
 	return l, f
 }
@@ -91,7 +91,7 @@
 		}
 		return f, nil
 	}
-	d := &f.Disk
+	d := &f.State
 	if d.ID, err = number(b); err != nil || d.ID == 0 {
 		return f, fmt.Errorf("the voter's number is none: %x", b)
 	}
@@ -236,7 +236,7 @@
 	}
 	if s.Snapshot != nil {
 		b.snapshot(s.Snapshot)
-		if s.Cut == 0 { // another's: what was here is of no use
+		if s.CompactedTo == 0 { // another's: what was here is of no use
 			b.entries(0, math.MaxUint64)
 			l.first = s.Snapshot.GetMetadata().GetIndex() + 1
 			l.last = l.first - 1
@@ -253,9 +253,9 @@
 		}
 		l.last = from + uint64(len(s.Entries)) - 1
 	}
-	if s.Cut > 0 {
-		b.entries(0, s.Cut)
-		l.first = max(l.first, min(s.Cut, l.last)+1)
+	if s.CompactedTo > 0 {
+		b.entries(0, s.CompactedTo)
+		l.first = max(l.first, min(s.CompactedTo, l.last)+1)
 	}
 	return l.commit(b)
 }
--- a/internal/fleet/raftstore/ledger_test.go
+++ b/internal/fleet/raftstore/ledger_test.go
@@ -101,7 +101,7 @@
 		f := newFolder()
 		model := consensus.NewCluster([]uint64{7, 8, 9})[0]
 		l, found := open(f)
-		if found.Disk.ID != 0 || found.Doubt != "" {
+		if found.State.ID != 0 || found.Doubt != "" {
 			t.Fatalf("an empty folder: %+v", found)
 		}
 		now := time.Hour
@@ -124,7 +124,7 @@
 				index += uint64(rng.IntN(int(last-index) + 1))
 				save.Snapshot = &raftpb.Snapshot{Data: make([]byte, rng.IntN(100<<10)), Metadata: &raftpb.SnapshotMetadata{
 					ConfState: &raftpb.ConfState{Voters: []uint64{7, 8, 9}}, Index: proto.Uint64(index), Term: proto.Uint64(term)}}
-				save.Cut = max(1, index-min(index, uint64(rng.IntN(5))))
+				save.CompactedTo = max(1, index-min(index, uint64(rng.IntN(5))))
 			default:
 				from := last + 1
 				if first := model.Snapshot.GetMetadata().GetIndex() + 1; rng.IntN(4) == 0 && from > first { // others' place
@@ -142,7 +142,7 @@
 			if err := l.Save(now, &save, nil); err != nil {
 				t.Fatal(err)
 			}
-			model.Put(&save)
+			model.Apply(&save)
 			now += time.Millisecond
 			after := text(&model)
 			if rng.IntN(3) == 0 { // it was cut, as if the sync had not ended
@@ -154,7 +154,7 @@
 					}
 				}
 				_, found := open(cut.torn(rng))
-				if got := text(&found.Disk); found.Doubt != "" || got != before && got != after {
+				if got := text(&found.State); found.Doubt != "" || got != before && got != after {
 					t.Fatalf("seed %d: %.300s\nbefore %.300s\nafter %.300s\ndoubt %s", seed, got, before, after, found.Doubt)
 				}
 			}
@@ -166,7 +166,7 @@
 			}
 			if rng.IntN(5) == 0 {
 				l, found = open(f)
-				if got := text(&found.Disk); found.Doubt != "" || got != after || string(found.Note) != "note" {
+				if got := text(&found.State); found.Doubt != "" || got != after || string(found.Note) != "note" {
 					t.Fatalf("seed %d: %.300s\nwanted %.300s\ndoubt %s", seed, got, after, found.Doubt)
 				}
 			}
@@ -189,15 +189,15 @@
 			t.Fatal(err)
 		}
 	}
-	if _, found := open(whole); found.Doubt != "" || len(found.Disk.Entries) != 18 {
-		t.Fatalf("%d entries, doubt %q", len(found.Disk.Entries), found.Doubt)
+	if _, found := open(whole); found.Doubt != "" || len(found.State.Entries) != 18 {
+		t.Fatalf("%d entries, doubt %q", len(found.State.Entries), found.Doubt)
 	}
 	damaged := func(what string, do func(f *folder, s *store.Store)) {
 		f := whole.torn(rng)
 		s, _ := store.Open(f, Settings())
 		do(f, s)
-		if _, found := open(f); found.Doubt == "" && found.Disk.ID != 0 || len(found.Disk.Entries) > 0 {
-			t.Errorf("%s: trusted, with %d entries", what, len(found.Disk.Entries))
+		if _, found := open(f); found.Doubt == "" && found.State.ID != 0 || len(found.State.Entries) > 0 {
+			t.Errorf("%s: trusted, with %d entries", what, len(found.State.Entries))
 		}
 	}
 	drop := func(table byte, key string) func(*folder, *store.Store) {
@@ -244,14 +244,14 @@
 			t.Fatal("a full disk took it")
 		}
 	}
-	if _, found := open(f); len(found.Disk.Entries) > 0 {
+	if _, found := open(f); len(found.State.Entries) > 0 {
 		t.Error("what was not acknowledged is there")
 	}
 	f.full = false
 	if err := l.Save(2*time.Hour, &save, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, found := open(f); found.Doubt != "" || len(found.Disk.Entries) != 3 {
+	if _, found := open(f); found.Doubt != "" || len(found.State.Entries) != 3 {
 		t.Errorf("%+v", found)
 	}
 }
@@ -270,8 +270,8 @@
 	f.Fuzz(func(t *testing.T, name string, b []byte) {
 		d := newFolder()
 		d.files[name] = b
-		if _, found := open(d); found.Doubt == "" && found.Disk.ID != 0 {
-			consensus.New(consensus.Settings{}, &found.Disk, 1)
+		if _, found := open(d); found.Doubt == "" && found.State.ID != 0 {
+			consensus.New(consensus.Settings{}, &found.State, 1)
 		}
 	})
 }
--- a/internal/fleet/wire/allowance.go
+++ b/internal/fleet/wire/allowance.go
@@ -20,7 +20,7 @@
 
 // AppendClaim appends the body of a claim.
 func AppendClaim(to []byte, c *allowance.Claim) []byte {
-	to = protofields.AppendFixed(to, 1, c.Holder)
+	to = protofields.AppendFixed(to, 1, c.Lender)
 	to = protofields.AppendUint(to, 2, c.Seq)
 	to = protofields.AppendUint(to, 3, c.Stamp)
 	var part []byte
@@ -29,8 +29,8 @@
 		part = server(part[:0], it.Server)
 		part = protofields.AppendFixed(part, 3, math.Float64bits(it.Rate))
 		part = protofields.AppendUint(part, 4, uint64(it.Used))
-		part = protofields.AppendUint(part, 5, uint64(it.Back))
-		part = protofields.AppendUint(part, 6, uint64(it.Want))
+		part = protofields.AppendUint(part, 5, uint64(it.Unused))
+		part = protofields.AppendUint(part, 6, uint64(it.Wanted))
 		part = protofields.AppendUint(part, 7, uint64(it.Answered))
 		to = protofields.AppendBytes(to, 4, part)
 	}
@@ -62,16 +62,16 @@
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
-			c.Holder = f.X
+			c.Lender = f.X
 		case f.IsNum && f.Num == 2:
 			c.Seq = f.X
 		case f.IsNum && f.Num == 3:
 			c.Stamp = f.X
 		case !f.IsNum && f.Num == 4:
-			if len(c.Items) == allowance.MostItems {
-				return fault(Malformed, "a claim for more than %d servers", allowance.MostItems)
+			if len(c.Items) == allowance.MaxClaimItems {
+				return fault(Malformed, "a claim for more than %d servers", allowance.MaxClaimItems)
 			}
-			var it allowance.Item
+			var it allowance.ClaimItem
 			err := r.fields(f.B, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsNum && f.Num == 3:
@@ -79,9 +79,9 @@
 				case f.IsNum && f.Num == 4:
 					it.Used, err = count(f.X)
 				case f.IsNum && f.Num == 5:
-					it.Back, err = count(f.X)
+					it.Unused, err = count(f.X)
 				case f.IsNum && f.Num == 6:
-					it.Want, err = count(f.X)
+					it.Wanted, err = count(f.X)
 				case f.IsNum && f.Num == 7:
 					it.Answered, err = count(f.X)
 				default:
@@ -116,10 +116,10 @@
 		case f.IsNum && f.Num == 2:
 			g.Stamp = f.X
 		case !f.IsNum && f.Num == 3:
-			if len(g.Items) == allowance.MostItems {
-				return fault(Malformed, "a grant for more than %d servers", allowance.MostItems)
+			if len(g.Items) == allowance.MaxClaimItems {
+				return fault(Malformed, "a grant for more than %d servers", allowance.MaxClaimItems)
 			}
-			var x allowance.Dealt
+			var x allowance.Allotment
 			err := r.fields(f.B, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsNum && f.Num == 3:
--- a/internal/fleet/wire/allowance_test.go
+++ b/internal/fleet/wire/allowance_test.go
@@ -16,17 +16,17 @@
 }
 
 func drawnClaim(rng *rand.Rand) *allowance.Claim {
-	c := &allowance.Claim{Holder: 1 + rng.Uint64N(1<<62), Seq: 1 + rng.Uint64N(1000), Stamp: rng.Uint64() * rng.Uint64N(2)}
-	for range rng.IntN(allowance.MostItems + 1) {
-		c.Items = append(c.Items, allowance.Item{Server: drawnServer(rng), Rate: 100 * rng.Float64(), Used: rng.IntN(9), Back: rng.IntN(9), Want: rng.IntN(3), Answered: rng.IntN(5)})
+	c := &allowance.Claim{Lender: 1 + rng.Uint64N(1<<62), Seq: 1 + rng.Uint64N(1000), Stamp: rng.Uint64() * rng.Uint64N(2)}
+	for range rng.IntN(allowance.MaxClaimItems + 1) {
+		c.Items = append(c.Items, allowance.ClaimItem{Server: drawnServer(rng), Rate: 100 * rng.Float64(), Used: rng.IntN(9), Unused: rng.IntN(9), Wanted: rng.IntN(3), Answered: rng.IntN(5)})
 	}
 	return c
 }
 
 func drawnGrant(rng *rand.Rand) *allowance.Grant {
 	g := &allowance.Grant{Seq: rng.Uint64N(1000), Stamp: rng.Uint64()}
-	for range rng.IntN(allowance.MostItems + 1) {
-		g.Items = append(g.Items, allowance.Dealt{Server: drawnServer(rng), Sends: rng.IntN(4), Total: rng.IntN(100)})
+	for range rng.IntN(allowance.MaxClaimItems + 1) {
+		g.Items = append(g.Items, allowance.Allotment{Server: drawnServer(rng), Sends: rng.IntN(4), Total: rng.IntN(100)})
 	}
 	return g
 }
@@ -41,8 +41,8 @@
 		if got, err := ParseGrant(AppendGrant(nil, g)); err != nil || !reflect.DeepEqual(g, got) {
 			t.Fatalf("sent %+v\n got %+v, %v", g, got, err)
 		}
-		whole := Append(nil, 7, &membership.Message{Kind: membership.Carry, Life: 1, Topic: TopicClaim, Body: AppendClaim(nil, c)})
-		if len(whole) > MostDatagram+allowance.MostItems*32 { // ids of 40 bytes; those of the platform have 8 to 20
+		whole := Append(nil, 7, &membership.Message{Kind: membership.Payload, Life: 1, Topic: TopicClaim, Body: AppendClaim(nil, c)})
+		if len(whole) > MaxDatagram+allowance.MaxClaimItems*32 { // ids of 40 bytes; those of the platform have 8 to 20
 			t.Fatalf("a claim takes %d bytes", len(whole))
 		}
 	}
@@ -60,7 +60,7 @@
 			if again, err := ParseGrant(AppendGrant(nil, g)); err != nil || !reflect.DeepEqual(g, again) {
 				t.Fatalf("read %+v\nthen %+v, %v", g, again, err)
 			}
-			allowance.NewHolder(allowance.Settings{}, 1, 0).Grant(time.Second, 5, g)
+			allowance.NewLender(allowance.Settings{}, 1, 0).HandleGrant(time.Second, 5, g)
 		}
 		c, err := ParseClaim(body)
 		if err != nil {
@@ -69,13 +69,13 @@
 		if again, err := ParseClaim(AppendClaim(nil, c)); err != nil || !reflect.DeepEqual(c, again) {
 			t.Fatalf("read %+v\nthen %+v, %v", c, again, err)
 		}
-		d := allowance.NewDealer(allowance.Settings{})
-		first, ok := d.Claim(time.Hour, c)
+		d := allowance.NewAllocator(allowance.Settings{})
+		first, ok := d.HandleClaim(time.Hour, c)
 		if !ok {
 			t.Fatal("a first claim was not answered")
 		}
 		c.Seq, c.Stamp = c.Seq+1, first.Stamp
-		d.Claim(time.Hour+time.Second, c)
-		d.Claim(time.Hour+time.Minute, c)
+		d.HandleClaim(time.Hour+time.Second, c)
+		d.HandleClaim(time.Hour+time.Minute, c)
 	})
 }
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -17,25 +17,25 @@
 const Version = 1
 
 // Head is the number of bytes ahead of the fields: magic, version, fleet, checksum.
-const Head = 12
+const HeaderSize = 12
 
 // MostDatagram is the largest datagram that is sent, in bytes.
-const MostDatagram = 1400
+const MaxDatagram = 1400
 
 // MostStream is the longest message of a stream, in bytes.
-const MostStream = 2 << 20
+const MaxStreamMessage = 2 << 20
 
 // Fault says why a message was passed over.
 type Fault uint8
 
 // The faults.
 const (
-	Short Fault = 1 + iota
-	Noise       // no magic
+	TooShort Fault = 1 + iota
+	BadMagic       // no magic
 	OtherVersion
 	OtherFleet
-	Damaged   // the checksum is off
-	Malformed // the fields make no sense
+	BadChecksum // the checksum is off
+	Malformed   // the fields make no sense
 )
 
 // Error is a message that was passed over.
@@ -51,7 +51,7 @@
 }
 
 // Fleet is the number of a fleet's name.
-func Fleet(name string) uint32 {
+func FleetNumber(name string) uint32 {
 	return crc32.Checksum([]byte(name), crc32.MakeTable(crc32.Castagnoli))
 }
 
@@ -100,13 +100,13 @@
 		part = protowire.AppendVarint(part, uint64(a.Seq))
 		to = protofields.AppendBytes(to, fieldAlert, part)
 	}
-	for _, a := range m.Alive {
+	for _, a := range m.Refutations {
 		part = protowire.AppendVarint(part[:0], uint64(a.Member))
 		part = protowire.AppendVarint(part, uint64(a.Seq))
 		to = protofields.AppendBytes(to, fieldAlive, part)
 	}
-	leaving := make([]uint32, 0, len(m.Leaving))
-	for _, l := range m.Leaving {
+	leaving := make([]uint32, 0, len(m.Departures))
+	for _, l := range m.Departures {
 		x := l.Member << 1
 		if l.Ended {
 			x |= 1
@@ -117,13 +117,13 @@
 	if m.Vote != nil {
 		to = protofields.AppendBytes(to, fieldVote, appendVote(nil, m.Vote))
 	}
-	for i := range m.Joins {
-		part = member(part[:0], 1, &m.Joins[i].Member)
-		to = protofields.AppendBytes(to, fieldJoin, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joins[i].Slot)), 3, m.Joins[i].Number))
+	for i := range m.Joiners {
+		part = member(part[:0], 1, &m.Joiners[i].Member)
+		to = protofields.AppendBytes(to, fieldJoin, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joiners[i].Slot)), 3, m.Joiners[i].Number))
 	}
-	to = member(to, fieldHolder, m.Holder)
-	to = protofields.AppendUint(to, fieldLow, uint64(m.Low))
-	to = protofields.AppendFixed(to, fieldWant, m.Want)
+	to = member(to, fieldHolder, m.NameHolder)
+	to = protofields.AppendUint(to, fieldLow, uint64(m.LowestSeed))
+	to = protofields.AppendFixed(to, fieldWant, m.WantedHash)
 	if v := m.View; v != nil {
 		part = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.Root), 2, v.Number)
 		for i := range v.Members {
@@ -131,8 +131,8 @@
 		}
 		to = protofields.AppendBytes(to, fieldView, part)
 	}
-	if p := m.Change; p != nil {
-		part = packed(protofields.AppendUint(protofields.AppendUint(nil, 1, p.Of), 4, p.Number), 2, p.Remove)
+	if p := m.Proposal; p != nil {
+		part = packed(protofields.AppendUint(protofields.AppendUint(nil, 1, p.ViewNumber), 4, p.NextNumber), 2, p.Remove)
 		for i := range p.Add {
 			part = member(part, 3, &p.Add[i])
 		}
@@ -149,7 +149,7 @@
 // checksum is over all but itself.
 func checksum(b []byte) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
-	return crc32.Update(crc32.Checksum(b[:8], table), table, b[Head:])
+	return crc32.Update(crc32.Checksum(b[:8], table), table, b[HeaderSize:])
 }
 
 func packed(to []byte, field protowire.Number, all []uint32) []byte {
@@ -183,19 +183,19 @@
 }
 
 func appendVote(to []byte, v *membership.Vote) []byte {
-	to = protofields.AppendUint(protofields.AppendUint(to, 1, v.Of), 2, v.Ballot)
+	to = protofields.AppendUint(protofields.AppendUint(to, 1, v.ViewNumber), 2, v.Ballot)
 	if len(v.Promises) > 0 {
 		to = protofields.AppendBytes(to, 3, v.Promises)
 	}
-	to = protofields.AppendFixed(protofields.AppendFixed(protofields.AppendUint(to, 4, v.Accepted), 5, v.Best), 6, v.Value)
+	to = protofields.AppendFixed(protofields.AppendFixed(protofields.AppendUint(to, 4, v.AcceptedBallot), 5, v.AcceptedValue), 6, v.Value)
 	if v.Forced {
 		to = protofields.AppendUint(to, 7, 1)
 	}
 	if len(v.Accepts) > 0 {
 		to = protofields.AppendBytes(to, 8, v.Accepts)
 	}
-	if len(v.Took) > 0 {
-		to = protofields.AppendBytes(to, 9, v.Took)
+	if len(v.PromisersWithValue) > 0 {
+		to = protofields.AppendBytes(to, 9, v.PromisersWithValue)
 	}
 	return to
 }
@@ -203,23 +203,23 @@
 // Parse reads a message of a fleet. Nothing of it refers to the bytes.
 func Parse(b []byte, fleet uint32, watchers int) (*membership.Message, error) {
 	switch {
-	case len(b) < Head:
-		return nil, fault(Short, "%d bytes are no message", len(b))
+	case len(b) < HeaderSize:
+		return nil, fault(TooShort, "%d bytes are no message", len(b))
 	case b[0] != 0xC1 || b[1] != 0x7E:
-		return nil, fault(Noise, "no message begins with %x", b[:2])
+		return nil, fault(BadMagic, "no message begins with %x", b[:2])
 	case b[2] != Version:
 		return nil, fault(OtherVersion, "version %d is not read here, %d is", b[2], Version)
 	case binary.BigEndian.Uint32(b[4:]) != fleet:
 		return nil, fault(OtherFleet, "it is for another fleet")
 	case binary.BigEndian.Uint32(b[8:]) != checksum(b):
-		return nil, fault(Damaged, "the checksum of %d bytes is off", len(b))
+		return nil, fault(BadChecksum, "the checksum of %d bytes is off", len(b))
 	}
 	m := &membership.Message{}
 	r := reader{watchers: watchers}
-	if err := r.fields(b[Head:], func(f protofields.Field) error { return r.message(m, f) }); err != nil {
+	if err := r.fields(b[HeaderSize:], func(f protofields.Field) error { return r.message(m, f) }); err != nil {
 		return nil, err
 	}
-	if m.Kind < membership.Probe || m.Kind > membership.Carry {
+	if m.Kind < membership.Probe || m.Kind > membership.Payload {
 		return nil, fault(Malformed, "kind %d", m.Kind)
 	}
 	if m.Life == 0 {
@@ -261,9 +261,9 @@
 		case fieldSeq:
 			m.Seq = f.X
 		case fieldLow:
-			m.Low, err = small(f.X)
+			m.LowestSeed, err = small(f.X)
 		case fieldWant:
-			m.Want = f.X
+			m.WantedHash = f.X
 		case fieldTopic:
 			m.Topic, err = small(f.X)
 		}
@@ -273,7 +273,7 @@
 	case fieldSelf:
 		m.Self, err = r.member(f.B)
 	case fieldHolder:
-		m.Holder, err = r.member(f.B)
+		m.NameHolder, err = r.member(f.B)
 	case fieldAlert:
 		x, err := numbers(f.B, 3, 3)
 		if err != nil {
@@ -285,19 +285,19 @@
 		if err != nil {
 			return err
 		}
-		m.Alive = append(m.Alive, membership.Alive{Member: x[0], Seq: x[1]})
+		m.Refutations = append(m.Refutations, membership.Refutation{Member: x[0], Seq: x[1]})
 	case fieldLeaving:
 		x, err := numbers(f.B, 0, len(f.B))
 		if err != nil {
 			return err
 		}
 		for _, x := range x {
-			m.Leaving = append(m.Leaving, membership.Leave{Member: x >> 1, Ended: x&1 == 1})
+			m.Departures = append(m.Departures, membership.Departure{Member: x >> 1, Ended: x&1 == 1})
 		}
 	case fieldVote:
 		m.Vote, err = r.vote(f.B)
 	case fieldJoin:
-		c := membership.Candidate{}
+		c := membership.Joiner{}
 		err = r.fields(f.B, func(f protofields.Field) error {
 			switch {
 			case f.Num == 1 && !f.IsNum:
@@ -318,11 +318,11 @@
 		if err == nil && c.Member.Check() != nil {
 			return fault(Malformed, "a candidate that is nobody")
 		}
-		m.Joins = append(m.Joins, c)
+		m.Joiners = append(m.Joiners, c)
 	case fieldView:
 		m.View, err = r.view(f.B)
 	case fieldChange:
-		m.Change, err = r.change(f.B)
+		m.Proposal, err = r.change(f.B)
 	case fieldBody:
 		m.Body = append([]byte(nil), f.B...)
 	}
@@ -383,23 +383,23 @@
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsNum && f.Num == 1:
-			v.Of = f.X
+			v.ViewNumber = f.X
 		case f.IsNum && f.Num == 2:
 			v.Ballot = f.X
 		case !f.IsNum && f.Num == 3:
-			v.Promises = append(membership.Bits(nil), f.B...)
+			v.Promises = append(membership.BitSet(nil), f.B...)
 		case f.IsNum && f.Num == 4:
-			v.Accepted = f.X
+			v.AcceptedBallot = f.X
 		case f.IsNum && f.Num == 5:
-			v.Best = f.X
+			v.AcceptedValue = f.X
 		case f.IsNum && f.Num == 6:
 			v.Value = f.X
 		case f.IsNum && f.Num == 7:
 			v.Forced = f.X != 0
 		case !f.IsNum && f.Num == 8:
-			v.Accepts = append(membership.Bits(nil), f.B...)
+			v.Accepts = append(membership.BitSet(nil), f.B...)
 		case !f.IsNum && f.Num == 9:
-			v.Took = append(membership.Bits(nil), f.B...)
+			v.PromisersWithValue = append(membership.BitSet(nil), f.B...)
 		}
 		return nil
 	})
@@ -439,9 +439,9 @@
 	err := r.fields(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsNum && f.Num == 1:
-			p.Of = f.X
+			p.ViewNumber = f.X
 		case f.IsNum && f.Num == 4:
-			p.Number = f.X
+			p.NextNumber = f.X
 		case !f.IsNum && f.Num == 2:
 			p.Remove, err = numbers(f.B, 0, len(f.B))
 		case !f.IsNum && f.Num == 3:
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -27,29 +27,29 @@
 // drawn is a message with some of everything.
 func drawn(rng *rand.Rand) *membership.Message {
 	m := &membership.Message{
-		Kind: membership.Kind(1 + rng.IntN(int(membership.Carry))), Root: rng.Uint64(), Number: rng.Uint64N(1000), Life: 1 + rng.Uint64N(1<<50),
-		Seq: rng.Uint64N(1 << 40), Low: uint32(rng.IntN(4)), Want: rng.Uint64N(2) * rng.Uint64(),
+		Kind: membership.Kind(1 + rng.IntN(int(membership.Payload))), Root: rng.Uint64(), Number: rng.Uint64N(1000), Life: 1 + rng.Uint64N(1<<50),
+		Seq: rng.Uint64N(1 << 40), LowestSeed: uint32(rng.IntN(4)), WantedHash: rng.Uint64N(2) * rng.Uint64(),
 	}
-	if m.Kind == membership.Carry {
+	if m.Kind == membership.Payload {
 		m.Topic, m.Body = rng.Uint32(), []byte{byte(rng.IntN(256)), 2, 3}
 	}
 	if rng.IntN(2) == 0 {
-		m.Self, m.Holder = someone(rng), someone(rng)
+		m.Self, m.NameHolder = someone(rng), someone(rng)
 	}
 	for range rng.IntN(20) {
 		m.Alerts = append(m.Alerts, membership.Alert{Subject: rng.Uint32N(10000), Slot: rng.Uint32N(16), Seq: rng.Uint32(), Down: rng.IntN(2) == 0})
-		m.Alive = append(m.Alive, membership.Alive{Member: rng.Uint32(), Seq: rng.Uint32()})
-		m.Leaving = append(m.Leaving, membership.Leave{Member: rng.Uint32N(1 << 31), Ended: rng.IntN(2) == 0})
+		m.Refutations = append(m.Refutations, membership.Refutation{Member: rng.Uint32(), Seq: rng.Uint32()})
+		m.Departures = append(m.Departures, membership.Departure{Member: rng.Uint32N(1 << 31), Ended: rng.IntN(2) == 0})
 	}
 	if rng.IntN(2) == 0 {
 		m.Vote = &membership.Vote{
-			Of: rng.Uint64(), Ballot: rng.Uint64(), Promises: membership.Bits{1, byte(rng.IntN(256))}, Accepted: rng.Uint64(), Best: rng.Uint64(),
-			Value: rng.Uint64(), Forced: rng.IntN(2) == 0, Accepts: membership.Bits{7}, Took: membership.Bits{byte(1 + rng.IntN(255))},
+			ViewNumber: rng.Uint64(), Ballot: rng.Uint64(), Promises: membership.BitSet{1, byte(rng.IntN(256))}, AcceptedBallot: rng.Uint64(), AcceptedValue: rng.Uint64(),
+			Value: rng.Uint64(), Forced: rng.IntN(2) == 0, Accepts: membership.BitSet{7}, PromisersWithValue: membership.BitSet{byte(1 + rng.IntN(255))},
 		}
-		m.Change = &membership.Proposal{Of: rng.Uint64(), Number: rng.Uint64(), Remove: []uint32{1, 5, 70000}, Add: []membership.Member{*someone(rng)}}
+		m.Proposal = &membership.Proposal{ViewNumber: rng.Uint64(), NextNumber: rng.Uint64(), Remove: []uint32{1, 5, 70000}, Add: []membership.Member{*someone(rng)}}
 	}
 	for range rng.IntN(3) {
-		m.Joins = append(m.Joins, membership.Candidate{Member: *someone(rng), Slot: rng.Uint32N(16), Number: rng.Uint64N(9)})
+		m.Joiners = append(m.Joiners, membership.Joiner{Member: *someone(rng), Slot: rng.Uint32N(16), Number: rng.Uint64N(9)})
 	}
 	if rng.IntN(3) == 0 {
 		var all []membership.Member
@@ -94,12 +94,12 @@
 		b    []byte
 		want Fault
 	}{
-		"nothing": {nil, Short}, "a head cut off": {good[:Head-1], Short}, "text": {[]byte("GET / HTTP/1.1\r\n"), Noise},
+		"nothing": {nil, TooShort}, "a head cut off": {good[:HeaderSize-1], TooShort}, "text": {[]byte("GET / HTTP/1.1\r\n"), BadMagic},
 		"the next version": {change(2, Version+1), OtherVersion}, "another fleet": {Append(nil, 8, m), OtherFleet},
-		"a byte changed": {change(len(good)-1, good[len(good)-1]^1), Damaged}, "cut off": {good[:len(good)-1], Damaged},
+		"a byte changed": {change(len(good)-1, good[len(good)-1]^1), BadChecksum}, "cut off": {good[:len(good)-1], BadChecksum},
 		"no sender":                  {Append(nil, 7, &membership.Message{Kind: membership.Probe}), Malformed},
 		"no kind":                    {Append(nil, 7, &membership.Message{Life: 1}), Malformed},
-		"a kind of the next version": {Append(nil, 7, &membership.Message{Kind: membership.Carry + 1, Life: 1}), Malformed},
+		"a kind of the next version": {Append(nil, 7, &membership.Message{Kind: membership.Payload + 1, Life: 1}), Malformed},
 	} {
 		_, err := Parse(x.b, 7, 10)
 		var bad *Error
@@ -117,7 +117,7 @@
 
 // seal gives fields a head that is right.
 func seal(fields []byte) []byte {
-	b := Append(nil, 7, &membership.Message{})[:Head]
+	b := Append(nil, 7, &membership.Message{})[:HeaderSize]
 	b = append(b, fields...)
 	sum := checksum(b)
 	b[8], b[9], b[10], b[11] = byte(sum>>24), byte(sum>>16), byte(sum>>8), byte(sum)
@@ -126,7 +126,7 @@
 
 // Fields that a later writer of this version adds are passed over.
 func TestUnknownFields(t *testing.T) {
-	fields := Append(nil, 7, &membership.Message{Kind: membership.Ack, Life: 3, Seq: 9})[Head:]
+	fields := Append(nil, 7, &membership.Message{Kind: membership.Ack, Life: 3, Seq: 9})[HeaderSize:]
 	fields = protowire.AppendVarint(protowire.AppendTag(fields, 99, protowire.VarintType), 5)
 	fields = protowire.AppendBytes(protowire.AppendTag(fields, 100, protowire.BytesType), []byte("later"))
 	fields = protowire.AppendFixed32(protowire.AppendTag(fields, 101, protowire.Fixed32Type), 1)
@@ -140,10 +140,10 @@
 func TestAllocationIsWarranted(t *testing.T) {
 	many := func(field protowire.Number, part []byte) []byte {
 		var all []byte
-		for len(all) < MostDatagram-Head-16 {
+		for len(all) < MaxDatagram-HeaderSize-16 {
 			all = protowire.AppendBytes(protowire.AppendTag(all, field, protowire.BytesType), part)
 		}
-		return append(all, Append(nil, 7, &membership.Message{Kind: membership.Gossip, Life: 1})[Head:]...)
+		return append(all, Append(nil, 7, &membership.Message{Kind: membership.Gossip, Life: 1})[HeaderSize:]...)
 	}
 	for name, b := range map[string][]byte{
 		"alerts": seal(many(fieldAlert, []byte{1, 1, 1})), "alive": seal(many(fieldAlive, []byte{1, 1})), "joins": seal(many(fieldJoin, nil)),
@@ -163,7 +163,7 @@
 func FuzzParse(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 30 {
-		f.Add(Append(nil, 7, drawn(rng))[Head:])
+		f.Add(Append(nil, 7, drawn(rng))[HeaderSize:])
 	}
 	f.Fuzz(func(t *testing.T, fields []byte) {
 		m, err := Parse(seal(fields), 7, 10)
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -98,7 +98,7 @@
 		say(Reply{Standing: &s, Syncs: l.disk.syncs.Load(), Written: l.disk.bytes.Load()})
 	case "found":
 		l.look() // the view of now
-		if err := l.council.Found(now, q.Names, q.Voters, q.Tokens, func(s leaselog.VoterSet, err error) {
+		if err := l.council.FoundLog(now, q.Names, q.Voters, q.Tokens, func(s leaselog.VoterSet, err error) {
 			r := Reply{Seats: &s}
 			if err != nil {
 				r.Error = err.Error()
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -107,11 +107,11 @@
 // begin makes a council of what the disk holds.
 func (l *Leases) begin() {
 	if l.found.Doubt != "" {
-		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.found.Disk.ID), "why", l.found.Doubt)
+		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.found.State.ID), "why", l.found.Doubt)
 	}
 	set := leaselog.Settings{Name: l.set.Name, Site: l.set.Site, ReplaceAfter: l.set.ReplaceAfter}
-	set.Agree.Round = round
-	l.council = leaselog.New(set, &l.found.Disk, l.found.Note, l.found.Doubt, rand.Uint64(), clock.Boot())
+	set.Consensus.TickInterval = round
+	l.council = leaselog.New(set, &l.found.State, l.found.Note, l.found.Doubt, rand.Uint64(), clock.Boot())
 	l.view, l.reopening = nil, false
 }
 
--- a/internal/node/leases/tenants.go
+++ b/internal/node/leases/tenants.go
@@ -39,7 +39,7 @@
 	if l.view == nil {
 		return 0
 	}
-	if i, ok := l.view.Named(l.set.Name); ok {
+	if i, ok := l.view.IndexOfName(l.set.Name); ok {
 		return l.view.Members[i].Incarnation
 	}
 	return 0
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -282,7 +282,7 @@
 	case wantsList:
 		e.reply <- l.present()
 	case granted:
-		l.pooled(l.pool.holder.Grant(l.now, e.from, e.Grant))
+		l.pooled(l.pool.holder.HandleGrant(l.now, e.from, e.Grant))
 	case stepped:
 		took, more := e.step(e.slice)
 		e.done <- result{took, more}
--- a/internal/node/members/carry.go
+++ b/internal/node/members/carry.go
@@ -56,7 +56,7 @@
 }
 
 // loaded addresses something.
-func (m *Members) loaded(n *membership.Node, c *load) []membership.Send {
+func (m *Members) loaded(n *membership.Node, c *load) []membership.Outgoing {
 	to, ok := m.book[c.to]
 	if !ok {
 		to = c.at
@@ -64,7 +64,7 @@
 	if !to.IsValid() || to.Port() == 0 {
 		return nil
 	}
-	return []membership.Send{{To: to, Message: &membership.Message{
-		Kind: membership.Carry, Life: n.Self().Life, Topic: c.topic, Body: c.body,
+	return []membership.Outgoing{{To: to, Message: &membership.Message{
+		Kind: membership.Payload, Life: n.Self().Life, Topic: c.topic, Body: c.body,
 	}}}
 }
--- a/internal/node/members/control.go
+++ b/internal/node/members/control.go
@@ -16,13 +16,13 @@
 // Report is what a node answers an operator.
 type Report struct {
 	Fleet    string
-	Standing membership.Standing
+	Standing membership.Status
 	Sent     int64 // datagrams
 	Bytes    int64
 	Received int64
 	Dropped  int64
-	Passed   int64                // over: noise, damage, other fleets and versions
-	Pools    []allowance.Standing // of cold servers that this node deals for
+	Passed   int64                  // over: noise, damage, other fleets and versions
+	Pools    []allowance.PoolStatus // of cold servers that this node deals for
 }
 
 // control answers operators: whoever connects gets the report, and the end.
@@ -46,7 +46,7 @@
 		Passed: m.counts.Noise.Load() + m.counts.Damaged.Load() + m.counts.OtherFleet.Load() + m.counts.Other.Load(),
 	}
 	err := m.call(ctx, func(n *membership.Node, now time.Duration) {
-		r.Standing, r.Pools = n.Standing(now), m.dealer.Standings(now)
+		r.Standing, r.Pools = n.Status(now), m.dealer.PoolStatuses(now)
 	})
 	return r, err
 }
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -60,7 +60,7 @@
 	ended   chan struct{}
 	streams chan struct{} // a place for each that goes out
 	view    atomic.Pointer[membership.View]
-	dealer  *allowance.Dealer                     // Run's
+	dealer  *allowance.Allocator                  // Run's
 	claims  chan *claim                           // to be sent
 	granted func(from uint64, g *allowance.Grant) // nil: nobody waits for grants
 	loads   chan *load                            // to be sent, for others that use the sockets
@@ -81,10 +81,10 @@
 // Open binds the addresses and reads what was kept.
 func Open(set Settings, c clock.Clock, log *slog.Logger) (_ *Members, err error) {
 	m := &Members{
-		set: set, fleet: wire.Fleet(set.Fleet), log: log, clock: c,
+		set: set, fleet: wire.FleetNumber(set.Fleet), log: log, clock: c,
 		in: make(chan *membership.Message, inbox), calls: make(chan func(*membership.Node, time.Duration)),
 		ended: make(chan struct{}), streams: make(chan struct{}, mostStreams),
-		dealer: allowance.NewDealer(allowance.Settings{Window: set.Window}), claims: make(chan *claim, mostClaims),
+		dealer: allowance.NewAllocator(allowance.Settings{Window: set.Window}), claims: make(chan *claim, mostClaims),
 		loads: make(chan *load, mostLoads), takers: map[uint32]func([]byte){}, book: map[string]netip.AddrPort{},
 	}
 	m.beat.Store(int64(c.Began())) // it may stand still from its first moment on
@@ -151,11 +151,11 @@
 	}
 	set := membership.Settings{
 		Self:  membership.Member{Name: m.set.Name, Site: m.set.Site, Addr: m.set.Advertise},
-		Seeds: m.set.Seeds, Round: round, Watchers: watchers,
+		Seeds: m.set.Seeds, GossipInterval: round, WatchersPerMember: watchers,
 	}
 	if m.keep != nil {
 		k := m.keep.last()
-		set.Incarnation, set.Number, set.Known = k.Incarnation, k.Number, k.Known
+		set.Incarnation, set.LastViewNumber, set.KnownAddrs = k.Incarnation, k.Number, k.Known
 		parts.Go(func() { m.keep.run(ctx) })
 	}
 	n := membership.New(set, rand.Uint64(), m.clock.Now())
@@ -170,7 +170,7 @@
 			m.tick(m.clock.Now())
 			n.Tick(m.clock.Now())
 		case x := <-m.in:
-			if x.Kind == membership.Carry {
+			if x.Kind == membership.Payload {
 				m.send(ctx, m.carried(n, x), &parts)
 				continue
 			}
@@ -244,7 +244,7 @@
 
 // carry sends what the node wants sent, and tells what happened.
 func (m *Members) carry(ctx context.Context, n *membership.Node, parts *sync.WaitGroup) {
-	sends, events := n.Take()
+	sends, events := n.TakeOutput()
 	m.send(ctx, sends, parts)
 	for _, e := range events {
 		m.note(n, e)
@@ -252,7 +252,7 @@
 }
 
 // send puts messages on the sockets.
-func (m *Members) send(ctx context.Context, sends []membership.Send, parts *sync.WaitGroup) {
+func (m *Members) send(ctx context.Context, sends []membership.Outgoing, parts *sync.WaitGroup) {
 	var buf []byte
 	for _, s := range sends {
 		to := s.To
@@ -260,7 +260,7 @@
 			to = via
 		}
 		buf = wire.Append(buf[:0], m.fleet, s.Message)
-		if !s.Stream && len(buf) <= wire.MostDatagram {
+		if !s.Stream && len(buf) <= wire.MaxDatagram {
 			if _, err := m.udp.WriteToUDPAddrPort(buf, to); err == nil {
 				m.counts.Datagrams.Add(1)
 				m.counts.Bytes.Add(int64(len(buf)))
@@ -283,19 +283,19 @@
 // note logs an event, and keeps what is to outlive a restart.
 func (m *Members) note(n *membership.Node, e membership.Event) {
 	switch e.Kind {
-	case membership.Changed:
+	case membership.ViewChanged:
 		m.log.Info("the members have changed", "view", e.View.Number, "members", len(e.View.Members), "why", e.Text)
 	case membership.Founded:
 		m.log.Info("this node founds the fleet", "fleet", m.set.Fleet, "view", e.View.Number)
-	case membership.Out:
+	case membership.Evicted:
 		m.log.Warn("this life is not among the members any more; a new one begins", "view", e.View.Number, "why", e.Text)
 	case membership.Accused:
 		m.log.Warn("a member", "name", e.Member.Name, "address", e.Member.Addr.String(), "what", e.Text)
-	case membership.Conflict:
+	case membership.NameConflict:
 		m.log.Error("another process has this node's name and was first; this one stays out", "name", e.Member.Name, "address", e.Member.Addr.String())
 	case membership.Stalled:
 		m.log.Warn("this node stood still", "for", e.Text)
-	case membership.Foreign:
+	case membership.ForeignFleet:
 		m.log.Warn("another fleet of this name holds; this node joins it", "why", e.Text)
 	case membership.Left:
 		m.log.Info("the others have let this node go")
--- a/internal/node/members/pool.go
+++ b/internal/node/members/pool.go
@@ -28,9 +28,9 @@
 func (m *Members) OnGrant(take func(from uint64, g *allowance.Grant)) { m.granted = take }
 
 // sendClaim brings a claim to its dealer: by the network, or to this node's own.
-func (m *Members) sendClaim(n *membership.Node, c *claim) []membership.Send {
+func (m *Members) sendClaim(n *membership.Node, c *claim) []membership.Outgoing {
 	if c.to == n.Self().Life {
-		if g, ok := m.dealer.Claim(m.clock.Now(), &c.claim); ok && m.granted != nil {
+		if g, ok := m.dealer.HandleClaim(m.clock.Now(), &c.claim); ok && m.granted != nil {
 			m.granted(c.to, &g)
 		}
 		return nil
@@ -39,7 +39,7 @@
 }
 
 // carried takes a message that is not the membership's own.
-func (m *Members) carried(n *membership.Node, x *membership.Message) []membership.Send {
+func (m *Members) carried(n *membership.Node, x *membership.Message) []membership.Outgoing {
 	switch x.Topic {
 	case wire.TopicClaim:
 		c, err := wire.ParseClaim(x.Body)
@@ -47,7 +47,7 @@
 			m.counts.Noise.Add(1)
 			return nil
 		}
-		if g, ok := m.dealer.Claim(m.clock.Now(), c); ok {
+		if g, ok := m.dealer.HandleClaim(m.clock.Now(), c); ok {
 			return m.carryTo(n, x.Life, wire.TopicGrant, wire.AppendGrant(nil, &g))
 		}
 	case wire.TopicGrant:
@@ -70,16 +70,16 @@
 }
 
 // carryTo addresses something to a life; to none, if it is no member here.
-func (m *Members) carryTo(n *membership.Node, life uint64, topic uint32, body []byte) []membership.Send {
+func (m *Members) carryTo(n *membership.Node, life uint64, topic uint32, body []byte) []membership.Outgoing {
 	v := n.View()
 	if v == nil {
 		return nil
 	}
-	i, ok := v.Index(life)
+	i, ok := v.IndexOfLife(life)
 	if !ok {
 		return nil
 	}
-	return []membership.Send{{To: v.Members[i].Addr, Message: &membership.Message{
-		Kind: membership.Carry, Life: n.Self().Life, Topic: topic, Body: body,
+	return []membership.Outgoing{{To: v.Members[i].Addr, Message: &membership.Message{
+		Kind: membership.Payload, Life: n.Self().Life, Topic: topic, Body: body,
 	}}}
 }
--- a/internal/node/members/sockets.go
+++ b/internal/node/members/sockets.go
@@ -14,7 +14,7 @@
 
 // readDatagrams hands over what comes by UDP, until the socket is closed.
 func (m *Members) readDatagrams() {
-	b := make([]byte, wire.MostDatagram+1)
+	b := make([]byte, wire.MaxDatagram+1)
 	for {
 		size, _, err := m.udp.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
@@ -24,7 +24,7 @@
 			continue // a port that nobody has any more answers to what was sent there
 		}
 		m.counts.Received.Add(1)
-		if size > wire.MostDatagram {
+		if size > wire.MaxDatagram {
 			m.counts.Noise.Add(1)
 			continue
 		}
@@ -38,7 +38,7 @@
 	var bad *wire.Error
 	if errors.As(err, &bad) {
 		switch bad.Fault {
-		case wire.Damaged:
+		case wire.BadChecksum:
 			m.counts.Damaged.Add(1)
 		case wire.OtherFleet:
 			m.counts.OtherFleet.Add(1)
@@ -60,8 +60,8 @@
 func (m *Members) accept(ctx context.Context) {
 	bounds := accept.Bounds{Most: mostStreams, Wait: streamWait, Turned: func() { m.counts.Dropped.Add(1) }}
 	accept.Serve(ctx, m.tcp, bounds, func(c net.Conn) {
-		b, err := io.ReadAll(io.LimitReader(c, wire.MostStream+1))
-		if err != nil || len(b) > wire.MostStream {
+		b, err := io.ReadAll(io.LimitReader(c, wire.MaxStreamMessage+1))
+		if err != nil || len(b) > wire.MaxStreamMessage {
 			m.counts.Noise.Add(1)
 			return
 		}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -26,14 +26,14 @@
 // pool is this node's part in the budgets of cold servers that the nodes pool. It belongs to the loop.
 type pool struct {
 	fleet   fleet
-	holder  *allowance.Holder
+	holder  *allowance.Lender
 	view    *membership.View // that members are of
 	members []allowance.Member
 	colds   []decide.ColdServer
 }
 
 func newPool(f fleet, c *Config, now time.Duration) *pool {
-	return &pool{fleet: f, holder: allowance.NewHolder(allowance.Settings{Window: c.Settings.CollapseWindow}, c.Seed^uint64(now), now)}
+	return &pool{fleet: f, holder: allowance.NewLender(allowance.Settings{Window: c.Settings.CollapseWindow}, c.Seed^uint64(now), now)}
 }
 
 // known are the members of the present view; nobody, where there is none.
@@ -61,7 +61,7 @@
 func (l *loop) claim() {
 	p := l.pool
 	p.colds = l.balancer.ColdServers(l.now, p.colds[:0])
-	if len(p.colds) == 0 && p.holder.Lent(l.now) == 0 {
+	if len(p.colds) == 0 && p.holder.LentServers(l.now) == 0 {
 		return
 	}
 	outs, deals := p.holder.Tick(l.now, p.known(), p.colds)
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -122,9 +122,9 @@
 		Kind: fleetrecord.ListReply, From: "n0", List: fleetrecord.List{Generation: 1, Discovery: "127.0.0.1:1"}, Body: list,
 	}})
 	const fleet, watchers = 7, 10
-	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Carry, Life: 1, Topic: wire.TopicList, Body: body})
-	if len(sent) > wire.MostStream {
-		t.Fatalf("%d bytes, at most %d are read", len(sent), wire.MostStream)
+	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Payload, Life: 1, Topic: wire.TopicList, Body: body})
+	if len(sent) > wire.MaxStreamMessage {
+		t.Fatalf("%d bytes, at most %d are read", len(sent), wire.MaxStreamMessage)
 	}
 	came, err := wire.Parse(sent, fleet, watchers)
 	if err != nil {
@@ -153,8 +153,8 @@
 		t.Fatal(err)
 	}
 	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Gossip, Life: 1, View: v})
-	if len(sent) > wire.MostStream {
-		t.Fatalf("%d bytes, at most %d are read", len(sent), wire.MostStream)
+	if len(sent) > wire.MaxStreamMessage {
+		t.Fatalf("%d bytes, at most %d are read", len(sent), wire.MaxStreamMessage)
 	}
 	if m, err := wire.Parse(sent, fleet, watchers); err != nil || len(m.View.Members) != plannedSize {
 		t.Errorf("%v, %+v", err, m)
--- a/internal/rig/leases/sim.go
+++ b/internal/rig/leases/sim.go
@@ -148,8 +148,8 @@
 func (p *peer) open() {
 	disk := p.disk.Clone()
 	set := leaselog.Settings{
-		Name: p.name, Site: p.site, Terms: p.s.terms, ReplaceAfter: simReplaceAfter, Compact: 40,
-		Agree: consensus.Settings{Round: simRound, Keep: 8},
+		Name: p.name, Site: p.site, Terms: p.s.terms, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
+		Consensus: consensus.Settings{TickInterval: simRound, KeepEntries: 8},
 	}
 	p.council = leaselog.New(set, &disk, p.note, "", p.s.rng.Uint64(), p.clock())
 }
@@ -173,7 +173,7 @@
 			if s.Begin != nil {
 				p.disk = s.Begin.Clone()
 			}
-			p.disk.Put(&s.Save)
+			p.disk.Apply(&s.Save)
 			if s.Note != nil {
 				p.note = s.Note
 			}
@@ -235,7 +235,7 @@
 	for i := range nodes {
 		p := &peer{
 			s: s, name: fmt.Sprint("n", i), site: fmt.Sprint("s", i%3), base: time.Duration(s.rng.Int64N(int64(1000 * time.Hour))),
-			skew: 1 + s.terms.Drift/2.1*(2*s.rng.Float64()-1),
+			skew: 1 + s.terms.ClockDrift/2.1*(2*s.rng.Float64()-1),
 		}
 		s.peers, s.byName[p.name] = append(s.peers, p), p
 	}
@@ -245,7 +245,7 @@
 	s.after(500*time.Millisecond, func() {
 		p := s.peers[s.rng.IntN(nodes)]
 		p.council.SetMembers(p.clock(), s.view())
-		if err := p.council.Found(p.clock(), nil, voters, 0, func(_ leaselog.VoterSet, err error) {
+		if err := p.council.FoundLog(p.clock(), nil, voters, 0, func(_ leaselog.VoterSet, err error) {
 			if err != nil {
 				s.Wrong = append(s.Wrong, "founding: "+err.Error())
 			}
--- a/internal/rig/members/faults_test.go
+++ b/internal/rig/members/faults_test.go
@@ -253,7 +253,7 @@
 	heal(t, n, 10*time.Second)
 	told := 0
 	n.Log = func(format string, args ...any) {
-		if len(args) > 2 && args[1] == late.Name && args[2] == membership.Conflict {
+		if len(args) > 2 && args[1] == late.Name && args[2] == membership.NameConflict {
 			told++
 		}
 	}
@@ -308,7 +308,7 @@
 			n.At(n.Now+time.Duration(k)*100*time.Millisecond, func() {
 				m := &membership.Message{Kind: membership.Gossip, Root: v.Root, Number: v.Number, Life: liar.Core.(*real).Self().Life}
 				for i := range uint32(nodes) {
-					for s, w := range v.Watchers(i) {
+					for s, w := range v.WatchersOf(i) {
 						if v.Members[w].Name == liar.Name {
 							m.Alerts = append(m.Alerts, membership.Alert{Subject: i, Slot: uint32(s), Seq: k + 1000, Down: true})
 						}
@@ -341,7 +341,7 @@
 		n.Run(n.Now + time.Second)
 		heal(t, n, 15*time.Second)
 		v := n.View(0)
-		if i, ok := v.Named(n.Nodes[4].Name); !ok || v.Members[i].Incarnation != want {
+		if i, ok := v.IndexOfName(n.Nodes[4].Name); !ok || v.Members[i].Incarnation != want {
 			t.Errorf("incarnation %+v, want %d", v.Members, want)
 		}
 	}
--- a/internal/rig/members/net.go
+++ b/internal/rig/members/net.go
@@ -283,7 +283,7 @@
 func (n *Net) real(x *Node) Core {
 	s := membership.Settings{
 		Self:        membership.Member{Name: x.Name, Site: x.Site, Addr: x.Addr},
-		Incarnation: x.incarnation, Number: x.number, Known: x.known, Round: n.Tick,
+		Incarnation: x.incarnation, LastViewNumber: x.number, KnownAddrs: x.known, GossipInterval: n.Tick,
 	}
 	for i := range max(1, n.Seeds) {
 		s.Seeds = append(s.Seeds, n.Nodes[i].Addr)
@@ -292,8 +292,8 @@
 		n.Tune(&s)
 	}
 	if n.Shared {
-		k := s.Default().Watchers
-		s.Next = func(v *membership.View, p *membership.Proposal) (*membership.View, error) {
+		k := s.Default().WatchersPerMember
+		s.NextView = func(v *membership.View, p *membership.Proposal) (*membership.View, error) {
 			key := nextKey{v.Digest, p.Hash()}
 			if next := n.shared[key]; next != nil {
 				return next, nil
@@ -321,7 +321,7 @@
 }
 
 func (r *real) Take() []Packet {
-	sends, events := r.Node.Take()
+	sends, events := r.Node.TakeOutput()
 	for _, e := range events {
 		r.net.note(r.node, e)
 	}
@@ -331,7 +331,7 @@
 		if r.net.Wire || r.net.Weigh {
 			b := wire.Append(nil, r.fleet, s.Message)
 			p.Bytes = len(b)
-			if len(b) > wire.MostDatagram && !s.Stream {
+			if len(b) > wire.MaxDatagram && !s.Stream {
 				r.net.Wrong = append(r.net.Wrong, fmt.Sprintf("%s sends a datagram of %d bytes, kind %d", r.node.Name, len(b), s.Message.Kind))
 			}
 			if r.net.Wire {
@@ -358,8 +358,8 @@
 // note books an event of a node, and checks that of each number there is one view.
 func (n *Net) note(x *Node, e membership.Event) {
 	switch e.Kind {
-	case membership.Changed, membership.Founded:
-		if e.Kind == membership.Changed {
+	case membership.ViewChanged, membership.Founded:
+		if e.Kind == membership.ViewChanged {
 			x.Views++
 			n.Changes = append(n.Changes, Change{n.Now, x.Index, e.View, e.Text})
 		}
@@ -373,7 +373,7 @@
 		} else if first.Digest != e.View.Digest {
 			n.Wrong = append(n.Wrong, fmt.Sprintf("%v: %s has another view %d than a node before it", n.Now, x.Name, e.View.Number))
 		}
-		if e.View.Number < x.number && e.Kind == membership.Changed && x.incarnation > 0 {
+		if e.View.Number < x.number && e.Kind == membership.ViewChanged && x.incarnation > 0 {
 			n.Wrong = append(n.Wrong, fmt.Sprintf("%v: %s went from view %d back to %d", n.Now, x.Name, x.number, e.View.Number))
 		}
 		x.number = e.View.Number
@@ -381,12 +381,12 @@
 		for i := range min(8, len(e.View.Members)) {
 			x.known = append(x.known, e.View.Members[i*len(e.View.Members)/8%len(e.View.Members)].Addr)
 		}
-		if i, ok := e.View.Named(x.Name); ok {
+		if i, ok := e.View.IndexOfName(x.Name); ok {
 			x.incarnation = e.View.Members[i].Incarnation
 		}
-	case membership.Born:
+	case membership.NewIncarnation:
 		x.incarnation = e.Member.Incarnation
-	case membership.Out:
+	case membership.Evicted:
 		x.Outs++
 	}
 	if n.Log != nil {
@@ -398,7 +398,7 @@
 func (n *Net) deaths(before, now *membership.View) {
 	for i := range before.Members {
 		m := &before.Members[i]
-		if _, still := now.Index(m.Life); still {
+		if _, still := now.IndexOfLife(m.Life); still {
 			continue
 		}
 		x := n.byAddr[m.Addr]
@@ -446,7 +446,7 @@
 		if v == nil || len(v.Members) != len(nodes) || first != nil && v.Digest != first.Digest {
 			return false
 		}
-		if _, in := v.Named(n.Nodes[i].Name); !in {
+		if _, in := v.IndexOfName(n.Nodes[i].Name); !in {
 			return false
 		}
 		first = v
--- a/internal/rig/virtual/pool.go
+++ b/internal/rig/virtual/pool.go
@@ -23,8 +23,8 @@
 // pooling is a node's part.
 type pooling struct {
 	member uint64 // of its life
-	holder *allowance.Holder
-	dealer *allowance.Dealer
+	holder *allowance.Lender
+	dealer *allowance.Allocator
 	colds  []decide.ColdServer
 }
 
@@ -41,7 +41,7 @@
 	}
 	n.pool = &pooling{
 		member: uint64(n.index+1)<<20 | uint64(n.life+1),
-		holder: allowance.NewHolder(set, r.rng.Uint64(), born), dealer: allowance.NewDealer(set),
+		holder: allowance.NewLender(set, r.rng.Uint64(), born), dealer: allowance.NewAllocator(set),
 	}
 	life := n.life
 	me := allowance.Member{Life: n.pool.member, Site: strconv.Itoa(n.site)}
@@ -83,7 +83,7 @@
 func (r *run) poolStep(n *node) {
 	now := r.start(r.now)
 	n.pool.colds = n.b.ColdServers(now, n.pool.colds[:0])
-	if len(n.pool.colds) == 0 && n.pool.holder.Lent(now) == 0 {
+	if len(n.pool.colds) == 0 && n.pool.holder.LentServers(now) == 0 {
 		return
 	}
 	outs, deals := n.pool.holder.Tick(now, r.roll, n.pool.colds)
@@ -94,14 +94,14 @@
 		claim := o.Claim
 		r.result.Claims++
 		r.word(n, o.To, func(d *node) {
-			g, ok := d.pool.dealer.Claim(r.start(r.now), &claim)
+			g, ok := d.pool.dealer.HandleClaim(r.start(r.now), &claim)
 			if !ok {
 				return
 			}
 			from := d.pool.member
 			r.word(d, n.pool.member, func(n *node) {
 				now := r.start(r.now)
-				if deals := n.pool.holder.Grant(now, from, &g); len(deals) > 0 {
+				if deals := n.pool.holder.HandleGrant(now, from, &g); len(deals) > 0 {
 					for _, x := range deals {
 						r.result.Dealt += x.Sends
 					}
