--- a/cmd/curlewctl/lease.go
+++ b/cmd/curlewctl/lease.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"curlewring/internal/fleet/lease"
-	"curlewring/internal/lessee"
+	"curlewring/internal/leaseexec"
 	"curlewring/internal/node/leases"
 )
 
@@ -69,14 +69,14 @@
 	if len(command) == 0 {
 		return errors.New("there is no command behind --")
 	}
-	code, err := lessee.Run(ctx, lessee.Options{
+	code, err := leaseexec.Run(ctx, leaseexec.Options{
 		Folder: c.Folder, Lease: c.Name, TTL: c.TTL, Grace: c.Grace, Wait: c.Wait, Command: command,
 		Say: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "curlewctl: "+format+"\n", args...) },
 	})
 	switch {
-	case errors.Is(err, lessee.ErrNotHeld):
+	case errors.Is(err, leaseexec.ErrNotHeld):
 		code = exitNotHeld
-	case errors.Is(err, lessee.ErrLost):
+	case errors.Is(err, leaseexec.ErrLost):
 		code = exitLost
 	case err != nil:
 		code = exitNoNode
--- a/cmd/curlewring/main.go
+++ b/cmd/curlewring/main.go
@@ -20,8 +20,8 @@
 	"syscall"
 	"time"
 
-	"curlewring/internal/companion"
 	"curlewring/internal/node"
+	"curlewring/internal/supervisor"
 )
 
 func main() {
@@ -135,11 +135,11 @@
 	if err != nil {
 		log.Warn("the application starts without a server to send to", "err", err)
 	}
-	c := companion.Default(s.Command, log)
+	c := supervisor.Default(s.Command, log)
 	if s.Socket != "" {
 		c.Env = append(c.Env, "CURLEWRING_SOCKET="+s.Socket)
 	} else {
 		c.Env = append(c.Env, "CURLEWRING_ADDRESS="+n.Address().String())
 	}
-	return companion.Run(ctx, c)
+	return supervisor.Run(ctx, c)
 }
--- a/internal/lessee/group_linux.go
+++ b/internal/leaseexec/group_linux.go
@@ -1,4 +1,4 @@
-package lessee
+package leaseexec
 
 import (
 	"os/exec"
--- a/internal/lessee/group_other.go
+++ b/internal/leaseexec/group_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package lessee
+package leaseexec
 
 import (
 	"os/exec"
--- a/internal/lessee/lessee.go
+++ b/internal/leaseexec/lessee.go
@@ -1,11 +1,11 @@
-// Package lessee runs a command under a lease of the fleet: it asks the node beside it for the
+// Package leaseexec runs a command under a lease of the fleet: it asks the node beside it for the
 // lease, starts the command once that is held, and ends it before the lease can pass on,
 // whether the node says so, falls silent or is gone.
 //
 // Run owns the command and its process group. The lease's end is told in the machine's own
 // clock (clock.Boot), so nothing that the node can't say any more has to arrive in time.
 // What it can't do: end a command while this process itself stands still.
-package lessee
+package leaseexec
 
 import (
 	"context"
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -123,7 +123,7 @@
 		return 0
 	}
 	before := g.account.SpentBelow()
-	spent, word, err := budget.ParseSpent(o.Spent)
+	spent, word, err := budget.ParseSpent(o.SpentBudget)
 	if err != nil {
 		b.once(&b.odd, "an answer's word of what was spent is odd, and not taken", "err", err)
 	}
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -58,13 +58,13 @@
 var single = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
 
 // Request takes one request; it is front.Handler's.
-func (s *callers) Request(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Answer) {
+func (s *callers) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
 	now := s.clock.Now()
 	if r.URL.Path == "/ready" {
 		if s.loop.ready.Load() && !s.leaving.Load() {
-			return nil, -1, &front.Answer{Status: http.StatusOK, Text: "ready"}
+			return nil, -1, &front.Response{Status: http.StatusOK, Text: "ready"}
 		}
-		return nil, -1, &front.Answer{Status: http.StatusServiceUnavailable, Text: "not ready"}
+		return nil, -1, &front.Response{Status: http.StatusServiceUnavailable, Text: "not ready"}
 	}
 	p, status, why := s.parse(nil, r, now)
 	spent := ""
@@ -83,15 +83,15 @@
 	if p == nil {
 		// What follows on the connection of a client that makes such errors may be
 		// no request at all: part of this one's body, say.
-		a := &front.Answer{Status: status, Text: why, Close: true}
+		a := &front.Response{Status: status, Text: why, Close: true}
 		if spent != "" {
-			a.Name, a.Value = budget.SpentHeaderName, spent
+			a.HeaderName, a.HeaderValue = budget.SpentHeaderName, spent
 		}
 		return nil, -1, a
 	}
 	if crowded {
 		s.end(p.call.Txn)
-		return nil, p.request.Class, &front.Answer{Status: http.StatusTooManyRequests, Text: "too many connections", Close: true}
+		return nil, p.request.Class, &front.Response{Status: http.StatusTooManyRequests, Text: "too many connections", Close: true}
 	}
 	p.token, p.came = t, now
 	s.loop.post(arrived{p})
@@ -99,7 +99,7 @@
 }
 
 // Gone takes back what a client asked that has left; it is front.Handler's.
-func (s *callers) Gone(open any) {
+func (s *callers) ClientGone(open any) {
 	p := open.(*pending)
 	p.over.Store(true) // from this moment, however long the loop's turn may take
 	s.end(p.txn)
@@ -127,13 +127,13 @@
 // answer passes the final answer on. It does not wait.
 func (s *callers) answer(p *pending, a answer) {
 	s.end(p.txn)
-	to := front.Answer{Name: budget.SpentHeaderName, Value: a.spent, Until: p.deadline + front.WriteGrace}
+	to := front.Response{HeaderName: budget.SpentHeaderName, HeaderValue: a.spent, WriteDeadline: p.deadline + front.WriteGrace}
 	if a.spent == "" {
-		to.Name = ""
+		to.HeaderName = ""
 	}
 	switch a.ending {
 	case served:
-		to.Status, to.Kind, to.Body = http.StatusOK, a.response.Kind, a.response.Body
+		to.Status, to.ContentType, to.Body = http.StatusOK, a.response.ContentType, a.response.Body
 	case refused:
 		to.Status, to.Text, to.RetryAfter = http.StatusTooManyRequests, "refused", a.retryAfter
 	case failed:
@@ -141,7 +141,7 @@
 	case overdue:
 		to.Status, to.Text = http.StatusGatewayTimeout, "no answer in time"
 	}
-	s.front.Answer(p.token, to)
+	s.front.Respond(p.token, to)
 }
 
 // parse reads a request, or says what is wrong with it. None of the codes it
@@ -206,9 +206,9 @@
 		}
 		p.request.Work = work
 	}
-	p.call = &upstream.Call{
-		Method: r.Method, URI: r.RequestURI, Host: r.Host, Txn: txn, Key: key, Kind: r.Header.Get("Content-Type"),
-		Over: &p.over,
+	p.call = &upstream.Request{
+		Method: r.Method, URI: r.RequestURI, Host: r.Host, Txn: txn, IdempotencyKey: key, ContentType: r.Header.Get("Content-Type"),
+		Finished: &p.over,
 	}
 	if !strings.HasPrefix(p.call.URI, "/") || strings.HasPrefix(p.call.URI, "//") {
 		return nil, http.StatusBadRequest, "the target is no path"
@@ -219,7 +219,7 @@
 	if s.effects[class] == decide.Idempotent {
 		return nil, http.StatusBadRequest, "the class takes no body"
 	}
-	if r.ContentLength > upstream.MostBody {
+	if r.ContentLength > upstream.MaxBodySize {
 		return nil, http.StatusRequestEntityTooLarge, "the body is too large"
 	}
 	p.call.Body = make([]byte, r.ContentLength)
--- a/internal/node/discovery/answer.go
+++ b/internal/node/discovery/answer.go
@@ -13,12 +13,12 @@
 // PartialError is an answer that ended early, or went wrong, after its first bytes. Discovery had written it, so what it tells counts
 // as told, whether or not the rest comes.
 type PartialError struct {
-	Bad []endpoints.Entry // of what came: the servers that drain or are gone
-	Err error
+	Unavailable []endpoints.Entry // of what came: the servers that drain or are gone
+	Err         error
 }
 
 func (e *PartialError) Error() string {
-	return fmt.Sprintf("an answer that came in part, %d servers that drain or are gone: %v", len(e.Bad), e.Err)
+	return fmt.Sprintf("an answer that came in part, %d servers that drain or are gone: %v", len(e.Unavailable), e.Err)
 }
 
 // Unwrap returns what ended the answer.
@@ -28,7 +28,7 @@
 func read(r io.Reader) (*endpoints.List, error) {
 	d := decoder{json: json.NewDecoder(r)}
 	if err := d.list(); err != nil {
-		return nil, &PartialError{Bad: d.bad(), Err: err}
+		return nil, &PartialError{Unavailable: d.bad(), Err: err}
 	}
 	return &d.read, nil
 }
--- a/internal/node/discovery/answer_test.go
+++ b/internal/node/discovery/answer_test.go
@@ -51,10 +51,10 @@
 		if l != nil || !errors.As(err, &broken) {
 			t.Fatalf("%d bytes: %v, %v", n, l, err)
 		}
-		if len(broken.Bad) < bad || len(broken.Bad) > 2 {
-			t.Fatalf("%d bytes: %d bad ones after %d", n, len(broken.Bad), bad)
+		if len(broken.Unavailable) < bad || len(broken.Unavailable) > 2 {
+			t.Fatalf("%d bytes: %d bad ones after %d", n, len(broken.Unavailable), bad)
 		}
-		bad = len(broken.Bad)
+		bad = len(broken.Unavailable)
 	}
 	if bad != 2 {
 		t.Errorf("%d bad ones at the end, want 2", bad)
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -35,7 +35,7 @@
 )
 
 // Discovery makes the calls for the list of servers that the module asks for.
-type Discovery struct {
+type Client struct {
 	service  atomic.Pointer[service]
 	from     atomic.Pointer[uint64] // the generation that a watch which has none begins with; nil: the whole list
 	servers  atomic.Int64           // that the node's list has
@@ -57,14 +57,14 @@
 
 // Update is what came of a call to discovery.
 type Update struct {
-	List      *endpoints.List       // nil: the call failed, or is still out
-	Took      time.Duration         // List: the call
-	Wait      time.Duration         // List: for which discovery was asked to wait for changes
-	Unwatched bool                  // List: no call follows at once, so that what changes now is heard with the next answer
-	Accepted  bool                  // it is a long poll that discovery keeps open: it has nothing newer than this node
-	Failure   endpoints.CallFailure // why there is no list; meaningless otherwise
-	Bad       []endpoints.Entry     // Partial: servers that drain or are gone, by what has come
-	Ongoing   bool                  // Partial: the rest of the answer, or another call's, may still come
+	List         *endpoints.List       // nil: the call failed, or is still out
+	CallDuration time.Duration         // List: the call
+	PollWait     time.Duration         // List: for which discovery was asked to wait for changes
+	WatchPaused  bool                  // List: no call follows at once, so that what changes now is heard with the next answer
+	PollAccepted bool                  // it is a long poll that discovery keeps open: it has nothing newer than this node
+	Failure      endpoints.CallFailure // why there is no list; meaningless otherwise
+	Unavailable  []endpoints.Entry     // Partial: servers that drain or are gone, by what has come
+	MoreExpected bool                  // Partial: the rest of the answer, or another call's, may still come
 }
 
 // service is discovery at one address.
@@ -92,10 +92,10 @@
 }
 
 // New makes the calls of a node that stands there in its fleet.
-func New(address string, place endpoints.FleetPosition, log *slog.Logger, report func(Update)) *Discovery {
+func New(address string, place endpoints.FleetPosition, log *slog.Logger, report func(Update)) *Client {
 	asking := endpoints.NewCallTiming(place.NodeCount, callWait)
 	pace := endpoints.NewCallPacer(place)
-	d := &Discovery{
+	d := &Client{
 		log:    log,
 		watch:  make(chan bool, 1),
 		renew:  make(chan bool, 1),
@@ -115,17 +115,17 @@
 // Move makes all calls at another address from now on. Those that are under way
 // at the old one are made anew, and their end is no failure; what the old address has
 // written by then still counts.
-func (d *Discovery) Move(address string) {
+func (d *Client) SetAddress(address string) {
 	old := d.service.Swap(newService(address))
 	old.leave()
 	old.client.CloseIdleConnections()
 }
 
 // Address is where discovery is now.
-func (d *Discovery) Address() string { return d.service.Load().address }
+func (d *Client) Address() string { return d.service.Load().address }
 
 // SetWatch turns the watch on or off. It does not block; only the loop calls it.
-func (d *Discovery) SetWatch(on bool) {
+func (d *Client) SetWatch(on bool) {
 	select {
 	case <-d.watch:
 	default:
@@ -134,15 +134,15 @@
 }
 
 // From has a watch that has not begun ask from a generation: this node has the list up to it.
-func (d *Discovery) From(generation uint64) { d.from.Store(&generation) }
+func (d *Client) ResumeFrom(generation uint64) { d.from.Store(&generation) }
 
 // Servers tells how many servers the node's list has: what an answer with the whole list costs discovery.
-func (d *Discovery) Servers(n int) { d.servers.Store(int64(n)) }
+func (d *Client) SetServerCount(n int) { d.servers.Store(int64(n)) }
 
 // Renew has the watch begin anew, from the newest generation: the network may have swallowed it; or with the whole
 // list. The call before goes on beside it for a while, for its answer may be on its way. It does not block; only the
 // loop calls it.
-func (d *Discovery) Renew(whole bool) {
+func (d *Client) RestartWatch(whole bool) {
 	select {
 	case was := <-d.renew:
 		whole = whole || was
@@ -152,7 +152,7 @@
 }
 
 // whole asks for the whole list, for as long as is worth waiting for: no longer than most, unless that is 0.
-func (d *Discovery) whole(ctx context.Context, ask asks, most time.Duration) (*endpoints.List, error) {
+func (d *Client) whole(ctx context.Context, ask asks, most time.Duration) (*endpoints.List, error) {
 	d.mu.Lock()
 	wait := d.asking.Timeout()
 	d.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // AskOnce asks for the whole list. It does not block; only the loop calls it.
-func (d *Discovery) AskOnce() {
+func (d *Client) FetchList() {
 	select {
 	case d.fetch <- struct{}{}:
 	default: // one is waiting already
@@ -179,7 +179,7 @@
 }
 
 // RunFetches makes single calls until the context ends.
-func (d *Discovery) RunFetches(ctx context.Context) {
+func (d *Client) RunFetches(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -197,20 +197,20 @@
 		if err != nil {
 			d.log.Warn("asking for the list failed", "err", err)
 		}
-		d.report(Update{List: l, Took: time.Since(begun), Failure: failure(err, time.Since(begun), 0), Bad: partial(err)})
+		d.report(Update{List: l, CallDuration: time.Since(begun), Failure: failure(err, time.Since(begun), 0), Unavailable: partial(err)})
 	}
 }
 
 // begun reports an answer that has begun and takes its time: what it will tell counts as told already.
-func (d *Discovery) begun() {
-	d.report(Update{Failure: endpoints.CallFailure{Reason: endpoints.PartialAnswer}, Ongoing: true})
+func (d *Client) begun() {
+	d.report(Update{Failure: endpoints.CallFailure{Reason: endpoints.PartialAnswer}, MoreExpected: true})
 }
 
 // partial returns what came of an answer that broke off, if that is what an error says.
 func partial(err error) (bad []endpoints.Entry) {
 	var broken *PartialError
 	if errors.As(err, &broken) {
-		return broken.Bad
+		return broken.Unavailable
 	}
 	return nil
 }
@@ -248,14 +248,14 @@
 type asks func(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error)
 
 // ask makes calls at one address.
-func (d *Discovery) ask(at *service) asks {
+func (d *Client) ask(at *service) asks {
 	return func(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error) {
 		return at.call(ctx, query, wait, d.begun)
 	}
 }
 
 // call asks discovery. One that is out while discovery moves elsewhere ends with errMoved.
-func (d *Discovery) call(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error) {
+func (d *Client) call(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error) {
 	at := d.service.Load()
 	staying, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -30,7 +30,7 @@
 }
 
 // running keeps a watch from a generation on until stop.
-func running(t *testing.T, d *Discovery, since uint64) (stop func()) {
+func running(t *testing.T, d *Client, since uint64) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -117,7 +117,7 @@
 	if got := waits(d, 3); got <= short {
 		t.Errorf("after an answer a poll waits %v", got)
 	}
-	watched.Move(next.Listener.Addr().String())
+	watched.SetAddress(next.Listener.Addr().String())
 	if got := waits(next, 0); got > short {
 		t.Errorf("at a new address the poll waits %v", got)
 	}
@@ -134,7 +134,7 @@
 	stop := running(t, watched, 7)
 	watched.SetWatch(true)
 	WaitFor(t, "the watch begins", func() bool { return d.Calls() == 1 })
-	watched.Renew(true)
+	watched.RestartWatch(true)
 	WaitFor(t, "the whole is asked for", func() bool { return d.Calls() == 2 })
 	if q := d.Query(1); q != "" {
 		t.Errorf("asked %q for the whole", q)
@@ -160,7 +160,7 @@
 	stop := running(t, d, 3)
 	d.SetWatch(true)
 	WaitFor(t, "the watch is at the old address", func() bool { return old.Calls() == 1 })
-	d.Move(next.Listener.Addr().String())
+	d.SetAddress(next.Listener.Addr().String())
 	next.Tell(t, ListOf(4, false))
 	if l := <-reports; l == nil || l.Generation != 4 {
 		t.Errorf("reported %v, want the list of the new address", l)
@@ -173,7 +173,7 @@
 	if l := <-reports; l != nil {
 		t.Errorf("reported %v, want a failed call", l)
 	}
-	d.Move(old.Listener.Addr().String())
+	d.SetAddress(old.Listener.Addr().String())
 	WaitFor(t, "the watch is back", func() bool { return old.Calls() == 2 })
 	old.Tell(t, ListOf(5, false))
 	if l := <-reports; l == nil || l.Generation != 5 {
@@ -277,10 +277,10 @@
 // new configuration want it, must not throw the answer away that is on its way: the new call may have to wait in turn for
 // longer than a node may go on sending. Either order is forced: half of the answer is written before, the rest after.
 func TestAnswersCrossCallsMadeAnew(t *testing.T) {
-	for name, anew := range map[string]func(d *Discovery, next *heldServer){
-		"signs that the list is old": func(d *Discovery, _ *heldServer) { d.Renew(false) },
-		"doubts of a list":           func(d *Discovery, _ *heldServer) { d.Renew(true) },
-		"a new configuration":        func(d *Discovery, next *heldServer) { d.Move(next.address) },
+	for name, anew := range map[string]func(d *Client, next *heldServer){
+		"signs that the list is old": func(d *Client, _ *heldServer) { d.RestartWatch(false) },
+		"doubts of a list":           func(d *Client, _ *heldServer) { d.RestartWatch(true) },
+		"a new configuration":        func(d *Client, next *heldServer) { d.SetAddress(next.address) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, next := newHeldServer(t), newHeldServer(t)
@@ -331,7 +331,7 @@
 	stop := running(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
-	d.Renew(false)
+	d.RestartWatch(false)
 	second := s.call(t)
 	second.write(t, ListOf(4, false))
 	second.write(t, "")
@@ -398,7 +398,7 @@
 	stop := running(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
-	d.Renew(false)
+	d.RestartWatch(false)
 	second := s.call(t)
 	second.write(t, "{") // no list
 	second.write(t, "")
--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -24,7 +24,7 @@
 	begun := time.Now()
 	d.SetWatch(true)
 	s.call(t)
-	d.Renew(false)
+	d.RestartWatch(false)
 	s.call(t)
 	if took := time.Since(begun); took < d.queued {
 		t.Errorf("the second call came %v after the first", took)
@@ -41,7 +41,7 @@
 	defer stop()
 	d.SetWatch(true)
 	first := s.call(t)
-	d.Renew(false)
+	d.RestartWatch(false)
 	first.write(t, ListOf(4, false, "127.0.0.1:1 DRAINING"))
 	first.write(t, "")
 	<-lists
@@ -66,7 +66,7 @@
 		d.SetWatch(true)
 		first := old.call(t)
 		moved := time.Now()
-		d.Move(next.address)
+		d.SetAddress(next.address)
 		if answers {
 			first.write(t, ListOf(4, false, "127.0.0.1:1 DRAINING"))
 			first.write(t, "")
@@ -204,7 +204,7 @@
 			time.Sleep(3 * accepted)
 			got := 0
 			for len(reports) > 0 {
-				if u := <-reports; u.Accepted {
+				if u := <-reports; u.PollAccepted {
 					got++
 				}
 			}
@@ -244,14 +244,14 @@
 			call.write(t, half)
 			end(t, call)
 			for u := range reports {
-				if u.Failure.Reason == endpoints.PartialAnswer && u.Ongoing && u.List == nil {
+				if u.Failure.Reason == endpoints.PartialAnswer && u.MoreExpected && u.List == nil {
 					continue // it takes its time
 				}
 				if name == "late" {
 					if u.List == nil || u.List.Generation != 4 || len(u.List.Entries) != 3 {
 						t.Errorf("reported %+v, want the list", u)
 					}
-				} else if u.Failure.Reason != endpoints.PartialAnswer || len(u.Bad) != 1 || u.Bad[0].ID != "a" {
+				} else if u.Failure.Reason != endpoints.PartialAnswer || len(u.Unavailable) != 1 || u.Unavailable[0].ID != "a" {
 					t.Errorf("reported %+v, want a partial answer that says a is gone", u)
 				}
 				return
@@ -266,7 +266,7 @@
 	s := newHeldServer(t)
 	updates := make(chan Update, 10)
 	d := New(s.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
-	d.Servers(3)
+	d.SetServerCount(3)
 	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: int(d.servers.Load())})
 	stop := running(t, d, 3)
 	defer stop()
@@ -277,7 +277,7 @@
 	}
 	call.write(t, ListOf(4, true, "127.0.0.1:1 SERVING"))
 	call.write(t, "")
-	if u := <-updates; u.List == nil || !u.Unwatched {
+	if u := <-updates; u.List == nil || !u.WatchPaused {
 		t.Errorf("reported %+v", u)
 	}
 	d.SetWatch(true) // the module's bidding does not end the pause
@@ -302,10 +302,10 @@
 	d.SetWatch(true)
 	first := old.call(t)
 	moved := time.Now()
-	d.Move(next.address)
+	d.SetAddress(next.address)
 	first.write(t, ListOf(4, true, "127.0.0.1:1 SERVING"))
 	first.write(t, "")
-	if u := <-updates; u.List == nil || !u.Unwatched {
+	if u := <-updates; u.List == nil || !u.WatchPaused {
 		t.Errorf("reported %+v", u)
 	}
 	next.call(t)
@@ -326,7 +326,7 @@
 	defer stop()
 	d.SetWatch(true)
 	before := old.call(t)
-	d.Move(next.address)
+	d.SetAddress(next.address)
 	newer := next.call(t)
 	newer.write(t, ListOf(4, true, "127.0.0.1:1 SERVING"))
 	newer.write(t, "")
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -21,7 +21,7 @@
 
 // watch is a watch as RunWatch keeps it. It belongs to that goroutine.
 type watch struct {
-	*Discovery
+	*Client
 	on, wanted bool
 	resting    bool    // until the pause ends no call begins
 	since      *uint64 // the generation that this node has; nil: none
@@ -62,9 +62,9 @@
 //
 // Where lists are pushed the module asks for nothing: the watch on the agent goes on by itself, and what fails is
 // tried again at once.
-func (d *Discovery) RunWatch(ctx context.Context, since *uint64) {
+func (d *Client) RunWatch(ctx context.Context, since *uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watch{Discovery: d, since: since, ended: make(chan ended), limit: time.NewTimer(0)}
+	w := &watch{Client: d, since: since, ended: make(chan ended), limit: time.NewTimer(0)}
 	w.pause, w.again, w.kept = stoppedTimer(), stoppedTimer(), stoppedTimer()
 	w.on, w.wanted = d.pushed, d.pushed
 	defer w.limit.Stop()
@@ -101,7 +101,7 @@
 			w.take(e)
 		case <-w.kept.C:
 			if w.newest != nil && !w.newest.whole {
-				w.report(Update{Accepted: true})
+				w.report(Update{PollAccepted: true})
 			}
 		case <-w.pause.C:
 			w.on, w.resting = w.wanted, false
@@ -131,11 +131,11 @@
 	var call func() (*endpoints.List, error)
 	switch {
 	case p.since == nil:
-		call = func() (*endpoints.List, error) { return w.Discovery.whole(ctx, w.ask(at), 0) }
+		call = func() (*endpoints.List, error) { return w.Client.whole(ctx, w.ask(at), 0) }
 	case p.whole && w.pushed:
-		call = func() (*endpoints.List, error) { return w.Discovery.whole(ctx, w.ask(at), agentWhole) }
+		call = func() (*endpoints.List, error) { return w.Client.whole(ctx, w.ask(at), agentWhole) }
 	case p.whole:
-		call = func() (*endpoints.List, error) { return w.Discovery.whole(ctx, w.ask(at), wholeWait) }
+		call = func() (*endpoints.List, error) { return w.Client.whole(ctx, w.ask(at), wholeWait) }
 	default:
 		wait, patience := w.poll(wallClock(), w.lost)
 		p.wait = wait
@@ -213,7 +213,7 @@
 		w.before = nil
 		if e.err != nil { // the newer one tells whether discovery answers
 			if f := failure(e.err, 0, 0); f.Reason == endpoints.PartialAnswer {
-				w.report(Update{Failure: f, Bad: partial(e.err), Ongoing: true})
+				w.report(Update{Failure: f, Unavailable: partial(e.err), MoreExpected: true})
 			}
 			return
 		}
@@ -247,7 +247,7 @@
 		return // the other call has brought a newer one meanwhile
 	}
 	w.since = &e.list.Generation
-	w.report(Update{List: e.list, Took: time.Since(e.begun), Wait: e.wait, Unwatched: w.resting})
+	w.report(Update{List: e.list, CallDuration: time.Since(e.begun), PollWait: e.wait, WatchPaused: w.resting})
 }
 
 // answered takes an answer to the newest call, and puts the next one off if the pace has it so.
@@ -281,7 +281,7 @@
 			w.rest(pause)
 		}
 	}
-	w.report(Update{Failure: f, Bad: partial(e.err)})
+	w.report(Update{Failure: f, Unavailable: partial(e.err)})
 }
 
 // generation is that of a list as logs have it; 0: none.
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -48,7 +48,7 @@
 			}
 			return
 		}
-		if p.request.Class < 0 || p.request.Class >= len(s.effects) || len(p.call.Body) > upstream.MostBody ||
+		if p.request.Class < 0 || p.request.Class >= len(s.effects) || len(p.call.Body) > upstream.MaxBodySize ||
 			p.deadline > clock.Now()+s.waits[p.request.Class] || p.request.Work < 0 {
 			t.Fatalf("let through %+v", p.request)
 		}
--- a/internal/node/front/end.go
+++ b/internal/node/front/end.go
@@ -40,7 +40,7 @@
 	for i := range int32(s.table.low) {
 		if c := s.table.at(i); c.state != free {
 			if c.state == open {
-				s.set.Handler.Gone(c.work.open)
+				s.set.Handler.ClientGone(c.work.open)
 			}
 			s.drop(i, c, closeEnded)
 		}
--- a/internal/node/front/hard_test.go
+++ b/internal/node/front/hard_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.server.set.Rules = rules
+	g.server.set.IdleRules = rules
 	g.server.hold.Use(rules)
 }
 
@@ -70,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGame(t, 10, 1<<20)
-			g.server.set.Policy = idleconns.Recency
+			g.server.set.EvictionPolicy = idleconns.Recency
 			c := g.client(post("one"), "one", "two")
 			g.answer(0, 0)
 			g.net.mu.Lock() // the bytes are there, and their event is not
@@ -315,7 +315,7 @@
 			g.server.turn(func() {})
 		},
 		"for room": func(g *game) {
-			g.now += 2 * Newcomer
+			g.now += 2 * NewConnGrace
 			g.server.turn(func() { g.server.oust() })
 		},
 	} {
--- a/internal/node/front/machine_test.go
+++ b/internal/node/front/machine_test.go
@@ -52,14 +52,14 @@
 	g.net.on = true
 	g.server = New(Config{
 		Transport: g.net, Handler: g, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return g.now },
-		MostConns: most, Spare: 2, Memory: memoryBytes, Worths: []float64{1, 12}, Policy: idleconns.Value,
-		MostHead: 1 << 10, MostBody: 1 << 10,
+		MaxConns: most, MaxRefusalConns: 2, MemoryBudget: memoryBytes, ClassWorths: []float64{1, 12}, EvictionPolicy: idleconns.Value,
+		MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	})
 	return g
 }
 
 // Request is the node's: it may answer at once.
-func (g *game) Request(t Token, r *http.Request, crowded bool) (any, int, *Answer) {
+func (g *game) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
 	i, c := g.server.table.find(uint64(t))
 	if c == nil || c.state != open {
 		g.t.Fatalf("a request of connection %d, which is %v", i, c)
@@ -70,17 +70,17 @@
 		if !client.odd {
 			g.t.Fatalf("the body of a good request can't be read: %v", err)
 		}
-		return nil, -1, &Answer{Status: http.StatusBadRequest, Text: "odd", Close: true}
+		return nil, -1, &Response{Status: http.StatusBadRequest, Text: "odd", Close: true}
 	}
 	if r.URL.Path == "/now" {
-		return nil, -1, &Answer{Status: http.StatusOK, Text: "now"}
+		return nil, -1, &Response{Status: http.StatusOK, Text: "now"}
 	}
 	if client.handed >= len(client.whole) || client.whole[client.handed] != string(body) {
 		g.t.Fatalf("client %d: request %d has the body %q, sent were %q", client.id, client.handed, body, client.whole)
 	}
 	client.handed++
 	if crowded {
-		return nil, 0, &Answer{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
+		return nil, 0, &Response{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
 	}
 	for _, o := range g.open {
 		if o.client == client {
@@ -92,7 +92,7 @@
 	return o, len(body) % 2, nil
 }
 
-func (g *game) Gone(open any) {
+func (g *game) ClientGone(open any) {
 	for i, o := range g.open {
 		if o == open {
 			g.open = append(g.open[:i], g.open[i+1:]...)
@@ -112,7 +112,7 @@
 	g.open = append(g.open[:n%len(g.open)], g.open[n%len(g.open)+1:]...)
 	text := o.body + strings.Repeat("+", size)
 	o.client.answered = append(o.client.answered, text)
-	g.server.Answer(o.token, Answer{Status: http.StatusOK, Kind: "text/x", Body: []byte(text), Until: g.now + time.Second})
+	g.server.Respond(o.token, Response{Status: http.StatusOK, ContentType: "text/x", Body: []byte(text), WriteDeadline: g.now + time.Second})
 	g.answers++
 	g.turn()
 }
--- a/internal/node/front/read.go
+++ b/internal/node/front/read.go
@@ -71,8 +71,8 @@
 	*w = work{buf: w.buf[:0]}
 	s.pool = append(s.pool, w)
 	s.ledger.Add(membudget.Pooled, w.bytes())
-	if len(s.pool) == leastPool+1 && s.set.Hooks.Release != nil {
-		s.set.Hooks.Release()
+	if len(s.pool) == leastPool+1 && s.set.Hooks.ReleaseBuffers != nil {
+		s.set.Hooks.ReleaseBuffers()
 	}
 }
 
@@ -94,7 +94,7 @@
 func (s *Server) gone(i int32, c *conn) {
 	s.stats.PeerClosed++
 	if c.state == open {
-		s.set.Handler.Gone(c.work.open)
+		s.set.Handler.ClientGone(c.work.open)
 	}
 	s.drop(i, c, closeClientLeft)
 }
@@ -154,8 +154,8 @@
 	c.state = deferred
 	s.stats.Deferred++
 	s.later[s.hold.Band(i, bands)].push(s.table.token(i))
-	if s.set.Hooks.Room != nil && s.ledger.Level() == membudget.Full {
-		s.set.Hooks.Room()
+	if s.set.Hooks.EvictIdle != nil && s.ledger.Level() == membudget.Full {
+		s.set.Hooks.EvictIdle()
 	}
 }
 
@@ -273,7 +273,7 @@
 	}
 	end, next := headEnd(data, look)
 	if end == 0 {
-		if len(data) > s.set.MostHead+headSlop {
+		if len(data) > s.set.MaxHeadSize+headSlop {
 			s.fail(i, c, &fault{http.StatusRequestHeaderFieldsTooLarge, "the head is too large"})
 			return
 		}
@@ -287,7 +287,7 @@
 		s.book(w, 0, w.bytes())
 		return
 	}
-	if end > s.set.MostHead+headSlop {
+	if end > s.set.MaxHeadSize+headSlop {
 		s.fail(i, c, &fault{http.StatusRequestHeaderFieldsTooLarge, "the head is too large"})
 		return
 	}
@@ -303,7 +303,7 @@
 // headed takes a request whose head has come, with the bytes that follow it.
 func (s *Server) headed(i int32, c *conn, r *http.Request, rest []byte) {
 	length := r.ContentLength
-	if len(r.TransferEncoding) > 0 || length < 0 || length > s.set.MostBody {
+	if len(r.TransferEncoding) > 0 || length < 0 || length > s.set.MaxBodySize {
 		// Nobody waits for such a body: the handler turns it away by its head, and
 		// what follows on the connection is nothing that could be read.
 		r.Body = io.NopCloser(strings.NewReader(""))
@@ -357,7 +357,7 @@
 	c.closing = r.Close || !r.ProtoAtLeast(1, 1) || c.crowded
 	s.wheel.Cancel(i)
 	c.state = open
-	name, class, answer := s.set.Handler.Request(Token(s.table.token(i)), r, c.crowded)
+	name, class, answer := s.set.Handler.HandleRequest(Token(s.table.token(i)), r, c.crowded)
 	if class >= 0 {
 		s.hold.Busy(i, class)
 	} else {
@@ -381,7 +381,7 @@
 	s.worked(c)
 	c.unread = true
 	s.hold.Other(i)
-	s.write(i, c, &Answer{Status: f.status, Text: f.text, Close: true})
+	s.write(i, c, &Response{Status: f.status, Text: f.text, Close: true})
 }
 
 // late ends a request that has not come whole in time.
--- a/internal/node/front/scale_test.go
+++ b/internal/node/front/scale_test.go
@@ -24,19 +24,19 @@
 	queue  chan Token
 }
 
-func (e *echo) Request(t Token, r *http.Request, _ bool) (any, int, *Answer) {
+func (e *echo) HandleRequest(t Token, r *http.Request, _ bool) (any, int, *Response) {
 	io.Copy(io.Discard, r.Body)
 	e.queue <- t
 	return e, 0, nil
 }
 
-func (e *echo) Gone(any) {}
+func (e *echo) ClientGone(any) {}
 
 func (e *echo) run(ctx context.Context) {
 	for {
 		select {
 		case t := <-e.queue:
-			e.server.Answer(t, Answer{Status: http.StatusOK, Kind: "text/x", Body: []byte("fine")})
+			e.server.Respond(t, Response{Status: http.StatusOK, ContentType: "text/x", Body: []byte("fine")})
 		case <-ctx.Done():
 			return
 		}
@@ -96,18 +96,18 @@
 	c.worker = worker.New(background.Config{}, now, slog.New(slog.DiscardHandler))
 	var expired, release *worker.Job
 	config := Config{
-		Transport: c.net, Log: slog.New(slog.DiscardHandler), Now: now, MostConns: most, Memory: 1 << 30,
-		Worths: []float64{1}, Policy: idleconns.Value, Habits: 1 << 10, Rules: rules, MostHead: 1 << 10, MostBody: 1 << 10,
+		Transport: c.net, Log: slog.New(slog.DiscardHandler), Now: now, MaxConns: most, MemoryBudget: 1 << 30,
+		ClassWorths: []float64{1}, EvictionPolicy: idleconns.Value, RememberedClients: 1 << 10, IdleRules: rules, MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	}
 	if !hurried {
-		config.Hooks = Hooks{Expired: func() { expired.Wake(10 * time.Second) }, Release: func() { release.Wake(0) }}
+		config.Hooks = Hooks{CloseExpired: func() { expired.Wake(10 * time.Second) }, ReleaseBuffers: func() { release.Wake(0) }}
 	}
 	e := &echo{queue: make(chan Token, 1024)}
 	config.Handler = e
 	c.server = New(config)
 	e.server = c.server
 	expired = c.worker.Add("expired", background.Room, c.server.CloseExpired)
-	release = c.worker.Add("release", background.Spare, c.server.Release)
+	release = c.worker.Add("release", background.Spare, c.server.ReleaseBuffers)
 	ctx, cancel := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	parts.Go(func() { e.run(ctx) })
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -23,9 +23,9 @@
 	writeWait   = 10 * time.Second
 	lingerFor   = 500 * time.Millisecond
 	// A connection that has just come has its request on the way.
-	Newcomer  = 250 * time.Millisecond
-	roomLook  = 20 * time.Millisecond // between two looks for room
-	timerTick = 8 * time.Millisecond
+	NewConnGrace = 250 * time.Millisecond
+	roomLook     = 20 * time.Millisecond // between two looks for room
+	timerTick    = 8 * time.Millisecond
 
 	mostDue       = 256 // timers handled in one turn
 	acceptAtOnce  = 64
@@ -40,40 +40,40 @@
 	// Request takes a request, whose body is all there, and returns its answer, or what
 	// Gone names it by until Server.Answer. class is as hold's settings count them, and
 	// -1 for a request of none.
-	Request(t Token, r *http.Request, crowded bool) (open any, class int, answer *Answer)
+	HandleRequest(t Token, r *http.Request, crowded bool) (open any, class int, answer *Response)
 	// Gone tells that a client has left before its answer.
-	Gone(open any)
+	ClientGone(open any)
 }
 
 // Config is what a Server is made of.
 type Config struct {
-	Transport Transport
-	Handler   Handler
-	Log       *slog.Logger
-	Now       func() time.Duration
-	MostConns int              // connections at the most, besides Spare
-	Spare     int              // let in over that to be refused, while each of the others has a request open
-	Memory    int              // bytes that connections may take
-	Worths    []float64        // of classes
-	Policy    idleconns.Policy // in what order idle connections go
-	Habits    int              // clients whose habits are remembered beyond their connections
-	Rules     *idleconns.Rules // how long they may stay; nil: hold.DefaultFor
-	Hooks     Hooks            // background work; the zero value does it at once
-	MostHead  int              // bytes of a request's head
-	MostBody  int64            // of its body
+	Transport         Transport
+	Handler           Handler
+	Log               *slog.Logger
+	Now               func() time.Duration
+	MaxConns          int              // connections at the most, besides Spare
+	MaxRefusalConns   int              // let in over that to be refused, while each of the others has a request open
+	MemoryBudget      int              // bytes that connections may take
+	ClassWorths       []float64        // of classes
+	EvictionPolicy    idleconns.Policy // in what order idle connections go
+	RememberedClients int              // clients whose habits are remembered beyond their connections
+	IdleRules         *idleconns.Rules // how long they may stay; nil: hold.DefaultFor
+	Hooks             Hooks            // background work; the zero value does it at once
+	MaxHeadSize       int              // bytes of a request's head
+	MaxBodySize       int64            // of its body
 }
 
 // Hooks tell that background work has come up; they must not wait. Whoever sets them
 // calls the step of the same name, until it returns false. A step works for no
 // longer than it is given, but for its last piece.
 type Hooks struct {
-	Expired func() // Server.CloseExpired
-	Room    func() // Server.MakeRoom
-	Release func() // Server.Release
-	Recheck func() // Server.Recheck
+	CloseExpired   func() // Server.CloseExpired
+	EvictIdle      func() // Server.MakeRoom
+	ReleaseBuffers func() // Server.Release
+	ReapplyRules   func() // Server.Recheck
 	// Stood tells whether the process has stood still a moment ago: then what comes may be long old, and its client gone.
 	// It must be cheap; nil: nobody knows.
-	Stood func() bool
+	ProcessStalled func() bool
 }
 
 // Server is the front of a node.
@@ -117,20 +117,20 @@
 type Stats struct {
 	Open, Parked, Reading, Busy int // connections, by what they do
 	Memory, MemoryPeak          int // bytes by the ledger
-	PressureTurns               int
-
-	Accepted, Requests, Answers     uint64
-	Expired, MadeRoom, Refused      uint64
-	Deferred, Late, Cut, PeerClosed uint64
-	BytesLooked                     uint64        // closes that were called off because bytes had come
-	LargestTick                     int           // timers due at once
-	LongestTurn                     time.Duration // of the goroutine over one batch
-	LongestTimers                   time.Duration // of that, over due timers
+	PressureChanges             int
+
+	Accepted, Requests, Responses                        uint64
+	Expired, Evicted, Refused                            uint64
+	Deferred, RequestTimeouts, WriteTimeouts, PeerClosed uint64
+	AvertedCloses                                        uint64        // closes that were called off because bytes had come
+	LargestTick                                          int           // timers due at once
+	LongestTurn                                          time.Duration // of the goroutine over one batch
+	LongestTimers                                        time.Duration // of that, over due timers
 }
 
 type queued struct {
 	token Token
-	Answer
+	Response
 }
 
 // New makes a server of a transport, which it owns from then on.
@@ -138,8 +138,8 @@
 	now := c.Now()
 	return &Server{
 		set: c, wheel: timerwheel.New(timerTick, now), now: now,
-		hold:   idleconns.New(idleconns.Settings{Policy: c.Policy, Worths: c.Worths, Newcomer: Newcomer, Habits: c.Habits}, c.Rules, now),
-		ledger: membudget.New(c.Memory), scratch: make([]byte, readSize),
+		hold:   idleconns.New(idleconns.Settings{Policy: c.EvictionPolicy, Worths: c.ClassWorths, Newcomer: NewConnGrace, Habits: c.RememberedClients}, c.IdleRules, now),
+		ledger: membudget.New(c.MemoryBudget), scratch: make([]byte, readSize),
 		seed:    maphash.MakeSeed(),
 		tracing: c.Log != nil && c.Log.Enabled(context.Background(), slog.LevelDebug),
 		steps:   make(chan func()), ended: make(chan struct{}), answer: make(chan struct{}, 1),
@@ -148,7 +148,7 @@
 
 // Answer gives an open request its one answer. It may be called by any goroutine, and
 // does not wait. The answer to a client that has left goes nowhere.
-func (s *Server) Answer(t Token, a Answer) {
+func (s *Server) Respond(t Token, a Response) {
 	s.mu.Lock()
 	s.answers = append(s.answers, queued{t, a})
 	s.mu.Unlock()
@@ -177,31 +177,31 @@
 		st = s.stats
 		st.Open, st.Parked, st.Reading = s.table.open, s.hold.Idle(), s.hold.Fresh()
 		st.Busy = st.Open - st.Parked - st.Reading
-		st.Memory, st.MemoryPeak, st.PressureTurns = s.ledger.Sum(), s.ledger.Peak(), s.ledger.Turns()
+		st.Memory, st.MemoryPeak, st.PressureChanges = s.ledger.Sum(), s.ledger.Peak(), s.ledger.Turns()
 	})
 	return st
 }
 
 // Accepted is when the last connection came, and Conns how many there are.
-func (s *Server) Accepted() time.Duration { return time.Duration(s.accepted.Load()) }
-func (s *Server) Conns() int              { return int(s.openCount.Load()) }
+func (s *Server) LastAccept() time.Duration { return time.Duration(s.accepted.Load()) }
+func (s *Server) OpenConns() int            { return int(s.openCount.Load()) }
 
 // UseRules takes other rules for idle connections. What is parked keeps no more and no
 // less time than they give it: Recheck brings them to it by and by.
-func (s *Server) UseRules(r *idleconns.Rules) {
+func (s *Server) SetIdleRules(r *idleconns.Rules) {
 	s.Do(func() {
-		s.set.Rules = r
+		s.set.IdleRules = r
 		s.hold.Use(r)
 		s.rules++
 		s.recheckAt = 0
-		if s.set.Hooks.Recheck != nil {
-			s.set.Hooks.Recheck()
+		if s.set.Hooks.ReapplyRules != nil {
+			s.set.Hooks.ReapplyRules()
 		}
 	})
 }
 
 // Recheck goes on with what UseRules has begun.
-func (s *Server) Recheck(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) ReapplyRules(slice time.Duration) (took time.Duration, more bool) {
 	return s.step(slice, func(may func() bool) bool {
 		for ; int(s.recheckAt) < s.table.low; s.recheckAt++ {
 			if !may() {
@@ -224,7 +224,7 @@
 // sourced finds out anew which network a connection is from: the rules have changed.
 func (s *Server) sourced(i int32, c *conn) {
 	c.rules = s.rules
-	s.hold.From(i, s.set.Rules.Source(s.set.Transport.From(c.socket)))
+	s.hold.From(i, s.set.IdleRules.Source(s.set.Transport.From(c.socket)))
 }
 
 // Run serves until the context ends, and closes all that is left then.
@@ -264,7 +264,7 @@
 func (s *Server) turn(f func()) {
 	begun := s.set.Now()
 	s.now = max(s.now, begun)
-	s.wary = s.set.Hooks.Stood != nil && s.set.Hooks.Stood()
+	s.wary = s.set.Hooks.ProcessStalled != nil && s.set.Hooks.ProcessStalled()
 	f()
 	s.now = max(s.now, s.set.Now())
 	timers := s.now
@@ -343,7 +343,7 @@
 		}
 		for n := range all {
 			if i, c := s.table.find(uint64(all[n].token)); c != nil && c.state == open {
-				s.write(i, c, &all[n].Answer)
+				s.write(i, c, &all[n].Response)
 			}
 		}
 		s.mu.Lock()
@@ -358,7 +358,7 @@
 // accept takes in what waits, as far as there is room.
 func (s *Server) accept() {
 	for n := range acceptAtOnce {
-		if n > 0 && s.table.open >= s.set.MostConns {
+		if n > 0 && s.table.open >= s.set.MaxConns {
 			return // nobody may wait any more: no connection is closed for that
 		}
 		if !s.room() {
@@ -387,12 +387,12 @@
 
 // enter books a new connection.
 func (s *Server) enter(socket Socket, from netip.Addr) {
-	crowded := s.table.open >= s.set.MostConns
+	crowded := s.table.open >= s.set.MaxConns
 	i, c := s.table.take()
 	c.socket, c.state, c.crowded = socket, reading, crowded
 	c.rules = s.rules
 	s.ledger.Add(membudget.Parked, rowBytes)
-	s.hold.Came(s.now, i, s.set.Rules.Source(from), s.who(from))
+	s.hold.Came(s.now, i, s.set.IdleRules.Source(from), s.who(from))
 	s.wheel.Arm(i, s.now+RequestWait)
 	s.accepted.Store(int64(s.now))
 	s.stats.Accepted++
@@ -405,7 +405,7 @@
 // who is a hash of an address by a key of this process: nobody outside can pick
 // addresses that fall together. 0: no address.
 func (s *Server) who(a netip.Addr) uint32 {
-	if !a.IsValid() || s.set.Policy != idleconns.Value {
+	if !a.IsValid() || s.set.EvictionPolicy != idleconns.Value {
 		return 0
 	}
 	b := a.As16()
@@ -415,17 +415,17 @@
 // room tells whether another connection may be taken in, and closes one for it if
 // need be. With a request open on each, a few more are let in to be refused.
 func (s *Server) room() bool {
-	if s.table.open < s.set.MostConns {
+	if s.table.open < s.set.MaxConns {
 		return true
 	}
-	if s.set.Hooks.Room != nil {
-		s.set.Hooks.Room()
+	if s.set.Hooks.EvictIdle != nil {
+		s.set.Hooks.EvictIdle()
 	}
 	switch s.oust() {
 	case idleconns.Found:
 		return true
 	case idleconns.Nobody:
-		return s.table.open < s.set.MostConns+s.set.Spare
+		return s.table.open < s.set.MaxConns+s.set.MaxRefusalConns
 	}
 	return false
 }
@@ -442,7 +442,7 @@
 		if tries < 4 && s.looks(i, c) {
 			continue
 		}
-		s.stats.MadeRoom++
+		s.stats.Evicted++
 		s.drop(i, c, closeForRoom)
 		return idleconns.Found
 	}
@@ -454,7 +454,7 @@
 	if c.state != parked && (c.state != reading || c.work != nil) || s.set.Transport.Peek(c.socket) != nil {
 		return false
 	}
-	s.stats.BytesLooked++
+	s.stats.AvertedCloses++
 	s.readable(i, c)
 	return true
 }
@@ -469,18 +469,18 @@
 		case parked:
 			s.expired.push(s.table.token(i))
 		case reading, deferred:
-			s.stats.Late++
+			s.stats.RequestTimeouts++
 			s.late(i, c)
 		case writing:
-			s.stats.Cut++
+			s.stats.WriteTimeouts++
 			s.drop(i, c, closeNotRead)
 		case lingering:
 			s.drop(i, c, closeLingered)
 		}
 	}
 	if s.expired.len() > 0 {
-		if s.set.Hooks.Expired != nil {
-			s.set.Hooks.Expired()
+		if s.set.Hooks.CloseExpired != nil {
+			s.set.Hooks.CloseExpired()
 		} else {
 			s.closeExpired(func() bool { return true })
 		}
@@ -528,9 +528,9 @@
 
 // MakeRoom closes idle connections until there is room for a few newcomers, so that
 // not each has to wait for a close of its own.
-func (s *Server) MakeRoom(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) EvictIdle(slice time.Duration) (took time.Duration, more bool) {
 	return s.step(slice, func(may func() bool) bool {
-		for s.table.open > s.set.MostConns-s.set.MostConns/64 || s.ledger.Level() == membudget.Full {
+		for s.table.open > s.set.MaxConns-s.set.MaxConns/64 || s.ledger.Level() == membudget.Full {
 			if !may() {
 				return true
 			}
@@ -543,7 +543,7 @@
 }
 
 // Release gives buffers back that the last while had no use for.
-func (s *Server) Release(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) ReleaseBuffers(slice time.Duration) (took time.Duration, more bool) {
 	return s.step(slice, func(may func() bool) bool {
 		for len(s.pool) > leastPool {
 			if !may() {
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -31,13 +31,13 @@
 	hold             bool // requests wait until answer
 }
 
-func (s *real) Request(t Token, r *http.Request, crowded bool) (any, int, *Answer) {
+func (s *real) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
 	body, _ := io.ReadAll(r.Body)
 	if crowded {
-		return nil, 0, &Answer{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
+		return nil, 0, &Response{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
 	}
 	if !s.hold {
-		return nil, 0, &Answer{Status: http.StatusOK, Kind: "text/x", Body: body}
+		return nil, 0, &Response{Status: http.StatusOK, ContentType: "text/x", Body: body}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	return t, 0, nil
 }
 
-func (s *real) Gone(open any) {
+func (s *real) ClientGone(open any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, open.(Token))
@@ -58,7 +58,7 @@
 	defer s.mu.Unlock()
 	for t, body := range s.open {
 		delete(s.open, t)
-		s.Answer(t, Answer{Status: http.StatusOK, Kind: "text/x", Body: append([]byte(body), make([]byte, more)...), Until: s.set.Now() + 4*time.Second})
+		s.Respond(t, Response{Status: http.StatusOK, ContentType: "text/x", Body: append([]byte(body), make([]byte, more)...), WriteDeadline: s.set.Now() + 4*time.Second})
 	}
 }
 
@@ -70,7 +70,7 @@
 
 // eachTransport runs a test over every transport of real sockets.
 func eachTransport(t *testing.T, play func(t *testing.T, start func(change func(*Config), waits bool) *real)) {
-	kinds := map[string]func(net.Listener) (Transport, error){"system": NewTransport, "goroutines": NewWaiting}
+	kinds := map[string]func(net.Listener) (Transport, error){"system": NewTransport, "goroutines": NewGoroutineTransport}
 	for name, make := range kinds {
 		for _, network := range []string{"tcp", "unix"} {
 			t.Run(name+"/"+network, func(t *testing.T) {
@@ -99,7 +99,7 @@
 	s := &real{network: network, address: l.Addr().String(), open: map[Token]string{}, hold: waits}
 	config := Config{
 		Transport: tr, Handler: s, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return time.Since(start) },
-		MostConns: 100, Spare: 4, Memory: 1 << 20, Worths: []float64{1}, MostHead: 4 << 10, MostBody: 64 << 10,
+		MaxConns: 100, MaxRefusalConns: 4, MemoryBudget: 1 << 20, ClassWorths: []float64{1}, MaxHeadSize: 4 << 10, MaxBodySize: 64 << 10,
 	}
 	if change != nil {
 		change(&config)
@@ -215,7 +215,7 @@
 // that reads nothing is cut off, and no other waits for it.
 func TestSlowReadersOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
-		s := start(func(c *Config) { c.Memory = 64 << 20 }, true)
+		s := start(func(c *Config) { c.MemoryBudget = 64 << 20 }, true)
 		reads, never := s.dial(t), s.dial(t)
 		const more = 12 << 20
 		for _, p := range []*peer{reads, never} {
@@ -229,8 +229,8 @@
 		s.answer(0)
 		other.expect(t, 200, "y")
 		reads.expect(t, 200, "x"+string(bytes.Repeat([]byte{0}, more)))
-		nodetest.WaitFor(t, "the one that does not read is cut off", func() bool { return s.Stats().Cut == 1 })
-		if st := s.Stats(); st.Answers != 3 || st.PeerClosed != 0 {
+		nodetest.WaitFor(t, "the one that does not read is cut off", func() bool { return s.Stats().WriteTimeouts == 1 })
+		if st := s.Stats(); st.Responses != 3 || st.PeerClosed != 0 {
 			t.Errorf("%+v", st)
 		}
 	})
@@ -240,7 +240,7 @@
 // each, a few more are refused and the rest waits.
 func TestRoomOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
-		s := start(func(c *Config) { c.MostConns, c.Spare = 8, 2 }, true)
+		s := start(func(c *Config) { c.MaxConns, c.MaxRefusalConns = 8, 2 }, true)
 		var idle []*peer
 		for range 8 {
 			p := s.dial(t)
@@ -284,15 +284,15 @@
 		}
 		var s *real
 		s = start(func(c *Config) {
-			c.Rules = rules(time.Hour)
-			c.Hooks.Recheck = func() { go s.Recheck(time.Second) }
+			c.IdleRules = rules(time.Hour)
+			c.Hooks.ReapplyRules = func() { go s.ReapplyRules(time.Second) }
 		}, false)
 		p := s.dial(t)
 		io.WriteString(p, post("x"))
 		p.expect(t, 200, "x")
 		nodetest.WaitFor(t, "it is parked", func() bool { return s.Stats().Parked == 1 })
 		begun := time.Now()
-		s.UseRules(rules(time.Second))
+		s.SetIdleRules(rules(time.Second))
 		if _, err := p.ReadByte(); err != io.EOF || time.Since(begun) > 4*time.Second {
 			t.Errorf("ended with %v after %v", err, time.Since(begun))
 		}
--- a/internal/node/front/waiting.go
+++ b/internal/node/front/waiting.go
@@ -49,7 +49,7 @@
 }
 
 // NewWaiting makes a transport of a listener, which it owns from then on.
-func NewWaiting(l net.Listener) (Transport, error) {
+func NewGoroutineTransport(l net.Listener) (Transport, error) {
 	t := &waiting{
 		listener: l, batches: newBatches(),
 		wake: make(chan struct{}, 1), permits: make(chan struct{}, 1), arrived: make(chan arrival, 1),
--- a/internal/node/front/write.go
+++ b/internal/node/front/write.go
@@ -10,16 +10,16 @@
 )
 
 // Answer is what a client gets for a request.
-type Answer struct {
-	Status     int
-	Kind       string        // Content-Type; "": none is told
-	Body       []byte        // held until the client has taken it; not written to
-	Text       string        // in the place of Body: a line of plain text
-	RetryAfter time.Duration // 0: no advice
-	Name       string        // of one more header; "": none
-	Value      string        // its value, which has come through net/http's parser or is ours
-	Close      bool          // the connection ends with it
-	Until      time.Duration // when a client that does not read is cut off; 0: after writeWait
+type Response struct {
+	Status        int
+	ContentType   string        // Content-Type; "": none is told
+	Body          []byte        // held until the client has taken it; not written to
+	Text          string        // in the place of Body: a line of plain text
+	RetryAfter    time.Duration // 0: no advice
+	HeaderName    string        // of one more header; "": none
+	HeaderValue   string        // its value, which has come through net/http's parser or is ours
+	Close         bool          // the connection ends with it
+	WriteDeadline time.Duration // when a client that does not read is cut off; 0: after writeWait
 }
 
 // dateCache is the Date header (RFC 9110, 6.6.1) of the present second.
@@ -37,11 +37,11 @@
 }
 
 // encode appends an answer as it stands on the wire.
-func (s *Server) encode(to []byte, a *Answer, head, closes bool) []byte {
+func (s *Server) encode(to []byte, a *Response, head, closes bool) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(a.Status), 10)
 	to = append(append(append(to, ' '), http.StatusText(a.Status)...), "\r\n"...)
-	length, kind := len(a.Body), a.Kind
+	length, kind := len(a.Body), a.ContentType
 	if a.Text != "" {
 		length, kind = len(a.Text)+1, "text/plain"
 	}
@@ -52,8 +52,8 @@
 		to = append(to, "Retry-After: "...)
 		to = append(strconv.AppendFloat(to, a.RetryAfter.Seconds(), 'f', 3, 64), "\r\n"...)
 	}
-	if a.Name != "" {
-		to = append(append(append(append(to, a.Name...), ": "...), a.Value...), "\r\n"...)
+	if a.HeaderName != "" {
+		to = append(append(append(append(to, a.HeaderName...), ": "...), a.HeaderValue...), "\r\n"...)
 	}
 	if closes {
 		to = append(to, "Connection: close\r\n"...)
@@ -71,8 +71,8 @@
 }
 
 // write sends an answer, as much as the client takes now.
-func (s *Server) write(i int32, c *conn, a *Answer) {
-	s.stats.Answers++
+func (s *Server) write(i int32, c *conn, a *Response) {
+	s.stats.Responses++
 	w := c.work
 	w.open = nil
 	c.closing = c.closing || a.Close || s.leaving
@@ -87,7 +87,7 @@
 		w.out = append([]byte(nil), s.out[n:]...)
 		s.ledger.Add(membudget.Answers, len(w.out))
 		c.state = writing
-		until := a.Until
+		until := a.WriteDeadline
 		if until == 0 {
 			until = s.now + writeWait
 		}
--- a/internal/node/handed.go
+++ b/internal/node/handed.go
@@ -70,7 +70,7 @@
 	p.known, p.handed = known, true
 	l.log.Info("another node has handed its list on", "servers", len(known.Servers), "generation", h.list.Generation, "age", h.about.Age.Round(time.Millisecond).String())
 	if h.about.Discovery == l.discovery.Address() { // else its generations may be others
-		l.discovery.From(h.list.Generation)
+		l.discovery.ResumeFrom(h.list.Generation)
 	}
 	l.recall()
 }
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -83,7 +83,7 @@
 // portable one is for systems without epoll, and for measuring against it.
 func newTransport(l net.Listener) (front.Transport, error) {
 	if os.Getenv("CURLEWRING_FRONT") == "goroutines" {
-		return front.NewWaiting(l)
+		return front.NewGoroutineTransport(l)
 	}
 	return front.NewTransport(l)
 }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -27,7 +27,7 @@
 		stored = known
 	}
 	l.view.Restore(stored)
-	l.discovery.Servers(l.view.Serving())
+	l.discovery.SetServerCount(l.view.Serving())
 	l.members(stored, decide.ListStored)
 	if !l.set.MustSubscribe {
 		return
@@ -56,15 +56,15 @@
 func (l *loop) listed(answer *discovery.Update) {
 	m := answer.List
 	l.told = m.Generation
-	asOf := max(1, l.confirmation.RecordAnswer(l.now, answer.Took, answer.Wait))
+	asOf := max(1, l.confirmation.RecordAnswer(l.now, answer.CallDuration, answer.PollWait))
 	u := l.view.Apply(l.now, m)
-	l.discovery.Servers(l.view.Serving())
+	l.discovery.SetServerCount(l.view.Serving())
 	l.trace.listed(m, len(u.Changes))
 	l.strange(u.Anomalies)
 	l.signs.RecordFetch(l.now, len(u.Changes) > 0)
 	if u.RefetchWhole {
 		if wait, ok := l.signs.RequestRefetch(l.now); ok {
-			l.after(wait, timer{do: func() { l.discovery.Renew(true) }})
+			l.after(wait, timer{do: func() { l.discovery.RestartWatch(true) }})
 		}
 	}
 	changes := u.Changes
@@ -81,7 +81,7 @@
 	l.remember(m, u.Changes)
 	l.changed(changes, decide.ListDiff)
 	confirmed := time.Duration(0)
-	if answer.Unwatched {
+	if answer.WatchPaused {
 		confirmed = l.confirmation.ConfirmedUntil()
 	}
 	l.carryOut(l.balancer.HandleList(l.now, decide.ListUpdate{
@@ -97,7 +97,7 @@
 		Kind: decide.ListFailed, FleetSize: l.past.there(), PriorRate: l.past.rate(),
 	}
 	switch {
-	case f.Reason == endpoints.PollTimedOut, u.Ongoing: // the watch goes on by itself
+	case f.Reason == endpoints.PollTimedOut, u.MoreExpected: // the watch goes on by itself
 		m.Kind = decide.ListRestored
 	default:
 		l.signs.RecordFetch(l.now, false)
@@ -107,7 +107,7 @@
 		m.ConfirmedUntil = l.confirmation.RecordFailure(l.now, f)
 	}
 	l.trace.unlisted(f, l.told, m.ConfirmedUntil-l.now)
-	if bad := l.view.ApplyPartial(l.now, u.Bad); len(bad) > 0 {
+	if bad := l.view.ApplyPartial(l.now, u.Unavailable); len(bad) > 0 {
 		l.remember(nil, bad)
 		l.changed(bad, decide.ListRestored)
 	}
@@ -181,7 +181,7 @@
 			break
 		}
 		if wait, ok := l.signs.RecordFailure(l.now, server); ok {
-			l.after(wait, timer{do: func() { l.discovery.Renew(false) }})
+			l.after(wait, timer{do: func() { l.discovery.RestartWatch(false) }})
 		}
 	case decide.Served:
 		if !l.signs.Empty() {
@@ -251,7 +251,7 @@
 			continue
 		}
 		if p == nil {
-			p = &peer{Peer: upstream.Peer{ID: e.ID, Address: e.Address}}
+			p = &peer{Target: upstream.Target{ID: e.ID, Address: e.Address}}
 			l.peers[e.ID], l.started[e.ID] = p, e.Started
 		}
 		l.allow(p, e.Health == decide.Healthy)
@@ -277,7 +277,7 @@
 		}
 	}
 	if p.Closed.Store(!open); !open {
-		l.upstream.HangUp(p.ID)
+		l.upstream.CloseServer(p.ID)
 	}
 }
 
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -86,7 +86,7 @@
 		var soon, later bool
 		n.loop.step(func(time.Duration) (time.Duration, bool) {
 			now := n.loop.now
-			n.loop.listed(&discovery.Update{List: &endpoints.List{Generation: 2}, Unwatched: unwatched})
+			n.loop.listed(&discovery.Update{List: &endpoints.List{Generation: 2}, WatchPaused: unwatched})
 			soon, later = n.loop.balancer.Unconfirmed(now+5*time.Second), n.loop.balancer.Unconfirmed(now+7*time.Second)
 			return 0, false
 		})(0)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -48,7 +48,7 @@
 
 // pending is a request that has no final answer yet, or attempts still out.
 type pending struct {
-	call     *upstream.Call
+	call     *upstream.Request
 	path     string // decoded
 	request  decide.Request
 	deadline time.Duration // the client waits no longer
@@ -68,7 +68,7 @@
 	pending *pending
 	number  int
 	server  string
-	upstream.Ticket
+	upstream.Canceler
 }
 
 // Events of the loop, besides timers.
@@ -104,7 +104,7 @@
 
 // peer is a server as the loop knows it.
 type peer struct {
-	upstream.Peer
+	upstream.Target
 	counted bool          // among those that may get something new
 	served  time.Duration // when it served last, where the node remembers ...
 	noted   time.Duration // ... and up to when that was told
@@ -117,7 +117,7 @@
 	set       *decide.Settings
 	balancer  *decide.Balancer
 	upstream  *upstream.Pool
-	discovery *discovery.Discovery
+	discovery *discovery.Client
 	log       *slog.Logger
 	trace     *trace                       // nil: off
 	budgets   *budgets                     // nil: off
@@ -250,7 +250,7 @@
 		l.route(e.routes)
 		if was := l.discovery.Address(); e.discovery != was {
 			l.log.Info("discovery moves", "from", was, "to", e.discovery)
-			l.discovery.Move(e.discovery)
+			l.discovery.SetAddress(e.discovery)
 			l.moved()
 			if l.past != nil {
 				l.past.address = e.discovery
@@ -266,7 +266,7 @@
 		switch {
 		case e.List != nil:
 			l.listed(&e)
-		case e.Accepted:
+		case e.PollAccepted:
 			l.accepted()
 		default:
 			l.unlisted(&e)
@@ -395,9 +395,9 @@
 	l.forget(p)
 	l.carryOut(l.balancer.HandleOutcome(l.now, decide.Outcome{
 		Request: p.request.ID, Attempt: e.number, Server: e.server, Result: e.Result,
-		Elapsed: e.elapsed, ConnAge: e.Age, DialTime: e.Dial, Final: final, ConnClosed: e.Closed, Spent: below,
+		Elapsed: e.elapsed, ConnAge: e.ConnAge, DialTime: e.DialTime, Final: final, ConnClosed: e.ConnClosed, Spent: below,
 	}, l.actions[:0]))
-	l.weigh(e.server, e.Result, e.elapsed-e.Dial)
+	l.weigh(e.server, e.Result, e.elapsed-e.DialTime)
 }
 
 // carryOut does what the module wants done.
@@ -421,9 +421,9 @@
 		case decide.UnwatchList:
 			l.discovery.SetWatch(false)
 		case decide.FetchList:
-			l.discovery.AskOnce()
+			l.discovery.FetchList()
 		case decide.CloseIdle:
-			l.upstream.HangUp(a.Server)
+			l.upstream.CloseServer(a.Server)
 		case decide.StartTimer:
 			l.after(a.Wait, timer{token: a.Token})
 		case decide.Log:
@@ -451,7 +451,7 @@
 	p.out++
 	server := l.peers[a.Server]
 	if server == nil || p.over.Load() {
-		l.unsent = append(l.unsent, ended{attempt: t, Outcome: upstream.Outcome{Result: decide.NotSent, Closed: true}})
+		l.unsent = append(l.unsent, ended{attempt: t, Outcome: upstream.Outcome{Result: decide.NotSent, ConnClosed: true}})
 		return
 	}
 	l.trace.sent(p, t, l.told, l.balancer.Unconfirmed(l.now))
@@ -465,7 +465,7 @@
 		by = sent + a.SendWithin
 	}
 	l.tries.Go(func() {
-		o := l.upstream.Attempt(&t.Ticket, &server.Peer, call, more, by, until)
+		o := l.upstream.Attempt(&t.Canceler, &server.Target, call, more, by, until)
 		l.post(ended{attempt: t, Outcome: o, elapsed: l.clock.Now() - sent})
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	n := &Node{config: c, log: log, clock: clock.New()}
 	clients, attempts := split(c.Sockets)
 	n.worker = worker.New(background.Config{}, n.clock.Now, log)
-	n.upstream = upstream.New(n.clock, upstream.NewSockets(attempts), &c.Settings)
+	n.upstream = upstream.New(n.clock, upstream.NewConnLimiter(attempts), &c.Settings)
 	inner, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
@@ -120,27 +120,27 @@
 	}
 	n.front = front.New(front.Config{
 		Transport: transport, Handler: n.callers, Log: log, Now: n.clock.Now,
-		MostConns: clients, Spare: spareSockets, Memory: c.MemoryMB << 20 / frontMemoryPart,
-		Worths: worths, MostHead: mostHeader, MostBody: upstream.MostBody,
-		Policy: policy, Habits: habits, Rules: c.Routes.Idle(),
+		MaxConns: clients, MaxRefusalConns: spareSockets, MemoryBudget: c.MemoryMB << 20 / frontMemoryPart,
+		ClassWorths: worths, MaxHeadSize: mostHeader, MaxBodySize: upstream.MaxBodySize,
+		EvictionPolicy: policy, RememberedClients: habits, IdleRules: c.Routes.Idle(),
 		Hooks: front.Hooks{
-			Expired: func() { n.jobs.expired.Wake(expireWithin) },
-			Room:    func() { n.jobs.room.Wake(roomWithin) },
-			Release: func() { n.jobs.release.Wake(0) },
-			Recheck: func() { n.jobs.recheck.Wake(0) },
-			Stood:   stood,
+			CloseExpired:   func() { n.jobs.expired.Wake(expireWithin) },
+			EvictIdle:      func() { n.jobs.room.Wake(roomWithin) },
+			ReleaseBuffers: func() { n.jobs.release.Wake(0) },
+			ReapplyRules:   func() { n.jobs.recheck.Wake(0) },
+			ProcessStalled: stood,
 		},
 	})
 	n.callers.front = n.front
 	n.idleRules = c.Routes.Idle() != nil
 	n.jobs = jobs{
 		expired: n.worker.Add("closing what has idled too long", background.Room, n.front.CloseExpired),
-		room:    n.worker.Add("closing for newcomers", background.Room, n.front.MakeRoom),
-		release: n.worker.Add("giving buffers back", background.Spare, n.front.Release),
-		recheck: n.worker.Add("bringing idle connections to new rules", background.Tidy, n.front.Recheck),
+		room:    n.worker.Add("closing for newcomers", background.Room, n.front.EvictIdle),
+		release: n.worker.Add("giving buffers back", background.Spare, n.front.ReleaseBuffers),
+		recheck: n.worker.Add("bringing idle connections to new rules", background.Tidy, n.front.ReapplyRules),
 		closing: n.worker.Add("closing what is parked at the end", background.Duty, n.front.CloseParked),
 		list:    n.worker.Add("taking in a list", background.Duty, n.loop.step(n.loop.takeIn)),
-		idle:    n.worker.Add("closing idle connections to servers", background.Room, n.upstream.Sweep),
+		idle:    n.worker.Add("closing idle connections to servers", background.Room, n.upstream.CloseExpired),
 	}
 	n.loop.entries = func() { n.jobs.list.Wake(listWithin) }
 	if n.loop.budgets != nil {
@@ -271,7 +271,7 @@
 		return errors.New("the node has ended")
 	}
 	if idle := table.Idle(); idle != nil || n.idleRules {
-		n.front.UseRules(idle)
+		n.front.SetIdleRules(idle)
 		n.idleRules = idle != nil
 	}
 	if !n.config.sameService(c) {
@@ -348,7 +348,7 @@
 	last := begun + min(longest, longestWait) + lastMargin
 	for {
 		now := n.clock.Now()
-		quietAt := max(begun+stayFor, n.front.Accepted()+quietFor)
+		quietAt := max(begun+stayFor, n.front.LastAccept()+quietFor)
 		if now >= min(quietAt, last) {
 			break
 		}
@@ -373,7 +373,7 @@
 func (n *Node) emptied(last time.Duration) bool {
 	look := time.NewTicker(readyLook)
 	defer look.Stop()
-	for n.front.Conns() > 0 {
+	for n.front.OpenConns() > 0 {
 		if n.clock.Now() >= last {
 			return false
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -256,7 +256,7 @@
 		}
 		s.CloseClientConnections()
 		WaitFor(t, "the connection's end has reached the node", func() bool {
-			return n.upstream.Alive("s0") == 0
+			return n.upstream.AliveIdle("s0") == 0
 		})
 	}
 }
@@ -590,7 +590,7 @@
 	if err := <-n.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	left := n.front.Conns() + n.upstream.Open()
+	left := n.front.OpenConns() + n.upstream.OpenConns()
 	if len(n.loop.pending) != 0 || len(n.callers.open) != 0 || left != 0 {
 		t.Errorf("left over: %d requests, %d ids, %d sockets", len(n.loop.pending), len(n.callers.open), left)
 	}
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -37,7 +37,7 @@
 func (t *trace) ended(e *ended) {
 	if t != nil {
 		t.log.Debug("outcome", "txn", e.attempt.pending.txn, "number", e.number, "server", e.server, "result", e.Result.String(),
-			"took", e.elapsed, "dial", e.Dial, "closed", e.Closed)
+			"took", e.elapsed, "dial", e.DialTime, "closed", e.ConnClosed)
 	}
 }
 
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -19,7 +19,7 @@
 // point in time, or until it is called off. Unless its last byte has left by another,
 // it is not sent at all.
 // more are header lines of this attempt alone.
-func (u *Pool) Attempt(t *Ticket, p *Peer, q *Call, more string, by, until time.Duration) Outcome {
+func (u *Pool) Attempt(t *Canceler, p *Target, q *Request, more string, by, until time.Duration) Outcome {
 	c := u.get(p)
 	dialled := time.Duration(0)
 	if c == nil {
@@ -30,24 +30,24 @@
 		done()
 		if err != nil {
 			if t.isOff() {
-				return Outcome{Result: decide.NotSent, Closed: true}
+				return Outcome{Result: decide.NotSent, ConnClosed: true}
 			}
-			return Outcome{Result: decide.ConnectFailed, Closed: true}
+			return Outcome{Result: decide.ConnectFailed, ConnClosed: true}
 		}
 		dialled = u.clock.Now() - begun
 	}
 	o, keep := u.exchange(t, c, p, q, more, by, until)
-	o.Age = u.clock.Now() - c.opened
+	o.ConnAge = u.clock.Now() - c.opened
 	if keep = keep && u.put(p, c); !keep {
 		u.discard(c, p.ID, CloseUsed)
 	}
-	o.Closed, o.Dial = !keep, dialled
+	o.ConnClosed, o.DialTime = !keep, dialled
 	return o
 }
 
 // exchange makes an attempt on a connection, and tells whether the connection is
 // as it was.
-func (u *Pool) exchange(t *Ticket, c *conn, p *Peer, q *Call, more string, by, until time.Duration) (_ Outcome, keep bool) {
+func (u *Pool) exchange(t *Canceler, c *conn, p *Target, q *Request, more string, by, until time.Duration) (_ Outcome, keep bool) {
 	// The connection may have taken a while: the server may drain by now, and
 	// the request may be over.
 	if q.over() || p.Closed.Load() || !t.waitOn(c, u.clock.Wall(until), u.clock.Wall(min(by, until))) {
@@ -95,21 +95,21 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return Outcome{
-			Result: decide.Served, Response: &Response{Kind: resp.Header.Get("Content-Type"), Body: body},
-			Spent: resp.Header[budget.SpentHeaderName],
+			Result: decide.Served, Response: &Response{ContentType: resp.Header.Get("Content-Type"), Body: body},
+			SpentBudget: resp.Header[budget.SpentHeaderName],
 		}, keep
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Turned-Away") == "1":
 		return Outcome{Result: decide.Rejected}, keep
 	}
-	return Outcome{Result: decide.Errored, Spent: resp.Header[budget.SpentHeaderName]}, keep
+	return Outcome{Result: decide.Errored, SpentBudget: resp.Header[budget.SpentHeaderName]}, keep
 }
 
 // Encode appends the request as it goes on the wire, to be sent in one piece:
 // what it holds came through net/http's parser, and FuzzEdge reads it back.
-func (q *Call) Encode(to []byte, address, more string, left time.Duration) ([]byte, error) {
+func (q *Request) Encode(to []byte, address, more string, left time.Duration) ([]byte, error) {
 	host := cmp.Or(q.Host, address)
-	for _, text := range [...]string{q.Method, q.URI, host, q.Txn, q.Key, q.Kind} {
+	for _, text := range [...]string{q.Method, q.URI, host, q.Txn, q.IdempotencyKey, q.ContentType} {
 		if strings.ContainsFunc(text, func(r rune) bool { return r == '\r' || r == '\n' || r == 0 }) {
 			return nil, errors.New("encoding a request: a line of it does not end where it should")
 		}
@@ -121,11 +121,11 @@
 	to = appendHeader(to, "Host", host)
 	to = appendHeader(to, "X-Txn", q.Txn)
 	to = append(strconv.AppendInt(append(to, "X-Remaining-Ms: "...), max(1, left.Milliseconds()), 10), "\r\n"...)
-	if q.Key != "" {
-		to = appendHeader(to, "Idempotency-Key", q.Key)
+	if q.IdempotencyKey != "" {
+		to = appendHeader(to, "Idempotency-Key", q.IdempotencyKey)
 	}
-	if q.Kind != "" {
-		to = appendHeader(to, "Content-Type", q.Kind)
+	if q.ContentType != "" {
+		to = appendHeader(to, "Content-Type", q.ContentType)
 	}
 	if len(q.Body) > 0 || q.Method == http.MethodPost {
 		to = append(strconv.AppendInt(append(to, "Content-Length: "...), int64(len(q.Body)), 10), "\r\n"...)
@@ -153,18 +153,18 @@
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
 		return nil, nil, errors.New("the answer leaves HTTP")
-	case resp.ContentLength > MostBody:
-		return nil, nil, fmt.Errorf("the answer is said to be larger than %d bytes", MostBody)
+	case resp.ContentLength > MaxBodySize:
+		return nil, nil, fmt.Errorf("the answer is said to be larger than %d bytes", MaxBodySize)
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
 		// It ends where the connection does: a whole one looks like a cut one.
 		return nil, nil, errors.New("the answer does not tell its end")
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MostBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodySize+1))
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the answer: %w", err)
 	}
-	if len(body) > MostBody {
-		return nil, nil, fmt.Errorf("the answer is larger than %d bytes", MostBody)
+	if len(body) > MaxBodySize {
+		return nil, nil, fmt.Errorf("the answer is larger than %d bytes", MaxBodySize)
 	}
 	return resp, body, nil
 }
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	MostBody   = 64 << 10
-	mostAnswer = MostBody + 64<<10 // with heads, interim answers and chunks
-	mostKept   = 2 << 10           // bytes kept with a connection for its next request
+	MaxBodySize = 64 << 10
+	mostAnswer  = MaxBodySize + 64<<10 // with heads, interim answers and chunks
+	mostKept    = 2 << 10              // bytes kept with a connection for its next request
 )
 
 // Peer is a server as the loop knows it, for the attempts that are on their way
 // to it.
-type Peer struct {
+type Target struct {
 	ID      string
 	Address string      // fixed: a server that moves gets a new peer
 	Closed  atomic.Bool // drains or is gone: nothing new may be sent
 }
 
 // Call is a request as its client sent it.
-type Call struct {
-	Method, URI, Host string
-	Txn, Key          string // X-Txn and Idempotency-Key
-	Kind              string // Content-Type
-	Body              []byte
-	Over              *atomic.Bool // it has its answer, or its client has left
+type Request struct {
+	Method, URI, Host   string
+	Txn, IdempotencyKey string // X-Txn and Idempotency-Key
+	ContentType         string // Content-Type
+	Body                []byte
+	Finished            *atomic.Bool // it has its answer, or its client has left
 }
 
-func (q *Call) over() bool { return q.Over != nil && q.Over.Load() }
+func (q *Request) over() bool { return q.Finished != nil && q.Finished.Load() }
 
 // Response is the body of a server's answer.
 type Response struct {
-	Kind string // Content-Type
-	Body []byte
+	ContentType string // Content-Type
+	Body        []byte
 }
 
 // Outcome is how an attempt ended.
 type Outcome struct {
-	Result   decide.Result
-	Response *Response     // served
-	Closed   bool          // its connection is not kept
-	Spent    []string      // the answer's word of what was spent of a budget
-	Age      time.Duration // of the connection on which it was made
-	Dial     time.Duration // how long a new connection took; 0: it went out on one that was there
+	Result      decide.Result
+	Response    *Response     // served
+	ConnClosed  bool          // its connection is not kept
+	SpentBudget []string      // the answer's word of what was spent of a budget
+	ConnAge     time.Duration // of the connection on which it was made
+	DialTime    time.Duration // how long a new connection took; 0: it went out on one that was there
 }
 
 // Pool makes attempts. It keeps connections to servers, of which each
@@ -63,7 +63,7 @@
 // requests again by itself, which may let an effect happen twice.
 type Pool struct {
 	clock          clock.Clock
-	sockets        *Sockets
+	sockets        *ConnLimiter
 	connectTimeout time.Duration
 	idleFor        time.Duration // connections are closed when idle for this
 	untidy         atomic.Bool   // a server has sent more than its answer
@@ -85,7 +85,7 @@
 	limit     *io.LimitedReader // what the answer may still bring
 	reader    *bufio.Reader     // reads from limit
 	raw       syscall.RawConn
-	sockets   *Sockets
+	sockets   *ConnLimiter
 	idleSince time.Duration
 	timer     int32  // its row
 	message   []byte // room for the next request
@@ -132,7 +132,7 @@
 // calls that follow each other closely would each need a new one.
 const settling = 5 * time.Millisecond
 
-func New(clock clock.Clock, sockets *Sockets, set *decide.Settings) *Pool {
+func New(clock clock.Clock, sockets *ConnLimiter, set *decide.Settings) *Pool {
 	u := &Pool{
 		clock: clock, sockets: sockets, connectTimeout: set.ConnectTimeout, idleFor: set.ConnIdleTimeout,
 		idle: map[string][]*conn{}, timers: timerwheel.New(idleTick, clock.Now()),
@@ -149,7 +149,7 @@
 
 // get returns the connection to a server that was used last and has come to
 // rest, or nil.
-func (u *Pool) get(p *Peer) *conn {
+func (u *Pool) get(p *Target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for at := len(u.idle[p.ID]) - 1; at >= 0; at-- {
@@ -180,7 +180,7 @@
 }
 
 // put keeps a connection for the next request, unless its server wants none.
-func (u *Pool) put(p *Peer, c *conn) bool {
+func (u *Pool) put(p *Target, c *conn) bool {
 	c.SetDeadline(time.Time{}) // once past, it would fail the look that get takes
 	c.idleSince = u.clock.Now()
 	u.mu.Lock()
@@ -195,7 +195,7 @@
 }
 
 // HangUp closes the idle connections to a server.
-func (u *Pool) HangUp(id string) {
+func (u *Pool) CloseServer(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
@@ -231,7 +231,7 @@
 )
 
 // Sweep closes connections that have idled for too long, as background work.
-func (u *Pool) Sweep(slice time.Duration) (took time.Duration, more bool) {
+func (u *Pool) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
 	begun := u.clock.Now()
 	for now := begun; now < begun+slice; now = u.clock.Now() {
 		u.mu.Lock()
@@ -272,10 +272,10 @@
 }
 
 // Open is how many connections there are, idle and in use.
-func (u *Pool) Open() int { return int(u.sockets.open.Load()) }
+func (u *Pool) OpenConns() int { return int(u.sockets.open.Load()) }
 
 // Alive is how many idle connections to a server have nothing to read.
-func (u *Pool) Alive(id string) (n int) {
+func (u *Pool) AliveIdle(id string) (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
@@ -318,7 +318,7 @@
 }
 
 // dial opens a connection to a server.
-func (u *Pool) dial(ctx context.Context, p *Peer, until time.Duration) (*conn, error) {
+func (u *Pool) dial(ctx context.Context, p *Target, until time.Duration) (*conn, error) {
 	for !u.sockets.take() {
 		if !u.relieve() {
 			return nil, fmt.Errorf("dialing %s: no socket left", p.ID)
--- a/internal/node/upstream/sockets.go
+++ b/internal/node/upstream/sockets.go
@@ -3,15 +3,15 @@
 import "sync/atomic"
 
 // Sockets counts the connections to servers.
-type Sockets struct {
+type ConnLimiter struct {
 	most int64
 	open atomic.Int64
 }
 
-func NewSockets(most int) *Sockets { return &Sockets{most: int64(most)} }
+func NewConnLimiter(most int) *ConnLimiter { return &ConnLimiter{most: int64(most)} }
 
 // take books a connection if there is room for it.
-func (s *Sockets) take() bool {
+func (s *ConnLimiter) take() bool {
 	if s.open.Add(1) <= s.most {
 		return true
 	}
@@ -19,4 +19,4 @@
 	return false
 }
 
-func (s *Sockets) give() { s.open.Add(-1) }
+func (s *ConnLimiter) give() { s.open.Add(-1) }
--- a/internal/node/upstream/ticket.go
+++ b/internal/node/upstream/ticket.go
@@ -9,7 +9,7 @@
 // Ticket calls an attempt off, whatever it is doing: it ends a dial, and the wait
 // for an answer. It stands for a context, at the price of none: the usual attempt
 // is never called off. Its zero value is ready; it is for one attempt.
-type Ticket struct {
+type Canceler struct {
 	mu   sync.Mutex
 	off  bool
 	conn *conn              // the attempt waits on this for its answer
@@ -17,7 +17,7 @@
 }
 
 // Cancel calls the attempt off. Later calls do nothing.
-func (t *Ticket) Cancel() {
+func (t *Canceler) Cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.off = true
@@ -30,14 +30,14 @@
 }
 
 // isOff tells whether the attempt has been called off.
-func (t *Ticket) isOff() bool {
+func (t *Canceler) isOff() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.off
 }
 
 // dialing returns a context for a dial, which a call-off ends, and what ends it otherwise.
-func (t *Ticket) dialing() (context.Context, context.CancelFunc) {
+func (t *Canceler) dialing() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,7 +54,7 @@
 
 // waitOn says which connection the attempt waits on until a point in time, having
 // written by another, and returns false if it has been called off.
-func (t *Ticket) waitOn(c *conn, until, written time.Time) bool {
+func (t *Canceler) waitOn(c *conn, until, written time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.off {
@@ -70,7 +70,7 @@
 
 // leave ends the wait, and tells whether no call-off has begun: only then the
 // connection is as it was.
-func (t *Ticket) leave() bool {
+func (t *Canceler) leave() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conn = nil
--- a/internal/node/upstream/upstream_test.go
+++ b/internal/node/upstream/upstream_test.go
@@ -17,12 +17,12 @@
 // testAttempt makes one attempt at a server.
 func testAttempt(t *testing.T, u *Pool, address string) Outcome {
 	t.Helper()
-	q := &Call{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: NewID()}
-	return u.Attempt(&Ticket{}, &Peer{ID: "s0", Address: address}, q, "", u.clock.Now()+Patience, u.clock.Now()+Patience)
+	q := &Request{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: NewID()}
+	return u.Attempt(&Canceler{}, &Target{ID: "s0", Address: address}, q, "", u.clock.Now()+Patience, u.clock.Now()+Patience)
 }
 
 func newTestUpstream() *Pool {
-	return New(clock.New(), NewSockets(100), &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience})
+	return New(clock.New(), NewConnLimiter(100), &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience})
 }
 
 // Whatever a server sends for an answer, it must be told apart from one that is
@@ -48,8 +48,8 @@
 			u := newTestUpstream()
 			address := RawServer(t, func(c net.Conn) { io.WriteString(c, text) })
 			begun := u.clock.Now()
-			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.Closed {
-				t.Errorf("ended as %v, closed %v", o.Result, o.Closed)
+			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.ConnClosed {
+				t.Errorf("ended as %v, closed %v", o.Result, o.ConnClosed)
 			}
 			if took := u.clock.Now() - begun; took > Patience/2 {
 				t.Errorf("took %v", took)
@@ -77,8 +77,8 @@
 				io.WriteString(c, parts[0])
 				Endless(parts[1], sent)(c)
 			})
-			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.Closed {
-				t.Errorf("ended as %v, closed %v", o.Result, o.Closed)
+			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.ConnClosed {
+				t.Errorf("ended as %v, closed %v", o.Result, o.ConnClosed)
 			}
 			<-sent // the connection is closed while the server still writes
 		})
@@ -93,8 +93,8 @@
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"+
 			"HTTP/1.1 200 OK\r\nX-Pressure: {{\r\nContent-Length: 4\r\n\r\nfine")
 	})
-	if o := testAttempt(t, u, address); o.Result != decide.Served || string(o.Response.Body) != "fine" || o.Closed {
-		t.Errorf("ended as %v, closed %v", o.Result, o.Closed)
+	if o := testAttempt(t, u, address); o.Result != decide.Served || string(o.Response.Body) != "fine" || o.ConnClosed {
+		t.Errorf("ended as %v, closed %v", o.Result, o.ConnClosed)
 	}
 	u.CloseIdle()
 }
@@ -117,8 +117,8 @@
 				io.WriteString(c, whole+"copy")
 			})
 			first := testAttempt(t, u, address)
-			if first.Result != decide.Served || string(first.Response.Body) != "fine" || first.Closed == later {
-				t.Fatalf("ended as %v, closed %v", first.Result, first.Closed)
+			if first.Result != decide.Served || string(first.Response.Body) != "fine" || first.ConnClosed == later {
+				t.Fatalf("ended as %v, closed %v", first.Result, first.ConnClosed)
 			}
 			close(served)
 			if later {
@@ -142,7 +142,7 @@
 func TestConnectionsRest(t *testing.T) {
 	u := newTestUpstream()
 	address := RawServer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") })
-	p := &Peer{ID: "s0", Address: address}
+	p := &Target{ID: "s0", Address: address}
 	testAttempt(t, u, address)
 	c := u.idle["s0"][0]
 	if got := u.get(p); got != c {
@@ -166,33 +166,33 @@
 func TestLooksAgainBeforeItWrites(t *testing.T) {
 	s := NewServer(t, Say("fine"))
 	set := &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience}
-	clock, budget := clock.New(), NewSockets(1000)
+	clock, budget := clock.New(), NewConnLimiter(1000)
 	up := New(clock, budget, set)
-	q := &Call{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: "1"}
+	q := &Request{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: "1"}
 	var over atomic.Bool
-	q.Over = &over
-	p := &Peer{ID: "s0", Address: s.Addr()}
+	q.Finished = &over
+	p := &Target{ID: "s0", Address: s.Addr()}
 	p.Closed.Store(true)
-	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.NotSent {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.NotSent {
 		t.Errorf("to a drained server: %v", o.Result)
 	}
 	p.Closed.Store(false)
 	over.Store(true)
-	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.NotSent {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.NotSent {
 		t.Errorf("for a request that is over: %v", o.Result)
 	}
 	over.Store(false)
 	// A connection that came up after the time by which a repeat may be sent is of no use for it.
-	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()-1, clock.Now()+Patience); o.Result != decide.NotSent {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()-1, clock.Now()+Patience); o.Result != decide.NotSent {
 		t.Errorf("after the window for repeats: %v", o.Result)
 	}
-	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()+Patience, clock.Now()-1); o.Result != decide.ConnectFailed {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()-1); o.Result != decide.ConnectFailed {
 		t.Errorf("with no time left: %v", o.Result)
 	}
 	if s.Seen() != 0 || budget.open.Load() != 0 {
 		t.Errorf("%d requests came, %d sockets are open", s.Seen(), budget.open.Load())
 	}
-	if o := up.Attempt(&Ticket{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.Served || string(o.Response.Body) != "fine" {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.Served || string(o.Response.Body) != "fine" {
 		t.Errorf("then: %v", o.Result)
 	}
 	up.CloseIdle()
@@ -210,12 +210,12 @@
 	WaitFor(t, "some time passes", func() bool { return u.clock.Now() > 20*time.Millisecond })
 	begun := u.clock.Now()
 	second := testAttempt(t, u, s.Addr())
-	if second.Age <= first.Age || second.Dial > 0 {
-		t.Errorf("used again after %v: %v old", first.Age, second.Age)
+	if second.ConnAge <= first.ConnAge || second.DialTime > 0 {
+		t.Errorf("used again after %v: %v old", first.ConnAge, second.ConnAge)
 	}
 	s.CloseClientConnections() // its process is another one
-	WaitFor(t, "the connection is dead", func() bool { return u.Alive("s0") == 0 })
-	if third := testAttempt(t, u, s.Addr()); third.Result != decide.Served || third.Age > u.clock.Now()-begun {
-		t.Errorf("after the connection died: %v, %v old", third.Result, third.Age)
+	WaitFor(t, "the connection is dead", func() bool { return u.AliveIdle("s0") == 0 })
+	if third := testAttempt(t, u, s.Addr()); third.Result != decide.Served || third.ConnAge > u.clock.Now()-begun {
+		t.Errorf("after the connection died: %v, %v old", third.Result, third.ConnAge)
 	}
 }
--- a/internal/companion/companion_test.go
+++ b/internal/supervisor/companion_test.go
@@ -1,4 +1,4 @@
-package companion
+package supervisor
 
 import (
 	"context"
