--- a/cmd/curlewctl/recall.go
+++ b/cmd/curlewctl/recall.go
@@ -104,10 +104,10 @@
 	}
 	l := m.List()
 	switch {
-	case report.Fallback || report.Skipped > 0 || len(notes) > 0:
+	case report.NoSnapshot || report.DamagedBytes > 0 || len(notes) > 0:
 		fmt.Fprintln(w, "rows are lost, or may be; the node uses the others and asks for the whole list")
 		return found(2)
-	case report.Tail > 0 || len(report.Notes) > 0 || l.Generation > 0 && !l.Consistent:
+	case report.TruncatedBytes > 0 || len(report.Notes) > 0 || l.Generation > 0 && !l.Consistent:
 		fmt.Fprintln(w, "the last write was cut short, or a file is none of this store; the node uses what is there")
 		return found(1)
 	}
--- a/internal/conns/idleconns/rules.go
+++ b/internal/conns/idleconns/rules.go
@@ -9,12 +9,12 @@
 )
 
 // DefaultFor is how long a connection may idle where no rule says otherwise.
-const DefaultFor = 5 * time.Second
+const DefaultTimeout = 5 * time.Second
 
 const (
-	LeastFor = time.Second
-	MostFor  = 24 * time.Hour
-	MostRule = 256 // rules in one set
+	MinTimeout = time.Second
+	MaxTimeout = 24 * time.Hour
+	MaxRules   = 256 // rules in one set
 
 	// Ends of long waits are spread over a part of the wait beyond it.
 	slackPart = 16
@@ -25,7 +25,7 @@
 type Rule struct {
 	Class   int          // of a connection's last request; -1: any, also none
 	Network netip.Prefix // where it comes from; not valid: anywhere
-	For     time.Duration
+	Timeout time.Duration
 }
 
 // Rules say how long a connection may idle: the rule of the smallest network that
@@ -40,8 +40,8 @@
 // Compile makes rules of a list. classes is how many there are. No two rules may be
 // for the same class and network.
 func Compile(all []Rule, classes int) (*Rules, error) {
-	if len(all) > MostRule {
-		return nil, fmt.Errorf("%d rules of idle connections, at most %d are allowed", len(all), MostRule)
+	if len(all) > MaxRules {
+		return nil, fmt.Errorf("%d rules of idle connections, at most %d are allowed", len(all), MaxRules)
 	}
 	r := &Rules{classes: classes}
 	masked := slices.Clone(all)
@@ -50,11 +50,11 @@
 		if m.Class < -1 || m.Class >= classes {
 			return nil, fmt.Errorf("rule %d is for class %d of %d", i+1, m.Class, classes)
 		}
-		if m.For < LeastFor || m.For > MostFor {
-			return nil, fmt.Errorf("rule %d: idle for %v, allowed: %v to %v", i+1, m.For, LeastFor, MostFor)
+		if m.Timeout < MinTimeout || m.Timeout > MaxTimeout {
+			return nil, fmt.Errorf("rule %d: idle for %v, allowed: %v to %v", i+1, m.Timeout, MinTimeout, MaxTimeout)
 		}
 		if m.Network.IsValid() {
-			m.Network = Unmap(m.Network)
+			m.Network = CanonicalNetwork(m.Network)
 			r.networks = append(r.networks, m.Network)
 		}
 		for k := range i {
@@ -104,14 +104,14 @@
 		}
 	}
 	if !found {
-		return DefaultFor
+		return DefaultTimeout
 	}
-	return best.For
+	return best.Timeout
 }
 
 // Unmap turns a network of IPv4 addresses in IPv6 form into the IPv4 network, and
 // sets the host's bits to zero: one network has one form.
-func Unmap(p netip.Prefix) netip.Prefix {
+func CanonicalNetwork(p netip.Prefix) netip.Prefix {
 	if p.Addr().Is4In6() && p.Bits() >= 96 {
 		p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-96)
 	}
@@ -135,8 +135,8 @@
 
 // Limit is how long a connection may idle, and the slack that spreads the ends of
 // many. class is -1 for one that sent no request of a class.
-func (r *Rules) Limit(source uint16, class int) (limit, slack time.Duration) {
-	limit = DefaultFor
+func (r *Rules) Timeout(source uint16, class int) (limit, slack time.Duration) {
+	limit = DefaultTimeout
 	if r != nil && class < r.classes && int(source) < len(r.limits) {
 		limit = r.limits[source][class+1]
 	}
@@ -147,8 +147,8 @@
 }
 
 // Longest is the longest wait that any rule allows.
-func (r *Rules) Longest() time.Duration {
-	longest := DefaultFor
+func (r *Rules) MaxTimeout() time.Duration {
+	longest := DefaultTimeout
 	if r != nil {
 		for _, row := range r.limits {
 			longest = max(longest, slices.Max(row))
--- a/internal/conns/idleconns/table.go
+++ b/internal/conns/idleconns/table.go
@@ -12,14 +12,14 @@
 
 const (
 	// Recency lets those go first that have idled longest (LRU).
-	Recency Policy = iota
+	LRU Policy = iota
 	// Segments is segmented LRU: those that came back once are kept before those that
 	// never did. It is here to be compared with.
-	Segments
+	SegmentedLRU
 	// Value lets those go first whose next request is worth least by the time until
 	// it comes, as their habit tells it; among equals of a regular habit the one that was
 	// here last, since its next request is the furthest away (Belady 1966).
-	Value
+	LowestValue
 )
 
 const (
@@ -67,10 +67,10 @@
 
 // Settings are a table's, fixed for its life.
 type Settings struct {
-	Policy   Policy
-	Worths   []float64     // by class
-	Newcomer time.Duration // how long a connection that has just come has for its first request
-	Habits   int           // clients whose habits are remembered beyond their connections; 0: none
+	Policy            Policy
+	ClassWorths       []float64     // by class
+	NewcomerGrace     time.Duration // how long a connection that has just come has for its first request
+	RememberedClients int           // clients whose habits are remembered beyond their connections; 0: none
 }
 
 // Table is what is known of all connections. Make one with New.
@@ -90,7 +90,7 @@
 
 // New makes an empty table, whose times count from now. The rules may be nil: then DefaultFor holds for all.
 func New(set Settings, rules *Rules, now time.Duration) *Table {
-	t := &Table{set: set, rules: rules, base: now, heads: make([]entry, lists), habits: newHabits(set.Habits)}
+	t := &Table{set: set, rules: rules, base: now, heads: make([]entry, lists), habits: newHabits(set.RememberedClients)}
 	for i := range t.heads {
 		t.heads[i].next, t.heads[i].prev = int32(-i-1), int32(-i-1)
 	}
@@ -98,12 +98,12 @@
 }
 
 // Use takes other rules, for what goes idle from now on.
-func (t *Table) Use(rules *Rules) { t.rules = rules }
+func (t *Table) SetRules(rules *Rules) { t.rules = rules }
 
 // Idle and Fresh count the connections that wait for a next request, and those that
 // have sent no whole one since they came or began it.
-func (t *Table) Idle() int  { return t.idle }
-func (t *Table) Fresh() int { return t.fresh }
+func (t *Table) Idle() int       { return t.idle }
+func (t *Table) Incomplete() int { return t.fresh }
 
 // Bytes is what the table takes.
 func (t *Table) Bytes() int {
@@ -152,7 +152,7 @@
 
 // Came enters a new connection under a number that no other has. source is what
 // Rules.Source said of its address, and who a hash of that, or 0.
-func (t *Table) Came(now time.Duration, id int32, source uint16, who uint32) {
+func (t *Table) Add(now time.Duration, id int32, source uint16, who uint32) {
 	for int(id>>chunkBits) >= len(t.chunks) {
 		t.chunks = append(t.chunks, new([chunk]entry))
 	}
@@ -167,7 +167,7 @@
 }
 
 // Begun notes that a request's first bytes have come on an idle connection.
-func (t *Table) Begun(now time.Duration, id int32) {
+func (t *Table) RequestStarted(now time.Duration, id int32) {
 	t.drop(id)
 	e := t.at(id)
 	if e.class > 0 {
@@ -179,7 +179,7 @@
 
 // Again notes that bytes of a next request were there with the answer to the last:
 // nothing is learned from that.
-func (t *Table) Again(now time.Duration, id int32) {
+func (t *Table) RequestPipelined(now time.Duration, id int32) {
 	t.drop(id)
 	t.at(id).last = t.stamp(now)
 	t.push(unready, id)
@@ -187,8 +187,8 @@
 
 // Band sorts a connection by the worth of its last request into one of so many
 // bands, of which the last is worth most.
-func (t *Table) Band(id int32, bands int) int {
-	worth, top := t.worth(t.at(id)), slices.Max(append(t.set.Worths, 0))
+func (t *Table) WorthBand(id int32, bands int) int {
+	worth, top := t.worth(t.at(id)), slices.Max(append(t.set.ClassWorths, 0))
 	band := bands - 1
 	for ; band > 0 && worth < top; band-- { // each band holds half the worth of the one above
 		top /= 2
@@ -197,7 +197,7 @@
 }
 
 // FirstIdle is the idle connection that goes first.
-func (t *Table) FirstIdle() (id int32, ok bool) { return t.victim() }
+func (t *Table) IdleVictim() (id int32, ok bool) { return t.victim() }
 
 // learn takes one interval in: mean and mean deviation, as TCP's smoothed round
 // trip (RFC 6298), with a first guess of the interval itself.
@@ -219,33 +219,33 @@
 
 // Busy notes that a whole request of a class has come: until Parked the connection
 // is in nobody's way.
-func (t *Table) Busy(id int32, class int) {
+func (t *Table) RequestReceived(id int32, class int) {
 	t.drop(id)
 	t.at(id).class = uint8(min(class, 254) + 1)
 }
 
 // Other notes that a whole request of no class has come.
-func (t *Table) Other(id int32) { t.drop(id) }
+func (t *Table) UnclassifiedReceived(id int32) { t.drop(id) }
 
 // Parked notes that a connection waits for its next request. It returns for how long
 // it may, and by how much more where that spreads the ends of many.
-func (t *Table) Parked(now time.Duration, id int32) (limit, slack time.Duration) {
+func (t *Table) BecameIdle(now time.Duration, id int32) (limit, slack time.Duration) {
 	t.drop(id)
 	e := t.at(id)
 	e.last = t.stamp(now)
 	t.push(t.place(e), id)
-	if t.set.Policy == Value {
+	if t.set.Policy == LowestValue {
 		t.sweep(t.stamp(now))
 	}
-	return t.rules.Limit(e.source, int(e.class)-1)
+	return t.rules.Timeout(e.source, int(e.class)-1)
 }
 
 // place is the list where an idle connection belongs.
 func (t *Table) place(e *entry) int {
 	switch t.set.Policy {
-	case Value:
+	case LowestValue:
 		return t.value(e)
-	case Segments:
+	case SegmentedLRU:
 		if e.returns > 0 {
 			return 1
 		}
@@ -273,10 +273,10 @@
 
 // worth is that of the last request.
 func (t *Table) worth(e *entry) float64 {
-	if e.class == 0 || int(e.class) > len(t.set.Worths) {
+	if e.class == 0 || int(e.class) > len(t.set.ClassWorths) {
 		return 0
 	}
-	return t.set.Worths[e.class-1]
+	return t.set.ClassWorths[e.class-1]
 }
 
 // sweep looks at the next few entries, and takes what is long overdue for never used.
@@ -302,18 +302,18 @@
 }
 
 // From notes another source of a connection: the rules have changed.
-func (t *Table) From(id int32, source uint16) { t.at(id).source = source }
+func (t *Table) SetSource(id int32, source uint16) { t.at(id).source = source }
 
 // Waits tells since when an idle connection waits, for how long it may by the
 // present rules, and the slack, as Parked.
-func (t *Table) Waits(id int32) (since, limit, slack time.Duration) {
+func (t *Table) IdleTimeout(id int32) (since, limit, slack time.Duration) {
 	e := t.at(id)
-	limit, slack = t.rules.Limit(e.source, int(e.class)-1)
+	limit, slack = t.rules.Timeout(e.source, int(e.class)-1)
 	return t.time(e.last), limit, slack
 }
 
 // Gone forgets a connection, but for its client's habit if it has one.
-func (t *Table) Gone(id int32) {
+func (t *Table) Remove(id int32) {
 	t.drop(id)
 	if e := t.at(id); e.class > 0 {
 		t.habits.keep(e.who, e.habit, e.last)
@@ -321,28 +321,28 @@
 }
 
 // Word is what Victim found.
-type Word uint8
+type VictimStatus uint8
 
 const (
-	Found   Word = iota
-	Waiting      // only newcomers are left, which have a moment yet
-	Nobody       // each has a request open
+	Found         VictimStatus = iota
+	OnlyNewcomers              // only newcomers are left, which have a moment yet
+	AllBusy                    // each has a request open
 )
 
 // Victim says which connection goes first: one that never sent a whole request, but
 // not one that has just come, and else the idle one that comes first by the policy.
 // It stays in the table until Gone.
-func (t *Table) Victim(now time.Duration) (id int32, w Word) {
-	if first := t.heads[unready].next; first >= 0 && now-t.time(t.at(first).last) >= t.set.Newcomer {
+func (t *Table) Victim(now time.Duration) (id int32, w VictimStatus) {
+	if first := t.heads[unready].next; first >= 0 && now-t.time(t.at(first).last) >= t.set.NewcomerGrace {
 		return first, Found
 	}
 	if id, ok := t.victim(); ok {
 		return id, Found
 	}
 	if t.fresh > 0 {
-		return 0, Waiting
+		return 0, OnlyNewcomers
 	}
-	return 0, Nobody
+	return 0, AllBusy
 }
 
 // victim is the idle connection that goes first: of the least value, and of these the
@@ -355,7 +355,7 @@
 			t.marks &^= 1 << list
 			continue
 		}
-		if last := t.at(h.prev); t.set.Policy == Value && list > 0 && last.returns > 1 && last.spread < regular {
+		if last := t.at(h.prev); t.set.Policy == LowestValue && list > 0 && last.returns > 1 && last.spread < regular {
 			return h.prev, true
 		}
 		return h.next, true
--- a/internal/conns/idleconns/table_test.go
+++ b/internal/conns/idleconns/table_test.go
@@ -92,7 +92,7 @@
 // replay returns the part of the worth of all returns that found their connection
 // still open. Connections that others need the place of go by the policy.
 func replay(t testing.TB, tr trace, p Policy) float64 {
-	table := New(Settings{Policy: p, Worths: tr.worths, Newcomer: 250 * time.Millisecond, Habits: 2 * tr.places}, nil, 0)
+	table := New(Settings{Policy: p, ClassWorths: tr.worths, NewcomerGrace: 250 * time.Millisecond, RememberedClients: 2 * tr.places}, nil, 0)
 	type place struct{ who int }
 	places := make([]place, tr.places)
 	free := make([]int32, tr.places)
@@ -111,24 +111,24 @@
 		}
 		seen[v.who] = true
 		if ok {
-			table.Begun(v.at, id)
+			table.RequestStarted(v.at, id)
 		} else {
 			if len(free) == 0 {
 				out, word := table.Victim(v.at)
 				if word != Found {
 					t.Fatalf("%s: nobody makes room", tr.name)
 				}
-				table.Gone(out)
+				table.Remove(out)
 				delete(held, places[out].who)
 				free = append(free, out)
 			}
 			id = free[len(free)-1]
 			free = free[:len(free)-1]
 			places[id].who, held[v.who] = v.who, id
-			table.Came(v.at, id, 0, uint32(v.who))
+			table.Add(v.at, id, 0, uint32(v.who))
 		}
-		table.Busy(id, v.class)
-		table.Parked(v.at+5*time.Millisecond, id)
+		table.RequestReceived(id, v.class)
+		table.BecameIdle(v.at+5*time.Millisecond, id)
 	}
 	return kept / all
 }
@@ -145,7 +145,7 @@
 	for seed := range seeds {
 		for _, tr := range traces(seed) {
 			row := sums[tr.name]
-			lru, slru, value := replay(t, tr, Recency), replay(t, tr, Segments), replay(t, tr, Value)
+			lru, slru, value := replay(t, tr, LRU), replay(t, tr, SegmentedLRU), replay(t, tr, LowestValue)
 			for i, x := range []float64{lru, slru, value} {
 				row[i] += x / float64(seeds)
 			}
@@ -177,7 +177,7 @@
 // and the counts are true; looking for a victim ends after a bounded number of lists.
 func TestVictimsAreIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := New(Settings{Policy: Policy(rapid.IntRange(0, 2).Draw(t, "policy")), Worths: []float64{1, 12}, Newcomer: 250 * time.Millisecond}, nil, time.Hour)
+		table := New(Settings{Policy: Policy(rapid.IntRange(0, 2).Draw(t, "policy")), ClassWorths: []float64{1, 12}, NewcomerGrace: 250 * time.Millisecond}, nil, time.Hour)
 		m := model{map[int32]bool{}, map[int32]bool{}, map[int32]bool{}}
 		came := map[int32]time.Duration{}
 		now := time.Hour
@@ -186,23 +186,23 @@
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "on"))
 			switch {
 			case !m.idle[id] && !m.fresh[id] && !m.busy[id]:
-				table.Came(now, id, 0, uint32(id+1))
+				table.Add(now, id, 0, uint32(id+1))
 				m.fresh[id], came[id] = true, now
 			case m.idle[id]:
-				table.Begun(now, id)
+				table.RequestStarted(now, id)
 				delete(m.idle, id)
 				m.fresh[id], came[id] = true, now
 			case m.fresh[id]:
-				table.Busy(id, rapid.IntRange(0, 1).Draw(t, "class"))
+				table.RequestReceived(id, rapid.IntRange(0, 1).Draw(t, "class"))
 				delete(m.fresh, id)
 				m.busy[id] = true
 			default:
-				table.Parked(now, id)
+				table.BecameIdle(now, id)
 				delete(m.busy, id)
 				m.idle[id] = true
 			}
-			if table.Idle() != len(m.idle) || table.Fresh() != len(m.fresh) {
-				t.Fatalf("%d idle and %d fresh, told %d and %d", len(m.idle), len(m.fresh), table.Idle(), table.Fresh())
+			if table.Idle() != len(m.idle) || table.Incomplete() != len(m.fresh) {
+				t.Fatalf("%d idle and %d fresh, told %d and %d", len(m.idle), len(m.fresh), table.Idle(), table.Incomplete())
 			}
 			old := 0
 			for id := range m.fresh {
@@ -215,10 +215,10 @@
 				t.Fatalf("%d must go: idle %v, fresh since %v", v, m.idle[v], now-came[v])
 			case word == Found && old > 0 && m.idle[v]:
 				t.Fatalf("%d must go though %d never sent a whole request", v, old)
-			case word == Waiting && len(m.idle) > 0, word == Nobody && len(m.fresh)+len(m.idle) > 0:
+			case word == OnlyNewcomers && len(m.idle) > 0, word == AllBusy && len(m.fresh)+len(m.idle) > 0:
 				t.Fatalf("word %d with %d idle and %d fresh", word, len(m.idle), len(m.fresh))
 			case word == Found && rapid.Bool().Draw(t, "take"):
-				table.Gone(v)
+				table.Remove(v)
 				delete(m.idle, v)
 				delete(m.fresh, v)
 			}
@@ -229,28 +229,28 @@
 // A controller that comes every minute is kept for its next request before one that
 // came a moment ago for the first time; one long overdue is not.
 func TestRegularOnesAreKept(t *testing.T) {
-	table := New(Settings{Policy: Value, Worths: []float64{1}}, nil, 0)
+	table := New(Settings{Policy: LowestValue, ClassWorths: []float64{1}}, nil, 0)
 	now := time.Duration(0)
-	table.Came(now, 0, 0, 0)
+	table.Add(now, 0, 0, 0)
 	for range 10 {
-		table.Busy(0, 0)
-		table.Parked(now, 0)
+		table.RequestReceived(0, 0)
+		table.BecameIdle(now, 0)
 		now += time.Minute
-		table.Begun(now, 0)
+		table.RequestStarted(now, 0)
 	}
-	table.Busy(0, 0)
-	table.Parked(now, 0)
-	table.Came(now+time.Second, 1, 0, 0)
-	table.Busy(1, 0)
-	table.Parked(now+time.Second, 1)
+	table.RequestReceived(0, 0)
+	table.BecameIdle(now, 0)
+	table.Add(now+time.Second, 1, 0, 0)
+	table.RequestReceived(1, 0)
+	table.BecameIdle(now+time.Second, 1)
 	if id, _ := table.Victim(now + 50*time.Second); id != 1 {
 		t.Error("the one that comes every minute went")
 	}
 	now += 20 * time.Minute // it has stayed away
 	for range 100 {         // others come and go, and the hand goes round
-		table.Begun(now, 1)
-		table.Busy(1, 0)
-		table.Parked(now, 1)
+		table.RequestStarted(now, 1)
+		table.RequestReceived(1, 0)
+		table.BecameIdle(now, 1)
 	}
 	if id, _ := table.Victim(now); id != 0 {
 		t.Error("the one that stayed away was kept")
@@ -282,7 +282,7 @@
 		{"2001:db8::1", 1, 4 * time.Hour}, {"fe80::1%eth0", 0, time.Minute},
 	} {
 		a, _ := netip.ParseAddr(x.from)
-		if got, _ := rules.Limit(rules.Source(a), x.class); got != x.want {
+		if got, _ := rules.Timeout(rules.Source(a), x.class); got != x.want {
 			t.Errorf("%q, class %d: %v, want %v", x.from, x.class, got, x.want)
 		}
 	}
@@ -298,7 +298,7 @@
 		}
 	}
 	var none *Rules
-	if got, slack := none.Limit(0, -1); got != DefaultFor || slack != 0 {
+	if got, slack := none.Timeout(0, -1); got != DefaultTimeout || slack != 0 {
 		t.Errorf("without rules: %v and %v", got, slack)
 	}
 }
@@ -307,23 +307,23 @@
 func BenchmarkVictim(b *testing.B) {
 	for _, n := range []int32{1_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := New(Settings{Policy: Value, Worths: []float64{1, 12}}, nil, 0)
+			table := New(Settings{Policy: LowestValue, ClassWorths: []float64{1, 12}}, nil, 0)
 			r := rand.New(rand.NewPCG(1, 1))
 			now := time.Duration(0)
 			for id := range n {
-				table.Came(now, id, 0, uint32(id+1))
-				table.Busy(id, r.IntN(2))
-				table.Parked(now, id)
+				table.Add(now, id, 0, uint32(id+1))
+				table.RequestReceived(id, r.IntN(2))
+				table.BecameIdle(now, id)
 			}
 			b.ReportAllocs()
 			b.ReportMetric(float64(table.Bytes())/float64(n), "B/conn")
 			for b.Loop() {
 				now += time.Millisecond
 				id, _ := table.Victim(now)
-				table.Gone(id)
-				table.Came(now, id, 0, uint32(id+1))
-				table.Busy(id, r.IntN(2))
-				table.Parked(now, id)
+				table.Remove(id)
+				table.Add(now, id, 0, uint32(id+1))
+				table.RequestReceived(id, r.IntN(2))
+				table.BecameIdle(now, id)
 			}
 		})
 	}
--- a/internal/conns/membudget/ledger.go
+++ b/internal/conns/membudget/ledger.go
@@ -3,27 +3,27 @@
 import "fmt"
 
 // Use is what memory is taken for.
-type Use uint8
+type Category uint8
 
 const (
-	Parked  Use = iota // rows, timers and what is known of each connection
-	Reading            // requests that have come in part
-	Open               // requests that have no answer yet, with their bodies
-	Answers            // answers that their clients have yet to take
-	Pooled             // buffers kept for the next use
+	ConnectionState Category = iota // rows, timers and what is known of each connection
+	PartialRequests                 // requests that have come in part
+	OpenRequests                    // requests that have no answer yet, with their bodies
+	PendingAnswers                  // answers that their clients have yet to take
+	PooledBuffers                   // buffers kept for the next use
 	uses
 )
 
 // String is the use's name in logs and reports.
-func (u Use) String() string {
+func (u Category) String() string {
 	return [...]string{"parked", "reading", "open", "answers", "pooled"}[u]
 }
 
 // Uses lists all uses in order.
-func Uses() []Use {
-	all := make([]Use, uses)
+func Categories() []Category {
+	all := make([]Category, uses)
 	for i := range all {
-		all[i] = Use(i)
+		all[i] = Category(i)
 	}
 	return all
 }
@@ -33,10 +33,10 @@
 
 const (
 	// Roomy: all may take more.
-	Roomy Level = iota
+	Normal Level = iota
 	// Tight: what has nothing yet gets no buffer. Its bytes wait in the kernel, which
 	// its window tells the peer; what has begun may go on.
-	Tight
+	Constrained
 	// Full: idle connections go too.
 	Full
 )
@@ -49,7 +49,7 @@
 )
 
 // Ledger counts bytes by use against a limit.
-type Ledger struct {
+type Budget struct {
 	limit int
 	used  [uses]int
 	sum   int
@@ -59,15 +59,15 @@
 }
 
 // New makes an empty ledger of so many bytes.
-func New(limit int) *Ledger {
+func New(limit int) *Budget {
 	if limit <= 0 {
 		panic(fmt.Sprintf("pressure: a limit of %d bytes", limit))
 	}
-	return &Ledger{limit: limit}
+	return &Budget{limit: limit}
 }
 
 // Add books bytes, or with a negative number gives them back.
-func (l *Ledger) Add(u Use, bytes int) {
+func (l *Budget) Add(u Category, bytes int) {
 	l.used[u] += bytes
 	if l.used[u] < 0 {
 		panic(fmt.Sprintf("pressure: %d bytes given back too often for %s", -l.used[u], u))
@@ -80,10 +80,10 @@
 	case l.sum >= part(fullFrom):
 		l.level = Full
 	case l.level == Full && l.sum > part(fullUntil):
-	case l.sum >= part(tightFrom), l.level != Roomy && l.sum > part(tightUntil):
-		l.level = Tight
+	case l.sum >= part(tightFrom), l.level != Normal && l.sum > part(tightUntil):
+		l.level = Constrained
 	default:
-		l.level = Roomy
+		l.level = Normal
 	}
 	if l.level != was {
 		l.turns++
@@ -91,13 +91,13 @@
 }
 
 // Level is how full the ledger is.
-func (l *Ledger) Level() Level { return l.level }
+func (l *Budget) Level() Level { return l.level }
 
 // Used is what a use has taken, Sum all together, and Peak the most that was ever.
-func (l *Ledger) Used(u Use) int { return l.used[u] }
-func (l *Ledger) Sum() int       { return l.sum }
-func (l *Ledger) Peak() int      { return l.peak }
-func (l *Ledger) Limit() int     { return l.limit }
+func (l *Budget) Used(u Category) int { return l.used[u] }
+func (l *Budget) Total() int          { return l.sum }
+func (l *Budget) Peak() int           { return l.peak }
+func (l *Budget) Limit() int          { return l.limit }
 
 // Turns counts the changes of level.
-func (l *Ledger) Turns() int { return l.turns }
+func (l *Budget) LevelChanges() int { return l.turns }
--- a/internal/conns/membudget/ledger_test.go
+++ b/internal/conns/membudget/ledger_test.go
@@ -12,9 +12,9 @@
 		const limit = 1000
 		l := New(limit)
 		var used [uses]int
-		was := Roomy
+		was := Normal
 		for range 200 {
-			u := Use(rapid.IntRange(0, int(uses)-1).Draw(t, "use"))
+			u := Category(rapid.IntRange(0, int(uses)-1).Draw(t, "use"))
 			n := rapid.IntRange(-used[u], 150).Draw(t, "bytes")
 			used[u] += n
 			l.Add(u, n)
@@ -24,9 +24,9 @@
 			}
 			level := l.Level()
 			switch {
-			case l.Sum() != sum || l.Used(u) != used[u]:
-				t.Fatalf("%d in all, told %d", sum, l.Sum())
-			case sum >= 950 && level != Full, sum >= 800 && level == Roomy, sum <= 700 && level != Roomy,
+			case l.Total() != sum || l.Used(u) != used[u]:
+				t.Fatalf("%d in all, told %d", sum, l.Total())
+			case sum >= 950 && level != Full, sum >= 800 && level == Normal, sum <= 700 && level != Normal,
 				sum <= 850 && level == Full, level > was && sum < 800:
 				t.Fatalf("level %d at %d, after %d", level, sum, was)
 			}
@@ -38,14 +38,14 @@
 // At an edge the level stays, though bytes come and go.
 func TestNoFlapping(t *testing.T) {
 	l := New(1000)
-	l.Add(Open, 800)
+	l.Add(OpenRequests, 800)
 	for range 100 {
-		l.Add(Reading, 20)
-		l.Add(Reading, -20)
-		l.Add(Open, -20)
-		l.Add(Open, 20)
+		l.Add(PartialRequests, 20)
+		l.Add(PartialRequests, -20)
+		l.Add(OpenRequests, -20)
+		l.Add(OpenRequests, 20)
 	}
-	if l.Turns() != 1 || l.Level() != Tight || l.Peak() != 820 {
-		t.Errorf("%d turns, level %d, peak %d", l.Turns(), l.Level(), l.Peak())
+	if l.LevelChanges() != 1 || l.Level() != Constrained || l.Peak() != 820 {
+		t.Errorf("%d turns, level %d, peak %d", l.LevelChanges(), l.Level(), l.Peak())
 	}
 }
--- a/internal/fleet/raftstore/ledger.go
+++ b/internal/fleet/raftstore/ledger.go
@@ -34,7 +34,7 @@
 
 // Settings are those of the store that a Ledger needs.
 func Settings() store.Settings {
-	return store.Settings{MostRows: mostRows, MostBytes: mostBytes, Urgent: 1, Whole: true}
+	return store.Settings{MaxRows: mostRows, MaxBytes: mostBytes, UrgentSyncInterval: 1, AtomicCommits: true}
 }
 
 // Found is what stood on the disk.
@@ -57,7 +57,7 @@
 	l := &Store{s: s, first: 1}
 	f, err := l.read()
 	var wrong []string
-	if r.Skipped > 0 || r.Broken > 0 || r.Fallback && r.Rows > 0 {
+	if r.DamagedBytes > 0 || r.IncompleteSnapshots > 0 || r.NoSnapshot && r.Rows > 0 {
 		wrong = append(wrong, r.String())
 	}
 	if len(r.Notes) > 0 {
@@ -272,7 +272,7 @@
 		return err
 	}
 	if due && l.s.Durable() < seq {
-		return cmp.Or(l.s.Wrong(), errors.New("ledger: the store has not written"))
+		return cmp.Or(l.s.WriteError(), errors.New("ledger: the store has not written"))
 	}
 	return nil
 }
--- a/internal/node/disk/folder_test.go
+++ b/internal/node/disk/folder_test.go
@@ -97,7 +97,7 @@
 	}
 	now := time.Hour
 	s.Put(now, 1, "k", []byte("v"), true)
-	if err := s.Commit(now); err == nil || s.Wrong() == nil {
+	if err := s.Commit(now); err == nil || s.WriteError() == nil {
 		t.Fatal("written to a folder that is not there")
 	}
 	if err := s.Commit(now + time.Millisecond); err != nil {
@@ -107,8 +107,8 @@
 		t.Fatal(err)
 	}
 	now += time.Minute
-	if err := s.Commit(now); err != nil || s.Wrong() != nil || s.Durable() != s.Seq() {
-		t.Errorf("did not heal: %v, %v", err, s.Wrong())
+	if err := s.Commit(now); err != nil || s.WriteError() != nil || s.Durable() != s.Seq() {
+		t.Errorf("did not heal: %v, %v", err, s.WriteError())
 	}
 	again, report := store.Open(f, store.Settings{})
 	if string(again.Get(1, "k")) != "v" {
--- a/internal/node/front/end.go
+++ b/internal/node/front/end.go
@@ -22,7 +22,7 @@
 
 func (s *Server) closeParked(may func() bool) bool {
 	for {
-		i, ok := s.hold.FirstIdle()
+		i, ok := s.hold.IdleVictim()
 		if !ok {
 			return false
 		}
--- a/internal/node/front/hard_test.go
+++ b/internal/node/front/hard_test.go
@@ -22,12 +22,12 @@
 
 // rest makes connections rest for so long.
 func (g *game) rest(d time.Duration) {
-	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, For: d}}, 2)
+	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: d}}, 2)
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.server.set.IdleRules = rules
-	g.server.hold.Use(rules)
+	g.server.hold.SetRules(rules)
 }
 
 func (g *game) closed(c *gameClient) bool { return g.net.state(c.id).closed }
@@ -70,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGame(t, 10, 1<<20)
-			g.server.set.EvictionPolicy = idleconns.Recency
+			g.server.set.EvictionPolicy = idleconns.LRU
 			c := g.client(post("one"), "one", "two")
 			g.answer(0, 0)
 			g.net.mu.Lock() // the bytes are there, and their event is not
--- a/internal/node/front/machine_test.go
+++ b/internal/node/front/machine_test.go
@@ -52,7 +52,7 @@
 	g.net.on = true
 	g.server = New(Config{
 		Transport: g.net, Handler: g, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return g.now },
-		MaxConns: most, MaxRefusalConns: 2, MemoryBudget: memoryBytes, ClassWorths: []float64{1, 12}, EvictionPolicy: idleconns.Value,
+		MaxConns: most, MaxRefusalConns: 2, MemoryBudget: memoryBytes, ClassWorths: []float64{1, 12}, EvictionPolicy: idleconns.LowestValue,
 		MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	})
 	return g
@@ -219,13 +219,13 @@
 		g.read(c)
 	}
 	s := g.server
-	if s.table.open != 0 || s.wheel.Len() != 0 || s.hold.Idle() != 0 || s.hold.Fresh() != 0 {
-		g.t.Fatalf("left over: %d connections, %d timers, %d idle, %d fresh", s.table.open, s.wheel.Len(), s.hold.Idle(), s.hold.Fresh())
+	if s.table.open != 0 || s.wheel.Len() != 0 || s.hold.Idle() != 0 || s.hold.Incomplete() != 0 {
+		g.t.Fatalf("left over: %d connections, %d timers, %d idle, %d fresh", s.table.open, s.wheel.Len(), s.hold.Idle(), s.hold.Incomplete())
 	}
 	if g.net.closes != len(g.clients) {
 		g.t.Fatalf("%d connections, %d closed", len(g.clients), g.net.closes)
 	}
-	if sum, pool := s.ledger.Sum(), s.ledger.Used(membudget.Pooled); sum != pool {
+	if sum, pool := s.ledger.Total(), s.ledger.Used(membudget.PooledBuffers); sum != pool {
 		g.t.Fatalf("%d bytes booked, %d of them pooled", sum, pool)
 	}
 }
--- a/internal/node/front/read.go
+++ b/internal/node/front/read.go
@@ -40,7 +40,7 @@
 	if c.work == nil {
 		if n := len(s.pool); n > 0 {
 			c.work, s.pool = s.pool[n-1], s.pool[:n-1]
-			s.ledger.Add(membudget.Pooled, -c.work.bytes())
+			s.ledger.Add(membudget.PooledBuffers, -c.work.bytes())
 		} else {
 			c.work = &work{}
 		}
@@ -50,7 +50,7 @@
 
 // book tells the ledger what a work takes for a use: 0 for reading, 1 for what is open.
 func (s *Server) book(w *work, which, bytes int) {
-	use := [...]membudget.Use{membudget.Reading, membudget.Open}[which]
+	use := [...]membudget.Category{membudget.PartialRequests, membudget.OpenRequests}[which]
 	s.ledger.Add(use, bytes-w.booked[which])
 	w.booked[which] = bytes
 }
@@ -64,13 +64,13 @@
 	c.work = nil
 	s.book(w, 0, 0)
 	s.book(w, 1, 0)
-	s.ledger.Add(membudget.Answers, -len(w.out))
+	s.ledger.Add(membudget.PendingAnswers, -len(w.out))
 	if len(s.pool) >= mostPool || cap(w.buf) > keptBuf {
 		return
 	}
 	*w = work{buf: w.buf[:0]}
 	s.pool = append(s.pool, w)
-	s.ledger.Add(membudget.Pooled, w.bytes())
+	s.ledger.Add(membudget.PooledBuffers, w.bytes())
 	if len(s.pool) == leastPool+1 && s.set.Hooks.ReleaseBuffers != nil {
 		s.set.Hooks.ReleaseBuffers()
 	}
@@ -83,9 +83,9 @@
 	}
 	s.release(c)
 	s.wheel.Cancel(i)
-	s.hold.Gone(i)
+	s.hold.Remove(i)
 	s.set.Transport.Close(c.socket)
-	s.ledger.Add(membudget.Parked, -rowBytes)
+	s.ledger.Add(membudget.ConnectionState, -rowBytes)
 	s.table.give(i)
 	s.freed = true
 }
@@ -103,14 +103,14 @@
 func (s *Server) readable(i int32, c *conn) {
 	switch c.state {
 	case parked:
-		if s.ledger.Level() != membudget.Roomy {
+		if s.ledger.Level() != membudget.Normal {
 			s.postpone(i, c)
 			return
 		}
 		s.begin(i, c)
 		s.read(i, c)
 	case reading:
-		if c.work == nil && s.ledger.Level() != membudget.Roomy {
+		if c.work == nil && s.ledger.Level() != membudget.Normal {
 			s.postpone(i, c)
 			return
 		}
@@ -142,7 +142,7 @@
 // begin takes a connection out of its rest: its next request's bytes have come.
 func (s *Server) begin(i int32, c *conn) {
 	c.state = reading
-	s.hold.Begun(s.now, i)
+	s.hold.RequestStarted(s.now, i)
 	s.wheel.Arm(i, s.now+RequestWait)
 }
 
@@ -153,7 +153,7 @@
 	}
 	c.state = deferred
 	s.stats.Deferred++
-	s.later[s.hold.Band(i, bands)].push(s.table.token(i))
+	s.later[s.hold.WorthBand(i, bands)].push(s.table.token(i))
 	if s.set.Hooks.EvictIdle != nil && s.ledger.Level() == membudget.Full {
 		s.set.Hooks.EvictIdle()
 	}
@@ -161,7 +161,7 @@
 
 // waiting tells whether a deferred connection could be taken up now.
 func (s *Server) waiting() bool {
-	if s.ledger.Level() != membudget.Roomy {
+	if s.ledger.Level() != membudget.Normal {
 		return false
 	}
 	for band := range s.later {
@@ -359,9 +359,9 @@
 	c.state = open
 	name, class, answer := s.set.Handler.HandleRequest(Token(s.table.token(i)), r, c.crowded)
 	if class >= 0 {
-		s.hold.Busy(i, class)
+		s.hold.RequestReceived(i, class)
 	} else {
-		s.hold.Other(i)
+		s.hold.UnclassifiedReceived(i)
 	}
 	// The body has been used by now, and may stand where the rest goes.
 	w.buf, w.look = append(w.buf[:0], rest...), 0
@@ -380,7 +380,7 @@
 	s.stats.Refused++
 	s.worked(c)
 	c.unread = true
-	s.hold.Other(i)
+	s.hold.UnclassifiedReceived(i)
 	s.write(i, c, &Response{Status: f.status, Text: f.text, Close: true})
 }
 
--- a/internal/node/front/scale_test.go
+++ b/internal/node/front/scale_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	clock := &heldClock{start: time.Now()}
 	now := clock.now
-	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, For: rest}}, 1)
+	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: rest}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	var expired, release *worker.Job
 	config := Config{
 		Transport: c.net, Log: slog.New(slog.DiscardHandler), Now: now, MaxConns: most, MemoryBudget: 1 << 30,
-		ClassWorths: []float64{1}, EvictionPolicy: idleconns.Value, RememberedClients: 1 << 10, IdleRules: rules, MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
+		ClassWorths: []float64{1}, EvictionPolicy: idleconns.LowestValue, RememberedClients: 1 << 10, IdleRules: rules, MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	}
 	if !hurried {
 		config.Hooks = Hooks{CloseExpired: func() { expired.Wake(10 * time.Second) }, ReleaseBuffers: func() { release.Wake(0) }}
@@ -106,8 +106,8 @@
 	config.Handler = e
 	c.server = New(config)
 	e.server = c.server
-	expired = c.worker.Add("expired", background.Room, c.server.CloseExpired)
-	release = c.worker.Add("release", background.Spare, c.server.ReleaseBuffers)
+	expired = c.worker.Add("expired", background.Reclaim, c.server.CloseExpired)
+	release = c.worker.Add("release", background.Optional, c.server.ReleaseBuffers)
 	ctx, cancel := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	parts.Go(func() { e.run(ctx) })
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -82,7 +82,7 @@
 	table     table
 	wheel     *timerwheel.Wheel
 	hold      *idleconns.Table
-	ledger    *membudget.Ledger
+	ledger    *membudget.Budget
 	scratch   []byte
 	out       []byte
 	parser    parser
@@ -138,7 +138,7 @@
 	now := c.Now()
 	return &Server{
 		set: c, wheel: timerwheel.New(timerTick, now), now: now,
-		hold:   idleconns.New(idleconns.Settings{Policy: c.EvictionPolicy, Worths: c.ClassWorths, Newcomer: NewConnGrace, Habits: c.RememberedClients}, c.IdleRules, now),
+		hold:   idleconns.New(idleconns.Settings{Policy: c.EvictionPolicy, ClassWorths: c.ClassWorths, NewcomerGrace: NewConnGrace, RememberedClients: c.RememberedClients}, c.IdleRules, now),
 		ledger: membudget.New(c.MemoryBudget), scratch: make([]byte, readSize),
 		seed:    maphash.MakeSeed(),
 		tracing: c.Log != nil && c.Log.Enabled(context.Background(), slog.LevelDebug),
@@ -175,9 +175,9 @@
 func (s *Server) Stats() (st Stats) {
 	s.Do(func() {
 		st = s.stats
-		st.Open, st.Parked, st.Reading = s.table.open, s.hold.Idle(), s.hold.Fresh()
+		st.Open, st.Parked, st.Reading = s.table.open, s.hold.Idle(), s.hold.Incomplete()
 		st.Busy = st.Open - st.Parked - st.Reading
-		st.Memory, st.MemoryPeak, st.PressureChanges = s.ledger.Sum(), s.ledger.Peak(), s.ledger.Turns()
+		st.Memory, st.MemoryPeak, st.PressureChanges = s.ledger.Total(), s.ledger.Peak(), s.ledger.LevelChanges()
 	})
 	return st
 }
@@ -191,7 +191,7 @@
 func (s *Server) SetIdleRules(r *idleconns.Rules) {
 	s.Do(func() {
 		s.set.IdleRules = r
-		s.hold.Use(r)
+		s.hold.SetRules(r)
 		s.rules++
 		s.recheckAt = 0
 		if s.set.Hooks.ReapplyRules != nil {
@@ -212,9 +212,9 @@
 				continue
 			}
 			s.sourced(i, c)
-			since, limit, slack := s.hold.Waits(i)
+			since, limit, slack := s.hold.IdleTimeout(i)
 			if s.wheel.Cancel(i) { // else its time is over already
-				s.wheel.Spread(i, since+limit, slack)
+				s.wheel.ArmSpread(i, since+limit, slack)
 			}
 		}
 		return false
@@ -224,7 +224,7 @@
 // sourced finds out anew which network a connection is from: the rules have changed.
 func (s *Server) sourced(i int32, c *conn) {
 	c.rules = s.rules
-	s.hold.From(i, s.set.IdleRules.Source(s.set.Transport.From(c.socket)))
+	s.hold.SetSource(i, s.set.IdleRules.Source(s.set.Transport.From(c.socket)))
 }
 
 // Run serves until the context ends, and closes all that is left then.
@@ -391,8 +391,8 @@
 	i, c := s.table.take()
 	c.socket, c.state, c.crowded = socket, reading, crowded
 	c.rules = s.rules
-	s.ledger.Add(membudget.Parked, rowBytes)
-	s.hold.Came(s.now, i, s.set.IdleRules.Source(from), s.who(from))
+	s.ledger.Add(membudget.ConnectionState, rowBytes)
+	s.hold.Add(s.now, i, s.set.IdleRules.Source(from), s.who(from))
 	s.wheel.Arm(i, s.now+RequestWait)
 	s.accepted.Store(int64(s.now))
 	s.stats.Accepted++
@@ -405,7 +405,7 @@
 // who is a hash of an address by a key of this process: nobody outside can pick
 // addresses that fall together. 0: no address.
 func (s *Server) who(a netip.Addr) uint32 {
-	if !a.IsValid() || s.set.EvictionPolicy != idleconns.Value {
+	if !a.IsValid() || s.set.EvictionPolicy != idleconns.LowestValue {
 		return 0
 	}
 	b := a.As16()
@@ -424,7 +424,7 @@
 	switch s.oust() {
 	case idleconns.Found:
 		return true
-	case idleconns.Nobody:
+	case idleconns.AllBusy:
 		return s.table.open < s.set.MaxConns+s.set.MaxRefusalConns
 	}
 	return false
@@ -432,7 +432,7 @@
 
 // oust closes the connection that goes first. One on which bytes have come
 // meanwhile is no longer idle: it is read instead.
-func (s *Server) oust() idleconns.Word {
+func (s *Server) oust() idleconns.VictimStatus {
 	for tries := 0; ; tries++ {
 		i, word := s.hold.Victim(s.now)
 		if word != idleconns.Found {
@@ -550,7 +550,7 @@
 				return true
 			}
 			n := len(s.pool) - 1
-			s.ledger.Add(membudget.Pooled, -s.pool[n].bytes())
+			s.ledger.Add(membudget.PooledBuffers, -s.pool[n].bytes())
 			s.pool[n] = nil
 			s.pool = s.pool[:n]
 		}
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -276,7 +276,7 @@
 func TestShorterRestOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
 		rules := func(d time.Duration) *idleconns.Rules {
-			r, err := idleconns.Compile([]idleconns.Rule{{Class: -1, For: d}}, 1)
+			r, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: d}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/node/front/write.go
+++ b/internal/node/front/write.go
@@ -85,7 +85,7 @@
 	s.book(w, 1, cap(w.buf))
 	if n < len(s.out) {
 		w.out = append([]byte(nil), s.out[n:]...)
-		s.ledger.Add(membudget.Answers, len(w.out))
+		s.ledger.Add(membudget.PendingAnswers, len(w.out))
 		c.state = writing
 		until := a.WriteDeadline
 		if until == 0 {
@@ -110,7 +110,7 @@
 	w := c.work
 	for len(w.out) > 0 {
 		n, err := s.set.Transport.Write(c.socket, w.out)
-		s.ledger.Add(membudget.Answers, -n)
+		s.ledger.Add(membudget.PendingAnswers, -n)
 		w.out = w.out[n:]
 		if errors.Is(err, ErrAgain) || err == nil && n == 0 {
 			if s.set.Transport.WantWrite(c.socket, s.table.token(i)) != nil {
@@ -143,7 +143,7 @@
 		w.buf, w.request, w.body = nil, nil, nil
 		s.book(w, 0, 0)
 		s.book(w, 1, 0)
-		s.hold.Other(i)
+		s.hold.UnclassifiedReceived(i)
 		s.wheel.Arm(i, s.now+lingerFor)
 		s.linger(i, c)
 		return
@@ -151,7 +151,7 @@
 	c.piped = false
 	if len(w.buf) > 0 || c.unread {
 		c.state = reading
-		s.hold.Again(s.now, i)
+		s.hold.RequestPipelined(s.now, i)
 		s.wheel.Arm(i, s.now+RequestWait)
 		s.again.push(s.table.token(i))
 		return
@@ -167,8 +167,8 @@
 	if c.rules != s.rules {
 		s.sourced(i, c)
 	}
-	limit, slack := s.hold.Parked(s.now, i)
-	s.wheel.Spread(i, s.now+limit, slack)
+	limit, slack := s.hold.BecameIdle(s.now, i)
+	s.wheel.ArmSpread(i, s.now+limit, slack)
 	if limit > keepFrom && !c.kept {
 		c.kept = true
 		s.set.Transport.Keep(c.socket)
--- a/internal/node/keeper/keeper.go
+++ b/internal/node/keeper/keeper.go
@@ -61,9 +61,9 @@
 
 // New is Open on any folder, which stays its owner's.
 func New(folder store.FS, set Settings, node string, c clock.Clock, log *slog.Logger) (*Keeper, Known) {
-	s, report := store.Open(folder, store.Settings{MostBytes: set.MostMB << 20})
+	s, report := store.Open(folder, store.Settings{MaxBytes: set.MostMB << 20})
 	m, notes := serverdb.Open(s, serverdb.Settings{}, c.Now())
-	if len(report.Notes) > 0 || report.Skipped > 0 || report.Tail > 0 || report.Fallback {
+	if len(report.Notes) > 0 || report.DamagedBytes > 0 || report.TruncatedBytes > 0 || report.NoSnapshot {
 		log.Warn("the store is damaged; what is sound of it is used", "folder", set.Folder, "report", report.String())
 	}
 	if len(notes) > 0 {
--- a/internal/node/members/keep.go
+++ b/internal/node/members/keep.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s, report := store.Open(folder, store.Settings{MostRows: 16, MostBytes: keepBytes})
-	if len(report.Notes) > 0 || report.Skipped > 0 || report.Fallback {
+	s, report := store.Open(folder, store.Settings{MaxRows: 16, MaxBytes: keepBytes})
+	if len(report.Notes) > 0 || report.DamagedBytes > 0 || report.NoSnapshot {
 		log.Warn("what was kept of the members is damaged; what is sound of it is used", "report", report.String())
 	}
 	k := &keep{log: log, clock: c, folder: folder, store: s, wake: make(chan struct{}, 1)}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,9 +110,9 @@
 		worths[i] = c.Settings.Classes[i].Worth
 	}
 	// Without rules of the operators' all stays as the platform knows it.
-	policy, habits := idleconns.Recency, 0
+	policy, habits := idleconns.LRU, 0
 	if c.Routes.Idle() != nil {
-		policy, habits = idleconns.Value, clients
+		policy, habits = idleconns.LowestValue, clients
 	}
 	var stood func() bool
 	if c.Members != nil { // opened below, before the front runs
@@ -134,17 +134,17 @@
 	n.callers.front = n.front
 	n.idleRules = c.Routes.Idle() != nil
 	n.jobs = jobs{
-		expired: n.worker.Add("closing what has idled too long", background.Room, n.front.CloseExpired),
-		room:    n.worker.Add("closing for newcomers", background.Room, n.front.EvictIdle),
-		release: n.worker.Add("giving buffers back", background.Spare, n.front.ReleaseBuffers),
-		recheck: n.worker.Add("bringing idle connections to new rules", background.Tidy, n.front.ReapplyRules),
-		closing: n.worker.Add("closing what is parked at the end", background.Duty, n.front.CloseParked),
-		list:    n.worker.Add("taking in a list", background.Duty, n.loop.step(n.loop.takeIn)),
-		idle:    n.worker.Add("closing idle connections to servers", background.Room, n.upstream.CloseExpired),
+		expired: n.worker.Add("closing what has idled too long", background.Reclaim, n.front.CloseExpired),
+		room:    n.worker.Add("closing for newcomers", background.Reclaim, n.front.EvictIdle),
+		release: n.worker.Add("giving buffers back", background.Optional, n.front.ReleaseBuffers),
+		recheck: n.worker.Add("bringing idle connections to new rules", background.Cleanup, n.front.ReapplyRules),
+		closing: n.worker.Add("closing what is parked at the end", background.Obligation, n.front.CloseParked),
+		list:    n.worker.Add("taking in a list", background.Obligation, n.loop.step(n.loop.takeIn)),
+		idle:    n.worker.Add("closing idle connections to servers", background.Reclaim, n.upstream.CloseExpired),
 	}
 	n.loop.entries = func() { n.jobs.list.Wake(listWithin) }
 	if n.loop.budgets != nil {
-		n.jobs.attempts = n.worker.Add("forgetting old attempts of budgets", background.Tidy, n.loop.step(n.loop.forgetOld))
+		n.jobs.attempts = n.worker.Add("forgetting old attempts of budgets", background.Cleanup, n.loop.step(n.loop.forgetOld))
 	}
 	if c.Members != nil {
 		set := *c.Members
@@ -204,8 +204,8 @@
 	}
 	n.keeper = k
 	n.loop.past = newPast(k, known, n.config, n.clock.Wall(n.clock.Now()))
-	n.jobs.keep = n.worker.Add("writing what is remembered", background.Tidy, k.Step)
-	n.jobs.served = n.worker.Add("noting who has served", background.Spare, n.loop.step(n.loop.noteServed))
+	n.jobs.keep = n.worker.Add("writing what is remembered", background.Cleanup, k.Step)
+	n.jobs.served = n.worker.Add("noting who has served", background.Optional, n.loop.step(n.loop.noteServed))
 	k.OnWork(n.jobs.keep.Wake)
 }
 
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -26,7 +26,7 @@
 	wake chan struct{}
 
 	mu    sync.Mutex
-	core  *background.Core
+	core  *background.Scheduler
 	steps []Step
 	names []string
 	told  []bool // that it overran
@@ -35,7 +35,7 @@
 // Job is a kind of work.
 type Job struct {
 	worker *Worker
-	id     background.ID
+	id     background.JobID
 }
 
 // New makes a worker without jobs.
@@ -80,7 +80,7 @@
 func (w *Worker) Lag(now, lag time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.core.Lag(now, lag)
+	w.core.RecordLag(now, lag)
 }
 
 // Reports are what the jobs have done.
--- a/internal/node/worker/worker_test.go
+++ b/internal/node/worker/worker_test.go
@@ -49,7 +49,7 @@
 			runs.Add(1)
 			return time.Microsecond, left.Add(-1) > 0
 		}
-		job, other = w.Add("a", background.Tidy, step), w.Add("b", background.Duty, step)
+		job, other = w.Add("a", background.Cleanup, step), w.Add("b", background.Obligation, step)
 	})
 	job.Wake(0)
 	other.Wake(time.Second)
@@ -65,7 +65,7 @@
 	var rounds atomic.Int64
 	var job *Job
 	w := start(t, slog.New(slog.NewTextHandler(&text, nil)), func(w *Worker) {
-		job = w.Add("counting sheep", background.Spare, func(time.Duration) (time.Duration, bool) {
+		job = w.Add("counting sheep", background.Optional, func(time.Duration) (time.Duration, bool) {
 			rounds.Add(1)
 			return 20 * time.Millisecond, false
 		})
@@ -85,8 +85,8 @@
 	var job, after *Job
 	w := start(t, nodetest.Quiet(), func(w *Worker) {
 		spend := func(time.Duration) (time.Duration, bool) { return 8 * time.Millisecond, false } // all of the budget
-		after = w.Add("after", background.Duty, spend)
-		job = w.Add("job", background.Spare, func(time.Duration) (time.Duration, bool) {
+		after = w.Add("after", background.Obligation, spend)
+		job = w.Add("job", background.Optional, func(time.Duration) (time.Duration, bool) {
 			runs.Add(1)
 			return 0, true
 		})
--- a/internal/operators/routes/idle.go
+++ b/internal/operators/routes/idle.go
@@ -39,7 +39,7 @@
 	case "for":
 		length := d.duration(key, line, value)
 		i.For = Value[string]{V: d.text(value), Line: line, Bad: length.Bad}
-		i.length.For = length.V
+		i.length.Timeout = length.V
 		i.bad = i.bad || length.Bad
 	default:
 		i.bad = true
@@ -65,8 +65,8 @@
 	if len(all) == 0 {
 		return nil
 	}
-	if len(all) > idleconns.MostRule {
-		c.find(TooManyIdle, all[idleconns.MostRule].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MostRule),
+	if len(all) > idleconns.MaxRules {
+		c.find(TooManyIdle, all[idleconns.MaxRules].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MaxRules),
 			"too many idle rules")
 		return nil
 	}
@@ -94,15 +94,15 @@
 					"not a network")
 				ok = false
 			} else {
-				rule.Network = idleconns.Unmap(network)
+				rule.Network = idleconns.CanonicalNetwork(network)
 			}
 		}
 		switch {
 		case i.For.Line == 0 && !i.bad:
 			c.find(SetsNothing, i.Line, "for", "", "", "an idle rule without for sets nothing")
 			ok = false
-		case i.For.Set() && (rule.For < idleconns.LeastFor || rule.For > idleconns.MostFor):
-			c.find(OddIdle, i.For.Line, "for", i.For.V, idleconns.LeastFor.String()+" to "+idleconns.MostFor.String(),
+		case i.For.Set() && (rule.Timeout < idleconns.MinTimeout || rule.Timeout > idleconns.MaxTimeout):
+			c.find(OddIdle, i.For.Line, "for", i.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
 				"connections can't wait for so short or so long")
 			ok = false
 		}
--- a/internal/sched/background/core.go
+++ b/internal/sched/background/core.go
@@ -12,29 +12,29 @@
 type Priority int
 
 const (
-	Duty  Priority = iota // what an obligation hangs on
-	Room                  // what makes room for others
-	Tidy                  // what only saves
-	Spare                 // what could as well never happen
+	Obligation Priority = iota // what an obligation hangs on
+	Reclaim                    // what makes room for others
+	Cleanup                    // what only saves
+	Optional                   // what could as well never happen
 	priorities
 )
 
 // Config is a core's. The zero value of each field stands for its default.
 type Config struct {
-	Share  float64       // of a core that jobs may take together; 0.08
-	Least  float64       // that is left to them however long live traffic waits; 0.005
-	Period time.Duration // whose budget may be saved up; 50 ms
-	Slice  time.Duration // the longest step; 300 us
-	Calm   time.Duration // live traffic's wait up to which the whole share is given; 500 us
-	Worst  time.Duration // and from which only the least; 10 ms
-	Ageing time.Duration // a job that waited this long counts as of one priority higher; 200 ms
+	MaxShare       float64       // of a core that jobs may take together; 0.08
+	MinShare       float64       // that is left to them however long live traffic waits; 0.005
+	BudgetPeriod   time.Duration // whose budget may be saved up; 50 ms
+	MaxSlice       time.Duration // the longest step; 300 us
+	LowLag         time.Duration // live traffic's wait up to which the whole share is given; 500 us
+	HighLag        time.Duration // and from which only the least; 10 ms
+	AgeingInterval time.Duration // a job that waited this long counts as of one priority higher; 200 ms
 }
 
 func (c Config) withDefaults() Config {
-	c.Share, c.Least = cmp.Or(c.Share, 0.08), cmp.Or(c.Least, 0.005)
-	c.Period, c.Slice = cmp.Or(c.Period, 50*time.Millisecond), cmp.Or(c.Slice, 300*time.Microsecond)
-	c.Calm, c.Worst = cmp.Or(c.Calm, 500*time.Microsecond), cmp.Or(c.Worst, 10*time.Millisecond)
-	c.Ageing = cmp.Or(c.Ageing, 200*time.Millisecond)
+	c.MaxShare, c.MinShare = cmp.Or(c.MaxShare, 0.08), cmp.Or(c.MinShare, 0.005)
+	c.BudgetPeriod, c.MaxSlice = cmp.Or(c.BudgetPeriod, 50*time.Millisecond), cmp.Or(c.MaxSlice, 300*time.Microsecond)
+	c.LowLag, c.HighLag = cmp.Or(c.LowLag, 500*time.Microsecond), cmp.Or(c.HighLag, 10*time.Millisecond)
+	c.AgeingInterval = cmp.Or(c.AgeingInterval, 200*time.Millisecond)
 	return c
 }
 
@@ -50,7 +50,7 @@
 )
 
 // ID names a job.
-type ID int
+type JobID int
 
 // job is what is known of one kind of work.
 type job struct {
@@ -68,20 +68,20 @@
 
 // Report is what a job has done.
 type Report struct {
-	Name     string
-	Rounds   int           // from being woken to having nothing left
-	Steps    int           //
-	Spent    time.Duration // in all
-	Cost     time.Duration // learned, of a round
-	Longest  time.Duration // step
-	Waited   time.Duration // the longest wait for a step
-	Overruns int           // steps that took far more than they were given
-	Missed   int           // deadlines
-	Urgent   int           // steps beyond the budget, for a deadline's sake
+	Name            string
+	Rounds          int           // from being woken to having nothing left
+	Steps           int           //
+	Spent           time.Duration // in all
+	RoundCost       time.Duration // learned, of a round
+	LongestStep     time.Duration // step
+	LongestWait     time.Duration // the longest wait for a step
+	Overruns        int           // steps that took far more than they were given
+	MissedDeadlines int           // deadlines
+	UrgentSteps     int           // steps beyond the budget, for a deadline's sake
 }
 
 // Core shares the budget out.
-type Core struct {
+type Scheduler struct {
 	set    Config
 	jobs   []job
 	tokens time.Duration // what may be spent now; below 0 after a step
@@ -92,9 +92,9 @@
 }
 
 // New makes a core without jobs.
-func New(set Config, now time.Duration) *Core {
-	c := &Core{set: set.withDefaults(), filled: now, lagAt: now}
-	if !(c.set.Least > 0 && c.set.Least <= c.set.Share && c.set.Share <= 1) || c.set.Worst <= c.set.Calm {
+func New(set Config, now time.Duration) *Scheduler {
+	c := &Scheduler{set: set.withDefaults(), filled: now, lagAt: now}
+	if !(c.set.MinShare > 0 && c.set.MinShare <= c.set.MaxShare && c.set.MaxShare <= 1) || c.set.HighLag <= c.set.LowLag {
 		panic(fmt.Sprintf("background: odd settings %+v", c.set))
 	}
 	c.tokens = c.saved()
@@ -102,21 +102,23 @@
 }
 
 // saved is the most that may be saved up.
-func (c *Core) saved() time.Duration { return time.Duration(c.set.Share * float64(c.set.Period)) }
+func (c *Scheduler) saved() time.Duration {
+	return time.Duration(c.set.MaxShare * float64(c.set.BudgetPeriod))
+}
 
 // enough is what must be there for a step: steps of next to nothing would be spent on
 // getting there.
-func (c *Core) enough() time.Duration { return max(leastSlice, min(c.set.Slice, c.saved())/2) }
+func (c *Scheduler) enough() time.Duration { return max(leastSlice, min(c.set.MaxSlice, c.saved())/2) }
 
 // Add enters a job, which sleeps.
-func (c *Core) Add(name string, p Priority) ID {
+func (c *Scheduler) Add(name string, p Priority) JobID {
 	c.jobs = append(c.jobs, job{name: name, priority: min(max(p, 0), priorities-1), report: Report{Name: name}})
-	return ID(len(c.jobs) - 1)
+	return JobID(len(c.jobs) - 1)
 }
 
 // Wake tells that a job has work, which should be through by the deadline; 0: none.
 // The earlier of two deadlines holds.
-func (c *Core) Wake(now time.Duration, id ID, deadline time.Duration) {
+func (c *Scheduler) Wake(now time.Duration, id JobID, deadline time.Duration) {
 	j := &c.jobs[id]
 	if deadline > 0 && (j.deadline == 0 || deadline < j.deadline) {
 		j.deadline = deadline
@@ -131,55 +133,55 @@
 }
 
 // Cancel puts a job to sleep; a step that runs may end.
-func (c *Core) Cancel(id ID) {
+func (c *Scheduler) Cancel(id JobID) {
 	j := &c.jobs[id]
 	j.awake, j.woken, j.deadline = false, false, 0
 }
 
 // Lag tells how long live traffic has just waited to be handled.
-func (c *Core) Lag(now, lag time.Duration) {
+func (c *Scheduler) RecordLag(now, lag time.Duration) {
 	if lag > c.lagNow(now) {
 		c.lag, c.lagAt = lag, now
 	}
 }
 
 // lagNow is the highest lag, halved for each time lagHalf that has passed.
-func (c *Core) lagNow(now time.Duration) time.Duration {
+func (c *Scheduler) lagNow(now time.Duration) time.Duration {
 	past := float64(max(0, now-c.lagAt)) / float64(lagHalf)
 	return time.Duration(float64(c.lag) * math.Exp2(-past))
 }
 
 // Share is the part of a core that jobs may take now.
-func (c *Core) Share(now time.Duration) float64 {
+func (c *Scheduler) CurrentShare(now time.Duration) float64 {
 	lag := c.lagNow(now)
 	switch {
-	case lag <= c.set.Calm:
-		return c.set.Share
-	case lag >= c.set.Worst:
-		return c.set.Least
+	case lag <= c.set.LowLag:
+		return c.set.MaxShare
+	case lag >= c.set.HighLag:
+		return c.set.MinShare
 	}
-	rest := float64(c.set.Worst-lag) / float64(c.set.Worst-c.set.Calm)
-	return c.set.Least + (c.set.Share-c.set.Least)*rest
+	rest := float64(c.set.HighLag-lag) / float64(c.set.HighLag-c.set.LowLag)
+	return c.set.MinShare + (c.set.MaxShare-c.set.MinShare)*rest
 }
 
 // fill counts the tokens that have come since the last time.
-func (c *Core) fill(now time.Duration) {
+func (c *Scheduler) fill(now time.Duration) {
 	if now > c.filled {
-		c.tokens = min(c.saved(), c.tokens+time.Duration(c.Share(now)*float64(now-c.filled)))
+		c.tokens = min(c.saved(), c.tokens+time.Duration(c.CurrentShare(now)*float64(now-c.filled)))
 		c.filled = now
 	}
 }
 
 // Grant is one step of a job.
 type Grant struct {
-	Job    ID
+	Job    JobID
 	Slice  time.Duration // that it may take
 	Urgent bool          // the budget is spent, but its deadline is near
 }
 
 // Next says which job has a step now. ok is false if none has: then wait is how long
 // to wait for, or 0 until the next Wake. One step runs at a time.
-func (c *Core) Next(now time.Duration) (g Grant, wait time.Duration, ok bool) {
+func (c *Scheduler) Next(now time.Duration) (g Grant, wait time.Duration, ok bool) {
 	if c.busy {
 		return Grant{}, 0, false
 	}
@@ -193,7 +195,7 @@
 		}
 		if j.deadline > 0 {
 			// What is left, by what a round has cost so far, and as much again.
-			press := j.deadline - 2*max(j.cost-j.spent, c.set.Slice)
+			press := j.deadline - 2*max(j.cost-j.spent, c.set.MaxSlice)
 			if press <= now {
 				if urgent < 0 || j.deadline < c.jobs[urgent].deadline {
 					urgent = i
@@ -210,29 +212,29 @@
 	case best < 0:
 		return Grant{}, 0, false
 	case urgent >= 0:
-		g = Grant{Job: ID(urgent), Slice: c.set.Slice, Urgent: c.tokens < c.enough()}
+		g = Grant{Job: JobID(urgent), Slice: c.set.MaxSlice, Urgent: c.tokens < c.enough()}
 	case c.tokens < c.enough():
-		wait = max(time.Duration(float64(c.enough()-c.tokens)/c.Share(now))+1, time.Microsecond)
+		wait = max(time.Duration(float64(c.enough()-c.tokens)/c.CurrentShare(now))+1, time.Microsecond)
 		if soon > 0 {
 			wait = min(wait, soon-now)
 		}
 		return Grant{}, wait, false
 	default:
-		g = Grant{Job: ID(best), Slice: max(c.enough(), min(c.set.Slice, c.tokens))}
+		g = Grant{Job: JobID(best), Slice: max(c.enough(), min(c.set.MaxSlice, c.tokens))}
 	}
 	j := &c.jobs[g.Job]
 	c.busy, j.running = true, true
-	j.report.Waited = max(j.report.Waited, now-j.since)
+	j.report.LongestWait = max(j.report.LongestWait, now-j.since)
 	if g.Urgent {
-		j.report.Urgent++
+		j.report.UrgentSteps++
 	}
 	return g, 0, true
 }
 
 // before tells whether a job goes before another: by priority, which rises with the
 // time that it has waited, then the earlier deadline, then the longer wait.
-func (c *Core) before(now time.Duration, x, y *job) bool {
-	rank := func(j *job) int { return int(j.priority) - int((now-j.since)/c.set.Ageing) }
+func (c *Scheduler) before(now time.Duration, x, y *job) bool {
+	rank := func(j *job) int { return int(j.priority) - int((now-j.since)/c.set.AgeingInterval) }
 	deadline := func(j *job) time.Duration {
 		if j.deadline == 0 {
 			return 1 << 62
@@ -244,19 +246,19 @@
 
 // Done tells how long the step that Next has granted took, and whether the job has
 // more to do. It returns whether the step overran by far.
-func (c *Core) Done(now time.Duration, g Grant, took time.Duration, more bool) (overrun bool) {
+func (c *Scheduler) Done(now time.Duration, g Grant, took time.Duration, more bool) (overrun bool) {
 	c.fill(now)
 	j := &c.jobs[g.Job]
 	c.busy, j.running = false, false
 	c.tokens -= max(0, took)
 	// A debt beyond a period's budget is let go: else one long step for a deadline
 	// would stop all jobs for as long as that.
-	c.tokens = max(c.tokens, -c.saved()-c.set.Slice)
+	c.tokens = max(c.tokens, -c.saved()-c.set.MaxSlice)
 	j.spent += took
 	r := &j.report
 	r.Steps++
 	r.Spent += took
-	r.Longest = max(r.Longest, took)
+	r.LongestStep = max(r.LongestStep, took)
 	if overrun = took > max(overrunTimes*g.Slice, overrunLeast); overrun {
 		r.Overruns++
 	}
@@ -271,9 +273,9 @@
 		} else {
 			j.cost += time.Duration(learnPart * float64(j.spent-j.cost))
 		}
-		r.Cost = j.cost
+		r.RoundCost = j.cost
 		if j.deadline > 0 && now > j.deadline {
-			r.Missed++
+			r.MissedDeadlines++
 		}
 		j.spent = 0
 		if !j.woken { // a deadline that came with further work holds on
@@ -285,7 +287,7 @@
 }
 
 // Reports are what all jobs have done, in the order in which they were added.
-func (c *Core) Reports() []Report {
+func (c *Scheduler) Reports() []Report {
 	all := make([]Report, len(c.jobs))
 	for i := range c.jobs {
 		all[i] = c.jobs[i].report
--- a/internal/sched/background/core_test.go
+++ b/internal/sched/background/core_test.go
@@ -12,7 +12,7 @@
 // forced; and each job that is awake has its turn.
 func TestBudgetIsKeptAndNobodyStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Config{Share: rapid.Float64Range(0.02, 0.5).Draw(t, "share"), Least: 0.01}
+		set := Config{MaxShare: rapid.Float64Range(0.02, 0.5).Draw(t, "share"), MinShare: 0.01}
 		now := time.Hour
 		c := New(set, now)
 		set = c.set
@@ -20,7 +20,7 @@
 		served := make([]time.Duration, jobs)
 		for i := range jobs {
 			c.Add("job", Priority(rapid.IntRange(0, 3).Draw(t, "priority")))
-			c.Wake(now, ID(i), 0)
+			c.Wake(now, JobID(i), 0)
 			served[i] = now
 		}
 		type spell struct{ at, took time.Duration }
@@ -43,12 +43,12 @@
 			c.Done(now, g, took, true)
 			served[g.Job] = now
 			if rapid.IntRange(0, 9).Draw(t, "lagging") == 0 {
-				c.Lag(now, time.Duration(rapid.Int64Range(0, int64(12*time.Millisecond)).Draw(t, "lag")))
+				c.RecordLag(now, time.Duration(rapid.Int64Range(0, int64(12*time.Millisecond)).Draw(t, "lag")))
 			}
 			for i := range served {
 				// With the least share each slice takes as long as that gives, for all jobs
 				// of a rank; and ranks rise with waiting.
-				most := time.Duration(jobs+1)*time.Duration(float64(2*longest)/set.Least) + 8*set.Ageing
+				most := time.Duration(jobs+1)*time.Duration(float64(2*longest)/set.MinShare) + 8*set.AgeingInterval
 				if now-served[i] > most {
 					t.Fatalf("job %d has waited %v, at most %v", i, now-served[i], most)
 				}
@@ -59,7 +59,7 @@
 			for to := from; to < len(spent); to++ {
 				sum += spent[to].took
 				window := spent[to].at - spent[from].at + spent[from].took
-				most := time.Duration(set.Share*float64(window+set.Period)) + longest
+				most := time.Duration(set.MaxShare*float64(window+set.BudgetPeriod)) + longest
 				if sum > most {
 					t.Fatalf("%v spent in %v, at most %v", sum, window, most)
 				}
@@ -73,10 +73,10 @@
 	play := func(lag time.Duration) (spent time.Duration) {
 		now := time.Hour
 		c := New(Config{}, now)
-		id := c.Add("job", Tidy)
+		id := c.Add("job", Cleanup)
 		c.Wake(now, id, 0)
 		for end := now + 10*time.Second; now < end; {
-			c.Lag(now, lag)
+			c.RecordLag(now, lag)
 			g, wait, ok := c.Next(now)
 			if !ok {
 				now += min(wait, 10*time.Millisecond)
@@ -97,8 +97,8 @@
 // A job with a deadline gets its steps in time whatever the budget, and others pay.
 func TestDeadlineIsMetBeyondTheBudget(t *testing.T) {
 	now := time.Hour
-	c := New(Config{Share: 0.01, Least: 0.005}, now)
-	slow, duty := c.Add("slow", Duty), c.Add("duty", Spare)
+	c := New(Config{MaxShare: 0.01, MinShare: 0.005}, now)
+	slow, duty := c.Add("slow", Obligation), c.Add("duty", Optional)
 	rounds := func(deadline time.Duration) (done time.Duration) {
 		c.Wake(now, slow, 0)
 		c.Wake(now, duty, now+deadline)
@@ -123,7 +123,7 @@
 		t.Errorf("done after %v", end-begun)
 	}
 	r := c.Reports()[duty]
-	if r.Urgent == 0 || r.Missed > 1 || r.Rounds != 2 {
+	if r.UrgentSteps == 0 || r.MissedDeadlines > 1 || r.Rounds != 2 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -131,8 +131,8 @@
 // A low one that has waited goes before a higher one that never ends.
 func TestAgeing(t *testing.T) {
 	now := time.Hour
-	c := New(Config{Share: 1, Least: 0.5}, now)
-	high, low := c.Add("high", Duty), c.Add("low", Spare)
+	c := New(Config{MaxShare: 1, MinShare: 0.5}, now)
+	high, low := c.Add("high", Obligation), c.Add("low", Optional)
 	c.Wake(now, high, 0)
 	c.Wake(now, low, 0)
 	for range 10_000 {
@@ -154,7 +154,7 @@
 func TestWakeAndCancelMeanwhile(t *testing.T) {
 	now := time.Hour
 	c := New(Config{}, now)
-	id := c.Add("job", Duty)
+	id := c.Add("job", Obligation)
 	if _, _, ok := c.Next(now); ok {
 		t.Fatal("a job that sleeps has a step")
 	}
--- a/internal/sched/timerwheel/wheel.go
+++ b/internal/sched/timerwheel/wheel.go
@@ -54,7 +54,7 @@
 // Lateness is the most by which a timer of this length is told later than asked,
 // where Advance is called in time and is not cut short: a tick for the short ones,
 // a sixty-third part for the long.
-func (w *Wheel) Lateness(length time.Duration) time.Duration {
+func (w *Wheel) MaxLateness(length time.Duration) time.Duration {
 	ticks, grain := uint64(max(0, length)/w.tick)+1, uint64(1)
 	for reach := uint64(buckets - 2); ticks > reach && reach < mostTicks; reach <<= levelShift {
 		grain <<= levelShift
@@ -102,7 +102,7 @@
 
 // Spread arms a timer between a point in time and one later by slack: which, goes
 // by the timer's number, so that thousands armed in one instant are not due in one.
-func (w *Wheel) Spread(id int32, at, slack time.Duration) {
+func (w *Wheel) ArmSpread(id int32, at, slack time.Duration) {
 	if slack > 0 {
 		// Fibonacci hashing: neighbours land far apart (Knuth, vol. 3, 6.4).
 		part, _ := bits.Mul64(uint64(slack), uint64(uint32(id)*2654435769)<<32)
--- a/internal/sched/timerwheel/wheel_test.go
+++ b/internal/sched/timerwheel/wheel_test.go
@@ -28,7 +28,7 @@
 			case 0, 1, 2:
 				length := time.Duration(lengths.Draw(t, "length"))
 				w.Arm(id, now+length)
-				armed[id] = timer{now + length, now + max(0, length) + w.Lateness(length)}
+				armed[id] = timer{now + length, now + max(0, length) + w.MaxLateness(length)}
 			case 3:
 				_, was := armed[id]
 				if w.Cancel(id) != was {
@@ -119,7 +119,7 @@
 	const n = 100_000
 	w := New(tick, 0)
 	for id := range int32(n) {
-		w.Spread(id, time.Second, 800*time.Millisecond)
+		w.ArmSpread(id, time.Second, 800*time.Millisecond)
 	}
 	worst, all := 0, 0
 	for now := time.Duration(0); now < 3*time.Second; now += tick {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -301,8 +301,8 @@
 			now += 3 * time.Minute
 			seq, _ := s.Put(now, 1, "last", []byte("x"), true)
 			s.Commit(now)
-			if s.Durable() < seq || s.Wrong() != nil {
-				t.Fatalf("%s at %d: durable up to %d of %d, %v", how, at, s.Durable(), seq, s.Wrong())
+			if s.Durable() < seq || s.WriteError() != nil {
+				t.Fatalf("%s at %d: durable up to %d of %d, %v", how, at, s.Durable(), seq, s.WriteError())
 			}
 		}
 	}
@@ -374,7 +374,7 @@
 // A restart a second neither grows the files nor loses anything; bounds are kept.
 func TestRestartLoopAndBounds(t *testing.T) {
 	d, now := newDisk(), time.Hour
-	set := Settings{MostRows: 100, MostBytes: 4000}
+	set := Settings{MaxRows: 100, MaxBytes: 4000}
 	for life := range 200 {
 		s, _ := Open(d, set)
 		if want := min(life, 100); s.Len() != want {
@@ -502,7 +502,7 @@
 		newest.synced[at] ^= 0xff
 	}
 	got, report := Open(d, Settings{})
-	if got.Len() != rows || report.Skipped == 0 {
+	if got.Len() != rows || report.DamagedBytes == 0 {
 		t.Fatalf("%d of %d rows: %v", got.Len(), rows, report)
 	}
 	for n := range rows {
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -26,8 +26,8 @@
 	headBytes = 20
 	sumBytes  = 8
 	// MostKey and MostValue bound a row.
-	MostKey   = 1 << 10
-	MostValue = 64 << 10
+	MaxKeyBytes   = 1 << 10
+	MaxValueBytes = 64 << 10
 )
 
 // magic begins each record. It is no text, and changes its bytes where a file was
@@ -73,7 +73,7 @@
 	}
 	keyed := int(binary.LittleEndian.Uint16(data[6:]))
 	valued := int(binary.LittleEndian.Uint32(data[8:]))
-	if keyed > MostKey || valued > MostValue {
+	if keyed > MaxKeyBytes || valued > MaxValueBytes {
 		return r, 0, false
 	}
 	size = headBytes + keyed + valued + sumBytes
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -14,25 +14,25 @@
 
 // Report is what Open has found.
 type Report struct {
-	Generation uint64
-	Rows       int
-	Skipped    int      // damaged bytes that were passed over
-	Tail       int      // bytes of writes that were cut
-	Broken     int      // snapshots that are not whole
-	Notes      []string // what was wrong, a line each
-	Fallback   bool     // no whole snapshot was there though there were files: rows may be missing, or deleted ones back
+	Generation          uint64
+	Rows                int
+	DamagedBytes        int      // damaged bytes that were passed over
+	TruncatedBytes      int      // bytes of writes that were cut
+	IncompleteSnapshots int      // snapshots that are not whole
+	Notes               []string // what was wrong, a line each
+	NoSnapshot          bool     // no whole snapshot was there though there were files: rows may be missing, or deleted ones back
 }
 
 // String is the report on one line.
 func (r Report) String() string {
 	text := fmt.Sprintf("generation %d, %d rows", r.Generation, r.Rows)
-	if r.Skipped > 0 {
-		text += fmt.Sprintf(", %d damaged bytes passed over", r.Skipped)
+	if r.DamagedBytes > 0 {
+		text += fmt.Sprintf(", %d damaged bytes passed over", r.DamagedBytes)
 	}
-	if r.Tail > 0 {
-		text += fmt.Sprintf(", %d bytes of unfinished writes", r.Tail)
+	if r.TruncatedBytes > 0 {
+		text += fmt.Sprintf(", %d bytes of unfinished writes", r.TruncatedBytes)
 	}
-	if r.Fallback {
+	if r.NoSnapshot {
 		text += ", no whole snapshot"
 	}
 	if len(r.Notes) > 0 {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,11 +31,11 @@
 
 // Settings bound a store.
 type Settings struct {
-	MostRows  int           // in all tables; 65,536 if 0
-	MostBytes int           // of their keys and values; 16 MiB if 0
-	Lazy      time.Duration // changes that are not urgent are synced so often; 5 s if 0
-	Urgent    time.Duration // urgent ones at the most so often; 20 ms if 0
-	Whole     bool          // what one Commit writes is read back all of it or none; a store is opened with it always or never
+	MaxRows            int           // in all tables; 65,536 if 0
+	MaxBytes           int           // of their keys and values; 16 MiB if 0
+	SyncInterval       time.Duration // changes that are not urgent are synced so often; 5 s if 0
+	UrgentSyncInterval time.Duration // urgent ones at the most so often; 20 ms if 0
+	AtomicCommits      bool          // what one Commit writes is read back all of it or none; a store is opened with it always or never
 }
 
 const (
@@ -108,8 +108,8 @@
 // Open reads what there is. It writes nothing: the first Commit begins a generation
 // of its own, so that a restart a second does not make the files grow.
 func Open(fs FS, set Settings) (*Store, Report) {
-	set.MostRows, set.MostBytes = cmp.Or(set.MostRows, 1<<16), cmp.Or(set.MostBytes, 16<<20)
-	set.Lazy, set.Urgent = cmp.Or(set.Lazy, 5*time.Second), cmp.Or(set.Urgent, 20*time.Millisecond)
+	set.MaxRows, set.MaxBytes = cmp.Or(set.MaxRows, 1<<16), cmp.Or(set.MaxBytes, 16<<20)
+	set.SyncInterval, set.UrgentSyncInterval = cmp.Or(set.SyncInterval, 5*time.Second), cmp.Or(set.UrgentSyncInterval, 20*time.Millisecond)
 	s := &Store{fs: fs, set: set, rows: map[place]*row{}}
 	return s, s.recover()
 }
@@ -153,24 +153,24 @@
 			r.Notes = append(r.Notes, fmt.Sprintf("%s can't be read: %v", n, err))
 			continue
 		}
-		f := scan(data, generation, s.set.Whole && journal)
+		f := scan(data, generation, s.set.AtomicCommits && journal)
 		if f.wrong != "" {
 			r.Notes = append(r.Notes, fmt.Sprintf("%s is left alone: %s", n, f.wrong))
 			continue
 		}
-		r.Skipped, r.Tail = r.Skipped+f.skipped, r.Tail+f.tail
+		r.DamagedBytes, r.TruncatedBytes = r.DamagedBytes+f.skipped, r.TruncatedBytes+f.tail
 		files = append(files, found{generation, journal, f})
 	}
 	from, whole := uint64(0), false
 	for _, f := range files {
 		if !f.journal && !f.whole {
-			r.Broken++
+			r.IncompleteSnapshots++
 		}
 		if !f.journal && f.whole && (!whole || f.generation > from) {
 			from, whole = f.generation, true
 		}
 	}
-	r.Fallback = !whole && len(files) > 0
+	r.NoSnapshot = !whole && len(files) > 0
 	for _, f := range files {
 		if whole && f.generation < from {
 			continue // the snapshot says what became of it
@@ -229,8 +229,8 @@
 // Put sets a row. It returns the change's number: once Durable has reached that, the
 // change survives a power cut. An urgent one is due to be written at once.
 func (s *Store) Put(now time.Duration, table byte, key string, value []byte, urgent bool) (uint64, error) {
-	if len(key) > MostKey || len(value) > MostValue {
-		return 0, fmt.Errorf("%w: a row of %d and %d bytes, at most %d and %d", ErrFull, len(key), len(value), MostKey, MostValue)
+	if len(key) > MaxKeyBytes || len(value) > MaxValueBytes {
+		return 0, fmt.Errorf("%w: a row of %d and %d bytes, at most %d and %d", ErrFull, len(key), len(value), MaxKeyBytes, MaxValueBytes)
 	}
 	p := place{table, key}
 	x := s.rows[p]
@@ -241,8 +241,8 @@
 	default:
 		more, rows = more-len(x.value), 0
 	}
-	if s.live+rows > s.set.MostRows || s.bytes+more > s.set.MostBytes {
-		return 0, fmt.Errorf("%w: %d rows of %d bytes, at most %d of %d", ErrFull, s.live, s.bytes, s.set.MostRows, s.set.MostBytes)
+	if s.live+rows > s.set.MaxRows || s.bytes+more > s.set.MaxBytes {
+		return 0, fmt.Errorf("%w: %d rows of %d bytes, at most %d of %d", ErrFull, s.live, s.bytes, s.set.MaxRows, s.set.MaxBytes)
 	}
 	s.live, s.bytes = s.live+rows, s.bytes+more
 	return s.change(now, p, slices.Clone(value), false, urgent), nil
@@ -283,7 +283,7 @@
 func (s *Store) Durable() uint64 { return s.durable }
 
 // Wrong is why nothing can be written for now, and nil if it can.
-func (s *Store) Wrong() error { return s.wrong }
+func (s *Store) WriteError() error { return s.wrong }
 
 // Stats are the counts so far.
 func (s *Store) Stats() Stats { return s.stats }
@@ -293,9 +293,9 @@
 	if !s.changed {
 		return 0, false
 	}
-	at = s.since + s.set.Lazy
+	at = s.since + s.set.SyncInterval
 	if s.rush {
-		at = s.last + s.set.Urgent
+		at = s.last + s.set.UrgentSyncInterval
 	}
 	if s.wrong != nil {
 		at = max(at, s.retryAt)
@@ -328,7 +328,7 @@
 		}
 		out = r.append(out, s.generation)
 	}
-	if s.set.Whole {
+	if s.set.AtomicCommits {
 		r := record{op: opWhole, value: binary.LittleEndian.AppendUint64(nil, uint64(len(s.dirty)))}
 		out = r.append(out, s.generation)
 	}
@@ -564,7 +564,7 @@
 func (s *Store) Close(now time.Duration) error {
 	var err error
 	if s.changed {
-		s.rush, s.last, s.retryAt = true, now-s.set.Urgent, now
+		s.rush, s.last, s.retryAt = true, now-s.set.UrgentSyncInterval, now
 		err = s.Commit(now)
 	}
 	s.drop()
--- a/internal/store/whole_test.go
+++ b/internal/store/whole_test.go
@@ -29,7 +29,7 @@
 		draw := rand.New(rand.NewPCG(seed, 5)).IntN
 		d, now, n, durable := newDisk(), time.Hour, 0, 0
 		for range 1 + draw(4) {
-			s, report := Open(d, Settings{Whole: true, Urgent: 1})
+			s, report := Open(d, Settings{AtomicCommits: true, UrgentSyncInterval: 1})
 			got := kept(s)
 			if len(got) != 1 {
 				t.Fatalf("seed %d: half of a commit: %q (%v)", seed, got, report)
@@ -64,7 +64,7 @@
 // ended.
 func TestDamageOfWholeCommitsIsTold(t *testing.T) {
 	d, now := newDisk(), time.Hour
-	s, _ := Open(d, Settings{Whole: true, Urgent: 1})
+	s, _ := Open(d, Settings{AtomicCommits: true, UrgentSyncInterval: 1})
 	const last = 6
 	for n := 1; n <= last; n++ {
 		if !promise(s, &now, n, "") {
@@ -75,12 +75,12 @@
 	for name, n := range d.files {
 		for at := range n.synced {
 			n.synced[at] ^= 0x41
-			s, report := Open(d, Settings{Whole: true})
-			told := report.Skipped > 0 || report.Fallback || report.Broken > 0 || len(report.Notes) > 0
+			s, report := Open(d, Settings{AtomicCommits: true})
+			told := report.DamagedBytes > 0 || report.NoSnapshot || report.IncompleteSnapshots > 0 || len(report.Notes) > 0
 			switch got := kept(s); {
 			case len(got) == 1 && got[0] == fmt.Sprint(last):
 			case told:
-			case len(got) == 1 && got[0] == fmt.Sprint(last-1) && report.Tail > 0:
+			case len(got) == 1 && got[0] == fmt.Sprint(last-1) && report.TruncatedBytes > 0:
 				silent++
 			default:
 				t.Errorf("%s, byte %d: %q, and the report says %v", name, at, got, report)
