--- a/cmd/curlewctl/lease.go
+++ b/cmd/curlewctl/lease.go
@@ -97,7 +97,7 @@
 
 // Run asks the leader by way of the node.
 func (c *leaseList) Run(ctx context.Context) error {
-	r, err := leases.Ask(ctx, c.Folder, leases.Request{Do: "list"})
+	r, err := leases.Call(ctx, c.Folder, leases.Request{Do: "list"})
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 
 // Run takes the lease away.
 func (c *leaseRelease) Run(ctx context.Context) error {
-	r, err := leases.Ask(ctx, c.Folder, leases.Request{Do: "force", Lease: c.Name})
+	r, err := leases.Call(ctx, c.Folder, leases.Request{Do: "force", Lease: c.Name})
 	if err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 
 // Run asks the node to hand the lease on.
 func (c *leaseHand) Run(ctx context.Context) error {
-	_, err := leases.Ask(ctx, c.Folder, leases.Request{Do: "hand", Lease: c.Name, To: c.To})
+	_, err := leases.Call(ctx, c.Folder, leases.Request{Do: "hand", Lease: c.Name, To: c.To})
 	if err == nil {
 		fmt.Printf("%s goes to %s once its command here has ended\n", c.Name, c.To)
 	}
@@ -160,7 +160,7 @@
 
 // Run asks the node.
 func (c *leaseStatus) Run(ctx context.Context) error {
-	r, err := leases.Ask(ctx, c.Folder, leases.Request{Do: "standing"})
+	r, err := leases.Call(ctx, c.Folder, leases.Request{Do: "standing"})
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 
 // Run founds the log.
 func (c *leaseFound) Run(ctx context.Context) error {
-	r, err := leases.Ask(ctx, c.Folder, leases.Request{Do: "found", Voters: c.Voters, Names: c.Node, Tokens: c.Tokens})
+	r, err := leases.Call(ctx, c.Folder, leases.Request{Do: "found", Voters: c.Voters, Names: c.Node, Tokens: c.Tokens})
 	if r.Seats != nil {
 		for _, row := range r.Seats.Rows {
 			fmt.Printf("voter %s %s\n", row.Name, row.Site)
--- a/cmd/curlewctl/members.go
+++ b/cmd/curlewctl/members.go
@@ -33,7 +33,7 @@
 // Run asks the node. Exit code 0 if it is in a view and no member is silent, 1 if not, 2 if it does not answer.
 func (c *membersCommand) Run(ctx context.Context) error {
 	for {
-		r, err := members.Ask(ctx, c.Folder)
+		r, err := members.RequestReport(ctx, c.Folder)
 		if err != nil {
 			return err
 		}
--- a/cmd/curlewctl/recall.go
+++ b/cmd/curlewctl/recall.go
@@ -47,7 +47,7 @@
 
 // look reads a folder without holding it.
 func look(folder string) (*serverdb.DB, store.Report, []string) {
-	s, report := store.Open(readOnly{disk.Look(folder)}, store.Settings{})
+	s, report := store.Open(readOnly{disk.OpenReadOnly(folder)}, store.Settings{})
 	m, notes := serverdb.Open(s, serverdb.Settings{}, 0)
 	return m, report, notes
 }
--- a/cmd/curlewctl/recall_test.go
+++ b/cmd/curlewctl/recall_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"curlewring/internal/node/disk"
-	"curlewring/internal/node/keeper"
+	"curlewring/internal/node/persist"
 	"curlewring/internal/servers/serverdb"
 )
 
@@ -24,7 +24,7 @@
 		servers = append(servers, serverdb.Server{ID: id, Address: "127.0.0.1:1", Zone: "a", State: state, StateSince: then})
 	}
 	list := serverdb.List{Generation: 9, Discovery: "127.0.0.1:2", Confirmed: then, ServerRate: 3, ServingCount: 1}
-	if err := keeper.Write(folder, servers, list); err != nil {
+	if err := persist.WriteFolder(folder, servers, list); err != nil {
 		t.Fatal(err)
 	}
 	return folder
--- a/cmd/curlewring/main.go
+++ b/cmd/curlewring/main.go
@@ -28,7 +28,7 @@
 	flags := flag.NewFlagSet("curlewring", flag.ExitOnError)
 	files := node.Files{Config: os.Getenv("LB_CONFIG")}
 	flags.StringVar(&files.Operator, "operator", "", "the operators' `file` of timing rules by route")
-	flags.StringVar(&files.Own, "settings", "", "the node's own settings `file`")
+	flags.StringVar(&files.Local, "settings", "", "the node's own settings `file`")
 	level := slog.LevelInfo
 	flags.TextVar(&level, "log", level, "the least `level` that is logged; debug has every request, attempt and call to discovery")
 	checkOnly := flags.Bool("check", false, "check the files, print what is wrong, and end with 0 or 2")
--- a/cmd/curlewring/settings_test.go
+++ b/cmd/curlewring/settings_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if code := check(node.Files{Config: config, Own: "../../deploy/node.toml"}, &out); code != 0 {
+	if code := check(node.Files{Config: config, Local: "../../deploy/node.toml"}, &out); code != 0 {
 		t.Errorf("the example: %d, %s", code, out.String())
 	}
 	bad := filepath.Join(t.TempDir(), "bad.toml")
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	out.Reset()
-	if code := check(node.Files{Config: config, Own: bad}, &out); code != 2 {
+	if code := check(node.Files{Config: config, Local: bad}, &out); code != 2 {
 		t.Errorf("a bad file: %d", code)
 	}
 	for _, want := range []string{"bad.toml:2: state.folder", "bad.toml:3: state.most_mb = 900", "from 1 to 64"} {
--- a/internal/leaseexec/lessee.go
+++ b/internal/leaseexec/lessee.go
@@ -48,7 +48,7 @@
 
 // Run runs the command, and returns its exit code. An error says that it did not start, or had to be ended.
 func Run(ctx context.Context, o Options) (code int, err error) {
-	h, err := leases.Hold(ctx, o.Folder, o.Lease, o.TTL)
+	h, err := leases.Acquire(ctx, o.Folder, o.Lease, o.TTL)
 	if err != nil {
 		return 0, err
 	}
@@ -61,7 +61,7 @@
 }
 
 // held waits until the lease is held.
-func held(ctx context.Context, h *leases.Held, o *Options) (token uint64, until time.Duration, err error) {
+func held(ctx context.Context, h *leases.ClientLease, o *Options) (token uint64, until time.Duration, err error) {
 	begun := clock.Boot()
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
@@ -80,7 +80,7 @@
 			case e.Phase == lease.Holding:
 				return e.Token, e.Until, nil
 			case e.Phase == lease.Queued && o.Wait == 0:
-				h.Stop()
+				h.RequestRelease()
 				return 0, 0, fmt.Errorf("%w: another holds it", ErrNotHeld)
 			case e.Phase == lease.Queued:
 				o.Say("in line for %q, place %d", o.Lease, e.Place)
@@ -89,18 +89,18 @@
 			}
 		case <-look.C:
 			if waited := clock.Boot() - begun; o.Wait > 0 && waited > o.Wait || o.Wait == 0 && waited > stillWait {
-				h.Stop()
+				h.RequestRelease()
 				return 0, 0, fmt.Errorf("%w: not within %v", ErrNotHeld, waited.Round(time.Millisecond))
 			}
 		case <-ctx.Done():
-			h.Stop()
+			h.RequestRelease()
 			return 0, 0, ctx.Err()
 		}
 	}
 }
 
 // act runs the command while the lease lasts.
-func act(ctx context.Context, h *leases.Held, o *Options, token uint64, until time.Duration) (int, error) {
+func act(ctx context.Context, h *leases.ClientLease, o *Options, token uint64, until time.Duration) (int, error) {
 	w := lease.NewWatchdog(o.TTL, o.Grace, until)
 	if w.NextSignal(clock.Boot()) != lease.None {
 		return 0, fmt.Errorf("%w: it was over before the command could start", ErrNotHeld)
@@ -120,7 +120,7 @@
 		}
 	}()
 	if err := <-started; err != nil {
-		h.Stopped()
+		h.ConfirmStopped()
 		return 0, err
 	}
 	kill := func(s syscall.Signal) { syscall.Kill(-cmd.Process.Pid, s) }
@@ -164,7 +164,7 @@
 		}
 	}
 	kill(syscall.SIGKILL) // what the command has left behind in its group acts no longer than it
-	h.Stopped()
+	h.ConfirmStopped()
 	free(h)
 	if w.Lost() || gone {
 		return 0, ErrLost
@@ -180,7 +180,7 @@
 }
 
 // free waits a moment for the word that the lease is free.
-func free(h *leases.Held) {
+func free(h *leases.ClientLease) {
 	late := time.After(overWait)
 	for {
 		select {
--- a/internal/node/accept/accept.go
+++ b/internal/node/accept/accept.go
@@ -12,18 +12,18 @@
 )
 
 // Bounds of a listener's connections.
-type Bounds struct {
-	Most    int           // at once; others are closed
-	Wait    time.Duration // how long one may last; 0: until the context ends
-	Turned  func()        // is called for each that is closed at once; nil: nobody counts
-	Breathe time.Duration // after an error, short of descriptors most likely; 0: 100 ms
+type Limits struct {
+	MaxConnections    int           // at once; others are closed
+	ConnectionTimeout time.Duration // how long one may last; 0: until the context ends
+	OnReject          func()        // is called for each that is closed at once; nil: nobody counts
+	ErrorBackoff      time.Duration // after an error, short of descriptors most likely; 0: 100 ms
 }
 
 // Serve calls do for each connection, on a goroutine of its own, and closes it afterwards.
-func Serve(ctx context.Context, l net.Listener, b Bounds, do func(net.Conn)) {
+func Serve(ctx context.Context, l net.Listener, b Limits, do func(net.Conn)) {
 	var parts sync.WaitGroup
 	defer parts.Wait()
-	places := make(chan struct{}, b.Most)
+	places := make(chan struct{}, b.MaxConnections)
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -33,7 +33,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(max(b.Breathe, 100*time.Millisecond)):
+			case <-time.After(max(b.ErrorBackoff, 100*time.Millisecond)):
 			}
 			continue
 		}
@@ -41,16 +41,16 @@
 		case places <- struct{}{}:
 		default:
 			c.Close()
-			if b.Turned != nil {
-				b.Turned()
+			if b.OnReject != nil {
+				b.OnReject()
 			}
 			continue
 		}
 		parts.Go(func() {
 			defer func() { <-places }()
 			defer c.Close()
-			if b.Wait > 0 {
-				c.SetDeadline(time.Now().Add(b.Wait))
+			if b.ConnectionTimeout > 0 {
+				c.SetDeadline(time.Now().Add(b.ConnectionTimeout))
 			}
 			stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 			defer stop()
--- a/internal/node/record/record.go
+++ b/internal/node/bootstrap/record.go
@@ -1,11 +1,11 @@
-// Package record puts package fleet/record on the members' sockets and the leases: how a
+// Package bootstrap puts package fleet/record on the members' sockets and the leases: how a
 // starting node without a list of servers comes by one.
 //
 // The goroutine in Run owns the Record. What it learns of lists comes by Told and Lost, which
 // do not wait; what it wants done goes out by the functions in Loop, which must not either.
 //
 // It must not look into a list, and does not ask discovery itself.
-package record
+package bootstrap
 
 import (
 	"context"
@@ -32,17 +32,17 @@
 }
 
 // Loop is what it needs of the node's loop.
-type Loop struct {
-	Ask  func()                                  // discovery may be asked
-	Hand func(list []byte, about bootstrap.List) // a list that was handed to this node
-	List func(ctx context.Context) (list []byte) // the present one as discovery writes it; nil: none
+type Hooks struct {
+	AllowDiscovery func()                                  // discovery may be asked
+	DeliverList    func(list []byte, about bootstrap.List) // a list that was handed to this node
+	CurrentList    func(ctx context.Context) (list []byte) // the present one as discovery writes it; nil: none
 }
 
 // Settings say who this node is.
 type Settings struct {
 	Name, Site string
 	Seeds      []netip.AddrPort
-	Has        bool // it starts with a list of its own
+	HasList    bool // it starts with a list of its own
 }
 
 const (
@@ -56,11 +56,11 @@
 )
 
 // Record is one node's part.
-type Record struct {
+type Runner struct {
 	set    Settings
 	fleet  Fleet
 	leases *leases.Leases
-	loop   Loop
+	loop   Hooks
 	log    *slog.Logger
 	in     chan *wire.ListMessage
 	told   chan told
@@ -73,8 +73,8 @@
 }
 
 // New makes one. It must be called before the members run.
-func New(set Settings, fleet Fleet, l *leases.Leases, loop Loop, log *slog.Logger) *Record {
-	r := &Record{set: set, fleet: fleet, leases: l, loop: loop, log: log, in: make(chan *wire.ListMessage, inbox), told: make(chan told, 4)}
+func New(set Settings, fleet Fleet, l *leases.Leases, loop Hooks, log *slog.Logger) *Runner {
+	r := &Runner{set: set, fleet: fleet, leases: l, loop: loop, log: log, in: make(chan *wire.ListMessage, inbox), told: make(chan told, 4)}
 	fleet.OnCarry(wire.TopicList, func(body []byte) {
 		m, err := wire.ParseList(body)
 		if err != nil {
@@ -92,14 +92,14 @@
 }
 
 // Told tells that discovery has told this node a list.
-func (r *Record) Told(generation uint64, discovery string) {
+func (r *Runner) ListReceived(generation uint64, discovery string) {
 	r.tell(told{generation, discovery, false})
 }
 
 // Lost tells that a list that was handed to this node could not be used.
-func (r *Record) Lost() { r.tell(told{lost: true}) }
+func (r *Runner) ListRejected() { r.tell(told{lost: true}) }
 
-func (r *Record) tell(t told) {
+func (r *Runner) tell(t told) {
 	select {
 	case r.told <- t:
 	default: // the newest word is as good
@@ -115,18 +115,18 @@
 }
 
 // Run takes part until the context ends.
-func (r *Record) Run(ctx context.Context) {
-	c := bootstrap.New(bootstrap.Settings{Name: r.set.Name}, r.set.Has, rand.Uint64(), clock.Boot())
+func (r *Runner) Run(ctx context.Context) {
+	c := bootstrap.New(bootstrap.Settings{Name: r.set.Name}, r.set.HasList, rand.Uint64(), clock.Boot())
 	look := time.NewTicker(tick)
 	defer look.Stop()
 	hand := time.NewTicker(handGap)
 	defer hand.Stop()
 	hand.Stop()
-	var site *leases.Local // the lease that this node asks for
-	var queue []string     // who is to be sent the list
+	var site *leases.LocalLease // the lease that this node asks for
+	var queue []string          // who is to be sent the list
 	defer func() {
 		if site != nil {
-			site.Give()
+			site.Release()
 		}
 	}()
 	phase := c.Phase()
@@ -180,10 +180,10 @@
 			r.send(o.To, &bootstrap.Message{Kind: o.Kind})
 		}
 		if list != nil {
-			r.loop.Hand(list.Body, list.List)
+			r.loop.DeliverList(list.Body, list.List)
 		}
 		if asks {
-			r.loop.Ask()
+			r.loop.AllowDiscovery()
 		}
 		if p := c.Phase(); p != phase {
 			r.log.Debug("the list of servers", "was", phase.String(), "is", p.String())
@@ -193,16 +193,16 @@
 		}
 		switch {
 		case c.WantsLease() && site == nil:
-			site = r.leases.Hold("list/"+r.set.Site, leaseTTL)
+			site = r.leases.Acquire("list/"+r.set.Site, leaseTTL)
 		case !c.WantsLease() && phase == bootstrap.HasList && site != nil:
-			site.Give()
+			site.Release()
 			site = nil
 		}
 	}
 }
 
 // near is whom to ask: at the start the seeds, then those of the own site; and far those of others.
-func (r *Record) near(v *membership.View) (names, far []string) {
+func (r *Runner) near(v *membership.View) (names, far []string) {
 	for _, s := range r.set.Seeds {
 		if s != r.fleet.Address() {
 			names = append(names, s.String())
@@ -225,21 +225,21 @@
 }
 
 // send sends to a name, or to an address of one that has none here yet.
-func (r *Record) send(to string, m *bootstrap.Message) {
+func (r *Runner) send(to string, m *bootstrap.Message) {
 	m.From = r.set.Name
 	at, _ := netip.ParseAddrPort(to) // a name is none
 	r.fleet.Carry(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, At: r.fleet.Address()}))
 }
 
 // hand sends the present list.
-func (r *Record) hand(ctx context.Context, c *bootstrap.Bootstrapper, to string) {
+func (r *Runner) hand(ctx context.Context, c *bootstrap.Bootstrapper, to string) {
 	about, ok := c.List(clock.Boot())
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, listWait)
 	defer cancel()
-	if list := r.loop.List(ctx); list != nil {
+	if list := r.loop.CurrentList(ctx); list != nil {
 		r.send(to, &bootstrap.Message{Kind: bootstrap.ListReply, List: about, Body: list})
 	}
 }
--- a/internal/node/record/size_test.go
+++ b/internal/node/bootstrap/size_test.go
@@ -1,4 +1,4 @@
-package record
+package bootstrap
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 func TestManyAskAtOnce(t *testing.T) {
 	const nodes = 5400
 	f := &silentFleet{}
-	r := New(Settings{Name: "x"}, f, nil, Loop{}, slog.New(slog.DiscardHandler))
+	r := New(Settings{Name: "x"}, f, nil, Hooks{}, slog.New(slog.DiscardHandler))
 	for i := range nodes {
 		f.take(wire.AppendList(nil, &wire.ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListQuery, From: fmt.Sprint("n", i)}}))
 	}
--- a/internal/node/budgets_test.go
+++ b/internal/node/budgets_test.go
@@ -21,8 +21,8 @@
 		servers = append(servers, s)
 		addrs = append(addrs, s.Addr())
 	}
-	c := testConfig(t, DeadAddress(t), ListOf(1, true, addrs...), 1024)
-	c.Budgets = on
+	c := testConfig(t, DeadAddress(t), ServerList(1, true, addrs...), 1024)
+	c.SharedBudgets = on
 	c.Settings.Tiers = c.Settings.Tier + 2 // there is a tier below the servers
 	return startNode(t, c), servers
 }
@@ -44,7 +44,7 @@
 
 func attempts(servers []*Server) (n int) {
 	for _, s := range servers {
-		n += s.Seen()
+		n += s.RequestCount()
 	}
 	return n
 }
@@ -182,8 +182,8 @@
 	t.Parallel()
 	s := NewServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	other := NewServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
-	c := testConfig(t, DeadAddress(t), ListOf(1, true, s.Addr(), other.Addr()), 1024)
-	c.Budgets, c.Settings.Tiers, c.Settings.Tier = true, 2, 1
+	c := testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr(), other.Addr()), 1024)
+	c.SharedBudgets, c.Settings.Tiers, c.Settings.Tier = true, 2, 1
 	n := startNode(t, c)
 	servers := []*Server{s, other}
 	resp, _ := exchange(t, request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;p=a"))
--- a/internal/node/clock/clock.go
+++ b/internal/node/clock/clock.go
@@ -11,7 +11,7 @@
 func New() Clock { return Clock{time.Now()} }
 
 // Began is when the clock was made.
-func (c Clock) Began() time.Duration { return time.Duration(c.base.UnixNano()) }
+func (c Clock) StartedAt() time.Duration { return time.Duration(c.base.UnixNano()) }
 
 // Now is the time.
 func (c Clock) Now() time.Duration {
@@ -19,6 +19,6 @@
 }
 
 // Wall turns a time of this clock into one for the deadlines of package net.
-func (c Clock) Wall(at time.Duration) time.Time {
+func (c Clock) WallTime(at time.Duration) time.Time {
 	return c.base.Add(at - time.Duration(c.base.UnixNano()))
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,23 +26,23 @@
 
 // Config is what a node is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // address for clients; "": Sidecar.Socket
-	Discovery string // address of discovery
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Known     *endpoints.List // the servers as the node last had them; nil: none
-	Classes   []string
-	Tenants   []string
-	Settings  decide.Settings
-	Budgets   bool              // requests share a budget of further attempts with other tiers
-	State     State             // what it keeps over restarts
-	Members   *members.Settings // how it takes part in the membership of the nodes; nil: not at all
-	Leases    *leases.Settings  // how it takes part in the fleet's leases; nil: not at all
-	Sidecar   *Sidecar          // the one application that it serves; nil: it serves many clients
-	Routes    *routes.Table     // the operators' timing rules; nil: none
-	operator  *operator         // what Routes came from
+	Name          string
+	Listen        string // address for clients; "": Sidecar.Socket
+	Discovery     string // address of discovery
+	Seed          uint64
+	MemoryMB      int
+	Sockets       int
+	KnownServers  *endpoints.List // the servers as the node last had them; nil: none
+	Classes       []string
+	Tenants       []string
+	Settings      decide.Settings
+	SharedBudgets bool              // requests share a budget of further attempts with other tiers
+	State         State             // what it keeps over restarts
+	Members       *members.Settings // how it takes part in the membership of the nodes; nil: not at all
+	Leases        *leases.Settings  // how it takes part in the fleet's leases; nil: not at all
+	Sidecar       *Sidecar          // the one application that it serves; nil: it serves many clients
+	Routes        *routes.Table     // the operators' timing rules; nil: none
+	operator      *operator         // what Routes came from
 }
 
 // Sidecar is what a node is told of the application that it stands beside.
@@ -143,9 +143,9 @@
 	c := &Config{
 		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Seed: seed.Sum64(),
 		MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Settings: set, Sidecar: raw.Sidecar,
-		Budgets: raw.Budgets,
+		SharedBudgets: raw.Budgets,
 	}
-	if c.Budgets && set.MayHedge {
+	if c.SharedBudgets && set.MayHedge {
 		return nil, errors.New("budgets: they do not go with second_copies: what two copies spend below is not told apart")
 	}
 	for _, class := range raw.Settings.Categories {
@@ -155,7 +155,7 @@
 		c.Tenants = append(c.Tenants, tenant.Name)
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, err = endpoints.Parse(raw.Known); err != nil {
+		if c.KnownServers, err = endpoints.Parse(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -167,7 +167,7 @@
 // rules.
 func (c *Config) sameService(other *Config) bool {
 	a, b := *c, *other
-	a.Discovery, a.Seed, a.Known = b.Discovery, b.Seed, b.Known
+	a.Discovery, a.Seed, a.KnownServers = b.Discovery, b.Seed, b.KnownServers
 	a.Routes, a.operator = b.Routes, b.operator
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -20,7 +20,7 @@
 	})
 	select {
 	case <-held:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("the loop takes no step")
 	}
 	return func() { close(free) }
@@ -30,12 +30,12 @@
 // many requests stand before it, also where the loop hears of the request long before it hears of the end.
 func TestClientsThatLeaveABusyLoop(t *testing.T) {
 	t.Parallel()
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 		t.Fatalf("answered %q", body)
 	}
-	was := s.Seen()
+	was := s.RequestCount()
 	release := n.hold(t)
 	const clients = 50
 	var all []net.Conn
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, "GET /look/1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "+NewID()+"\r\nX-Remaining-Ms: 15000\r\n\r\n")
+		io.WriteString(c, "GET /look/1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: "+NewRequestID()+"\r\nX-Remaining-Ms: 15000\r\n\r\n")
 		all = append(all, c)
 	}
 	WaitFor(t, "all requests wait for the loop", func() bool { return n.front.Stats().Requests == before.Requests+clients })
@@ -57,7 +57,7 @@
 	if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 		t.Errorf("then answered %q", body)
 	}
-	if got := s.Seen() - was; got != 1 {
+	if got := s.RequestCount() - was; got != 1 {
 		t.Errorf("%d requests came to the server, of which one has a client", got)
 	}
 }
@@ -66,28 +66,28 @@
 // anybody asked: the node must follow it from its start, though the module asks for nothing.
 func TestNodeFollowsPushedLists(t *testing.T) {
 	t.Parallel()
-	s, other := NewServer(t, Say("drains")), NewServer(t, Say("fine"))
+	s, other := NewServer(t, RespondWith("drains")), NewServer(t, RespondWith("fine"))
 	d := NewDiscoveryServer(t)
-	text := configText(d.Listener.Addr().String(), ListOf(1, true, s.Addr()), 1024)
+	text := configText(d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024)
 	c, err := parseConfig([]byte(strings.Replace(text, `"subscribe"`, `"automatic"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := startNode(t, c)
-	d.Tell(t, ListOf(2, false, s.Addr()+" DRAINING", other.Addr()))
+	d.SendList(t, ServerList(2, false, s.Addr()+" DRAINING", other.Addr()))
 	WaitFor(t, "the drain is known", func() bool {
 		_, body := exchange(t, request(t, n.url, "/look/1", ""))
 		return body == "fine"
 	})
-	before := s.Seen()
-	d.Tell(t, "") // a call that fails ends nothing
-	d.Tell(t, ListOf(3, false))
+	before := s.RequestCount()
+	d.SendList(t, "") // a call that fails ends nothing
+	d.SendList(t, ServerList(3, false))
 	for range 20 {
 		if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 			t.Fatalf("answered %s %q", resp.Status, body)
 		}
 	}
-	if s.Seen() != before {
+	if s.RequestCount() != before {
 		t.Error("something new went to a server that drains")
 	}
 	if _, err := parseConfig([]byte(strings.Replace(text, `"subscribe"`, `"sometimes"`, 1))); err == nil || !strings.Contains(err.Error(), "registry_mode") || !strings.Contains(err.Error(), "sometimes") {
--- a/internal/node/discovery/answer_test.go
+++ b/internal/node/discovery/answer_test.go
@@ -15,7 +15,7 @@
 func TestReadAgreesWithParse(t *testing.T) {
 	const one = `{"instanceId":"a","hostPort":"127.0.0.1:1","zone":"a","machineType":"m","cell":1,"lifecycle":"SERVING","weight":1.5,"startedAtMs":7}`
 	for _, text := range []string{
-		ListOf(4, false, "127.0.0.1:1", "127.0.0.1:2 DRAINING", "127.0.0.1:3 DELETED"),
+		ServerList(4, false, "127.0.0.1:1", "127.0.0.1:2 DRAINING", "127.0.0.1:3 DELETED"),
 		"{\n  \"instances\": [\n    " + one + "\n  ],\n  \"more\": {\"x\": [1, 2]},\n  \"reset\": true,\n  \"generation\": 18446744073709551615\n}\n",
 		`{"generation":1,"instances":[]}`,
 		`{"generation":1,"reset":null,"instances":[]}`,
@@ -43,7 +43,7 @@
 
 // An answer that breaks off anywhere must never be taken for whole, and must tell each bad entry that came whole.
 func TestReadTellsWhatCame(t *testing.T) {
-	text := ListOf(4, true, "127.0.0.1:1 DRAINING", "127.0.0.1:2", "127.0.0.1:3 DELETED")
+	text := ServerList(4, true, "127.0.0.1:1 DRAINING", "127.0.0.1:2", "127.0.0.1:3 DELETED")
 	bad := 0
 	for n := range text {
 		l, err := read(strings.NewReader(text[:n]))
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -50,12 +50,12 @@
 func TestSilentWatchBeginsAnew(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	watched := New(d.Listener.Addr().String(), place(), Quiet(), listsTo(reports))
+	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
 	losts := make(chan bool, 10)
 	watched.poll = func(_ time.Duration, lost bool) (wait, patience time.Duration) {
 		losts <- lost
 		if lost {
-			return 2 * Patience, 2 * Patience
+			return 2 * WaitTimeout, 2 * WaitTimeout
 		}
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
@@ -80,7 +80,7 @@
 func TestPollsProveThemselvesAfterAFailure(t *testing.T) {
 	d, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	watched := New(d.Listener.Addr().String(), place(), Quiet(), listsTo(reports))
+	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
 	waits := func(d *DiscoveryServer, call int) time.Duration {
 		t.Helper()
 		WaitFor(t, "a call comes", func() bool { return d.Calls() > call })
@@ -100,19 +100,19 @@
 	if got := waits(d, 0); got <= short {
 		t.Errorf("the first poll waits %v", got)
 	}
-	d.Tell(t, "") // it says that it can't: calls get through, and short ones would be too many
+	d.SendList(t, "") // it says that it can't: calls get through, and short ones would be too many
 	<-reports
 	watched.SetWatch(true)
 	if got := waits(d, 1); got <= short {
 		t.Errorf("turned away, a poll waits %v", got)
 	}
-	d.Tell(t, "{") // what can't be read may be anybody's
+	d.SendList(t, "{") // what can't be read may be anybody's
 	<-reports
 	watched.SetWatch(true)
 	if got := waits(d, 2); got > short {
 		t.Errorf("after a failure a poll waits %v", got)
 	}
-	d.Tell(t, ListOf(4, false))
+	d.SendList(t, ServerList(4, false))
 	<-reports
 	if got := waits(d, 3); got <= short {
 		t.Errorf("after an answer a poll waits %v", got)
@@ -129,7 +129,7 @@
 func TestAWholeListInVainKeepsTheGeneration(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	watched := New(d.Listener.Addr().String(), place(), Quiet(), listsTo(reports))
+	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
 	watched.queued = 0 // an early question does not wait for the first call to have left the queue
 	stop := running(t, watched, 7)
 	watched.SetWatch(true)
@@ -139,7 +139,7 @@
 	if q := d.Query(1); q != "" {
 		t.Errorf("asked %q for the whole", q)
 	}
-	d.Tell(t, "")
+	d.SendList(t, "")
 	<-reports
 	watched.SetWatch(true)
 	WaitFor(t, "the watch goes on", func() bool { return d.Calls() == 3 })
@@ -156,12 +156,12 @@
 func TestWatchMovesWithDiscovery(t *testing.T) {
 	old, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	d := New(old.Listener.Addr().String(), place(), Quiet(), listsTo(reports))
+	d := New(old.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
 	stop := running(t, d, 3)
 	d.SetWatch(true)
 	WaitFor(t, "the watch is at the old address", func() bool { return old.Calls() == 1 })
 	d.SetAddress(next.Listener.Addr().String())
-	next.Tell(t, ListOf(4, false))
+	next.SendList(t, ServerList(4, false))
 	if l := <-reports; l == nil || l.Generation != 4 {
 		t.Errorf("reported %v, want the list of the new address", l)
 	}
@@ -169,13 +169,13 @@
 		t.Errorf("asked with %q", q)
 	}
 	// A watch that has failed waits for the module; a move ends that wait too.
-	next.Tell(t, "")
+	next.SendList(t, "")
 	if l := <-reports; l != nil {
 		t.Errorf("reported %v, want a failed call", l)
 	}
 	d.SetAddress(old.Listener.Addr().String())
 	WaitFor(t, "the watch is back", func() bool { return old.Calls() == 2 })
-	old.Tell(t, ListOf(5, false))
+	old.SendList(t, ServerList(5, false))
 	if l := <-reports; l == nil || l.Generation != 5 {
 		t.Errorf("reported %v, want the list of the address moved back to", l)
 	}
@@ -196,10 +196,10 @@
 			sent := make(chan int, 1)
 			address := RawServer(t, func(c net.Conn) {
 				io.WriteString(c, parts[0])
-				Endless(parts[1], sent)(c)
+				StreamForever(parts[1], sent)(c)
 			})
-			d := New(address, place(), Quiet(), func(Update) {})
-			if l, err := d.call(t.Context(), "", Patience); err == nil {
+			d := New(address, place(), DiscardLogger(), func(Update) {})
+			if l, err := d.call(t.Context(), "", WaitTimeout); err == nil {
 				t.Errorf("took %v for a list", l)
 			}
 			<-sent // the connection is closed while the service still writes
@@ -267,7 +267,7 @@
 	select {
 	case c := <-s.calls:
 		return c
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("no call came")
 		return heldCall{}
 	}
@@ -285,12 +285,12 @@
 		t.Run(name, func(t *testing.T) {
 			s, next := newHeldServer(t), newHeldServer(t)
 			reports := make(chan *endpoints.List, 10)
-			d := New(s.address, place(), Quiet(), listsTo(reports))
+			d := New(s.address, place(), DiscardLogger(), listsTo(reports))
 			d.queued = 0 // an early question does not wait for the first call to have left the queue
 			stop := running(t, d, 3)
 			d.SetWatch(true)
 			first := s.call(t)
-			text := ListOf(4, false, "127.0.0.1:1 DRAINING")
+			text := ServerList(4, false, "127.0.0.1:1 DRAINING")
 			first.write(t, text[:10])
 			anew(d, next)
 			var second heldCall // it waits in turn, and is not answered at all
@@ -306,11 +306,11 @@
 				if l == nil || l.Generation != 4 || len(l.Entries) != 1 {
 					t.Errorf("reported %v", l)
 				}
-			case <-time.After(Patience):
+			case <-time.After(WaitTimeout):
 				t.Error("the answer is lost")
 			}
 			// The second call was begun before that: an older list of its is no news.
-			second.write(t, ListOf(3, second.query == "", "127.0.0.1:1"))
+			second.write(t, ServerList(3, second.query == "", "127.0.0.1:1"))
 			second.write(t, "")
 			WaitFor(t, "the watch goes on", func() bool { return len(s.calls)+len(next.calls) > 0 })
 			if len(reports) > 0 {
@@ -325,15 +325,15 @@
 func TestOneCallIsLeftOfTwo(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 10)
-	d := New(s.address, place(), Quiet(), listsTo(reports))
-	d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return time.Minute, 2 * Patience }
+	d := New(s.address, place(), DiscardLogger(), listsTo(reports))
+	d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return time.Minute, 2 * WaitTimeout }
 	d.queued = 0 // as above
 	stop := running(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
 	d.RestartWatch(false)
 	second := s.call(t)
-	second.write(t, ListOf(4, false))
+	second.write(t, ServerList(4, false))
 	second.write(t, "")
 	if l := <-reports; l == nil || l.Generation != 4 {
 		t.Fatalf("reported %v", l)
@@ -344,7 +344,7 @@
 	}
 	select {
 	case <-first.done:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Error("the first call is still out")
 	}
 	if len(s.calls) > 0 || len(reports) > 0 {
@@ -360,7 +360,7 @@
 func TestPushedListsAreFollowed(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 100)
-	d := New(s.address, endpoints.FleetPosition{NodeCount: 4, Pushed: true}, Quiet(), listsTo(reports))
+	d := New(s.address, endpoints.FleetPosition{NodeCount: 4, Pushed: true}, DiscardLogger(), listsTo(reports))
 	stop := running(t, d, 3)
 	for range 4 { // silent: each call ends by itself, and the next one comes
 		c := s.call(t)
@@ -371,7 +371,7 @@
 		<-c.done
 	}
 	c := s.call(t)
-	c.write(t, ListOf(5, false, "127.0.0.1:1 DRAINING"))
+	c.write(t, ServerList(5, false, "127.0.0.1:1 DRAINING"))
 	c.write(t, "")
 	if l := <-reports; l == nil || l.Generation != 5 {
 		t.Errorf("reported %v", l)
@@ -393,7 +393,7 @@
 func TestAnAnswerAfterAFailureGoesOn(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 10)
-	d := New(s.address, place(), Quiet(), listsTo(reports))
+	d := New(s.address, place(), DiscardLogger(), listsTo(reports))
 	d.queued = 0 // as above
 	stop := running(t, d, 3)
 	d.SetWatch(true)
@@ -405,7 +405,7 @@
 	if l := <-reports; l != nil {
 		t.Errorf("reported %v", l)
 	}
-	first.write(t, ListOf(4, false))
+	first.write(t, ServerList(4, false))
 	first.write(t, "")
 	if l := <-reports; l == nil || l.Generation != 4 {
 		t.Errorf("reported %v", l)
--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -17,7 +17,7 @@
 // asked all the same.
 func TestEarlyQuestionWaitsForTheQueue(t *testing.T) {
 	s := newHeldServer(t)
-	d := New(s.address, place(), Quiet(), func(Update) {})
+	d := New(s.address, place(), DiscardLogger(), func(Update) {})
 	d.queued = 300 * time.Millisecond
 	stop := running(t, d, 3)
 	defer stop()
@@ -35,14 +35,14 @@
 func TestAnAnswerEndsAnEarlyQuestion(t *testing.T) {
 	s := newHeldServer(t)
 	lists := make(chan *endpoints.List, 10)
-	d := New(s.address, place(), Quiet(), listsTo(lists))
+	d := New(s.address, place(), DiscardLogger(), listsTo(lists))
 	d.queued = 200 * time.Millisecond
 	stop := running(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
 	first := s.call(t)
 	d.RestartWatch(false)
-	first.write(t, ListOf(4, false, "127.0.0.1:1 DRAINING"))
+	first.write(t, ServerList(4, false, "127.0.0.1:1 DRAINING"))
 	first.write(t, "")
 	<-lists
 	s.call(t) // the watch goes on
@@ -60,7 +60,7 @@
 	for _, answers := range []bool{false, true} {
 		old, next := newHeldServer(t), newHeldServer(t)
 		lists := make(chan *endpoints.List, 10)
-		d := New(old.address, place(), Quiet(), listsTo(lists))
+		d := New(old.address, place(), DiscardLogger(), listsTo(lists))
 		d.spread = func() time.Duration { return spread }
 		stop := running(t, d, 3)
 		d.SetWatch(true)
@@ -68,7 +68,7 @@
 		moved := time.Now()
 		d.SetAddress(next.address)
 		if answers {
-			first.write(t, ListOf(4, false, "127.0.0.1:1 DRAINING"))
+			first.write(t, ServerList(4, false, "127.0.0.1:1 DRAINING"))
 			first.write(t, "")
 			if l := <-lists; l == nil || l.Generation != 4 {
 				t.Errorf("reported %v, want what the old address wrote", l)
@@ -93,7 +93,7 @@
 	updates := make(chan Update, 10)
 	at := endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}
 	pause := endpoints.NewCallPacer(at).RecordReset()
-	watched := New(listener.Addr().String(), at, Quiet(), func(u Update) { updates <- u })
+	watched := New(listener.Addr().String(), at, DiscardLogger(), func(u Update) { updates <- u })
 	stop := running(t, watched, 3)
 	defer stop()
 	watched.SetWatch(true)
@@ -134,11 +134,11 @@
 func TestOverloadedWatchPauses(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	updates := make(chan Update, 10)
-	watched := New(d.Listener.Addr().String(), place(), Quiet(), func(u Update) { updates <- u })
+	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), func(u Update) { updates <- u })
 	stop := running(t, watched, 3)
 	defer stop()
 	watched.SetWatch(true)
-	d.Tell(t, "") // 503
+	d.SendList(t, "") // 503
 	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.Overloaded || u.Failure.PollWait <= 0 {
 		t.Errorf("reported %+v", u)
 	}
@@ -148,7 +148,7 @@
 	if took := time.Since(failed); took < 300*time.Millisecond {
 		t.Errorf("asked again after %v", took)
 	}
-	d.Tell(t, ListOf(4, false, "127.0.0.1:1 DRAINING"))
+	d.SendList(t, ServerList(4, false, "127.0.0.1:1 DRAINING"))
 	<-updates
 	answered := time.Now()
 	WaitFor(t, "the watch goes on", func() bool { return d.Calls() == 3 })
@@ -171,14 +171,14 @@
 		"open":          {time.Minute, false, "", 1},
 		"short":         {accepted / 2, false, "", 0},
 		"whole":         {time.Minute, true, "", 0},
-		"answered soon": {time.Minute, false, ListOf(4, false), 1}, // the next one is
+		"answered soon": {time.Minute, false, ServerList(4, false), 1}, // the next one is
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newHeldServer(t)
 			reports := make(chan Update, 10)
-			d := New(s.address, place(), Quiet(), func(u Update) { reports <- u })
+			d := New(s.address, place(), DiscardLogger(), func(u Update) { reports <- u })
 			d.accepted = accepted
-			d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return c.wait, 2 * Patience }
+			d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return c.wait, 2 * WaitTimeout }
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -235,7 +235,7 @@
 			t.Parallel()
 			s := newHeldServer(t)
 			reports := make(chan Update, 10)
-			d := New(s.address, place(), Quiet(), func(u Update) { reports <- u })
+			d := New(s.address, place(), DiscardLogger(), func(u Update) { reports <- u })
 			d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return answerGrace, answerGrace }
 			stop := running(t, d, 3)
 			defer stop()
@@ -265,7 +265,7 @@
 func TestOverloadedWatchAsksForTheWholeList(t *testing.T) {
 	s := newHeldServer(t)
 	updates := make(chan Update, 10)
-	d := New(s.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
+	d := New(s.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, DiscardLogger(), func(u Update) { updates <- u })
 	d.SetServerCount(3)
 	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: int(d.servers.Load())})
 	stop := running(t, d, 3)
@@ -275,7 +275,7 @@
 	if call.query != "" {
 		t.Errorf("the call asks for %q", call.query)
 	}
-	call.write(t, ListOf(4, true, "127.0.0.1:1 SERVING"))
+	call.write(t, ServerList(4, true, "127.0.0.1:1 SERVING"))
 	call.write(t, "")
 	if u := <-updates; u.List == nil || !u.WatchPaused {
 		t.Errorf("reported %+v", u)
@@ -294,7 +294,7 @@
 	const spread = 400 * time.Millisecond
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
-	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
+	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, DiscardLogger(), func(u Update) { updates <- u })
 	d.spread = func() time.Duration { return spread }
 	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
 	stop := running(t, d, 3)
@@ -303,7 +303,7 @@
 	first := old.call(t)
 	moved := time.Now()
 	d.SetAddress(next.address)
-	first.write(t, ListOf(4, true, "127.0.0.1:1 SERVING"))
+	first.write(t, ServerList(4, true, "127.0.0.1:1 SERVING"))
 	first.write(t, "")
 	if u := <-updates; u.List == nil || !u.WatchPaused {
 		t.Errorf("reported %+v", u)
@@ -319,7 +319,7 @@
 func TestPeriodicPausesKeepTheCallBefore(t *testing.T) {
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
-	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, Quiet(), func(u Update) { updates <- u })
+	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, DiscardLogger(), func(u Update) { updates <- u })
 	d.spread = func() time.Duration { return 0 }
 	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
 	stop := running(t, d, 3)
@@ -328,20 +328,20 @@
 	before := old.call(t)
 	d.SetAddress(next.address)
 	newer := next.call(t)
-	newer.write(t, ListOf(4, true, "127.0.0.1:1 SERVING"))
+	newer.write(t, ServerList(4, true, "127.0.0.1:1 SERVING"))
 	newer.write(t, "")
 	if u := <-updates; u.List == nil || u.List.Generation != 4 {
 		t.Fatalf("reported %+v", u)
 	}
 	time.Sleep(2 * overlap) // what the fault waits for is time itself
-	before.write(t, ListOf(5, true, "127.0.0.1:1 DRAINING"))
+	before.write(t, ServerList(5, true, "127.0.0.1:1 DRAINING"))
 	before.write(t, "")
 	select {
 	case u := <-updates:
 		if u.List == nil || u.List.Generation != 5 {
 			t.Errorf("reported %+v", u)
 		}
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Error("what was written on the call before is lost")
 	}
 }
--- a/internal/node/discovery/size_test.go
+++ b/internal/node/discovery/size_test.go
@@ -17,7 +17,7 @@
 	}))
 	defer service.Close()
 	address := service.Listener.Addr().String()
-	_, err := New(address, place(), Quiet(), func(Update) {}).call(t.Context(), "?since=3", Patience)
+	_, err := New(address, place(), DiscardLogger(), func(Update) {}).call(t.Context(), "?since=3", WaitTimeout)
 	const want = "/v1/endpoints?since=3 is larger than 4194304 bytes"
 	if err == nil || !strings.Contains(err.Error(), address) || !strings.Contains(err.Error(), want) {
 		t.Errorf("%v, want %s ... %s", err, address, want)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,14 +12,14 @@
 // between are missed, and must follow at once: a later call is a new watch.
 func TestWatchGoesOn(t *testing.T) {
 	t.Parallel()
-	s, moved := NewServer(t, Say("first")), NewServer(t, Say("second"))
+	s, moved := NewServer(t, RespondWith("first")), NewServer(t, RespondWith("second"))
 	d := NewDiscoveryServer(t)
-	n := startNode(t, testConfig(t, d.Listener.Addr().String(), ListOf(41, true, s.Addr()), 1024))
+	n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(41, true, s.Addr()), 1024))
 	WaitFor(t, "the watch begins", func() bool { return d.Calls() == 1 })
 	if q := d.Query(0); !strings.HasPrefix(q, "since=41&timeout_ms=") {
 		t.Errorf("the watch asks %q, want changes since the known list", q)
 	}
-	d.Tell(t, ListOf(43, false))
+	d.SendList(t, ServerList(43, false))
 	WaitFor(t, "the watch goes on", func() bool { return d.Calls() == 2 })
 	if q := d.Query(1); !strings.HasPrefix(q, "since=43&") {
 		t.Errorf("the watch goes on with %q", q)
@@ -28,7 +28,7 @@
 		t.Errorf("answered %q", body)
 	}
 	// The same server at another address: dialed there, also where connections to the old one are idle.
-	d.Tell(t, ListOf(44, false, moved.Addr()))
+	d.SendList(t, ServerList(44, false, moved.Addr()))
 	WaitFor(t, "the watch goes on", func() bool { return d.Calls() == 3 })
 	WaitFor(t, "the move is known", func() bool {
 		_, body := exchange(t, request(t, n.url, "/look/1", ""))
@@ -39,18 +39,18 @@
 // A malformed list is a failed call. It must never be taken for an empty fleet,
 // or for a part of one.
 func TestMalformedListIsAFailedCall(t *testing.T) {
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	for i, list := range []string{
 		"", "{", "{}", "[]", "null", `{"generation":2,"reset":true}`, `{"reset":true,"instances":[]}`,
 		`{"generation":2,"reset":true,"instances":[{"hostPort":"127.0.0.1:1","lifecycle":"SERVING"}]}`,
-		strings.Replace(ListOf(2, true, s.Addr()), "SERVING", "HAPPY", 1),
-		ListOf(2, true, "nowhere"),
+		strings.Replace(ServerList(2, true, s.Addr()), "SERVING", "HAPPY", 1),
+		ServerList(2, true, "nowhere"),
 	} {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
 			t.Parallel()
 			d := NewDiscoveryServer(t)
-			n := startNode(t, testConfig(t, d.Listener.Addr().String(), ListOf(1, true, s.Addr()), 1024))
-			d.Tell(t, list)
+			n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024))
+			d.SendList(t, list)
 			WaitFor(t, "the module asks again", func() bool { return d.Calls() == 2 })
 			if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 				t.Errorf("after %q: answered %s %q", list, resp.Status, body)
@@ -67,21 +67,21 @@
 func TestNothingToADrainingServer(t *testing.T) {
 	for _, state := range []string{"DRAINING", "DELETED"} {
 		t.Run(state, func(t *testing.T) {
-			s, other := NewServer(t, Say("drains")), NewServer(t, Say("fine"))
+			s, other := NewServer(t, RespondWith("drains")), NewServer(t, RespondWith("fine"))
 			d := NewDiscoveryServer(t)
-			n := startNode(t, testConfig(t, d.Listener.Addr().String(), ListOf(1, true, s.Addr()), 1024))
+			n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024))
 			if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "drains" {
 				t.Fatalf("answered %q", body)
 			}
-			d.Tell(t, ListOf(2, false, s.Addr()+" "+state, other.Addr()))
+			d.SendList(t, ServerList(2, false, s.Addr()+" "+state, other.Addr()))
 			WaitFor(t, "the idle connection is closed", func() bool { _, ended := s.Connections(); return ended == 1 })
-			before := s.Seen()
+			before := s.RequestCount()
 			for range 20 {
 				if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 					t.Fatalf("answered %s %q", resp.Status, body)
 				}
 			}
-			if s.Seen() != before {
+			if s.RequestCount() != before {
 				t.Error("something new went to it")
 			}
 		})
--- a/internal/node/disk/folder.go
+++ b/internal/node/disk/folder.go
@@ -22,9 +22,9 @@
 }
 
 // ErrHeld says that another process has the folder.
-type ErrHeld struct{ Path string }
+type LockedError struct{ Path string }
 
-func (e *ErrHeld) Error() string { return fmt.Sprintf("another process holds %s", e.Path) }
+func (e *LockedError) Error() string { return fmt.Sprintf("another process holds %s", e.Path) }
 
 // Open takes a folder, which it makes if it is not there, for this process alone.
 func Open(path string) (*Folder, error) {
@@ -38,7 +38,7 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, &ErrHeld{path}
+			return nil, &LockedError{path}
 		}
 		return nil, fmt.Errorf("locking the store's folder: %w", err)
 	}
@@ -46,7 +46,7 @@
 }
 
 // Look is a folder that is only read, whoever holds it.
-func Look(path string) *Folder { return &Folder{path: path} }
+func OpenReadOnly(path string) *Folder { return &Folder{path: path} }
 
 // Close gives the folder free.
 func (f *Folder) Close() error {
--- a/internal/node/disk/folder_test.go
+++ b/internal/node/disk/folder_test.go
@@ -71,7 +71,7 @@
 func TestOneOwner(t *testing.T) {
 	path := t.TempDir()
 	first := open(t, path)
-	var held *ErrHeld
+	var held *LockedError
 	if _, err := Open(path); !errors.As(err, &held) {
 		t.Errorf("a second owner: %v", err)
 	}
--- a/internal/node/disk/trial.go
+++ b/internal/node/disk/trial.go
@@ -12,7 +12,7 @@
 
 // Trial has a folder's files fail as files in another folder say: "disk-full", and every write and sync fails for want of
 // space; "disk-slow", holding a duration, and each sync takes that much longer. It is for trials alone.
-func Trial(fs store.FS, folder string) store.FS { return &trial{fs, folder} }
+func WithFaults(fs store.FS, folder string) store.FS { return &trial{fs, folder} }
 
 type trial struct {
 	store.FS
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -56,7 +56,7 @@
 // startNode runs a node that knows these servers from its last life.
 func startNode(t *testing.T, c *Config) *testNode {
 	t.Helper()
-	return startLogging(t, c, Quiet())
+	return startLogging(t, c, DiscardLogger())
 }
 
 // startLogging does so with a log.
@@ -93,7 +93,7 @@
 	for _, s := range servers {
 		addrs = append(addrs, s.Addr())
 	}
-	return startNode(t, testConfig(t, DeadAddress(t), ListOf(1, true, addrs...), 1024))
+	return startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, addrs...), 1024))
 }
 
 // request makes a client's request; class stands first in the path.
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set("X-Txn", NewID())
+	r.Header.Set("X-Txn", NewRequestID())
 	r.Header.Set("X-Lane", class)
 	r.Header.Set("X-Remaining-Ms", "15000")
 	if class == "note" {
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(Patience))
+	c.SetDeadline(time.Now().Add(WaitTimeout))
 	return &rawConn{c, bufio.NewReader(c)}
 }
 
@@ -177,6 +177,6 @@
 
 // rawLook is a request as it stands on the wire.
 func rawLook() string {
-	return "GET /look/1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + NewID() +
+	return "GET /look/1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: " + NewRequestID() +
 		"\r\nX-Lane: look\r\nX-Remaining-Ms: 15000\r\n\r\n"
 }
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(nodetest.Patience))
+	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
 	return &peer{c, bufio.NewReader(c)}
 }
 
--- a/internal/node/handed.go
+++ b/internal/node/handed.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"curlewring/internal/fleet/bootstrap"
-	"curlewring/internal/node/keeper"
+	"curlewring/internal/node/persist"
 	"curlewring/internal/servers/endpoints"
 	"curlewring/internal/servers/serverdb"
 )
@@ -27,7 +27,7 @@
 		m, err := endpoints.Parse(text)
 		if err != nil || !m.Whole || m.Generation != about.Generation {
 			l.log.Warn("a list that another node handed on makes no sense", "err", err)
-			l.record.Lost()
+			l.record.ListRejected()
 			return
 		}
 		l.post(handed{m, about})
@@ -60,8 +60,8 @@
 	if l.told > 0 || len(p.known.Servers) > 0 || len(h.list.Entries) == 0 {
 		return // discovery has spoken, or there is a list of this node's own
 	}
-	wall := l.clock.Wall(l.now)
-	known := keeper.Known{Node: p.known.Node, List: serverdb.List{
+	wall := l.clock.WallTime(l.now)
+	known := persist.Restored{Node: p.known.Node, List: serverdb.List{
 		Generation: h.list.Generation, Discovery: h.about.Discovery, Confirmed: wall.Add(-h.about.Age), ServingCount: len(h.list.Entries), Consistent: true,
 	}}
 	for i := range h.list.Entries {
--- a/internal/node/leases/client.go
+++ b/internal/node/leases/client.go
@@ -18,7 +18,7 @@
 
 func dial(ctx context.Context, folder string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialWait}
-	c, err := d.DialContext(ctx, "unix", SocketIn(folder))
+	c, err := d.DialContext(ctx, "unix", SocketPath(folder))
 	if err != nil {
 		return nil, fmt.Errorf("no node answers in %s, or its settings have no [leases]: %w", folder, err)
 	}
@@ -26,7 +26,7 @@
 }
 
 // Ask asks the node that keeps its state in a folder for something other than a lease.
-func Ask(ctx context.Context, folder string, q Request) (Reply, error) {
+func Call(ctx context.Context, folder string, q Request) (Reply, error) {
 	var r Reply
 	c, err := dial(ctx, folder)
 	if err != nil {
@@ -48,7 +48,7 @@
 }
 
 // Held is a lease that is asked for, or held, by way of a node.
-type Held struct {
+type ClientLease struct {
 	Events chan lease.Event // closed when the node says nothing more
 	conn   net.Conn
 	mu     sync.Mutex // one line at a time
@@ -56,12 +56,12 @@
 }
 
 // Hold asks the node for a lease. The caller must Close what it gets.
-func Hold(ctx context.Context, folder, name string, ttl time.Duration) (*Held, error) {
+func Acquire(ctx context.Context, folder, name string, ttl time.Duration) (*ClientLease, error) {
 	c, err := dial(ctx, folder)
 	if err != nil {
 		return nil, err
 	}
-	h := &Held{Events: make(chan lease.Event, mostEvents), conn: c, ended: make(chan struct{})}
+	h := &ClientLease{Events: make(chan lease.Event, mostEvents), conn: c, ended: make(chan struct{})}
 	if err := h.say(Request{Do: "hold", Lease: name, TTL: ttl}); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("asking the node: %w", err)
@@ -95,7 +95,7 @@
 	return h, nil
 }
 
-func (h *Held) say(q Request) error {
+func (h *ClientLease) say(q Request) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.conn.SetWriteDeadline(time.Now().Add(writeWait))
@@ -103,13 +103,13 @@
 }
 
 // Stop tells the node that the lease is not wanted any more; the user may still act until it says Stopped.
-func (h *Held) Stop() error { return h.say(Request{Do: "stop"}) }
+func (h *ClientLease) RequestRelease() error { return h.say(Request{Do: "stop"}) }
 
 // Stopped tells the node that the user acts no more, so the lease can pass on at once.
-func (h *Held) Stopped() error { return h.say(Request{Do: "stopped"}) }
+func (h *ClientLease) ConfirmStopped() error { return h.say(Request{Do: "stopped"}) }
 
 // Close ends the connection. A lease whose user has not said Stopped runs out by its time.
-func (h *Held) Close() {
+func (h *ClientLease) Close() {
 	select {
 	case <-h.ended:
 	default:
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -28,9 +28,9 @@
 	Name, Site   string
 	Folder       string        // of the node's state
 	ReplaceAfter time.Duration // 0: 5 min
-	Record       bool          // a node without a list of servers gets one from others, and one of a site asks for all
+	ShareLists   bool          // a node without a list of servers gets one from others, and one of a site asks for all
 	// Disk wraps the folder's files; nil: they are used as they are. For trials.
-	Disk func(store.FS) store.FS
+	WrapFS func(store.FS) store.FS
 }
 
 // Fleet is what this package needs of the membership.
@@ -89,12 +89,12 @@
 		return nil, err
 	}
 	var fs store.FS = l.folder
-	if set.Disk != nil {
-		fs = set.Disk(fs)
+	if set.WrapFS != nil {
+		fs = set.WrapFS(fs)
 	}
 	l.disk, l.found = openKeeper(fs, log)
 	l.begin()
-	if l.ctl, err = accept.ListenUnix(SocketIn(set.Folder), dialWait); err != nil {
+	if l.ctl, err = accept.ListenUnix(SocketPath(set.Folder), dialWait); err != nil {
 		return nil, err
 	}
 	fleet.OnCarry(wire.TopicLease, l.take)
@@ -102,7 +102,7 @@
 }
 
 // SocketIn is where operators ask a node that keeps its state in a folder.
-func SocketIn(folder string) string { return filepath.Join(folder, "leases.sock") }
+func SocketPath(folder string) string { return filepath.Join(folder, "leases.sock") }
 
 // begin makes a council of what the disk holds.
 func (l *Leases) begin() {
@@ -152,7 +152,7 @@
 	defer stop()
 	parts.Go(func() { l.disk.run(ctx) })
 	parts.Go(func() {
-		accept.Serve(ctx, l.ctl, accept.Bounds{Most: mostOperators}, func(c net.Conn) { l.operator(ctx, c) })
+		accept.Serve(ctx, l.ctl, accept.Limits{MaxConnections: mostOperators}, func(c net.Conn) { l.operator(ctx, c) })
 	})
 	defer l.disband()
 	tick := time.NewTicker(round)
--- a/internal/node/leases/tenants.go
+++ b/internal/node/leases/tenants.go
@@ -159,7 +159,7 @@
 }
 
 // Local is a lease that this node itself asks for, or holds.
-type Local struct {
+type LocalLease struct {
 	Events chan lease.Event // what does not fit is lost: the newest phase is asked for by Holds
 	leases *Leases
 	name   string
@@ -168,14 +168,14 @@
 }
 
 // Hold asks for a lease on behalf of this node. It does not wait. The caller must Give it back.
-func (l *Leases) Hold(name string, ttl time.Duration) *Local {
-	x := &Local{Events: make(chan lease.Event, mostEvents), leases: l, name: name, ttl: ttl, gone: make(chan struct{})}
+func (l *Leases) Acquire(name string, ttl time.Duration) *LocalLease {
+	x := &LocalLease{Events: make(chan lease.Event, mostEvents), leases: l, name: name, ttl: ttl, gone: make(chan struct{})}
 	go x.run()
 	return x
 }
 
 // run ends with Give, or with the leases.
-func (x *Local) run() {
+func (x *LocalLease) run() {
 	ctx := context.Background() // a call ends with the leases
 	var t *lease.Client
 	tell := func(e lease.Event) bool {
@@ -200,7 +200,7 @@
 }
 
 // Give gives the lease back, or the wish for it. What was done under it must be over.
-func (x *Local) Give() {
+func (x *LocalLease) Release() {
 	select {
 	case <-x.gone:
 	default:
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -29,8 +29,8 @@
 func TestUnixSocket(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "c.sock")
-	s := NewServer(t, Say("here"))
-	c := testConfig(t, DeadAddress(t), ListOf(1, true, s.Addr()), 1024)
+	s := NewServer(t, RespondWith("here"))
+	c := testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), 1024)
 	c.Sidecar = &Sidecar{Socket: path}
 	n := startNode(t, c)
 	resp, err := throughSocket(t, path).Do(request(t, "http://sidecar", "/look/1", ""))
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -72,7 +72,7 @@
 		changes = l.confirmed()
 	}
 	if l.record != nil {
-		l.record.Told(m.Generation, l.discovery.Address())
+		l.record.ListReceived(m.Generation, l.discovery.Address())
 		if l.past.handed { // what was handed on is discovery's word by now
 			l.past.handed = false
 			l.remember(m, l.view.LatestList().Entries)
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -37,17 +37,17 @@
 // A long list is taken in by steps, and what it says of draining holds from the moment
 // when it comes; what a whole list does not name is gone.
 func TestLongLists(t *testing.T) {
-	s, other := NewServer(t, Say("drains")), NewServer(t, Say("fine"))
+	s, other := NewServer(t, RespondWith("drains")), NewServer(t, RespondWith("fine"))
 	d := NewDiscoveryServer(t)
-	c := testConfig(t, d.Listener.Addr().String(), ListOf(1, true, s.Addr()), 1024)
+	c := testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024)
 	n := startNode(t, c)
 	if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "drains" {
 		t.Fatalf("answered %q", body)
 	}
 	const many = 3000
-	d.Tell(t, longListOf(2, true, many, 1, "DRAINING", oneOf(0, s.Addr(), "DRAINING")+","+oneOf(1, other.Addr(), "SERVING")))
+	d.SendList(t, longListOf(2, true, many, 1, "DRAINING", oneOf(0, s.Addr(), "DRAINING")+","+oneOf(1, other.Addr(), "SERVING")))
 	WaitFor(t, "the idle connection is closed", func() bool { _, ended := s.Connections(); return ended == 1 })
-	before := s.Seen()
+	before := s.RequestCount()
 	// The other is known once its entry has been taken in.
 	WaitFor(t, "the other serves", func() bool {
 		resp, body := exchange(t, request(t, n.url, "/look/1", "", "X-Remaining-Ms", "2000"))
@@ -55,13 +55,13 @@
 	})
 	WaitFor(t, "all are known", func() bool { return n.peers() == many+2 })
 	// A whole list that names only one, and short ones behind long ones in their order.
-	d.Tell(t, longListOf(3, true, 500, 1, "DRAINING", oneOf(1, other.Addr(), "SERVING")))
-	d.Tell(t, ListOf(4, false, s.Addr()+" DRAINING"))
+	d.SendList(t, longListOf(3, true, 500, 1, "DRAINING", oneOf(1, other.Addr(), "SERVING")))
+	d.SendList(t, ServerList(4, false, s.Addr()+" DRAINING"))
 	WaitFor(t, "what is not named is gone", func() bool { return n.peers() == 502 })
 	if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 		t.Errorf("answered %s %q", resp.Status, body)
 	}
-	if s.Seen() != before {
+	if s.RequestCount() != before {
 		t.Error("something new went to the one that drains")
 	}
 }
@@ -80,9 +80,9 @@
 // follows confirms it until a call fails.
 func TestAnswersWithoutAWatchConfirmForAWhile(t *testing.T) {
 	for _, unwatched := range []bool{false, true} {
-		s := NewServer(t, Say("fine"))
+		s := NewServer(t, RespondWith("fine"))
 		d := NewDiscoveryServer(t)
-		n := startNode(t, testConfig(t, d.Listener.Addr().String(), ListOf(1, true, s.Addr()), 1024))
+		n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024))
 		var soon, later bool
 		n.loop.step(func(time.Duration) (time.Duration, bool) {
 			now := n.loop.now
@@ -102,9 +102,9 @@
 func TestLongListsDoNotStallRequests(t *testing.T) {
 	const rounds = 5
 	play := func(steps bool) (amid, worst [rounds]int64) {
-		s := NewServer(t, Say("fine"))
+		s := NewServer(t, RespondWith("fine"))
 		d := NewDiscoveryServer(t)
-		n, err := New(testConfig(t, d.Listener.Addr().String(), ListOf(1, true, s.Addr()), 1024), Quiet())
+		n, err := New(testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024), DiscardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,7 +121,7 @@
 			n.loop.longList = 1 << 30
 		}
 		tn := runNode(t, n)
-		d.Tell(t, longListOf(2, true, 8_000, 1, "DRAINING", oneOf(0, s.Addr(), "SERVING")))
+		d.SendList(t, longListOf(2, true, 8_000, 1, "DRAINING", oneOf(0, s.Addr(), "SERVING")))
 		WaitFor(t, "all are known", func() bool { return tn.peers() == 8_001 })
 		stop := make(chan struct{})
 		done := make(chan struct{})
@@ -139,7 +139,7 @@
 		for g := range rounds { // all change
 			between.Store(0)
 			most.Store(0)
-			d.Tell(t, longListOf(3+g, false, 8_000, 1, [...]string{"DELETED", "DRAINING"}[g%2], ""))
+			d.SendList(t, longListOf(3+g, false, 8_000, 1, [...]string{"DELETED", "DRAINING"}[g%2], ""))
 			WaitFor(t, "the list is taken in", func() bool { return tn.generation() == 3+g })
 			amid[g], worst[g] = between.Load(), most.Load()
 		}
@@ -181,7 +181,7 @@
 // Idle rules of the operators' file hold, in the place of the 5 s, and so do those of a
 // later one for what is parked already.
 func TestIdleRules(t *testing.T) {
-	box := NewServer(t, Say("fine"))
+	box := NewServer(t, RespondWith("fine"))
 	s := newSetup(t, "[[idle]]\nfor = \"1h\"\n", box)
 	n := s.start()
 	c := dialRaw(t, n)
@@ -211,7 +211,7 @@
 	})
 	const many = 2000
 	set := newSetup(t, "[[idle]]\nfor = \"1h\"\n")
-	set.write(set.Config, configText(DeadAddress(t), ListOf(1, true, s.Addr()), 2*many+400))
+	set.write(set.Config, configText(DeadAddress(t), ServerList(1, true, s.Addr()), 2*many+400))
 	n := set.start()
 	var parked []*rawConn
 	for range many {
@@ -222,7 +222,7 @@
 	}
 	slow := dialRaw(t, n)
 	slow.send(t, strings.Replace(rawLook(), "/look/1", "/look/slow", 1))
-	WaitFor(t, "the slow request is out", func() bool { return s.Seen() == 1 })
+	WaitFor(t, "the slow request is out", func() bool { return s.RequestCount() == 1 })
 	begun := time.Now()
 	n.cancel()
 	for _, c := range parked {
@@ -243,22 +243,22 @@
 // What an answer says before it breaks off counts as told: a server that it says drains must get nothing more, and one that it
 // has not come to goes on.
 func TestAnswerInPartStopsServers(t *testing.T) {
-	s, other := NewServer(t, Say("drains")), NewServer(t, Say("fine"))
+	s, other := NewServer(t, RespondWith("drains")), NewServer(t, RespondWith("fine"))
 	d := NewDiscoveryServer(t)
-	n := startNode(t, testConfig(t, d.Listener.Addr().String(), ListOf(1, true, s.Addr(), other.Addr()), 1024))
-	for s.Seen() == 0 {
+	n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr(), other.Addr()), 1024))
+	for s.RequestCount() == 0 {
 		exchange(t, request(t, n.url, "/look/1", ""))
 	}
 	whole := longListOf(2, false, 1, 1, "DRAINING", oneOf(0, s.Addr(), "DRAINING"))
-	d.Tell(t, whole[:len(whole)-20])
+	d.SendList(t, whole[:len(whole)-20])
 	WaitFor(t, "the idle connection is closed", func() bool { _, ended := s.Connections(); return ended > 0 })
-	before := s.Seen()
+	before := s.RequestCount()
 	for range 20 {
 		if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 			t.Errorf("answered %s %q", resp.Status, body)
 		}
 	}
-	if s.Seen() != before {
+	if s.RequestCount() != before {
 		t.Error("something new went to the one that drains")
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"curlewring/decide"
+	"curlewring/internal/node/bootstrap"
 	"curlewring/internal/node/clock"
 	"curlewring/internal/node/discovery"
 	"curlewring/internal/node/front"
-	"curlewring/internal/node/record"
 	"curlewring/internal/node/upstream"
 	"curlewring/internal/operators/routes"
 	"curlewring/internal/servers/endpoints"
@@ -133,7 +133,7 @@
 	confirmation *endpoints.Confirmation      // until when its list is as good as confirmed
 	asking       *endpoints.CallTiming        // when to ask it first
 	past         *past                        // what is left of the last life; nil: nothing
-	record       *record.Record               // how a node without a list comes by one; nil: it asks discovery
+	record       *bootstrap.Runner            // how a node without a list comes by one; nil: it asks discovery
 	pool         *pool                        // cold servers' budgets, pooled with other nodes'; nil: this node goes by itself
 
 	ctx    context.Context // its end ends the loop and all attempts
--- a/internal/node/members/control.go
+++ b/internal/node/members/control.go
@@ -27,7 +27,7 @@
 
 // control answers operators: whoever connects gets the report, and the end.
 func (m *Members) control(ctx context.Context) {
-	accept.Serve(ctx, m.ctl, accept.Bounds{Most: mostAsking, Wait: controlWait}, func(c net.Conn) {
+	accept.Serve(ctx, m.ctl, accept.Limits{MaxConnections: mostAsking, ConnectionTimeout: controlWait}, func(c net.Conn) {
 		r, err := m.Report(ctx)
 		if err == nil {
 			json.NewEncoder(c).Encode(r)
@@ -43,7 +43,7 @@
 	r := Report{
 		Fleet: m.set.Fleet, Sent: m.counts.Datagrams.Load(), Bytes: m.counts.Bytes.Load(),
 		Received: m.counts.Received.Load(), Dropped: m.counts.Dropped.Load(),
-		Passed: m.counts.Noise.Load() + m.counts.Damaged.Load() + m.counts.OtherFleet.Load() + m.counts.Other.Load(),
+		Passed: m.counts.Malformed.Load() + m.counts.BadChecksum.Load() + m.counts.OtherFleet.Load() + m.counts.OtherVersion.Load(),
 	}
 	err := m.call(ctx, func(n *membership.Node, now time.Duration) {
 		r.Standing, r.Pools = n.Status(now), m.dealer.PoolStatuses(now)
@@ -55,10 +55,10 @@
 const mostReport = 16 << 20
 
 // Ask asks the node that keeps its state in a folder.
-func Ask(ctx context.Context, folder string) (Report, error) {
+func RequestReport(ctx context.Context, folder string) (Report, error) {
 	var r Report
 	var d net.Dialer
-	c, err := d.DialContext(ctx, "unix", SocketIn(folder))
+	c, err := d.DialContext(ctx, "unix", SocketPath(folder))
 	if err != nil {
 		return r, fmt.Errorf("no node answers in %s, or its settings have no [members]: %w", folder, err)
 	}
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -29,11 +29,11 @@
 	Advertise netip.AddrPort // what others send to; Listen, if it is not set
 	Seeds     []netip.AddrPort
 	// Via says where to send in the place of an address: as members are seen from here.
-	Via    map[netip.AddrPort]netip.AddrPort
-	Folder string // for what outlives a restart, and the operators' socket; "": neither
+	RouteVia map[netip.AddrPort]netip.AddrPort
+	Folder   string // for what outlives a restart, and the operators' socket; "": neither
 	// Alone has this node go by its own part of a cold server's budget, instead of pooling it with the others'.
-	Alone  bool
-	Window time.Duration // of the rule on cold servers
+	UnpooledBudgets bool
+	ColdWindow      time.Duration // of the rule on cold servers
 }
 
 const (
@@ -68,14 +68,14 @@
 	book    map[string]netip.AddrPort             // Run's: where each name was last, as views said
 	beat    atomic.Int64                          // when Run last ticked
 	stood   atomic.Int64                          // when it found that the process had stood still
-	counts  Counts
+	counts  TrafficCounters
 }
 
 // Counts is what passed the sockets.
-type Counts struct {
-	Datagrams, Bytes, Streams         atomic.Int64 // sent
-	Received, Dropped                 atomic.Int64 // datagrams; of them, those that no longer fitted
-	Noise, Damaged, OtherFleet, Other atomic.Int64 // passed over: no message, checksum, fleet, version
+type TrafficCounters struct {
+	Datagrams, Bytes, Streams                        atomic.Int64 // sent
+	Received, Dropped                                atomic.Int64 // datagrams; of them, those that no longer fitted
+	Malformed, BadChecksum, OtherFleet, OtherVersion atomic.Int64 // passed over: no message, checksum, fleet, version
 }
 
 // Open binds the addresses and reads what was kept.
@@ -84,10 +84,10 @@
 		set: set, fleet: wire.FleetNumber(set.Fleet), log: log, clock: c,
 		in: make(chan *membership.Message, inbox), calls: make(chan func(*membership.Node, time.Duration)),
 		ended: make(chan struct{}), streams: make(chan struct{}, mostStreams),
-		dealer: allowance.NewAllocator(allowance.Settings{Window: set.Window}), claims: make(chan *claim, mostClaims),
+		dealer: allowance.NewAllocator(allowance.Settings{Window: set.ColdWindow}), claims: make(chan *claim, mostClaims),
 		loads: make(chan *load, mostLoads), takers: map[uint32]func([]byte){}, book: map[string]netip.AddrPort{},
 	}
-	m.beat.Store(int64(c.Began())) // it may stand still from its first moment on
+	m.beat.Store(int64(c.StartedAt())) // it may stand still from its first moment on
 	defer func() {
 		if err != nil {
 			m.close()
@@ -106,14 +106,14 @@
 	if m.keep, err = openKeep(filepath.Join(set.Folder, "members"), c, log); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	if m.ctl, err = accept.ListenUnix(SocketIn(set.Folder), controlWait); err != nil {
+	if m.ctl, err = accept.ListenUnix(SocketPath(set.Folder), controlWait); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	return m, nil
 }
 
 // SocketIn is where operators ask a node that keeps its state in a folder.
-func SocketIn(folder string) string { return filepath.Join(folder, "members.sock") }
+func SocketPath(folder string) string { return filepath.Join(folder, "members.sock") }
 
 func (m *Members) close() {
 	if m.udp != nil {
@@ -202,7 +202,7 @@
 }
 
 // Stood tells whether this process stands still by what is known now, or has a moment ago. Any goroutine may call it.
-func (m *Members) Stood() bool {
+func (m *Members) RecentlyPaused() bool {
 	now, beat, stood := m.clock.Now(), time.Duration(m.beat.Load()), time.Duration(m.stood.Load())
 	return now-beat > stoodFrom || stood > 0 && now-stood < stoodFor
 }
@@ -256,7 +256,7 @@
 	var buf []byte
 	for _, s := range sends {
 		to := s.To
-		if via, ok := m.set.Via[to]; ok {
+		if via, ok := m.set.RouteVia[to]; ok {
 			to = via
 		}
 		buf = wire.Append(buf[:0], m.fleet, s.Message)
--- a/internal/node/members/pool.go
+++ b/internal/node/members/pool.go
@@ -16,7 +16,7 @@
 }
 
 // Claim sends a claim to a member. It does not wait: what does not fit is lost, as on the way.
-func (m *Members) Claim(to uint64, c allowance.Claim) {
+func (m *Members) SendClaim(to uint64, c allowance.Claim) {
 	select {
 	case m.claims <- &claim{to, c}:
 	default:
@@ -44,7 +44,7 @@
 	case wire.TopicClaim:
 		c, err := wire.ParseClaim(x.Body)
 		if err != nil {
-			m.counts.Noise.Add(1)
+			m.counts.Malformed.Add(1)
 			return nil
 		}
 		if g, ok := m.dealer.HandleClaim(m.clock.Now(), c); ok {
@@ -53,7 +53,7 @@
 	case wire.TopicGrant:
 		g, err := wire.ParseGrant(x.Body)
 		if err != nil {
-			m.counts.Noise.Add(1)
+			m.counts.Malformed.Add(1)
 			return nil
 		}
 		if m.granted != nil {
@@ -63,7 +63,7 @@
 		if take := m.takers[x.Topic]; take != nil {
 			take(x.Body)
 		} else { // of a later version, or of what is off here
-			m.counts.Other.Add(1)
+			m.counts.OtherVersion.Add(1)
 		}
 	}
 	return nil
--- a/internal/node/members/sockets.go
+++ b/internal/node/members/sockets.go
@@ -25,7 +25,7 @@
 		}
 		m.counts.Received.Add(1)
 		if size > wire.MaxDatagram {
-			m.counts.Noise.Add(1)
+			m.counts.Malformed.Add(1)
 			continue
 		}
 		m.take(b[:size])
@@ -39,13 +39,13 @@
 	if errors.As(err, &bad) {
 		switch bad.Fault {
 		case wire.BadChecksum:
-			m.counts.Damaged.Add(1)
+			m.counts.BadChecksum.Add(1)
 		case wire.OtherFleet:
 			m.counts.OtherFleet.Add(1)
 		case wire.OtherVersion:
-			m.counts.Other.Add(1)
+			m.counts.OtherVersion.Add(1)
 		default:
-			m.counts.Noise.Add(1)
+			m.counts.Malformed.Add(1)
 		}
 		return
 	}
@@ -58,11 +58,11 @@
 
 // accept takes long messages by TCP: one a connection, a few connections at once.
 func (m *Members) accept(ctx context.Context) {
-	bounds := accept.Bounds{Most: mostStreams, Wait: streamWait, Turned: func() { m.counts.Dropped.Add(1) }}
+	bounds := accept.Limits{MaxConnections: mostStreams, ConnectionTimeout: streamWait, OnReject: func() { m.counts.Dropped.Add(1) }}
 	accept.Serve(ctx, m.tcp, bounds, func(c net.Conn) {
 		b, err := io.ReadAll(io.LimitReader(c, wire.MaxStreamMessage+1))
 		if err != nil || len(b) > wire.MaxStreamMessage {
-			m.counts.Noise.Add(1)
+			m.counts.Malformed.Add(1)
 			return
 		}
 		m.take(b)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,13 +14,13 @@
 
 	"curlewring/internal/conns/idleconns"
 	"curlewring/internal/fleet/allowance"
+	"curlewring/internal/node/bootstrap"
 	"curlewring/internal/node/clock"
 	"curlewring/internal/node/discovery"
 	"curlewring/internal/node/front"
-	"curlewring/internal/node/keeper"
 	"curlewring/internal/node/leases"
 	"curlewring/internal/node/members"
-	"curlewring/internal/node/record"
+	"curlewring/internal/node/persist"
 	"curlewring/internal/node/upstream"
 	"curlewring/internal/node/worker"
 	"curlewring/internal/sched/background"
@@ -58,7 +58,7 @@
 	callers  *callers
 	front    *front.Server
 	worker   *worker.Worker
-	keeper   *keeper.Keeper   // nil: nothing is kept over restarts
+	keeper   *persist.Writer  // nil: nothing is kept over restarts
 	members  *members.Members // nil: this node knows nothing of the others
 	leases   *leases.Leases   // nil: it takes no part in the fleet's leases
 	address  net.Addr
@@ -84,7 +84,7 @@
 	inner, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
-	n.loop.lag = n.worker.Lag
+	n.loop.lag = n.worker.ReportLag
 	n.upstream.OnClose(n.loop.trace.closes())
 	place := endpoints.FleetPosition{
 		NodeIndex: c.Settings.Node, NodeCount: c.Settings.Nodes, Tier: c.Settings.Tier, ListObligation: c.Settings.ResubscribeWithin,
@@ -116,7 +116,7 @@
 	}
 	var stood func() bool
 	if c.Members != nil { // opened below, before the front runs
-		stood = func() bool { return n.members.Stood() }
+		stood = func() bool { return n.members.RecentlyPaused() }
 	}
 	n.front = front.New(front.Config{
 		Transport: transport, Handler: n.callers, Log: log, Now: n.clock.Now,
@@ -148,12 +148,12 @@
 	}
 	if c.Members != nil {
 		set := *c.Members
-		set.Window = c.Settings.CollapseWindow
+		set.ColdWindow = c.Settings.CollapseWindow
 		if n.members, err = members.Open(set, n.clock, log); err != nil {
 			l.Close()
 			return nil, err
 		}
-		if !set.Alone {
+		if !set.UnpooledBudgets {
 			n.loop.pool = newPool(n.members, c, n.clock.Now())
 			n.members.OnGrant(func(from uint64, g *allowance.Grant) { n.loop.post(granted{from, g}) })
 		}
@@ -165,11 +165,11 @@
 		}
 	}
 	n.remember()
-	if c.Leases != nil && c.Leases.Record && n.loop.past != nil {
+	if c.Leases != nil && c.Leases.ShareLists && n.loop.past != nil {
 		ask, hand, list := n.loop.recordLoop()
-		n.loop.record = record.New(record.Settings{
-			Name: c.Name, Site: c.Settings.Zone, Seeds: c.Members.Seeds, Has: len(n.loop.past.known.Servers) > 0,
-		}, n.members, n.leases, record.Loop{Ask: ask, Hand: hand, List: list}, log)
+		n.loop.record = bootstrap.New(bootstrap.Settings{
+			Name: c.Name, Site: c.Settings.Zone, Seeds: c.Members.Seeds, HasList: len(n.loop.past.known.Servers) > 0,
+		}, n.members, n.leases, bootstrap.Hooks{AllowDiscovery: ask, DeliverList: hand, CurrentList: list}, log)
 	}
 	sweeps := 0
 	n.loop.tidy = func() {
@@ -187,26 +187,26 @@
 // remember opens what the node keeps over its restarts. Whatever is wrong with it, the node starts.
 func (n *Node) remember() {
 	state := n.config.State
-	set := keeper.Settings{Folder: state.Folder, MostMB: state.MostMB}
-	var k *keeper.Keeper
-	var known keeper.Known
+	set := persist.Settings{Folder: state.Folder, MaxMB: state.MaxMB}
+	var k *persist.Writer
+	var known persist.Restored
 	switch {
 	case state.fs != nil:
-		k, known = keeper.New(state.fs, set, n.config.Name, n.clock, n.log)
+		k, known = persist.New(state.fs, set, n.config.Name, n.clock, n.log)
 	case state.Folder == "":
 		return
 	default:
 		var err error
-		if k, known, err = keeper.Open(set, n.config.Name, n.clock, n.log); err != nil {
+		if k, known, err = persist.Open(set, n.config.Name, n.clock, n.log); err != nil {
 			n.log.Warn("the node starts without remembering", "err", err)
 			return
 		}
 	}
 	n.keeper = k
-	n.loop.past = newPast(k, known, n.config, n.clock.Wall(n.clock.Now()))
+	n.loop.past = newPast(k, known, n.config, n.clock.WallTime(n.clock.Now()))
 	n.jobs.keep = n.worker.Add("writing what is remembered", background.Cleanup, k.Step)
 	n.jobs.served = n.worker.Add("noting who has served", background.Optional, n.loop.step(n.loop.noteServed))
-	k.OnWork(n.jobs.keep.Wake)
+	k.SetWake(n.jobs.keep.Wake)
 }
 
 // leavePatience is how long the node's end waits for the other members' word.
@@ -286,8 +286,8 @@
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer n.stop()
-	parts.Go(func() { n.loop.run(n.config.Known) })
-	since := n.loop.past.since(n.config.Known)
+	parts.Go(func() { n.loop.run(n.config.KnownServers) })
+	since := n.loop.past.since(n.config.KnownServers)
 	if n.keeper != nil {
 		go n.keeper.Run(inner)
 		defer func() {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -59,25 +59,25 @@
 			var breaking atomic.Bool
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				if breaking.Load() {
-					Cut(w, r)
+					BreakConnection(w, r)
 					return
 				}
 				io.WriteString(w, "warm")
 			}
 			s, other := NewServer(t, handler), NewServer(t, handler) // in cells of their own
 			n := withServers(t, s, other)
-			for tries := 0; s.Seen() == 0 || other.Seen() == 0; tries++ {
+			for tries := 0; s.RequestCount() == 0 || other.RequestCount() == 0; tries++ {
 				if resp, body := exchange(t, request(t, n.url, "/"+class+"/1", "x")); body != "warm" || tries > 200 {
 					t.Fatalf("warming up: %s %q after %d", resp.Status, body, tries)
 				}
 			}
 			breaking.Store(true)
-			was, otherWas := s.Seen(), other.Seen()
+			was, otherWas := s.RequestCount(), other.RequestCount()
 			resp, _ := exchange(t, request(t, n.url, "/"+class+"/1", "x"))
 			if resp.StatusCode < 500 || resp.StatusCode == 503 {
 				t.Errorf("answered %s, want a failure that is no refusal", resp.Status)
 			}
-			here, there := s.Seen()-was, other.Seen()-otherWas
+			here, there := s.RequestCount()-was, other.RequestCount()-otherWas
 			switch {
 			case class == "act" && here+there != 1:
 				t.Errorf("%d attempts of an unsafe request that may have run", here+there)
@@ -122,23 +122,23 @@
 		{"503 that proves nothing", status(503, false), false},
 		{"500", status(500, false), false},
 		{"500 cannot be turned away", status(500, true), false},
-		{"reset", Cut, false},
+		{"reset", BreakConnection, false},
 		{"half an answer", half, false},
 		{"an odd code", status(404, false), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			good := NewServer(t, Say("fine"))
+			good := NewServer(t, RespondWith("fine"))
 			first := DeadAddress(t)
 			var bad *Server
 			if c.first != nil {
 				bad = NewServer(t, c.first)
 				first = bad.Addr()
 			}
-			n := startNode(t, testConfig(t, DeadAddress(t), ListOf(1, true, first, good.Addr()), 1024))
+			n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, first, good.Addr()), 1024))
 			// Which of the two is asked first is the module's choice: ask until the first one was.
 			for range 40 {
 				resp, body := exchange(t, request(t, n.url, "/act/1", "x"))
-				asked := bad != nil && bad.Seen() > 0
+				asked := bad != nil && bad.RequestCount() > 0
 				switch {
 				case resp.StatusCode == 200 && body == "fine":
 					if asked && !c.again {
@@ -177,8 +177,8 @@
 	if resp.StatusCode < 500 || resp.StatusCode == 503 {
 		t.Errorf("with no time left: answered %s", resp.Status)
 	}
-	if s.Seen() != 1 {
-		t.Errorf("%d attempts", s.Seen())
+	if s.RequestCount() != 1 {
+		t.Errorf("%d attempts", s.RequestCount())
 	}
 }
 
@@ -189,11 +189,11 @@
 	n := withServers(t, s)
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
-	WaitFor(t, "the attempt is out", func() bool { return s.Seen() == 1 })
+	WaitFor(t, "the attempt is out", func() bool { return s.RequestCount() == 1 })
 	c.Close()
 	WaitFor(t, "the attempt's connection is closed", func() bool { _, ended := s.Connections(); return ended == 1 })
-	if s.Seen() != 1 {
-		t.Errorf("%d attempts for a client that left", s.Seen())
+	if s.RequestCount() != 1 {
+		t.Errorf("%d attempts for a client that left", s.RequestCount())
 	}
 }
 
@@ -205,7 +205,7 @@
 	n := withServers(t, s)
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
-	WaitFor(t, "the attempt is out", func() bool { return s.Seen() == 1 })
+	WaitFor(t, "the attempt is out", func() bool { return s.RequestCount() == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	if rest, _ := io.ReadAll(c.reader); len(rest) > 0 {
 		t.Errorf("was sent %q", rest)
@@ -217,7 +217,7 @@
 // answer: the module counts on it, and each new one costs its server work.
 func TestConnectionsAreReused(t *testing.T) {
 	t.Parallel()
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	for range 20 {
 		if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
@@ -232,7 +232,7 @@
 // An attempt's deadline must not outlive it: once it had passed, the look at an
 // idle connection before its next use failed, and a good connection was closed.
 func TestDeadlineEndsWithItsAttempt(t *testing.T) {
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	exchange(t, request(t, n.url, "/look/1", "", "X-Remaining-Ms", "1000"))
 	time.Sleep(1100 * time.Millisecond) // until the deadline has surely passed
@@ -248,7 +248,7 @@
 // request: it would end as a reset, which for an unsafe one means failure.
 func TestConnectionClosedWhileIdle(t *testing.T) {
 	t.Parallel()
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	for i := range 5 {
 		if resp, body := exchange(t, request(t, n.url, "/act/1", "x")); body != "fine" {
@@ -263,7 +263,7 @@
 
 // The node must start from its last list alone while discovery is down.
 func TestReady(t *testing.T) {
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	get := func(n *testNode) int {
 		resp, err := http.Get(n.url + "/ready")
@@ -283,7 +283,7 @@
 	if got := get(empty); got != 503 {
 		t.Errorf("ready without a server: %d", got)
 	}
-	d.Tell(t, ListOf(7, true, s.Addr()))
+	d.SendList(t, ServerList(7, true, s.Addr()))
 	WaitFor(t, "the node is ready", func() bool { return get(empty) == 200 })
 }
 
@@ -291,7 +291,7 @@
 // which would ask the client to try again.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	const head = " HTTP/1.1\r\nHost: app.svc\r\n"
 	const common = "X-Txn: 1\r\nX-Remaining-Ms: 15000\r\n"
@@ -335,8 +335,8 @@
 			}
 		})
 	}
-	if s.Seen() != 0 {
-		t.Errorf("%d of them reached the server", s.Seen())
+	if s.RequestCount() != 0 {
+		t.Errorf("%d of them reached the server", s.RequestCount())
 	}
 	if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 		t.Errorf("afterwards a good request got %q", body)
@@ -356,7 +356,7 @@
 	first, second := dialRaw(t, n), dialRaw(t, n)
 	text := rawLook()
 	first.send(t, text)
-	WaitFor(t, "the first is out", func() bool { return s.Seen() == 1 })
+	WaitFor(t, "the first is out", func() bool { return s.RequestCount() == 1 })
 	second.send(t, text)
 	if resp := second.receive(t); resp.StatusCode != 409 || !resp.Close {
 		t.Errorf("the second got %s, close %v", resp.Status, resp.Close)
@@ -370,8 +370,8 @@
 		defer n.callers.mu.Unlock()
 		return len(n.callers.open) == 0
 	})
-	if s.Seen() != 1 {
-		t.Errorf("%d attempts", s.Seen())
+	if s.RequestCount() != 1 {
+		t.Errorf("%d attempts", s.RequestCount())
 	}
 }
 
@@ -390,7 +390,7 @@
 	n := withServers(t, s)
 	slow := dialRaw(t, n)
 	slow.send(t, strings.Replace(rawLook(), "/look/1", "/look/slow", 1))
-	WaitFor(t, "the slow request is out", func() bool { return s.Seen() == 1 })
+	WaitFor(t, "the slow request is out", func() bool { return s.RequestCount() == 1 })
 	kept := dialRaw(t, n)
 	kept.send(t, rawLook())
 	if resp := kept.receive(t); resp.StatusCode != 200 || resp.Close {
@@ -427,7 +427,7 @@
 	n := withServers(t, s)
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
-	WaitFor(t, "the attempt is out", func() bool { return s.Seen() == 1 })
+	WaitFor(t, "the attempt is out", func() bool { return s.RequestCount() == 1 })
 	n.cancel()
 	if resp := c.receive(t); resp.StatusCode != 504 {
 		t.Errorf("answered %s", resp.Status)
@@ -442,13 +442,13 @@
 // answer too: nothing would end it any more.
 func TestNothingBeginsOnceClosed(t *testing.T) {
 	t.Parallel()
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	n.loop.post(closing{})
 	if resp, _ := exchange(t, request(t, n.url, "/look/1", "")); resp.StatusCode != 502 {
 		t.Errorf("answered %s", resp.Status)
 	}
-	if s.Seen() != 0 {
+	if s.RequestCount() != 0 {
 		t.Error("an attempt was made")
 	}
 }
@@ -456,8 +456,8 @@
 // Hundreds of silent connections must starve neither the usual clients nor the
 // attempts made for them.
 func TestSilentClientsStarveNobody(t *testing.T) {
-	s := NewServer(t, Say("fine"))
-	n := startNode(t, testConfig(t, DeadAddress(t), ListOf(1, true, s.Addr()), leastSockets))
+	s := NewServer(t, RespondWith("fine"))
+	n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), leastSockets))
 	for range 3 * n.clients() {
 		dialRaw(t, n)
 	}
@@ -475,7 +475,7 @@
 		<-release
 		io.WriteString(w, "fine")
 	})
-	n := startNode(t, testConfig(t, DeadAddress(t), ListOf(1, true, s.Addr()), leastSockets))
+	n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), leastSockets))
 	defer close(release)
 	all := func() int { return n.front.Stats().Busy }
 	for i := range n.clients() {
@@ -492,7 +492,7 @@
 // A client that sends nothing, or half a request, holds a connection for no more
 // than a moment: 3 s are owed, whatever time its request would leave.
 func TestHalfRequestsEnd(t *testing.T) {
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	n := withServers(t, s)
 	for name, text := range map[string]string{
 		"nothing":     "",
@@ -509,8 +509,8 @@
 			}
 		})
 	}
-	if s.Seen() != 0 {
-		t.Errorf("%d of them reached the server", s.Seen())
+	if s.RequestCount() != 0 {
+		t.Errorf("%d of them reached the server", s.RequestCount())
 	}
 }
 
@@ -518,7 +518,7 @@
 // the memory, and the client waits meanwhile.
 func TestDeclaredLength(t *testing.T) {
 	t.Parallel()
-	n := withServers(t, NewServer(t, Say("fine")))
+	n := withServers(t, NewServer(t, RespondWith("fine")))
 	c := dialRaw(t, n)
 	c.send(t, "POST /act/1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 1\r\nX-Remaining-Ms: 15000\r\nContent-Length: 60000000\r\n\r\n")
 	if resp := c.receive(t); resp.StatusCode != 413 || !resp.Close {
@@ -530,7 +530,7 @@
 // no longer.
 func TestRemainingTimeIsCapped(t *testing.T) {
 	s := NewServer(t, Hang)
-	text := strings.ReplaceAll(configText(DeadAddress(t), ListOf(1, true, s.Addr()), 1024), "30000000000", "500000000")
+	text := strings.ReplaceAll(configText(DeadAddress(t), ServerList(1, true, s.Addr()), 1024), "30000000000", "500000000")
 	c, err := parseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -549,7 +549,7 @@
 	odd := func(w http.ResponseWriter, r *http.Request) {
 		switch count.Add(1) % 5 {
 		case 0:
-			Cut(w, r)
+			BreakConnection(w, r)
 		case 1:
 			w.Header().Set("X-Turned-Away", "1")
 			w.WriteHeader(503)
@@ -559,7 +559,7 @@
 			io.WriteString(w, r.URL.Path)
 		}
 	}
-	n := withServers(t, NewServer(t, odd), NewServer(t, odd), NewServer(t, Say("")))
+	n := withServers(t, NewServer(t, odd), NewServer(t, odd), NewServer(t, RespondWith("")))
 	var clients sync.WaitGroup
 	var answered atomic.Int64
 	for i := range 8 {
@@ -636,7 +636,7 @@
 	defer l.Close()
 	c := testConfig(t, DeadAddress(t), "null", 1024)
 	c.Listen = l.Addr().String()
-	if _, err := New(c, Quiet()); err == nil {
+	if _, err := New(c, DiscardLogger()); err == nil {
 		t.Error("two listen at one address")
 	}
 }
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -18,12 +18,12 @@
 )
 
 // Patience bounds every wait of a test for a condition; it is not a measure.
-const Patience = 20 * time.Second
+const WaitTimeout = 20 * time.Second
 
 // WaitFor waits until a condition holds.
 func WaitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain until %s", what)
 		}
@@ -71,7 +71,7 @@
 
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-func (s *Server) Seen() int {
+func (s *Server) RequestCount() int {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	return len(s.Requests)
@@ -84,12 +84,12 @@
 	return s.conns, s.ended
 }
 
-func Say(text string) http.HandlerFunc {
+func RespondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) }
 }
 
 // Cut reads the request and breaks the connection.
-func Cut(w http.ResponseWriter, _ *http.Request) {
+func BreakConnection(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		c.(*net.TCPConn).SetLinger(0)
@@ -135,11 +135,11 @@
 }
 
 // Tell answers the node's next call, or the one that waits.
-func (d *DiscoveryServer) Tell(t *testing.T, list string) {
+func (d *DiscoveryServer) SendList(t *testing.T, list string) {
 	t.Helper()
 	select {
 	case d.answers <- list:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("the node did not ask discovery")
 	}
 }
@@ -160,7 +160,7 @@
 }
 
 // ListOf makes a list of servers s0, s1 ...; a lifecycle may follow an address.
-func ListOf(generation int, whole bool, addrs ...string) string {
+func ServerList(generation int, whole bool, addrs ...string) string {
 	var items []string
 	for i, a := range addrs {
 		addr, state, found := strings.Cut(a, " ")
@@ -185,7 +185,7 @@
 }
 
 // NewID is an id that no other request has.
-func NewID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+func NewRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
 // RawServer answers each request on a connection with what answer writes.
 func RawServer(t *testing.T, answer func(net.Conn)) (address string) {
@@ -219,11 +219,11 @@
 
 // Endless writes a text again and again until the connection is closed, and
 // tells how much was taken.
-func Endless(text string, sent chan<- int) func(net.Conn) {
+func StreamForever(text string, sent chan<- int) func(net.Conn) {
 	return func(c net.Conn) {
 		total := 0
 		defer func() { sent <- total }()
-		c.SetWriteDeadline(time.Now().Add(Patience))
+		c.SetWriteDeadline(time.Now().Add(WaitTimeout))
 		for block := []byte(strings.Repeat(text, 1000)); ; {
 			n, err := c.Write(block)
 			total += n
@@ -234,4 +234,4 @@
 	}
 }
 
-func Quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func DiscardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -14,7 +14,7 @@
 type Files struct {
 	Config   string // the platform's configuration
 	Operator string // the operators' timing rules; "": none
-	Own      string // the node's own settings; "": none
+	Local    string // the node's own settings; "": none
 }
 
 // Findings are the faults of the operators' file.
@@ -43,9 +43,9 @@
 // file is at fault.
 func (f Files) Read() (*Config, error) {
 	c, err := ReadConfig(f.Config)
-	if err == nil && f.Own != "" {
-		var own Own
-		own, err = readOwn(f.Own)
+	if err == nil && f.Local != "" {
+		var own LocalSettings
+		own, err = readOwn(f.Local)
 		c.State, c.Members, c.Leases = own.State, own.Members, own.Leases
 		if c.Leases != nil {
 			c.Leases.Name, c.Leases.Site = c.Name, c.Settings.Zone
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -31,7 +31,7 @@
 	for _, server := range servers {
 		addrs = append(addrs, server.Addr())
 	}
-	s.write(s.Config, configText(DeadAddress(t), ListOf(1, true, addrs...), 1024))
+	s.write(s.Config, configText(DeadAddress(t), ServerList(1, true, addrs...), 1024))
 	s.write(s.Operator, operator)
 	return s
 }
@@ -103,7 +103,7 @@
 	n := s.start()
 	var done sync.WaitGroup
 	done.Go(func() { exchange(t, request(t, n.url, "/look/1", "")) })
-	WaitFor(t, "the second attempt is out", func() bool { return a.Seen()+b.Seen() == 2 })
+	WaitFor(t, "the second attempt is out", func() bool { return a.RequestCount()+b.RequestCount() == 2 })
 	s.write(s.Operator, route("look", `attempt_timeout = "50ms"`, "attempts = 1"))
 	if err := n.Reload(s.Files); err != nil {
 		t.Fatal(err)
--- a/internal/node/own.go
+++ b/internal/node/own.go
@@ -16,17 +16,17 @@
 )
 
 // Own is a node's own settings.
-type Own struct {
-	State   State
-	Members *members.Settings // nil: this node knows nothing of the others
-	Leases  *leases.Settings  // nil: it takes no part in the fleet's leases
-	Trial   string            // the folder that says how this node fails on purpose; "": it does not
+type LocalSettings struct {
+	State       State
+	Members     *members.Settings // nil: this node knows nothing of the others
+	Leases      *leases.Settings  // nil: it takes no part in the fleet's leases
+	FaultFolder string            // the folder that says how this node fails on purpose; "": it does not
 }
 
 // State says what a node keeps over its restarts.
 type State struct {
 	Folder string   // "": nothing
-	MostMB int      // of rows
+	MaxMB  int      // of rows
 	fs     store.FS // in the place of the folder, for tests; nil: none
 }
 
@@ -35,14 +35,14 @@
 )
 
 // readOwn reads the node's own settings. The error names file, line, key, value and bound of each fault.
-func readOwn(path string) (Own, error) {
+func readOwn(path string) (LocalSettings, error) {
 	text, err := readBounded(path, document.MostBytes)
 	if err != nil {
-		return Own{}, fmt.Errorf("the node's own settings: %w", err)
+		return LocalSettings{}, fmt.Errorf("the node's own settings: %w", err)
 	}
 	s, faults := parseOwn(text)
 	if len(faults) > 0 {
-		return Own{}, errors.New(path + ":" + strings.Join(faults, "; "+path+":"))
+		return LocalSettings{}, errors.New(path + ":" + strings.Join(faults, "; "+path+":"))
 	}
 	return s, nil
 }
@@ -59,13 +59,13 @@
 }
 
 // parseOwn reads them from the text. Faults begin with their line.
-func parseOwn(text []byte) (Own, []string) {
+func parseOwn(text []byte) (LocalSettings, []string) {
 	top, wrong := document.Parse(text)
 	r := &ownReader{}
 	for _, f := range wrong {
 		r.faults = append(r.faults, fmt.Sprintf("%d: %s: %s", f.Line, cmp.Or(f.Key, "form"), f.Text))
 	}
-	var own Own
+	var own LocalSettings
 	for _, key := range top.Order {
 		v := top.Keys[key]
 		t, ok := v.V.(*document.Table)
@@ -77,7 +77,7 @@
 		case ok && key == "leases":
 			own.Leases = r.leases(t)
 		case ok && key == "trial":
-			own.Trial = r.trial(v, t, os.Getenv(trialEnv) == trialSays)
+			own.FaultFolder = r.trial(v, t, os.Getenv(trialEnv) == trialSays)
 		default:
 			r.fault(v, key, "there are only the tables [state], [members] and [leases]")
 		}
@@ -86,22 +86,22 @@
 		r.fault(v, "leases", "they need [state] and [members]")
 	}
 	if len(r.faults) > 0 {
-		return Own{}, r.faults
+		return LocalSettings{}, r.faults
 	}
 	if own.Members != nil {
 		own.Members.Folder = own.State.Folder
 	}
 	if own.Leases != nil {
 		own.Leases.Folder = own.State.Folder
-		if own.Trial != "" {
-			own.Leases.Disk = func(fs store.FS) store.FS { return disk.Trial(fs, own.Trial) }
+		if own.FaultFolder != "" {
+			own.Leases.WrapFS = func(fs store.FS) store.FS { return disk.WithFaults(fs, own.FaultFolder) }
 		}
 	}
 	return own, nil
 }
 
 func (r *ownReader) state(v document.Value, t *document.Table) State {
-	s := State{MostMB: usualStateMB}
+	s := State{MaxMB: usualStateMB}
 	for _, key := range t.Order {
 		v := t.Keys[key]
 		switch key {
@@ -116,7 +116,7 @@
 			if !ok || n < leastStateMB || n > mostStateMB {
 				r.fault(v, "state.most_mb", "want a whole number from %d to %d", leastStateMB, mostStateMB)
 			}
-			s.MostMB = int(n)
+			s.MaxMB = int(n)
 		default:
 			r.fault(v, "state."+key, "there are folder and most_mb")
 		}
--- a/internal/node/ownleases.go
+++ b/internal/node/ownleases.go
@@ -23,7 +23,7 @@
 			if !ok {
 				r.fault(v, "leases."+key, "want true or false")
 			}
-			s.Record = on
+			s.ShareLists = on
 		default:
 			r.fault(v, "leases."+key, "there are replace_after and record")
 		}
--- a/internal/node/ownmembers.go
+++ b/internal/node/ownmembers.go
@@ -30,13 +30,13 @@
 		case "seeds":
 			s.Seeds = r.seeds(v, name)
 		case "via":
-			s.Via = r.via(v, name)
+			s.RouteVia = r.via(v, name)
 		case "pool":
 			pool, ok := v.V.(bool)
 			if !ok {
 				r.fault(v, name, "want true or false")
 			}
-			s.Alone = !pool
+			s.UnpooledBudgets = !pool
 		default:
 			r.fault(v, name, "there are fleet, listen, advertise, seeds, via and pool")
 		}
--- a/internal/node/ownmembers_test.go
+++ b/internal/node/ownmembers_test.go
@@ -52,12 +52,12 @@
 		if got := strings.Join(faults, "; "); want == "" && got != "" || !strings.HasPrefix(got, want) {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
-		if want == "" && (own.Leases == nil || own.Leases.Folder != "/x" || own.Leases.Disk != nil) {
+		if want == "" && (own.Leases == nil || own.Leases.Folder != "/x" || own.Leases.WrapFS != nil) {
 			t.Errorf("%q: %+v", text, own.Leases)
 		}
 	}
 	t.Setenv("CURLEWRING_TRIAL", "yes")
-	if own, faults := parseOwn([]byte(good + "[trial]\nfolder = \"/y\"\n")); len(faults) > 0 || own.Trial != "/y" || own.Leases.Disk == nil {
+	if own, faults := parseOwn([]byte(good + "[trial]\nfolder = \"/y\"\n")); len(faults) > 0 || own.FaultFolder != "/y" || own.Leases.WrapFS == nil {
 		t.Errorf("%v, %+v", faults, own)
 	}
 }
--- a/internal/node/past.go
+++ b/internal/node/past.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"curlewring/decide"
-	"curlewring/internal/node/keeper"
+	"curlewring/internal/node/persist"
 	"curlewring/internal/servers/endpoints"
 	"curlewring/internal/servers/serverdb"
 	"curlewring/internal/servers/stalelist"
@@ -14,8 +14,8 @@
 // past is what a node has of its last life, and what it keeps for the next. It belongs to the loop, but for the
 // keeper.
 type past struct {
-	keeper  *keeper.Keeper
-	known   keeper.Known
+	keeper  *persist.Writer
+	known   persist.Restored
 	table   *stalelist.Table // nil: discovery has spoken, or the list is young and trusted as it is
 	entries map[string]endpoints.Entry
 	answers float64 // a second, averaged
@@ -92,12 +92,12 @@
 }
 
 // newPast merges what the keeper found with the configuration's list.
-func newPast(k *keeper.Keeper, known keeper.Known, c *Config, wall time.Time) *past {
+func newPast(k *persist.Writer, known persist.Restored, c *Config, wall time.Time) *past {
 	p := &past{keeper: k, known: known, entries: map[string]endpoints.Entry{}, address: c.Discovery}
-	if c.Known != nil {
-		brought := make([]serverdb.Server, len(c.Known.Entries))
-		for i := range c.Known.Entries {
-			brought[i] = row(&c.Known.Entries[i], wall)
+	if c.KnownServers != nil {
+		brought := make([]serverdb.Server, len(c.KnownServers.Entries))
+		for i := range c.KnownServers.Entries {
+			brought[i] = row(&c.KnownServers.Entries[i], wall)
 		}
 		p.known.Servers = serverdb.Merge(p.known.Servers, brought)
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	l.view.Restore(all)
-	age, known := p.known.List.Age(l.clock.Wall(l.now))
+	age, known := p.known.List.Age(l.clock.WallTime(l.now))
 	if !known && len(p.known.Servers) > 0 && p.known.List.Confirmed.IsZero() {
 		age, known = 0, true // the configuration's list alone: the platform's word, as without a memory
 	}
@@ -219,12 +219,12 @@
 	if p == nil || p.keeper == nil {
 		return
 	}
-	wall := l.clock.Wall(l.now)
+	wall := l.clock.WallTime(l.now)
 	for i := range changes {
-		p.keeper.Note(serverdb.Observation{Server: row(&changes[i], wall), FromDiscovery: true})
+		p.keeper.RecordServer(serverdb.Observation{Server: row(&changes[i], wall), FromDiscovery: true})
 	}
 	if m != nil {
-		p.keeper.Confirm(serverdb.List{
+		p.keeper.ConfirmList(serverdb.List{
 			Generation: m.Generation, Discovery: p.address, Confirmed: wall, ServerRate: l.perServer(), ServingCount: l.view.Serving(),
 		})
 	}
@@ -257,7 +257,7 @@
 	for _, x := range l.peers { // in any order: what is left comes with the next look
 		if x.served > x.noted+servedStep {
 			x.noted = x.served
-			l.past.keeper.Note(serverdb.Observation{Server: serverdb.Server{ID: x.ID, LastServed: l.clock.Wall(x.served)}})
+			l.past.keeper.RecordServer(serverdb.Observation{Server: serverdb.Server{ID: x.ID, LastServed: l.clock.WallTime(x.served)}})
 			if noted++; noted == mostNoted || l.clock.Now() > begun+slice {
 				break
 			}
--- a/internal/node/past_test.go
+++ b/internal/node/past_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"curlewring/internal/node/disk"
-	"curlewring/internal/node/keeper"
 	. "curlewring/internal/node/nodetest"
+	"curlewring/internal/node/persist"
 	"curlewring/internal/servers/serverdb"
 	"curlewring/internal/store"
 )
@@ -31,7 +31,7 @@
 		servers[i].StateSince = then
 	}
 	list := serverdb.List{Generation: 7, Discovery: "d", Confirmed: then, ServerRate: 50, ServingCount: len(servers)}
-	if err := keeper.Write(folder, servers, list); err != nil {
+	if err := persist.WriteFolder(folder, servers, list); err != nil {
 		t.Fatal(err)
 	}
 	return folder
@@ -45,7 +45,7 @@
 func withPast(t *testing.T, discovery, folder string) *testNode {
 	t.Helper()
 	c := testConfig(t, discovery, "null", 1024)
-	c.State = State{Folder: folder, MostMB: 16}
+	c.State = State{Folder: folder, MaxMB: 16}
 	return startNode(t, c)
 }
 
@@ -53,12 +53,12 @@
 // nothing, over restarts, and also where the configuration's older list says otherwise.
 func TestServesFromMemory(t *testing.T) {
 	t.Parallel()
-	a, drained, gone := NewServer(t, Say("fine")), NewServer(t, Say("drained")), NewServer(t, Say("gone"))
+	a, drained, gone := NewServer(t, RespondWith("fine")), NewServer(t, RespondWith("drained")), NewServer(t, RespondWith("gone"))
 	d := NewDiscoveryServer(t)
 	folder := filepath.Join(t.TempDir(), "state")
 	n := withPast(t, d.Listener.Addr().String(), folder)
-	d.Tell(t, ListOf(3, true, a.Addr(), drained.Addr(), gone.Addr()))
-	d.Tell(t, ListOf(4, false, a.Addr(), drained.Addr()+" DRAINING", gone.Addr()+" DELETED"))
+	d.SendList(t, ServerList(3, true, a.Addr(), drained.Addr(), gone.Addr()))
+	d.SendList(t, ServerList(4, false, a.Addr(), drained.Addr()+" DRAINING", gone.Addr()+" DELETED"))
 	WaitFor(t, "it is written", func() bool {
 		stats, _ := n.keeper.Stats()
 		return stats.Commits > 0
@@ -66,8 +66,8 @@
 	n.cancel()
 	<-n.ended
 	for range 3 {
-		c := testConfig(t, DeadAddress(t), ListOf(2, true, a.Addr(), drained.Addr(), gone.Addr()), 1024)
-		c.State = State{Folder: folder, MostMB: 16}
+		c := testConfig(t, DeadAddress(t), ServerList(2, true, a.Addr(), drained.Addr(), gone.Addr()), 1024)
+		c.State = State{Folder: folder, MaxMB: 16}
 		n = startNode(t, c)
 		for range 10 {
 			if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
@@ -77,7 +77,7 @@
 		n.cancel()
 		<-n.ended
 	}
-	if drained.Seen()+gone.Seen() > 0 {
+	if drained.RequestCount()+gone.RequestCount() > 0 {
 		t.Error("something new went to what was told drained or gone before the restart")
 	}
 }
@@ -85,7 +85,7 @@
 // Its generation comes back too: the node asks for changes alone. After a loss it asks for the whole list.
 func TestAsksFromTheGenerationItRemembers(t *testing.T) {
 	t.Parallel()
-	a := NewServer(t, Say("fine"))
+	a := NewServer(t, RespondWith("fine"))
 	d := NewDiscoveryServer(t)
 	folder := life(t, time.Minute, remembered("s0", a.Addr(), serverdb.Serving))
 	n := withPast(t, d.Listener.Addr().String(), folder)
@@ -119,7 +119,7 @@
 				unsafe.Add(1)
 				fmt.Fprint(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 			})
-			mine := NewServer(t, Say("fine"))
+			mine := NewServer(t, RespondWith("fine"))
 			servers := []serverdb.Server{remembered("mine", mine.Addr(), serverdb.Serving)}
 			for i := range 6 {
 				if age < time.Hour { // the control: others answer at all the other addresses
@@ -141,10 +141,10 @@
 			}
 			if age > time.Hour {
 				time.Sleep(200 * time.Millisecond) // nothing to wait for: nothing may happen
-				if mine.Seen() > 0 || unsafe.Load() > 0 {
+				if mine.RequestCount() > 0 || unsafe.Load() > 0 {
 					t.Error("an unsafe request went to a box that has not answered yet")
 				}
-				for mine.Seen() == 0 {
+				for mine.RequestCount() == 0 {
 					exchange(t, request(t, n.url, "/look/1", ""))
 				}
 			}
@@ -163,27 +163,27 @@
 // proven stay.
 func TestLiveListReturns(t *testing.T) {
 	t.Parallel()
-	old, proven, fresh := NewServer(t, Say("old")), NewServer(t, Say("proven")), NewServer(t, Say("fresh"))
+	old, proven, fresh := NewServer(t, RespondWith("old")), NewServer(t, RespondWith("proven")), NewServer(t, RespondWith("fresh"))
 	d := NewDiscoveryServer(t)
 	n := withPast(t, d.Listener.Addr().String(), life(t, 7*24*time.Hour,
 		remembered("s0", proven.Addr(), serverdb.Serving), remembered("old", old.Addr(), serverdb.Serving)))
 	WaitFor(t, "both have answered", func() bool {
 		exchange(t, request(t, n.url, "/look/1", ""))
-		return proven.Seen() > 0 && old.Seen() > 0
+		return proven.RequestCount() > 0 && old.RequestCount() > 0
 	})
 	came, _ := proven.Connections()
-	d.Tell(t, ListOf(9, true, proven.Addr(), fresh.Addr()))
+	d.SendList(t, ServerList(9, true, proven.Addr(), fresh.Addr()))
 	WaitFor(t, "the new one serves", func() bool {
 		exchange(t, request(t, n.url, "/look/1", ""))
-		return fresh.Seen() > 0
+		return fresh.RequestCount() > 0
 	})
-	before := old.Seen()
+	before := old.RequestCount()
 	for range 30 {
 		if resp, _ := exchange(t, request(t, n.url, "/act/1", "")); resp.StatusCode != http.StatusOK {
 			t.Fatalf("answered %s", resp.Status)
 		}
 	}
-	if old.Seen() != before {
+	if old.RequestCount() != before {
 		t.Error("a server that the list does not name was sent to")
 	}
 	if now, _ := proven.Connections(); now > came+1 {
@@ -227,7 +227,7 @@
 // node ends in time. What waits for the disk is bounded.
 func TestSlowDiskStopsNothing(t *testing.T) {
 	t.Parallel()
-	a, b := NewServer(t, Say("a")), NewServer(t, Say("b"))
+	a, b := NewServer(t, RespondWith("a")), NewServer(t, RespondWith("b"))
 	d := NewDiscoveryServer(t)
 	f, err := disk.Open(filepath.Join(t.TempDir(), "state"))
 	if err != nil {
@@ -235,19 +235,19 @@
 	}
 	slow := &slowDisk{FS: f, wait: make(chan struct{})}
 	c := testConfig(t, d.Listener.Addr().String(), "null", 1024)
-	c.State = State{MostMB: 16, fs: slow}
+	c.State = State{MaxMB: 16, fs: slow}
 	n := startNode(t, c)
-	d.Tell(t, ListOf(1, true, a.Addr(), b.Addr()))
-	d.Tell(t, ListOf(2, false, a.Addr(), b.Addr()+" DRAINING"))
+	d.SendList(t, ServerList(1, true, a.Addr(), b.Addr()))
+	d.SendList(t, ServerList(2, false, a.Addr(), b.Addr()+" DRAINING"))
 	WaitFor(t, "a sync waits", func() bool { return slow.syncs.Load() > 0 })
 	for i := range 50 {
 		if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "a" {
 			t.Fatalf("answered by %q", body)
 		}
-		d.Tell(t, ListOf(3+i, false, a.Addr(), b.Addr()+[...]string{" DELETED", " DRAINING"}[i%2]))
+		d.SendList(t, ServerList(3+i, false, a.Addr(), b.Addr()+[...]string{" DELETED", " DRAINING"}[i%2]))
 	}
 	// A list that must be taken in by steps shows that the scheduler goes on.
-	d.Tell(t, longListOf(60, false, 1000, 1, "DRAINING", ""))
+	d.SendList(t, longListOf(60, false, 1000, 1, "DRAINING", ""))
 	WaitFor(t, "the long list is taken in", func() bool { return n.peers() >= 1001 })
 	begun := time.Now()
 	n.cancel()
@@ -270,7 +270,7 @@
 // Whatever is wrong with the folder, the node starts and serves, and says so in one line.
 func TestBadFoldersStopNoStart(t *testing.T) {
 	t.Parallel()
-	a := NewServer(t, Say("fine"))
+	a := NewServer(t, RespondWith("fine"))
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
@@ -298,13 +298,13 @@
 	defer empty.Close()
 	full.FS = empty
 	for name, state := range map[string]State{
-		"a file in its place": {Folder: filepath.Join(file, "below"), MostMB: 1},
-		"held by another":     {Folder: held, MostMB: 1},
-		"damaged":             {Folder: damaged, MostMB: 1},
-		"full":                {MostMB: 1, fs: full},
+		"a file in its place": {Folder: filepath.Join(file, "below"), MaxMB: 1},
+		"held by another":     {Folder: held, MaxMB: 1},
+		"damaged":             {Folder: damaged, MaxMB: 1},
+		"full":                {MaxMB: 1, fs: full},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := testConfig(t, DeadAddress(t), ListOf(1, true, a.Addr()), 1024)
+			c := testConfig(t, DeadAddress(t), ServerList(1, true, a.Addr()), 1024)
 			c.State = state
 			var text lockedBuffer
 			n, err := New(c, slog.New(slog.NewTextHandler(&text, nil)))
@@ -342,9 +342,9 @@
 // Failed connections make the node ask anew, long before its watch is over.
 func TestFailedConnectionsAskEarly(t *testing.T) {
 	t.Parallel()
-	fine := NewServer(t, Say("fine"))
+	fine := NewServer(t, RespondWith("fine"))
 	d := NewDiscoveryServer(t)
-	n := startNode(t, testConfig(t, d.Listener.Addr().String(), ListOf(5, true, fine.Addr(), DeadAddress(t), DeadAddress(t)), 1024))
+	n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(5, true, fine.Addr(), DeadAddress(t), DeadAddress(t)), 1024))
 	WaitFor(t, "it watches", func() bool { return d.Calls() == 1 })
 	WaitFor(t, "it asks again", func() bool {
 		exchange(t, request(t, n.url, "/look/1", ""))
@@ -354,11 +354,11 @@
 		t.Errorf("asked with %q", q)
 	}
 	// An empty list makes it ask for the whole one, and is obeyed meanwhile.
-	d.Tell(t, ListOf(6, true))
+	d.SendList(t, ServerList(6, true))
 	WaitFor(t, "it asks for the whole", func() bool { return d.Calls() >= 4 && d.Query(3) == "" || d.Query(2) == "" })
-	seen := fine.Seen()
+	seen := fine.RequestCount()
 	exchange(t, request(t, n.url, "/look/1", "", "X-Remaining-Ms", "300"))
-	if fine.Seen() != seen {
+	if fine.RequestCount() != seen {
 		t.Error("sent to a server that a list has left out")
 	}
 }
--- a/internal/node/keeper/doc.go
+++ b/internal/node/persist/doc.go
@@ -1,4 +1,4 @@
-// Package keeper keeps what a node remembers on its disk.
+// Package persist keeps what a node remembers on its disk.
 //
 // Its goroutine, in Run, owns the store and the memory on it, and is the only one that waits
 // for the disk. It works when the scheduler grants it a step, so that writing is background
@@ -7,4 +7,4 @@
 //
 // It must not decide what is worth remembering, nor what a memory means: that is package
 // recall's and doubt's.
-package keeper
+package persist
--- a/internal/node/keeper/keeper.go
+++ b/internal/node/persist/keeper.go
@@ -1,4 +1,4 @@
-package keeper
+package persist
 
 import (
 	"context"
@@ -17,18 +17,18 @@
 // Settings say where and how much to keep.
 type Settings struct {
 	Folder string
-	MostMB int // of rows, in memory and about twice that on the disk; 16 if 0
+	MaxMB  int // of rows, in memory and about twice that on the disk; 16 if 0
 }
 
 // Known is what was found at the start.
-type Known struct {
+type Restored struct {
 	Node    string
 	Servers []serverdb.Server
 	List    serverdb.List
 }
 
 // Keeper is the way to what is remembered. Note, Confirm and Step do not wait, and any goroutine may call them.
-type Keeper struct {
+type Writer struct {
 	log    *slog.Logger
 	clock  clock.Clock
 	folder io.Closer // nil: it is not the keeper's
@@ -49,10 +49,10 @@
 }
 
 // Open reads what there is. An error says why nothing can be kept; the node starts all the same.
-func Open(set Settings, node string, c clock.Clock, log *slog.Logger) (*Keeper, Known, error) {
+func Open(set Settings, node string, c clock.Clock, log *slog.Logger) (*Writer, Restored, error) {
 	folder, err := disk.Open(set.Folder)
 	if err != nil {
-		return nil, Known{}, err
+		return nil, Restored{}, err
 	}
 	k, known := New(folder, set, node, c, log)
 	k.folder = folder
@@ -60,8 +60,8 @@
 }
 
 // New is Open on any folder, which stays its owner's.
-func New(folder store.FS, set Settings, node string, c clock.Clock, log *slog.Logger) (*Keeper, Known) {
-	s, report := store.Open(folder, store.Settings{MaxBytes: set.MostMB << 20})
+func New(folder store.FS, set Settings, node string, c clock.Clock, log *slog.Logger) (*Writer, Restored) {
+	s, report := store.Open(folder, store.Settings{MaxBytes: set.MaxMB << 20})
 	m, notes := serverdb.Open(s, serverdb.Settings{}, c.Now())
 	if len(report.Notes) > 0 || report.DamagedBytes > 0 || report.TruncatedBytes > 0 || report.NoSnapshot {
 		log.Warn("the store is damaged; what is sound of it is used", "folder", set.Folder, "report", report.String())
@@ -69,19 +69,19 @@
 	if len(notes) > 0 {
 		log.Warn("rows of the store make no sense and are left out", "rows", len(notes), "first", notes[0])
 	}
-	k := &Keeper{
+	k := &Writer{
 		log: log, clock: c, store: s, memory: m,
 		grants: make(chan struct{}, 1), ended: make(chan struct{}),
 		notes: map[string]serverdb.Observation{}, wake: func(time.Duration) {},
 	}
-	return k, Known{Node: node, Servers: m.Servers(), List: m.List()}
+	return k, Restored{Node: node, Servers: m.Servers(), List: m.List()}
 }
 
 // OnWork sets what asks the scheduler for a step, before Run.
-func (k *Keeper) OnWork(wake func(within time.Duration)) { k.wake = wake }
+func (k *Writer) SetWake(wake func(within time.Duration)) { k.wake = wake }
 
 // Note takes what was seen of a server. Two of one server are merged; word of its end stays.
-func (k *Keeper) Note(n serverdb.Observation) {
+func (k *Writer) RecordServer(n serverdb.Observation) {
 	k.mu.Lock()
 	old, ok := k.notes[n.ID]
 	switch {
@@ -109,14 +109,14 @@
 const urgentWithin = 20 * time.Millisecond
 
 // Confirm takes word that discovery has answered.
-func (k *Keeper) Confirm(l serverdb.List) {
+func (k *Writer) ConfirmList(l serverdb.List) {
 	k.mu.Lock()
 	k.list = &l
 	k.want(0)
 }
 
 // want asks for a step, and gives the lock back.
-func (k *Keeper) want(within time.Duration) {
+func (k *Writer) want(within time.Duration) {
 	asked := k.asked
 	k.asked = true
 	k.mu.Unlock()
@@ -127,7 +127,7 @@
 
 // Step grants the keeper a piece of work, as background work. What it says to have taken is what the last one took
 // of a core.
-func (k *Keeper) Step(time.Duration) (took time.Duration, more bool) {
+func (k *Writer) Step(time.Duration) (took time.Duration, more bool) {
 	select {
 	case k.grants <- struct{}{}:
 	default:
@@ -139,14 +139,14 @@
 }
 
 // Stats are what was written, and how many rows did not fit.
-func (k *Keeper) Stats() (store.Stats, int) {
+func (k *Writer) Stats() (store.Stats, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stats, k.lost
 }
 
 // Run works until the context ends, and then writes what is left.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Writer) Run(ctx context.Context) {
 	defer close(k.ended)
 	if k.folder != nil {
 		defer k.folder.Close()
@@ -171,7 +171,7 @@
 }
 
 // work does a step, and returns how long to wait for the next.
-func (k *Keeper) work() time.Duration {
+func (k *Writer) work() time.Duration {
 	begun := k.clock.Now()
 	more := k.take()
 	busy := k.clock.Now() - begun
@@ -204,7 +204,7 @@
 const catchUp = 50 * time.Millisecond
 
 // take hands the memory what was told, and tells whether it has more to write.
-func (k *Keeper) take() (more bool) {
+func (k *Writer) take() (more bool) {
 	k.mu.Lock()
 	notes := make([]serverdb.Observation, 0, len(k.notes))
 	for _, n := range k.notes {
@@ -223,7 +223,7 @@
 }
 
 // Wait waits for the end of Run, no longer than that.
-func (k *Keeper) Wait(patience time.Duration) error {
+func (k *Writer) Wait(patience time.Duration) error {
 	select {
 	case <-k.ended:
 		return nil
--- a/internal/node/keeper/write.go
+++ b/internal/node/persist/write.go
@@ -1,4 +1,4 @@
-package keeper
+package persist
 
 import (
 	"time"
@@ -9,7 +9,7 @@
 )
 
 // Write leaves a folder as a node does that knew these servers and this list at its end. Labs and tests start from it.
-func Write(folder string, servers []serverdb.Server, l serverdb.List) error {
+func WriteFolder(folder string, servers []serverdb.Server, l serverdb.List) error {
 	f, err := disk.Open(folder)
 	if err != nil {
 		return err
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -20,7 +20,7 @@
 // fleet is what the pool needs of the membership: who is there, and a way to them.
 type fleet interface {
 	View() *membership.View
-	Claim(to uint64, c allowance.Claim)
+	SendClaim(to uint64, c allowance.Claim)
 }
 
 // pool is this node's part in the budgets of cold servers that the nodes pool. It belongs to the loop.
@@ -67,7 +67,7 @@
 	outs, deals := p.holder.Tick(l.now, p.known(), p.colds)
 	l.pooled(deals)
 	for i := range outs {
-		p.fleet.Claim(outs[i].To, outs[i].Claim)
+		p.fleet.SendClaim(outs[i].To, outs[i].Claim)
 	}
 }
 
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -96,7 +96,7 @@
 			t.Logf("%d bytes", len(text))
 			d := NewDiscoveryServer(t)
 			n := startNode(t, testConfig(t, d.Listener.Addr().String(), "null", 1024))
-			d.Tell(t, string(text))
+			d.SendList(t, string(text))
 			n.waitForAll(t)
 		})
 	}
@@ -111,7 +111,7 @@
 	}
 	d := NewDiscoveryServer(t)
 	c := testConfig(t, d.Listener.Addr().String(), "null", 1024)
-	c.State = State{Folder: life(t, 0, servers...), MostMB: leastStateMB}
+	c.State = State{Folder: life(t, 0, servers...), MaxMB: leastStateMB}
 	startNode(t, c).waitForAll(t)
 }
 
@@ -174,7 +174,7 @@
 		return "[members]\nfleet = \"x\"\nlisten = \":7946\"\nseeds = [" + seeds.String() + "]\n[members.via]\n" + via.String()
 	}
 	own, faults := parseOwn([]byte(settings(plannedSize)))
-	if len(faults) > 0 || len(own.Members.Seeds) != plannedSize || len(own.Members.Via) != plannedSize {
+	if len(faults) > 0 || len(own.Members.Seeds) != plannedSize || len(own.Members.RouteVia) != plannedSize {
 		t.Errorf("%v, %+v", faults, own.Members)
 	}
 	_, faults = parseOwn([]byte(settings(mostSeeds + 1)))
--- a/internal/node/slowdisk_test.go
+++ b/internal/node/slowdisk_test.go
@@ -20,7 +20,7 @@
 		t.Skip("CURLEWRING_LONG is not set")
 	}
 	p99 := func(takes time.Duration, remember bool) time.Duration {
-		a := NewServer(t, Say("fine"))
+		a := NewServer(t, RespondWith("fine"))
 		d := NewDiscoveryServer(t)
 		c := testConfig(t, d.Listener.Addr().String(), "null", 1024)
 		if remember {
@@ -28,10 +28,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.State = State{MostMB: 16, fs: &slowDisk{FS: f, takes: takes}}
+			c.State = State{MaxMB: 16, fs: &slowDisk{FS: f, takes: takes}}
 		}
 		n := startNode(t, c)
-		d.Tell(t, ListOf(1, true, a.Addr()))
+		d.SendList(t, ServerList(1, true, a.Addr()))
 		WaitFor(t, "ready", func() bool { return n.loop.ready.Load() })
 		stop, told := make(chan struct{}), make(chan struct{})
 		go func() {
@@ -41,7 +41,7 @@
 				case <-stop:
 					return
 				default:
-					d.Tell(t, longListOf(g, false, 200, 1, [...]string{"DELETED", "DRAINING"}[g%2], ""))
+					d.SendList(t, longListOf(g, false, 200, 1, [...]string{"DELETED", "DRAINING"}[g%2], ""))
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -50,7 +50,7 @@
 func (u *Pool) exchange(t *Canceler, c *conn, p *Target, q *Request, more string, by, until time.Duration) (_ Outcome, keep bool) {
 	// The connection may have taken a while: the server may drain by now, and
 	// the request may be over.
-	if q.over() || p.Closed.Load() || !t.waitOn(c, u.clock.Wall(until), u.clock.Wall(min(by, until))) {
+	if q.over() || p.Closed.Load() || !t.waitOn(c, u.clock.WallTime(until), u.clock.WallTime(min(by, until))) {
 		return Outcome{Result: decide.NotSent}, false
 	}
 	defer t.leave()
--- a/internal/node/upstream/upstream_test.go
+++ b/internal/node/upstream/upstream_test.go
@@ -17,12 +17,12 @@
 // testAttempt makes one attempt at a server.
 func testAttempt(t *testing.T, u *Pool, address string) Outcome {
 	t.Helper()
-	q := &Request{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: NewID()}
-	return u.Attempt(&Canceler{}, &Target{ID: "s0", Address: address}, q, "", u.clock.Now()+Patience, u.clock.Now()+Patience)
+	q := &Request{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: NewRequestID()}
+	return u.Attempt(&Canceler{}, &Target{ID: "s0", Address: address}, q, "", u.clock.Now()+WaitTimeout, u.clock.Now()+WaitTimeout)
 }
 
 func newTestUpstream() *Pool {
-	return New(clock.New(), NewConnLimiter(100), &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience})
+	return New(clock.New(), NewConnLimiter(100), &decide.Settings{ConnectTimeout: WaitTimeout, ConnIdleTimeout: WaitTimeout})
 }
 
 // Whatever a server sends for an answer, it must be told apart from one that is
@@ -51,7 +51,7 @@
 			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.ConnClosed {
 				t.Errorf("ended as %v, closed %v", o.Result, o.ConnClosed)
 			}
-			if took := u.clock.Now() - begun; took > Patience/2 {
+			if took := u.clock.Now() - begun; took > WaitTimeout/2 {
 				t.Errorf("took %v", took)
 			}
 			if open := u.sockets.open.Load(); open != 0 {
@@ -75,7 +75,7 @@
 			u, sent := newTestUpstream(), make(chan int, 1)
 			address := RawServer(t, func(c net.Conn) {
 				io.WriteString(c, parts[0])
-				Endless(parts[1], sent)(c)
+				StreamForever(parts[1], sent)(c)
 			})
 			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.ConnClosed {
 				t.Errorf("ended as %v, closed %v", o.Result, o.ConnClosed)
@@ -164,8 +164,8 @@
 // Between the module's decision and the first byte a server may have drained and
 // a request may be over. The code looks again before it writes.
 func TestLooksAgainBeforeItWrites(t *testing.T) {
-	s := NewServer(t, Say("fine"))
-	set := &decide.Settings{ConnectTimeout: Patience, ConnIdleTimeout: Patience}
+	s := NewServer(t, RespondWith("fine"))
+	set := &decide.Settings{ConnectTimeout: WaitTimeout, ConnIdleTimeout: WaitTimeout}
 	clock, budget := clock.New(), NewConnLimiter(1000)
 	up := New(clock, budget, set)
 	q := &Request{Method: http.MethodGet, URI: "/look/1", Host: "app.svc", Txn: "1"}
@@ -173,26 +173,26 @@
 	q.Finished = &over
 	p := &Target{ID: "s0", Address: s.Addr()}
 	p.Closed.Store(true)
-	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.NotSent {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+WaitTimeout, clock.Now()+WaitTimeout); o.Result != decide.NotSent {
 		t.Errorf("to a drained server: %v", o.Result)
 	}
 	p.Closed.Store(false)
 	over.Store(true)
-	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.NotSent {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+WaitTimeout, clock.Now()+WaitTimeout); o.Result != decide.NotSent {
 		t.Errorf("for a request that is over: %v", o.Result)
 	}
 	over.Store(false)
 	// A connection that came up after the time by which a repeat may be sent is of no use for it.
-	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()-1, clock.Now()+Patience); o.Result != decide.NotSent {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()-1, clock.Now()+WaitTimeout); o.Result != decide.NotSent {
 		t.Errorf("after the window for repeats: %v", o.Result)
 	}
-	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()-1); o.Result != decide.ConnectFailed {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+WaitTimeout, clock.Now()-1); o.Result != decide.ConnectFailed {
 		t.Errorf("with no time left: %v", o.Result)
 	}
-	if s.Seen() != 0 || budget.open.Load() != 0 {
-		t.Errorf("%d requests came, %d sockets are open", s.Seen(), budget.open.Load())
+	if s.RequestCount() != 0 || budget.open.Load() != 0 {
+		t.Errorf("%d requests came, %d sockets are open", s.RequestCount(), budget.open.Load())
 	}
-	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+Patience, clock.Now()+Patience); o.Result != decide.Served || string(o.Response.Body) != "fine" {
+	if o := up.Attempt(&Canceler{}, p, q, "", clock.Now()+WaitTimeout, clock.Now()+WaitTimeout); o.Result != decide.Served || string(o.Response.Body) != "fine" {
 		t.Errorf("then: %v", o.Result)
 	}
 	up.CloseIdle()
@@ -205,7 +205,7 @@
 // begin anew with a connection that had to be made because the one before was dead.
 func TestAgeIsTheConnections(t *testing.T) {
 	u := newTestUpstream()
-	s := NewServer(t, Say("fine"))
+	s := NewServer(t, RespondWith("fine"))
 	first := testAttempt(t, u, s.Addr())
 	WaitFor(t, "some time passes", func() bool { return u.clock.Now() > 20*time.Millisecond })
 	begun := u.clock.Now()
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -77,7 +77,7 @@
 }
 
 // Lag tells how long live traffic has waited just now.
-func (w *Worker) Lag(now, lag time.Duration) {
+func (w *Worker) ReportLag(now, lag time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.core.RecordLag(now, lag)
--- a/internal/node/worker/worker_test.go
+++ b/internal/node/worker/worker_test.go
@@ -40,7 +40,7 @@
 	var left, running, runs atomic.Int64
 	left.Store(100)
 	var job, other *Job
-	start(t, nodetest.Quiet(), func(w *Worker) {
+	start(t, nodetest.DiscardLogger(), func(w *Worker) {
 		step := func(time.Duration) (time.Duration, bool) {
 			if running.Add(1) != 1 {
 				t.Error("two steps at once")
@@ -83,7 +83,7 @@
 func TestCancelled(t *testing.T) {
 	var runs atomic.Int64
 	var job, after *Job
-	w := start(t, nodetest.Quiet(), func(w *Worker) {
+	w := start(t, nodetest.DiscardLogger(), func(w *Worker) {
 		spend := func(time.Duration) (time.Duration, bool) { return 8 * time.Millisecond, false } // all of the budget
 		after = w.Add("after", background.Obligation, spend)
 		job = w.Add("job", background.Optional, func(time.Duration) (time.Duration, bool) {
--- a/internal/rig/lab/between.go
+++ b/internal/rig/lab/between.go
@@ -248,5 +248,5 @@
 
 // MembersOf asks a node what it knows of the others.
 func (l *Lab) MembersOf(ctx context.Context, node string) (members.Report, error) {
-	return members.Ask(ctx, l.StateOf(node))
+	return members.RequestReport(ctx, l.StateOf(node))
 }
--- a/internal/rig/lab/leaserun_test.go
+++ b/internal/rig/lab/leaserun_test.go
@@ -187,7 +187,7 @@
 	if out, err := exec.Command(tool, "lease", "status", "--folder", x.StateOf(x.leader())).CombinedOutput(); !strings.Contains(string(out), "leads in term") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if _, err := leases.Ask(context.Background(), x.StateOf(b), leases.Request{Do: "nothing"}); err == nil {
+	if _, err := leases.Call(context.Background(), x.StateOf(b), leases.Request{Do: "nothing"}); err == nil {
 		t.Error("nothing was done")
 	}
 }
--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -54,7 +54,7 @@
 	}
 	x.ctx, x.stops = context.WithCancel(context.Background())
 	x.agreed(30*time.Second, x.names...)
-	r, err := leases.Ask(x.ctx, x.StateOf("n0"), leases.Request{Do: "found", Voters: voters})
+	r, err := leases.Call(x.ctx, x.StateOf("n0"), leases.Request{Do: "found", Voters: voters})
 	if err != nil {
 		t.Fatalf("founding: %v", err)
 	}
@@ -91,7 +91,7 @@
 func (x *leasing) standing(node string) (leaselog.Status, bool) {
 	ctx, cancel := context.WithTimeout(x.ctx, time.Second)
 	defer cancel()
-	r, err := leases.Ask(ctx, x.StateOf(node), leases.Request{Do: "standing"})
+	r, err := leases.Call(ctx, x.StateOf(node), leases.Request{Do: "standing"})
 	if err != nil || r.Standing == nil {
 		return leaselog.Status{}, false
 	}
@@ -190,7 +190,7 @@
 }
 
 func (x *leasing) turn(client int, node, name string, rng *rand.Rand) {
-	h, err := leases.Hold(x.ctx, x.StateOf(node), name, labTTL)
+	h, err := leases.Acquire(x.ctx, x.StateOf(node), name, labTTL)
 	if err != nil {
 		return // the node is down
 	}
@@ -202,7 +202,7 @@
 		switch now := clock.Boot(); {
 		case token != 0 && now > gives:
 			from := time.Now()
-			h.Stopped()
+			h.ConfirmStopped()
 			for e := range h.Events {
 				if e.Kind == lease.PhaseChanged && e.Phase == lease.Over {
 					if e.Why == "given up" {
@@ -233,12 +233,12 @@
 				x.note(client, last, leaseOp{kind: "acquire"}, token)
 				last = time.Now()
 			case e.Kind == lease.PhaseChanged && e.Phase >= lease.Stopping:
-				h.Stopped()
+				h.ConfirmStopped()
 				return
 			}
 		case <-time.After(20 * time.Millisecond):
 		case <-x.ctx.Done():
-			h.Stopped()
+			h.ConfirmStopped()
 			return
 		}
 	}
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -22,9 +22,9 @@
 	x := startLeasing(t, 5, 3, 71, false)
 	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
 	others := x.but(x.seats...)
-	hold := func(node, name string, ttl time.Duration) (*leases.Held, time.Duration) {
+	hold := func(node, name string, ttl time.Duration) (*leases.ClientLease, time.Duration) {
 		begun := time.Now()
-		h, err := leases.Hold(x.ctx, x.StateOf(node), name, ttl)
+		h, err := leases.Acquire(x.ctx, x.StateOf(node), name, ttl)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,9 +36,9 @@
 		t.Fatal("no lease")
 		return nil, 0
 	}
-	release := func(h *leases.Held) time.Duration {
+	release := func(h *leases.ClientLease) time.Duration {
 		begun := time.Now()
-		h.Stopped()
+		h.ConfirmStopped()
 		for e := range h.Events {
 			if e.Kind == lease.PhaseChanged && e.Phase == lease.Over {
 				break
@@ -60,7 +60,7 @@
 	t.Logf("from a node without a seat: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
 	disk := func() (syncs, bytes int64) {
 		for _, n := range x.seats {
-			if r, err := leases.Ask(x.ctx, x.StateOf(n), leases.Request{Do: "standing"}); err == nil {
+			if r, err := leases.Call(x.ctx, x.StateOf(n), leases.Request{Do: "standing"}); err == nil {
 				syncs, bytes = syncs+r.Syncs, bytes+r.Written
 			}
 		}
@@ -70,7 +70,7 @@
 	for _, n := range []int{0, 1, 10, 1000} {
 		var extended atomic.Int64
 		var parts sync.WaitGroup
-		var held []*leases.Held
+		var held []*leases.ClientLease
 		var mu sync.Mutex
 		for i := range n {
 			parts.Go(func() {
@@ -100,7 +100,7 @@
 		t.Logf("%4d leases of 1 s: %6.1f renewals a second, %.1f syncs a voter a second, %.0f bytes, %.2f%% of a core a node",
 			n, float64(extended.Load())/length, float64(syncsNow-syncs)/length/3, float64(bytesNow-bytes)/length/3, 100*(x.CPU()-cpu).Seconds()/length/5)
 		for _, h := range held {
-			h.Stopped()
+			h.ConfirmStopped()
 		}
 		time.Sleep(300 * time.Millisecond)
 		for _, h := range held {
@@ -121,7 +121,7 @@
 			go func() { // ends with the grant
 				w, _ := hold(others[1], "gap", labTTL)
 				next <- time.Now()
-				w.Stopped()
+				w.ConfirmStopped()
 				w.Close()
 			}()
 			time.Sleep(700 * time.Millisecond)
@@ -131,7 +131,7 @@
 				x.do(x.Kill(n))
 			}
 			if len(dead) == 1 && dead[0] != others[0] { // its holder lives, and gives it up as soon as it can
-				go func() { h.Stopped() }()
+				go func() { h.ConfirmStopped() }()
 			}
 			gaps = append(gaps, (<-next).Sub(begun))
 			h.Close()
@@ -172,13 +172,13 @@
 			x.names = append(x.names, fmt.Sprint("n", i))
 		}
 		x.agreed(30*time.Second, x.names...)
-		var held []*leases.Held
+		var held []*leases.ClientLease
 		if on {
-			if _, err := leases.Ask(t.Context(), l.StateOf("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
+			if _, err := leases.Call(t.Context(), l.StateOf("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 100 {
-				h, err := leases.Hold(t.Context(), l.StateOf(x.names[i%5]), fmt.Sprint("l", i), 10*time.Second)
+				h, err := leases.Acquire(t.Context(), l.StateOf(x.names[i%5]), fmt.Sprint("l", i), 10*time.Second)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/rig/lab/past.go
+++ b/internal/rig/lab/past.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"curlewring/decide"
-	"curlewring/internal/node/keeper"
+	"curlewring/internal/node/persist"
 	"curlewring/internal/rig/standin"
 	"curlewring/internal/servers/endpoints"
 	"curlewring/internal/servers/serverdb"
@@ -121,7 +121,7 @@
 	folder := filepath.Join(l.dir, s.Name+".state")
 	rate := max(l.options.Traffic.Rate/float64(max(1, len(all))), 1/l.options.Plan.MeanWork().Seconds()) / float64(max(1, l.options.Nodes))
 	list := serverdb.List{Generation: foreignGeneration, Discovery: l.lists[s.Name], Confirmed: then, ServerRate: rate, ServingCount: len(all)}
-	if err := keeper.Write(folder, all, list); err != nil {
+	if err := persist.WriteFolder(folder, all, list); err != nil {
 		return nil, err
 	}
 	own := fmt.Sprintf("[state]\nfolder = %q\n", folder)
--- a/pure_test.go
+++ b/pure_test.go
@@ -114,7 +114,7 @@
 // for the deadlines of sockets alone.
 func TestLeasesNeedNoTimeOfDay(t *testing.T) {
 	looked := 0
-	for _, dir := range []string{"internal/node/leases", "internal/node/record", "internal/leaseexec"} {
+	for _, dir := range []string{"internal/node/leases", "internal/node/bootstrap", "internal/leaseexec"} {
 		paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
