--- a/internal/fleet/allowance/holder.go
+++ b/internal/fleet/allowance/holder.go
@@ -271,10 +271,10 @@
 	until := a.at + h.set.SendLifetime
 	for _, x := range g.Items {
 		p := h.parts[x.Server]
-		if p == nil || p.to != from || x.Sends <= 0 || x.Total < p.granted+p.lost+x.Sends {
+		if p == nil || p.to != from || x.Sends <= 0 || x.TotalSends < p.granted+p.lost+x.Sends {
 			continue
 		}
-		p.lost = x.Total - p.granted - x.Sends
+		p.lost = x.TotalSends - p.granted - x.Sends
 		p.granted += x.Sends
 		h.deals = append(h.deals, decide.Grant{Server: x.ID, Started: x.Started, LentUntil: p.lent, Sends: x.Sends, ValidUntil: until})
 	}
--- a/internal/fleet/allowance/message.go
+++ b/internal/fleet/allowance/message.go
@@ -41,8 +41,8 @@
 // Dealt is what a grant deals for one server.
 type Allotment struct {
 	Server
-	Sends int
-	Total int // that this dealer has dealt to this life on the loan: what is missing of it was lost on the way
+	Sends      int
+	TotalSends int // that this dealer has dealt to this life on the loan: what is missing of it was lost on the way
 }
 
 // Bounds of messages.
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -97,11 +97,11 @@
 
 // Message is what one voter tells another. Either Raft is set, or it is about starts.
 type Message struct {
-	From, To uint64
-	Boot     uint64          // the sender's start: a count above 32 bits that are drawn with it
-	Raft     *raftpb.Message // nil: about starts
-	Hello    bool            // tell the sender which start of it is known
-	Known    uint64          // the latest start of the receiver that the sender knows of
+	From, To  uint64
+	Boot      uint64          // the sender's start: a count above 32 bits that are drawn with it
+	Raft      *raftpb.Message // nil: about starts
+	BootQuery bool            // tell the sender which start of it is known
+	KnownBoot uint64          // the latest start of the receiver that the sender knows of
 }
 
 // Entry is one that a majority has agreed on, to be applied in order.
@@ -254,7 +254,7 @@
 		if v.ticks%3 == 0 {
 			for _, id := range v.Voters() {
 				if id != v.id {
-					v.sends = append(v.sends, Message{From: v.id, To: id, Boot: v.boot, Hello: true})
+					v.sends = append(v.sends, Message{From: v.id, To: id, Boot: v.boot, BootQuery: true})
 				}
 			}
 		}
@@ -313,8 +313,8 @@
 	}
 	known := v.boots[m.From]
 	if starts(m.Boot) <= starts(known) && m.Boot != known {
-		if m.Hello { // its disk is older than it was: it must be told
-			v.sends = append(v.sends, Message{From: v.id, To: m.From, Boot: v.boot, Known: known})
+		if m.BootQuery { // its disk is older than it was: it must be told
+			v.sends = append(v.sends, Message{From: v.id, To: m.From, Boot: v.boot, KnownBoot: known})
 		}
 		return
 	}
@@ -322,8 +322,8 @@
 		v.boots[m.From], v.newBoot[m.From] = m.Boot, m.Boot
 	}
 	switch {
-	case m.Hello:
-		v.sends = append(v.sends, Message{From: v.id, To: m.From, Boot: v.boot, Known: v.boots[m.From]})
+	case m.BootQuery:
+		v.sends = append(v.sends, Message{From: v.id, To: m.From, Boot: v.boot, KnownBoot: v.boots[m.From]})
 	case m.Raft == nil:
 		v.told(m)
 	case v.cleared:
@@ -334,9 +334,9 @@
 // told takes what another knows of this voter's starts.
 func (v *Voter) told(m *Message) {
 	switch {
-	case starts(m.Known) < starts(v.boot): // of an earlier asking
+	case starts(m.KnownBoot) < starts(v.boot): // of an earlier asking
 		return
-	case m.Known != v.boot:
+	case m.KnownBoot != v.boot:
 		v.given = true
 		return
 	}
--- a/internal/fleet/consensus/voter_test.go
+++ b/internal/fleet/consensus/voter_test.go
@@ -313,7 +313,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		v.Receive(&Message{From: from, To: to, Boot: boot, Known: known, Hello: hello})
+		v.Receive(&Message{From: from, To: to, Boot: boot, KnownBoot: known, BootQuery: hello})
 		v.Tick()
 		if w, ok := v.Ready(); ok {
 			d.Apply(&w.Update)
--- a/internal/fleet/lease/code.go
+++ b/internal/fleet/lease/code.go
@@ -24,25 +24,25 @@
 func ParseCommand(b []byte) (c Command, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case f.IsNum && f.Num == 1:
-			if f.X > 255 {
-				return protofields.Errorf("operation %d", f.X)
+		case f.IsUint && f.Number == 1:
+			if f.Uint > 255 {
+				return protofields.Errorf("operation %d", f.Uint)
 			}
-			c.Op = Op(f.X)
-		case !f.IsNum && f.Num == 2:
-			c.Lease = string(f.B)
-		case !f.IsNum && f.Num == 3:
-			c.Holder, err = parseHolder(f.B)
-		case f.IsNum && f.Num == 4:
-			c.Seq = f.X
-		case f.IsNum && f.Num == 5:
-			c.Token = f.X
-		case f.IsNum && f.Num == 6:
-			c.TTL, err = length(f.X)
-		case f.IsNum && f.Num == 7:
-			c.Serial = f.X
-		case !f.IsNum && f.Num == 8:
-			c.To, err = parseHolder(f.B)
+			c.Op = Op(f.Uint)
+		case !f.IsUint && f.Number == 2:
+			c.Lease = string(f.Bytes)
+		case !f.IsUint && f.Number == 3:
+			c.Holder, err = parseHolder(f.Bytes)
+		case f.IsUint && f.Number == 4:
+			c.Seq = f.Uint
+		case f.IsUint && f.Number == 5:
+			c.Token = f.Uint
+		case f.IsUint && f.Number == 6:
+			c.TTL, err = length(f.Uint)
+		case f.IsUint && f.Number == 7:
+			c.Serial = f.Uint
+		case !f.IsUint && f.Number == 8:
+			c.To, err = parseHolder(f.Bytes)
 		}
 		return err
 	})
@@ -68,15 +68,15 @@
 func parseHolder(b []byte) (h Holder, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
-		case !f.IsNum && f.Num == 1:
-			if len(f.B) > mostName {
-				return protofields.Errorf("a holder's name of %d bytes, at most %d", len(f.B), mostName)
+		case !f.IsUint && f.Number == 1:
+			if len(f.Bytes) > mostName {
+				return protofields.Errorf("a holder's name of %d bytes, at most %d", len(f.Bytes), mostName)
 			}
-			h.Name = string(f.B)
-		case f.IsNum && f.Num == 2:
-			h.Incarnation = f.X
-		case f.IsNum && f.Num == 3:
-			h.Life = f.X
+			h.Name = string(f.Bytes)
+		case f.IsUint && f.Number == 2:
+			h.Incarnation = f.Uint
+		case f.IsUint && f.Number == 3:
+			h.Life = f.Uint
 		}
 		return nil
 	})
@@ -97,24 +97,24 @@
 func ParseAnswer(b []byte) (a Answer, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case f.IsNum && f.Num == 1:
-			if f.X < uint64(Granted) || f.X > uint64(Superseded) {
-				return protofields.Errorf("outcome %d", f.X)
+		case f.IsUint && f.Number == 1:
+			if f.Uint < uint64(Granted) || f.Uint > uint64(Superseded) {
+				return protofields.Errorf("outcome %d", f.Uint)
 			}
-			a.Outcome = Outcome(f.X)
-		case !f.IsNum && f.Num == 2:
-			a.Lease = string(f.B)
-		case f.IsNum && f.Num == 3:
-			a.Token = f.X
-		case f.IsNum && f.Num == 4:
-			a.TTL, err = length(f.X)
-		case f.IsNum && f.Num == 5:
-			if f.X > MaxWaiters {
-				return protofields.Errorf("place %d in line", f.X)
+			a.Outcome = Outcome(f.Uint)
+		case !f.IsUint && f.Number == 2:
+			a.Lease = string(f.Bytes)
+		case f.IsUint && f.Number == 3:
+			a.Token = f.Uint
+		case f.IsUint && f.Number == 4:
+			a.TTL, err = length(f.Uint)
+		case f.IsUint && f.Number == 5:
+			if f.Uint > MaxWaiters {
+				return protofields.Errorf("place %d in line", f.Uint)
 			}
-			a.Place = int(f.X)
-		case f.IsNum && f.Num == 6:
-			a.Seq = f.X
+			a.Place = int(f.Uint)
+		case f.IsUint && f.Number == 6:
+			a.Seq = f.Uint
 		}
 		return err
 	})
@@ -145,33 +145,33 @@
 func ParseLease(b []byte) (l Lease, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case !f.IsNum && f.Num == 1:
-			l.Name = string(f.B)
-		case !f.IsNum && f.Num == 2:
-			l.Holder, err = parseHolder(f.B)
-		case f.IsNum && f.Num == 3:
-			l.Token = f.X
-		case f.IsNum && f.Num == 4:
-			l.TTL, err = length(f.X)
-		case f.IsNum && f.Num == 5:
-			l.Serial = f.X
-		case f.IsNum && f.Num == 6:
-			l.Seq = f.X
-		case !f.IsNum && f.Num == 7:
+		case !f.IsUint && f.Number == 1:
+			l.Name = string(f.Bytes)
+		case !f.IsUint && f.Number == 2:
+			l.Holder, err = parseHolder(f.Bytes)
+		case f.IsUint && f.Number == 3:
+			l.Token = f.Uint
+		case f.IsUint && f.Number == 4:
+			l.TTL, err = length(f.Uint)
+		case f.IsUint && f.Number == 5:
+			l.Serial = f.Uint
+		case f.IsUint && f.Number == 6:
+			l.Seq = f.Uint
+		case !f.IsUint && f.Number == 7:
 			if len(l.Waiters) == MaxWaiters {
 				return protofields.Errorf("more than %d in line", MaxWaiters)
 			}
 			var w Waiter
-			err = protofields.ForEach(f.B, func(f protofields.Field) (err error) {
+			err = protofields.ForEach(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
-				case !f.IsNum && f.Num == 1:
-					w.Holder, err = parseHolder(f.B)
-				case f.IsNum && f.Num == 2:
-					w.TTL, err = length(f.X)
-				case f.IsNum && f.Num == 3:
-					w.Serial = f.X
-				case f.IsNum && f.Num == 4:
-					w.Seq = f.X
+				case !f.IsUint && f.Number == 1:
+					w.Holder, err = parseHolder(f.Bytes)
+				case f.IsUint && f.Number == 2:
+					w.TTL, err = length(f.Uint)
+				case f.IsUint && f.Number == 3:
+					w.Serial = f.Uint
+				case f.IsUint && f.Number == 4:
+					w.Seq = f.Uint
 				}
 				return err
 			})
@@ -206,34 +206,34 @@
 func ParseSnapshot(b []byte) (s Snapshot, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			s.Tokens = f.X
-		case f.IsNum && f.Num == 2:
-			s.Serials = f.X
-		case f.IsNum && f.Num == 3:
-			s.Applied = f.X
-		case !f.IsNum && f.Num == 4:
+		case f.IsUint && f.Number == 1:
+			s.Tokens = f.Uint
+		case f.IsUint && f.Number == 2:
+			s.Serials = f.Uint
+		case f.IsUint && f.Number == 3:
+			s.Applied = f.Uint
+		case !f.IsUint && f.Number == 4:
 			if len(s.Leases) == MaxLeases {
 				return protofields.Errorf("more than %d leases", MaxLeases)
 			}
-			l, err := ParseLease(f.B)
+			l, err := ParseLease(f.Bytes)
 			s.Leases = append(s.Leases, l)
 			return err
-		case !f.IsNum && f.Num == 5:
+		case !f.IsUint && f.Number == 5:
 			if len(s.Sessions) == MaxSessions {
 				return protofields.Errorf("more than %d lives", MaxSessions)
 			}
 			var x Session
-			err := protofields.ForEach(f.B, func(f protofields.Field) (err error) {
+			err := protofields.ForEach(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
-				case !f.IsNum && f.Num == 1:
-					x.Holder, err = parseHolder(f.B)
-				case f.IsNum && f.Num == 2:
-					x.Seq = f.X
-				case f.IsNum && f.Num == 3:
-					x.Used = f.X
-				case !f.IsNum && f.Num == 4:
-					x.Answer, err = ParseAnswer(f.B)
+				case !f.IsUint && f.Number == 1:
+					x.Holder, err = parseHolder(f.Bytes)
+				case f.IsUint && f.Number == 2:
+					x.Seq = f.Uint
+				case f.IsUint && f.Number == 3:
+					x.Used = f.Uint
+				case !f.IsUint && f.Number == 4:
+					x.Answer, err = ParseAnswer(f.Bytes)
 				}
 				return err
 			})
--- a/internal/fleet/lease/command.go
+++ b/internal/fleet/lease/command.go
@@ -20,11 +20,11 @@
 	Acquire Op = 1 + iota // take the lease, or a place in line
 	Renew
 	Release
-	Transfer   // give the lease to the life named in To, which waits for it
-	LeaveQueue // leave the line
-	End        // the leader: the lease is over, if Serial is still its last renewal
-	Drop       // the leader: a waiter has not asked again, if Serial is still its last asking
-	Force      // an operator: take the lease from its holder under Token, whatever that risks
+	Transfer     // give the lease to the life named in To, which waits for it
+	LeaveQueue   // leave the line
+	Expire       // the leader: the lease is over, if Serial is still its last renewal
+	ExpireWaiter // the leader: a waiter has not asked again, if Serial is still its last asking
+	ForceRelease // an operator: take the lease from its holder under Token, whatever that risks
 )
 
 // Command is one entry of the log.
@@ -52,11 +52,11 @@
 // Check finds what no command can be.
 func (c *Command) Check() error {
 	switch {
-	case c.Op < Acquire || c.Op > Force:
+	case c.Op < Acquire || c.Op > ForceRelease:
 		return fmt.Errorf("lease: no operation %d", c.Op)
 	case c.Lease == "" || len(c.Lease) > mostName:
 		return fmt.Errorf("lease: a name has 1 to %d bytes, this one %d", mostName, len(c.Lease))
-	case c.Op != Force && (c.Holder.Life == 0 || c.Holder.Name == "" || len(c.Holder.Name) > mostName):
+	case c.Op != ForceRelease && (c.Holder.Life == 0 || c.Holder.Name == "" || len(c.Holder.Name) > mostName):
 		return fmt.Errorf("lease %q: no holder has the life %d and a name of %d bytes", c.Lease, c.Holder.Life, len(c.Holder.Name))
 	case c.Op == Acquire && (c.TTL < MinTTL || c.TTL > MaxTTL):
 		return fmt.Errorf("lease %q: a time to live of %v, want %v to %v", c.Lease, c.TTL, MinTTL, MaxTTL)
@@ -71,12 +71,12 @@
 
 // The outcomes.
 const (
-	Granted    Outcome = 1 + iota // held, or held on: Token, TTL
-	Waiting                       // in line: Place
-	Freed                         // released, handed on, ended, or left
-	Refused                       // not held by this life, or not any more
-	Full                          // too many leases, waiters or lives
-	Superseded                    // an End or Drop that something came before
+	Granted      Outcome = 1 + iota // held, or held on: Token, TTL
+	Waiting                         // in line: Place
+	Freed                           // released, handed on, ended, or left
+	Refused                         // not held by this life, or not any more
+	LimitReached                    // too many leases, waiters or lives
+	Superseded                      // an End or Drop that something came before
 )
 
 // Answer is what a command's asker is told.
--- a/internal/fleet/lease/guard.go
+++ b/internal/fleet/lease/guard.go
@@ -80,7 +80,7 @@
 
 // Begin is to be called right before an act: it says whether it may begin, as May does, and books it. The act must be over
 // when it said it would be.
-func (g *Guard) Begin(now, act time.Duration) (token uint64, ok bool) {
+func (g *Guard) BeginAct(now, act time.Duration) (token uint64, ok bool) {
 	token, _, ok = g.CanBegin(now, act)
 	if ok {
 		g.busy = max(g.busy, now+act)
@@ -89,7 +89,7 @@
 }
 
 // End tells that all acts that had begun are over earlier than they might have been.
-func (g *Guard) End(now time.Duration) { g.busy = min(g.busy, now) }
+func (g *Guard) EndActs(now time.Duration) { g.busy = min(g.busy, now) }
 
 // Stopped tells whether the holder has given up what it held last, or was told that it is over.
 func (g *Guard) Stopped() bool { return g.shut }
--- a/internal/fleet/lease/keeper.go
+++ b/internal/fleet/lease/keeper.go
@@ -72,14 +72,14 @@
 	for name, l := range m.leases {
 		seen[name] = true
 		if l.Holder.Life != 0 && over(k.since, name, l.Serial, now, k.terms.given(l.TTL)) {
-			due = append(due, Command{Op: End, Lease: name, Holder: l.Holder, Serial: l.Serial})
+			due = append(due, Command{Op: Expire, Lease: name, Holder: l.Holder, Serial: l.Serial})
 		}
 		for i := range l.Waiters {
 			w := &l.Waiters[i]
 			key := waits{name, w.Holder}
 			waiting[key] = true
 			if over(k.lines, key, w.Serial, now, k.terms.WaiterTimeout) {
-				due = append(due, Command{Op: Drop, Lease: name, Holder: w.Holder, Serial: w.Serial})
+				due = append(due, Command{Op: ExpireWaiter, Lease: name, Holder: w.Holder, Serial: w.Serial})
 			}
 		}
 	}
--- a/internal/fleet/lease/machine.go
+++ b/internal/fleet/lease/machine.go
@@ -58,7 +58,7 @@
 		return Answer{Outcome: Refused, Lease: c.Lease}, nil
 	}
 	switch c.Op {
-	case End, Drop, Force:
+	case Expire, ExpireWaiter, ForceRelease:
 		return m.leader(c), m.grants
 	}
 	s, known := m.sessions[c.Holder]
@@ -71,7 +71,7 @@
 	case !known:
 		s = &session{Holder: c.Holder}
 		if !m.room() {
-			return Answer{Outcome: Full, Lease: c.Lease, Seq: c.Seq}, nil
+			return Answer{Outcome: LimitReached, Lease: c.Lease, Seq: c.Seq}, nil
 		}
 		m.sessions[c.Holder] = s
 	}
@@ -124,7 +124,7 @@
 func (m *StateMachine) acquire(c *Command, l *Lease) Answer {
 	if l == nil {
 		if len(m.leases) >= MaxLeases {
-			return Answer{Outcome: Full, Lease: c.Lease, Seq: c.Seq}
+			return Answer{Outcome: LimitReached, Lease: c.Lease, Seq: c.Seq}
 		}
 		l = &Lease{Name: c.Lease}
 		m.leases[c.Lease] = l
@@ -145,7 +145,7 @@
 	case at >= 0:
 		l.Waiters[at] = w
 	case len(l.Waiters) >= MaxWaiters:
-		return Answer{Outcome: Full, Lease: c.Lease, Seq: c.Seq}
+		return Answer{Outcome: LimitReached, Lease: c.Lease, Seq: c.Seq}
 	default:
 		at = len(l.Waiters)
 		l.Waiters = append(l.Waiters, w)
@@ -166,15 +166,15 @@
 	switch {
 	case l == nil:
 		return void
-	case c.Op == Force:
+	case c.Op == ForceRelease:
 		if l.Holder.Life == 0 || l.Token != c.Token {
 			return void // it is another's by now: a word that comes twice takes it away once
 		}
-	case c.Op == End:
+	case c.Op == Expire:
 		if l.Holder != c.Holder || l.Serial != c.Serial {
 			return void // it was renewed, or is another's by now
 		}
-	case c.Op == Drop:
+	case c.Op == ExpireWaiter:
 		at := l.waiter(c.Holder)
 		if at < 0 || l.Waiters[at].Serial != c.Serial {
 			return void
--- a/internal/fleet/lease/search_test.go
+++ b/internal/fleet/lease/search_test.go
@@ -184,7 +184,7 @@
 
 // apply has the log take a command, and answers go out.
 func (w *world) apply(x *broken, c Command, to int, life uint64) {
-	if x.anyEnd && c.Op == End {
+	if x.anyEnd && c.Op == Expire {
 		if l, ok := w.machine.Lease(c.Lease); ok {
 			c.Serial = l.Serial
 		}
@@ -239,7 +239,7 @@
 	}
 	for i := range w.due {
 		add(fmt.Sprintf("the leader ends what is over (%v)", w.due[i].Op), func(n *world) { n.apply(x, w.due[i], -1, 0) })
-		if c := w.due[i]; c.Op == End && len(w.mail) < b.mail && !slices.ContainsFunc(w.mail, func(m mail) bool { return m.c.Op == End }) {
+		if c := w.due[i]; c.Op == Expire && len(w.mail) < b.mail && !slices.ContainsFunc(w.mail, func(m mail) bool { return m.c.Op == Expire }) {
 			add("the leader proposes an end", func(n *world) { n.mail = append(n.mail, mail{to: -1, c: c}) })
 		}
 	}
@@ -283,7 +283,7 @@
 		// Of bert's acts it is enough that they might begin.
 		if token, _, ok := p.guard.CanBegin(now, act); ok && i == 0 && b.act > 0 && w.acts[i] <= w.now {
 			add(fmt.Sprintf("%s acts under token %d until %d s", p.holder.Name, token, w.now+b.act), func(n *world) {
-				n.procs[i].guard.Begin(now, act)
+				n.procs[i].guard.BeginAct(now, act)
 				n.acts[i] = n.now + b.act
 			})
 		}
@@ -309,7 +309,7 @@
 			if m.to < 0 {
 				to := -1
 				for i := range n.procs {
-					if m.c.Op != End && n.procs[i].holder.Name == m.c.Holder.Name {
+					if m.c.Op != Expire && n.procs[i].holder.Name == m.c.Holder.Name {
 						to = i
 					}
 				}
@@ -348,7 +348,7 @@
 	w.due = w.keeper.Expired(w.clock(b, 2), w.machine)
 	for k := range w.due { // what it has proposed it would wait for
 		c := &w.due[k]
-		if c.Op == End {
+		if c.Op == Expire {
 			x := w.keeper.since[c.Lease]
 			x.told = 0
 			w.keeper.since[c.Lease] = x
--- a/internal/fleet/lease/tenant.go
+++ b/internal/fleet/lease/tenant.go
@@ -127,11 +127,11 @@
 }
 
 // Begin is to be called right before an act, as the guard's is: a token, or false.
-func (t *Client) Begin(now, act time.Duration) (uint64, bool) {
+func (t *Client) BeginAct(now, act time.Duration) (uint64, bool) {
 	if t.phase != Holding {
 		return 0, false
 	}
-	return t.guard.Begin(now, act)
+	return t.guard.BeginAct(now, act)
 }
 
 // May tells how long acts may last at the most that begin now; 0: none may begin.
@@ -144,7 +144,7 @@
 }
 
 // Acted tells that all acts that had begun are over.
-func (t *Client) ActsEnded(now time.Duration) { t.guard.End(now) }
+func (t *Client) ActsEnded(now time.Duration) { t.guard.EndActs(now) }
 
 // Stop gives the lease up, or the wish for it. Once no act lasts any more the machine is told. To may name a waiter that it
 // is to go to, ahead of others in line.
@@ -255,7 +255,7 @@
 		if answers {
 			t.move(Over, t.why)
 		}
-	case Refused, Full:
+	case Refused, LimitReached:
 		if !answers {
 			return
 		}
@@ -264,7 +264,7 @@
 			t.request(now, Command{Op: Release, Token: t.guard.Token()})
 		case t.phase == Releasing:
 			t.move(Over, t.why)
-		case a.Outcome == Full:
+		case a.Outcome == LimitReached:
 			t.move(Over, "the line, or the table of leases, is full")
 		case t.phase == Holding: // the renewal: the machine gave it to another, or an operator took it
 			t.guard.Stop(now)
--- a/internal/fleet/lease/tenant_test.go
+++ b/internal/fleet/lease/tenant_test.go
@@ -68,10 +68,10 @@
 	if until != at+1+x.terms.held(tenantTTL) {
 		t.Fatalf("it lasts until %v, and was asked for at %v", until, at+1)
 	}
-	if _, ok := x.Begin(until-time.Second, 900*time.Millisecond); !ok {
+	if _, ok := x.BeginAct(until-time.Second, 900*time.Millisecond); !ok {
 		t.Fatal("an act within the lease is refused")
 	}
-	if _, ok := x.Begin(until-time.Second, 1100*time.Millisecond); ok {
+	if _, ok := x.BeginAct(until-time.Second, 1100*time.Millisecond); ok {
 		t.Fatal("an act beyond the lease is allowed")
 	}
 	for now := at + time.Second; now <= until; now += 50 * time.Millisecond {
@@ -110,7 +110,7 @@
 // Acts that have begun go before the word that the lease is free.
 func TestTenantWaitsForItsActs(t *testing.T) {
 	x := held(t)
-	if _, ok := x.Begin(time.Hour+1, 2*time.Second); !ok {
+	if _, ok := x.BeginAct(time.Hour+1, 2*time.Second); !ok {
 		t.Fatal(x)
 	}
 	x.Stop(time.Hour+2, Holder{"other", 1, 9})
@@ -167,7 +167,7 @@
 	}
 	y := newTenant(t)
 	c = y.Tick(time.Hour)
-	y.HandleAnswer(time.Hour, Answer{Outcome: Full, Lease: "l", Seq: c.Seq})
+	y.HandleAnswer(time.Hour, Answer{Outcome: LimitReached, Lease: "l", Seq: c.Seq})
 	if y.Phase() != Over {
 		t.Fatal(y)
 	}
@@ -230,7 +230,7 @@
 					x.HandleAnswer(now, a)
 				}
 			case 2:
-				x.Begin(now, time.Duration(rng.IntN(3000))*time.Millisecond)
+				x.BeginAct(now, time.Duration(rng.IntN(3000))*time.Millisecond)
 			case 3:
 				x.RetrySoon(now, uint64(rng.IntN(9)))
 			}
--- a/internal/fleet/leaselog/asking.go
+++ b/internal/fleet/leaselog/asking.go
@@ -10,7 +10,7 @@
 // asked takes a request: the leader puts it into its next entry, another voter passes it on. What only a leader's clock
 // says is no request.
 func (c *Node) asked(m *Message) {
-	if op := m.Command.Command.Op; m.Command.Maintenance == nil && (op == lease.End || op == lease.Drop) {
+	if op := m.Command.Command.Op; m.Command.Maintenance == nil && (op == lease.Expire || op == lease.ExpireWaiter) {
 		return
 	}
 	switch to := c.toLeader(m); {
--- a/internal/fleet/leaselog/code.go
+++ b/internal/fleet/leaselog/code.go
@@ -38,17 +38,17 @@
 func parseSeats(b []byte) (s VoterSet, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			s.Founding = f.X
-		case f.IsNum && f.Num == 2:
-			s.Index = f.X
-		case f.IsNum && f.Num == 4:
-			s.Tokens = f.X
-		case !f.IsNum && f.Num == 3:
+		case f.IsUint && f.Number == 1:
+			s.Founding = f.Uint
+		case f.IsUint && f.Number == 2:
+			s.Index = f.Uint
+		case f.IsUint && f.Number == 4:
+			s.Tokens = f.Uint
+		case !f.IsUint && f.Number == 3:
 			if len(s.Rows) == MaxVoters {
 				return protofields.Errorf("more than %d seats", MaxVoters)
 			}
-			row, err := parseSeat(f.B)
+			row, err := parseSeat(f.Bytes)
 			s.Rows = append(s.Rows, row)
 			return err
 		}
@@ -63,14 +63,14 @@
 func parseSeat(b []byte) (s VoterInfo, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case f.IsNum && f.Num == 1:
-			s.ID = f.X
-		case !f.IsNum && f.Num == 2:
-			s.Name, err = parseName(f.B)
-		case !f.IsNum && f.Num == 3:
-			s.Site, err = parseName(f.B)
-		case !f.IsNum && f.Num == 4:
-			s.Addr, err = parseName(f.B)
+		case f.IsUint && f.Number == 1:
+			s.ID = f.Uint
+		case !f.IsUint && f.Number == 2:
+			s.Name, err = parseName(f.Bytes)
+		case !f.IsUint && f.Number == 3:
+			s.Site, err = parseName(f.Bytes)
+		case !f.IsUint && f.Number == 4:
+			s.Addr, err = parseName(f.Bytes)
 		}
 		return err
 	})
@@ -92,15 +92,15 @@
 func parseItem(b []byte) (i ForwardedCommand, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case !f.IsNum && f.Num == 1:
-			i.Command, err = lease.ParseCommand(f.B)
-		case !f.IsNum && f.Num == 2:
-			i.Origin, err = parseName(f.B)
-		case f.IsNum && f.Num == 3:
-			i.Ref = f.X
-		case !f.IsNum && f.Num == 4:
+		case !f.IsUint && f.Number == 1:
+			i.Command, err = lease.ParseCommand(f.Bytes)
+		case !f.IsUint && f.Number == 2:
+			i.Origin, err = parseName(f.Bytes)
+		case f.IsUint && f.Number == 3:
+			i.Ref = f.Uint
+		case !f.IsUint && f.Number == 4:
 			var c maintenance.Command
-			c, err = maintenance.ParseCommand(f.B)
+			c, err = maintenance.ParseCommand(f.Bytes)
 			i.Maintenance = &c
 		}
 		return err
@@ -110,7 +110,7 @@
 
 func appendVoter(to []byte, m *consensus.Message) ([]byte, error) {
 	to = protofields.AppendUint(protofields.AppendFixed(protofields.AppendFixed(to, 1, m.From), 2, m.To), 3, m.Boot)
-	to = protofields.AppendUint(protofields.AppendBool(to, 4, m.Hello), 5, m.Known)
+	to = protofields.AppendUint(protofields.AppendBool(to, 4, m.BootQuery), 5, m.KnownBoot)
 	if m.Raft == nil {
 		return to, nil
 	}
@@ -122,19 +122,19 @@
 	m := &consensus.Message{}
 	err := protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			m.From = f.X
-		case f.IsNum && f.Num == 2:
-			m.To = f.X
-		case f.IsNum && f.Num == 3:
-			m.Boot = f.X
-		case f.IsNum && f.Num == 4:
-			m.Hello = f.X != 0
-		case f.IsNum && f.Num == 5:
-			m.Known = f.X
-		case !f.IsNum && f.Num == 6:
+		case f.IsUint && f.Number == 1:
+			m.From = f.Uint
+		case f.IsUint && f.Number == 2:
+			m.To = f.Uint
+		case f.IsUint && f.Number == 3:
+			m.Boot = f.Uint
+		case f.IsUint && f.Number == 4:
+			m.BootQuery = f.Uint != 0
+		case f.IsUint && f.Number == 5:
+			m.KnownBoot = f.Uint
+		case !f.IsUint && f.Number == 6:
 			m.Raft = &raftpb.Message{}
-			if err := proto.Unmarshal(f.B, m.Raft); err != nil {
+			if err := proto.Unmarshal(f.Bytes, m.Raft); err != nil {
 				return protofields.Errorf("a voter's message: %v", err)
 			}
 			for _, e := range m.Raft.GetEntries() {
@@ -159,7 +159,7 @@
 	to = protofields.AppendFixed(to, 4, m.Life)
 	to = protofields.AppendUint(protofields.AppendUint(to, 5, m.Seq), 6, m.Ref)
 	to = protofields.AppendString(to, 7, m.Origin)
-	to = protofields.AppendBool(protofields.AppendFixed(protofields.AppendFixed(to, 8, m.ID), 9, m.Founding), 10, m.Begin)
+	to = protofields.AppendBool(protofields.AppendFixed(protofields.AppendFixed(to, 8, m.ID), 9, m.Founding), 10, m.StartVoter)
 	to = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(to, 11, m.Term), 12, uint64(m.Page)), 13, uint64(m.Pages))
 	to = protofields.AppendBool(protofields.AppendString(to, 19, m.Addr), 22, m.Settled)
 	if m.VoterSet != nil {
@@ -194,42 +194,42 @@
 func ParseMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	err := protofields.ForEach(b, func(f protofields.Field) (err error) {
-		if f.IsNum {
+		if f.IsUint {
 			return m.number(f)
 		}
-		switch f.Num {
+		switch f.Number {
 		case 2:
-			m.From, err = parseName(f.B)
+			m.From, err = parseName(f.Bytes)
 		case 7:
-			m.Origin, err = parseName(f.B)
+			m.Origin, err = parseName(f.Bytes)
 		case 19:
-			m.Addr, err = parseName(f.B)
+			m.Addr, err = parseName(f.Bytes)
 		case 14:
 			var s VoterSet
-			s, err = parseSeats(f.B)
+			s, err = parseSeats(f.Bytes)
 			m.VoterSet = &s
 		case 15:
-			m.Voter, err = parseVoter(f.B)
+			m.Voter, err = parseVoter(f.Bytes)
 		case 16:
 			var i ForwardedCommand
-			i, err = parseItem(f.B)
+			i, err = parseItem(f.Bytes)
 			m.Command = &i
 		case 17:
 			var a lease.Answer
-			a, err = lease.ParseAnswer(f.B)
+			a, err = lease.ParseAnswer(f.Bytes)
 			m.Answer = &a
 		case 20:
 			var a maintenance.Answer
-			a, err = maintenance.ParseAnswer(f.B)
+			a, err = maintenance.ParseAnswer(f.Bytes)
 			m.MaintenanceAnswer = &a
 		case 21:
-			m.MaintenanceTable = append([]byte(nil), f.B...)
+			m.MaintenanceTable = append([]byte(nil), f.Bytes...)
 		case 18:
 			if len(m.Leases) == mostListed {
 				return protofields.Errorf("more than %d leases in a message", mostListed)
 			}
 			var l lease.Lease
-			l, err = lease.ParseLease(f.B)
+			l, err = lease.ParseLease(f.Bytes)
 			m.Leases = append(m.Leases, l)
 		}
 		return err
@@ -245,36 +245,36 @@
 
 func (m *Message) number(f protofields.Field) error {
 	small := func(to *int, most uint64) error {
-		if f.X > most {
-			return protofields.Errorf("field %d is %d, at most %d", f.Num, f.X, most)
+		if f.Uint > most {
+			return protofields.Errorf("field %d is %d, at most %d", f.Number, f.Uint, most)
 		}
-		*to = int(f.X)
+		*to = int(f.Uint)
 		return nil
 	}
-	switch f.Num {
+	switch f.Number {
 	case 1:
-		if f.X > uint64(MaintenanceReply) {
-			return protofields.Errorf("kind %d", f.X)
+		if f.Uint > uint64(MaintenanceReply) {
+			return protofields.Errorf("kind %d", f.Uint)
 		}
-		m.Kind = Kind(f.X)
+		m.Kind = Kind(f.Uint)
 	case 3:
 		return small(&m.Hops, mostHops)
 	case 4:
-		m.Life = f.X
+		m.Life = f.Uint
 	case 5:
-		m.Seq = f.X
+		m.Seq = f.Uint
 	case 6:
-		m.Ref = f.X
+		m.Ref = f.Uint
 	case 8:
-		m.ID = f.X
+		m.ID = f.Uint
 	case 9:
-		m.Founding = f.X
+		m.Founding = f.Uint
 	case 10:
-		m.Begin = f.X != 0
+		m.StartVoter = f.Uint != 0
 	case 22:
-		m.Settled = f.X != 0
+		m.Settled = f.Uint != 0
 	case 11:
-		m.Term = f.X
+		m.Term = f.Uint
 	case 12:
 		return small(&m.Page, lease.MaxLeases)
 	case 13:
@@ -344,21 +344,21 @@
 func parseEntry(b []byte) (e entry, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 3:
-			e.Level = f.X
-		case !f.IsNum && f.Num == 1:
-			i, err := parseItem(f.B)
+		case f.IsUint && f.Number == 3:
+			e.Level = f.Uint
+		case !f.IsUint && f.Number == 1:
+			i, err := parseItem(f.Bytes)
 			e.Items = append(e.Items, i)
 			return err
-		case !f.IsNum && f.Num == 2:
+		case !f.IsUint && f.Number == 2:
 			c := change{}
 			e.Change = &c
-			return protofields.ForEach(f.B, func(f protofields.Field) (err error) {
+			return protofields.ForEach(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
-				case f.IsNum && f.Num == 1:
-					c.Out = f.X
-				case !f.IsNum && f.Num == 2:
-					c.In, err = parseSeat(f.B)
+				case f.IsUint && f.Number == 1:
+					c.Out = f.Uint
+				case !f.IsUint && f.Number == 2:
+					c.In, err = parseSeat(f.Bytes)
 				}
 				return err
 			})
@@ -378,12 +378,12 @@
 	t = maintenance.NewTable()
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case !f.IsNum && f.Num == 1:
-			seats, err = parseSeats(f.B)
-		case !f.IsNum && f.Num == 2:
-			s, err = lease.ParseSnapshot(f.B)
-		case !f.IsNum && f.Num == 3:
-			t, err = maintenance.ParseTable(f.B)
+		case !f.IsUint && f.Number == 1:
+			seats, err = parseSeats(f.Bytes)
+		case !f.IsUint && f.Number == 2:
+			s, err = lease.ParseSnapshot(f.Bytes)
+		case !f.IsUint && f.Number == 3:
+			t, err = maintenance.ParseTable(f.Bytes)
 		}
 		return err
 	})
@@ -410,10 +410,10 @@
 func parseNote(b []byte) (n note, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case f.IsNum && f.Num == 1:
-			n.Pledged = f.X
-		case !f.IsNum && f.Num == 2:
-			n.Seats, err = parseSeats(f.B)
+		case f.IsUint && f.Number == 1:
+			n.Pledged = f.Uint
+		case !f.IsUint && f.Number == 2:
+			n.Seats, err = parseSeats(f.Bytes)
 		}
 		return err
 	})
--- a/internal/fleet/leaselog/code_test.go
+++ b/internal/fleet/leaselog/code_test.go
@@ -18,14 +18,14 @@
 	seats := &VoterSet{Founding: 9, Index: 4, Tokens: 77, Rows: []VoterInfo{{1, "a", "x", "127.0.0.1:1"}, {2, "b", "", ""}}}
 	kind := raftpb.MsgApp
 	return []*Message{
-		{Kind: RaftMessage, From: "a", Addr: "127.0.0.1:2", Voter: &consensus.Message{From: 1, To: 2, Boot: 5, Hello: true, Known: 4}},
+		{Kind: RaftMessage, From: "a", Addr: "127.0.0.1:2", Voter: &consensus.Message{From: 1, To: 2, Boot: 5, BootQuery: true, KnownBoot: 4}},
 		{Kind: RaftMessage, From: "a", Voter: &consensus.Message{From: 1, To: 2, Boot: 5, Raft: &raftpb.Message{
 			Type: &kind, From: proto.Uint64(1), To: proto.Uint64(2), Entries: []*raftpb.Entry{{Index: proto.Uint64(7), Data: []byte("x")}},
 		}}},
 		{Kind: SubmitCommand, From: "a", Hops: 2, Command: &ForwardedCommand{Command: lease.Command{Op: lease.Transfer, Lease: "l", Holder: h, Seq: 8, Token: 9, TTL: time.Second, To: h}, Origin: "a", Ref: 5}},
 		{Kind: CommandAnswer, From: "a", Life: 5, Ref: 6, Answer: &lease.Answer{Outcome: lease.Waiting, Lease: "l", Place: 3, Seq: 8}},
 		{Kind: CannotServe, From: "a", Life: 5, Seq: 7, VoterSet: seats},
-		{Kind: VotersKnown, From: "a", Begin: true, Founding: 9, VoterSet: seats},
+		{Kind: VotersKnown, From: "a", StartVoter: true, Founding: 9, VoterSet: seats},
 		{Kind: ReplacementVoter, From: "a", Founding: 9, ID: 5},
 		{Kind: QueryLeases, From: "a", Origin: "b", Ref: 4},
 		{Kind: MaintenanceReply, From: "a", Ref: 4, MaintenanceAnswer: &maintenance.Answer{Reason: "no", Run: 3}, MaintenanceTable: []byte("t")},
--- a/internal/fleet/leaselog/council.go
+++ b/internal/fleet/leaselog/council.go
@@ -14,7 +14,7 @@
 // Settings are what a council goes by. Terms, Agree and ReplaceAfter must be the same at all nodes of a fleet.
 type Settings struct {
 	Name, Site   string
-	Terms        lease.Timing
+	Timing       lease.Timing
 	Consensus    consensus.Settings
 	ReplaceAfter time.Duration // a voter out of the members' view for so long loses its seat; 0: 5 min
 	CompactEvery int           // commands between two snapshots; 0: 2,000
@@ -54,9 +54,9 @@
 
 // Saving is what must be on disk before the council goes on.
 type PendingSave struct {
-	Begin *consensus.PersistentState // all that there was gives way to this; nil: it stays
-	Save  consensus.Update
-	Note  []byte // nil: as it was
+	NewState *consensus.PersistentState // all that there was gives way to this; nil: it stays
+	Update   consensus.Update
+	UserData []byte // nil: as it was
 }
 
 // Council is one node's part.
@@ -119,7 +119,7 @@
 	if set.CompactEvery <= 0 {
 		set.CompactEvery = usualCompact
 	}
-	set.Terms = set.Terms.Default()
+	set.Timing = set.Timing.Default()
 	c := &Node{
 		set: set, now: now, rng: rand.New(rand.NewPCG(seed, 0xc0c)), machine: lease.NewStateMachine(), table: maintenance.NewTable(), members: map[string]Member{},
 		heard: map[uint64]string{}, absent: map[string]time.Duration{}, newcomers: map[string]newcomer{}, offers: map[string]*offer{},
@@ -266,8 +266,8 @@
 		return
 	}
 	c.saving, c.taken = nil, false
-	if s.Begin != nil {
-		c.begun(s.Begin)
+	if s.NewState != nil {
+		c.begun(s.NewState)
 	} else if w := c.work; w != nil {
 		c.work = nil
 		c.finish(w)
@@ -320,7 +320,7 @@
 		return false
 	}
 	if c.begin != nil {
-		c.saving = &PendingSave{Begin: c.begin, Note: appendNote(nil, &c.note)}
+		c.saving = &PendingSave{NewState: c.begin, UserData: appendNote(nil, &c.note)}
 		c.begin, c.noteDirty = nil, false
 		return false
 	}
@@ -336,14 +336,14 @@
 				return true
 			}
 			c.work = &w
-			c.saving = &PendingSave{Save: w.Update}
+			c.saving = &PendingSave{Update: w.Update}
 		}
 	}
 	if c.noteDirty {
 		if c.saving == nil {
 			c.saving = &PendingSave{}
 		}
-		c.saving.Note, c.noteDirty = appendNote(nil, &c.note), false
+		c.saving.UserData, c.noteDirty = appendNote(nil, &c.note), false
 	}
 	return false
 }
@@ -490,7 +490,7 @@
 		return
 	}
 	if c.keeper == nil || c.term != term {
-		c.keeper, c.term = lease.NewExpiryTracker(c.set.Terms), term
+		c.keeper, c.term = lease.NewExpiryTracker(c.set.Timing), term
 		clear(c.absent)
 		clear(c.offers)
 		c.decided = c.now
--- a/internal/fleet/leaselog/council_test.go
+++ b/internal/fleet/leaselog/council_test.go
@@ -64,15 +64,15 @@
 			c := f.up[n]
 			if s := c.TakeSave(); s != nil {
 				more = true
-				if s.Begin != nil {
-					d := s.Begin.Clone()
+				if s.NewState != nil {
+					d := s.NewState.Clone()
 					f.disks[n] = &d
 				}
-				f.entries += len(s.Save.Entries)
+				f.entries += len(s.Update.Entries)
 				if !f.hangs[n] {
-					f.disks[n].Apply(&s.Save)
-					if s.Note != nil {
-						f.notes[n] = s.Note
+					f.disks[n].Apply(&s.Update)
+					if s.UserData != nil {
+						f.notes[n] = s.UserData
 					}
 					c.Saved(f.now)
 				}
@@ -355,7 +355,7 @@
 	for life := range uint64(3) {
 		f.ask("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", life+1), Seq: 1, TTL: time.Hour})
 	}
-	force := lease.Command{Op: lease.Force, Lease: "l", Token: 1}
+	force := lease.Command{Op: lease.ForceRelease, Lease: "l", Token: 1}
 	for ref := range uint64(2) {
 		f.up["n1"].SendLeaseCommand(f.now, force, ref+7, 0)
 		f.run(300 * time.Millisecond)
@@ -372,7 +372,7 @@
 	f.ask("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 1), Seq: 1, TTL: time.Hour})
 	l, _ := f.leader().machine.Lease("l")
 	for try := range 3 {
-		f.up["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.End, Lease: "l", Holder: l.Holder, Serial: l.Serial}, 0, try)
+		f.up["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.Expire, Lease: "l", Holder: l.Holder, Serial: l.Serial}, 0, try)
 	}
 	f.run(time.Second)
 	if l, _ := f.leader().machine.Lease("l"); l.Holder.Life != 1 {
--- a/internal/fleet/leaselog/found.go
+++ b/internal/fleet/leaselog/found.go
@@ -108,7 +108,7 @@
 	if f.other != nil && f.step < 2 { // that one may have ended half way: it is brought to its end
 		for _, r := range f.other.Rows {
 			s := f.other.clone()
-			c.send(r.Name, &Message{Kind: VotersKnown, VoterSet: &s, Begin: true})
+			c.send(r.Name, &Message{Kind: VotersKnown, VoterSet: &s, StartVoter: true})
 		}
 		f.seats = *f.other
 		c.ended(fmt.Errorf("there are voters already: %s", f.other.names()))
@@ -194,7 +194,7 @@
 		if !f.begun[name] {
 			silent = append(silent, name)
 			s := f.seats.clone()
-			c.send(name, &Message{Kind: VotersKnown, VoterSet: &s, Begin: true, Founding: f.id})
+			c.send(name, &Message{Kind: VotersKnown, VoterSet: &s, StartVoter: true, Founding: f.id})
 		}
 	}
 	switch {
--- a/internal/fleet/leaselog/message.go
+++ b/internal/fleet/leaselog/message.go
@@ -47,7 +47,7 @@
 	Origin            string // List: who is to be answered
 	ID                uint64
 	Founding          uint64
-	Begin             bool
+	StartVoter        bool
 	Settled           bool   // Seated: the sender votes, and those who vote are those who have the seats
 	Term              uint64 // Listed
 	Page              int    // Listed, from 0
--- a/internal/fleet/leaselog/standing.go
+++ b/internal/fleet/leaselog/standing.go
@@ -32,14 +32,14 @@
 
 // Mark is what of a standing is worth a look when it changes; it costs nothing to take.
 type StatusSummary struct {
-	Leads, Hung, Conflict bool
-	ID, Index             uint64 // this node's number, and the log's at the last change of seats
-	Broken                bool
+	IsLeader, DiskHung, Conflict bool
+	ID, Index                    uint64 // this node's number, and the log's at the last change of seats
+	Broken                       bool
 }
 
 // Mark is the present one.
 func (c *Node) StatusSummary() StatusSummary {
-	m := StatusSummary{Leads: c.IsLeader(), Hung: c.hung(), Conflict: c.conflict, Index: c.note.Seats.Index, Broken: c.broken != nil}
+	m := StatusSummary{IsLeader: c.IsLeader(), DiskHung: c.hung(), Conflict: c.conflict, Index: c.note.Seats.Index, Broken: c.broken != nil}
 	if c.voter != nil {
 		m.ID = c.voter.ID()
 	}
--- a/internal/fleet/leaselog/voters.go
+++ b/internal/fleet/leaselog/voters.go
@@ -67,7 +67,7 @@
 		f.heard(m)
 	}
 	c.learn(*m.VoterSet)
-	if m.Begin {
+	if m.StartVoter {
 		c.beginFrom(m)
 		return
 	}
--- a/internal/fleet/maintenance/code.go
+++ b/internal/fleet/maintenance/code.go
@@ -37,14 +37,14 @@
 func parseMachine(b []byte) (m Machine, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
-		case !f.IsNum && f.Num == 1:
-			m.Name, err = text(f.B)
-		case !f.IsNum && f.Num == 2:
-			m.Site, err = text(f.B)
-		case !f.IsNum && f.Num == 3:
-			m.Rack, err = text(f.B)
-		case f.IsNum && f.Num == 4:
-			m.RackSize, err = small(f.X, 1<<20)
+		case !f.IsUint && f.Number == 1:
+			m.Name, err = text(f.Bytes)
+		case !f.IsUint && f.Number == 2:
+			m.Site, err = text(f.Bytes)
+		case !f.IsUint && f.Number == 3:
+			m.Rack, err = text(f.Bytes)
+		case f.IsUint && f.Number == 4:
+			m.RackSize, err = small(f.Uint, 1<<20)
 		}
 		return err
 	})
@@ -53,50 +53,50 @@
 
 func appendWish(to []byte, w *Request) []byte {
 	to = protofields.AppendBytes(to, 1, appendMachine(nil, &w.Machine))
-	to = protofields.AppendString(protofields.AppendString(to, 2, w.By), 3, w.Why)
-	to = protofields.AppendUint(protofields.AppendUint(to, 4, uint64(w.Length)), 5, uint64(w.Deadline))
-	to = protofields.AppendUint(protofields.AppendBool(to, 6, w.Urgent), 7, uint64(w.Asked))
+	to = protofields.AppendString(protofields.AppendString(to, 2, w.RequestedBy), 3, w.Purpose)
+	to = protofields.AppendUint(protofields.AppendUint(to, 4, uint64(w.Duration)), 5, uint64(w.Deadline))
+	to = protofields.AppendUint(protofields.AppendBool(to, 6, w.Urgent), 7, uint64(w.RequestedAt))
 	to = protofields.AppendUint(protofields.AppendUint(to, 8, uint64(w.State)), 9, uint64(w.Since))
-	to = protofields.AppendUint(protofields.AppendUint(to, 10, w.Serial), 11, w.Run)
-	return protofields.AppendString(protofields.AppendString(to, 12, w.Failed), 13, w.Reason)
+	to = protofields.AppendUint(protofields.AppendUint(to, 10, w.Serial), 11, w.HookRun)
+	return protofields.AppendString(protofields.AppendString(to, 12, w.HookError), 13, w.Reason)
 }
 
 func parseWish(b []byte) (w Request, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
-		if f.IsNum {
-			switch f.Num {
+		if f.IsUint {
+			switch f.Number {
 			case 4:
-				w.Length, err = span(f.X)
+				w.Duration, err = span(f.Uint)
 			case 5:
-				w.Deadline, err = span(f.X)
+				w.Deadline, err = span(f.Uint)
 			case 6:
-				w.Urgent = f.X != 0
+				w.Urgent = f.Uint != 0
 			case 7:
-				w.Asked, err = span(f.X)
+				w.RequestedAt, err = span(f.Uint)
 			case 8:
 				var n int
-				n, err = small(f.X, uint64(Cancelled))
+				n, err = small(f.Uint, uint64(Cancelled))
 				w.State = State(n)
 			case 9:
-				w.Since, err = span(f.X)
+				w.Since, err = span(f.Uint)
 			case 10:
-				w.Serial = f.X
+				w.Serial = f.Uint
 			case 11:
-				w.Run = f.X
+				w.HookRun = f.Uint
 			}
 			return err
 		}
-		switch f.Num {
+		switch f.Number {
 		case 1:
-			w.Machine, err = parseMachine(f.B)
+			w.Machine, err = parseMachine(f.Bytes)
 		case 2:
-			w.By, err = text(f.B)
+			w.RequestedBy, err = text(f.Bytes)
 		case 3:
-			w.Why, err = text(f.B)
+			w.Purpose, err = text(f.Bytes)
 		case 12:
-			w.Failed, err = text(f.B)
+			w.HookError, err = text(f.Bytes)
 		case 13:
-			w.Reason, err = text(f.B)
+			w.Reason, err = text(f.Bytes)
 		}
 		return err
 	})
@@ -126,9 +126,9 @@
 
 func parseLimits(b []byte) (l Limits, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
-		to := map[protowire.Number]*int{1: &l.All, 2: &l.Site, 3: &l.Rack}[f.Num]
-		if f.IsNum && to != nil {
-			*to, err = small(f.X, 1<<20)
+		to := map[protowire.Number]*int{1: &l.All, 2: &l.Site, 3: &l.Rack}[f.Number]
+		if f.IsUint && to != nil {
+			*to, err = small(f.Uint, 1<<20)
 		}
 		return err
 	})
@@ -138,45 +138,45 @@
 // ParseCommand reads a command. It checks the form alone: what makes no sense is the table's to refuse.
 func ParseCommand(b []byte) (c Command, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
-		if f.IsNum {
+		if f.IsUint {
 			var n int
-			switch f.Num {
+			switch f.Number {
 			case 1:
-				n, err = small(f.X, 255)
+				n, err = small(f.Uint, 255)
 				c.Op = Op(n)
 			case 3:
-				c.Serial = f.X
+				c.Serial = f.Uint
 			case 4:
-				n, err = small(f.X, uint64(Cancelled))
+				n, err = small(f.Uint, uint64(Cancelled))
 				c.To = State(n)
 			case 7:
-				c.Elapsed, err = span(f.X)
+				c.Elapsed, err = span(f.Uint)
 			}
 			return err
 		}
-		switch f.Num {
+		switch f.Number {
 		case 2:
-			c.Machine, err = text(f.B)
+			c.Machine, err = text(f.Bytes)
 		case 5:
 			if len(c.Requests) == MaxRequests {
 				return protofields.Errorf("more than %d wishes", MaxRequests)
 			}
 			var w Request
-			w, err = parseWish(f.B)
+			w, err = parseWish(f.Bytes)
 			c.Requests = append(c.Requests, w)
 		case 6:
-			c.Limits, err = parseLimits(f.B)
+			c.Limits, err = parseLimits(f.Bytes)
 		case 8:
 			if len(c.Lost) == MaxLost {
 				return protofields.Errorf("more than %d machines lost", MaxLost)
 			}
 			var m Machine
-			m, err = parseMachine(f.B)
+			m, err = parseMachine(f.Bytes)
 			c.Lost = append(c.Lost, m)
 		case 9:
-			c.By, err = text(f.B)
+			c.By, err = text(f.Bytes)
 		case 10:
-			c.Reason, err = text(f.B)
+			c.Reason, err = text(f.Bytes)
 		}
 		return err
 	})
@@ -207,37 +207,37 @@
 func ParseTable(b []byte) (*Table, error) {
 	t := NewTable()
 	err := protofields.ForEach(b, func(f protofields.Field) (err error) {
-		if f.IsNum {
-			switch f.Num {
+		if f.IsUint {
+			switch f.Number {
 			case 1:
-				t.now, err = span(f.X)
+				t.now, err = span(f.Uint)
 			case 2:
-				t.serials = f.X
+				t.serials = f.Uint
 			case 3:
-				t.runs = f.X
+				t.runs = f.Uint
 			}
 			return err
 		}
-		switch f.Num {
+		switch f.Number {
 		case 4:
-			t.held, err = text(f.B)
+			t.held, err = text(f.Bytes)
 		case 5:
-			t.limits, err = parseLimits(f.B)
+			t.limits, err = parseLimits(f.Bytes)
 		case 6:
 			var w Request
-			if w, err = parseWish(f.B); err == nil && (w.Name == "" || w.State == 0 || len(t.wishes) > MaxRequests+mostHistory) {
+			if w, err = parseWish(f.Bytes); err == nil && (w.Name == "" || w.State == 0 || len(t.wishes) > MaxRequests+mostHistory) {
 				err = protofields.Errorf("a wish that is none")
 			}
 			t.wishes[w.Name] = &w
 		case 7:
 			var m Machine
-			m, err = parseMachine(f.B)
+			m, err = parseMachine(f.Bytes)
 			if t.lost = append(t.lost, m); len(t.lost) > MaxLost {
 				err = protofields.Errorf("more than %d machines lost", MaxLost)
 			}
 		case 8:
 			var e Event
-			if e, err = parseEvent(f.B); len(t.history) < mostHistory {
+			if e, err = parseEvent(f.Bytes); len(t.history) < mostHistory {
 				t.history = append(t.history, e)
 			}
 		}
@@ -254,20 +254,20 @@
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		var n int
 		switch {
-		case f.IsNum && f.Num == 1:
-			e.At, err = span(f.X)
-		case f.IsNum && f.Num == 3:
-			n, err = small(f.X, uint64(Cancelled))
+		case f.IsUint && f.Number == 1:
+			e.At, err = span(f.Uint)
+		case f.IsUint && f.Number == 3:
+			n, err = small(f.Uint, uint64(Cancelled))
 			e.From = State(n)
-		case f.IsNum && f.Num == 4:
-			n, err = small(f.X, uint64(Cancelled))
+		case f.IsUint && f.Number == 4:
+			n, err = small(f.Uint, uint64(Cancelled))
 			e.To = State(n)
-		case !f.IsNum && f.Num == 2:
-			e.Machine, err = text(f.B)
-		case !f.IsNum && f.Num == 5:
-			e.By, err = text(f.B)
-		case !f.IsNum && f.Num == 6:
-			e.Reason, err = text(f.B)
+		case !f.IsUint && f.Number == 2:
+			e.Machine, err = text(f.Bytes)
+		case !f.IsUint && f.Number == 5:
+			e.By, err = text(f.Bytes)
+		case !f.IsUint && f.Number == 6:
+			e.Reason, err = text(f.Bytes)
 		}
 		return err
 	})
@@ -283,12 +283,12 @@
 func ParseAnswer(b []byte) (a Answer, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			a.Done = f.X != 0
-		case !f.IsNum && f.Num == 2:
-			a.Reason = string(f.B)
-		case f.IsNum && f.Num == 3:
-			a.Run = f.X
+		case f.IsUint && f.Number == 1:
+			a.Done = f.Uint != 0
+		case !f.IsUint && f.Number == 2:
+			a.Reason = string(f.Bytes)
+		case f.IsUint && f.Number == 3:
+			a.Run = f.Uint
 		}
 		return nil
 	})
--- a/internal/fleet/maintenance/code_test.go
+++ b/internal/fleet/maintenance/code_test.go
@@ -10,7 +10,7 @@
 
 func TestFormsAreReadAsWritten(t *testing.T) {
 	c := Command{Op: AddRequests, Machine: "m", Serial: 7, To: OutOfService, By: "who", Reason: "why", Elapsed: time.Second, Limits: Limits{9, 3, 1},
-		Requests: []Request{{Machine: Machine{"a", "s", "r", 4}, Why: "disk", Length: time.Hour, Deadline: 8 * time.Hour, Urgent: true}}, Lost: []Machine{{"b", "s", "", 0}}}
+		Requests: []Request{{Machine: Machine{"a", "s", "r", 4}, Purpose: "disk", Duration: time.Hour, Deadline: 8 * time.Hour, Urgent: true}}, Lost: []Machine{{"b", "s", "", 0}}}
 	if d, err := ParseCommand(AppendCommand(nil, &c)); err != nil || !reflect.DeepEqual(c, d) {
 		t.Errorf("%+v\nis read as\n%+v: %v", c, d, err)
 	}
@@ -31,7 +31,7 @@
 func FuzzForms(f *testing.F) {
 	f.Add(AppendCommand(nil, &Command{Op: ReportObservations, Elapsed: time.Hour, Lost: []Machine{{"b", "s", "r", 2}}}))
 	t := NewTable()
-	t.Apply(&Command{Op: AddRequests, Requests: []Request{{Machine: Machine{"a", "s", "r", 4}, Length: time.Hour}}}, nil)
+	t.Apply(&Command{Op: AddRequests, Requests: []Request{{Machine: Machine{"a", "s", "r", 4}, Duration: time.Hour}}}, nil)
 	f.Add(AppendTable(nil, t))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		table, err := ParseTable(b)
--- a/internal/fleet/maintenance/night_test.go
+++ b/internal/fleet/maintenance/night_test.go
@@ -97,14 +97,14 @@
 
 // facts are what the nodes would tell, and how the fleet is served in this step.
 func (n *night) facts() *Observations {
-	f := &Observations{Machines: map[string]MachineFacts{}, Sites: map[string]SiteFacts{}, Discovery: true, Majority: true}
+	f := &Observations{Machines: map[string]MachineFacts{}, Sites: map[string]SiteFacts{}, DiscoveryUp: true, HasMajority: true}
 	room := map[string]float64{}
 	for _, m := range n.machines {
 		x := n.carries(m)
 		room[m.Site] += x
 		f.Machines[m.Name] = MachineFacts{
 			Machine: m.Machine, Alive: n.alive(m) && !m.out, Ready: n.alive(m) && !m.out && n.now >= m.ready, Capacity: m.room,
-			Share: x / m.room, Served: max(0, n.now-m.ready),
+			ServedShare: x / m.room, ServedShareFor: max(0, n.now-m.ready),
 		}
 	}
 	out := 0
@@ -133,7 +133,7 @@
 			n.served, n.asked = n.served+need*share, n.asked+need
 			n.worst = min(n.worst, share)
 		}
-		f.Sites[site] = SiteFacts{Need: n.peak[site], Worth: share, Usual: 1, Spread: 0.002, Lost: lost}
+		f.Sites[site] = SiteFacts{RequiredCapacity: n.peak[site], Worth: share, UsualWorth: 1, WorthSpread: 0.002, Lost: lost}
 	}
 	return f
 }
@@ -160,7 +160,7 @@
 	t.Apply(&Command{Op: SetLimits, Limits: limits}, nil)
 	var wishes []Request
 	for _, m := range n.machines {
-		wishes = append(wishes, Request{Machine: m.Machine, Why: "kernel", Length: nightWork})
+		wishes = append(wishes, Request{Machine: m.Machine, Purpose: "kernel", Duration: nightWork})
 	}
 	t.Apply(&Command{Op: AddRequests, By: "night", Requests: wishes}, nil)
 	var p *Planner
--- a/internal/fleet/maintenance/planner.go
+++ b/internal/fleet/maintenance/planner.go
@@ -13,30 +13,30 @@
 // Fact is what a machine tells of itself, or is told of it.
 type MachineFacts struct {
 	Machine
-	Alive    bool    // in the members' view, or on discovery's list
-	Ready    bool    // it takes requests
-	Capacity float64 // requests a second that it can carry when warm
-	Share    float64 // of its fair share of the site's requests that it has served of late, from 0
-	Served   time.Duration
+	Alive          bool    // in the members' view, or on discovery's list
+	Ready          bool    // it takes requests
+	Capacity       float64 // requests a second that it can carry when warm
+	ServedShare    float64 // of its fair share of the site's requests that it has served of late, from 0
+	ServedShareFor time.Duration
 }
 
 // SiteFact is what is known of a site.
 type SiteFacts struct {
-	Need   float64 // requests a second that it must bear: its recent peak, and that of the day before, as a storm comes at any hour
-	Worth  float64 // share of the worth asked for that is served now
-	Usual  float64 // the recent mean of that ...
-	Spread float64 // ... and its spread
-	Lost   bool    // most of it is gone, or cut off
+	RequiredCapacity float64 // requests a second that it must bear: its recent peak, and that of the day before, as a storm comes at any hour
+	Worth            float64 // share of the worth asked for that is served now
+	UsualWorth       float64 // the recent mean of that ...
+	WorthSpread      float64 // ... and its spread
+	Lost             bool    // most of it is gone, or cut off
 }
 
 // Facts are what a coordinator has seen.
 type Observations struct {
-	Machines  map[string]MachineFacts
-	Sites     map[string]SiteFacts
-	Crashes   int  // machines that have gone by themselves in the last two minutes
-	Discovery bool // it answers
-	Majority  bool // the members' view has one
-	Voters    []string
+	Machines    map[string]MachineFacts
+	Sites       map[string]SiteFacts
+	Crashes     int  // machines that have gone by themselves in the last two minutes
+	DiscoveryUp bool // it answers
+	HasMajority bool // the members' view has one
+	Voters      []string
 }
 
 // Rules are what a planner goes by. The zero value of each field stands for its default.
@@ -47,14 +47,14 @@
 	WarmPeriod        time.Duration // that a machine must have served its share for; 30 s
 	ColdCapacity      float64       // of a machine's room while it is cold; 0.4
 	DrainTimeout      time.Duration // that a machine may drain for before it is told; 1 min
-	Patience          time.Duration // a wish that has waited for so long keeps room from later ones; 30 min
-	Crashes           int           // that stop everything; 2
+	ReserveAfter      time.Duration // a wish that has waited for so long keeps room from later ones; 30 min
+	CrashLimit        int           // that stop everything; 2
 }
 
 func (r Rules) withDefaults() Rules {
 	r.SpareCapacity, r.AdmissionInterval, r.CalmPeriod = cmp.Or(r.SpareCapacity, 0.1), cmp.Or(r.AdmissionInterval, 20*time.Second), cmp.Or(r.CalmPeriod, 2*time.Minute)
 	r.WarmPeriod, r.ColdCapacity, r.DrainTimeout = cmp.Or(r.WarmPeriod, 30*time.Second), cmp.Or(r.ColdCapacity, 0.4), cmp.Or(r.DrainTimeout, time.Minute)
-	r.Patience, r.Crashes = cmp.Or(r.Patience, 30*time.Minute), cmp.Or(r.Crashes, 2)
+	r.ReserveAfter, r.CrashLimit = cmp.Or(r.ReserveAfter, 30*time.Minute), cmp.Or(r.CrashLimit, 2)
 	return r
 }
 
@@ -122,11 +122,11 @@
 	}
 	slices.Sort(sites)
 	switch {
-	case !f.Majority:
+	case !f.HasMajority:
 		return "the members' view has no majority"
-	case !f.Discovery:
+	case !f.DiscoveryUp:
 		return "discovery does not answer"
-	case f.Crashes >= p.rules.Crashes:
+	case f.Crashes >= p.rules.CrashLimit:
 		return fmt.Sprintf("%d machines have gone by themselves within two minutes", f.Crashes)
 	}
 	for _, s := range sites {
@@ -134,8 +134,8 @@
 		if x.Lost {
 			return fmt.Sprintf("site %s is lost", s)
 		}
-		if x.Usual > 0 && x.Worth < x.Usual-max(3*x.Spread, 0.01) {
-			return fmt.Sprintf("site %s serves %.3f of its worth, usually %.3f", s, x.Worth, x.Usual)
+		if x.UsualWorth > 0 && x.Worth < x.UsualWorth-max(3*x.WorthSpread, 0.01) {
+			return fmt.Sprintf("site %s serves %.3f of its worth, usually %.3f", s, x.Worth, x.UsualWorth)
 		}
 	}
 	return ""
@@ -167,7 +167,7 @@
 	}
 	switch w.State {
 	case Requested:
-		if w.Deadline > 0 && t.now+w.Length > w.Deadline {
+		if w.Deadline > 0 && t.now+w.Duration > w.Deadline {
 			return Command{Op: CancelRequest, Machine: w.Name, Reason: "its work can't end before its deadline any more"}, true
 		}
 	case Admitted:
@@ -175,12 +175,12 @@
 	case OutOfService:
 		late := t.now - w.Since
 		switch {
-		case w.Failed != "":
-			p.reasons[w.Name] = "waits for a person: " + w.Failed
-		case w.Run == 0:
+		case w.HookError != "":
+			p.reasons[w.Name] = "waits for a person: " + w.HookError
+		case w.HookRun == 0:
 			p.reasons[w.Name] = "its work has not begun"
-		case late > 2*w.Length:
-			p.reasons[w.Name] = fmt.Sprintf("out for %v, its work was to take %v: a person should look", late.Round(time.Second), w.Length)
+		case late > 2*w.Duration:
+			p.reasons[w.Name] = fmt.Sprintf("out for %v, its work was to take %v: a person should look", late.Round(time.Second), w.Duration)
 		}
 	case Returning:
 		if known && m.Alive && m.Ready {
@@ -191,10 +191,10 @@
 		switch {
 		case !known || !m.Alive || !m.Ready:
 			return step(Returning, "it is gone again")
-		case m.Share >= 0.5 && m.Served >= p.rules.WarmPeriod:
-			return step(InService, fmt.Sprintf("has served its share for %v", m.Served.Round(time.Second)))
+		case m.ServedShare >= 0.5 && m.ServedShareFor >= p.rules.WarmPeriod:
+			return step(InService, fmt.Sprintf("has served its share for %v", m.ServedShareFor.Round(time.Second)))
 		}
-		p.reasons[w.Name] = fmt.Sprintf("serves %.0f%% of its share, for %v of %v", 100*m.Share, m.Served.Round(time.Second), p.rules.WarmPeriod)
+		p.reasons[w.Name] = fmt.Sprintf("serves %.0f%% of its share, for %v of %v", 100*m.ServedShare, m.ServedShareFor.Round(time.Second), p.rules.WarmPeriod)
 	}
 	return Command{}, false
 }
@@ -210,7 +210,7 @@
 		if w.Deadline == 0 {
 			return math.MaxInt64
 		}
-		return w.Deadline - t.now - w.Length
+		return w.Deadline - t.now - w.Duration
 	}
 	slices.SortFunc(line, func(a, b *Request) int {
 		switch {
@@ -220,7 +220,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(left(a), left(b)), cmp.Compare(a.Asked, b.Asked),
+		return cmp.Or(cmp.Compare(left(a), left(b)), cmp.Compare(a.RequestedAt, b.RequestedAt),
 			cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)), cmp.Compare(a.Name, b.Name))
 	})
 	return line
@@ -247,7 +247,7 @@
 		if by := kept[w.Site]; why == "" && by != "" && !w.Urgent {
 			why = fmt.Sprintf("its room is kept for %s, which has waited longer", by)
 		}
-		if why != "" && t.now-w.Asked > p.rules.Patience && kept[w.Site] == "" {
+		if why != "" && t.now-w.RequestedAt > p.rules.ReserveAfter && kept[w.Site] == "" {
 			kept[w.Site] = w.Name
 		}
 		switch {
@@ -327,7 +327,7 @@
 	if own.Ready {
 		room = own.Capacity
 	}
-	if need, left := site.Need*(1+p.rules.SpareCapacity), r.left(room); left < need {
+	if need, left := site.RequiredCapacity*(1+p.rules.SpareCapacity), r.left(room); left < need {
 		return fmt.Sprintf("site %s would have room for %.0f a second with one more machine lost, and needs %.0f", w.Site, max(0, left), need)
 	}
 	return ""
--- a/internal/fleet/maintenance/search_test.go
+++ b/internal/fleet/maintenance/search_test.go
@@ -37,7 +37,7 @@
 		if plain {
 			m.Rack, m.RackSize = "", 0
 		}
-		wishes = append(wishes, Request{Machine: m, Length: time.Minute})
+		wishes = append(wishes, Request{Machine: m, Duration: time.Minute})
 	}
 	if a := w.table.Apply(&Command{Op: AddRequests, Requests: wishes}, nil); !a.Done {
 		t.Fatal(a.Reason)
@@ -61,7 +61,7 @@
 	var s strings.Builder
 	for i := range searched {
 		x := w.table.wishes[name(i)]
-		fmt.Fprint(&s, x.State, x.Run > 0, x.Failed != "", w.drained[i], w.begun[i], ";")
+		fmt.Fprint(&s, x.State, x.HookRun > 0, x.HookError != "", w.drained[i], w.begun[i], ";")
 	}
 	fmt.Fprint(&s, w.table.held != "", len(w.table.lost))
 	for _, c := range w.late {
@@ -101,7 +101,7 @@
 		case OutOfService:
 			all = append(all, begin) // also a process that started anew, and knows nothing of the first
 			step(Returning)
-			if x.Run > 0 {
+			if x.HookRun > 0 {
 				all = append(all, act{x.Name + " fails", Command{Op: HookFailed, Machine: x.Name}, false, false}, act{x.Name + " is confirmed", Command{Op: ConfirmDone, Machine: x.Name}, false, false})
 			}
 		case Returning:
@@ -161,7 +161,7 @@
 		}
 	case "work begins once":
 		if c.Op == BeginHook && x != nil {
-			x.Run = 0
+			x.HookRun = 0
 		}
 	case "hold":
 		if c.Op != Pause && c.Op != Resume {
--- a/internal/fleet/maintenance/table.go
+++ b/internal/fleet/maintenance/table.go
@@ -45,18 +45,18 @@
 // Wish is one machine's work.
 type Request struct {
 	Machine
-	By       string        // who wished
-	Why      string        // kernel, disk, ...
-	Length   time.Duration // that the work is expected to take
-	Deadline time.Duration // on the table's time; 0: none
-	Urgent   bool
-	Asked    time.Duration // on the table's time
-	State    State
-	Since    time.Duration // that it is in this state
-	Serial   uint64        // of the last step: a step names the one before it
-	Run      uint64        // of its hook; 0: none has begun
-	Failed   string        // why its hook has failed; "": it has not
-	Reason   string        // of the last step
+	RequestedBy string        // who wished
+	Purpose     string        // kernel, disk, ...
+	Duration    time.Duration // that the work is expected to take
+	Deadline    time.Duration // on the table's time; 0: none
+	Urgent      bool
+	RequestedAt time.Duration // on the table's time
+	State       State
+	Since       time.Duration // that it is in this state
+	Serial      uint64        // of the last step: a step names the one before it
+	HookRun     uint64        // of its hook; 0: none has begun
+	HookError   string        // why its hook has failed; "": it has not
+	Reason      string        // of the last step
 }
 
 // Limits bound how many machines may be out at once.
@@ -186,25 +186,25 @@
 		switch {
 		case w.State != OutOfService || w.Serial != c.Serial:
 			return no("%s is %s, and was not told to begin", w.Name, w.State)
-		case w.Run != 0:
-			return no("the hook of %s has begun once, as run %d", w.Name, w.Run)
+		case w.HookRun != 0:
+			return no("the hook of %s has begun once, as run %d", w.Name, w.HookRun)
 		}
 		t.runs++
-		w.Run = t.runs
-		t.note(Event{Machine: w.Name, From: OutOfService, To: OutOfService, By: c.By, Reason: fmt.Sprintf("its work begins, run %d", w.Run)})
-		return Answer{Done: true, Run: w.Run}
+		w.HookRun = t.runs
+		t.note(Event{Machine: w.Name, From: OutOfService, To: OutOfService, By: c.By, Reason: fmt.Sprintf("its work begins, run %d", w.HookRun)})
+		return Answer{Done: true, Run: w.HookRun}
 	case HookFailed:
-		if w.State != OutOfService || w.Run == 0 || w.Failed != "" {
+		if w.State != OutOfService || w.HookRun == 0 || w.HookError != "" {
 			return no("%s has no work that could fail", w.Name)
 		}
-		w.Failed = cmp.Or(c.Reason, "its work has failed")
-		t.note(Event{Machine: w.Name, From: OutOfService, To: OutOfService, By: c.By, Reason: w.Failed})
+		w.HookError = cmp.Or(c.Reason, "its work has failed")
+		t.note(Event{Machine: w.Name, From: OutOfService, To: OutOfService, By: c.By, Reason: w.HookError})
 		return Answer{Done: true}
 	case ConfirmDone:
 		if w.State != OutOfService {
 			return no("%s is %s, not out", w.Name, w.State)
 		}
-		w.Failed = ""
+		w.HookError = ""
 		t.move(w, Returning, c.By, cmp.Or(c.Reason, "confirmed"))
 		return Answer{Done: true}
 	case CancelRequest:
@@ -237,12 +237,12 @@
 	for i := range c.Requests { // all or none
 		w := &c.Requests[i]
 		switch had := t.wishes[w.Name]; {
-		case w.Name == "" || len(w.Name) > mostText || len(w.Site) > mostText || len(w.Rack) > mostText || len(w.Why) > mostText:
+		case w.Name == "" || len(w.Name) > mostText || len(w.Site) > mostText || len(w.Rack) > mostText || len(w.Purpose) > mostText:
 			return no("a machine with a name, site, rack or reason of 0 or more than %d bytes", mostText)
 		case had != nil && !had.State.ended():
-			return no("%s is wished out already, by %s: %s", w.Name, had.By, had.Why)
-		case w.Length <= 0 || w.Length > MaxDuration:
-			return no("%s: work of %v, want up to %v", w.Name, w.Length, MaxDuration)
+			return no("%s is wished out already, by %s: %s", w.Name, had.RequestedBy, had.Purpose)
+		case w.Duration <= 0 || w.Duration > MaxDuration:
+			return no("%s: work of %v, want up to %v", w.Name, w.Duration, MaxDuration)
 		case w.Rack != "" && w.RackSize < 2:
 			return no("%s is alone in rack %s: it can never be out, as a rack must keep who drops repeats", w.Name, w.Rack)
 		case slices.ContainsFunc(c.Requests[:i], func(x Request) bool { return x.Name == w.Name }):
@@ -251,13 +251,13 @@
 	}
 	for i := range c.Requests {
 		w := c.Requests[i]
-		w.By, w.Asked, w.Run, w.Failed = c.By, t.now, 0, ""
+		w.RequestedBy, w.RequestedAt, w.HookRun, w.HookError = c.By, t.now, 0, ""
 		if w.Deadline > 0 {
 			w.Deadline += t.now
 		}
 		w.State = 0
 		t.wishes[w.Name] = &w
-		t.move(&w, Requested, c.By, w.Why)
+		t.move(&w, Requested, c.By, w.Purpose)
 	}
 	t.tidy()
 	return Answer{Done: true}
@@ -296,7 +296,7 @@
 			return no("held: %s", t.held)
 		}
 	case Returning:
-		if w.State == OutOfService && (w.Run == 0 || w.Failed != "") {
+		if w.State == OutOfService && (w.HookRun == 0 || w.HookError != "") {
 			return no("the work of %s has not ended", w.Name)
 		}
 	}
@@ -368,7 +368,7 @@
 	t.note(Event{Machine: w.Name, From: w.State, To: to, By: by, Reason: reason})
 	w.State, w.Since, w.Serial, w.Reason = to, t.now, t.serials, reason
 	if to == Requested {
-		w.Run, w.Failed = 0, ""
+		w.HookRun, w.HookError = 0, ""
 	}
 }
 
--- a/internal/fleet/membership/cut.go
+++ b/internal/fleet/membership/cut.go
@@ -38,18 +38,18 @@
 
 // alert books an accusation, or its end, and tells whether it was news.
 func (c *cut) alert(v *View, a Alert, now time.Duration) bool {
-	if int(a.Subject) >= len(v.Members) || int(a.Slot) >= len(v.watchers[a.Subject]) {
+	if int(a.Subject) >= len(v.Members) || int(a.WatcherSlot) >= len(v.watchers[a.Subject]) {
 		return false
 	}
 	r := c.row(a.Subject)
-	if a.Seq <= r.seqs[a.Slot] {
+	if a.Seq <= r.seqs[a.WatcherSlot] {
 		return false
 	}
-	r.seqs[a.Slot] = a.Seq
+	r.seqs[a.WatcherSlot] = a.Seq
 	if a.Down {
-		r.down |= 1 << a.Slot
+		r.down |= 1 << a.WatcherSlot
 	} else {
-		r.down &^= 1 << a.Slot
+		r.down &^= 1 << a.WatcherSlot
 	}
 	accusers, k := bits.OnesCount16(r.down), len(v.watchers[a.Subject])
 	since(&r.halved, accusers >= half(k), now)
--- a/internal/fleet/membership/fuzz_test.go
+++ b/internal/fleet/membership/fuzz_test.go
@@ -36,18 +36,18 @@
 		for i := range 4 {
 			all = append(all, Member{Name: string(rune('b' + i)), Addr: addr(uint64(i) + 1), Life: uint64(i) + 1})
 		}
-		if v, err := NewView(n.view.Root, 2, append(all, n.self), 10); err == nil {
+		if v, err := NewView(n.view.FleetID, 2, append(all, n.self), 10); err == nil {
 			n.install(v, "")
 		}
 		for len(data) > 0 {
 			x := next()
-			m := &Message{Kind: Kind(1 + x%9), Root: 1, Number: x >> 8 % 5, Life: x >> 16 % 8, Seq: x >> 20 % 16, LowestSeed: uint32(x >> 24 % 3)}
+			m := &Message{Kind: Kind(1 + x%9), FleetID: 1, ViewNumber: x >> 8 % 5, SenderLife: x >> 16 % 8, Seq: x >> 20 % 16, LowestSeed: uint32(x >> 24 % 3)}
 			if n.view != nil && x>>30&1 == 0 {
-				m.Root, m.Number = n.view.Root, n.view.Number
+				m.FleetID, m.ViewNumber = n.view.FleetID, n.view.Number
 			}
 			if x>>31&1 == 1 {
 				s := member()
-				s.Life = max(1, m.Life)
+				s.Life = max(1, m.SenderLife)
 				m.Self = &s
 				h := member()
 				m.NameHolder = &h
@@ -58,12 +58,12 @@
 			m.Departures = []Departure{{uint32(y >> 36 % 8), y>>40&1 == 1}}
 			if y>>41&1 == 1 {
 				z := next()
-				p := &Proposal{ViewNumber: m.Number, NextNumber: m.Number + z%3, Remove: []uint32{uint32(z >> 8 % 6), uint32(z >> 16 % 6)}, Add: []Member{member()}}
-				m.Vote = &Vote{ViewNumber: m.Number, Ballot: z >> 24 % 9 << 32, Promises: BitSet{byte(z >> 32)}, AcceptedBallot: z >> 40 % 3, AcceptedValue: p.Hash(), Value: p.Hash() * (z >> 44 % 2), Forced: z>>46&1 == 1, Accepts: BitSet{byte(z >> 48)}}
+				p := &Proposal{ViewNumber: m.ViewNumber, NextNumber: m.ViewNumber + z%3, Remove: []uint32{uint32(z >> 8 % 6), uint32(z >> 16 % 6)}, Add: []Member{member()}}
+				m.Vote = &Vote{ViewNumber: m.ViewNumber, Ballot: z >> 24 % 9 << 32, Promises: BitSet{byte(z >> 32)}, AcceptedBallot: z >> 40 % 3, AcceptedValue: p.Hash(), Value: p.Hash() * (z >> 44 % 2), Forced: z>>46&1 == 1, Accepts: BitSet{byte(z >> 48)}}
 				m.Proposal, m.WantedHash = p, p.Hash()
-				m.Joiners = []Joiner{{Member: member(), Slot: uint32(z >> 56 % 20), Number: z >> 60}}
+				m.Joiners = []Joiner{{Member: member(), SponsorSlot: uint32(z >> 56 % 20), LastViewNumber: z >> 60}}
 				if z>>50&1 == 1 {
-					m.View, _ = NewView(m.Root, m.Number+1, []Member{member(), n.self}, 10)
+					m.View, _ = NewView(m.FleetID, m.ViewNumber+1, []Member{member(), n.self}, 10)
 				}
 			}
 			n.Receive(now, m)
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -145,13 +145,13 @@
 // asked takes the wish of one that wants in.
 func (n *Node) asked(m *Message) {
 	who := m.Self
-	if who == nil || who.Life != m.Life || who.Check() != nil {
+	if who == nil || who.Life != m.SenderLife || who.Check() != nil {
 		return
 	}
 	if n.view == nil {
 		if i := slices.Index(n.set.founders(), who.Addr); i >= 0 && n.phase == Seeking {
 			n.seek.heard[i] = seedWord{n.now, m.LowestSeed}
-			n.seek.number = max(n.seek.number, m.Number)
+			n.seek.number = max(n.seek.number, m.ViewNumber)
 		}
 		return
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	for s, sponsor := range n.view.sponsors(who.Life) {
-		c := Joiner{*who, uint32(s), m.Number}
+		c := Joiner{*who, uint32(s), m.ViewNumber}
 		if sponsor == n.at {
 			n.sponsor(c)
 		} else {
@@ -193,14 +193,14 @@
 }
 
 func (n *Node) watch(m *Message) {
-	if n.view == nil || m.Root != n.view.Root || len(m.Joiners) != 1 {
+	if n.view == nil || m.FleetID != n.view.FleetID || len(m.Joiners) != 1 {
 		return
 	}
 	c := m.Joiners[0]
 	if c.Member.Check() != nil {
 		return
 	}
-	if all := n.view.sponsors(c.Member.Life); int(c.Slot) < len(all) && all[c.Slot] == n.at {
+	if all := n.view.sponsors(c.Member.Life); int(c.SponsorSlot) < len(all) && all[c.SponsorSlot] == n.at {
 		n.sponsor(c)
 	}
 }
@@ -214,7 +214,7 @@
 		t = &trial{Joiner: c, next: n.now}
 		n.trials[c.Member.Life] = t
 	}
-	t.Slot, t.Number, t.until = c.Slot, c.Number, n.now+tryFor
+	t.SponsorSlot, t.LastViewNumber, t.until = c.SponsorSlot, c.LastViewNumber, n.now+tryFor
 }
 
 // try probes the lives that this node is a sponsor of, in the order of their lives.
@@ -259,7 +259,7 @@
 		if i == n.at {
 			n.admitted(c[0])
 		} else {
-			n.send(n.view.Members[i].Addr, &Message{Kind: Admit, Joiners: c})
+			n.send(n.view.Members[i].Addr, &Message{Kind: JoinerAnswered, Joiners: c})
 		}
 	}
 }
@@ -273,11 +273,11 @@
 }
 
 func (n *Node) admit(m *Message) {
-	if n.view == nil || m.Root != n.view.Root || m.Number != n.view.Number {
+	if n.view == nil || m.FleetID != n.view.FleetID || m.ViewNumber != n.view.Number {
 		return
 	}
 	for _, c := range m.Joiners {
-		if c.Member.Check() == nil && c.Slot < 16 {
+		if c.Member.Check() == nil && c.SponsorSlot < 16 {
 			n.admitted(c)
 		}
 	}
@@ -295,9 +295,9 @@
 		p = &pending{member: c.Member}
 		n.pending[c.Member.Life] = p
 	}
-	p.at, p.number = n.now, max(p.number, c.Number)
-	if p.slots&(1<<c.Slot) == 0 {
-		p.slots |= 1 << c.Slot
+	p.at, p.number = n.now, max(p.number, c.LastViewNumber)
+	if p.slots&(1<<c.SponsorSlot) == 0 {
+		p.slots |= 1 << c.SponsorSlot
 		n.cut.changed = n.now
 	}
 }
@@ -374,7 +374,7 @@
 	n.seek.held, n.seek.steady = n.now+conflictWait, 0
 	if !n.seek.told {
 		n.seek.told = true
-		n.event(Event{Kind: NameConflict, Member: *m.NameHolder, Text: "another process has this name, and was first"})
+		n.event(Event{Kind: NameConflict, Member: *m.NameHolder, Detail: "another process has this name, and was first"})
 	}
 }
 
@@ -391,7 +391,7 @@
 // remember books who was taken out. A name that is taken out again and again waits longer each time, so that a node
 // that half of the others can't use does not come and go.
 func (n *Node) remember(old, v *View) {
-	if old == nil || old.Root != v.Root {
+	if old == nil || old.FleetID != v.FleetID {
 		return
 	}
 	for i := range old.Members {
@@ -457,7 +457,7 @@
 
 // foreign settles with another fleet of the same name: the one with the later view holds.
 func (n *Node) foreign(m *Message) {
-	if m.Number < n.view.Number || m.Number == n.view.Number && m.Root < n.view.Root {
+	if m.ViewNumber < n.view.Number || m.ViewNumber == n.view.Number && m.FleetID < n.view.FleetID {
 		if m.Kind == Probe { // so that it learns of this one
 			self := n.self
 			if to, ok := n.addressOf(m); ok {
@@ -470,7 +470,7 @@
 	if !ok {
 		return
 	}
-	n.event(Event{Kind: ForeignFleet, Text: "another fleet of this name has a later view"})
+	n.event(Event{Kind: ForeignFleet, Detail: "another fleet of this name has a later view"})
 	n.reborn()
 	n.seek.known = []netip.AddrPort{to}
 	n.seek.at, n.seek.met = n.now, n.now
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -41,7 +41,7 @@
 
 // View is who is alive by agreement. It is never written to once it is made.
 type View struct {
-	Root    uint64   // drawn when the fleet was founded, never 0
+	FleetID uint64   // drawn when the fleet was founded, never 0
 	Number  uint64   // grows by one with each change
 	Members []Member // by name, then by life
 	Digest  uint64   // of all of the above
@@ -60,7 +60,7 @@
 	if len(members) == 0 {
 		return nil, fmt.Errorf("view %d: nobody is in it", number)
 	}
-	v := &View{Root: root, Number: number, Members: members}
+	v := &View{FleetID: root, Number: number, Members: members}
 	slices.SortFunc(v.Members, func(a, b Member) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life))
 	})
@@ -269,7 +269,7 @@
 	if at < len(p.Remove) {
 		return nil, fmt.Errorf("a proposal for view %d takes out place %d of %d, or one twice", p.ViewNumber, p.Remove[at], len(v.Members))
 	}
-	return NewView(v.Root, p.NextNumber, append(members, p.Add...), watchers)
+	return NewView(v.FleetID, p.NextNumber, append(members, p.Add...), watchers)
 }
 
 // Watchers are the places of those who watch a member.
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -7,26 +7,26 @@
 
 // The kinds of messages.
 const (
-	Probe        Kind = 1 + iota // answer with an Ack of the same Seq
-	Ack                          // of a Probe
-	Gossip                       // news alone
-	Join                         // Self wants to be let in; Number is the last view it knew of
-	ProbeJoiner                  // Joins[0] wants to be let in, and the receiver is to try it
-	Admit                        // Joins were tried and answer; for those who propose
-	NameTaken                    // Holder has the name that Self wants
-	StateRequest                 // send the view, or the proposal named by Want
-	State                        // a View, or a Proposal that was pulled
-	Payload                      // Body, for another user of the same sockets: none of the membership's
+	Probe          Kind = 1 + iota // answer with an Ack of the same Seq
+	Ack                            // of a Probe
+	Gossip                         // news alone
+	Join                           // Self wants to be let in; Number is the last view it knew of
+	ProbeJoiner                    // Joins[0] wants to be let in, and the receiver is to try it
+	JoinerAnswered                 // Joins were tried and answer; for those who propose
+	NameTaken                      // Holder has the name that Self wants
+	StateRequest                   // send the view, or the proposal named by Want
+	State                          // a View, or a Proposal that was pulled
+	Payload                        // Body, for another user of the same sockets: none of the membership's
 )
 
 // Message is what one node tells another. Any may carry news.
 type Message struct {
-	Kind   Kind
-	Root   uint64 // of the sender's view; 0: it has none
-	Number uint64
-	Life   uint64 // of the sender
-	Self   *Member
-	Seq    uint64
+	Kind       Kind
+	FleetID    uint64 // of the sender's view; 0: it has none
+	ViewNumber uint64
+	SenderLife uint64 // of the sender
+	Self       *Member
+	Seq        uint64
 
 	Alerts      []Alert
 	Refutations []Refutation
@@ -44,10 +44,10 @@
 
 // Alert is what a watcher says of one that it watches. The higher Seq holds.
 type Alert struct {
-	Subject uint32 // place in the view
-	Slot    uint32 // which of the subject's watchers
-	Seq     uint32
-	Down    bool
+	Subject     uint32 // place in the view
+	WatcherSlot uint32 // which of the subject's watchers
+	Seq         uint32
+	Down        bool
 }
 
 // Alive is a member's own word that it lives, given only where it is accused.
@@ -64,9 +64,9 @@
 
 // Candidate is one that wants in, and which of its sponsors has tried it.
 type Joiner struct {
-	Member Member
-	Slot   uint32
-	Number uint64 // of the last view that it knew of
+	Member         Member
+	SponsorSlot    uint32
+	LastViewNumber uint64 // of the last view that it knew of
 }
 
 // Vote is the state of a decision, as far as its sender knows: in the first phase who
@@ -111,5 +111,5 @@
 	Kind   EventKind
 	View   *View
 	Member Member
-	Text   string
+	Detail string
 }
--- a/internal/fleet/membership/news.go
+++ b/internal/fleet/membership/news.go
@@ -175,7 +175,7 @@
 	for k := 0; k < len(rows) && items > 0; k++ {
 		i := rows[(q.turn+k)%len(rows)]
 		for _, a := range n.against(i) {
-			q.add(newsItem{alert: true, subject: i, slot: a.Slot}, 1)
+			q.add(newsItem{alert: true, subject: i, slot: a.WatcherSlot}, 1)
 			items--
 		}
 	}
@@ -214,11 +214,11 @@
 // heardNews takes what a message of the same view brings.
 func (n *Node) heardNews(m *Message) {
 	for _, a := range m.Alerts {
-		if int(a.Subject) < len(n.view.Members) && int(a.Slot) < len(n.view.watchers[a.Subject]) && n.view.watchers[a.Subject][a.Slot] == n.at {
+		if int(a.Subject) < len(n.view.Members) && int(a.WatcherSlot) < len(n.view.watchers[a.Subject]) && n.view.watchers[a.Subject][a.WatcherSlot] == n.at {
 			continue // what this node holds it knows best
 		}
 		if n.cut.alert(n.view, a, n.now) {
-			n.news.add(newsItem{alert: true, subject: a.Subject, slot: a.Slot}, n.copies())
+			n.news.add(newsItem{alert: true, subject: a.Subject, slot: a.WatcherSlot}, n.copies())
 		}
 	}
 	for _, a := range m.Refutations {
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -117,11 +117,11 @@
 }
 
 func (n *Node) stamp(m *Message) {
-	m.Life = n.self.Life
+	m.SenderLife = n.self.Life
 	if n.view != nil {
-		m.Root, m.Number = n.view.Root, n.view.Number
+		m.FleetID, m.ViewNumber = n.view.FleetID, n.view.Number
 	} else {
-		m.Number = n.seek.number
+		m.ViewNumber = n.seek.number
 		self := n.self
 		m.Self = &self
 	}
@@ -179,7 +179,7 @@
 // abandon leaves a view that can never change again: so many of its lives have ended that no majority is left.
 // The seeds found the fleet anew, with a higher number.
 func (n *Node) abandon() {
-	n.event(Event{Kind: Evicted, View: n.view, Text: fmt.Sprintf("%d of %d lives of this view have ended: it can't decide any more", len(n.cut.ended), len(n.view.Members))})
+	n.event(Event{Kind: Evicted, View: n.view, Detail: fmt.Sprintf("%d of %d lives of this view have ended: it can't decide any more", len(n.cut.ended), len(n.view.Members))})
 	n.reborn()
 }
 
@@ -187,7 +187,7 @@
 func (n *Node) stall(gap time.Duration) {
 	n.stalls++
 	n.stalled = n.now
-	n.event(Event{Kind: Stalled, Text: gap.String()})
+	n.event(Event{Kind: Stalled, Detail: gap.String()})
 	for _, e := range n.edges {
 		e.begun = n.now
 		e.round, e.tries = n.now+time.Duration(n.rng.Float64()*float64(n.set.ProbeInterval)), 0
@@ -204,21 +204,21 @@
 func (n *Node) Receive(now time.Duration, m *Message) {
 	n.now = now
 	n.stats.Received++
-	if n.phase == Gone || m.Life == 0 || m.Life == n.self.Life {
+	if n.phase == Gone || m.SenderLife == 0 || m.SenderLife == n.self.Life {
 		return
 	}
-	if m.Root != 0 && n.view != nil && m.Root != n.view.Root {
+	if m.FleetID != 0 && n.view != nil && m.FleetID != n.view.FleetID {
 		n.foreign(m)
 		return
 	}
-	same := n.view != nil && m.Number == n.view.Number
-	if m.Vote != nil && m.Root != 0 {
+	same := n.view != nil && m.ViewNumber == n.view.Number
+	if m.Vote != nil && m.FleetID != 0 {
 		n.hearVote(m)
-		if !same && n.view != nil && n.vote.last != nil && m.Vote.ViewNumber == n.vote.last.ViewNumber && m.Number < n.view.Number {
+		if !same && n.view != nil && n.vote.last != nil && m.Vote.ViewNumber == n.vote.last.ViewNumber && m.ViewNumber < n.view.Number {
 			n.catchUp(m)
 		}
 	}
-	if m.Root != 0 && (n.view == nil || m.Number > n.view.Number) {
+	if m.FleetID != 0 && (n.view == nil || m.ViewNumber > n.view.Number) {
 		n.behind(m)
 	}
 	switch m.Kind {
@@ -230,7 +230,7 @@
 		n.asked(m)
 	case ProbeJoiner:
 		n.watch(m)
-	case Admit:
+	case JoinerAnswered:
 		n.admit(m)
 	case NameTaken:
 		n.taken(m)
@@ -239,9 +239,9 @@
 	case State:
 		n.state(m)
 	}
-	if same && n.view != nil && m.Root == n.view.Root && m.Number == n.view.Number {
+	if same && n.view != nil && m.FleetID == n.view.FleetID && m.ViewNumber == n.view.Number {
 		n.heardNews(m)
-	} else if m.Root != 0 && n.view != nil {
+	} else if m.FleetID != 0 && n.view != nil {
 		n.stats.Stale++
 	}
 }
@@ -249,15 +249,15 @@
 // addressOf is where the sender of a message is reached: as a member, or as it says itself.
 func (n *Node) addressOf(m *Message) (netip.AddrPort, bool) {
 	if n.view != nil {
-		if i, ok := n.view.IndexOfLife(m.Life); ok {
+		if i, ok := n.view.IndexOfLife(m.SenderLife); ok {
 			return n.view.Members[i].Addr, true
 		}
 	}
-	if m.Self != nil && m.Self.Life == m.Life && m.Self.Addr.IsValid() {
+	if m.Self != nil && m.Self.Life == m.SenderLife && m.Self.Addr.IsValid() {
 		return m.Self.Addr, true
 	}
 	if n.past != nil {
-		if i, ok := n.past.IndexOfLife(m.Life); ok {
+		if i, ok := n.past.IndexOfLife(m.SenderLife); ok {
 			return n.past.Members[i].Addr, true
 		}
 	}
@@ -308,7 +308,7 @@
 		return
 	}
 	v := m.View
-	if v == nil || v.Root == 0 || len(v.Members) > mostMembers || n.view != nil && (v.Root != n.view.Root || v.Number <= n.view.Number) {
+	if v == nil || v.FleetID == 0 || len(v.Members) > mostMembers || n.view != nil && (v.FleetID != n.view.FleetID || v.Number <= n.view.Number) {
 		return
 	}
 	if n.phase == Seeking {
@@ -332,7 +332,7 @@
 			return
 		}
 		n.view = v
-		n.event(Event{Kind: Evicted, View: v, Text: why})
+		n.event(Event{Kind: Evicted, View: v, Detail: why})
 		n.reborn()
 		return
 	}
@@ -361,7 +361,7 @@
 	n.news.clear()
 	n.sortPending(v)
 	n.stats.Views++
-	n.event(Event{Kind: ViewChanged, View: v, Text: why})
+	n.event(Event{Kind: ViewChanged, View: v, Detail: why})
 	for subject, e := range n.edges {
 		if e.down { // as seen from here it is so in this view too
 			n.accuse(subject, e)
--- a/internal/fleet/membership/node_test.go
+++ b/internal/fleet/membership/node_test.go
@@ -44,7 +44,7 @@
 		for _, s := range sends {
 			for _, m := range n.view.Members {
 				if s.Message.Kind == Probe && m.Addr == s.To && answers(m) {
-					n.Receive(n.now, &Message{Kind: Ack, Life: m.Life, Seq: s.Message.Seq, Root: 9, Number: 1})
+					n.Receive(n.now, &Message{Kind: Ack, SenderLife: m.Life, Seq: s.Message.Seq, FleetID: 9, ViewNumber: 1})
 				}
 			}
 		}
@@ -85,8 +85,8 @@
 	n := among(t, 5, 0)
 	live(n, 2*time.Second, func(Member) bool { return false })
 	for seq := range uint64(40) {
-		n.Receive(n.now, &Message{Kind: Ack, Life: 77, Seq: seq, Root: 9, Number: 1})
-		n.Receive(n.now, &Message{Kind: Ack, Life: 2, Seq: seq + 1000, Root: 9, Number: 1})
+		n.Receive(n.now, &Message{Kind: Ack, SenderLife: 77, Seq: seq, FleetID: 9, ViewNumber: 1})
+		n.Receive(n.now, &Message{Kind: Ack, SenderLife: 2, Seq: seq + 1000, FleetID: 9, ViewNumber: 1})
 	}
 	for _, e := range n.edges {
 		if e.heard > 0 {
@@ -97,7 +97,7 @@
 
 func accuse(n *Node, subject uint32, watchers int) {
 	for s := range uint32(watchers) {
-		n.cut.alert(n.view, Alert{Subject: subject, Slot: s, Seq: n.cut.row(subject).seqs[s] + 1, Down: true}, n.now)
+		n.cut.alert(n.view, Alert{Subject: subject, WatcherSlot: s, Seq: n.cut.row(subject).seqs[s] + 1, Down: true}, n.now)
 	}
 }
 
@@ -121,9 +121,9 @@
 // Who is accused is told, says that it lives, and is not taken out while it does.
 func TestTheAccusedSpeaks(t *testing.T) {
 	n := among(t, 30, 0)
-	m := &Message{Kind: Probe, Life: named(1).Life, Root: 9, Number: 1, Seq: 1}
+	m := &Message{Kind: Probe, SenderLife: named(1).Life, FleetID: 9, ViewNumber: 1, Seq: 1}
 	for s := range uint32(8) {
-		m.Alerts = append(m.Alerts, Alert{Subject: n.at, Slot: s, Seq: 1, Down: true})
+		m.Alerts = append(m.Alerts, Alert{Subject: n.at, WatcherSlot: s, Seq: 1, Down: true})
 	}
 	n.Receive(n.now, m)
 	n.TakeOutput()
@@ -140,7 +140,7 @@
 	if out, _ := other.cut.verdict(other.view, other.now+time.Second); !slices.Equal(out, []uint32{subject}) {
 		t.Errorf("mute: out %v", out)
 	}
-	other.Receive(other.now, &Message{Kind: Gossip, Life: 2, Root: 9, Number: 1, Refutations: []Refutation{{subject, 1}}})
+	other.Receive(other.now, &Message{Kind: Gossip, SenderLife: 2, FleetID: 9, ViewNumber: 1, Refutations: []Refutation{{subject, 1}}})
 	if out, _ := other.cut.verdict(other.view, other.now+time.Second); len(out) > 0 {
 		t.Errorf("it speaks: out %v", out)
 	}
@@ -178,11 +178,11 @@
 	n.view = without
 	joiner := named(4)
 	joiner.Life = 99
-	n.Receive(n.now+time.Second, &Message{Kind: Join, Life: 99, Self: &joiner})
+	n.Receive(n.now+time.Second, &Message{Kind: Join, SenderLife: 99, Self: &joiner})
 	if len(n.trials) > 0 {
 		t.Error("it is tried while it must wait")
 	}
-	n.Receive(n.now+last+time.Second, &Message{Kind: Join, Life: 99, Self: &joiner})
+	n.Receive(n.now+last+time.Second, &Message{Kind: Join, SenderLife: 99, Self: &joiner})
 	if len(n.trials) == 0 {
 		t.Error("it is not tried once it has waited")
 	}
@@ -223,7 +223,7 @@
 				}
 				nodes[l.to].hearVote(l.m)
 			case n.view.Number == 1 && b.cur.Ballot != 0:
-				m := &Message{Kind: Gossip, Life: n.self.Life, Root: 9, Number: 1}
+				m := &Message{Kind: Gossip, SenderLife: n.self.Life, FleetID: 9, ViewNumber: 1}
 				m.Vote, m.Proposal = n.ballot(b.cur, b.proposals[b.cur.Value])
 				if to := rng.IntN(size); to != i {
 					post = append(post, letter{to, m})
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -63,7 +63,7 @@
 			e.down = true
 			n.stats.Accusations++
 			n.accuse(subject, e)
-			n.event(Event{Kind: Accused, Member: e.member, Text: fmt.Sprintf("no contact for %v, %d probes", silent.Round(time.Millisecond), e.since)})
+			n.event(Event{Kind: Accused, Member: e.member, Detail: fmt.Sprintf("no contact for %v, %d probes", silent.Round(time.Millisecond), e.since)})
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // accuse makes news of what this node holds of one that it watches.
 func (n *Node) accuse(subject uint32, e *edge) {
 	e.seq++
-	a := Alert{Subject: subject, Slot: e.slot, Seq: e.seq, Down: e.down}
+	a := Alert{Subject: subject, WatcherSlot: e.slot, Seq: e.seq, Down: e.down}
 	if n.cut.alert(n.view, a, n.now) {
 		n.news.add(newsItem{alert: true, subject: subject, slot: e.slot}, n.copies())
 	}
@@ -134,7 +134,7 @@
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
 	if n.view != nil {
-		if i, in := n.view.IndexOfLife(m.Life); in {
+		if i, in := n.view.IndexOfLife(m.SenderLife); in {
 			ack.Alerts = n.against(i)
 		}
 		n.defend()
@@ -151,13 +151,13 @@
 
 // acked takes a contact. An answer of another life, or to nothing that was asked, is none.
 func (n *Node) acked(m *Message) {
-	if t := n.trials[m.Life]; t != nil {
+	if t := n.trials[m.SenderLife]; t != nil {
 		n.tried(t, m.Seq)
 	}
 	if n.view == nil {
 		return
 	}
-	i, ok := n.view.IndexOfLife(m.Life)
+	i, ok := n.view.IndexOfLife(m.SenderLife)
 	e := n.edges[i]
 	if !ok || e == nil {
 		return
@@ -171,11 +171,11 @@
 			}
 			*o = sent{}
 			e.heard, e.since, e.answered = n.now, 0, true
-			e.knows = m.Root == n.view.Root && m.Number >= n.view.Number
+			e.knows = m.FleetID == n.view.FleetID && m.ViewNumber >= n.view.Number
 			if e.down {
 				e.down = false
 				n.accuse(i, e)
-				n.event(Event{Kind: Accused, Member: e.member, Text: "contact again"})
+				n.event(Event{Kind: Accused, Member: e.member, Detail: "contact again"})
 			}
 			return
 		}
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -56,7 +56,7 @@
 	if n.view == nil {
 		return s
 	}
-	s.Root, s.Number, s.Majority = n.view.Root, n.view.Number, n.view.majority()
+	s.Root, s.Number, s.Majority = n.view.FleetID, n.view.Number, n.view.majority()
 	for i := range n.view.Members {
 		at := uint32(i)
 		m := MemberStatus{Member: n.view.Members[i], Watchers: len(n.view.watchers[i])}
@@ -68,7 +68,7 @@
 		}
 		if r := n.cut.rows[at]; r != nil {
 			for _, a := range n.against(at) {
-				m.Accusers = append(m.Accusers, n.view.Members[n.view.watchers[i][a.Slot]].Name)
+				m.Accusers = append(m.Accusers, n.view.Members[n.view.watchers[i][a.WatcherSlot]].Name)
 			}
 			m.Speaks = r.speaks(now)
 		}
--- a/internal/fleet/membership/vote.go
+++ b/internal/fleet/membership/vote.go
@@ -275,7 +275,7 @@
 				m := &Message{Kind: Gossip}
 				m.Vote, m.Proposal = n.ballot(last, p)
 				n.send(old.Members[i].Addr, m)
-				m.Root, m.Number, m.Self = old.Root, old.Number, nil
+				m.FleetID, m.ViewNumber, m.Self = old.FleetID, old.Number, nil
 			}
 		}
 	}
--- a/internal/fleet/protofields/form.go
+++ b/internal/fleet/protofields/form.go
@@ -15,10 +15,10 @@
 
 // Field is one field: a number, or bytes.
 type Field struct {
-	Num   protowire.Number
-	IsNum bool
-	X     uint64
-	B     []byte
+	Number protowire.Number
+	IsUint bool
+	Uint   uint64
+	Bytes  []byte
 }
 
 // Error says why bytes are no fields.
@@ -74,25 +74,25 @@
 			return Errorf("a field has no number")
 		}
 		b = b[n:]
-		f := Field{Num: num}
+		f := Field{Number: num}
 		switch typ {
 		case protowire.VarintType:
-			f.X, n = protowire.ConsumeVarint(b)
-			f.IsNum = true
+			f.Uint, n = protowire.ConsumeVarint(b)
+			f.IsUint = true
 		case protowire.Fixed64Type:
-			f.X, n = protowire.ConsumeFixed64(b)
-			f.IsNum = true
+			f.Uint, n = protowire.ConsumeFixed64(b)
+			f.IsUint = true
 		case protowire.BytesType:
-			f.B, n = protowire.ConsumeBytes(b)
+			f.Bytes, n = protowire.ConsumeBytes(b)
 		default:
 			n = protowire.ConsumeFieldValue(num, typ, b)
-			f.Num = 0
+			f.Number = 0
 		}
 		if n < 0 {
 			return Errorf("field %d is cut off", num)
 		}
 		b = b[n:]
-		if f.Num == 0 {
+		if f.Number == 0 {
 			continue
 		}
 		if err := each(f); err != nil {
--- a/internal/fleet/raftstore/ledger.go
+++ b/internal/fleet/raftstore/ledger.go
@@ -39,10 +39,10 @@
 
 // Found is what stood on the disk.
 type Loaded struct {
-	State consensus.PersistentState // ID 0: none
-	Note  []byte                    // its user's
+	State    consensus.PersistentState // ID 0: none
+	UserData []byte                    // its user's
 	// Doubt says why the disk must not be trusted; "": it can be. The number is told then, and nothing else is.
-	Doubt string
+	DistrustReason string
 }
 
 // Ledger is a voter's disk.
@@ -67,7 +67,7 @@
 		wrong = append(wrong, err.Error())
 	}
 	if len(wrong) > 0 {
-		f = Loaded{State: consensus.PersistentState{ID: f.State.ID}, Doubt: strings.Join(wrong, "; ")}
+		f = Loaded{State: consensus.PersistentState{ID: f.State.ID}, DistrustReason: strings.Join(wrong, "; ")}
 	}
 	return l, f
 }
@@ -85,8 +85,8 @@
 func (l *Store) read() (f Loaded, err error) {
 	b := l.s.Get(tableSelf, rowID)
 	if b == nil {
-		f.Note = l.s.Get(tableSelf, rowNote)
-		if l.s.Len() > 1 || l.s.Len() == 1 && f.Note == nil {
+		f.UserData = l.s.Get(tableSelf, rowNote)
+		if l.s.Len() > 1 || l.s.Len() == 1 && f.UserData == nil {
 			return f, errors.New("there are rows, and no voter's number")
 		}
 		return f, nil
@@ -95,7 +95,7 @@
 	if d.ID, err = number(b); err != nil || d.ID == 0 {
 		return f, fmt.Errorf("the voter's number is none: %x", b)
 	}
-	f.Note = l.s.Get(tableSelf, rowNote)
+	f.UserData = l.s.Get(tableSelf, rowNote)
 	d.Boots = map[uint64]uint64{}
 	for _, k := range l.s.Keys(tableBoots) {
 		id, err := number([]byte(k))
--- a/internal/fleet/raftstore/ledger_test.go
+++ b/internal/fleet/raftstore/ledger_test.go
@@ -101,7 +101,7 @@
 		f := newFolder()
 		model := consensus.NewCluster([]uint64{7, 8, 9})[0]
 		l, found := open(f)
-		if found.State.ID != 0 || found.Doubt != "" {
+		if found.State.ID != 0 || found.DistrustReason != "" {
 			t.Fatalf("an empty folder: %+v", found)
 		}
 		now := time.Hour
@@ -154,8 +154,8 @@
 					}
 				}
 				_, found := open(cut.torn(rng))
-				if got := text(&found.State); found.Doubt != "" || got != before && got != after {
-					t.Fatalf("seed %d: %.300s\nbefore %.300s\nafter %.300s\ndoubt %s", seed, got, before, after, found.Doubt)
+				if got := text(&found.State); found.DistrustReason != "" || got != before && got != after {
+					t.Fatalf("seed %d: %.300s\nbefore %.300s\nafter %.300s\ndoubt %s", seed, got, before, after, found.DistrustReason)
 				}
 			}
 			for more := true; more; {
@@ -166,8 +166,8 @@
 			}
 			if rng.IntN(5) == 0 {
 				l, found = open(f)
-				if got := text(&found.State); found.Doubt != "" || got != after || string(found.Note) != "note" {
-					t.Fatalf("seed %d: %.300s\nwanted %.300s\ndoubt %s", seed, got, after, found.Doubt)
+				if got := text(&found.State); found.DistrustReason != "" || got != after || string(found.UserData) != "note" {
+					t.Fatalf("seed %d: %.300s\nwanted %.300s\ndoubt %s", seed, got, after, found.DistrustReason)
 				}
 			}
 		}
@@ -189,14 +189,14 @@
 			t.Fatal(err)
 		}
 	}
-	if _, found := open(whole); found.Doubt != "" || len(found.State.Entries) != 18 {
-		t.Fatalf("%d entries, doubt %q", len(found.State.Entries), found.Doubt)
+	if _, found := open(whole); found.DistrustReason != "" || len(found.State.Entries) != 18 {
+		t.Fatalf("%d entries, doubt %q", len(found.State.Entries), found.DistrustReason)
 	}
 	damaged := func(what string, do func(f *folder, s *store.Store)) {
 		f := whole.torn(rng)
 		s, _ := store.Open(f, Settings())
 		do(f, s)
-		if _, found := open(f); found.Doubt == "" && found.State.ID != 0 || len(found.State.Entries) > 0 {
+		if _, found := open(f); found.DistrustReason == "" && found.State.ID != 0 || len(found.State.Entries) > 0 {
 			t.Errorf("%s: trusted, with %d entries", what, len(found.State.Entries))
 		}
 	}
@@ -251,7 +251,7 @@
 	if err := l.Save(2*time.Hour, &save, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, found := open(f); found.Doubt != "" || len(found.State.Entries) != 3 {
+	if _, found := open(f); found.DistrustReason != "" || len(found.State.Entries) != 3 {
 		t.Errorf("%+v", found)
 	}
 }
@@ -270,7 +270,7 @@
 	f.Fuzz(func(t *testing.T, name string, b []byte) {
 		d := newFolder()
 		d.files[name] = b
-		if _, found := open(d); found.Doubt == "" && found.State.ID != 0 {
+		if _, found := open(d); found.DistrustReason == "" && found.State.ID != 0 {
 			consensus.New(consensus.Settings{}, &found.State, 1)
 		}
 	})
--- a/internal/fleet/wire/allowance.go
+++ b/internal/fleet/wire/allowance.go
@@ -45,7 +45,7 @@
 	for i := range g.Items {
 		part = server(part[:0], g.Items[i].Server)
 		part = protofields.AppendUint(part, 3, uint64(g.Items[i].Sends))
-		part = protofields.AppendUint(part, 4, uint64(g.Items[i].Total))
+		part = protofields.AppendUint(part, 4, uint64(g.Items[i].TotalSends))
 		to = protofields.AppendBytes(to, 3, part)
 	}
 	return to
@@ -61,29 +61,29 @@
 	var r reader
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			c.Lender = f.X
-		case f.IsNum && f.Num == 2:
-			c.Seq = f.X
-		case f.IsNum && f.Num == 3:
-			c.Stamp = f.X
-		case !f.IsNum && f.Num == 4:
+		case f.IsUint && f.Number == 1:
+			c.Lender = f.Uint
+		case f.IsUint && f.Number == 2:
+			c.Seq = f.Uint
+		case f.IsUint && f.Number == 3:
+			c.Stamp = f.Uint
+		case !f.IsUint && f.Number == 4:
 			if len(c.Items) == allowance.MaxClaimItems {
 				return fault(Malformed, "a claim for more than %d servers", allowance.MaxClaimItems)
 			}
 			var it allowance.ClaimItem
-			err := r.fields(f.B, func(f protofields.Field) (err error) {
+			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
-				case f.IsNum && f.Num == 3:
-					it.Rate = math.Float64frombits(f.X)
-				case f.IsNum && f.Num == 4:
-					it.Used, err = count(f.X)
-				case f.IsNum && f.Num == 5:
-					it.Unused, err = count(f.X)
-				case f.IsNum && f.Num == 6:
-					it.Wanted, err = count(f.X)
-				case f.IsNum && f.Num == 7:
-					it.Answered, err = count(f.X)
+				case f.IsUint && f.Number == 3:
+					it.Rate = math.Float64frombits(f.Uint)
+				case f.IsUint && f.Number == 4:
+					it.Used, err = count(f.Uint)
+				case f.IsUint && f.Number == 5:
+					it.Unused, err = count(f.Uint)
+				case f.IsUint && f.Number == 6:
+					it.Wanted, err = count(f.Uint)
+				case f.IsUint && f.Number == 7:
+					it.Answered, err = count(f.Uint)
 				default:
 					readServer(&it.Server, f)
 				}
@@ -111,21 +111,21 @@
 	var r reader
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			g.Seq = f.X
-		case f.IsNum && f.Num == 2:
-			g.Stamp = f.X
-		case !f.IsNum && f.Num == 3:
+		case f.IsUint && f.Number == 1:
+			g.Seq = f.Uint
+		case f.IsUint && f.Number == 2:
+			g.Stamp = f.Uint
+		case !f.IsUint && f.Number == 3:
 			if len(g.Items) == allowance.MaxClaimItems {
 				return fault(Malformed, "a grant for more than %d servers", allowance.MaxClaimItems)
 			}
 			var x allowance.Allotment
-			err := r.fields(f.B, func(f protofields.Field) (err error) {
+			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
-				case f.IsNum && f.Num == 3:
-					x.Sends, err = count(f.X)
-				case f.IsNum && f.Num == 4:
-					x.Total, err = count(f.X)
+				case f.IsUint && f.Number == 3:
+					x.Sends, err = count(f.Uint)
+				case f.IsUint && f.Number == 4:
+					x.TotalSends, err = count(f.Uint)
 				default:
 					readServer(&x.Server, f)
 				}
@@ -146,10 +146,10 @@
 
 func readServer(b *allowance.Server, f protofields.Field) {
 	switch {
-	case !f.IsNum && f.Num == 1:
-		b.ID = string(f.B)
-	case f.IsNum && f.Num == 2:
-		b.Started = time.Duration(protowire.DecodeZigZag(f.X))
+	case !f.IsUint && f.Number == 1:
+		b.ID = string(f.Bytes)
+	case f.IsUint && f.Number == 2:
+		b.Started = time.Duration(protowire.DecodeZigZag(f.Uint))
 	}
 }
 
--- a/internal/fleet/wire/allowance_test.go
+++ b/internal/fleet/wire/allowance_test.go
@@ -26,7 +26,7 @@
 func drawnGrant(rng *rand.Rand) *allowance.Grant {
 	g := &allowance.Grant{Seq: rng.Uint64N(1000), Stamp: rng.Uint64()}
 	for range rng.IntN(allowance.MaxClaimItems + 1) {
-		g.Items = append(g.Items, allowance.Allotment{Server: drawnServer(rng), Sends: rng.IntN(4), Total: rng.IntN(100)})
+		g.Items = append(g.Items, allowance.Allotment{Server: drawnServer(rng), Sends: rng.IntN(4), TotalSends: rng.IntN(100)})
 	}
 	return g
 }
@@ -41,7 +41,7 @@
 		if got, err := ParseGrant(AppendGrant(nil, g)); err != nil || !reflect.DeepEqual(g, got) {
 			t.Fatalf("sent %+v\n got %+v, %v", g, got, err)
 		}
-		whole := Append(nil, 7, &membership.Message{Kind: membership.Payload, Life: 1, Topic: TopicClaim, Body: AppendClaim(nil, c)})
+		whole := Append(nil, 7, &membership.Message{Kind: membership.Payload, SenderLife: 1, Topic: TopicClaim, Body: AppendClaim(nil, c)})
 		if len(whole) > MaxDatagram+allowance.MaxClaimItems*32 { // ids of 40 bytes; those of the platform have 8 to 20
 			t.Fatalf("a claim takes %d bytes", len(whole))
 		}
--- a/internal/fleet/wire/list.go
+++ b/internal/fleet/wire/list.go
@@ -11,7 +11,7 @@
 // ListMessage is a message about lists of servers, with its sender's address.
 type ListMessage struct {
 	bootstrap.Message
-	At netip.AddrPort
+	Addr netip.AddrPort
 }
 
 // AppendList appends the body of a message about lists.
@@ -23,8 +23,8 @@
 	if len(m.Body) > 0 {
 		to = protofields.AppendBytes(to, 6, m.Body)
 	}
-	if m.At.IsValid() {
-		to = protofields.AppendString(to, 7, m.At.String())
+	if m.Addr.IsValid() {
+		to = protofields.AppendString(to, 7, m.Addr.String())
 	}
 	return to
 }
@@ -40,36 +40,36 @@
 	var r reader
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			if f.X < uint64(bootstrap.ListQuery) || f.X > uint64(bootstrap.ListReply) {
-				return fault(Malformed, "kind %d", f.X)
+		case f.IsUint && f.Number == 1:
+			if f.Uint < uint64(bootstrap.ListQuery) || f.Uint > uint64(bootstrap.ListReply) {
+				return fault(Malformed, "kind %d", f.Uint)
 			}
-			m.Kind = bootstrap.Kind(f.X)
-		case !f.IsNum && f.Num == 2:
-			if len(f.B) > mostListName {
-				return fault(Malformed, "a name of %d bytes", len(f.B))
+			m.Kind = bootstrap.Kind(f.Uint)
+		case !f.IsUint && f.Number == 2:
+			if len(f.Bytes) > mostListName {
+				return fault(Malformed, "a name of %d bytes", len(f.Bytes))
 			}
-			m.From = string(f.B)
-		case f.IsNum && f.Num == 3:
-			m.List.Generation = f.X
-		case !f.IsNum && f.Num == 4:
-			if len(f.B) > mostListName {
-				return fault(Malformed, "an address of %d bytes", len(f.B))
+			m.From = string(f.Bytes)
+		case f.IsUint && f.Number == 3:
+			m.List.Generation = f.Uint
+		case !f.IsUint && f.Number == 4:
+			if len(f.Bytes) > mostListName {
+				return fault(Malformed, "an address of %d bytes", len(f.Bytes))
 			}
-			m.List.Discovery = string(f.B)
-		case f.IsNum && f.Num == 5:
-			if f.X > uint64(mostListAge) {
-				return fault(Malformed, "a list of %d ns", f.X)
+			m.List.Discovery = string(f.Bytes)
+		case f.IsUint && f.Number == 5:
+			if f.Uint > uint64(mostListAge) {
+				return fault(Malformed, "a list of %d ns", f.Uint)
 			}
-			m.List.Age = time.Duration(f.X)
-		case !f.IsNum && f.Num == 6:
-			m.Body = append([]byte(nil), f.B...)
-		case !f.IsNum && f.Num == 7:
-			at, err := netip.ParseAddrPort(string(f.B))
+			m.List.Age = time.Duration(f.Uint)
+		case !f.IsUint && f.Number == 6:
+			m.Body = append([]byte(nil), f.Bytes...)
+		case !f.IsUint && f.Number == 7:
+			at, err := netip.ParseAddrPort(string(f.Bytes))
 			if err != nil {
 				return fault(Malformed, "an address: %v", err)
 			}
-			m.At = at
+			m.Addr = at
 		}
 		return nil
 	})
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -84,9 +84,9 @@
 	to = binary.BigEndian.AppendUint32(to, fleet)
 	to = append(to, 0, 0, 0, 0)
 	to = protofields.AppendUint(to, fieldKind, uint64(m.Kind))
-	to = protofields.AppendFixed(to, fieldRoot, m.Root)
-	to = protofields.AppendUint(to, fieldNumber, m.Number)
-	to = protofields.AppendFixed(to, fieldLife, m.Life)
+	to = protofields.AppendFixed(to, fieldRoot, m.FleetID)
+	to = protofields.AppendUint(to, fieldNumber, m.ViewNumber)
+	to = protofields.AppendFixed(to, fieldLife, m.SenderLife)
 	to = member(to, fieldSelf, m.Self)
 	to = protofields.AppendUint(to, fieldSeq, m.Seq)
 	var part []byte
@@ -96,7 +96,7 @@
 			down = 1
 		}
 		part = protowire.AppendVarint(part[:0], uint64(a.Subject))
-		part = protowire.AppendVarint(part, uint64(a.Slot)<<1|down)
+		part = protowire.AppendVarint(part, uint64(a.WatcherSlot)<<1|down)
 		part = protowire.AppendVarint(part, uint64(a.Seq))
 		to = protofields.AppendBytes(to, fieldAlert, part)
 	}
@@ -119,13 +119,13 @@
 	}
 	for i := range m.Joiners {
 		part = member(part[:0], 1, &m.Joiners[i].Member)
-		to = protofields.AppendBytes(to, fieldJoin, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joiners[i].Slot)), 3, m.Joiners[i].Number))
+		to = protofields.AppendBytes(to, fieldJoin, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joiners[i].SponsorSlot)), 3, m.Joiners[i].LastViewNumber))
 	}
 	to = member(to, fieldHolder, m.NameHolder)
 	to = protofields.AppendUint(to, fieldLow, uint64(m.LowestSeed))
 	to = protofields.AppendFixed(to, fieldWant, m.WantedHash)
 	if v := m.View; v != nil {
-		part = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.Root), 2, v.Number)
+		part = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.FleetID), 2, v.Number)
 		for i := range v.Members {
 			part = member(part, 3, &v.Members[i])
 		}
@@ -222,7 +222,7 @@
 	if m.Kind < membership.Probe || m.Kind > membership.Payload {
 		return nil, fault(Malformed, "kind %d", m.Kind)
 	}
-	if m.Life == 0 {
+	if m.SenderLife == 0 {
 		return nil, fault(Malformed, "no sender")
 	}
 	return m, nil
@@ -248,46 +248,46 @@
 }
 
 func (r *reader) message(m *membership.Message, f protofields.Field) (err error) {
-	if f.IsNum {
-		switch f.Num {
+	if f.IsUint {
+		switch f.Number {
 		case fieldKind:
-			m.Kind = membership.Kind(min(f.X, 255))
+			m.Kind = membership.Kind(min(f.Uint, 255))
 		case fieldRoot:
-			m.Root = f.X
+			m.FleetID = f.Uint
 		case fieldNumber:
-			m.Number = f.X
+			m.ViewNumber = f.Uint
 		case fieldLife:
-			m.Life = f.X
+			m.SenderLife = f.Uint
 		case fieldSeq:
-			m.Seq = f.X
+			m.Seq = f.Uint
 		case fieldLow:
-			m.LowestSeed, err = small(f.X)
+			m.LowestSeed, err = small(f.Uint)
 		case fieldWant:
-			m.WantedHash = f.X
+			m.WantedHash = f.Uint
 		case fieldTopic:
-			m.Topic, err = small(f.X)
+			m.Topic, err = small(f.Uint)
 		}
 		return err
 	}
-	switch f.Num {
+	switch f.Number {
 	case fieldSelf:
-		m.Self, err = r.member(f.B)
+		m.Self, err = r.member(f.Bytes)
 	case fieldHolder:
-		m.NameHolder, err = r.member(f.B)
+		m.NameHolder, err = r.member(f.Bytes)
 	case fieldAlert:
-		x, err := numbers(f.B, 3, 3)
+		x, err := numbers(f.Bytes, 3, 3)
 		if err != nil {
 			return err
 		}
-		m.Alerts = append(m.Alerts, membership.Alert{Subject: x[0], Slot: x[1] >> 1, Down: x[1]&1 == 1, Seq: x[2]})
+		m.Alerts = append(m.Alerts, membership.Alert{Subject: x[0], WatcherSlot: x[1] >> 1, Down: x[1]&1 == 1, Seq: x[2]})
 	case fieldAlive:
-		x, err := numbers(f.B, 2, 2)
+		x, err := numbers(f.Bytes, 2, 2)
 		if err != nil {
 			return err
 		}
 		m.Refutations = append(m.Refutations, membership.Refutation{Member: x[0], Seq: x[1]})
 	case fieldLeaving:
-		x, err := numbers(f.B, 0, len(f.B))
+		x, err := numbers(f.Bytes, 0, len(f.Bytes))
 		if err != nil {
 			return err
 		}
@@ -295,23 +295,23 @@
 			m.Departures = append(m.Departures, membership.Departure{Member: x >> 1, Ended: x&1 == 1})
 		}
 	case fieldVote:
-		m.Vote, err = r.vote(f.B)
+		m.Vote, err = r.vote(f.Bytes)
 	case fieldJoin:
 		c := membership.Joiner{}
-		err = r.fields(f.B, func(f protofields.Field) error {
+		err = r.fields(f.Bytes, func(f protofields.Field) error {
 			switch {
-			case f.Num == 1 && !f.IsNum:
-				x, err := r.member(f.B)
+			case f.Number == 1 && !f.IsUint:
+				x, err := r.member(f.Bytes)
 				if err == nil {
 					c.Member = *x
 				}
 				return err
-			case f.Num == 2 && f.IsNum:
+			case f.Number == 2 && f.IsUint:
 				var err error
-				c.Slot, err = small(f.X)
+				c.SponsorSlot, err = small(f.Uint)
 				return err
-			case f.Num == 3 && f.IsNum:
-				c.Number = f.X
+			case f.Number == 3 && f.IsUint:
+				c.LastViewNumber = f.Uint
 			}
 			return nil
 		})
@@ -320,11 +320,11 @@
 		}
 		m.Joiners = append(m.Joiners, c)
 	case fieldView:
-		m.View, err = r.view(f.B)
+		m.View, err = r.view(f.Bytes)
 	case fieldChange:
-		m.Proposal, err = r.change(f.B)
+		m.Proposal, err = r.change(f.Bytes)
 	case fieldBody:
-		m.Body = append([]byte(nil), f.B...)
+		m.Body = append([]byte(nil), f.Bytes...)
 	}
 	return err
 }
@@ -349,23 +349,23 @@
 	m := &membership.Member{}
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
-		case f.Num == 1 && !f.IsNum:
-			m.Name = string(f.B)
-		case f.Num == 2 && !f.IsNum:
-			m.Site = string(f.B)
-		case f.Num == 3 && !f.IsNum:
-			if len(f.B) > 64 { // a zone of any length may be behind an address
-				return fault(Malformed, "an address of %d bytes", len(f.B))
+		case f.Number == 1 && !f.IsUint:
+			m.Name = string(f.Bytes)
+		case f.Number == 2 && !f.IsUint:
+			m.Site = string(f.Bytes)
+		case f.Number == 3 && !f.IsUint:
+			if len(f.Bytes) > 64 { // a zone of any length may be behind an address
+				return fault(Malformed, "an address of %d bytes", len(f.Bytes))
 			}
 			var a netip.AddrPort
-			if err := a.UnmarshalBinary(f.B); err != nil {
+			if err := a.UnmarshalBinary(f.Bytes); err != nil {
 				return fault(Malformed, "an address: %v", err)
 			}
 			m.Addr = a
-		case f.Num == 4 && f.IsNum:
-			m.Life = f.X
-		case f.Num == 5 && f.IsNum:
-			m.Incarnation = f.X
+		case f.Number == 4 && f.IsUint:
+			m.Life = f.Uint
+		case f.Number == 5 && f.IsUint:
+			m.Incarnation = f.Uint
 		}
 		return nil
 	})
@@ -382,24 +382,24 @@
 	v := &membership.Vote{}
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			v.ViewNumber = f.X
-		case f.IsNum && f.Num == 2:
-			v.Ballot = f.X
-		case !f.IsNum && f.Num == 3:
-			v.Promises = append(membership.BitSet(nil), f.B...)
-		case f.IsNum && f.Num == 4:
-			v.AcceptedBallot = f.X
-		case f.IsNum && f.Num == 5:
-			v.AcceptedValue = f.X
-		case f.IsNum && f.Num == 6:
-			v.Value = f.X
-		case f.IsNum && f.Num == 7:
-			v.Forced = f.X != 0
-		case !f.IsNum && f.Num == 8:
-			v.Accepts = append(membership.BitSet(nil), f.B...)
-		case !f.IsNum && f.Num == 9:
-			v.PromisersWithValue = append(membership.BitSet(nil), f.B...)
+		case f.IsUint && f.Number == 1:
+			v.ViewNumber = f.Uint
+		case f.IsUint && f.Number == 2:
+			v.Ballot = f.Uint
+		case !f.IsUint && f.Number == 3:
+			v.Promises = append(membership.BitSet(nil), f.Bytes...)
+		case f.IsUint && f.Number == 4:
+			v.AcceptedBallot = f.Uint
+		case f.IsUint && f.Number == 5:
+			v.AcceptedValue = f.Uint
+		case f.IsUint && f.Number == 6:
+			v.Value = f.Uint
+		case f.IsUint && f.Number == 7:
+			v.Forced = f.Uint != 0
+		case !f.IsUint && f.Number == 8:
+			v.Accepts = append(membership.BitSet(nil), f.Bytes...)
+		case !f.IsUint && f.Number == 9:
+			v.PromisersWithValue = append(membership.BitSet(nil), f.Bytes...)
 		}
 		return nil
 	})
@@ -411,12 +411,12 @@
 	var members []membership.Member
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
-		case f.IsNum && f.Num == 1:
-			root = f.X
-		case f.IsNum && f.Num == 2:
-			num = f.X
-		case !f.IsNum && f.Num == 3:
-			m, err := r.member(f.B)
+		case f.IsUint && f.Number == 1:
+			root = f.Uint
+		case f.IsUint && f.Number == 2:
+			num = f.Uint
+		case !f.IsUint && f.Number == 3:
+			m, err := r.member(f.Bytes)
 			if err == nil {
 				members = append(members, *m)
 			}
@@ -438,14 +438,14 @@
 	p := &membership.Proposal{}
 	err := r.fields(b, func(f protofields.Field) (err error) {
 		switch {
-		case f.IsNum && f.Num == 1:
-			p.ViewNumber = f.X
-		case f.IsNum && f.Num == 4:
-			p.NextNumber = f.X
-		case !f.IsNum && f.Num == 2:
-			p.Remove, err = numbers(f.B, 0, len(f.B))
-		case !f.IsNum && f.Num == 3:
-			m, err := r.member(f.B)
+		case f.IsUint && f.Number == 1:
+			p.ViewNumber = f.Uint
+		case f.IsUint && f.Number == 4:
+			p.NextNumber = f.Uint
+		case !f.IsUint && f.Number == 2:
+			p.Remove, err = numbers(f.Bytes, 0, len(f.Bytes))
+		case !f.IsUint && f.Number == 3:
+			m, err := r.member(f.Bytes)
 			if err == nil {
 				p.Add = append(p.Add, *m)
 			}
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -27,7 +27,7 @@
 // drawn is a message with some of everything.
 func drawn(rng *rand.Rand) *membership.Message {
 	m := &membership.Message{
-		Kind: membership.Kind(1 + rng.IntN(int(membership.Payload))), Root: rng.Uint64(), Number: rng.Uint64N(1000), Life: 1 + rng.Uint64N(1<<50),
+		Kind: membership.Kind(1 + rng.IntN(int(membership.Payload))), FleetID: rng.Uint64(), ViewNumber: rng.Uint64N(1000), SenderLife: 1 + rng.Uint64N(1<<50),
 		Seq: rng.Uint64N(1 << 40), LowestSeed: uint32(rng.IntN(4)), WantedHash: rng.Uint64N(2) * rng.Uint64(),
 	}
 	if m.Kind == membership.Payload {
@@ -37,7 +37,7 @@
 		m.Self, m.NameHolder = someone(rng), someone(rng)
 	}
 	for range rng.IntN(20) {
-		m.Alerts = append(m.Alerts, membership.Alert{Subject: rng.Uint32N(10000), Slot: rng.Uint32N(16), Seq: rng.Uint32(), Down: rng.IntN(2) == 0})
+		m.Alerts = append(m.Alerts, membership.Alert{Subject: rng.Uint32N(10000), WatcherSlot: rng.Uint32N(16), Seq: rng.Uint32(), Down: rng.IntN(2) == 0})
 		m.Refutations = append(m.Refutations, membership.Refutation{Member: rng.Uint32(), Seq: rng.Uint32()})
 		m.Departures = append(m.Departures, membership.Departure{Member: rng.Uint32N(1 << 31), Ended: rng.IntN(2) == 0})
 	}
@@ -49,7 +49,7 @@
 		m.Proposal = &membership.Proposal{ViewNumber: rng.Uint64(), NextNumber: rng.Uint64(), Remove: []uint32{1, 5, 70000}, Add: []membership.Member{*someone(rng)}}
 	}
 	for range rng.IntN(3) {
-		m.Joiners = append(m.Joiners, membership.Joiner{Member: *someone(rng), Slot: rng.Uint32N(16), Number: rng.Uint64N(9)})
+		m.Joiners = append(m.Joiners, membership.Joiner{Member: *someone(rng), SponsorSlot: rng.Uint32N(16), LastViewNumber: rng.Uint64N(9)})
 	}
 	if rng.IntN(3) == 0 {
 		var all []membership.Member
@@ -83,7 +83,7 @@
 
 // What is none of this fleet's is told apart, and each is passed over.
 func TestPassedOver(t *testing.T) {
-	m := &membership.Message{Kind: membership.Probe, Life: 3, Seq: 4}
+	m := &membership.Message{Kind: membership.Probe, SenderLife: 3, Seq: 4}
 	good := Append(nil, 7, m)
 	change := func(at int, to byte) []byte {
 		b := append([]byte(nil), good...)
@@ -98,8 +98,8 @@
 		"the next version": {change(2, Version+1), OtherVersion}, "another fleet": {Append(nil, 8, m), OtherFleet},
 		"a byte changed": {change(len(good)-1, good[len(good)-1]^1), BadChecksum}, "cut off": {good[:len(good)-1], BadChecksum},
 		"no sender":                  {Append(nil, 7, &membership.Message{Kind: membership.Probe}), Malformed},
-		"no kind":                    {Append(nil, 7, &membership.Message{Life: 1}), Malformed},
-		"a kind of the next version": {Append(nil, 7, &membership.Message{Kind: membership.Payload + 1, Life: 1}), Malformed},
+		"no kind":                    {Append(nil, 7, &membership.Message{SenderLife: 1}), Malformed},
+		"a kind of the next version": {Append(nil, 7, &membership.Message{Kind: membership.Payload + 1, SenderLife: 1}), Malformed},
 	} {
 		_, err := Parse(x.b, 7, 10)
 		var bad *Error
@@ -126,7 +126,7 @@
 
 // Fields that a later writer of this version adds are passed over.
 func TestUnknownFields(t *testing.T) {
-	fields := Append(nil, 7, &membership.Message{Kind: membership.Ack, Life: 3, Seq: 9})[HeaderSize:]
+	fields := Append(nil, 7, &membership.Message{Kind: membership.Ack, SenderLife: 3, Seq: 9})[HeaderSize:]
 	fields = protowire.AppendVarint(protowire.AppendTag(fields, 99, protowire.VarintType), 5)
 	fields = protowire.AppendBytes(protowire.AppendTag(fields, 100, protowire.BytesType), []byte("later"))
 	fields = protowire.AppendFixed32(protowire.AppendTag(fields, 101, protowire.Fixed32Type), 1)
@@ -143,7 +143,7 @@
 		for len(all) < MaxDatagram-HeaderSize-16 {
 			all = protowire.AppendBytes(protowire.AppendTag(all, field, protowire.BytesType), part)
 		}
-		return append(all, Append(nil, 7, &membership.Message{Kind: membership.Gossip, Life: 1})[HeaderSize:]...)
+		return append(all, Append(nil, 7, &membership.Message{Kind: membership.Gossip, SenderLife: 1})[HeaderSize:]...)
 	}
 	for name, b := range map[string][]byte{
 		"alerts": seal(many(fieldAlert, []byte{1, 1, 1})), "alive": seal(many(fieldAlive, []byte{1, 1})), "joins": seal(many(fieldJoin, nil)),
@@ -186,7 +186,7 @@
 
 // A message about lists may be anything.
 func FuzzParseList(f *testing.F) {
-	f.Add(AppendList(nil, &ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListReply, From: "n", List: bootstrap.List{Generation: 4, Discovery: "d", Age: time.Second}, Body: []byte("{}")}, At: netip.MustParseAddrPort("127.0.0.1:1")}))
+	f.Add(AppendList(nil, &ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListReply, From: "n", List: bootstrap.List{Generation: 4, Discovery: "d", Age: time.Second}, Body: []byte("{}")}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := ParseList(b)
 		if err != nil {
--- a/internal/node/bootstrap/record.go
+++ b/internal/node/bootstrap/record.go
@@ -80,8 +80,8 @@
 		if err != nil {
 			return
 		}
-		if m.At.IsValid() && m.At.Port() != 0 {
-			fleet.Met(m.From, m.At)
+		if m.Addr.IsValid() && m.Addr.Port() != 0 {
+			fleet.Met(m.From, m.Addr)
 		}
 		select {
 		case r.in <- m:
@@ -228,7 +228,7 @@
 func (r *Runner) send(to string, m *bootstrap.Message) {
 	m.From = r.set.Name
 	at, _ := netip.ParseAddrPort(to) // a name is none
-	r.fleet.Carry(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, At: r.fleet.Address()}))
+	r.fleet.Carry(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, Addr: r.fleet.Address()}))
 }
 
 // hand sends the present list.
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -153,7 +153,7 @@
 				say(Reply{Answer: &m.Answer, Leader: m.From})
 				return true
 			}}
-			x := lease.Command{Op: lease.Force, Lease: q.Lease, Token: all[i].Token}
+			x := lease.Command{Op: lease.ForceRelease, Lease: q.Lease, Token: all[i].Token}
 			a.send = func(try int) error { return l.council.SendLeaseCommand(clock.Boot(), x, a.ref, try) }
 			l.ask(a)
 			return
--- a/internal/node/leases/keeper.go
+++ b/internal/node/leases/keeper.go
@@ -75,10 +75,10 @@
 	wrong := false
 	for {
 		var err error
-		if s.Begin != nil {
-			err = k.ledger.Reset(clock.Boot(), s.Begin, s.Note)
+		if s.NewState != nil {
+			err = k.ledger.Reset(clock.Boot(), s.NewState, s.UserData)
 		} else {
-			err = k.ledger.Save(clock.Boot(), &s.Save, s.Note)
+			err = k.ledger.Save(clock.Boot(), &s.Update, s.UserData)
 		}
 		if err == nil {
 			st := k.ledger.Stats()
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -106,12 +106,12 @@
 
 // begin makes a council of what the disk holds.
 func (l *Leases) begin() {
-	if l.found.Doubt != "" {
-		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.found.State.ID), "why", l.found.Doubt)
+	if l.found.DistrustReason != "" {
+		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.found.State.ID), "why", l.found.DistrustReason)
 	}
 	set := leaselog.Settings{Name: l.set.Name, Site: l.set.Site, ReplaceAfter: l.set.ReplaceAfter}
 	set.Consensus.TickInterval = round
-	l.council = leaselog.New(set, &l.found.State, l.found.Note, l.found.Doubt, rand.Uint64(), clock.Boot())
+	l.council = leaselog.New(set, &l.found.State, l.found.UserData, l.found.DistrustReason, rand.Uint64(), clock.Boot())
 	l.view, l.reopening = nil, false
 }
 
@@ -272,8 +272,8 @@
 	}
 	l.seen = now
 	s := l.council.Status()
-	if now.Leads != was.Leads {
-		l.log.Info("the leases' log", "leads", now.Leads, "term", s.Term)
+	if now.IsLeader != was.IsLeader {
+		l.log.Info("the leases' log", "leads", now.IsLeader, "term", s.Term)
 	}
 	if now.Index != was.Index {
 		var names []string
@@ -285,8 +285,8 @@
 	if now.ID != was.ID {
 		l.log.Info("this node's voter", "number", fmt.Sprintf("%x", now.ID), "was", fmt.Sprintf("%x", was.ID))
 	}
-	if now.Hung != was.Hung {
-		l.log.Warn("the leases' disk", "hangs", now.Hung)
+	if now.DiskHung != was.DiskHung {
+		l.log.Warn("the leases' disk", "hangs", now.DiskHung)
 	}
 	if now.Conflict && !was.Conflict {
 		l.log.Error("another log of this fleet's leases was met: two were founded, and this node keeps to its own")
--- a/internal/node/leases/tenants.go
+++ b/internal/node/leases/tenants.go
@@ -61,7 +61,7 @@
 	}
 	for _, e := range h.tenant.Events() {
 		if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding || e.Kind == lease.Extended {
-			h.tenant.Begin(now, e.Until-now) // the user acts as long as it may, unless it says otherwise
+			h.tenant.BeginAct(now, e.Until-now) // the user acts as long as it may, unless it says otherwise
 		}
 		if !h.tell(e) {
 			h.tenant.Abandon()
--- a/internal/node/members/carry.go
+++ b/internal/node/members/carry.go
@@ -65,6 +65,6 @@
 		return nil
 	}
 	return []membership.Outgoing{{To: to, Message: &membership.Message{
-		Kind: membership.Payload, Life: n.Self().Life, Topic: c.topic, Body: c.body,
+		Kind: membership.Payload, SenderLife: n.Self().Life, Topic: c.topic, Body: c.body,
 	}}}
 }
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -284,19 +284,19 @@
 func (m *Members) note(n *membership.Node, e membership.Event) {
 	switch e.Kind {
 	case membership.ViewChanged:
-		m.log.Info("the members have changed", "view", e.View.Number, "members", len(e.View.Members), "why", e.Text)
+		m.log.Info("the members have changed", "view", e.View.Number, "members", len(e.View.Members), "why", e.Detail)
 	case membership.Founded:
 		m.log.Info("this node founds the fleet", "fleet", m.set.Fleet, "view", e.View.Number)
 	case membership.Evicted:
-		m.log.Warn("this life is not among the members any more; a new one begins", "view", e.View.Number, "why", e.Text)
+		m.log.Warn("this life is not among the members any more; a new one begins", "view", e.View.Number, "why", e.Detail)
 	case membership.Accused:
-		m.log.Warn("a member", "name", e.Member.Name, "address", e.Member.Addr.String(), "what", e.Text)
+		m.log.Warn("a member", "name", e.Member.Name, "address", e.Member.Addr.String(), "what", e.Detail)
 	case membership.NameConflict:
 		m.log.Error("another process has this node's name and was first; this one stays out", "name", e.Member.Name, "address", e.Member.Addr.String())
 	case membership.Stalled:
-		m.log.Warn("this node stood still", "for", e.Text)
+		m.log.Warn("this node stood still", "for", e.Detail)
 	case membership.ForeignFleet:
-		m.log.Warn("another fleet of this name holds; this node joins it", "why", e.Text)
+		m.log.Warn("another fleet of this name holds; this node joins it", "why", e.Detail)
 	case membership.Left:
 		m.log.Info("the others have let this node go")
 	}
--- a/internal/node/members/pool.go
+++ b/internal/node/members/pool.go
@@ -48,7 +48,7 @@
 			return nil
 		}
 		if g, ok := m.dealer.HandleClaim(m.clock.Now(), c); ok {
-			return m.carryTo(n, x.Life, wire.TopicGrant, wire.AppendGrant(nil, &g))
+			return m.carryTo(n, x.SenderLife, wire.TopicGrant, wire.AppendGrant(nil, &g))
 		}
 	case wire.TopicGrant:
 		g, err := wire.ParseGrant(x.Body)
@@ -57,7 +57,7 @@
 			return nil
 		}
 		if m.granted != nil {
-			m.granted(x.Life, g)
+			m.granted(x.SenderLife, g)
 		}
 	default:
 		if take := m.takers[x.Topic]; take != nil {
@@ -80,6 +80,6 @@
 		return nil
 	}
 	return []membership.Outgoing{{To: v.Members[i].Addr, Message: &membership.Message{
-		Kind: membership.Payload, Life: n.Self().Life, Topic: topic, Body: body,
+		Kind: membership.Payload, SenderLife: n.Self().Life, Topic: topic, Body: body,
 	}}}
 }
--- a/internal/node/members/size_test.go
+++ b/internal/node/members/size_test.go
@@ -41,7 +41,7 @@
 	}
 	defer m.close()
 	for i := range plannedSize {
-		m.take(wire.Append(nil, m.fleet, &membership.Message{Kind: membership.Probe, Life: uint64(i) + 1}))
+		m.take(wire.Append(nil, m.fleet, &membership.Message{Kind: membership.Probe, SenderLife: uint64(i) + 1}))
 		m.SendClaim(uint64(i)+1, allowance.Claim{Lender: 1, Seq: uint64(i) + 1})
 		m.Carry(fmt.Sprint("n", i), m.Address(), wire.TopicList, nil)
 	}
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -122,7 +122,7 @@
 		Kind: fleetrecord.ListReply, From: "n0", List: fleetrecord.List{Generation: 1, Discovery: "127.0.0.1:1"}, Body: list,
 	}})
 	const fleet, watchers = 7, 10
-	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Payload, Life: 1, Topic: wire.TopicList, Body: body})
+	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Payload, SenderLife: 1, Topic: wire.TopicList, Body: body})
 	if len(sent) > wire.MaxStreamMessage {
 		t.Fatalf("%d bytes, at most %d are read", len(sent), wire.MaxStreamMessage)
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Gossip, Life: 1, View: v})
+	sent := wire.Append(nil, fleet, &membership.Message{Kind: membership.Gossip, SenderLife: 1, View: v})
 	if len(sent) > wire.MaxStreamMessage {
 		t.Fatalf("%d bytes, at most %d are read", len(sent), wire.MaxStreamMessage)
 	}
--- a/internal/rig/leases/sim.go
+++ b/internal/rig/leases/sim.go
@@ -148,7 +148,7 @@
 func (p *peer) open() {
 	disk := p.disk.Clone()
 	set := leaselog.Settings{
-		Name: p.name, Site: p.site, Terms: p.s.terms, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
+		Name: p.name, Site: p.site, Timing: p.s.terms, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
 		Consensus: consensus.Settings{TickInterval: simRound, KeepEntries: 8},
 	}
 	p.council = leaselog.New(set, &disk, p.note, "", p.s.rng.Uint64(), p.clock())
@@ -170,12 +170,12 @@
 	if s := p.council.TakeSave(); s != nil {
 		life, c := p.life, p.council
 		put := func() {
-			if s.Begin != nil {
-				p.disk = s.Begin.Clone()
+			if s.NewState != nil {
+				p.disk = s.NewState.Clone()
 			}
-			p.disk.Apply(&s.Save)
-			if s.Note != nil {
-				p.note = s.Note
+			p.disk.Apply(&s.Update)
+			if s.UserData != nil {
+				p.note = s.UserData
 			}
 			p.syncs++
 		}
--- a/internal/rig/leases/tenant.go
+++ b/internal/rig/leases/tenant.go
@@ -43,7 +43,7 @@
 
 func (p *peer) turn(x *tenant, now time.Duration) {
 	act := time.Duration(20+p.s.rng.IntN(200)) * time.Millisecond
-	token, ok := x.t.Begin(now, act)
+	token, ok := x.t.BeginAct(now, act)
 	if p.s.Rash && x.held != 0 {
 		token, ok = x.held, true
 	}
--- a/internal/rig/members/faults_test.go
+++ b/internal/rig/members/faults_test.go
@@ -306,11 +306,11 @@
 		v := n.View(1)
 		for k := range uint32(200) {
 			n.At(n.Now+time.Duration(k)*100*time.Millisecond, func() {
-				m := &membership.Message{Kind: membership.Gossip, Root: v.Root, Number: v.Number, Life: liar.Core.(*real).Self().Life}
+				m := &membership.Message{Kind: membership.Gossip, FleetID: v.FleetID, ViewNumber: v.Number, SenderLife: liar.Core.(*real).Self().Life}
 				for i := range uint32(nodes) {
 					for s, w := range v.WatchersOf(i) {
 						if v.Members[w].Name == liar.Name {
-							m.Alerts = append(m.Alerts, membership.Alert{Subject: i, Slot: uint32(s), Seq: k + 1000, Down: true})
+							m.Alerts = append(m.Alerts, membership.Alert{Subject: i, WatcherSlot: uint32(s), Seq: k + 1000, Down: true})
 						}
 					}
 				}
--- a/internal/rig/members/net.go
+++ b/internal/rig/members/net.go
@@ -361,13 +361,13 @@
 	case membership.ViewChanged, membership.Founded:
 		if e.Kind == membership.ViewChanged {
 			x.Views++
-			n.Changes = append(n.Changes, Change{n.Now, x.Index, e.View, e.Text})
+			n.Changes = append(n.Changes, Change{n.Now, x.Index, e.View, e.Detail})
 		}
-		key := viewKey{e.View.Root, e.View.Number}
+		key := viewKey{e.View.FleetID, e.View.Number}
 		if first := n.views[key]; first == nil {
 			n.views[key] = e.View
-			n.Reasons = append(n.Reasons, fmt.Sprintf("%v view %d: %s", n.Now.Round(time.Millisecond), e.View.Number, e.Text))
-			if before := n.views[viewKey{e.View.Root, e.View.Number - 1}]; before != nil {
+			n.Reasons = append(n.Reasons, fmt.Sprintf("%v view %d: %s", n.Now.Round(time.Millisecond), e.View.Number, e.Detail))
+			if before := n.views[viewKey{e.View.FleetID, e.View.Number - 1}]; before != nil {
 				n.deaths(before, e.View)
 			}
 		} else if first.Digest != e.View.Digest {
@@ -390,7 +390,7 @@
 		x.Outs++
 	}
 	if n.Log != nil {
-		n.Log("%v %s: kind %d %s %s", n.Now.Round(time.Millisecond), x.Name, e.Kind, e.Member.Name, e.Text)
+		n.Log("%v %s: kind %d %s %s", n.Now.Round(time.Millisecond), x.Name, e.Kind, e.Member.Name, e.Detail)
 	}
 }
 
