--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -119,7 +119,7 @@
 		if e.Server == "" {
 			return errors.New("a list entry names no server")
 		}
-		health, err := settings.Named(states, "health", e.Health)
+		health, err := settings.LookupName(states, "health", e.Health)
 		if err != nil {
 			return err
 		}
@@ -228,7 +228,7 @@
 }
 
 func (h *host) view(n *node, v *view) error {
-	change, err := settings.Named(changes, "kind of list", v.How)
+	change, err := settings.LookupName(changes, "kind of list", v.How)
 	if err != nil {
 		return err
 	}
@@ -244,7 +244,7 @@
 }
 
 func (h *host) request(n *node, r *req) error {
-	class, err := settings.Named(n.classes, "class", r.Grade)
+	class, err := settings.LookupName(n.classes, "class", r.Grade)
 	if err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 }
 
 func (h *host) outcome(n *node, o *outcome) error {
-	result, err := settings.Named(results, "outcome", o.State)
+	result, err := settings.LookupName(results, "outcome", o.State)
 	if err != nil {
 		return err
 	}
@@ -276,7 +276,7 @@
 }
 
 func (h *host) probed(n *node, o *outcome) error {
-	result, err := settings.Named(results, "outcome", o.State)
+	result, err := settings.LookupName(results, "outcome", o.State)
 	if err != nil {
 		return err
 	}
--- a/cmd/curlewctl/lease.go
+++ b/cmd/curlewctl/lease.go
@@ -70,13 +70,13 @@
 		return errors.New("there is no command behind --")
 	}
 	code, err := leaseexec.Run(ctx, leaseexec.Options{
-		Folder: c.Folder, Lease: c.Name, TTL: c.TTL, Grace: c.Grace, Wait: c.Wait, Command: command,
-		Say: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "curlewctl: "+format+"\n", args...) },
+		StateDir: c.Folder, Lease: c.Name, TTL: c.TTL, KillGrace: c.Grace, MaxWait: c.Wait, Command: command,
+		Logf: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "curlewctl: "+format+"\n", args...) },
 	})
 	switch {
 	case errors.Is(err, leaseexec.ErrNotHeld):
 		code = exitNotHeld
-	case errors.Is(err, leaseexec.ErrLost):
+	case errors.Is(err, leaseexec.ErrLeaseLost):
 		code = exitLost
 	case err != nil:
 		code = exitNoNode
--- a/cmd/curlewctl/sarif.go
+++ b/cmd/curlewctl/sarif.go
@@ -66,7 +66,7 @@
 func printSARIF(out io.Writer, findings apps.Findings) error {
 	run := sarifRun{Tool: sarifTool{sarifDriver{Name: "curlewctl check"}}, Results: []sarifResult{}}
 	for _, a := range apps.Codes() {
-		rule := sarifRule{ID: string(a.Code), Short: sarifText{a.Means}, Help: sarifText{a.Instead}}
+		rule := sarifRule{ID: string(a.Code), Short: sarifText{a.Meaning}, Help: sarifText{a.Remedy}}
 		rule.Default.Level = "error"
 		if a.Warning {
 			rule.Default.Level = "warning"
--- a/cmd/curlewctl/sidecars.go
+++ b/cmd/curlewctl/sidecars.go
@@ -28,7 +28,7 @@
 	if len(paths) == 0 {
 		return nil, errors.New("name a description, or a folder by --dir")
 	}
-	return appdir.Load(d.Platform, relative(paths)), nil
+	return appdir.LoadDescriptions(d.Platform, relative(paths)), nil
 }
 
 // relative names files as somebody who stands in this folder would: what is
@@ -105,8 +105,8 @@
 }
 
 // diff prints what writing would change (unified, as diff -u does).
-func (c *writeCommand) diff(out io.Writer, all []apps.Written) error {
-	current, err := appdir.Current(c.Out)
+func (c *writeCommand) diff(out io.Writer, all []apps.GeneratedFile) error {
+	current, err := appdir.ReadCurrentSet(c.Out)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 
 func (c *checkCommand) run(out io.Writer) error {
 	var findings apps.Findings
-	var want []apps.Written
+	var want []apps.GeneratedFile
 	if len(c.Paths)+len(c.Dir) > 0 || c.Written == "" {
 		// A node's configuration may be named as it is.
 		var nodes []string
@@ -193,7 +193,7 @@
 		}
 	}
 	if c.Written != "" {
-		if err := appdir.CheckWritten(relative([]string{c.Written})[0], want, &findings); err != nil {
+		if err := appdir.CheckGenerated(relative([]string{c.Written})[0], want, &findings); err != nil {
 			return err
 		}
 	}
@@ -222,7 +222,7 @@
 		findings.Add(apps.Unreadable, path, 0, err.Error())
 		return
 	}
-	if sealed, marked := apps.Sealed(text); marked && !sealed {
+	if sealed, marked := apps.VerifyChecksum(text); marked && !sealed {
 		findings.Add(apps.HandEdited, path, 0, "its sum is not that of its text")
 	}
 	_, err = os.Stat(filepath.Join(filepath.Dir(path), "operator.toml"))
@@ -242,7 +242,7 @@
 func (c *explainCommand) Run() error { return c.run(os.Stdout, os.Stderr) }
 
 func (c *explainCommand) run(out, errs io.Writer) error {
-	l := appdir.Load(c.Platform, relative(c.Dir))
+	l := appdir.LoadDescriptions(c.Platform, relative(c.Dir))
 	if l.Findings.Worst() == 2 {
 		tell(errs, l.Findings)
 		return found(2)
@@ -269,11 +269,11 @@
 	fmt.Fprintln(t, "sidecar\tclass\troute\tattempts\tin all\tone lasts\ttogether\tcomes with\tcopies at once")
 	for _, s := range e.Chain {
 		copies := 1
-		if s.Copies {
+		if s.SecondCopies {
 			copies = 2
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%v\t%v\t%v\t%d\n", s.Sidecar, s.Class, or(s.Route, "-"), s.Attempts, s.Product, s.Attempt, s.Whole,
-			s.Left, copies)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%v\t%v\t%v\t%d\n", s.Sidecar, s.Class, or(s.Route, "-"), s.Attempts, s.CumulativeAttempts, s.MaxAttemptTime, s.MaxTotalTime,
+			s.MinTimeLeft, copies)
 	}
 	return t.Flush()
 }
--- a/cmd/curlewring/main.go
+++ b/cmd/curlewring/main.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		log.Warn("the application starts without a server to send to", "err", err)
 	}
-	c := supervisor.Default(s.Command, log)
+	c := supervisor.DefaultConfig(s.Command, log)
 	if s.Socket != "" {
 		c.Env = append(c.Env, "CURLEWRING_SOCKET="+s.Socket)
 	} else {
--- a/internal/leaseexec/lessee.go
+++ b/internal/leaseexec/lessee.go
@@ -25,19 +25,19 @@
 
 // Options say what to run.
 type Options struct {
-	Folder  string // of the node's state
-	Lease   string
-	TTL     time.Duration
-	Grace   time.Duration // between SIGTERM and SIGKILL; 0: a quarter of TTL
-	Wait    time.Duration // how long to wait for the lease; 0: not in line at all
-	Command []string
-	Say     func(format string, args ...any) // what an operator may want to know
+	StateDir  string // of the node's state
+	Lease     string
+	TTL       time.Duration
+	KillGrace time.Duration // between SIGTERM and SIGKILL; 0: a quarter of TTL
+	MaxWait   time.Duration // how long to wait for the lease; 0: not in line at all
+	Command   []string
+	Logf      func(format string, args ...any) // what an operator may want to know
 }
 
 // Errors of Run.
 var (
-	ErrNotHeld = errors.New("the lease is not to be had")
-	ErrLost    = errors.New("the lease could not be kept, and the command was ended")
+	ErrNotHeld   = errors.New("the lease is not to be had")
+	ErrLeaseLost = errors.New("the lease could not be kept, and the command was ended")
 )
 
 const (
@@ -48,7 +48,7 @@
 
 // Run runs the command, and returns its exit code. An error says that it did not start, or had to be ended.
 func Run(ctx context.Context, o Options) (code int, err error) {
-	h, err := leases.Acquire(ctx, o.Folder, o.Lease, o.TTL)
+	h, err := leases.Acquire(ctx, o.StateDir, o.Lease, o.TTL)
 	if err != nil {
 		return 0, err
 	}
@@ -72,23 +72,23 @@
 			case !ok:
 				return 0, 0, fmt.Errorf("%w: the node has ended", ErrNotHeld)
 			case e.Kind == lease.Unreachable:
-				if o.Wait == 0 {
+				if o.MaxWait == 0 {
 					return 0, 0, fmt.Errorf("%w: no majority of the voters answers", ErrNotHeld)
 				}
-				o.Say("no majority of the voters answers; waiting")
+				o.Logf("no majority of the voters answers; waiting")
 			case e.Kind != lease.PhaseChanged:
 			case e.Phase == lease.Holding:
 				return e.Token, e.Until, nil
-			case e.Phase == lease.Queued && o.Wait == 0:
+			case e.Phase == lease.Queued && o.MaxWait == 0:
 				h.RequestRelease()
 				return 0, 0, fmt.Errorf("%w: another holds it", ErrNotHeld)
 			case e.Phase == lease.Queued:
-				o.Say("in line for %q, place %d", o.Lease, e.Place)
+				o.Logf("in line for %q, place %d", o.Lease, e.Place)
 			case e.Phase == lease.Over:
 				return 0, 0, fmt.Errorf("%w: %s", ErrNotHeld, e.Why)
 			}
 		case <-look.C:
-			if waited := clock.Boot() - begun; o.Wait > 0 && waited > o.Wait || o.Wait == 0 && waited > stillWait {
+			if waited := clock.Boot() - begun; o.MaxWait > 0 && waited > o.MaxWait || o.MaxWait == 0 && waited > stillWait {
 				h.RequestRelease()
 				return 0, 0, fmt.Errorf("%w: not within %v", ErrNotHeld, waited.Round(time.Millisecond))
 			}
@@ -101,7 +101,7 @@
 
 // act runs the command while the lease lasts.
 func act(ctx context.Context, h *leases.ClientLease, o *Options, token uint64, until time.Duration) (int, error) {
-	w := lease.NewWatchdog(o.TTL, o.Grace, until)
+	w := lease.NewWatchdog(o.TTL, o.KillGrace, until)
 	if w.NextSignal(clock.Boot()) != lease.None {
 		return 0, fmt.Errorf("%w: it was over before the command could start", ErrNotHeld)
 	}
@@ -134,15 +134,15 @@
 		case e, ok := <-events:
 			switch {
 			case !ok:
-				o.Say("the node has ended; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
+				o.Logf("the node has ended; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
 				events = nil
 			case e.Kind == lease.Extended:
 				until = e.Until
 				w.Extend(until)
 			case e.Kind == lease.Unreachable:
-				o.Say("no majority of the voters answers; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
+				o.Logf("no majority of the voters answers; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
 			case e.Kind == lease.PhaseChanged && e.Phase >= lease.Stopping:
-				o.Say("the lease goes: %s", e.Why)
+				o.Logf("the lease goes: %s", e.Why)
 				w.Stop(clock.Boot())
 				gone = true
 			}
@@ -167,7 +167,7 @@
 	h.ConfirmStopped()
 	free(h)
 	if w.Lost() || gone {
-		return 0, ErrLost
+		return 0, ErrLeaseLost
 	}
 	var exit *exec.ExitError
 	if errors.As(wrong, &exit) {
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -57,7 +57,7 @@
 	if err != nil || f.Operator == "" {
 		return c, err
 	}
-	text, err := readBounded(f.Operator, routes.MostBytes)
+	text, err := readBounded(f.Operator, routes.MaxFileSize)
 	if err != nil {
 		return nil, &Findings{f.Operator, []routes.Finding{{Code: routes.Unreadable, Text: err.Error()}}}
 	}
@@ -68,7 +68,7 @@
 		findings = append(findings, more.All...)
 	}
 	if len(findings) > 0 {
-		routes.Order(findings)
+		routes.SortFindings(findings)
 		return nil, &Findings{f.Operator, findings}
 	}
 	return c, nil
--- a/internal/node/own.go
+++ b/internal/node/own.go
@@ -36,7 +36,7 @@
 
 // readOwn reads the node's own settings. The error names file, line, key, value and bound of each fault.
 func readOwn(path string) (LocalSettings, error) {
-	text, err := readBounded(path, document.MostBytes)
+	text, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
 		return LocalSettings{}, fmt.Errorf("the node's own settings: %w", err)
 	}
@@ -66,8 +66,8 @@
 		r.faults = append(r.faults, fmt.Sprintf("%d: %s: %s", f.Line, cmp.Or(f.Key, "form"), f.Text))
 	}
 	var own LocalSettings
-	for _, key := range top.Order {
-		v := top.Keys[key]
+	for _, key := range top.KeyOrder {
+		v := top.Values[key]
 		t, ok := v.V.(*document.Table)
 		switch {
 		case ok && key == "state":
@@ -82,7 +82,7 @@
 			r.fault(v, key, "there are only the tables [state], [members] and [leases]")
 		}
 	}
-	if v, ok := top.Keys["leases"]; ok && (own.Members == nil || own.State.Folder == "") {
+	if v, ok := top.Values["leases"]; ok && (own.Members == nil || own.State.Folder == "") {
 		r.fault(v, "leases", "they need [state] and [members]")
 	}
 	if len(r.faults) > 0 {
@@ -102,8 +102,8 @@
 
 func (r *ownReader) state(v document.Value, t *document.Table) State {
 	s := State{MaxMB: usualStateMB}
-	for _, key := range t.Order {
-		v := t.Keys[key]
+	for _, key := range t.KeyOrder {
+		v := t.Values[key]
 		switch key {
 		case "folder":
 			folder, ok := v.V.(string)
@@ -121,7 +121,7 @@
 			r.fault(v, "state."+key, "there are folder and most_mb")
 		}
 	}
-	if _, ok := t.Keys["folder"]; !ok {
+	if _, ok := t.Values["folder"]; !ok {
 		r.missing(v, "state.folder")
 	}
 	return s
--- a/internal/node/ownleases.go
+++ b/internal/node/ownleases.go
@@ -13,8 +13,8 @@
 // leases reads how a node takes part in the fleet's leases.
 func (r *ownReader) leases(t *document.Table) *leases.Settings {
 	s := &leases.Settings{}
-	for _, key := range t.Order {
-		v := t.Keys[key]
+	for _, key := range t.KeyOrder {
+		v := t.Values[key]
 		switch key {
 		case "replace_after":
 			s.ReplaceAfter = r.duration(v, "leases."+key, leastReplaceAfter, mostReplaceAfter)
@@ -50,8 +50,8 @@
 	if !allowed {
 		r.fault(v, "trial", "it makes a node fail on purpose, and is read in trials alone, with %s=%s", trialEnv, trialSays)
 	}
-	for _, key := range t.Order {
-		v := t.Keys[key]
+	for _, key := range t.KeyOrder {
+		v := t.Values[key]
 		folder, _ = v.V.(string)
 		switch {
 		case key != "folder":
--- a/internal/node/ownmembers.go
+++ b/internal/node/ownmembers.go
@@ -13,8 +13,8 @@
 // members reads how a node takes part in the membership of its fleet.
 func (r *ownReader) members(v document.Value, t *document.Table) *members.Settings {
 	s := &members.Settings{}
-	for _, key := range t.Order {
-		v := t.Keys[key]
+	for _, key := range t.KeyOrder {
+		v := t.Values[key]
 		name := "members." + key
 		switch key {
 		case "fleet":
@@ -42,12 +42,12 @@
 		}
 	}
 	for _, key := range []string{"fleet", "listen"} {
-		if _, ok := t.Keys[key]; !ok {
+		if _, ok := t.Values[key]; !ok {
 			r.missing(v, "members."+key)
 		}
 	}
 	if s.Listen.IsValid() && s.Listen.Addr().IsUnspecified() && !s.Advertise.IsValid() {
-		r.fault(t.Keys["listen"], "members.listen", "with no address of its own, advertise must say where others send to")
+		r.fault(t.Values["listen"], "members.listen", "with no address of its own, advertise must say where others send to")
 	}
 	return s
 }
@@ -91,13 +91,13 @@
 
 func (r *ownReader) via(v document.Value, key string) map[netip.AddrPort]netip.AddrPort {
 	t, ok := v.V.(*document.Table)
-	if !ok || len(t.Order) > mostVia {
+	if !ok || len(t.KeyOrder) > mostVia {
 		r.fault(v, key, "want a table of at most %d addresses", mostVia)
 		return nil
 	}
 	via := map[netip.AddrPort]netip.AddrPort{}
-	for _, from := range t.Order {
-		one := t.Keys[from]
+	for _, from := range t.KeyOrder {
+		one := t.Values[from]
 		at, err := netip.ParseAddrPort(from)
 		if err != nil || at.Port() == 0 {
 			r.fault(one, key+"."+from, "the key is no address with its port")
--- a/internal/operators/appdir/check.go
+++ b/internal/operators/appdir/check.go
@@ -16,8 +16,8 @@
 // CheckWritten finds what is wrong with the set that holds in a folder: what was
 // edited by hand, what is older than its description, and what the node itself
 // refuses. want is what would be written now; nil: that is not known.
-func CheckWritten(dir string, want []apps.Written, findings *apps.Findings) error {
-	current, err := Current(dir)
+func CheckGenerated(dir string, want []apps.GeneratedFile, findings *apps.Findings) error {
+	current, err := ReadCurrentSet(dir)
 	if err != nil {
 		return err
 	}
@@ -36,17 +36,17 @@
 	slices.Sort(names)
 	for _, name := range names {
 		text, file := current[name], filepath.Join(at, filepath.FromSlash(name))
-		sealed, marked := apps.Sealed(text)
+		sealed, marked := apps.VerifyChecksum(text)
 		now, there := wanted[name]
 		switch {
 		case marked && !sealed:
 			findings.Add(apps.HandEdited, file, 0, "its sum is not that of its text")
 		case !marked && path.Base(name) != "node.json":
-			findings.Add(apps.HandEdited, file, 0, "it bears no sum: "+apps.By+" did not write it")
+			findings.Add(apps.HandEdited, file, 0, "it bears no sum: "+apps.GeneratorName+" did not write it")
 		case want != nil && !there:
-			findings.Add(apps.Orphan, file, 0, "no description makes this file")
+			findings.Add(apps.OrphanFile, file, 0, "no description makes this file")
 		case want != nil && string(now) != string(text):
-			findings.Add(apps.Stale, file, 0, "its description, or the platform, has changed since")
+			findings.Add(apps.OutdatedFile, file, 0, "its description, or the platform, has changed since")
 		}
 		if path.Base(name) == "node.json" {
 			CheckNode(file, text, current[path.Join(path.Dir(name), "operator.toml")] != nil, findings)
@@ -64,9 +64,9 @@
 	if json.Unmarshal(text, &head) == nil {
 		switch {
 		case head.Schema == nil:
-			findings.Add(apps.WrittenOld, file, 0, "it has no schema: it is of version 0, of before there were descriptions")
+			findings.Add(apps.SchemaTooOld, file, 0, "it has no schema: it is of version 0, of before there were descriptions")
 		case *head.Schema > apps.Schema+1:
-			findings.Add(apps.WrittenNew, file, 0, fmt.Sprintf("schema %d, and this program writes %d", *head.Schema, apps.Schema))
+			findings.Add(apps.SchemaTooNew, file, 0, fmt.Sprintf("schema %d, and this program writes %d", *head.Schema, apps.Schema))
 		}
 	}
 	files := node.Files{Config: file}
--- a/internal/operators/appdir/corpus_test.go
+++ b/internal/operators/appdir/corpus_test.go
@@ -83,7 +83,7 @@
 			if len(want) == 0 {
 				t.Fatal("the set names no finding")
 			}
-			l := Load("", []string{"."})
+			l := LoadDescriptions("", []string{"."})
 			var got []string
 			for _, f := range l.Findings {
 				w := fmt.Sprintf("%s:%d %s", f.File, f.Line, f.Code)
@@ -103,8 +103,8 @@
 		})
 	}
 	// The others are provoked by tests of their own.
-	elsewhere := []apps.Code{apps.Unreadable, apps.TooLarge, apps.ChangedMeant, apps.HandEdited, apps.Stale, apps.Orphan,
-		apps.NotWritten, apps.NodeRefuses, apps.WrittenOld, apps.WrittenNew}
+	elsewhere := []apps.Code{apps.Unreadable, apps.TooLarge, apps.ChangedDuringRead, apps.HandEdited, apps.OutdatedFile, apps.OrphanFile,
+		apps.NotWritten, apps.NodeRefuses, apps.SchemaTooOld, apps.SchemaTooNew}
 	for _, c := range apps.Codes() {
 		if !seen[string(c.Code)] && !slices.Contains(elsewhere, c.Code) {
 			t.Errorf("no broken set gives %s", c.Code)
@@ -118,13 +118,13 @@
 	for _, path := range archives(t, "good") {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			unpack(t, path)
-			l := Load("", []string{"."})
+			l := LoadDescriptions("", []string{"."})
 			if len(l.Findings) > 0 {
 				t.Fatal(l.Findings)
 			}
 			all := l.Set.Write(l.Sources)
-			again := Load("", []string{"."})
-			if !slices.EqualFunc(all, again.Set.Write(again.Sources), func(x, y apps.Written) bool {
+			again := LoadDescriptions("", []string{"."})
+			if !slices.EqualFunc(all, again.Set.Write(again.Sources), func(x, y apps.GeneratedFile) bool {
 				return x.Path == y.Path && string(x.Text) == string(y.Text)
 			}) {
 				t.Error("written differently the second time")
@@ -133,11 +133,11 @@
 				t.Fatal(changed, err)
 			}
 			var findings apps.Findings
-			if err := CheckWritten("out", all, &findings); err != nil || len(findings) > 0 {
+			if err := CheckGenerated("out", all, &findings); err != nil || len(findings) > 0 {
 				t.Error(err, findings)
 			}
 			for _, w := range all {
-				if sealed, marked := apps.Sealed(w.Text); !sealed || !marked {
+				if sealed, marked := apps.VerifyChecksum(w.Text); !sealed || !marked {
 					t.Errorf("%s does not bear its sum", w.Path)
 				}
 			}
@@ -151,7 +151,7 @@
 	if err != nil && os.Getenv("CURLEWRING_WRITE") == "" {
 		t.Fatal(err)
 	}
-	if want := apps.Page(); string(text) != want {
+	if want := apps.FindingsPage(); string(text) != want {
 		if os.Getenv("CURLEWRING_WRITE") != "" {
 			if err := os.WriteFile("../../../docs/operators/findings.md", []byte(want), 0o644); err != nil {
 				t.Fatal(err)
--- a/internal/operators/appdir/dir_test.go
+++ b/internal/operators/appdir/dir_test.go
@@ -66,9 +66,9 @@
 	return all
 }
 
-func mustWrite(t *testing.T) []apps.Written {
+func mustWrite(t *testing.T) []apps.GeneratedFile {
 	t.Helper()
-	l := Load("", []string{"."})
+	l := LoadDescriptions("", []string{"."})
 	if l.Findings.Worst() == 2 {
 		t.Fatal(l.Findings)
 	}
@@ -82,9 +82,9 @@
 // checked are the codes that a check of descriptions and written set gives.
 func checked(t *testing.T) []string {
 	t.Helper()
-	l := Load("", []string{"."})
+	l := LoadDescriptions("", []string{"."})
 	findings := l.Findings
-	if err := CheckWritten("out", l.Set.Write(l.Sources), &findings); err != nil {
+	if err := CheckGenerated("out", l.Set.Write(l.Sources), &findings); err != nil {
 		t.Fatal(err)
 	}
 	return slices.Compact(codes(findings))
@@ -98,7 +98,7 @@
 	}{
 		{"a link to nothing", "SC001", func() error { return os.Symlink("nowhere", "x.toml") }},
 		{"a link to itself", "SC001", func() error { return os.Symlink("x.toml", "x.toml") }},
-		{"too large", "SC002", func() error { return os.WriteFile("x.toml", make([]byte, document.MostBytes+1), 0o644) }},
+		{"too large", "SC002", func() error { return os.WriteFile("x.toml", make([]byte, document.MaxFileSize+1), 0o644) }},
 		{"a link to a description", "SC015", func() error { return os.Symlink("leitstand.toml", "x.toml") }},
 		{"a hard link", "SC015", func() error { return os.Link("leitstand.toml", "x.toml") }},
 		{"not UTF-8", "SC004", func() error { return os.WriteFile("x.toml", []byte("name = \"\xff\"\n"), 0o644) }},
@@ -108,7 +108,7 @@
 			if err := x.make(); err != nil {
 				t.Fatal(err)
 			}
-			l := Load("", []string{"."})
+			l := LoadDescriptions("", []string{"."})
 			if got := codes(l.Findings); !slices.Contains(got, x.code) {
 				t.Errorf("got %v, want %s", l.Findings, x.code)
 			}
@@ -121,13 +121,13 @@
 		stand(t, goodSet)
 		os.Symlink(".", "round")
 		os.Mkdir("x.toml", 0o755)
-		if l := Load("", []string{"."}); len(l.Findings) > 0 {
+		if l := LoadDescriptions("", []string{"."}); len(l.Findings) > 0 {
 			t.Error(l.Findings)
 		}
 	})
 	t.Run("a file that is not there", func(t *testing.T) {
 		stand(t, goodSet)
-		if got := codes(Load("", []string{"leitstand.toml", "gone.toml"}).Findings); !slices.Equal(got, []string{"SC001"}) {
+		if got := codes(LoadDescriptions("", []string{"leitstand.toml", "gone.toml"}).Findings); !slices.Equal(got, []string{"SC001"}) {
 			t.Error(got)
 		}
 	})
@@ -163,7 +163,7 @@
 			}
 			x.change()
 			r.unchanged(inputs, []string{"."})
-			if got := codes(l.Findings); !slices.Equal(got, []string{string(apps.ChangedMeant)}) {
+			if got := codes(l.Findings); !slices.Equal(got, []string{string(apps.ChangedDuringRead)}) {
 				t.Error(got)
 			}
 		})
@@ -248,9 +248,9 @@
 // written over, and a writer that is stopped half-way must leave the old one.
 func TestSetsAreReplacedAtOnce(t *testing.T) {
 	dir := t.TempDir()
-	set := func(n int) (all []apps.Written) {
+	set := func(n int) (all []apps.GeneratedFile) {
 		for i := range 20 {
-			all = append(all, apps.Written{Path: fmt.Sprintf("h%d/f%d", i%4, i), Text: fmt.Appendf(nil, "set %d\n", n)})
+			all = append(all, apps.GeneratedFile{Path: fmt.Sprintf("h%d/f%d", i%4, i), Text: fmt.Appendf(nil, "set %d\n", n)})
 		}
 		return all
 	}
@@ -315,11 +315,11 @@
 		t.Error("a half set was left")
 	}
 	// A file where the folder must go: nothing changes.
-	before, _ := Current(dir)
-	if _, _, err := Write(dir, []apps.Written{{Path: "a", Text: []byte("x")}, {Path: "a/b", Text: []byte("y")}}); err == nil {
+	before, _ := ReadCurrentSet(dir)
+	if _, _, err := Write(dir, []apps.GeneratedFile{{Path: "a", Text: []byte("x")}, {Path: "a/b", Text: []byte("y")}}); err == nil {
 		t.Error("an impossible set was written")
 	}
-	if after, _ := Current(dir); len(after) != len(before) || len(after) == 0 {
+	if after, _ := ReadCurrentSet(dir); len(after) != len(before) || len(after) == 0 {
 		t.Error("the old set is gone")
 	}
 	// A second writer is turned away.
@@ -361,7 +361,7 @@
 		best := time.Hour
 		for range 3 {
 			begun := time.Now()
-			l := Load("", []string{"."})
+			l := LoadDescriptions("", []string{"."})
 			best = min(best, time.Since(begun))
 			if l.Findings.Worst() == 2 {
 				t.Fatal(l.Findings[0])
--- a/internal/operators/appdir/load.go
+++ b/internal/operators/appdir/load.go
@@ -36,7 +36,7 @@
 // Load reads the platform and all descriptions that the paths name: files, or
 // folders with *.toml files below them. All faults are findings. The platform is
 // the file that is given, or the one called platform.toml in the first folder.
-func Load(platform string, paths []string) *Loaded {
+func LoadDescriptions(platform string, paths []string) *Loaded {
 	l := &Loaded{Sources: apps.Sources{}}
 	r := &reader{loaded: l}
 	for _, p := range paths {
@@ -65,7 +65,7 @@
 			continue
 		}
 		if other := byText[string(in.text)]; other != "" {
-			l.Findings.Add(apps.SameFile, f, 0, "it holds the same as "+other)
+			l.Findings.Add(apps.DuplicateFile, f, 0, "it holds the same as "+other)
 			continue
 		}
 		byText[string(in.text)] = f
@@ -172,7 +172,7 @@
 	for _, i := range r.known[key] {
 		if os.SameFile(r.seen[i].info, info) {
 			if r.seen[i].path != path {
-				r.loaded.Findings.Add(apps.SameFile, path, 0, "it is the same file as "+r.seen[i].path)
+				r.loaded.Findings.Add(apps.DuplicateFile, path, 0, "it is the same file as "+r.seen[i].path)
 			}
 			return
 		}
@@ -199,7 +199,7 @@
 
 // read reads a file whole, up to one byte more than may be.
 func (r *reader) read(path string) (input, bool) {
-	text, info, err := readBounded(path, document.MostBytes)
+	text, info, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
 		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
 		return input{}, false
@@ -240,9 +240,9 @@
 // hold other files than before: what was found is of a state that never was.
 func (r *reader) unchanged(inputs []input, paths []string) {
 	for _, in := range inputs {
-		text, info, err := readBounded(in.path, document.MostBytes)
+		text, info, err := readBounded(in.path, document.MaxFileSize)
 		if err != nil || !os.SameFile(info, in.info) || !bytes.Equal(text, in.text) {
-			r.loaded.Findings.Add(apps.ChangedMeant, in.path, 0, "the file changed, or went, while the check ran")
+			r.loaded.Findings.Add(apps.ChangedDuringRead, in.path, 0, "the file changed, or went, while the check ran")
 		}
 	}
 	var scratch Loaded
@@ -252,7 +252,7 @@
 	}
 	for _, f := range again.files {
 		if !slices.ContainsFunc(r.seen, func(s seenFile) bool { return s.path == f }) {
-			r.loaded.Findings.Add(apps.ChangedMeant, f, 0, "the file came while the check ran")
+			r.loaded.Findings.Add(apps.ChangedDuringRead, f, 0, "the file came while the check ran")
 		}
 	}
 }
--- a/internal/operators/appdir/write.go
+++ b/internal/operators/appdir/write.go
@@ -27,7 +27,7 @@
 var errBusy = errors.New("another writer is at work there")
 
 // setName names a set by its content.
-func setName(all []apps.Written) string {
+func setName(all []apps.GeneratedFile) string {
 	h := sha256.New()
 	for _, w := range all {
 		fmt.Fprintf(h, "%d %s\n%d\n", len(w.Path), w.Path, len(w.Text))
@@ -39,7 +39,7 @@
 // Write makes a set the current one of a folder. A reader of current sees the
 // old set or the new one, whatever happens meanwhile. It returns the set's name,
 // and whether anything changed.
-func Write(dir string, all []apps.Written) (name string, changed bool, err error) {
+func Write(dir string, all []apps.GeneratedFile) (name string, changed bool, err error) {
 	if err := os.MkdirAll(filepath.Join(dir, setsName), 0o755); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
@@ -110,7 +110,7 @@
 }
 
 // place writes a set beside the others and gives it its name once it is whole.
-func place(dir, at string, all []apps.Written) error {
+func place(dir, at string, all []apps.GeneratedFile) error {
 	next := filepath.Join(dir, setsName, "."+filepath.Base(at))
 	folders := map[string]bool{next: true}
 	for _, w := range all {
@@ -173,7 +173,7 @@
 }
 
 // whole tells whether a folder holds a set and nothing else.
-func whole(at string, all []apps.Written) bool {
+func whole(at string, all []apps.GeneratedFile) bool {
 	there, err := ReadSet(at)
 	if err != nil || len(there) != len(all) {
 		return false
@@ -213,7 +213,7 @@
 }
 
 // Current reads the set that holds in a folder; none is no error.
-func Current(dir string) (map[string][]byte, error) {
+func ReadCurrentSet(dir string) (map[string][]byte, error) {
 	all, err := ReadSet(filepath.Join(dir, currentName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return map[string][]byte{}, nil
--- a/internal/operators/apps/app.go
+++ b/internal/operators/apps/app.go
@@ -15,25 +15,25 @@
 
 // App is the description of an application's sidecar.
 type App struct {
-	File        string
-	Name        At[string]
-	Application At[string] // whose sidecar it is; by default its own name
-	Sites       At[[]string]
-	Hosts       At[[]string]
-	Service     At[string]
-	Classes     At[[]string]
-	Port        At[int]
-	Address     At[string] // of the port; by default 127.0.0.1
-	Socket      At[string]
-	Own         At[[]string] // where the application itself listens
-	Serves      At[string]
-	Work        At[time.Duration]
-	Share       At[float64]
-	Discovery   At[string]
-	Command     At[[]string]
-	MemoryMB    At[int]
-	Descriptors At[int]
-	Cores       At[float64]
+	File            string
+	Name            Located[string]
+	Application     Located[string] // whose sidecar it is; by default its own name
+	Sites           Located[[]string]
+	Hosts           Located[[]string]
+	Service         Located[string]
+	Classes         Located[[]string]
+	Port            Located[int]
+	Address         Located[string] // of the port; by default 127.0.0.1
+	Socket          Located[string]
+	ListenAddresses Located[[]string] // where the application itself listens
+	ServedService   Located[string]
+	WorkTime        Located[time.Duration]
+	BudgetShare     Located[float64]
+	Discovery       Located[string]
+	Command         Located[[]string]
+	MemoryMB        Located[int]
+	Descriptors     Located[int]
+	Cores           Located[float64]
 
 	// Routes is the text of the [[route]] tables in their lines, all other lines
 	// blank: package routes reads it.
@@ -49,28 +49,28 @@
 
 func appKeys() []key[App] {
 	return []key[App]{
-		textKey("name", true, "what the sidecar is called, in the whole fleet", func(a *App) *At[string] { return &a.Name }),
-		textKey("application", false, "the application that it is beside (the name)", func(a *App) *At[string] { return &a.Application }),
-		wordsKey("sites", true, "the sites where the application runs", func(a *App) *At[[]string] { return &a.Sites }),
-		wordsKey("hosts", false, "the hosts where it runs (all of its sites)", func(a *App) *At[[]string] { return &a.Hosts }),
-		textKey("service", true, "the service that it calls", func(a *App) *At[string] { return &a.Service }),
-		wordsKey("classes", true, "the classes of its requests", func(a *App) *At[[]string] { return &a.Classes }),
-		integerKey("port", 1, 65535, false, "where the sidecar listens for its application", func(a *App) *At[int] { return &a.Port }),
-		textKey("address", false, "the loopback address of the port (127.0.0.1)", func(a *App) *At[string] { return &a.Address }),
-		textKey("socket", false, "the path of a unix socket, in the place of a port", func(a *App) *At[string] { return &a.Socket }),
-		wordsKey("own", false, "where the application itself listens, each host:port", func(a *App) *At[[]string] { return &a.Own }),
-		textKey("serves", false, "the service whose requests the application answers", func(a *App) *At[string] { return &a.Serves }),
+		textKey("name", true, "what the sidecar is called, in the whole fleet", func(a *App) *Located[string] { return &a.Name }),
+		textKey("application", false, "the application that it is beside (the name)", func(a *App) *Located[string] { return &a.Application }),
+		wordsKey("sites", true, "the sites where the application runs", func(a *App) *Located[[]string] { return &a.Sites }),
+		wordsKey("hosts", false, "the hosts where it runs (all of its sites)", func(a *App) *Located[[]string] { return &a.Hosts }),
+		textKey("service", true, "the service that it calls", func(a *App) *Located[string] { return &a.Service }),
+		wordsKey("classes", true, "the classes of its requests", func(a *App) *Located[[]string] { return &a.Classes }),
+		integerKey("port", 1, 65535, false, "where the sidecar listens for its application", func(a *App) *Located[int] { return &a.Port }),
+		textKey("address", false, "the loopback address of the port (127.0.0.1)", func(a *App) *Located[string] { return &a.Address }),
+		textKey("socket", false, "the path of a unix socket, in the place of a port", func(a *App) *Located[string] { return &a.Socket }),
+		wordsKey("own", false, "where the application itself listens, each host:port", func(a *App) *Located[[]string] { return &a.ListenAddresses }),
+		textKey("serves", false, "the service whose requests the application answers", func(a *App) *Located[string] { return &a.ServedService }),
 		durationKey("work", 0, time.Hour, false, "what the application's own work takes of a request's time, usually (0s)",
-			func(a *App) *At[time.Duration] { return &a.Work }),
+			func(a *App) *Located[time.Duration] { return &a.WorkTime }),
 		numberKey("share", 1e-5, 1, false, "the part of the service's callers that each host's sidecar may have (1 / nodes)",
-			func(a *App) *At[float64] { return &a.Share }),
-		textKey("discovery", false, "where discovery answers, host:port (the service's)", func(a *App) *At[string] { return &a.Discovery }),
+			func(a *App) *Located[float64] { return &a.BudgetShare }),
+		textKey("discovery", false, "where discovery answers, host:port (the service's)", func(a *App) *Located[string] { return &a.Discovery }),
 		wordsKey("command", false, "the application's command: the sidecar then starts it, and ends with it",
-			func(a *App) *At[[]string] { return &a.Command }),
-		integerKey("memory_mb", leastMemoryMB, 65536, false, "memory of the sidecar in MB (the platform's)", func(a *App) *At[int] { return &a.MemoryMB }),
+			func(a *App) *Located[[]string] { return &a.Command }),
+		integerKey("memory_mb", leastMemoryMB, 65536, false, "memory of the sidecar in MB (the platform's)", func(a *App) *Located[int] { return &a.MemoryMB }),
 		integerKey("descriptors", leastDescriptors, 1<<20, false, "file descriptors of the sidecar (the platform's)",
-			func(a *App) *At[int] { return &a.Descriptors }),
-		numberKey("cores", 0.01, 1, false, "cores of the sidecar (the platform's)", func(a *App) *At[float64] { return &a.Cores }),
+			func(a *App) *Located[int] { return &a.Descriptors }),
+		numberKey("cores", 0.01, 1, false, "cores of the sidecar (the platform's)", func(a *App) *Located[float64] { return &a.Cores }),
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	r.schema(t)
 	take(r, t, "", appKeys(), []string{"schema", "route"}, a)
-	if _, isTable := t.Keys["route"].V.(*document.Table); !isTable { // of that package routes tells
+	if _, isTable := t.Values["route"].V.(*document.Table); !isTable { // of that package routes tells
 		r.list(t, "route", false)
 	}
 	a.broken = Findings((*findings)[before:]).Worst() == 2
@@ -98,7 +98,7 @@
 
 // routeLines blanks all lines that are of no [[route]] table.
 func routeLines(t *document.Table, data []byte) []byte {
-	v, there := t.Keys["route"]
+	v, there := t.Values["route"]
 	if !there {
 		return nil
 	}
@@ -133,12 +133,12 @@
 	byDefault(&a.Address, "127.0.0.1")
 	if s := p.service(a.Service.V); s != nil {
 		a.Discovery = a.Discovery.or(s.Discovery).or(p.Discovery)
-		if a.Share.Line == 0 && s.Nodes.V > 0 {
-			a.Share = At[float64]{V: 1 / float64(s.Nodes.V), File: s.Nodes.File, Line: s.Nodes.Line}
+		if a.BudgetShare.Line == 0 && s.Nodes.V > 0 {
+			a.BudgetShare = Located[float64]{V: 1 / float64(s.Nodes.V), File: s.Nodes.File, Line: s.Nodes.Line}
 		}
 	}
 	if a.Hosts.Line == 0 {
-		a.Hosts = At[[]string]{File: a.Sites.File, Line: a.Sites.Line}
+		a.Hosts = Located[[]string]{File: a.Sites.File, Line: a.Sites.Line}
 		for i := range p.Hosts {
 			if contains(a.Sites.V, p.Hosts[i].Site.V) {
 				a.Hosts.V = append(a.Hosts.V, p.Hosts[i].Name.V)
@@ -163,11 +163,11 @@
 		case h == nil:
 			r.find(UnknownHost, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "), "the platform names no such host")
 		case !contains(a.Sites.V, h.Site.V):
-			r.find(HostElsewhere, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "),
+			r.find(HostOutsideSites, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "),
 				"the host is at "+quote(h.Site.V)+", where the application is not")
 		}
 	}
-	if len(a.Hosts.V) == 0 && !a.Sites.Bad && a.Sites.Line > 0 {
+	if len(a.Hosts.V) == 0 && !a.Sites.Invalid && a.Sites.Line > 0 {
 		r.find(UnknownHost, a.Sites.Line, "sites", "", "", "the platform names no host at these sites")
 	}
 	a.checkService(r, p)
@@ -209,18 +209,18 @@
 
 func (a *App) checkService(r *reading, p *Platform) {
 	s := p.service(a.Service.V)
-	if a.Service.Set() && s == nil {
-		r.find(UnknownServ, a.Service.Line, "service", quote(a.Service.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
+	if a.Service.IsSet() && s == nil {
+		r.find(UnknownService, a.Service.Line, "service", quote(a.Service.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
 	}
-	if a.Serves.Set() && p.service(a.Serves.V) == nil {
-		r.find(UnknownServ, a.Serves.Line, "serves", quote(a.Serves.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
+	if a.ServedService.IsSet() && p.service(a.ServedService.V) == nil {
+		r.find(UnknownService, a.ServedService.Line, "serves", quote(a.ServedService.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
 	}
 	for _, c := range a.Classes.V {
 		switch {
 		case p.class(c) == nil:
 			r.find(UnknownClass, a.Classes.Line, "classes", quote(c), strings.Join(p.classNames(), ", "), "the platform names no such class")
 		case s != nil && !contains(s.Classes.V, c):
-			r.find(Unserved, a.Classes.Line, "classes", quote(c), strings.Join(s.Classes.V, ", "),
+			r.find(ClassNotServed, a.Classes.Line, "classes", quote(c), strings.Join(s.Classes.V, ", "),
 				"the service "+quote(s.Name.V)+" does not serve the class")
 		}
 	}
@@ -238,26 +238,26 @@
 	case a.Port.Line == 0 && a.Socket.Line == 0 && !r.partial:
 		r.find(NoListener, line, "port", "", "port or socket", "neither a port nor a socket")
 	}
-	if a.Socket.Set() && (!strings.HasPrefix(a.Socket.V, "/") || path.Clean(a.Socket.V) != a.Socket.V || len(a.Socket.V) > mostSocket || a.Socket.V == "/") {
-		r.find(OddSocket, a.Socket.Line, "socket", quote(a.Socket.V), fmt.Sprintf("absolute, at most %d bytes", mostSocket), "not a path that a socket can have")
+	if a.Socket.IsSet() && (!strings.HasPrefix(a.Socket.V, "/") || path.Clean(a.Socket.V) != a.Socket.V || len(a.Socket.V) > mostSocket || a.Socket.V == "/") {
+		r.find(InvalidSocket, a.Socket.Line, "socket", quote(a.Socket.V), fmt.Sprintf("absolute, at most %d bytes", mostSocket), "not a path that a socket can have")
 	}
-	for _, o := range a.Own.V {
-		if at, ok := address(r, "own", At[string]{V: o, File: a.Own.File, Line: a.Own.Line}); ok {
+	for _, o := range a.ListenAddresses.V {
+		if at, ok := address(r, "own", Located[string]{V: o, File: a.ListenAddresses.File, Line: a.ListenAddresses.Line}); ok {
 			a.own = append(a.own, at)
 		}
 	}
-	discovery, hasDiscovery := address(r, "discovery", At[string]{V: a.Discovery.V, File: a.Discovery.File, Line: lineHere(a.Discovery, a.File)})
+	discovery, hasDiscovery := address(r, "discovery", Located[string]{V: a.Discovery.V, File: a.Discovery.File, Line: lineHere(a.Discovery, a.File)})
 	if !hasDiscovery && a.Discovery.V != "" {
 		if at, err := netip.ParseAddrPort(a.Discovery.V); err == nil {
 			discovery, hasDiscovery = at, true
 		}
 	}
-	if !a.Port.Set() || a.Socket.Line > 0 {
+	if !a.Port.IsSet() || a.Socket.Line > 0 {
 		return
 	}
 	host, err := netip.ParseAddr(a.Address.V)
 	if err != nil {
-		r.find(OddAddress, a.Address.Line, "address", quote(a.Address.V), "127.0.0.1, ::1", "no numeric address")
+		r.find(InvalidAddress, a.Address.Line, "address", quote(a.Address.V), "127.0.0.1, ::1", "no numeric address")
 		return
 	}
 	if !host.Unmap().IsLoopback() {
@@ -284,7 +284,7 @@
 }
 
 // lineHere is the line of a value, if it stands in this file.
-func lineHere[T any](a At[T], file string) int {
+func lineHere[T any](a Located[T], file string) int {
 	if a.File == file {
 		return a.Line
 	}
--- a/internal/operators/apps/apps_test.go
+++ b/internal/operators/apps/apps_test.go
@@ -113,7 +113,7 @@
 		t.Error("the command is written otherwise than it stands")
 	}
 	for share, parts := range map[float64]int{1: 1, 0.5: 2, 0.3: 4, 1.0 / 3: 3, 0.1: 10, 0.07: 15} {
-		a := App{Share: At[float64]{V: share}}
+		a := App{BudgetShare: Located[float64]{V: share}}
 		if got := a.parts(); got != parts {
 			t.Errorf("a share of %v makes %d parts, want %d", share, got, parts)
 		}
@@ -148,11 +148,11 @@
 		for i := range w.Text {
 			edited := []byte(string(w.Text))
 			edited[i] ^= 1
-			if sealed, _ := Sealed(edited); sealed {
+			if sealed, _ := VerifyChecksum(edited); sealed {
 				t.Fatalf("%s: byte %d of %d was changed and does not show", w.Path, i, len(w.Text))
 			}
 		}
-		if sealed, _ := Sealed(append([]byte(string(w.Text)), '\n')); sealed {
+		if sealed, _ := VerifyChecksum(append([]byte(string(w.Text)), '\n')); sealed {
 			t.Errorf("%s: a line more does not show", w.Path)
 		}
 	}
@@ -218,7 +218,7 @@
 			rows["deadline_cap"].From != "default" || rows["share"].From != "platform.toml:24" {
 			t.Errorf("%s: %+v", x.path, rows)
 		}
-		if len(e.Chain) != 2 || e.Chain[1].Product != 4 || e.Chain[1].Left != x.left || e.Chain[1].Whole != 800*time.Millisecond {
+		if len(e.Chain) != 2 || e.Chain[1].CumulativeAttempts != 4 || e.Chain[1].MinTimeLeft != x.left || e.Chain[1].MaxTotalTime != 800*time.Millisecond {
 			t.Errorf("%s: %+v", x.path, e.Chain)
 		}
 	}
@@ -252,7 +252,7 @@
 			return
 		}
 		for _, w := range s.Write(Sources{"platform.toml": []byte(platformText), "a.toml": []byte(text)}) {
-			if sealed, marked := Sealed(w.Text); !sealed || !marked {
+			if sealed, marked := VerifyChecksum(w.Text); !sealed || !marked {
 				t.Errorf("%s is not sealed", w.Path)
 			}
 		}
--- a/internal/operators/apps/explain.go
+++ b/internal/operators/apps/explain.go
@@ -17,11 +17,11 @@
 type Step struct {
 	Sidecar, Class, Route string
 	Attempts              int           // at this sidecar
-	Product               int           // along the chain up to here
-	Attempt               time.Duration // the longest that one may last
-	Whole                 time.Duration // all attempts and waits
-	Left                  time.Duration // the least that a request may come with; the whole time at the first
-	Copies                bool
+	CumulativeAttempts    int           // along the chain up to here
+	MaxAttemptTime        time.Duration // the longest that one may last
+	MaxTotalTime          time.Duration // all attempts and waits
+	MinTimeLeft           time.Duration // the least that a request may come with; the whole time at the first
+	SecondCopies          bool
 }
 
 // Explanation is what becomes of a request.
@@ -58,7 +58,7 @@
 	add("deadline", c.Deadline.V.String(), from(c.Deadline.File, c.Deadline.Line))
 	add("worth", plain(c.Worth.V), from(c.Worth.File, c.Worth.Line))
 	add("effect", c.Effect.V, from(c.Effect.File, c.Effect.Line))
-	if c.Window.Set() {
+	if c.Window.IsSet() {
 		add("window", c.Window.V.String()+" of "+c.Group.V, from(c.Window.File, c.Window.Line))
 	}
 	// From the most specific route out: a key comes from the first that has it.
@@ -81,15 +81,15 @@
 		}
 		add(key, otherwise, where)
 	}
-	tries := p.Limits.Tries
+	tries := p.Limits.MaxAttempts
 	value("attempts", func(n int) int { return a.routeAt(n).Attempts.Line }, func(n int) string { return fmt.Sprint(a.routeAt(n).Attempts.V) },
 		fmt.Sprint(tries.V), from(tries.File, tries.Line))
 	value("attempt_timeout", func(n int) int { return a.routeAt(n).AttemptTimeout.Line },
 		func(n int) string { return a.routeAt(n).AttemptTimeout.V.String() }, "what the request has", "default")
 	value("backoff.first", func(n int) int { return a.routeAt(n).BackoffFirst.Line },
 		func(n int) string { return a.routeAt(n).BackoffFirst.V.String() }, "the module's", "default")
-	value("backoff.most", func(n int) int { return a.routeAt(n).BackoffMost.Line },
-		func(n int) string { return a.routeAt(n).BackoffMost.V.String() }, "none", "default")
+	value("backoff.most", func(n int) int { return a.routeAt(n).BackoffMax.Line },
+		func(n int) string { return a.routeAt(n).BackoffMax.V.String() }, "none", "default")
 	value("backoff.jitter", func(n int) int { return a.routeAt(n).BackoffJitter.Line },
 		func(n int) string { return plain(a.routeAt(n).BackoffJitter.V) }, "0", "default")
 	value("retry_on", func(n int) int { return a.routeAt(n).RetryOn.Line },
@@ -98,12 +98,12 @@
 		func(n int) string { return a.routeAt(n).SecondCopyAfter.V.String() }, "no second copy", "default")
 	value("deadline_cap", func(n int) int { return a.routeAt(n).DeadlineCap.Line },
 		func(n int) string { return a.routeAt(n).DeadlineCap.V.String() }, "none", "default")
-	advice := p.Limits.Advice
+	advice := p.Limits.MaxRetryAfter
 	value("retry_after", func(n int) int { return a.routeAt(n).RetryAfter.Line },
 		func(n int) string { return a.routeAt(n).RetryAfter.V.String() }, advice.V.String(), from(advice.File, advice.Line))
 	add("service", a.Service.V, from(a.Service.File, a.Service.Line))
 	add("discovery", a.Discovery.V, from(a.Discovery.File, a.Discovery.Line))
-	add("share", plain(a.Share.V), from(a.Share.File, a.Share.Line))
+	add("share", plain(a.BudgetShare.V), from(a.BudgetShare.File, a.BudgetShare.Line))
 	add("memory_mb", fmt.Sprint(a.MemoryMB.V), from(a.MemoryMB.File, a.MemoryMB.Line))
 	add("descriptors", fmt.Sprint(a.Descriptors.V), from(a.Descriptors.File, a.Descriptors.Line))
 	e.chain(s, s.chains[name+"\x00"+class], at)
@@ -130,16 +130,16 @@
 		}
 		product *= o.attempts
 		attempt := min(o.attempt(), left)
-		step := Step{Sidecar: c.app.Name.V, Class: c.class, Attempts: o.attempts, Product: product, Attempt: attempt, Left: left,
-			Whole: min(left, time.Duration(o.attempts)*attempt+o.waits)}
+		step := Step{Sidecar: c.app.Name.V, Class: c.class, Attempts: o.attempts, CumulativeAttempts: product, MaxAttemptTime: attempt, MinTimeLeft: left,
+			MaxTotalTime: min(left, time.Duration(o.attempts)*attempt+o.waits)}
 		if o.line > 0 {
 			step.Route = fmt.Sprintf("%s:%d", c.app.File, o.line)
-			step.Copies = c.app.routeAt(o.line).SecondCopyAfter.Set()
+			step.SecondCopies = c.app.routeAt(o.line).SecondCopyAfter.IsSet()
 		}
 		e.Chain = append(e.Chain, step)
 		next := c.inner()
 		if next != nil {
-			left = max(0, attempt-next.app.Work.V)
+			left = max(0, attempt-next.app.WorkTime.V)
 			if next.class != c.class {
 				at = "/" + next.class
 			}
--- a/internal/operators/apps/finding.go
+++ b/internal/operators/apps/finding.go
@@ -14,73 +14,73 @@
 
 // The codes. What each means, and what to do, is in About.
 const (
-	Unreadable    Code = "SC001"
-	TooLarge      Code = "SC002"
-	Empty         Code = "SC003"
-	Syntax        Code = "SC004"
-	Duplicate     Code = "SC005"
-	UnknownKey    Code = "SC006"
-	WrongType     Code = "SC007"
-	OutOfRange    Code = "SC008"
-	Missing       Code = "SC009"
-	OddWord       Code = "SC010"
-	OddName       Code = "SC011"
-	NewSchema     Code = "SC013"
-	ChangedMeant  Code = "SC014"
-	SameFile      Code = "SC015"
-	UnknownServ   Code = "SC020"
-	UnknownClass  Code = "SC021"
-	Unserved      Code = "SC022"
-	UnknownSite   Code = "SC023"
-	UnknownHost   Code = "SC024"
-	HostElsewhere Code = "SC025"
-	NoListener    Code = "SC026"
-	NotLoopback   Code = "SC027"
-	Privileged    Code = "SC028"
-	Ephemeral     Code = "SC029"
-	OwnPort       Code = "SC030"
-	DiscoveryPort Code = "SC031"
-	OddAddress    Code = "SC032"
-	OddSocket     Code = "SC033"
-	IdleRoute     Code = "SC034"
-	NameTwice     Code = "SC040"
-	PortTwice     Code = "SC041"
-	PortOfOther   Code = "SC042"
-	SocketTwice   Code = "SC043"
-	HostMemory    Code = "SC044"
-	HostFiles     Code = "SC045"
-	HostCores     Code = "SC046"
-	SharesOver    Code = "SC047"
-	Loop          Code = "SC050"
-	Multiplied    Code = "SC051"
-	ChainWindow   Code = "SC052"
-	NoTimeLeft    Code = "SC053"
-	LittleTime    Code = "SC054"
-	NobodyServes  Code = "SC055"
-	HandEdited    Code = "SC060"
-	Stale         Code = "SC061"
-	Orphan        Code = "SC062"
-	NotWritten    Code = "SC063"
-	NodeRefuses   Code = "SC064"
-	WrittenOld    Code = "SC065"
-	WrittenNew    Code = "SC066"
-	NoPlatform    Code = "SC070"
-	OddClass      Code = "SC071"
-	OddHost       Code = "SC072"
+	Unreadable         Code = "SC001"
+	TooLarge           Code = "SC002"
+	Empty              Code = "SC003"
+	Syntax             Code = "SC004"
+	Duplicate          Code = "SC005"
+	UnknownKey         Code = "SC006"
+	WrongType          Code = "SC007"
+	OutOfRange         Code = "SC008"
+	Missing            Code = "SC009"
+	InvalidWord        Code = "SC010"
+	InvalidName        Code = "SC011"
+	NewSchema          Code = "SC013"
+	ChangedDuringRead  Code = "SC014"
+	DuplicateFile      Code = "SC015"
+	UnknownService     Code = "SC020"
+	UnknownClass       Code = "SC021"
+	ClassNotServed     Code = "SC022"
+	UnknownSite        Code = "SC023"
+	UnknownHost        Code = "SC024"
+	HostOutsideSites   Code = "SC025"
+	NoListener         Code = "SC026"
+	NotLoopback        Code = "SC027"
+	Privileged         Code = "SC028"
+	Ephemeral          Code = "SC029"
+	OwnPort            Code = "SC030"
+	DiscoveryPort      Code = "SC031"
+	InvalidAddress     Code = "SC032"
+	InvalidSocket      Code = "SC033"
+	IdleRoute          Code = "SC034"
+	DuplicateName      Code = "SC040"
+	DuplicatePort      Code = "SC041"
+	PortOfOtherApp     Code = "SC042"
+	DuplicateSocket    Code = "SC043"
+	HostMemory         Code = "SC044"
+	HostFiles          Code = "SC045"
+	HostCores          Code = "SC046"
+	SharesExceedBudget Code = "SC047"
+	CallLoop           Code = "SC050"
+	AttemptsMultiply   Code = "SC051"
+	ChainWindow        Code = "SC052"
+	NoTimeLeft         Code = "SC053"
+	TooLittleTime      Code = "SC054"
+	ServiceNotServed   Code = "SC055"
+	HandEdited         Code = "SC060"
+	OutdatedFile       Code = "SC061"
+	OrphanFile         Code = "SC062"
+	NotWritten         Code = "SC063"
+	NodeRefuses        Code = "SC064"
+	SchemaTooOld       Code = "SC065"
+	SchemaTooNew       Code = "SC066"
+	NoPlatform         Code = "SC070"
+	InvalidClass       Code = "SC071"
+	InvalidHost        Code = "SC072"
 )
 
 // About is what a code means.
-type About struct {
+type CodeInfo struct {
 	Code    Code
 	Warning bool   // it does not keep a sidecar from starting
 	Rule    string // which of the four rules it guards; "form" or "sense"
-	Means   string
-	Instead string // what to do
+	Meaning string
+	Remedy  string // what to do
 }
 
 // Codes lists all codes in their order. Findings of routes have package routes' codes.
-func Codes() []About {
-	return []About{
+func Codes() []CodeInfo {
+	return []CodeInfo{
 		{Unreadable, false, "form", "the file cannot be read", "give the tool the right to read it, or leave it out"},
 		{TooLarge, false, "form", "the file is larger than 1 MB", "a description needs ten lines"},
 		{Empty, false, "form", "the file holds nothing", "write a description, or remove the file"},
@@ -90,18 +90,18 @@
 		{WrongType, false, "form", "the value is of another kind", "write it as the bound shows"},
 		{OutOfRange, false, "form", "the value is outside its bounds", "choose one within the bound"},
 		{Missing, false, "form", "a key that must be there is not", "add it"},
-		{OddWord, false, "form", "the word is none of those allowed", "use one that the bound lists"},
-		{OddName, false, "form", "the name cannot be one: it becomes a file's and a unit's name",
+		{InvalidWord, false, "form", "the word is none of those allowed", "use one that the bound lists"},
+		{InvalidName, false, "form", "the name cannot be one: it becomes a file's and a unit's name",
 			"letters and digits of any script, and - _ . within; composed (NFC), at most 64 bytes"},
 		{NewSchema, false, "form", "the description is of a newer schema", "use a newer curlewctl"},
-		{ChangedMeant, false, "sense", "the file changed while it was read", "run the check again when nobody writes there"},
-		{SameFile, true, "sense", "a file is reached by two names, or two files hold the same", "remove one; the first counts"},
-		{UnknownServ, false, "sense", "the platform names no such service", "use one that the bound lists, or add it to platform.toml"},
+		{ChangedDuringRead, false, "sense", "the file changed while it was read", "run the check again when nobody writes there"},
+		{DuplicateFile, true, "sense", "a file is reached by two names, or two files hold the same", "remove one; the first counts"},
+		{UnknownService, false, "sense", "the platform names no such service", "use one that the bound lists, or add it to platform.toml"},
 		{UnknownClass, false, "sense", "the platform names no such class", "use one that the bound lists"},
-		{Unserved, false, "sense", "the service does not serve the class", "call the service that serves it"},
+		{ClassNotServed, false, "sense", "the service does not serve the class", "call the service that serves it"},
 		{UnknownSite, false, "sense", "the platform names no such site", "use one that the bound lists"},
 		{UnknownHost, false, "sense", "the platform names no such host", "use one that the bound lists"},
-		{HostElsewhere, false, "sense", "a host is at none of the application's sites", "add the site, or take another host"},
+		{HostOutsideSites, false, "sense", "a host is at none of the application's sites", "add the site, or take another host"},
 		{NoListener, false, "sense", "the sidecar needs a port or a socket, and one only", "set port or socket"},
 		{NotLoopback, false, "sense", "a sidecar serves its own application only", "listen on 127.0.0.1 or ::1, or on a socket"},
 		{Privileged, false, "sense", "ports under 1024 take privileges", "choose a port from 1024 up to the ephemeral range"},
@@ -109,34 +109,34 @@
 			"choose a port below the range, or above it"},
 		{OwnPort, false, "sense", "the application itself listens there", "choose another port for the sidecar"},
 		{DiscoveryPort, false, "sense", "discovery listens there", "choose another port"},
-		{OddAddress, false, "form", "the address cannot be read", "write host:port with a numeric host"},
-		{OddSocket, false, "form", "the socket's path cannot be used", "an absolute path of at most 107 bytes, without . and .."},
+		{InvalidAddress, false, "form", "the address cannot be read", "write host:port with a numeric host"},
+		{InvalidSocket, false, "form", "the socket's path cannot be used", "an absolute path of at most 107 bytes, without . and .."},
 		{IdleRoute, false, "sense", "a route is for a class that the application does not use", "remove it, or add the class to classes"},
-		{NameTwice, false, "sense", "two descriptions have one name", "rename one"},
-		{PortTwice, false, "sense", "two sidecars on a host have one port", "give one another port"},
-		{PortOfOther, false, "sense", "another application on the host listens there", "choose another port"},
-		{SocketTwice, false, "sense", "two sidecars on a host have one socket", "give one another path"},
+		{DuplicateName, false, "sense", "two descriptions have one name", "rename one"},
+		{DuplicatePort, false, "sense", "two sidecars on a host have one port", "give one another port"},
+		{PortOfOtherApp, false, "sense", "another application on the host listens there", "choose another port"},
+		{DuplicateSocket, false, "sense", "two sidecars on a host have one socket", "give one another path"},
 		{HostMemory, false, "sense", "the sidecars of a host have more memory than it gives them", "lower memory_mb, or move one"},
 		{HostFiles, false, "sense", "the sidecars of a host have more descriptors than it gives them", "lower descriptors, or move one"},
 		{HostCores, true, "sense", "the sidecars of a host have more cores than it gives them", "lower cores, or move one"},
-		{SharesOver, false, "rule 4", "all sidecars before a service together may send a cold server more than its budget",
+		{SharesExceedBudget, false, "rule 4", "all sidecars before a service together may send a cold server more than its budget",
 			"lower share, or raise nodes of the service"},
-		{Loop, false, "rule 1", "applications call each other in a loop", "break the loop; a request would go round until its time is up"},
-		{Multiplied, true, "rule 2", "attempts of chained sidecars multiply beyond 4", "let one of them retry, best the innermost"},
+		{CallLoop, false, "rule 1", "applications call each other in a loop", "break the loop; a request would go round until its time is up"},
+		{AttemptsMultiply, true, "rule 2", "attempts of chained sidecars multiply beyond 4", "let one of them retry, best the innermost"},
 		{ChainWindow, false, "rule 2", "the last attempt of a chain may come after the key's window", "fewer attempts or shorter time-outs"},
 		{NoTimeLeft, false, "rule 1", "nothing is left of the time at the end of a chain", "longer time-outs outside, less work inside"},
-		{LittleTime, true, "rule 1", "an inner sidecar has more attempts than time for them", "longer time-outs outside, fewer attempts inside"},
-		{NobodyServes, false, "sense", "no application serves the service, and it has no discovery", "add discovery, or who serves it"},
+		{TooLittleTime, true, "rule 1", "an inner sidecar has more attempts than time for them", "longer time-outs outside, fewer attempts inside"},
+		{ServiceNotServed, false, "sense", "no application serves the service, and it has no discovery", "add discovery, or who serves it"},
 		{HandEdited, false, "sense", "a written file was edited by hand", "edit the description, and write again"},
-		{Stale, true, "sense", "a written file is older than its description", "write again"},
-		{Orphan, true, "sense", "a written file has no description any more", "write again: it goes with the next set"},
+		{OutdatedFile, true, "sense", "a written file is older than its description", "write again"},
+		{OrphanFile, true, "sense", "a written file has no description any more", "write again: it goes with the next set"},
 		{NotWritten, true, "sense", "a description was not written yet", "curlewctl write"},
 		{NodeRefuses, false, "sense", "the node refuses the configuration", "mend what the node names"},
-		{WrittenOld, true, "form", "a written configuration is of an older schema", "write again: that is the whole migration; nodes read one step older meanwhile"},
-		{WrittenNew, false, "form", "a written configuration is newer by more than one step", "use a newer curlewring"},
+		{SchemaTooOld, true, "form", "a written configuration is of an older schema", "write again: that is the whole migration; nodes read one step older meanwhile"},
+		{SchemaTooNew, false, "form", "a written configuration is newer by more than one step", "use a newer curlewring"},
 		{NoPlatform, false, "form", "there is no platform file", "name it by --platform, or put platform.toml beside the descriptions"},
-		{OddClass, false, "sense", "a class of the platform contradicts itself", "aim <= deadline; a keyed class has a window and a group"},
-		{OddHost, false, "sense", "the platform contradicts itself", "each name once, and hosts at sites that it names"},
+		{InvalidClass, false, "sense", "a class of the platform contradicts itself", "aim <= deadline; a keyed class has a window and a group"},
+		{InvalidHost, false, "sense", "the platform contradicts itself", "each name once, and hosts at sites that it names"},
 	}
 }
 
@@ -194,7 +194,7 @@
 		if a.Warning {
 			level = "warning"
 		}
-		*f = append(*f, Finding{string(code), level, a.Rule, file, line, key, value, bound, text, a.Instead})
+		*f = append(*f, Finding{string(code), level, a.Rule, file, line, key, value, bound, text, a.Remedy})
 		return
 	}
 	panic("apps: a code without a description: " + string(code))
--- a/internal/operators/apps/keys.go
+++ b/internal/operators/apps/keys.go
@@ -28,18 +28,18 @@
 
 // At is a value and where it stands: the file, and its line. File "" is a
 // default of the program.
-type At[T any] struct {
-	V    T
-	File string
-	Line int
-	Bad  bool // it stands there and could not be read; a finding says why
+type Located[T any] struct {
+	V       T
+	File    string
+	Line    int
+	Invalid bool // it stands there and could not be read; a finding says why
 }
 
 // Set tells whether a file gives the value.
-func (a At[T]) Set() bool { return a.Line > 0 && !a.Bad }
+func (a Located[T]) IsSet() bool { return a.Line > 0 && !a.Invalid }
 
 // or is the value, or another where no file gives it.
-func (a At[T]) or(other At[T]) At[T] {
+func (a Located[T]) or(other Located[T]) Located[T] {
 	if a.Line > 0 {
 		return a
 	}
@@ -72,8 +72,8 @@
 // take reads the keys of a table. Tables that others read are named by except.
 func take[T any](r *reading, t *document.Table, in string, keys []key[T], except []string, to *T) {
 	seen := map[string]bool{}
-	for _, name := range t.Order {
-		v := t.Keys[name]
+	for _, name := range t.KeyOrder {
+		v := t.Values[name]
 		k := find(keys, name)
 		if k == nil {
 			if !contains(except, name) {
@@ -135,11 +135,11 @@
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f * float64(time.Second))) }
 
 // textKey, and the others below, make keys whose value goes to a place of T.
-func textKey[T any](name string, must bool, doc string, place func(*T) *At[string], among ...string) key[T] {
+func textKey[T any](name string, must bool, doc string, place func(*T) *Located[string], among ...string) key[T] {
 	k := key[T]{name: name, kind: text, least: 1, most: 4096, must: must, doc: doc, among: among}
 	k.put = func(to *T, r *reading, v document.Value) {
 		at := place(to)
-		*at = At[string]{File: r.file, Line: v.Line, Bad: true}
+		*at = Located[string]{File: r.file, Line: v.Line, Invalid: true}
 		s, ok := v.V.(string)
 		switch {
 		case !ok:
@@ -149,9 +149,9 @@
 		case strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f || c == 0xfffd }):
 			r.find(OutOfRange, v.Line, name, v.Text, "no control characters", "it holds a control character")
 		case len(among) > 0 && !contains(among, s):
-			r.find(OddWord, v.Line, name, v.Text, strings.Join(among, ", "), "none of the words allowed")
+			r.find(InvalidWord, v.Line, name, v.Text, strings.Join(among, ", "), "none of the words allowed")
 		default:
-			at.V, at.Bad = s, false
+			at.V, at.Invalid = s, false
 		}
 	}
 	return k
@@ -160,11 +160,11 @@
 // mostWords is the most of a list of words: the hosts of an application may be all of a fleet.
 const mostWords = 6000
 
-func wordsKey[T any](name string, must bool, doc string, place func(*T) *At[[]string]) key[T] {
+func wordsKey[T any](name string, must bool, doc string, place func(*T) *Located[[]string]) key[T] {
 	k := key[T]{name: name, kind: words, least: 1, most: mostWords, must: must, doc: doc}
 	k.put = func(to *T, r *reading, v document.Value) {
 		at := place(to)
-		*at = At[[]string]{File: r.file, Line: v.Line, Bad: true}
+		*at = Located[[]string]{File: r.file, Line: v.Line, Invalid: true}
 		list, ok := v.V.([]document.Value)
 		if !ok {
 			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
@@ -187,16 +187,16 @@
 			}
 			all = append(all, s)
 		}
-		at.V, at.Bad = all, false
+		at.V, at.Invalid = all, false
 	}
 	return k
 }
 
-func integerKey[T any](name string, least, most int, must bool, doc string, place func(*T) *At[int]) key[T] {
+func integerKey[T any](name string, least, most int, must bool, doc string, place func(*T) *Located[int]) key[T] {
 	k := key[T]{name: name, kind: integer, least: float64(least), most: float64(most), must: must, doc: doc}
 	k.put = func(to *T, r *reading, v document.Value) {
 		at := place(to)
-		*at = At[int]{File: r.file, Line: v.Line, Bad: true}
+		*at = Located[int]{File: r.file, Line: v.Line, Invalid: true}
 		n, ok := v.V.(int64)
 		switch {
 		case !ok:
@@ -204,17 +204,17 @@
 		case n < int64(least) || n > int64(most):
 			r.find(OutOfRange, v.Line, name, v.Text, k.bound(), "outside its bounds")
 		default:
-			at.V, at.Bad = int(n), false
+			at.V, at.Invalid = int(n), false
 		}
 	}
 	return k
 }
 
-func numberKey[T any](name string, least, most float64, must bool, doc string, place func(*T) *At[float64]) key[T] {
+func numberKey[T any](name string, least, most float64, must bool, doc string, place func(*T) *Located[float64]) key[T] {
 	k := key[T]{name: name, kind: number, least: least, most: most, must: must, doc: doc}
 	k.put = func(to *T, r *reading, v document.Value) {
 		at := place(to)
-		*at = At[float64]{File: r.file, Line: v.Line, Bad: true}
+		*at = Located[float64]{File: r.file, Line: v.Line, Invalid: true}
 		var f float64
 		switch x := v.V.(type) {
 		case int64:
@@ -229,16 +229,16 @@
 			r.find(OutOfRange, v.Line, name, v.Text, k.bound(), "outside its bounds")
 			return
 		}
-		at.V, at.Bad = f, false
+		at.V, at.Invalid = f, false
 	}
 	return k
 }
 
-func durationKey[T any](name string, least, most time.Duration, must bool, doc string, place func(*T) *At[time.Duration]) key[T] {
+func durationKey[T any](name string, least, most time.Duration, must bool, doc string, place func(*T) *Located[time.Duration]) key[T] {
 	k := key[T]{name: name, kind: duration, least: least.Seconds(), most: most.Seconds(), must: must, doc: doc}
 	k.put = func(to *T, r *reading, v document.Value) {
 		at := place(to)
-		*at = At[time.Duration]{File: r.file, Line: v.Line, Bad: true}
+		*at = Located[time.Duration]{File: r.file, Line: v.Line, Invalid: true}
 		s, ok := v.V.(string)
 		if !ok {
 			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
@@ -251,19 +251,19 @@
 		case d < least || d > most:
 			r.find(OutOfRange, v.Line, name, v.Text, k.bound(), "outside its bounds")
 		default:
-			at.V, at.Bad = d, false
+			at.V, at.Invalid = d, false
 		}
 	}
 	return k
 }
 
-func yesNoKey[T any](name string, doc string, place func(*T) *At[bool]) key[T] {
+func yesNoKey[T any](name string, doc string, place func(*T) *Located[bool]) key[T] {
 	k := key[T]{name: name, kind: yesNo, doc: doc}
 	k.put = func(to *T, r *reading, v document.Value) {
 		at := place(to)
-		*at = At[bool]{File: r.file, Line: v.Line, Bad: true}
+		*at = Located[bool]{File: r.file, Line: v.Line, Invalid: true}
 		if b, ok := v.V.(bool); ok {
-			at.V, at.Bad = b, false
+			at.V, at.Invalid = b, false
 		} else {
 			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 		}
--- a/internal/operators/apps/page.go
+++ b/internal/operators/apps/page.go
@@ -6,7 +6,7 @@
 )
 
 // Page is docs/operators/findings.md: every code, what it means, what to do.
-func Page() string {
+func FindingsPage() string {
 	var b strings.Builder
 	b.WriteString(`# Findings of curlewctl check
 
@@ -25,7 +25,7 @@
 		if a.Warning {
 			level = "warning"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", a.Code, level, a.Rule, a.Means, a.Instead)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", a.Code, level, a.Rule, a.Meaning, a.Remedy)
 	}
 	b.WriteString(`
 The four rules: 1, each request gets one answer before its client's time is up; 2, no effect twice; 3, nothing new to a server
--- a/internal/operators/apps/platform.go
+++ b/internal/operators/apps/platform.go
@@ -21,15 +21,15 @@
 // Platform is what all applications share.
 type Platform struct {
 	File      string
-	Name      At[string]
-	Sites     At[[]string]
-	Discovery At[string]
+	Name      Located[string]
+	Sites     Located[[]string]
+	Discovery Located[string]
 	// The hosts' range of ports for outgoing connections, both ends included.
-	EphemeralFrom, EphemeralTo At[int]
+	EphemeralFrom, EphemeralTo Located[int]
 
 	Sidecar  Defaults
 	Limits   Limits
-	Cold     Cold
+	Cold     WarmUp
 	Classes  []Class
 	Hosts    []Host
 	Services []Service
@@ -37,63 +37,63 @@
 
 // Defaults are what a sidecar has where its application says nothing else.
 type Defaults struct {
-	MemoryMB    At[int]
-	Descriptors At[int]
-	Cores       At[float64]
-	Binary      At[string]
-	User        At[string]
+	MemoryMB    Located[int]
+	Descriptors Located[int]
+	Cores       Located[float64]
+	Binary      Located[string]
+	User        Located[string]
 }
 
 // Limits are what the platform lets nodes do.
 type Limits struct {
-	Tries          At[int]
-	Advice         At[time.Duration] // 0: refusals carry none
-	Copies         At[bool]
-	Budgets        At[bool]
-	Idle           At[time.Duration]
-	ConnectTimeout At[time.Duration]
-	AnswerGrace    At[time.Duration]
-	DrainGrace     At[time.Duration]
-	AskWithin      At[time.Duration]
+	MaxAttempts    Located[int]
+	MaxRetryAfter  Located[time.Duration] // 0: refusals carry none
+	SecondCopies   Located[bool]
+	Budgets        Located[bool]
+	ConnIdle       Located[time.Duration]
+	ConnectTimeout Located[time.Duration]
+	AnswerGrace    Located[time.Duration]
+	DrainGrace     Located[time.Duration]
+	AskWithin      Located[time.Duration]
 }
 
 // Cold is how servers warm up, and when a cold one falls over.
-type Cold struct {
-	From         At[float64]
-	For          At[time.Duration]
-	FallMultiple At[float64]
-	FallFor      At[time.Duration]
+type WarmUp struct {
+	From         Located[float64]
+	For          Located[time.Duration]
+	FallMultiple Located[float64]
+	FallFor      Located[time.Duration]
 }
 
 // Class is a class of requests.
 type Class struct {
 	Line     int
-	Name     At[string]
-	Aim      At[time.Duration]
-	Deadline At[time.Duration]
-	Worth    At[float64]
-	Effect   At[string] // repeatable, keyed, once
-	Group    At[string] // all, site, rack
-	Window   At[time.Duration]
+	Name     Located[string]
+	Aim      Located[time.Duration]
+	Deadline Located[time.Duration]
+	Worth    Located[float64]
+	Effect   Located[string] // repeatable, keyed, once
+	Group    Located[string] // all, site, rack
+	Window   Located[time.Duration]
 }
 
 // Host is a machine that sidecars run on.
 type Host struct {
 	Line        int
-	Name        At[string]
-	Site        At[string]
-	MemoryMB    At[int]
-	Descriptors At[int]
-	Cores       At[float64]
+	Name        Located[string]
+	Site        Located[string]
+	MemoryMB    Located[int]
+	Descriptors Located[int]
+	Cores       Located[float64]
 }
 
 // Service is what sidecars send to.
 type Service struct {
 	Line      int
-	Name      At[string]
-	Classes   At[[]string]
-	Discovery At[string]
-	Nodes     At[int]
+	Name      Located[string]
+	Classes   Located[[]string]
+	Discovery Located[string]
+	Nodes     Located[int]
 }
 
 func (p *Platform) service(name string) *Service {
@@ -131,92 +131,92 @@
 
 func platformKeys() []key[Platform] {
 	return []key[Platform]{
-		textKey("name", false, "what the platform is called", func(p *Platform) *At[string] { return &p.Name }),
-		wordsKey("sites", true, "the names of its sites", func(p *Platform) *At[[]string] { return &p.Sites }),
+		textKey("name", false, "what the platform is called", func(p *Platform) *Located[string] { return &p.Name }),
+		wordsKey("sites", true, "the names of its sites", func(p *Platform) *Located[[]string] { return &p.Sites }),
 		textKey("discovery", false, "where discovery answers, host:port; a service or an application may have its own",
-			func(p *Platform) *At[string] { return &p.Discovery }),
+			func(p *Platform) *Located[string] { return &p.Discovery }),
 		integerKey("ephemeral_from", 1024, 65535, false, "the first port that hosts use for outgoing connections (32768)",
-			func(p *Platform) *At[int] { return &p.EphemeralFrom }),
-		integerKey("ephemeral_to", 1024, 65535, false, "the last one (60999)", func(p *Platform) *At[int] { return &p.EphemeralTo }),
+			func(p *Platform) *Located[int] { return &p.EphemeralFrom }),
+		integerKey("ephemeral_to", 1024, 65535, false, "the last one (60999)", func(p *Platform) *Located[int] { return &p.EphemeralTo }),
 	}
 }
 
 func defaultsKeys() []key[Defaults] {
 	return []key[Defaults]{
-		integerKey("memory_mb", leastMemoryMB, 65536, false, "memory of a sidecar in MB (32)", func(d *Defaults) *At[int] { return &d.MemoryMB }),
+		integerKey("memory_mb", leastMemoryMB, 65536, false, "memory of a sidecar in MB (32)", func(d *Defaults) *Located[int] { return &d.MemoryMB }),
 		integerKey("descriptors", leastDescriptors, 1<<20, false, "file descriptors of a sidecar (256)",
-			func(d *Defaults) *At[int] { return &d.Descriptors }),
+			func(d *Defaults) *Located[int] { return &d.Descriptors }),
 		numberKey("cores", 0.01, 1, false, "cores of a sidecar, of which it uses one at most (0.25)",
-			func(d *Defaults) *At[float64] { return &d.Cores }),
+			func(d *Defaults) *Located[float64] { return &d.Cores }),
 		textKey("binary", false, "the node's program on the hosts (/usr/local/bin/curlewring)",
-			func(d *Defaults) *At[string] { return &d.Binary }),
-		textKey("user", false, "the user that sidecars run as (curlewring)", func(d *Defaults) *At[string] { return &d.User }),
+			func(d *Defaults) *Located[string] { return &d.Binary }),
+		textKey("user", false, "the user that sidecars run as (curlewring)", func(d *Defaults) *Located[string] { return &d.User }),
 	}
 }
 
 func limitsKeys() []key[Limits] {
 	return []key[Limits]{
 		integerKey("most_tries", 1, 4, false, "attempts of a request at a node, the first included (4)",
-			func(l *Limits) *At[int] { return &l.Tries }),
+			func(l *Limits) *Located[int] { return &l.MaxAttempts }),
 		durationKey("retry_after", 0, time.Minute, false, `the longest advice in refusals; "0s" is none ("1s")`,
-			func(l *Limits) *At[time.Duration] { return &l.Advice }),
+			func(l *Limits) *Located[time.Duration] { return &l.MaxRetryAfter }),
 		yesNoKey("second_copies", "whether attempts of a repeatable request may overlap (false)",
-			func(l *Limits) *At[bool] { return &l.Copies }),
+			func(l *Limits) *Located[bool] { return &l.SecondCopies }),
 		yesNoKey("budgets", "whether nodes share a budget of further attempts with the tiers below (false)",
-			func(l *Limits) *At[bool] { return &l.Budgets }),
+			func(l *Limits) *Located[bool] { return &l.Budgets }),
 		durationKey("idle", time.Second, time.Hour, false, `after which servers close idle connections ("10s")`,
-			func(l *Limits) *At[time.Duration] { return &l.Idle }),
+			func(l *Limits) *Located[time.Duration] { return &l.ConnIdle }),
 		durationKey("connect_timeout", time.Millisecond, time.Minute, false, `for a connection to a server ("250ms")`,
-			func(l *Limits) *At[time.Duration] { return &l.ConnectTimeout }),
+			func(l *Limits) *Located[time.Duration] { return &l.ConnectTimeout }),
 		durationKey("answer_grace", 0, time.Second, false, `before the end of a request's time, when its answer leaves ("10ms")`,
-			func(l *Limits) *At[time.Duration] { return &l.AnswerGrace }),
+			func(l *Limits) *Located[time.Duration] { return &l.AnswerGrace }),
 		durationKey("drain_grace", 0, 500*time.Millisecond, false, `after the word that a server drains, in which it may still be sent to ("500ms")`,
-			func(l *Limits) *At[time.Duration] { return &l.DrainGrace }),
+			func(l *Limits) *Located[time.Duration] { return &l.DrainGrace }),
 		durationKey("ask_within", time.Second, time.Hour, false, `after which a node asks discovery again ("10s")`,
-			func(l *Limits) *At[time.Duration] { return &l.AskWithin }),
+			func(l *Limits) *Located[time.Duration] { return &l.AskWithin }),
 	}
 }
 
-func coldKeys() []key[Cold] {
-	return []key[Cold]{
-		numberKey("from", 0.01, 1, false, "part of its capacity that a server has at its start (0.4)", func(c *Cold) *At[float64] { return &c.From }),
-		durationKey("for", 0, time.Hour, false, `after which it has all of it ("5s")`, func(c *Cold) *At[time.Duration] { return &c.For }),
+func coldKeys() []key[WarmUp] {
+	return []key[WarmUp]{
+		numberKey("from", 0.01, 1, false, "part of its capacity that a server has at its start (0.4)", func(c *WarmUp) *Located[float64] { return &c.From }),
+		durationKey("for", 0, time.Hour, false, `after which it has all of it ("5s")`, func(c *WarmUp) *Located[time.Duration] { return &c.For }),
 		numberKey("fall_multiple", 1, 100, false, "times what it can do, beyond which it falls over (2.5)",
-			func(c *Cold) *At[float64] { return &c.FallMultiple }),
+			func(c *WarmUp) *Located[float64] { return &c.FallMultiple }),
 		durationKey("fall_for", time.Millisecond, time.Minute, false, `the time over which that is summed up ("1s")`,
-			func(c *Cold) *At[time.Duration] { return &c.FallFor }),
+			func(c *WarmUp) *Located[time.Duration] { return &c.FallFor }),
 	}
 }
 
 func classKeys() []key[Class] {
 	return []key[Class]{
-		textKey("name", true, "what the class is called", func(c *Class) *At[string] { return &c.Name }),
-		durationKey("aim", time.Millisecond, longest, true, "the wanted response time", func(c *Class) *At[time.Duration] { return &c.Aim }),
-		durationKey("deadline", time.Millisecond, longest, true, "how long its callers wait", func(c *Class) *At[time.Duration] { return &c.Deadline }),
-		numberKey("worth", 0, 1e6, true, "what an answer in time counts, against others", func(c *Class) *At[float64] { return &c.Worth }),
-		textKey("effect", true, "whether it may run again", func(c *Class) *At[string] { return &c.Effect }, "repeatable", "keyed", "once"),
-		textKey("group", false, "which servers drop a repeat of a keyed request", func(c *Class) *At[string] { return &c.Group }, "all", "site", "rack"),
-		durationKey("window", time.Millisecond, longest, false, "how long they remember its key", func(c *Class) *At[time.Duration] { return &c.Window }),
+		textKey("name", true, "what the class is called", func(c *Class) *Located[string] { return &c.Name }),
+		durationKey("aim", time.Millisecond, longest, true, "the wanted response time", func(c *Class) *Located[time.Duration] { return &c.Aim }),
+		durationKey("deadline", time.Millisecond, longest, true, "how long its callers wait", func(c *Class) *Located[time.Duration] { return &c.Deadline }),
+		numberKey("worth", 0, 1e6, true, "what an answer in time counts, against others", func(c *Class) *Located[float64] { return &c.Worth }),
+		textKey("effect", true, "whether it may run again", func(c *Class) *Located[string] { return &c.Effect }, "repeatable", "keyed", "once"),
+		textKey("group", false, "which servers drop a repeat of a keyed request", func(c *Class) *Located[string] { return &c.Group }, "all", "site", "rack"),
+		durationKey("window", time.Millisecond, longest, false, "how long they remember its key", func(c *Class) *Located[time.Duration] { return &c.Window }),
 	}
 }
 
 func hostKeys() []key[Host] {
 	return []key[Host]{
-		textKey("name", true, "what the host is called", func(h *Host) *At[string] { return &h.Name }),
-		textKey("site", true, "where it stands", func(h *Host) *At[string] { return &h.Site }),
-		integerKey("memory_mb", leastMemoryMB, 1<<24, false, "memory for all sidecars, in MB", func(h *Host) *At[int] { return &h.MemoryMB }),
-		integerKey("descriptors", leastDescriptors, 1<<30, false, "file descriptors for all sidecars", func(h *Host) *At[int] { return &h.Descriptors }),
-		numberKey("cores", 0.01, 4096, false, "cores for all sidecars", func(h *Host) *At[float64] { return &h.Cores }),
+		textKey("name", true, "what the host is called", func(h *Host) *Located[string] { return &h.Name }),
+		textKey("site", true, "where it stands", func(h *Host) *Located[string] { return &h.Site }),
+		integerKey("memory_mb", leastMemoryMB, 1<<24, false, "memory for all sidecars, in MB", func(h *Host) *Located[int] { return &h.MemoryMB }),
+		integerKey("descriptors", leastDescriptors, 1<<30, false, "file descriptors for all sidecars", func(h *Host) *Located[int] { return &h.Descriptors }),
+		numberKey("cores", 0.01, 4096, false, "cores for all sidecars", func(h *Host) *Located[float64] { return &h.Cores }),
 	}
 }
 
 func serviceKeys() []key[Service] {
 	return []key[Service]{
-		textKey("name", true, "what the service is called", func(s *Service) *At[string] { return &s.Name }),
-		wordsKey("classes", true, "the classes that it serves", func(s *Service) *At[[]string] { return &s.Classes }),
-		textKey("discovery", false, "where discovery tells its servers, host:port", func(s *Service) *At[string] { return &s.Discovery }),
+		textKey("name", true, "what the service is called", func(s *Service) *Located[string] { return &s.Name }),
+		wordsKey("classes", true, "the classes that it serves", func(s *Service) *Located[[]string] { return &s.Classes }),
+		textKey("discovery", false, "where discovery tells its servers, host:port", func(s *Service) *Located[string] { return &s.Discovery }),
 		integerKey("nodes", 1, 100000, true, "how many nodes may send to it at the most, sidecars and others",
-			func(s *Service) *At[int] { return &s.Nodes }),
+			func(s *Service) *Located[int] { return &s.Nodes }),
 	}
 }
 
@@ -263,8 +263,8 @@
 
 // parse reads a file's form; nil where nothing could be read.
 func (r *reading) parse(data []byte) *document.Table {
-	if len(data) > document.MostBytes {
-		r.find(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", document.MostBytes), "the file is too large")
+	if len(data) > document.MaxFileSize {
+		r.find(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", document.MaxFileSize), "the file is too large")
 		return nil
 	}
 	if len(strings.TrimSpace(string(data))) == 0 {
@@ -286,7 +286,7 @@
 
 // schema checks the version of a file.
 func (r *reading) schema(t *document.Table) {
-	v, there := t.Keys["schema"]
+	v, there := t.Values["schema"]
 	n, ok := v.V.(int64)
 	switch {
 	case !there && r.partial:
@@ -303,7 +303,7 @@
 
 // sub is a table of the file, if it is there.
 func (r *reading) sub(t *document.Table, name string) *document.Table {
-	v, there := t.Keys[name]
+	v, there := t.Values[name]
 	if !there {
 		return nil
 	}
@@ -316,7 +316,7 @@
 
 // list is a list of tables of the file.
 func (r *reading) list(t *document.Table, name string, must bool) []*document.Table {
-	v, there := t.Keys[name]
+	v, there := t.Values[name]
 	if !there {
 		if must && !r.partial {
 			r.find(Missing, 1, name, "", "[["+name+"]]", "there must be one at the least")
@@ -340,7 +340,7 @@
 	return tables
 }
 
-func byDefault[T any](a *At[T], v T) {
+func byDefault[T any](a *Located[T], v T) {
 	if a.Line == 0 {
 		a.V = v
 	}
@@ -355,9 +355,9 @@
 	byDefault(&p.Sidecar.Cores, 0.25)
 	byDefault(&p.Sidecar.Binary, "/usr/local/bin/curlewring")
 	byDefault(&p.Sidecar.User, "curlewring")
-	byDefault(&p.Limits.Tries, 4)
-	byDefault(&p.Limits.Advice, time.Second)
-	byDefault(&p.Limits.Idle, 10*time.Second)
+	byDefault(&p.Limits.MaxAttempts, 4)
+	byDefault(&p.Limits.MaxRetryAfter, time.Second)
+	byDefault(&p.Limits.ConnIdle, 10*time.Second)
 	byDefault(&p.Limits.ConnectTimeout, 250*time.Millisecond)
 	byDefault(&p.Limits.AnswerGrace, 10*time.Millisecond)
 	byDefault(&p.Limits.DrainGrace, 500*time.Millisecond)
@@ -371,62 +371,62 @@
 // check finds what contradicts itself.
 func (p *Platform) check(r *reading) {
 	if p.EphemeralFrom.V > p.EphemeralTo.V {
-		r.find(OddHost, max(p.EphemeralFrom.Line, p.EphemeralTo.Line), "ephemeral_from", fmt.Sprint(p.EphemeralFrom.V),
+		r.find(InvalidHost, max(p.EphemeralFrom.Line, p.EphemeralTo.Line), "ephemeral_from", fmt.Sprint(p.EphemeralFrom.V),
 			fmt.Sprintf("at most ephemeral_to, %d", p.EphemeralTo.V), "the range ends before it begins")
 	}
-	if p.Limits.Budgets.V && p.Limits.Copies.V {
-		r.find(OddHost, max(p.Limits.Budgets.Line, p.Limits.Copies.Line), "limits.budgets", "true", "second_copies = false",
+	if p.Limits.Budgets.V && p.Limits.SecondCopies.V {
+		r.find(InvalidHost, max(p.Limits.Budgets.Line, p.Limits.SecondCopies.Line), "limits.budgets", "true", "second_copies = false",
 			"what two copies spend below is not told apart")
 	}
 	address(r, "discovery", p.Discovery)
 	for _, s := range p.Sites.V {
-		r.name("sites", At[string]{V: s, File: r.file, Line: p.Sites.Line})
+		r.name("sites", Located[string]{V: s, File: r.file, Line: p.Sites.Line})
 	}
 	seen := map[string]int{}
-	once := func(what string, name At[string]) {
+	once := func(what string, name Located[string]) {
 		if name.V == "" {
 			return
 		}
 		r.name(what+".name", name)
 		if before := seen[what+name.V]; before > 0 {
-			r.find(OddHost, name.Line, what+".name", quote(name.V), "", fmt.Sprintf("the name stands already in line %d", before))
+			r.find(InvalidHost, name.Line, what+".name", quote(name.V), "", fmt.Sprintf("the name stands already in line %d", before))
 		}
 		seen[what+name.V] = name.Line
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
 		once("class", c.Name)
-		if c.Aim.Set() && c.Deadline.Set() && c.Aim.V > c.Deadline.V {
-			r.find(OddClass, c.Aim.Line, "class.aim", c.Aim.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
+		if c.Aim.IsSet() && c.Deadline.IsSet() && c.Aim.V > c.Deadline.V {
+			r.find(InvalidClass, c.Aim.Line, "class.aim", c.Aim.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
 		}
 		keyed := c.Effect.V == "keyed"
-		if keyed && !c.Window.Bad && c.Window.V == 0 {
-			r.find(OddClass, c.Line, "class.window", "", "a duration", "a keyed class needs the time for which its key is kept")
+		if keyed && !c.Window.Invalid && c.Window.V == 0 {
+			r.find(InvalidClass, c.Line, "class.window", "", "a duration", "a keyed class needs the time for which its key is kept")
 		}
-		if keyed && !c.Group.Bad && c.Group.V == "" {
-			r.find(OddClass, c.Line, "class.group", "", "all, site, rack", "a keyed class needs the group that keeps its key")
+		if keyed && !c.Group.Invalid && c.Group.V == "" {
+			r.find(InvalidClass, c.Line, "class.group", "", "all, site, rack", "a keyed class needs the group that keeps its key")
 		}
-		if !keyed && c.Effect.Set() && c.Window.Set() {
-			r.find(OddClass, c.Window.Line, "class.window", c.Window.V.String(), "", "only keyed classes have a window")
+		if !keyed && c.Effect.IsSet() && c.Window.IsSet() {
+			r.find(InvalidClass, c.Window.Line, "class.window", c.Window.V.String(), "", "only keyed classes have a window")
 		}
-		if !keyed && c.Effect.Set() && c.Group.Set() {
-			r.find(OddClass, c.Group.Line, "class.group", quote(c.Group.V), "", "only keyed classes have a group")
+		if !keyed && c.Effect.IsSet() && c.Group.IsSet() {
+			r.find(InvalidClass, c.Group.Line, "class.group", quote(c.Group.V), "", "only keyed classes have a group")
 		}
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
 		served := c.Name.V == ""
 		for j := range p.Services {
-			served = served || contains(p.Services[j].Classes.V, c.Name.V) || p.Services[j].Classes.Bad
+			served = served || contains(p.Services[j].Classes.V, c.Name.V) || p.Services[j].Classes.Invalid
 		}
 		if !served && len(p.Services) > 0 {
-			r.find(Unserved, c.Name.Line, "class.name", quote(c.Name.V), "", "no service serves the class")
+			r.find(ClassNotServed, c.Name.Line, "class.name", quote(c.Name.V), "", "no service serves the class")
 		}
 	}
 	for i := range p.Hosts {
 		h := &p.Hosts[i]
 		once("host", h.Name)
-		if h.Site.Set() && len(p.Sites.V) > 0 && !contains(p.Sites.V, h.Site.V) {
+		if h.Site.IsSet() && len(p.Sites.V) > 0 && !contains(p.Sites.V, h.Site.V) {
 			r.find(UnknownSite, h.Site.Line, "host.site", quote(h.Site.V), strings.Join(p.Sites.V, ", "), "sites name no such site")
 		}
 	}
@@ -453,8 +453,8 @@
 func quote(s string) string { return fmt.Sprintf("%q", s) }
 
 // name checks that a name can be a file's and a unit's, in any script.
-func (r *reading) name(key string, a At[string]) {
-	if !a.Set() {
+func (r *reading) name(key string, a Located[string]) {
+	if !a.IsSet() {
 		return
 	}
 	why := ""
@@ -472,17 +472,17 @@
 	default:
 		return
 	}
-	r.find(OddName, a.Line, key, quote(a.V), "letters, digits, - _ .", why)
+	r.find(InvalidName, a.Line, key, quote(a.V), "letters, digits, - _ .", why)
 }
 
 // address checks a numeric host:port, and returns it.
-func address(r *reading, key string, a At[string]) (netip.AddrPort, bool) {
-	if !a.Set() {
+func address(r *reading, key string, a Located[string]) (netip.AddrPort, bool) {
+	if !a.IsSet() {
 		return netip.AddrPort{}, false
 	}
 	at, err := netip.ParseAddrPort(a.V)
 	if err != nil || at.Port() == 0 {
-		r.find(OddAddress, a.Line, key, quote(a.V), `as "127.0.0.1:8500" or "[::1]:8500"`, "no numeric address with a port")
+		r.find(InvalidAddress, a.Line, key, quote(a.V), `as "127.0.0.1:8500" or "[::1]:8500"`, "no numeric address with a port")
 		return netip.AddrPort{}, false
 	}
 	return at, true
--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -27,22 +27,22 @@
 	s := &Set{Platform: p, serving: map[string][]*App{}, chains: map[string]*chain{}}
 	names := map[string]*App{}
 	for _, a := range sortedApps(all) {
-		if before := names[a.Name.V]; before != nil && a.Name.Set() {
-			findings.add(NameTwice, a.File, a.Name.Line, "name", quote(a.Name.V), "", fmt.Sprintf("%s has this name already", before.File))
+		if before := names[a.Name.V]; before != nil && a.Name.IsSet() {
+			findings.add(DuplicateName, a.File, a.Name.Line, "name", quote(a.Name.V), "", fmt.Sprintf("%s has this name already", before.File))
 			continue
 		}
 		names[a.Name.V] = a
 		s.Apps = append(s.Apps, a)
-		if a.Serves.Set() {
-			s.serving[a.Serves.V] = append(s.serving[a.Serves.V], a)
+		if a.ServedService.IsSet() {
+			s.serving[a.ServedService.V] = append(s.serving[a.ServedService.V], a)
 		}
 	}
 	s.ports(findings)
 	s.hosts(findings)
 	s.shares(findings)
 	for _, a := range s.Apps {
-		if a.Discovery.V == "" && p.service(a.Service.V) != nil && !a.Discovery.Bad {
-			findings.add(NobodyServes, a.File, a.Service.Line, "service", quote(a.Service.V), "", "neither the application, nor the service, nor the platform has a discovery")
+		if a.Discovery.V == "" && p.service(a.Service.V) != nil && !a.Discovery.Invalid {
+			findings.add(ServiceNotServed, a.File, a.Service.Line, "service", quote(a.Service.V), "", "neither the application, nor the service, nor the platform has a discovery")
 		}
 	}
 	if !s.loops(findings) {
@@ -78,13 +78,13 @@
 	for _, a := range s.Apps {
 		told := map[*App]bool{} // once for two applications, whatever the hosts
 		for _, h := range a.Hosts.V {
-			if a.Socket.Set() {
+			if a.Socket.IsSet() {
 				at := path{h, a.Socket.V}
 				if other := sockets[at]; other == nil {
 					sockets[at] = a
 				} else if !told[other] {
 					told[other] = true
-					findings.add(SocketTwice, a.File, a.Socket.Line, "socket", quote(a.Socket.V), "",
+					findings.add(DuplicateSocket, a.File, a.Socket.Line, "socket", quote(a.Socket.V), "",
 						fmt.Sprintf("the sidecar %q (%s) has this socket on host %s", other.Name.V, other.File, h))
 				}
 			}
@@ -98,10 +98,10 @@
 				}
 				told[l.app] = true
 				if l.own {
-					findings.add(PortOfOther, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
+					findings.add(PortOfOtherApp, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
 						fmt.Sprintf("the application %q (%s) listens on %s on host %s", l.app.Application.V, l.app.File, l.at, h))
 				} else {
-					findings.add(PortTwice, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
+					findings.add(DuplicatePort, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
 						fmt.Sprintf("the sidecar %q (%s) listens on %s on host %s", l.app.Name.V, l.app.File, l.at, h))
 				}
 				break // one is enough, and keeps the time linear
@@ -136,15 +136,15 @@
 			continue
 		}
 		text := fmt.Sprintf("%d sidecars on host %s", n.sidecars, h.Name.V)
-		if h.MemoryMB.Set() && n.memory > h.MemoryMB.V {
+		if h.MemoryMB.IsSet() && n.memory > h.MemoryMB.V {
 			findings.add(HostMemory, s.Platform.File, h.MemoryMB.Line, "host.memory_mb", fmt.Sprint(h.MemoryMB.V),
 				fmt.Sprintf("%d at the least", n.memory), fmt.Sprintf("%s have %d MB together", text, n.memory))
 		}
-		if h.Descriptors.Set() && n.descriptors > h.Descriptors.V {
+		if h.Descriptors.IsSet() && n.descriptors > h.Descriptors.V {
 			findings.add(HostFiles, s.Platform.File, h.Descriptors.Line, "host.descriptors", fmt.Sprint(h.Descriptors.V),
 				fmt.Sprintf("%d at the least", n.descriptors), fmt.Sprintf("%s have %d descriptors together", text, n.descriptors))
 		}
-		if h.Cores.Set() && n.cores > h.Cores.V*(1+1e-9) {
+		if h.Cores.IsSet() && n.cores > h.Cores.V*(1+1e-9) {
 			findings.add(HostCores, s.Platform.File, h.Cores.Line, "host.cores", plain(h.Cores.V),
 				plain(math.Ceil(n.cores*1000)/1000)+" at the least", fmt.Sprintf("%s have %.3f cores together", text, n.cores))
 		}
@@ -155,10 +155,10 @@
 // node is told that it is one of so many, so that it never takes more of a cold
 // server's budget than its share.
 func (a *App) parts() int {
-	if a.Share.V <= 0 {
+	if a.BudgetShare.V <= 0 {
 		return 1
 	}
-	return max(1, int(math.Ceil(1/a.Share.V-1e-9)))
+	return max(1, int(math.Ceil(1/a.BudgetShare.V-1e-9)))
 }
 
 // shares finds services whose sidecars have more than all of its callers.
@@ -172,7 +172,7 @@
 	for i := range s.Platform.Services {
 		x := &s.Platform.Services[i]
 		if sum := sums[x.Name.V]; sum > 1+1e-9 {
-			findings.add(SharesOver, s.Platform.File, x.Nodes.Line, "service.nodes", fmt.Sprint(x.Nodes.V), "",
+			findings.add(SharesExceedBudget, s.Platform.File, x.Nodes.Line, "service.nodes", fmt.Sprint(x.Nodes.V), "",
 				fmt.Sprintf("%d sidecars send to %q, with %.3f of its callers in sum", count[x.Name.V], x.Name.V, sum))
 		}
 	}
@@ -189,8 +189,8 @@
 	for _, a := range s.Apps {
 		at := node{a.Application.V, false}
 		next[at] = append(next[at], node{a.Service.V, true})
-		if a.Serves.Set() {
-			from := node{a.Serves.V, true}
+		if a.ServedService.IsSet() {
+			from := node{a.ServedService.V, true}
 			next[from] = append(next[from], at)
 		}
 	}
@@ -259,7 +259,7 @@
 			closes = closes || b.Application.V == round[0]
 		}
 		if closes {
-			findings.add(Loop, a.File, a.Service.Line, "service", quote(a.Service.V), "",
+			findings.add(CallLoop, a.File, a.Service.Line, "service", quote(a.Service.V), "",
 				"the loop: "+strings.Join(append(round, round[0]), " -> "))
 			return
 		}
@@ -302,7 +302,7 @@
 	if c == nil {
 		return nil
 	}
-	plain := option{attempts: p.Limits.Tries.V, limit: c.Deadline.V}
+	plain := option{attempts: p.Limits.MaxAttempts.V, limit: c.Deadline.V}
 	if c.Effect.V == "once" {
 		plain.attempts = 1 // another only where nothing ran
 	}
@@ -324,7 +324,7 @@
 		if b.DeadlineCap > 0 {
 			o.limit = min(o.limit, b.DeadlineCap)
 		}
-		o.waits = routes.Waits(b, o.attempts)
+		o.waits = routes.MaxTotalBackoff(b, o.attempts)
 		if r.Path.V == "" {
 			all[0] = o
 		} else {
@@ -447,7 +447,7 @@
 	}
 	line := max(c.line(), 1)
 	if c.attempts > 4 {
-		findings.add(Multiplied, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "4 along the chain",
+		findings.add(AttemptsMultiply, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "4 along the chain",
 			fmt.Sprintf("a request of class %s is tried up to %d times along %s", c.class, c.attempts, c.path()))
 	}
 	if window := time.Duration(0.9 * float64(class.Window.V)); class.Effect.V == "keyed" && window > 0 && c.last > window {
@@ -498,7 +498,7 @@
 // spend takes from the time of a chain what each of its sidecars uses.
 func (s *Set) spend(c *chain, findings *Findings) {
 	for _, e := range c.entered { // all callers have been here before
-		if left := max(0, e.gives-c.app.Work.V); e.caller != nil && left < c.left {
+		if left := max(0, e.gives-c.app.WorkTime.V); e.caller != nil && left < c.left {
 			c.left, c.caller = left, e.caller
 		}
 	}
@@ -517,7 +517,7 @@
 			return // what lies behind has no more
 		}
 		if needs > left {
-			findings.add(LittleTime, c.app.File, line, "attempts", quote(c.class), "in all at most "+left.String(),
+			findings.add(TooLittleTime, c.app.File, line, "attempts", quote(c.class), "in all at most "+left.String(),
 				fmt.Sprintf("its attempts take %v, and a request may come with %v along %s", needs, left, c.callers()))
 		}
 	}
--- a/internal/operators/apps/write.go
+++ b/internal/operators/apps/write.go
@@ -113,8 +113,8 @@
 func (a *App) settingsFor(p *Platform, host, site string) json.RawMessage {
 	t := settingsText{
 		Limits: limitsText{
-			Cancel: true, ConnIdle: p.Limits.Idle.V, ConnectTimeout: p.Limits.ConnectTimeout.V, SecondCopies: p.Limits.Copies.V,
-			RetryAfter: p.Limits.Advice.V > 0, MaxRetryAfter: p.Limits.Advice.V, MostTries: p.Limits.Tries.V, StreamsPerConn: 1,
+			Cancel: true, ConnIdle: p.Limits.ConnIdle.V, ConnectTimeout: p.Limits.ConnectTimeout.V, SecondCopies: p.Limits.SecondCopies.V,
+			RetryAfter: p.Limits.MaxRetryAfter.V > 0, MaxRetryAfter: p.Limits.MaxRetryAfter.V, MostTries: p.Limits.MaxAttempts.V, StreamsPerConn: 1,
 		},
 		Obligations: obligationsText{
 			AskWithin: p.Limits.AskWithin.V, ColdFrom: p.Cold.From.V, ColdFor: p.Cold.For.V, DrainGrace: p.Limits.DrainGrace.V,
@@ -150,7 +150,7 @@
 }
 
 // Written is one file of a set.
-type Written struct {
+type GeneratedFile struct {
 	Path string // with slashes, below the set's folder
 	Text []byte
 }
@@ -165,7 +165,7 @@
 }
 
 // By is the writer's name in what it has written.
-const By = "curlewctl write"
+const GeneratorName = "curlewctl write"
 
 // zeros stand in the place of a file's sum while that is made.
 func zeros() string { return strings.Repeat("0", sumLength) }
@@ -187,7 +187,7 @@
 
 // Sealed tells whether a written file is as it was written; marked says whether
 // it claims to be one.
-func Sealed(text []byte) (sealed, marked bool) {
+func VerifyChecksum(text []byte) (sealed, marked bool) {
 	for _, mark := range []string{jsonMark, commentMark} {
 		at := bytes.Index(text, []byte(mark))
 		if at < 0 || at+len(mark)+sumLength > len(text) {
@@ -212,8 +212,8 @@
 // Write makes all files of a set: for each sidecar on each host its node's
 // configuration, its timing rules where it has any, and its unit. The same
 // sources give the same bytes. The set must hold no error.
-func (s *Set) Write(sources Sources) []Written {
-	all := []Written{}
+func (s *Set) Write(sources Sources) []GeneratedFile {
+	all := []GeneratedFile{}
 	shared := sum(sources[s.Platform.File])
 	for _, a := range s.Apps {
 		source := sum(sources[a.File])
@@ -223,11 +223,11 @@
 				site = h.Site.V
 			}
 			dir := path.Join(host, a.Name.V)
-			all = append(all, Written{path.Join(dir, "node.json"), a.config(s.Platform, host, site, source, shared)})
+			all = append(all, GeneratedFile{path.Join(dir, "node.json"), a.config(s.Platform, host, site, source, shared)})
 			if len(a.routeTables()) > 0 {
-				all = append(all, Written{path.Join(dir, "operator.toml"), a.operator(source)})
+				all = append(all, GeneratedFile{path.Join(dir, "operator.toml"), a.operator(source)})
 			}
-			all = append(all, Written{path.Join(host, "units", unitName(a.Name.V)), a.unit(s.Platform, host, source)})
+			all = append(all, GeneratedFile{path.Join(host, "units", unitName(a.Name.V)), a.unit(s.Platform, host, source)})
 		}
 	}
 	return all
@@ -258,7 +258,7 @@
 		Settings  json.RawMessage `json:"settings"`
 	}{
 		Schema:    Schema,
-		Written:   writtenText{By, path.Base(a.File), source, shared, zeros()},
+		Written:   writtenText{GeneratorName, path.Base(a.File), source, shared, zeros()},
 		Name:      a.Name.V + "@" + host,
 		Discovery: a.Discovery.V, Seed: sum([]byte(a.Name.V + "\x00" + host))[:16],
 		Limits:   limits{a.Cores.V, a.MemoryMB.V, a.Descriptors.V},
@@ -283,7 +283,7 @@
 // lines where they stand in its description.
 func (a *App) operator(source string) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", By, path.Base(a.File), source)
+	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", GeneratorName, path.Base(a.File), source)
 	fmt.Fprintf(&b, "%s%s\n\n", commentMark, zeros())
 	fmt.Fprintf(&b, "route_count = %d\n\n", len(a.routeTables()))
 	b.Write(bytes.TrimLeft(a.Routes, "\n"))
@@ -324,7 +324,7 @@
 func (a *App) unit(p *Platform, host, source string) []byte {
 	dir := path.Join("/etc/curlewring/current", host, a.Name.V)
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", By, path.Base(a.File), source)
+	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", GeneratorName, path.Base(a.File), source)
 	fmt.Fprintf(&b, "%s%s\n\n", commentMark, zeros())
 	fmt.Fprintf(&b, "[Unit]\nDescription=curlewring beside %s\nAfter=network.target\nStartLimitIntervalSec=0\n", escaped(a.Application.V))
 	if len(a.Command.V) == 0 {
@@ -343,7 +343,7 @@
 	fmt.Fprintf(&b, "\n[Service]\nType=exec\nUser=%s\nEnvironment=%s\nExecStart=%s\nExecReload=/bin/kill -HUP $MAINPID\n",
 		escaped(p.Sidecar.User.V), escaped("LB_CONFIG="+path.Join(dir, "node.json")), exec)
 	fmt.Fprintf(&b, "Restart=always\nRestartSec=200ms\nKillSignal=SIGTERM\nKillMode=mixed\nTimeoutStopSec=%ds\n", int((longest + 5*time.Second).Seconds()))
-	if a.Socket.Set() {
+	if a.Socket.IsSet() {
 		if dir, ok := strings.CutPrefix(path.Dir(a.Socket.V), "/run/"); ok && !strings.Contains(dir, "/") {
 			fmt.Fprintf(&b, "RuntimeDirectory=%s\nRuntimeDirectoryPreserve=yes\n", escaped(dir))
 		}
--- a/internal/operators/document/document.go
+++ b/internal/operators/document/document.go
@@ -13,7 +13,7 @@
 )
 
 // MostBytes is the largest file that is read.
-const MostBytes = 1 << 20
+const MaxFileSize = 1 << 20
 
 // mostKeys is the most keys of one table: the library's own check of them takes a
 // time that grows with the square of their number. A table may hold a key for each
@@ -29,29 +29,29 @@
 }
 
 // Other is a value of a kind that no description uses: dates and times.
-type Other string
+type UnsupportedValue string
 
 // Table is a table, a list's element, or the whole file.
 type Table struct {
-	Line  int
-	Keys  map[string]Value
-	Order []string // keys in the file's order
+	Line     int
+	Values   map[string]Value
+	KeyOrder []string // keys in the file's order
 }
 
 // Fault is what is wrong with the form of a file.
-type Fault struct {
+type SyntaxError struct {
 	Line      int // 1 is the first; 0: the file as a whole
 	Key, Text string
 	Duplicate bool
 }
 
-func newTable(line int) *Table { return &Table{Line: line, Keys: map[string]Value{}} }
+func newTable(line int) *Table { return &Table{Line: line, Values: map[string]Value{}} }
 
 // Parse reads a file. What could be read is in the table, also where there are faults.
-func Parse(text []byte) (*Table, []Fault) {
+func Parse(text []byte) (*Table, []SyntaxError) {
 	r := &reader{data: text, top: newTable(1)}
-	if len(text) > MostBytes {
-		return r.top, []Fault{{Text: fmt.Sprintf("larger than %d bytes", MostBytes)}}
+	if len(text) > MaxFileSize {
+		return r.top, []SyntaxError{{Text: fmt.Sprintf("larger than %d bytes", MaxFileSize)}}
 	}
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	r.data = text
@@ -76,12 +76,12 @@
 	breaks []int // offsets of the line breaks
 	top    *Table
 	now    *Table // whose keys come; nil: they are passed over
-	faults []Fault
+	faults []SyntaxError
 	full   bool // a table has too many keys: nothing more is read
 }
 
 func (r *reader) fault(line int, key, text string) {
-	r.faults = append(r.faults, Fault{Line: line, Key: key, Text: text})
+	r.faults = append(r.faults, SyntaxError{Line: line, Key: key, Text: text})
 }
 
 func (r *reader) line(n *unstable.Node) int {
@@ -150,7 +150,7 @@
 		return
 	}
 	last := parts[len(parts)-1]
-	old, there := at.Keys[last]
+	old, there := at.Values[last]
 	if n.Kind == unstable.ArrayTable {
 		list, isList := old.V.([]Value)
 		if there && !isList {
@@ -164,9 +164,9 @@
 				return
 			}
 			old.Line = line
-			at.Order = append(at.Order, last)
+			at.KeyOrder = append(at.KeyOrder, last)
 		}
-		at.Keys[last] = Value{Line: old.Line, V: list}
+		at.Values[last] = Value{Line: old.Line, V: list}
 		return
 	}
 	if there {
@@ -183,21 +183,21 @@
 		return
 	}
 	r.now = newTable(line)
-	at.Keys[last] = Value{Line: line, V: r.now}
-	at.Order = append(at.Order, last)
+	at.Values[last] = Value{Line: line, V: r.now}
+	at.KeyOrder = append(at.KeyOrder, last)
 }
 
 // descend goes down by the parts of a key, making the tables that are not there.
 func (r *reader) descend(at *Table, parts []string, line int, name string) *Table {
 	for _, p := range parts {
-		v, there := at.Keys[p]
+		v, there := at.Values[p]
 		if !there {
 			if r.tooMany(at, line, name) {
 				return nil
 			}
 			v = Value{Line: line, V: newTable(line)}
-			at.Keys[p] = v
-			at.Order = append(at.Order, p)
+			at.Values[p] = v
+			at.KeyOrder = append(at.KeyOrder, p)
 		}
 		switch x := v.V.(type) {
 		case *Table:
@@ -222,7 +222,7 @@
 
 // tooMany tells whether a table can take no further key, and then ends the reading.
 func (r *reader) tooMany(at *Table, line int, name string) bool {
-	if len(at.Order) < mostKeys {
+	if len(at.KeyOrder) < mostKeys {
 		return false
 	}
 	r.fault(line, name, fmt.Sprintf("more than %d keys in one table", mostKeys))
@@ -237,15 +237,15 @@
 		return
 	}
 	last := parts[len(parts)-1]
-	if old, there := at.Keys[last]; there {
-		r.faults = append(r.faults, Fault{line, name, fmt.Sprintf("the key stands already in line %d", old.Line), true})
+	if old, there := at.Values[last]; there {
+		r.faults = append(r.faults, SyntaxError{line, name, fmt.Sprintf("the key stands already in line %d", old.Line), true})
 		return
 	}
 	if r.tooMany(at, line, name) {
 		return
 	}
-	at.Keys[last] = r.value(n.Value(), line)
-	at.Order = append(at.Order, last)
+	at.Values[last] = r.value(n.Value(), line)
+	at.KeyOrder = append(at.KeyOrder, last)
 }
 
 // value reads one value; near is a line that it is not above.
@@ -289,7 +289,7 @@
 		}
 		v.V = t
 	default:
-		v.V = Other(n.Data)
+		v.V = UnsupportedValue(n.Data)
 	}
 	return v
 }
--- a/internal/operators/document/document_test.go
+++ b/internal/operators/document/document_test.go
@@ -17,20 +17,20 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	l := top.Keys["l"].V.([]Value)
-	m := l[1].V.(*Table).Keys["m"].V.(*Table)
-	f := m.Keys["f"].V.(*Table)
+	l := top.Values["l"].V.([]Value)
+	m := l[1].V.(*Table).Values["m"].V.(*Table)
+	f := m.Values["f"].V.(*Table)
 	for _, x := range []struct {
 		v    Value
 		line int
 		is   any
 	}{
-		{top.Keys["a"], 3, int64(1)},
-		{top.Keys["b"].V.(*Table).Keys["c"], 4, "x"},
-		{top.Keys["t"].V.(*Table).Keys["d"].V.([]Value)[1], 7, 2.5},
-		{l[0].V.(*Table).Keys["e"], 9, true},
-		{f.Keys["g"], 12, int64(1)},
-		{f.Keys["h"].V.(*Table).Keys["i"], 12, "z"},
+		{top.Values["a"], 3, int64(1)},
+		{top.Values["b"].V.(*Table).Values["c"], 4, "x"},
+		{top.Values["t"].V.(*Table).Values["d"].V.([]Value)[1], 7, 2.5},
+		{l[0].V.(*Table).Values["e"], 9, true},
+		{f.Values["g"], 12, int64(1)},
+		{f.Values["h"].V.(*Table).Values["i"], 12, "z"},
 	} {
 		if x.v.Line != x.line || x.v.V != x.is {
 			t.Errorf("%+v, want line %d, %v", x.v, x.line, x.is)
@@ -39,7 +39,7 @@
 	if l[0].Line != 8 || l[1].Line != 10 || m.Line != 11 {
 		t.Errorf("tables in lines %d, %d, %d", l[0].Line, l[1].Line, m.Line)
 	}
-	if got := strings.Join(top.Order, " "); got != "a b t l" {
+	if got := strings.Join(top.KeyOrder, " "); got != "a b t l" {
 		t.Errorf("order %q", got)
 	}
 }
@@ -58,7 +58,7 @@
 			t.Errorf("%q: %+v, want line %d", x.text, faults, x.line)
 		}
 	}
-	if _, faults := Parse(make([]byte, MostBytes+1)); len(faults) != 1 {
+	if _, faults := Parse(make([]byte, MaxFileSize+1)); len(faults) != 1 {
 		t.Error("too large a file was read")
 	}
 }
@@ -68,7 +68,7 @@
 	switch x := v.(type) {
 	case *Table:
 		m := map[string]any{}
-		for k, v := range x.Keys {
+		for k, v := range x.Values {
 			m[k] = plain(v.V)
 		}
 		return m
@@ -90,7 +90,7 @@
 func hasOther(v any) bool {
 	switch x := v.(type) {
 	case *Table:
-		for _, v := range x.Keys {
+		for _, v := range x.Values {
 			if hasOther(v.V) {
 				return true
 			}
@@ -101,7 +101,7 @@
 				return true
 			}
 		}
-	case Other:
+	case UnsupportedValue:
 		return true
 	}
 	return false
@@ -131,7 +131,7 @@
 			}
 			switch x := v.V.(type) {
 			case *Table:
-				for _, v := range x.Keys {
+				for _, v := range x.Values {
 					walk(v)
 				}
 			case []Value:
@@ -184,15 +184,15 @@
 		fmt.Fprintf(&b, "k%d=1\n", i)
 	}
 	top, faults := Parse([]byte(b.String()))
-	if len(faults) != 1 || faults[0].Line != mostKeys+1 || len(top.Keys) != mostKeys {
-		t.Errorf("%d keys, %+v", len(top.Keys), faults)
+	if len(faults) != 1 || faults[0].Line != mostKeys+1 || len(top.Values) != mostKeys {
+		t.Errorf("%d keys, %+v", len(top.Values), faults)
 	}
 	took := func(tables int) time.Duration {
 		text := []byte(strings.Repeat("[[t]]\na=1\n", tables))
 		best := time.Hour
 		for range 3 {
 			begun := time.Now()
-			if top, faults := Parse(text); len(faults) > 0 || len(top.Keys["t"].V.([]Value)) != tables {
+			if top, faults := Parse(text); len(faults) > 0 || len(top.Values["t"].V.([]Value)) != tables {
 				t.Fatal(faults)
 			}
 			best = min(best, time.Since(begun))
--- a/internal/operators/routes/check.go
+++ b/internal/operators/routes/check.go
@@ -53,7 +53,7 @@
 		sortRoutes(all)
 	}
 	c.table.idle = c.idles(f.Idles)
-	Order(c.findings)
+	SortFindings(c.findings)
 	if len(c.findings) > 0 {
 		return nil, c.findings
 	}
@@ -65,7 +65,7 @@
 	f, findings := Parse(text)
 	table, more := Check(f, env)
 	findings = append(findings, more...)
-	Order(findings)
+	SortFindings(findings)
 	if len(findings) > 0 {
 		return nil, findings
 	}
@@ -102,12 +102,12 @@
 	p := placed{Route: r, tenant: -1}
 	ok := true
 	switch {
-	case r.Class.Line == 0 && r.Unclear:
+	case r.Class.Line == 0 && r.Incomplete:
 		return
 	case r.Class.Line == 0:
 		c.find(NoClass, r.Line, "class", "", strings.Join(c.env.Classes, ", "), "the route has no class")
 		return
-	case r.Class.Bad:
+	case r.Class.Invalid:
 		return
 	}
 	if p.class = slices.Index(c.env.Classes, r.Class.V); p.class < 0 {
@@ -115,30 +115,30 @@
 			"the platform's settings name no such class")
 		return
 	}
-	if r.Tenant.Set() {
+	if r.Tenant.IsSet() {
 		if p.tenant = slices.Index(c.env.Tenants, r.Tenant.V); p.tenant < 0 {
 			c.find(UnknownTenant, r.Tenant.Line, "tenant", strconv.Quote(r.Tenant.V), strings.Join(c.env.Tenants, ", "),
 				"the platform's settings name no such tenant")
 			ok = false
 		}
 	}
-	if r.Path.Set() {
+	if r.Path.IsSet() {
 		if why := impossible(r.Path.V, r.Class.V); why != "" {
 			c.find(NeverMatches, r.Path.Line, "path", strconv.Quote(r.Path.V), "/"+r.Class.V+"/...", why)
 			ok = false
 		}
 	}
-	if r.Path.Bad || r.Tenant.Bad || !ok {
+	if r.Path.Invalid || r.Tenant.Invalid || !ok {
 		return
 	}
 	for i := range c.placed {
 		if o := &c.placed[i]; o.class == p.class && o.tenant == p.tenant && o.Path.V == r.Path.V {
-			c.find(SameRoute, r.Line, "[[route]]", "", "",
+			c.find(DuplicateRoute, r.Line, "[[route]]", "", "",
 				fmt.Sprintf("the route in line %d is for the same requests: this one can never match", o.Line))
 			return
 		}
 	}
-	if !r.sets() && !r.Unclear {
+	if !r.sets() && !r.Incomplete {
 		c.find(SetsNothing, r.Line, "[[route]]", "", "", "the route sets no key")
 	}
 	c.placed = append(c.placed, p)
@@ -146,7 +146,7 @@
 
 // sets tells whether a route says anything, readable or not.
 func (r *Route) sets() bool {
-	return r.AttemptTimeout.Line+r.Attempts.Line+r.BackoffFirst.Line+r.BackoffMost.Line+r.BackoffJitter.Line+
+	return r.AttemptTimeout.Line+r.Attempts.Line+r.BackoffFirst.Line+r.BackoffMax.Line+r.BackoffJitter.Line+
 		r.RetryOn.Line+r.SecondCopyAfter.Line+r.DeadlineCap.Line+r.RetryAfter.Line > 0
 }
 
@@ -187,7 +187,7 @@
 		fill(&r.AttemptTimeout, o.AttemptTimeout)
 		fill(&r.Attempts, o.Attempts)
 		fill(&r.BackoffFirst, o.BackoffFirst)
-		fill(&r.BackoffMost, o.BackoffMost)
+		fill(&r.BackoffMax, o.BackoffMax)
 		fill(&r.BackoffJitter, o.BackoffJitter)
 		fill(&r.RetryOn, o.RetryOn)
 		fill(&r.SecondCopyAfter, o.SecondCopyAfter)
@@ -209,11 +209,11 @@
 	set, class, name := &c.env.Settings, &c.env.Settings.Classes[p.class], c.env.Classes[p.class]
 	b := decide.RoutePolicy{
 		AttemptTimeout: r.AttemptTimeout.V, MaxAttempts: r.Attempts.V, BackoffInitial: r.BackoffFirst.V,
-		BackoffMax: r.BackoffMost.V, BackoffJitter: r.BackoffJitter.V, HedgeAfter: r.SecondCopyAfter.V,
+		BackoffMax: r.BackoffMax.V, BackoffJitter: r.BackoffJitter.V, HedgeAfter: r.SecondCopyAfter.V,
 		DeadlineCap: r.DeadlineCap.V, MaxRetryAfter: r.RetryAfter.V,
 	}
 	attempts := max(1, set.MaxAttempts)
-	if r.Attempts.Set() {
+	if r.Attempts.IsSet() {
 		if r.Attempts.V > attempts {
 			c.find(TooManyAttempts, r.Attempts.Line, "attempts", strconv.Itoa(r.Attempts.V),
 				fmt.Sprintf("1 to %d", attempts), "more attempts than the platform allows")
@@ -221,15 +221,15 @@
 		attempts = r.Attempts.V
 	}
 	limit := class.Deadline
-	if r.DeadlineCap.Set() {
+	if r.DeadlineCap.IsSet() {
 		if b.DeadlineCap > class.Deadline {
-			c.find(LongDeadline, r.DeadlineCap.Line, "deadline_cap", quoted(b.DeadlineCap),
+			c.find(DeadlineTooLong, r.DeadlineCap.Line, "deadline_cap", quoted(b.DeadlineCap),
 				"up to "+class.Deadline.String(), "above the deadline of class "+name)
 		}
 		limit = min(limit, b.DeadlineCap)
 	}
-	if r.AttemptTimeout.Set() && b.AttemptTimeout > limit {
-		c.find(LongAttempt, r.AttemptTimeout.Line, "attempt_timeout", quoted(b.AttemptTimeout),
+	if r.AttemptTimeout.IsSet() && b.AttemptTimeout > limit {
+		c.find(AttemptTooLong, r.AttemptTimeout.Line, "attempt_timeout", quoted(b.AttemptTimeout),
 			"up to "+limit.String(), "an attempt may last longer than a request of class "+name)
 	}
 	c.backoff(&r, attempts)
@@ -249,26 +249,26 @@
 func quoted(d time.Duration) string { return strconv.Quote(d.String()) }
 
 func (c *checker) backoff(r *Route, attempts int) {
-	if r.BackoffFirst.Set() && r.BackoffMost.Set() && r.BackoffFirst.V > r.BackoffMost.V {
+	if r.BackoffFirst.IsSet() && r.BackoffMax.IsSet() && r.BackoffFirst.V > r.BackoffMax.V {
 		c.find(BackoffOrder, r.BackoffFirst.Line, "backoff.first", quoted(r.BackoffFirst.V),
-			"up to backoff.most, "+r.BackoffMost.V.String(), "the first wait is above the most")
+			"up to backoff.most, "+r.BackoffMax.V.String(), "the first wait is above the most")
 	}
-	if r.BackoffFirst.Line == 0 && (r.BackoffMost.Line > 0 || r.BackoffJitter.Line > 0) {
-		c.find(NoEffect, max(r.BackoffMost.Line, r.BackoffJitter.Line), "backoff", "", "",
+	if r.BackoffFirst.Line == 0 && (r.BackoffMax.Line > 0 || r.BackoffJitter.Line > 0) {
+		c.find(NoEffect, max(r.BackoffMax.Line, r.BackoffJitter.Line), "backoff", "", "",
 			"without backoff.first there is no wait")
 	}
-	if r.Attempts.Set() && attempts == 1 {
+	if r.Attempts.IsSet() && attempts == 1 {
 		if r.BackoffFirst.Line > 0 {
 			c.find(NoEffect, r.BackoffFirst.Line, "backoff", "", "", "with one attempt there is nothing to wait for")
 		}
-		if r.RetryOn.Set() && len(r.RetryOn.V) > 0 {
+		if r.RetryOn.IsSet() && len(r.RetryOn.V) > 0 {
 			c.find(NoEffect, r.RetryOn.Line, "retry_on", "", "", "with one attempt nothing is tried again")
 		}
 	}
 }
 
 func (c *checker) outcomes(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int) {
-	if !r.RetryOn.Set() {
+	if !r.RetryOn.IsSet() {
 		return
 	}
 	words := outcomes()
@@ -281,7 +281,7 @@
 			c.find(UnknownOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word),
 				"error, reset, spoilt, timeout, turned-away, unconnected", "there is no such outcome")
 		case b.RetryOn&result.Bit() != 0:
-			c.find(SameOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word), "", "the outcome stands there twice")
+			c.find(DuplicateOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word), "", "the outcome stands there twice")
 		case class.Idempotency == decide.AtMostOnce && result != decide.Rejected && result != decide.ConnectFailed:
 			c.find(RetryUnsafe, r.RetryOn.Line, "retry_on", strconv.Quote(word), harmless,
 				"class "+name+" is unsafe to repeat, and this may have run")
@@ -301,7 +301,7 @@
 }
 
 func (c *checker) copies(r *Route, class *decide.Class, name string, attempts int, limit time.Duration) {
-	if !r.SecondCopyAfter.Set() {
+	if !r.SecondCopyAfter.IsSet() {
 		return
 	}
 	const key = "second_copy_after"
@@ -315,7 +315,7 @@
 	case decide.AtMostOnce:
 		c.find(CopyOfUnsafe, line, key, value, "no such key", "class "+name+" is unsafe to repeat")
 	}
-	if r.AttemptTimeout.Set() {
+	if r.AttemptTimeout.IsSet() {
 		limit = min(limit, r.AttemptTimeout.V)
 	}
 	if r.SecondCopyAfter.V >= limit {
@@ -331,7 +331,7 @@
 
 // Waits is the longest that all waits between so many attempts can be under a
 // row's bounds.
-func Waits(b decide.RoutePolicy, attempts int) time.Duration {
+func MaxTotalBackoff(b decide.RoutePolicy, attempts int) time.Duration {
 	sum := time.Duration(0)
 	for i, wait := 1, b.BackoffInitial; i < attempts; i, wait = i+1, min(2*wait, 2*mostDuration) {
 		if b.BackoffMax > 0 {
@@ -345,11 +345,11 @@
 // times checks attempts and waits against the request's time and the key's window.
 func (c *checker) times(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int, limit time.Duration) {
 	// Faults of the values themselves are told; what follows from them says nothing new.
-	if r.AttemptTimeout.Bad || r.Attempts.Bad || r.BackoffFirst.Bad || r.BackoffMost.Bad || r.DeadlineCap.Bad ||
+	if r.AttemptTimeout.Invalid || r.Attempts.Invalid || r.BackoffFirst.Invalid || r.BackoffMax.Invalid || r.DeadlineCap.Invalid ||
 		attempts > max(1, c.env.Settings.MaxAttempts) {
 		return
 	}
-	bounded := r.AttemptTimeout.Set() || r.BackoffFirst.Set() || r.Attempts.Set()
+	bounded := r.AttemptTimeout.IsSet() || r.BackoffFirst.IsSet() || r.Attempts.IsSet()
 	if !bounded || attempts < 2 {
 		return
 	}
@@ -360,11 +360,11 @@
 			key, line = "backoff", r.BackoffFirst.Line
 		}
 	}
-	pause := Waits(*b, attempts)
+	pause := MaxTotalBackoff(*b, attempts)
 	// An attempt without a time-out of its own takes some time too.
 	all := time.Duration(attempts)*cmp.Or(b.AttemptTimeout, leastAttempt) + pause
 	if b.AttemptTimeout <= limit && all > limit && limit > 0 {
-		c.find(NoTime, line, key, value, "in all at most "+limit.String(),
+		c.find(NotEnoughTime, line, key, value, "in all at most "+limit.String(),
 			fmt.Sprintf("%d attempts of %s with %s of back-off take %s, and a request of class %s has less",
 				attempts, orWhole(b.AttemptTimeout), pause, all, name))
 		return
@@ -383,7 +383,7 @@
 		c.find(PastWindow, line, key, value, "the last send at most "+window.String()+" after the first",
 			fmt.Sprintf("the last of %d attempts may go out %s after the first, and %s drop repeats of class %s for %s",
 				attempts, last, group(class.Group), name, class.KeyTTL))
-	} else if class.Group == decide.GroupAll && r.RetryAfter.Set() && limit+r.RetryAfter.V > class.KeyTTL {
+	} else if class.Group == decide.GroupAll && r.RetryAfter.IsSet() && limit+r.RetryAfter.V > class.KeyTTL {
 		c.find(ReturnPastWindow, r.RetryAfter.Line, "retry_after", quoted(r.RetryAfter.V),
 			"up to "+max(0, class.KeyTTL-limit).String(),
 			fmt.Sprintf("a client refused after %s would return when the key of class %s, kept for %s, is dropped",
@@ -409,7 +409,7 @@
 }
 
 func (c *checker) advice(r *Route, set *decide.Settings) {
-	if !r.RetryAfter.Set() {
+	if !r.RetryAfter.IsSet() {
 		return
 	}
 	line, value := r.RetryAfter.Line, quoted(r.RetryAfter.V)
--- a/internal/operators/routes/codes.go
+++ b/internal/operators/routes/codes.go
@@ -24,17 +24,17 @@
 	OutOfRange Code = "RT009" // zero, negative, not a number, or too large to be meant
 	WrongCount Code = "RT010" // route_count is not the number of routes
 
-	NoClass       Code = "RT020" // a route has no class
-	UnknownClass  Code = "RT021" // the settings name no such class
-	UnknownTenant Code = "RT022" // the settings name no such tenant
-	NeverMatches  Code = "RT023" // no request can have this path
-	SameRoute     Code = "RT024" // another route matches the same requests
-	SetsNothing   Code = "RT025" // a route changes nothing
+	NoClass        Code = "RT020" // a route has no class
+	UnknownClass   Code = "RT021" // the settings name no such class
+	UnknownTenant  Code = "RT022" // the settings name no such tenant
+	NeverMatches   Code = "RT023" // no request can have this path
+	DuplicateRoute Code = "RT024" // another route matches the same requests
+	SetsNothing    Code = "RT025" // a route changes nothing
 
 	TooManyAttempts Code = "RT030" // more attempts than the platform allows
-	LongAttempt     Code = "RT031" // an attempt may last longer than its request
-	LongDeadline    Code = "RT032" // the cap is above the class's deadline
-	NoTime          Code = "RT033" // attempts and back-off don't fit the time
+	AttemptTooLong  Code = "RT031" // an attempt may last longer than its request
+	DeadlineTooLong Code = "RT032" // the cap is above the class's deadline
+	NotEnoughTime   Code = "RT033" // attempts and back-off don't fit the time
 	BackoffOrder    Code = "RT034" // the first wait is above the most
 	NoEffect        Code = "RT035" // a key has no effect beside the others
 
@@ -44,10 +44,10 @@
 	CopyTooLate    Code = "RT043" // the copy would go out after its attempt's end
 	CopyNoAttempt  Code = "RT044" // a copy needs a second attempt
 
-	UnknownOutcome Code = "RT050" // retry_on names no outcome
-	SameOutcome    Code = "RT051" // retry_on names one twice
-	RetryUnsafe    Code = "RT052" // an unsafe class, and what may have run
-	RetryOnNothing Code = "RT053" // retry_on is empty, and there are attempts left
+	UnknownOutcome   Code = "RT050" // retry_on names no outcome
+	DuplicateOutcome Code = "RT051" // retry_on names one twice
+	RetryUnsafe      Code = "RT052" // an unsafe class, and what may have run
+	RetryOnNothing   Code = "RT053" // retry_on is empty, and there are attempts left
 
 	PastWindow       Code = "RT060" // an attempt after the servers may have dropped the key
 	ReturnPastWindow Code = "RT061" // a client told to return after that
@@ -55,10 +55,10 @@
 	LongAdvice Code = "RT070" // advice beyond the longest Retry-After
 	NoAdvice   Code = "RT071" // refusals carry no advice here
 
-	OddNetwork  Code = "RT080" // an idle rule's network can't be read
-	OddIdle     Code = "RT081" // connections can't idle for so short or so long
-	SameIdle    Code = "RT082" // another idle rule is for the same connections
-	TooManyIdle Code = "RT083" // too many idle rules
+	InvalidNetwork    Code = "RT080" // an idle rule's network can't be read
+	IdleOutOfRange    Code = "RT081" // connections can't idle for so short or so long
+	DuplicateIdleRule Code = "RT082" // another idle rule is for the same connections
+	TooManyIdleRules  Code = "RT083" // too many idle rules
 )
 
 // Rule is what a code stands for: one of the four rules, the platform's
@@ -67,7 +67,7 @@
 	switch c {
 	case Unreadable, TooLarge, Empty, Syntax, Duplicate, UnknownKey, WrongType, WrongUnit, OutOfRange, WrongCount:
 		return "form"
-	case LongAttempt, LongDeadline, NoTime:
+	case AttemptTooLong, DeadlineTooLong, NotEnoughTime:
 		return "rule 1: one final answer before the client's time is up"
 	case TooManyAttempts:
 		return "rule 2: at most so many attempts"
@@ -87,11 +87,11 @@
 func Codes() []Code {
 	return []Code{
 		Unreadable, TooLarge, Empty, Syntax, Duplicate, UnknownKey, WrongType, WrongUnit, OutOfRange, WrongCount,
-		NoClass, UnknownClass, UnknownTenant, NeverMatches, SameRoute, SetsNothing,
-		TooManyAttempts, LongAttempt, LongDeadline, NoTime, BackoffOrder, NoEffect,
+		NoClass, UnknownClass, UnknownTenant, NeverMatches, DuplicateRoute, SetsNothing,
+		TooManyAttempts, AttemptTooLong, DeadlineTooLong, NotEnoughTime, BackoffOrder, NoEffect,
 		CopiesRuledOut, CopyOfKeyed, CopyOfUnsafe, CopyTooLate, CopyNoAttempt,
-		UnknownOutcome, SameOutcome, RetryUnsafe, RetryOnNothing,
-		PastWindow, ReturnPastWindow, LongAdvice, NoAdvice, OddNetwork, OddIdle, SameIdle, TooManyIdle,
+		UnknownOutcome, DuplicateOutcome, RetryUnsafe, RetryOnNothing,
+		PastWindow, ReturnPastWindow, LongAdvice, NoAdvice, InvalidNetwork, IdleOutOfRange, DuplicateIdleRule, TooManyIdleRules,
 	}
 }
 
@@ -134,7 +134,7 @@
 }
 
 // Order sorts findings by line, then by code.
-func Order(all []Finding) {
+func SortFindings(all []Finding) {
 	slices.SortStableFunc(all, func(x, y Finding) int {
 		return cmp.Or(cmp.Compare(x.Line, y.Line), cmp.Compare(x.Code, y.Code), cmp.Compare(x.Key, y.Key))
 	})
--- a/internal/operators/routes/decode.go
+++ b/internal/operators/routes/decode.go
@@ -14,29 +14,29 @@
 )
 
 // MostBytes is the largest file that is read.
-const MostBytes = 1 << 20
+const MaxFileSize = 1 << 20
 
 // Value is a value of the file and where it stands.
 type Value[T any] struct {
-	V    T
-	Line int  // 0: the key is not there
-	Bad  bool // it is there and could not be read; a finding says why
+	V       T
+	Line    int  // 0: the key is not there
+	Invalid bool // it is there and could not be read; a finding says why
 }
 
 // Set tells whether there is a value to go by.
-func (v Value[T]) Set() bool { return v.Line > 0 && !v.Bad }
+func (v Value[T]) IsSet() bool { return v.Line > 0 && !v.Invalid }
 
 // Route is one [[route]] as it stands in the file.
 type Route struct {
 	Line            int
-	Unclear         bool // something in it could not be told: what seems missing may stand there
+	Incomplete      bool // something in it could not be told: what seems missing may stand there
 	Class           Value[string]
 	Path            Value[string]
 	Tenant          Value[string]
 	AttemptTimeout  Value[time.Duration]
 	Attempts        Value[int]
 	BackoffFirst    Value[time.Duration]
-	BackoffMost     Value[time.Duration]
+	BackoffMax      Value[time.Duration]
 	BackoffJitter   Value[float64]
 	RetryOn         Value[[]string]
 	SecondCopyAfter Value[time.Duration]
@@ -62,8 +62,8 @@
 func Parse(text []byte) (*File, []Finding) {
 	d := &decoder{file: &File{}, seen: map[string]int{}, data: text}
 	switch {
-	case len(text) > MostBytes:
-		d.find(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", MostBytes), "the file is too large")
+	case len(text) > MaxFileSize:
+		d.find(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", MaxFileSize), "the file is too large")
 		return d.file, d.findings
 	case len(bytes.TrimSpace(text)) == 0:
 		d.find(Empty, 0, "", "", "", "the file is empty; to set nothing, write route_count = 0")
@@ -82,13 +82,13 @@
 			d.find(Syntax, 0, "", "", "", err.Error())
 		}
 	}
-	if n := len(d.file.Routes); d.file.Count.Set() && d.file.Count.V != n {
+	if n := len(d.file.Routes); d.file.Count.IsSet() && d.file.Count.V != n {
 		d.find(WrongCount, d.file.Count.Line, "route_count", strconv.Itoa(d.file.Count.V), strconv.Itoa(n),
 			"the file holds another number of routes; is it whole?")
 	} else if n == 0 && d.file.Count.Line == 0 && len(d.file.Idles) == 0 && len(d.findings) == 0 {
 		d.find(Empty, 0, "", "", "", "the file holds no route; to set nothing, write route_count = 0")
 	}
-	Order(d.findings)
+	SortFindings(d.findings)
 	return d.file, d.findings
 }
 
@@ -140,7 +140,7 @@
 		d.find(Syntax, 0, "", "", "", err.Error())
 	}
 	if d.parser.Error() != nil && d.route != nil {
-		d.route.Unclear = true
+		d.route.Incomplete = true
 	}
 }
 
@@ -189,7 +189,7 @@
 // unclear notes that something of the present route was not understood.
 func (d *decoder) unclear() {
 	if d.route != nil {
-		d.route.Unclear = true
+		d.route.Incomplete = true
 	}
 }
 
@@ -258,7 +258,7 @@
 	case "backoff.first":
 		r.BackoffFirst = d.duration(key, line, value)
 	case "backoff.most":
-		r.BackoffMost = d.duration(key, line, value)
+		r.BackoffMax = d.duration(key, line, value)
 	case "backoff.jitter":
 		r.BackoffJitter = d.share(key, line, value)
 	case "retry_on":
@@ -296,7 +296,7 @@
 func (d *decoder) word(key string, line int, n *unstable.Node) Value[string] {
 	if n.Kind != unstable.String {
 		d.find(WrongType, line, key, d.text(n), "a string", "not a string")
-		return Value[string]{Line: line, Bad: true}
+		return Value[string]{Line: line, Invalid: true}
 	}
 	return Value[string]{V: string(n.Data), Line: line}
 }
@@ -305,7 +305,7 @@
 	v := Value[[]string]{Line: line, V: []string{}}
 	if n.Kind != unstable.Array {
 		d.find(WrongType, line, key, d.text(n), "a list of strings", "not a list")
-		v.Bad = true
+		v.Invalid = true
 		return v
 	}
 	for it := n.Children(); it.Next(); {
@@ -315,14 +315,14 @@
 			v.V = append(v.V, string(item.Data))
 		default:
 			d.find(WrongType, line, key, d.text(item), "a list of strings", "an item is not a string")
-			v.Bad = true
+			v.Invalid = true
 		}
 	}
 	return v
 }
 
 func (d *decoder) duration(key string, line int, n *unstable.Node) Value[time.Duration] {
-	v := Value[time.Duration]{Line: line, Bad: true}
+	v := Value[time.Duration]{Line: line, Invalid: true}
 	if n.Kind != unstable.String {
 		d.find(WrongType, line, key, d.text(n), `a duration with its unit, as "250ms"`, "not a duration")
 		return v
@@ -342,7 +342,7 @@
 	case parsed > mostDuration:
 		d.find(OutOfRange, line, key, d.text(n), "at most "+mostDuration.String(), "too large to be meant")
 	default:
-		v.V, v.Bad = parsed, false
+		v.V, v.Invalid = parsed, false
 	}
 	return v
 }
@@ -356,7 +356,7 @@
 }
 
 func (d *decoder) integer(key string, line int, n *unstable.Node, least int) Value[int] {
-	v := Value[int]{Line: line, Bad: true}
+	v := Value[int]{Line: line, Invalid: true}
 	if n.Kind != unstable.Integer {
 		d.find(WrongType, line, key, d.text(n), "a whole number", "not a whole number")
 		return v
@@ -366,12 +366,12 @@
 		d.find(OutOfRange, line, key, d.text(n), fmt.Sprintf("%d to %d", least, mostAttempts), "out of range")
 		return v
 	}
-	v.V, v.Bad = int(i), false
+	v.V, v.Invalid = int(i), false
 	return v
 }
 
 func (d *decoder) share(key string, line int, n *unstable.Node) Value[float64] {
-	v := Value[float64]{Line: line, Bad: true}
+	v := Value[float64]{Line: line, Invalid: true}
 	if n.Kind != unstable.Float && n.Kind != unstable.Integer {
 		d.find(WrongType, line, key, d.text(n), "a number from 0 to 1", "not a number")
 		return v
@@ -381,6 +381,6 @@
 		d.find(OutOfRange, line, key, d.text(n), "0 to 1", "out of range")
 		return v
 	}
-	v.V, v.Bad = f, false
+	v.V, v.Invalid = f, false
 	return v
 }
--- a/internal/operators/routes/idle.go
+++ b/internal/operators/routes/idle.go
@@ -32,15 +32,15 @@
 	switch key {
 	case "class":
 		i.Class = d.word(key, line, value)
-		i.bad = i.bad || i.Class.Bad
+		i.bad = i.bad || i.Class.Invalid
 	case "network":
 		i.Network = d.word(key, line, value)
-		i.bad = i.bad || i.Network.Bad
+		i.bad = i.bad || i.Network.Invalid
 	case "for":
 		length := d.duration(key, line, value)
-		i.For = Value[string]{V: d.text(value), Line: line, Bad: length.Bad}
+		i.For = Value[string]{V: d.text(value), Line: line, Invalid: length.Invalid}
 		i.length.Timeout = length.V
-		i.bad = i.bad || length.Bad
+		i.bad = i.bad || length.Invalid
 	default:
 		i.bad = true
 		d.find(UnknownKey, line, key, "", "class, network, for", "an idle rule has no such key")
@@ -66,7 +66,7 @@
 		return nil
 	}
 	if len(all) > idleconns.MaxRules {
-		c.find(TooManyIdle, all[idleconns.MaxRules].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MaxRules),
+		c.find(TooManyIdleRules, all[idleconns.MaxRules].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MaxRules),
 			"too many idle rules")
 		return nil
 	}
@@ -80,17 +80,17 @@
 		i := &all[k]
 		rule, ok := i.length, !i.bad
 		rule.Class = -1
-		if i.Class.Set() {
+		if i.Class.IsSet() {
 			if rule.Class = slices.Index(c.env.Classes, i.Class.V); rule.Class < 0 {
 				c.find(UnknownClass, i.Class.Line, "class", strconv.Quote(i.Class.V), strings.Join(c.env.Classes, ", "),
 					"the settings name no such class")
 				ok = false
 			}
 		}
-		if i.Network.Set() {
+		if i.Network.IsSet() {
 			network, err := prefix(i.Network.V)
 			if err != nil {
-				c.find(OddNetwork, i.Network.Line, "network", strconv.Quote(i.Network.V), `an address or a prefix, as "10.20.0.0/16" or "2001:db8::/32"`,
+				c.find(InvalidNetwork, i.Network.Line, "network", strconv.Quote(i.Network.V), `an address or a prefix, as "10.20.0.0/16" or "2001:db8::/32"`,
 					"not a network")
 				ok = false
 			} else {
@@ -101,8 +101,8 @@
 		case i.For.Line == 0 && !i.bad:
 			c.find(SetsNothing, i.Line, "for", "", "", "an idle rule without for sets nothing")
 			ok = false
-		case i.For.Set() && (rule.Timeout < idleconns.MinTimeout || rule.Timeout > idleconns.MaxTimeout):
-			c.find(OddIdle, i.For.Line, "for", i.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
+		case i.For.IsSet() && (rule.Timeout < idleconns.MinTimeout || rule.Timeout > idleconns.MaxTimeout):
+			c.find(IdleOutOfRange, i.For.Line, "for", i.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
 				"connections can't wait for so short or so long")
 			ok = false
 		}
@@ -111,7 +111,7 @@
 		}
 		place := where{rule.Class, rule.Network}
 		if before := seen[place]; before > 0 {
-			c.find(SameIdle, i.Line, "[[idle]]", "", "", "the idle rule in line "+strconv.Itoa(before)+" is for the same connections")
+			c.find(DuplicateIdleRule, i.Line, "[[idle]]", "", "", "the idle rule in line "+strconv.Itoa(before)+" is for the same connections")
 			continue
 		}
 		seen[place] = i.Line
@@ -122,7 +122,7 @@
 	}
 	compiled, err := idleconns.Compile(rules, len(c.env.Classes))
 	if err != nil { // the checks above have found all that Compile does
-		c.find(OddIdle, all[0].Line, "[[idle]]", "", "", err.Error())
+		c.find(IdleOutOfRange, all[0].Line, "[[idle]]", "", "", err.Error())
 		return nil
 	}
 	return compiled
--- a/internal/operators/routes/property_test.go
+++ b/internal/operators/routes/property_test.go
@@ -405,7 +405,7 @@
 func TestEachCheckIsNeeded(t *testing.T) {
 	const most = 40000
 	gen := drafts()
-	for _, code := range []Code{TooManyAttempts, LongAttempt, LongDeadline, NoTime, BackoffOrder, CopiesRuledOut, CopyOfKeyed,
+	for _, code := range []Code{TooManyAttempts, AttemptTooLong, DeadlineTooLong, NotEnoughTime, BackoffOrder, CopiesRuledOut, CopyOfKeyed,
 		CopyOfUnsafe, CopyTooLate, CopyNoAttempt, RetryUnsafe, PastWindow} {
 		t.Run(string(code), func(t *testing.T) {
 			t.Parallel()
--- a/internal/operators/routes/routes_test.go
+++ b/internal/operators/routes/routes_test.go
@@ -132,7 +132,7 @@
 			provoked[f.Code] = true
 		}
 	}
-	for _, text := range [][]byte{nil, make([]byte, MostBytes+1)} {
+	for _, text := range [][]byte{nil, make([]byte, MaxFileSize+1)} {
 		_, findings := Parse(text)
 		for _, f := range findings {
 			provoked[f.Code] = true
--- a/internal/operators/settings/settings.go
+++ b/internal/operators/settings/settings.go
@@ -101,7 +101,7 @@
 )
 
 // Named looks up a word in a table of names.
-func Named[T any](table map[string]T, what, word string) (T, error) {
+func LookupName[T any](table map[string]T, what, word string) (T, error) {
 	v, ok := table[word]
 	if !ok {
 		return v, fmt.Errorf("unknown %s %q", what, word)
@@ -159,26 +159,26 @@
 	if len(s.Categories) == 0 {
 		return set, errors.New("settings name no class")
 	}
-	asks, err := Named(mustAsk, "registry_mode", s.RegistryMode)
+	asks, err := LookupName(mustAsk, "registry_mode", s.RegistryMode)
 	if err != nil {
 		return set, err
 	}
 	set.MustSubscribe = asks
 	if s.WeightSource != "" {
-		kind, err := Named(weights, "weight source", s.WeightSource)
+		kind, err := LookupName(weights, "weight source", s.WeightSource)
 		if err != nil {
 			return set, err
 		}
 		set.WeightSource = kind
 	}
 	for _, c := range s.Categories {
-		effect, err := Named(effects, "semantics", c.Semantics)
+		effect, err := LookupName(effects, "semantics", c.Semantics)
 		if err != nil {
 			return set, err
 		}
 		group := decide.GroupAll
 		if effect == decide.Keyed {
-			if group, err = Named(groups, "group", c.Group); err != nil {
+			if group, err = LookupName(groups, "group", c.Group); err != nil {
 				return set, err
 			}
 		}
--- a/internal/rig/lab/sidecars.go
+++ b/internal/rig/lab/sidecars.go
@@ -77,7 +77,7 @@
 			return err
 		}
 	}
-	loaded := appdir.Load("", []string{dir})
+	loaded := appdir.LoadDescriptions("", []string{dir})
 	if loaded.Findings.Worst() == 2 {
 		return fmt.Errorf("the sidecars' descriptions: %v", loaded.Findings)
 	}
--- a/internal/supervisor/companion.go
+++ b/internal/supervisor/companion.go
@@ -13,19 +13,19 @@
 
 // Config says what to run.
 type Config struct {
-	Command []string
-	Env     []string      // beside the sidecar's own
-	First   time.Duration // wait before the first new start
-	Most    time.Duration // ... doubled up to this
-	Calm    time.Duration // an application that ran for so long begins anew with First
-	Stop    time.Duration // from the word to end until it is killed
-	Log     *slog.Logger
+	Command           []string
+	Env               []string      // beside the sidecar's own
+	InitialBackoff    time.Duration // wait before the first new start
+	MaxBackoff        time.Duration // ... doubled up to this
+	BackoffResetAfter time.Duration // an application that ran for so long begins anew with First
+	StopTimeout       time.Duration // from the word to end until it is killed
+	Log               *slog.Logger
 }
 
 // Default are the waits of a sidecar.
-func Default(command []string, log *slog.Logger) Config {
+func DefaultConfig(command []string, log *slog.Logger) Config {
 	return Config{
-		Command: command, First: 200 * time.Millisecond, Most: 5 * time.Second, Calm: 10 * time.Second, Stop: 10 * time.Second, Log: log,
+		Command: command, InitialBackoff: 200 * time.Millisecond, MaxBackoff: 5 * time.Second, BackoffResetAfter: 10 * time.Second, StopTimeout: 10 * time.Second, Log: log,
 	}
 }
 
@@ -37,7 +37,7 @@
 // dies is started again. Run returns nil in both cases; an error says that the
 // command could not be started in the first place.
 func Run(ctx context.Context, c Config) error {
-	wait := c.First
+	wait := c.InitialBackoff
 	for starts := 0; ; starts++ {
 		began := time.Now()
 		cmd := exec.Command(c.Command[0], c.Command[1:]...)
@@ -59,8 +59,8 @@
 			}
 			c.Log.Warn("the application died", "err", err, "after", time.Since(began).Round(time.Millisecond))
 		}
-		if time.Since(began) >= c.Calm {
-			wait = c.First
+		if time.Since(began) >= c.BackoffResetAfter {
+			wait = c.InitialBackoff
 		}
 		alarm := time.NewTimer(wait)
 		select {
@@ -69,7 +69,7 @@
 			alarm.Stop()
 			return nil
 		}
-		wait = min(2*wait, c.Most)
+		wait = min(2*wait, c.MaxBackoff)
 	}
 }
 
@@ -86,7 +86,7 @@
 	case <-ctx.Done():
 	}
 	syscall.Kill(-cmd.Process.Pid, syscall.SIGTERM)
-	alarm := time.NewTimer(c.Stop)
+	alarm := time.NewTimer(c.StopTimeout)
 	defer alarm.Stop()
 	select {
 	case <-ended:
--- a/internal/supervisor/companion_test.go
+++ b/internal/supervisor/companion_test.go
@@ -59,9 +59,9 @@
 func config(t *testing.T, way string) (Config, string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "log")
-	c := Default([]string{os.Args[0]}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	c := DefaultConfig([]string{os.Args[0]}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	c.Env = []string{asApplication + "=" + file + " " + way, "WHERE=127.0.0.1:1"}
-	c.First, c.Most = time.Millisecond, 4*time.Millisecond
+	c.InitialBackoff, c.MaxBackoff = time.Millisecond, 4*time.Millisecond
 	return c, file
 }
 
@@ -98,7 +98,7 @@
 	for way, want := range map[string]string{"stays": "start 127.0.0.1:1\nend\n", "deaf": "start 127.0.0.1:1\n"} {
 		c, file := config(t, way)
 		if way == "deaf" {
-			c.Stop = 10 * time.Millisecond
+			c.StopTimeout = 10 * time.Millisecond
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
@@ -126,7 +126,7 @@
 // The word to end must come through while the wait before a new start runs.
 func TestWordToEndBetweenStarts(t *testing.T) {
 	c, file := config(t, "dies")
-	c.First, c.Most = time.Hour, time.Hour
+	c.InitialBackoff, c.MaxBackoff = time.Hour, time.Hour
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, c) }()
