--- a/internal/node/bootstrap/record.go
+++ b/internal/node/bootstrap/record.go
@@ -26,9 +26,9 @@
 type Fleet interface {
 	View() *membership.View
 	Address() netip.AddrPort
-	Carry(to string, at netip.AddrPort, topic uint32, body []byte) bool
-	OnCarry(topic uint32, take func(body []byte))
-	Met(name string, at netip.AddrPort)
+	Send(to string, at netip.AddrPort, topic uint32, body []byte) bool
+	OnMessage(topic uint32, take func(body []byte))
+	LearnAddress(name string, at netip.AddrPort)
 }
 
 // Loop is what it needs of the node's loop.
@@ -75,13 +75,13 @@
 // New makes one. It must be called before the members run.
 func New(set Settings, fleet Fleet, l *leases.Leases, loop Hooks, log *slog.Logger) *Runner {
 	r := &Runner{set: set, fleet: fleet, leases: l, loop: loop, log: log, in: make(chan *wire.ListMessage, inbox), told: make(chan told, 4)}
-	fleet.OnCarry(wire.TopicList, func(body []byte) {
+	fleet.OnMessage(wire.TopicList, func(body []byte) {
 		m, err := wire.ParseList(body)
 		if err != nil {
 			return
 		}
 		if m.Addr.IsValid() && m.Addr.Port() != 0 {
-			fleet.Met(m.From, m.Addr)
+			fleet.LearnAddress(m.From, m.Addr)
 		}
 		select {
 		case r.in <- m:
@@ -228,7 +228,7 @@
 func (r *Runner) send(to string, m *bootstrap.Message) {
 	m.From = r.set.Name
 	at, _ := netip.ParseAddrPort(to) // a name is none
-	r.fleet.Carry(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, Addr: r.fleet.Address()}))
+	r.fleet.Send(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, Addr: r.fleet.Address()}))
 }
 
 // hand sends the present list.
--- a/internal/node/bootstrap/size_test.go
+++ b/internal/node/bootstrap/size_test.go
@@ -14,11 +14,11 @@
 // silentFleet has no members, and keeps who takes what comes.
 type silentFleet struct{ take func(body []byte) }
 
-func (f *silentFleet) View() *membership.View                            { return nil }
-func (f *silentFleet) Address() netip.AddrPort                           { return netip.AddrPort{} }
-func (f *silentFleet) Carry(string, netip.AddrPort, uint32, []byte) bool { return true }
-func (f *silentFleet) OnCarry(_ uint32, take func(body []byte))          { f.take = take }
-func (f *silentFleet) Met(string, netip.AddrPort)                        {}
+func (f *silentFleet) View() *membership.View                           { return nil }
+func (f *silentFleet) Address() netip.AddrPort                          { return netip.AddrPort{} }
+func (f *silentFleet) Send(string, netip.AddrPort, uint32, []byte) bool { return true }
+func (f *silentFleet) OnMessage(_ uint32, take func(body []byte))       { f.take = take }
+func (f *silentFleet) LearnAddress(string, netip.AddrPort)              {}
 
 // All nodes that are planned may ask one for its list at once.
 func TestManyAskAtOnce(t *testing.T) {
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -37,9 +37,9 @@
 type Fleet interface {
 	View() *membership.View
 	Address() netip.AddrPort
-	Carry(to string, at netip.AddrPort, topic uint32, body []byte) bool
-	Met(name string, at netip.AddrPort)
-	OnCarry(topic uint32, take func(body []byte))
+	Send(to string, at netip.AddrPort, topic uint32, body []byte) bool
+	LearnAddress(name string, at netip.AddrPort)
+	OnMessage(topic uint32, take func(body []byte))
 }
 
 const (
@@ -97,7 +97,7 @@
 	if l.ctl, err = accept.ListenUnix(SocketPath(set.Folder), dialWait); err != nil {
 		return nil, err
 	}
-	fleet.OnCarry(wire.TopicLease, l.take)
+	fleet.OnMessage(wire.TopicLease, l.take)
 	return l, nil
 }
 
@@ -133,7 +133,7 @@
 		return // of another version, or made up
 	}
 	if at, err := netip.ParseAddrPort(m.Addr); err == nil && at.Port() != 0 {
-		l.fleet.Met(m.From, at)
+		l.fleet.LearnAddress(m.From, at)
 	}
 	select {
 	case l.in <- m:
@@ -254,7 +254,7 @@
 				continue
 			}
 			at, _ := netip.ParseAddrPort(outs[i].Addr) // none is none
-			l.fleet.Carry(outs[i].To, at, wire.TopicLease, b)
+			l.fleet.Send(outs[i].To, at, wire.TopicLease, b)
 		}
 		for i := range told {
 			l.told(&told[i])
--- a/internal/node/members/carry.go
+++ b/internal/node/members/carry.go
@@ -21,7 +21,7 @@
 
 // Carry sends something to the member of a name: where it is now, or was last; at, where nothing is known of it here. It
 // does not wait, and it may be lost: what does not fit is, as on the way. False tells that it did not fit.
-func (m *Members) Carry(to string, at netip.AddrPort, topic uint32, body []byte) bool {
+func (m *Members) Send(to string, at netip.AddrPort, topic uint32, body []byte) bool {
 	select {
 	case m.loads <- &load{to, at, topic, body}:
 		return true
@@ -32,14 +32,14 @@
 }
 
 // OnCarry has what others carry here under a topic handed over; it must not wait. It must be called before Run.
-func (m *Members) OnCarry(topic uint32, take func(body []byte)) { m.takers[topic] = take }
+func (m *Members) OnMessage(topic uint32, take func(body []byte)) { m.takers[topic] = take }
 
 // Name is this node's.
 func (m *Members) Name() string { return m.set.Name }
 
 // Met tells where a name is by its own word, which holds until a view says so. The taker of carried messages calls it, on
 // Run's goroutine.
-func (m *Members) Met(name string, at netip.AddrPort) {
+func (m *Members) LearnAddress(name string, at netip.AddrPort) {
 	if _, known := m.book[name]; !known && len(m.book) < mostBook {
 		m.book[name] = at
 	}
--- a/internal/node/members/size_test.go
+++ b/internal/node/members/size_test.go
@@ -43,7 +43,7 @@
 	for i := range plannedSize {
 		m.take(wire.Append(nil, m.fleet, &membership.Message{Kind: membership.Probe, SenderLife: uint64(i) + 1}))
 		m.SendClaim(uint64(i)+1, allowance.Claim{Lender: 1, Seq: uint64(i) + 1})
-		m.Carry(fmt.Sprint("n", i), m.Address(), wire.TopicList, nil)
+		m.Send(fmt.Sprint("n", i), m.Address(), wire.TopicList, nil)
 	}
 	if len(m.in) != plannedSize || len(m.claims) != plannedSize || len(m.loads) != plannedSize || m.counts.Dropped.Load() > 0 {
 		t.Errorf("of %d each, %d messages, %d claims and %d loads wait, %d are dropped",
