--- a/internal/node/front/batches.go
+++ b/internal/node/front/batches.go
@@ -29,7 +29,7 @@
 // Events and Done are Transport's.
 func (b *batches) Events() <-chan []Event { return b.out }
 
-func (b *batches) Done() {
+func (b *batches) BatchDone() {
 	select {
 	case b.done <- struct{}{}:
 	case <-b.stop:
--- a/internal/node/front/calls.go
+++ b/internal/node/front/calls.go
@@ -15,7 +15,7 @@
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
-			return 0, ErrAgain
+			return 0, ErrWouldBlock
 		case err != nil:
 			return 0, fmt.Errorf("reading: %w", err)
 		case n == 0 && len(p) > 0:
@@ -32,7 +32,7 @@
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
-			return 0, ErrAgain
+			return 0, ErrWouldBlock
 		case err != nil:
 			return 0, fmt.Errorf("writing: %w", err)
 		default:
@@ -48,7 +48,7 @@
 		switch {
 		case err == unix.EINTR:
 		case err == unix.EAGAIN:
-			return ErrAgain
+			return ErrWouldBlock
 		case err != nil:
 			return fmt.Errorf("looking: %w", err)
 		case n == 0:
--- a/internal/node/front/end.go
+++ b/internal/node/front/end.go
@@ -8,7 +8,7 @@
 	s.Do(func() {
 		s.leaving = true
 		s.lookAt = 0
-		s.set.Transport.Listen(false)
+		s.set.Transport.SetAccepting(false)
 		err = s.set.Transport.CloseListener()
 	})
 	return err
@@ -47,6 +47,6 @@
 	}
 	s.openCount.Store(0)
 	s.set.Transport.CloseListener()
-	s.set.Transport.Shut()
+	s.set.Transport.Shutdown()
 	close(s.ended)
 }
--- a/internal/node/front/epoll_linux.go
+++ b/internal/node/front/epoll_linux.go
@@ -98,19 +98,19 @@
 			e := &t.events[i]
 			event := Event{Token: uint64(uint32(e.Fd)) | uint64(uint32(e.Pad))<<32}
 			if event.Token == listenerToken {
-				event.Ready = Arrivals
+				event.Ready = Acceptable
 			} else {
 				if e.Events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 {
 					event.Ready |= Readable
 				}
 				if e.Events&unix.EPOLLRDHUP != 0 {
-					event.Ready |= Ended
+					event.Ready |= PeerEnded
 				}
 				if e.Events&unix.EPOLLOUT != 0 {
 					event.Ready |= Writable
 				}
 				if e.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
-					event.Ready |= Broken
+					event.Ready |= ConnReset
 				}
 			}
 			t.batch[i] = event
@@ -121,7 +121,7 @@
 	}
 }
 
-func (t *epoll) Listen(on bool) {
+func (t *epoll) SetAccepting(on bool) {
 	if t.accepts < 0 || on == t.listens {
 		return
 	}
@@ -150,7 +150,7 @@
 		case unix.EINTR, unix.ECONNABORTED:
 			continue
 		case unix.EAGAIN:
-			return 0, netip.Addr{}, ErrAgain
+			return 0, netip.Addr{}, ErrWouldBlock
 		}
 		return 0, netip.Addr{}, fmt.Errorf("accepting: %w", err)
 	}
@@ -167,7 +167,7 @@
 	return netip.Addr{}
 }
 
-func (t *epoll) From(s Socket) netip.Addr {
+func (t *epoll) RemoteAddr(s Socket) netip.Addr {
 	from, err := unix.Getpeername(int(s))
 	if err != nil {
 		return netip.Addr{} // its peer has left
@@ -175,11 +175,11 @@
 	return addressOf(from)
 }
 
-func (t *epoll) Open(s Socket, token uint64) error {
+func (t *epoll) Register(s Socket, token uint64) error {
 	return t.control(unix.EPOLL_CTL_ADD, int(s), edges, token)
 }
 
-func (t *epoll) Keep(s Socket) {
+func (t *epoll) EnableKeepAlive(s Socket) {
 	for _, o := range [...][3]int{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
 		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepIdle},
@@ -197,7 +197,7 @@
 func (t *epoll) Peek(s Socket) error                   { return peek(int(s)) }
 
 // WantWrite arms the socket anew, which tells of what it is ready for now too.
-func (t *epoll) WantWrite(s Socket, token uint64) error {
+func (t *epoll) NotifyWritable(s Socket, token uint64) error {
 	return t.control(unix.EPOLL_CTL_MOD, int(s), edges|unix.EPOLLOUT, token)
 }
 
@@ -215,7 +215,7 @@
 	return t.listener.Close()
 }
 
-func (t *epoll) Shut() {
+func (t *epoll) Shutdown() {
 	close(t.stop)
 	t.file.Close()
 	t.ended.Wait()
--- a/internal/node/front/hard_test.go
+++ b/internal/node/front/hard_test.go
@@ -46,7 +46,7 @@
 	}
 	g.net.send(c.id, []byte("P"))
 	g.turn()
-	g.now += RequestWait - 50*time.Millisecond
+	g.now += RequestTimeout - 50*time.Millisecond
 	g.turn()
 	if g.closed(c) {
 		t.Error("closed before a request could have come")
@@ -262,7 +262,7 @@
 		g.turn()
 		g.net.mu.Lock()
 		g.net.conns[c.id].in, g.net.conns[c.id].fin = []byte(post("one")), true
-		g.net.tell(&g.net.conns[c.id], Readable|Ended)
+		g.net.tell(&g.net.conns[c.id], Readable|PeerEnded)
 		g.net.mu.Unlock()
 		g.turn()
 		if c.handed != 0 || !g.closed(c) {
@@ -311,7 +311,7 @@
 func TestFirstBytesCrossTheClose(t *testing.T) {
 	for name, end := range map[string]func(*game){
 		"its time": func(g *game) {
-			g.now += RequestWait + timerTick
+			g.now += RequestTimeout + timerTick
 			g.server.turn(func() {})
 		},
 		"for room": func(g *game) {
@@ -335,7 +335,7 @@
 	}
 	g := newGame(t, 10, 1<<20) // half a request holds it no longer than another would
 	c := g.client("", "one")
-	g.now += RequestWait - timerTick
+	g.now += RequestTimeout - timerTick
 	g.net.mu.Lock()
 	g.net.conns[c.id].in = []byte("PO")
 	g.net.mu.Unlock()
@@ -344,7 +344,7 @@
 	if g.closed(c) {
 		t.Error("closed over its first bytes")
 	}
-	g.now += RequestWait + 2*timerTick
+	g.now += RequestTimeout + 2*timerTick
 	g.turn()
 	if !g.closed(c) {
 		t.Error("half a request holds the connection")
--- a/internal/node/front/machine_test.go
+++ b/internal/node/front/machine_test.go
@@ -190,7 +190,7 @@
 			g.net.mu.Lock()
 			token := g.net.conns[c.id].token
 			g.net.ready = append(g.net.ready, Event{token, Readable}, Event{token, Readable | Writable},
-				Event{token + 1<<32, Readable | Broken}, Event{token ^ 1<<20, Broken})
+				Event{token + 1<<32, Readable | ConnReset}, Event{token ^ 1<<20, ConnReset})
 			g.net.mu.Unlock()
 		case what == 15:
 			g.server.turn(func() { g.server.oust() })
--- a/internal/node/front/memory_test.go
+++ b/internal/node/front/memory_test.go
@@ -92,12 +92,12 @@
 	m.spare = batch
 	m.ready = append(m.ready[:0], m.ready[n:]...)
 	if m.on && len(m.queue) > 0 {
-		batch = append(batch, Event{listenerToken, Arrivals})
+		batch = append(batch, Event{listenerToken, Acceptable})
 	}
 	return batch
 }
 
-func (m *memory) tell(c *memoryConn, r Ready) {
+func (m *memory) tell(c *memoryConn, r Readiness) {
 	if c.opened && !c.closed {
 		m.ready = append(m.ready, Event{c.token, r})
 	}
@@ -138,7 +138,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.conns[id].fin = true
-	m.tell(&m.conns[id], Readable|Ended)
+	m.tell(&m.conns[id], Readable|PeerEnded)
 }
 
 func (m *memory) abort(id int32) {
@@ -146,7 +146,7 @@
 	defer m.mu.Unlock()
 	c := &m.conns[id]
 	c.reset, c.in = true, nil
-	m.tell(c, Readable|Broken)
+	m.tell(c, Readable|ConnReset)
 }
 
 func (m *memory) window(id int32, room int) {
@@ -168,7 +168,7 @@
 // The front's side.
 
 func (m *memory) Events() <-chan []Event { return m.out }
-func (m *memory) Done() {
+func (m *memory) BatchDone() {
 	select {
 	case m.done <- struct{}{}:
 	case <-m.stop:
@@ -179,7 +179,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.queue) == 0 {
-		return 0, netip.Addr{}, ErrAgain
+		return 0, netip.Addr{}, ErrWouldBlock
 	}
 	id := m.queue[0]
 	m.queue = m.queue[1:]
@@ -191,16 +191,16 @@
 	return netip.AddrFrom4([4]byte{10, byte(id >> 16), byte(id >> 8), byte(id)})
 }
 
-func (m *memory) From(s Socket) netip.Addr { return m.from(int32(s)) }
+func (m *memory) RemoteAddr(s Socket) netip.Addr { return m.from(int32(s)) }
 
-func (m *memory) Listen(on bool) {
+func (m *memory) SetAccepting(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.on = on
 	m.rouse()
 }
 
-func (m *memory) Open(s Socket, token uint64) error {
+func (m *memory) Register(s Socket, token uint64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := &m.conns[s]
@@ -211,7 +211,7 @@
 	return nil
 }
 
-func (m *memory) Keep(Socket) {}
+func (m *memory) EnableKeepAlive(Socket) {}
 
 func (m *memory) Read(s Socket, p []byte) (int, error) {
 	m.mu.Lock()
@@ -229,7 +229,7 @@
 	case c.fin:
 		return 0, io.EOF
 	}
-	return 0, ErrAgain
+	return 0, ErrWouldBlock
 }
 
 func (m *memory) Write(s Socket, p []byte) (int, error) {
@@ -240,7 +240,7 @@
 	case c.reset || c.half:
 		return 0, syscall.EPIPE
 	case c.room == 0:
-		return 0, ErrAgain
+		return 0, ErrWouldBlock
 	case c.room > 0:
 		p = p[:min(len(p), c.room)]
 		c.room -= len(p)
@@ -264,10 +264,10 @@
 	case c.fin:
 		return io.EOF
 	}
-	return ErrAgain
+	return ErrWouldBlock
 }
 
-func (m *memory) WantWrite(s Socket, _ uint64) error {
+func (m *memory) NotifyWritable(s Socket, _ uint64) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := &m.conns[s]
@@ -298,4 +298,4 @@
 }
 
 func (m *memory) CloseListener() error { return nil }
-func (m *memory) Shut()                { close(m.stop) }
+func (m *memory) Shutdown()            { close(m.stop) }
--- a/internal/node/front/read.go
+++ b/internal/node/front/read.go
@@ -128,7 +128,7 @@
 		switch err := s.set.Transport.Peek(c.socket); {
 		case err == nil:
 			c.piped, c.unread = true, true
-		case errors.Is(err, ErrAgain):
+		case errors.Is(err, ErrWouldBlock):
 		default:
 			s.gone(i, c)
 		}
@@ -143,7 +143,7 @@
 func (s *Server) begin(i int32, c *conn) {
 	c.state = reading
 	s.hold.RequestStarted(s.now, i)
-	s.wheel.Arm(i, s.now+RequestWait)
+	s.wheel.Arm(i, s.now+RequestTimeout)
 }
 
 // postpone leaves bytes in the kernel until there is memory for them.
@@ -235,7 +235,7 @@
 			continue
 		case err == nil:
 			return
-		case errors.Is(err, ErrAgain):
+		case errors.Is(err, ErrWouldBlock):
 		case errors.Is(err, io.EOF) && c.work != nil && (len(c.work.buf) > 0 || c.work.request != nil):
 			// It ended in the midst of a request, and may still read.
 			s.stats.PeerClosed++
@@ -340,7 +340,7 @@
 	}
 	if s.wary && len(rest) == 0 {
 		// It came while the process stood still; who has left since then is not to be worked for.
-		if err := s.set.Transport.Peek(c.socket); err != nil && !errors.Is(err, ErrAgain) {
+		if err := s.set.Transport.Peek(c.socket); err != nil && !errors.Is(err, ErrWouldBlock) {
 			s.gone(i, c)
 			return
 		}
@@ -393,7 +393,7 @@
 	}
 	if s.looks(i, c) { // the first bytes came just now
 		if i, c = s.table.find(token); c != nil && c.state == reading && !s.wheel.Armed(i) {
-			s.wheel.Arm(i, s.now+RequestWait)
+			s.wheel.Arm(i, s.now+RequestTimeout)
 		}
 		return
 	}
@@ -407,7 +407,7 @@
 	for w.dropped < mostLingering {
 		n, err := s.set.Transport.Read(c.socket, s.scratch)
 		w.dropped += n
-		if errors.Is(err, ErrAgain) {
+		if errors.Is(err, ErrWouldBlock) {
 			return
 		}
 		if err != nil {
--- a/internal/node/front/scale_test.go
+++ b/internal/node/front/scale_test.go
@@ -242,7 +242,7 @@
 		st := c.server.Stats()
 		t.Logf("%8d parked: %5.0f B each in heap and stacks, %d more goroutines; of %d requests at 1700/s p50 %v p99 %v p99.9 %v; longest turn %v, timers due at once %d",
 			n, used, runtime.NumGoroutine()-goroutines, h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
-			time.Duration(h.ValueAtQuantile(99)), time.Duration(h.ValueAtQuantile(99.9)), st.LongestTurn, st.LargestTick)
+			time.Duration(h.ValueAtQuantile(99)), time.Duration(h.ValueAtQuantile(99.9)), st.MaxTurnTime, st.MaxTimersDue)
 		if n > 0 && used > 128 || runtime.NumGoroutine() > goroutines+2 {
 			t.Errorf("%d parked: %.0f B each, %d goroutines more", n, used, runtime.NumGoroutine()-goroutines)
 		}
@@ -273,7 +273,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		t.Logf("hurried %v: p99.9 of the answers %v, longest turn %v, closed %d; closed while events waited for the front p50 %d, p99 %d, p99.9 %d, at most %d", hurried,
-			time.Duration(h.ValueAtQuantile(99.9)), c.server.Stats().LongestTurn, c.server.Stats().Expired,
+			time.Duration(h.ValueAtQuantile(99.9)), c.server.Stats().MaxTurnTime, c.server.Stats().Expired,
 			closes.ValueAtQuantile(50), closes.ValueAtQuantile(99), closes.ValueAtQuantile(99.9), closes.Max())
 		return closes.Max(), c.server.Stats().Expired
 	}
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -18,10 +18,10 @@
 
 // Times and bounds that are the same for every node.
 const (
-	RequestWait = 2 * time.Second // for a whole request, from its first byte or the connection's start
-	WriteGrace  = time.Second     // after its deadline a client that does not read is cut off
-	writeWait   = 10 * time.Second
-	lingerFor   = 500 * time.Millisecond
+	RequestTimeout = 2 * time.Second // for a whole request, from its first byte or the connection's start
+	WriteGrace     = time.Second     // after its deadline a client that does not read is cut off
+	writeWait      = 10 * time.Second
+	lingerFor      = 500 * time.Millisecond
 	// A connection that has just come has its request on the way.
 	NewConnGrace = 250 * time.Millisecond
 	roomLook     = 20 * time.Millisecond // between two looks for room
@@ -123,9 +123,9 @@
 	Expired, Evicted, Refused                            uint64
 	Deferred, RequestTimeouts, WriteTimeouts, PeerClosed uint64
 	AvertedCloses                                        uint64        // closes that were called off because bytes had come
-	LargestTick                                          int           // timers due at once
-	LongestTurn                                          time.Duration // of the goroutine over one batch
-	LongestTimers                                        time.Duration // of that, over due timers
+	MaxTimersDue                                         int           // timers due at once
+	MaxTurnTime                                          time.Duration // of the goroutine over one batch
+	MaxTimersTime                                        time.Duration // of that, over due timers
 }
 
 type queued struct {
@@ -224,14 +224,14 @@
 // sourced finds out anew which network a connection is from: the rules have changed.
 func (s *Server) sourced(i int32, c *conn) {
 	c.rules = s.rules
-	s.hold.SetSource(i, s.set.IdleRules.Source(s.set.Transport.From(c.socket)))
+	s.hold.SetSource(i, s.set.IdleRules.Source(s.set.Transport.RemoteAddr(c.socket)))
 }
 
 // Run serves until the context ends, and closes all that is left then.
 func (s *Server) Run(ctx context.Context) {
 	defer s.close()
 	t := s.set.Transport
-	t.Listen(true)
+	t.SetAccepting(true)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	var alarmAt time.Duration
@@ -244,7 +244,7 @@
 				return
 			}
 			s.turn(func() { s.events(batch) })
-			t.Done()
+			t.BatchDone()
 		case <-s.answer:
 			s.turn(s.drain)
 		case f := <-s.steps:
@@ -273,15 +273,15 @@
 		s.lookAt = 0
 		s.accept()
 		if s.lookAt == 0 {
-			s.set.Transport.Listen(true)
+			s.set.Transport.SetAccepting(true)
 		}
 	}
 	s.freed = false
 	s.proceed()
 	s.resume()
 	end := s.set.Now()
-	s.stats.LongestTurn = max(s.stats.LongestTurn, end-begun)
-	s.stats.LongestTimers = max(s.stats.LongestTimers, end-timers)
+	s.stats.MaxTurnTime = max(s.stats.MaxTurnTime, end-begun)
+	s.stats.MaxTimersTime = max(s.stats.MaxTimersTime, end-timers)
 	s.openCount.Store(int64(s.table.open))
 }
 
@@ -311,7 +311,7 @@
 		if c == nil {
 			continue // an event for a connection that has closed since
 		}
-		if e.Ready&Broken != 0 && (e.Ready&Readable == 0 || c.state == open) {
+		if e.Ready&ConnReset != 0 && (e.Ready&Readable == 0 || c.state == open) {
 			s.gone(i, c)
 			continue
 		}
@@ -322,7 +322,7 @@
 			continue
 		}
 		// The end may come in one event with the request before it, and behind bytes that nobody reads yet.
-		if e.Ready&Ended != 0 {
+		if e.Ready&PeerEnded != 0 {
 			c.left = true
 		}
 		if e.Ready&Readable != 0 {
@@ -362,12 +362,12 @@
 			return // nobody may wait any more: no connection is closed for that
 		}
 		if !s.room() {
-			s.set.Transport.Listen(false)
+			s.set.Transport.SetAccepting(false)
 			s.lookAt = s.now + roomLook
 			return
 		}
 		socket, from, err := s.set.Transport.Accept()
-		if errors.Is(err, ErrAgain) {
+		if errors.Is(err, ErrWouldBlock) {
 			return
 		}
 		if err != nil {
@@ -377,7 +377,7 @@
 				s.emfile = true
 				s.set.Log.Warn("a connection can't be taken; told once", "err", err, "open", s.table.open)
 			}
-			s.set.Transport.Listen(false)
+			s.set.Transport.SetAccepting(false)
 			s.lookAt = s.now + roomLook
 			return
 		}
@@ -393,10 +393,10 @@
 	c.rules = s.rules
 	s.ledger.Add(membudget.ConnectionState, rowBytes)
 	s.hold.Add(s.now, i, s.set.IdleRules.Source(from), s.who(from))
-	s.wheel.Arm(i, s.now+RequestWait)
+	s.wheel.Arm(i, s.now+RequestTimeout)
 	s.accepted.Store(int64(s.now))
 	s.stats.Accepted++
-	if err := s.set.Transport.Open(socket, s.table.token(i)); err != nil {
+	if err := s.set.Transport.Register(socket, s.table.token(i)); err != nil {
 		s.set.Log.Warn("a connection can't be waited for", "err", err)
 		s.drop(i, c, closeTransport)
 	}
@@ -462,7 +462,7 @@
 // timers handles what is due, a bounded number at a time.
 func (s *Server) timers() {
 	s.due = s.wheel.Advance(s.now, mostDue, s.due[:0])
-	s.stats.LargestTick = max(s.stats.LargestTick, len(s.due))
+	s.stats.MaxTimersDue = max(s.stats.MaxTimersDue, len(s.due))
 	for _, i := range s.due {
 		c := s.table.at(i)
 		switch c.state {
--- a/internal/node/front/transport.go
+++ b/internal/node/front/transport.go
@@ -6,28 +6,28 @@
 )
 
 // Ready is what a socket is ready for.
-type Ready uint8
+type Readiness uint8
 
 const (
-	Readable Ready = 1 << iota // bytes or the end of the peer's sending
-	Writable                   // only after WantWrite
-	Ended                      // the peer has ended its sending, whatever bytes of it are still to be read
-	Broken                     // reset; nothing more will come
-	Arrivals                   // connections wait to be accepted; of the listener
+	Readable   Readiness = 1 << iota // bytes or the end of the peer's sending
+	Writable                         // only after WantWrite
+	PeerEnded                        // the peer has ended its sending, whatever bytes of it are still to be read
+	ConnReset                        // reset; nothing more will come
+	Acceptable                       // connections wait to be accepted; of the listener
 )
 
 // Event tells that a socket became ready. An event comes once for each change: who
 // gets one reads until there is nothing left.
 type Event struct {
 	Token uint64 // as given to Open
-	Ready Ready
+	Ready Readiness
 }
 
 // listenerToken is the token of Arrivals.
 const listenerToken = ^uint64(0)
 
 // ErrAgain says that a socket has nothing for now, or takes nothing.
-var ErrAgain = errors.New("front: not ready")
+var ErrWouldBlock = errors.New("front: not ready")
 
 // Socket names an open connection of a Transport.
 type Socket int32
@@ -38,18 +38,18 @@
 	// Events delivers what became ready. The receiver calls Done when it is through
 	// with a batch, which is used again then.
 	Events() <-chan []Event
-	Done()
+	BatchDone()
 	// Accept takes a connection that waits: its socket and where it is from, which is
 	// not valid for unix sockets. ErrAgain: none waits.
 	Accept() (Socket, netip.Addr, error)
 	// Listen turns Arrivals on or off. Turned on, it tells of those that wait already.
-	Listen(on bool)
+	SetAccepting(on bool)
 	// From is the address that Accept has told of a connection.
-	From(s Socket) netip.Addr
+	RemoteAddr(s Socket) netip.Addr
 	// Open has a connection's events told under a token.
-	Open(s Socket, token uint64) error
+	Register(s Socket, token uint64) error
 	// Keep has the system look, seldom, whether an idle peer is still there.
-	Keep(s Socket)
+	EnableKeepAlive(s Socket)
 	// Read and Write are one call each, and return ErrAgain instead of waiting. Read
 	// returns io.EOF at the end of the peer's sending.
 	Read(s Socket, p []byte) (int, error)
@@ -57,11 +57,11 @@
 	// Peek is a Read of one byte that leaves it there.
 	Peek(s Socket) error
 	// WantWrite has Writable told once the socket takes more.
-	WantWrite(s Socket, token uint64) error
+	NotifyWritable(s Socket, token uint64) error
 	CloseWrite(s Socket)
 	Close(s Socket)
 	// CloseListener ends the listening; what waits in the backlog is reset.
 	CloseListener() error
 	// Shut ends Events; all connections have been closed by then.
-	Shut()
+	Shutdown()
 }
--- a/internal/node/front/waiting.go
+++ b/internal/node/front/waiting.go
@@ -72,7 +72,7 @@
 			return
 		}
 		t.arrived <- arrival{c, err}
-		t.tell(Event{Token: listenerToken, Ready: Arrivals})
+		t.tell(Event{Token: listenerToken, Ready: Acceptable})
 	}
 }
 
@@ -109,12 +109,12 @@
 	}
 }
 
-func (t *waiting) Listen(on bool) {
+func (t *waiting) SetAccepting(on bool) {
 	t.listens = on
 	switch {
 	case !on || t.closed:
 	case len(t.arrived) > 0:
-		t.tell(Event{Token: listenerToken, Ready: Arrivals})
+		t.tell(Event{Token: listenerToken, Ready: Acceptable})
 	case !t.granted:
 		t.granted = true
 		t.permits <- struct{}{}
@@ -126,13 +126,13 @@
 	select {
 	case a := <-t.arrived:
 		t.granted = false
-		t.Listen(t.listens)
+		t.SetAccepting(t.listens)
 		if a.err != nil {
 			return 0, none, fmt.Errorf("accepting: %w", a.err)
 		}
 		return t.enter(a.conn)
 	default:
-		return 0, none, ErrAgain
+		return 0, none, ErrWouldBlock
 	}
 }
 
@@ -157,7 +157,7 @@
 	return Socket(len(t.conns) - 1), from, nil
 }
 
-func (t *waiting) From(s Socket) netip.Addr {
+func (t *waiting) RemoteAddr(s Socket) netip.Addr {
 	if a, ok := t.conns[s].RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr()
 	}
@@ -165,12 +165,12 @@
 }
 
 // Open starts the connection's goroutine.
-func (t *waiting) Open(s Socket, token uint64) error {
+func (t *waiting) Register(s Socket, token uint64) error {
 	c := t.conns[s]
 	t.ended.Go(func() {
 		// Whether there is something is looked at, not waited for alone: what came
 		// between two waits makes no new event.
-		look := func(fd uintptr) bool { return peek(int(fd)) != ErrAgain }
+		look := func(fd uintptr) bool { return peek(int(fd)) != ErrWouldBlock }
 		for {
 			if c.raw.Read(look) != nil {
 				return // closed
@@ -194,7 +194,7 @@
 	}
 }
 
-func (t *waiting) Keep(Socket) {} // net.Listen's own probes hold
+func (t *waiting) EnableKeepAlive(Socket) {} // net.Listen's own probes hold
 
 func (t *waiting) Read(s Socket, p []byte) (n int, err error) {
 	c := t.conns[s]
@@ -219,13 +219,13 @@
 	if wrong := c.raw.Control(func(fd uintptr) { err = peek(int(fd)) }); wrong != nil {
 		return wrong
 	}
-	if err == ErrAgain {
+	if err == ErrWouldBlock {
 		c.usedUp()
 	}
 	return err
 }
 
-func (t *waiting) WantWrite(s Socket, token uint64) error {
+func (t *waiting) NotifyWritable(s Socket, token uint64) error {
 	c := t.conns[s]
 	t.ended.Go(func() {
 		err := c.raw.Write(func(fd uintptr) bool {
@@ -261,7 +261,7 @@
 	return t.listener.Close()
 }
 
-func (t *waiting) Shut() {
+func (t *waiting) Shutdown() {
 	close(t.stop)
 	t.ended.Wait()
 	select {
--- a/internal/node/front/write.go
+++ b/internal/node/front/write.go
@@ -78,7 +78,7 @@
 	c.closing = c.closing || a.Close || s.leaving
 	s.out = s.encode(s.out[:0], a, w.head, c.closing)
 	n, err := s.set.Transport.Write(c.socket, s.out)
-	if err != nil && !errors.Is(err, ErrAgain) {
+	if err != nil && !errors.Is(err, ErrWouldBlock) {
 		s.drop(i, c, closeNotWritten)
 		return
 	}
@@ -92,7 +92,7 @@
 			until = s.now + writeWait
 		}
 		s.wheel.Arm(i, until)
-		if s.set.Transport.WantWrite(c.socket, s.table.token(i)) != nil {
+		if s.set.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
 			s.drop(i, c, closeTransport)
 		}
 	} else {
@@ -112,8 +112,8 @@
 		n, err := s.set.Transport.Write(c.socket, w.out)
 		s.ledger.Add(membudget.PendingAnswers, -n)
 		w.out = w.out[n:]
-		if errors.Is(err, ErrAgain) || err == nil && n == 0 {
-			if s.set.Transport.WantWrite(c.socket, s.table.token(i)) != nil {
+		if errors.Is(err, ErrWouldBlock) || err == nil && n == 0 {
+			if s.set.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
 				s.drop(i, c, closeTransport)
 			}
 			return
@@ -152,7 +152,7 @@
 	if len(w.buf) > 0 || c.unread {
 		c.state = reading
 		s.hold.RequestPipelined(s.now, i)
-		s.wheel.Arm(i, s.now+RequestWait)
+		s.wheel.Arm(i, s.now+RequestTimeout)
 		s.again.push(s.table.token(i))
 		return
 	}
@@ -171,7 +171,7 @@
 	s.wheel.ArmSpread(i, s.now+limit, slack)
 	if limit > keepFrom && !c.kept {
 		c.kept = true
-		s.set.Transport.Keep(c.socket)
+		s.set.Transport.EnableKeepAlive(c.socket)
 	}
 }
 
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -39,7 +39,7 @@
 	o, keep := u.exchange(t, c, p, q, more, by, until)
 	o.ConnAge = u.clock.Now() - c.opened
 	if keep = keep && u.put(p, c); !keep {
-		u.discard(c, p.ID, CloseUsed)
+		u.discard(c, p.ID, CloseUnusable)
 	}
 	o.ConnClosed, o.DialTime = !keep, dialled
 	return o
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -101,13 +101,13 @@
 
 // The reasons.
 const (
-	CloseExpired  CloseReason = "idle for too long"
-	CloseMoved    CloseReason = "its server has another address"
-	CloseEnded    CloseReason = "the server ended it, or sent what nobody asked for"
-	CloseUsed     CloseReason = "its attempt left it unusable"
-	CloseShut     CloseReason = "its server gets nothing new"
-	CloseForRoom  CloseReason = "room for another"
-	CloseNodeEnds CloseReason = "the node ends"
+	CloseExpired        CloseReason = "idle for too long"
+	CloseAddressChanged CloseReason = "its server has another address"
+	CloseByServer       CloseReason = "the server ended it, or sent what nobody asked for"
+	CloseUnusable       CloseReason = "its attempt left it unusable"
+	CloseServerClosed   CloseReason = "its server gets nothing new"
+	CloseEvicted        CloseReason = "room for another"
+	CloseShutdown       CloseReason = "the node ends"
 )
 
 // OnClose has a function called for each connection that is closed; it must not call the pool. It is set before the first
@@ -163,7 +163,7 @@
 		why := CloseExpired
 		switch {
 		case c.address != p.Address:
-			why = CloseMoved
+			why = CloseAddressChanged
 		case rested < u.idleFor:
 			alive, more := c.look()
 			if alive {
@@ -172,7 +172,7 @@
 			if more {
 				u.untidy.Store(true)
 			}
-			why = CloseEnded
+			why = CloseByServer
 		}
 		u.discard(c, p.ID, why)
 	}
@@ -200,7 +200,7 @@
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
 		u.unarm(c)
-		u.discard(c, id, CloseShut)
+		u.discard(c, id, CloseServerClosed)
 	}
 	delete(u.idle, id)
 }
@@ -265,7 +265,7 @@
 	for id, stack := range u.idle {
 		for _, c := range stack {
 			u.unarm(c)
-			u.discard(c, id, CloseNodeEnds)
+			u.discard(c, id, CloseShutdown)
 		}
 		delete(u.idle, id)
 	}
@@ -300,7 +300,7 @@
 		return false
 	}
 	u.unarm(u.idle[oldest][0])
-	u.discard(u.idle[oldest][0], oldest, CloseForRoom)
+	u.discard(u.idle[oldest][0], oldest, CloseEvicted)
 	u.idle[oldest] = u.idle[oldest][1:]
 	return true
 }
