--- a/cmd/curlewctl/sarif.go
+++ b/cmd/curlewctl/sarif.go
@@ -82,8 +82,8 @@
 		if f.Bound != "" {
 			text += "; allowed: " + f.Bound
 		}
-		if f.Instead != "" {
-			text += "; instead: " + f.Instead
+		if f.Remedy != "" {
+			text += "; instead: " + f.Remedy
 		}
 		var at sarifLocation
 		at.Physical.Artifact.URI = filepath.ToSlash(f.File)
--- a/cmd/curlewctl/sidecars.go
+++ b/cmd/curlewctl/sidecars.go
@@ -23,7 +23,7 @@
 	Platform string   `type:"path" placeholder:"FILE" help:"The shared file; by default platform.toml beside the descriptions."`
 }
 
-func (d *descriptions) load() (*appdir.Loaded, error) {
+func (d *descriptions) load() (*appdir.Descriptions, error) {
 	paths := append(slices.Clone(d.Paths), d.Dir...)
 	if len(paths) == 0 {
 		return nil, errors.New("name a description, or a folder by --dir")
@@ -85,7 +85,7 @@
 		tell(errs, l.Findings)
 		return found(2)
 	}
-	all := l.Set.Write(l.Sources)
+	all := l.Set.Generate(l.Sources)
 	if c.Diff {
 		return c.diff(out, all)
 	}
@@ -188,7 +188,7 @@
 			}
 			findings = append(findings, l.Findings...)
 			if l.Set != nil && l.Findings.Worst() < 2 {
-				want = l.Set.Write(l.Sources)
+				want = l.Set.Generate(l.Sources)
 			}
 		}
 	}
--- a/internal/operators/appdir/corpus_test.go
+++ b/internal/operators/appdir/corpus_test.go
@@ -92,7 +92,7 @@
 				if rule := rules[w]; rule != "" && rule != f.Rule {
 					t.Errorf("%s: %q, want %q", w, f.Rule, rule)
 				}
-				if strings.HasPrefix(f.Code, "SC") && f.Instead == "" || f.Text == "" {
+				if strings.HasPrefix(f.Code, "SC") && f.Remedy == "" || f.Text == "" {
 					t.Errorf("it says too little: %+v", f)
 				}
 			}
@@ -122,9 +122,9 @@
 			if len(l.Findings) > 0 {
 				t.Fatal(l.Findings)
 			}
-			all := l.Set.Write(l.Sources)
+			all := l.Set.Generate(l.Sources)
 			again := LoadDescriptions("", []string{"."})
-			if !slices.EqualFunc(all, again.Set.Write(again.Sources), func(x, y apps.GeneratedFile) bool {
+			if !slices.EqualFunc(all, again.Set.Generate(again.Sources), func(x, y apps.GeneratedFile) bool {
 				return x.Path == y.Path && string(x.Text) == string(y.Text)
 			}) {
 				t.Error("written differently the second time")
--- a/internal/operators/appdir/dir_test.go
+++ b/internal/operators/appdir/dir_test.go
@@ -72,7 +72,7 @@
 	if l.Findings.Worst() == 2 {
 		t.Fatal(l.Findings)
 	}
-	all := l.Set.Write(l.Sources)
+	all := l.Set.Generate(l.Sources)
 	if _, _, err := Write("out", all); err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	t.Helper()
 	l := LoadDescriptions("", []string{"."})
 	findings := l.Findings
-	if err := CheckGenerated("out", l.Set.Write(l.Sources), &findings); err != nil {
+	if err := CheckGenerated("out", l.Set.Generate(l.Sources), &findings); err != nil {
 		t.Fatal(err)
 	}
 	return slices.Compact(codes(findings))
@@ -146,7 +146,7 @@
 		{"come", func() { write(t, "neu.toml", "schema = 1\n") }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			l := &Loaded{Sources: apps.Sources{}}
+			l := &Descriptions{Sources: apps.Sources{}}
 			r := &reader{loaded: l}
 			r.look(".", true)
 			var inputs []input
--- a/internal/operators/appdir/load.go
+++ b/internal/operators/appdir/load.go
@@ -19,7 +19,7 @@
 const PlatformName = "platform.toml"
 
 // Loaded is what was read.
-type Loaded struct {
+type Descriptions struct {
 	Platform *apps.Platform
 	Set      *apps.Set
 	Sources  apps.Sources
@@ -36,8 +36,8 @@
 // Load reads the platform and all descriptions that the paths name: files, or
 // folders with *.toml files below them. All faults are findings. The platform is
 // the file that is given, or the one called platform.toml in the first folder.
-func LoadDescriptions(platform string, paths []string) *Loaded {
-	l := &Loaded{Sources: apps.Sources{}}
+func LoadDescriptions(platform string, paths []string) *Descriptions {
+	l := &Descriptions{Sources: apps.Sources{}}
 	r := &reader{loaded: l}
 	for _, p := range paths {
 		r.look(p, true)
@@ -94,7 +94,7 @@
 }
 
 type reader struct {
-	loaded *Loaded
+	loaded *Descriptions
 	files  []string
 	seen   []seenFile
 	known  map[fileKey][]int // of seen
@@ -245,7 +245,7 @@
 			r.loaded.Findings.Add(apps.ChangedDuringRead, in.path, 0, "the file changed, or went, while the check ran")
 		}
 	}
-	var scratch Loaded
+	var scratch Descriptions
 	again := &reader{loaded: &scratch}
 	for _, p := range paths {
 		again.look(p, true)
--- a/internal/operators/apps/apps_test.go
+++ b/internal/operators/apps/apps_test.go
@@ -84,7 +84,7 @@
 // say, and a share must never be more than what it says.
 func TestWhatTheNodeIsTold(t *testing.T) {
 	s, sources := set(t, "a.toml", app("a", "boxen", `"stoerung"`, "port = 15001\nshare = 0.3\nmemory_mb = 48\ncores = 0.5\ncommand = [\"/bin/a\", \"<&>\"]\n"))
-	all := s.Write(sources)
+	all := s.Generate(sources)
 	if len(all) != 2 {
 		t.Fatalf("%d files", len(all))
 	}
@@ -126,7 +126,7 @@
 	a, b := app("a", "boxen", `"zustand"`, "port = 15001\n"), app("b", "boxen", `"zustand"`, "port = 15002\n")
 	one, sources := set(t, "a.toml", a)
 	two, more := set(t, "a.toml", a, "b.toml", b)
-	first, second := one.Write(sources), two.Write(more)
+	first, second := one.Generate(sources), two.Generate(more)
 	if len(second) != 2*len(first) {
 		t.Fatalf("%d and %d files", len(first), len(second))
 	}
@@ -144,7 +144,7 @@
 // Any byte of a written file that changes must show in its sum.
 func TestSeal(t *testing.T) {
 	s, sources := set(t, "a.toml", app("a", "boxen", `"zustand"`, "port = 15001\n[[route]]\nclass = \"zustand\"\nattempts = 2\n"))
-	for _, w := range s.Write(sources) {
+	for _, w := range s.Generate(sources) {
 		for i := range w.Text {
 			edited := []byte(string(w.Text))
 			edited[i] ^= 1
@@ -251,7 +251,7 @@
 		if findings.Worst() == 2 {
 			return
 		}
-		for _, w := range s.Write(Sources{"platform.toml": []byte(platformText), "a.toml": []byte(text)}) {
+		for _, w := range s.Generate(Sources{"platform.toml": []byte(platformText), "a.toml": []byte(text)}) {
 			if sealed, marked := VerifyChecksum(w.Text); !sealed || !marked {
 				t.Errorf("%s is not sealed", w.Path)
 			}
--- a/internal/operators/apps/finding.go
+++ b/internal/operators/apps/finding.go
@@ -142,16 +142,16 @@
 
 // Finding is one fault.
 type Finding struct {
-	Code    string `json:"code"`
-	Level   string `json:"level"` // error, warning
-	Rule    string `json:"rule"`  // rule 1 to rule 4, form, sense
-	File    string `json:"file"`
-	Line    int    `json:"line"` // 1 is the first; 0: the file as a whole
-	Key     string `json:"key,omitempty"`
-	Value   string `json:"value,omitempty"`
-	Bound   string `json:"bound,omitempty"` // what it would have to be
-	Text    string `json:"text"`
-	Instead string `json:"instead,omitempty"`
+	Code   string `json:"code"`
+	Level  string `json:"level"` // error, warning
+	Rule   string `json:"rule"`  // rule 1 to rule 4, form, sense
+	File   string `json:"file"`
+	Line   int    `json:"line"` // 1 is the first; 0: the file as a whole
+	Key    string `json:"key,omitempty"`
+	Value  string `json:"value,omitempty"`
+	Bound  string `json:"bound,omitempty"` // what it would have to be
+	Text   string `json:"text"`
+	Remedy string `json:"instead,omitempty"`
 }
 
 // String is the finding on one line, as compilers print them.
@@ -175,8 +175,8 @@
 	if f.Rule != "form" && f.Rule != "sense" {
 		fmt.Fprintf(&b, " (%s)", f.Rule)
 	}
-	if f.Instead != "" {
-		fmt.Fprintf(&b, "; instead: %s", f.Instead)
+	if f.Remedy != "" {
+		fmt.Fprintf(&b, "; instead: %s", f.Remedy)
 	}
 	return b.String()
 }
--- a/internal/operators/apps/write.go
+++ b/internal/operators/apps/write.go
@@ -212,7 +212,7 @@
 // Write makes all files of a set: for each sidecar on each host its node's
 // configuration, its timing rules where it has any, and its unit. The same
 // sources give the same bytes. The set must hold no error.
-func (s *Set) Write(sources Sources) []GeneratedFile {
+func (s *Set) Generate(sources Sources) []GeneratedFile {
 	all := []GeneratedFile{}
 	shared := sum(sources[s.Platform.File])
 	for _, a := range s.Apps {
--- a/internal/rig/lab/sidecars.go
+++ b/internal/rig/lab/sidecars.go
@@ -81,7 +81,7 @@
 	if loaded.Findings.Worst() == 2 {
 		return fmt.Errorf("the sidecars' descriptions: %v", loaded.Findings)
 	}
-	if _, _, err := appdir.Write(filepath.Join(l.dir, "out"), loaded.Set.Write(loaded.Sources)); err != nil {
+	if _, _, err := appdir.Write(filepath.Join(l.dir, "out"), loaded.Set.Generate(loaded.Sources)); err != nil {
 		return err
 	}
 	if l.options.edit == nil {
