--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,65 +6,68 @@
 	"time"
 )
 
-// Which requests are let in: the curves of worth, response time and crowding.
+// Admission of requests, by worth, response time and number of open calls.
 
 const (
-	curveTop   = 1.0  // r, in aims, at which even the highest worth is shut out
-	curveFoot  = 0.6  // r, in aims, below which the lowest worth is let in whole
-	rareGap    = 4    // power of the rest of the traffic by which a curve stands off
-	crowdTop   = 2    // crowding at which even the highest worth is shut out
-	roomGrowth = 0.15 // a second, of the servers that count as room
+	shedAllRatio       = 1.0  // latency ratio at which even the highest worth is refused
+	shedStartRatio     = 0.6  // latency ratio below which even the lowest worth is admitted
+	rareWorthExponent  = 4    // exponent by which the curve of a rare worth is shifted
+	shedAllUtilization = 2    // utilization at which even the highest worth is refused
+	serverGrowthRate   = 0.15 // growth per second of the servers that count as capacity
 )
 
-// widen lets servers that were added count as room while calls are refused and r does not say overload.
-func (b *Balancer) widen() {
-	if n := float64(b.members()); b.limited && b.known < n && b.r < curveFoot {
-		b.known = min(b.known*(1+roomGrowth*period.Seconds()), n)
+// growCountedServers counts added servers as capacity while the limit causes refusals although the latency
+// ratio shows no overload.
+func (b *Balancer) growCountedServers() {
+	if n := float64(b.memberCount()); b.limitReached &&
+		b.countedServers < n && b.latencyRatio < shedStartRatio {
+		b.countedServers = min(b.countedServers*(1+serverGrowthRate*measurePeriod.Seconds()), n)
 	}
-	b.limited = false
+	b.limitReached = false
 }
 
-// aim is the time within which a request earns its full worth.
-func (b *Balancer) aim(r *Request) time.Duration {
-	class := &b.set.Classes[r.Class]
+// latencyTarget returns the time within which a request earns its full worth.
+func (b *Balancer) latencyTarget(r *Request) time.Duration {
+	class := &b.cfg.Classes[r.Class]
 	return min(class.LatencyTarget+time.Duration(class.TargetPerWork*float64(r.Work)), class.Deadline)
 }
 
-// aimLeft is what remains of the aim. A try with less time than others of its class is a later one, cut
-// by the client's deadline, and that tells how long the client has waited.
-func (b *Balancer) aimLeft(r *Request) time.Duration {
-	b.longest[r.Class] = max(b.longest[r.Class], r.TTL)
-	left := b.aim(r)
-	if r.TTL < b.longest[r.Class]*49/50 {
-		left -= b.set.Classes[r.Class].Deadline - r.TTL
+// targetLeft returns what is left of the latency target. A request with a shorter TTL than others of its
+// class is a retry whose TTL the client's deadline has cut, which tells how long the client has waited.
+func (b *Balancer) targetLeft(r *Request) time.Duration {
+	b.maxTTL[r.Class] = max(b.maxTTL[r.Class], r.TTL)
+	left := b.latencyTarget(r)
+	if r.TTL < b.maxTTL[r.Class]*49/50 {
+		left -= b.cfg.Classes[r.Class].Deadline - r.TTL
 	}
 	return left
 }
 
-// admits is the paper's P(a,b) for the curve of this worth: one below a, zero above b, linear between.
-// The curves are stacked, so that a lower worth is shut out before a higher one starts to be refused.
-func (b *Balancer) admits(worth float64) float64 {
-	level := b.level(worth)
-	width := 1 / float64(len(b.levels))
-	lo := width * float64(level)
-	if worth < b.levels[0] { // a request worth nothing any more: below all others
-		lo -= width
+// admitProbability returns the probability of admitting a request of this worth: 1 below its curve's start,
+// 0 above its end, linear in between. The curves of the levels are stacked, so that a lower worth is
+// refused entirely before a higher one starts to be refused.
+func (b *Balancer) admitProbability(worth float64) float64 {
+	level := b.worthLevel(worth)
+	width := 1 / float64(len(b.worthLevels))
+	start := width * float64(level)
+	if worth < b.worthLevels[0] { // a request worth nothing any more: below all others
+		start -= width // worth nothing any more: below all levels
 	} else if level > 0 {
-		lo += math.Pow(1-b.share(level), rareGap)
+		start += math.Pow(1-b.shareAtOrAbove(level), rareWorthExponent)
 	}
-	return curve(b.pressure(), lo, lo+width)
+	return curve(b.pressure(), start, start+width)
 }
 
-// level is the place of a worth on the stack.
-func (b *Balancer) level(worth float64) int {
-	at, _ := slices.BinarySearch(b.levels, worth)
-	return min(at, len(b.levels)-1)
+// worthLevel returns the index of a worth among the stacked curves.
+func (b *Balancer) worthLevel(worth float64) int {
+	index, _ := slices.BinarySearch(b.worthLevels, worth)
+	return min(index, len(b.worthLevels)-1)
 }
 
-// share is the part of the traffic that lies on a level or above.
-func (b *Balancer) share(level int) float64 {
+// shareAtOrAbove returns the fraction of the traffic at a level or above it.
+func (b *Balancer) shareAtOrAbove(level int) float64 {
 	above, all := 0.0, 0.0
-	for i, n := range b.offered {
+	for i, n := range b.arrivalsByLevel {
 		all += n
 		if i >= level {
 			above += n
@@ -73,39 +76,40 @@
 	return above / all
 }
 
-// pressure says where on the stack of curves this node stands: 0 at its foot, 1 at its top. It is what r
-// says, or what the calls here say where that is more: some servers turn slow at once when they hold too
-// many, long before response times have risen.
+// pressure returns this node's position on the stacked curves, 0 at their start and 1 at their end: the
+// greater of what response times and open calls indicate. Some servers slow down as soon as they hold too
+// many calls, long before measured response times have risen.
 func (b *Balancer) pressure() float64 {
-	return max((b.r-curveFoot)/(curveTop-curveFoot), (b.crowding()-1)/(crowdTop-1))
+	return max((b.latencyRatio-shedStartRatio)/(shedAllRatio-shedStartRatio),
+		(b.utilization()-1)/(shedAllUtilization-1))
 }
 
-// crowding is the number of calls here against what this node's part of the servers holds without a crowd.
-// Servers that are ejected are no room: the others would else be crowded in their place. A node's few calls
-// vary by chance, while the servers see the sum over nodes: so the calls are averaged over some arrivals,
-// and what chance leaves of that is no crowd.
-func (b *Balancer) crowding() float64 {
-	all := len(b.near) + len(b.far)
-	ejected, _ := b.faults()
-	room := b.room.calls() * b.fleet() / float64(max(1, b.set.Nodes))
-	room *= float64(all-ejected) / float64(max(1, all))
-	return b.crowd / max(1, room+math.Sqrt(room)/2)
+// utilization returns the open calls of this node relative to its share of the servers' concurrency limits.
+// Ejected servers do not count as capacity, or else their load would overload the others. The few calls of
+// one node fluctuate at random while servers see the sum over all nodes, so the open calls are averaged
+// over arrivals and the random deviation that remains is allowed for.
+func (b *Balancer) utilization() float64 {
+	all := len(b.localSubset) + len(b.remoteSubset)
+	ejected, _ := b.countEjected()
+	capacity := b.limit.perServer() * b.effectiveServers() / float64(max(1, b.cfg.Nodes))
+	capacity *= float64(all-ejected) / float64(max(1, all))
+	return b.meanOpenCalls / max(1, capacity+math.Sqrt(capacity)/2)
 }
 
-// perServer is the number of calls that a server holds, if other nodes have as many as this one.
-func (b *Balancer) perServer() float64 {
-	return b.crowd * float64(max(1, b.set.Nodes)) / max(1, b.fleet())
+// callsPerServer returns the open calls of a server, assuming that other nodes have as many as this one.
+func (b *Balancer) callsPerServer() float64 {
+	return b.meanOpenCalls * float64(max(1, b.cfg.Nodes)) / max(1, b.effectiveServers())
 }
 
-// fleet is the number of servers that count as room.
-func (b *Balancer) fleet() float64 {
-	if b.there > 0 {
-		return b.there
+// effectiveServers returns the number of servers that count as capacity.
+func (b *Balancer) effectiveServers() float64 {
+	if b.fleetSize > 0 {
+		return b.fleetSize
 	}
-	return min(float64(b.members()), b.known)
+	return min(float64(b.memberCount()), b.countedServers)
 }
 
-// curve is (b-r)/(b-a) between a and b; the paper prints (r-a)/(b-a), which would rise with r.
+// curve falls linearly from 1 at a to 0 at b.
 func curve(r, a, b float64) float64 {
 	if r <= a {
 		return 1
@@ -116,27 +120,27 @@
 	return (b - r) / (b - a)
 }
 
-// retryAfter spreads the return of refused clients.
-func (b *Balancer) retryAfter(bounds *RoutePolicy, aimLeft time.Duration) time.Duration {
-	if !b.set.MayAdviseRetry {
+// retryAfter returns a random retry-after, so that refused clients do not come back at the same time.
+func (b *Balancer) retryAfter(policy *RoutePolicy, targetLeft time.Duration) time.Duration {
+	if !b.cfg.MayAdviseRetry {
 		return 0
 	}
-	wait := max(0, b.set.MaxRetryAfter)
-	if bounds.MaxRetryAfter > 0 {
-		wait = min(wait, bounds.MaxRetryAfter)
+	wait := max(0, b.cfg.MaxRetryAfter)
+	if policy.MaxRetryAfter > 0 {
+		wait = min(wait, policy.MaxRetryAfter)
 	}
-	if aimLeft > 0 {
-		wait = min(wait, aimLeft/2)
+	if targetLeft > 0 {
+		wait = min(wait, targetLeft/2)
 	}
 	return b.jitter(wait)
 }
 
-// withinShare meters a tenant's request by a token bucket of one second of its quota.
-func (b *Balancer) withinShare(i int) bool {
+// takeQuotaToken meters a tenant's requests by a token bucket that holds one second of its quota.
+func (b *Balancer) takeQuotaToken(i int) bool {
 	t := &b.tenants[i]
-	q := b.set.Tenants[i].Quota / float64(max(1, b.set.Nodes))
-	t.tokens = min(t.tokens+q*(b.now-t.filled).Seconds(), max(q, 1))
-	t.filled = b.now
+	quota := b.cfg.Tenants[i].Quota / float64(max(1, b.cfg.Nodes))
+	t.tokens = min(t.tokens+quota*(b.now-t.refilledAt).Seconds(), max(quota, 1))
+	t.refilledAt = b.now
 	if t.tokens < 1 {
 		return false
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,27 +1,26 @@
-// Package decide makes the decisions of a load balancer for services that call
-// services: whom to admit, which server to ask, when to try again.
+// Package decide makes the decisions of a load balancer for services that call other services: which
+// requests to admit, which server gets an attempt, and when to retry.
 //
-// A node creates one Balancer, hands it every event with the present time, and
-// carries out the actions it gets back. The package does no I/O, reads no
-// clock and starts no goroutine.
+// A node creates one Balancer, passes it every event together with the current time, and carries out the
+// actions that it returns. The package does no I/O, reads no clock and starts no goroutines.
 package decide
 
 import "time"
 
-// Effect says whether a request may run more than once.
+// Idempotency says whether a request may run more than once.
 type Idempotency int
 
-// The three effects.
+// Kinds of idempotency.
 const (
 	Idempotent Idempotency = iota // safe to repeat
-	Keyed                         // repeats are dropped inside a group of servers, for a time
+	Keyed                         // servers of a group drop repeats by key, for a limited time
 	AtMostOnce                    // must never run twice
 )
 
 // Group is the set of servers that drop repeats of a keyed request.
 type Group int
 
-// The three groups.
+// Scopes of deduplication: all servers, the servers of one zone, or those of one cell.
 const (
 	GroupAll Group = iota
 	GroupZone
@@ -30,52 +29,52 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyTarget time.Duration // an answer within it earns the full worth
-	TargetPerWork float64       // the aim grows by this multiple of the request's own work
-	Deadline      time.Duration // the client's wait over all of its tries
+	LatencyTarget time.Duration // a response within it earns the full worth
+	TargetPerWork float64       // the target grows by this multiple of the request's expected work
+	Deadline      time.Duration // how long the client waits over all of its attempts
 	Worth         float64
-	LateWorth     float64 // part of the worth left after the aim
+	LateWorth     float64 // fraction of the worth that is left after the latency target
 	Idempotency   Idempotency
-	Group         Group         // Keyed: who drops repeats
-	KeyTTL        time.Duration // Keyed: for how long, from the first send that may have run
+	Group         Group         // Keyed: the servers that drop repeats
+	KeyTTL        time.Duration // Keyed: validity of a key, from the first attempt that may have run
 }
 
-// Weights says what a Server's Weight holds.
+// WeightSource says what Server.Weight contains.
 type WeightSource int
 
-// The kinds of weight.
+// Sources of server weights.
 const (
 	WeightNone        WeightSource = iota // always 1
 	WeightNominal                         // the registered size
-	WeightApproximate                     // the size, give or take
-	WeightLive                            // the size divided by 1 + calls held a core, some time ago
+	WeightApproximate                     // roughly the size
+	WeightLive                            // size / (1 + open calls per core), as of some time ago
 )
 
-// Tenant is one of those who share the service.
+// Tenant is one of the customers that share the service.
 type Tenant struct {
-	Quota float64 // requests a second over all nodes within its share; 0: not told
-	Share float64 // part of the service
+	Quota float64 // requests per second over all nodes that are within its share; 0: unknown
+	Share float64 // fraction of the service
 }
 
-// Prices are taken off the result, each times its share or rate.
+// Penalties are subtracted from the score, each multiplied by its share or rate.
 type Penalties struct {
-	CrossZone   float64 // attempts that cross zones, a first try
-	Handshake   float64 // new connections, a first try
-	Probe       float64 // probes, a first try
-	Waste       float64 // work that served no answer, as a part of all work offered
-	LateFailure float64 // worth that ended unserved after its aim
+	CrossZone   float64 // cross-zone attempts per first attempt
+	Handshake   float64 // new connections per first attempt
+	Probe       float64 // probes per first attempt
+	Waste       float64 // work that produced no response, as a fraction of all work offered
+	LateFailure float64 // worth of requests that failed after their latency target
 }
 
-// Goal weighs the parts of the result.
+// Objective weighs the parts of the score.
 type Objective struct {
 	Overall, WorstWindow, WorstClass, WorstTenant float64
-	Nines                                         float64 // tenfold steps of the worth not served ...
-	FullNines                                     float64 // ... and how many of them earn it in full
+	Nines                                         float64 // decimal orders of magnitude of unserved worth ...
+	FullNines                                     float64 // ... and how many of them earn the full score
 }
 
-// Settings are the facts a node is told at its start; what is absent is zero. Settings that make no sense do
-// not panic and break no rule: less than one node counts as one, a negative wait as none, and without a class
-// every request fails.
+// Settings are the facts that a node is given at its start; unknown ones are zero. Invalid settings neither
+// panic nor break a safety rule: a node count below one counts as one, a negative wait as none, and without
+// classes every request fails.
 type Settings struct {
 	Node, Nodes        int // this node's number among the nodes of its tier
 	Tier, Tiers        int // tier 0: front proxy
@@ -83,28 +82,28 @@
 	Zones              int
 	Classes            []Class
 	Tenants            []Tenant
-	OverShareWorth     float64 // worth of a request over its tenant's share
-	ByWork             bool    // worth is counted by work, not by request
+	OverShareWorth     float64 // worth of a request beyond its tenant's share
+	ByWork             bool    // worth is counted by work instead of by request
 	WeightSource       WeightSource
-	MustSubscribe      bool // the list of servers comes only when asked for
+	MustSubscribe      bool // discovery sends the server list only to subscribers
 	ResubscribeWithin  time.Duration
-	DrainGrace         time.Duration // sends to a draining server must have ended after this
-	ColdCapacity       float64       // a started server has at least this part of its capacity
+	DrainGrace         time.Duration // attempts on a draining server must have ended after this
+	ColdCapacity       float64       // minimum fraction of its capacity that a newly started server has
 	WarmupTime         time.Duration
-	CollapseMultiple   float64 // sent this multiple of its present capacity ...
-	CollapseWindow     time.Duration
-	AnswerGrace        time.Duration // a final answer still counts this long after the deadline
-	MinEventInterval   time.Duration // events come no closer together
-	MarksRetries       bool          // clients mark their repeats
-	PropagatesDeadline bool          // a call to the next tier carries the time that its caller has left
+	CollapseMultiple   float64       // a server fails if it is sent this multiple of its current capacity ...
+	CollapseWindow     time.Duration // ... within this time
+	AnswerGrace        time.Duration // a final response still counts this long after the deadline
+	MinEventInterval   time.Duration // events arrive no closer together
+	MarksRetries       bool          // clients mark their retries
+	PropagatesDeadline bool          // a call to the next tier carries the remaining time of its client
 	Penalties          Penalties
 	Objective          Objective
 	MaxAttempts        int
-	MaxOpenRequests    int // requests that a node can have open; 0: not told
+	MaxOpenRequests    int // requests that a node can hold open; 0: unknown
 	MaxRetryAfter      time.Duration
-	ConnIdleTimeout    time.Duration // idle connections are closed after this
+	ConnIdleTimeout    time.Duration // connections idle for longer are closed
 	ConnectTimeout     time.Duration
-	StreamsPerConn     int // attempts that one connection carries at once
+	StreamsPerConn     int // concurrent attempts per connection
 	MayCancel          bool
 	MayProbe           bool
 	MayHedge           bool
@@ -112,93 +111,100 @@
 	LimitMode          LimitMode
 }
 
-// RoomRule says how the module finds out what a server holds without a crowd. Nodes leave it at RoomLearned; the
-// others are controls for comparison.
+// LimitMode selects how the concurrency limit of a server is determined. Nodes use LimitLearned; the other
+// modes are baselines for comparison.
 type LimitMode int
 
-// The rules.
+// Modes of the concurrency limit.
 const (
-	LimitLearned LimitMode = iota // by the least response time, and cores learned from below
-	LimitFixed                    // a number of calls a tier
-	LimitNone                     // no bound: the response time alone decides
+	LimitLearned LimitMode = iota // from the minimum response time and an estimate of the server's cores
+	LimitFixed                    // a fixed number of calls for each tier
+	LimitNone                     // no limit: admission depends on response times alone
 )
 
-// Change says how a list of servers relates to the one before.
+// ListKind says how a list of servers relates to the previous one.
 type ListKind int
 
-// The kinds of list.
+// Kinds of list updates.
 const (
 	ListDiff     ListKind = iota // changed entries only
-	ListFull                     // complete: what is missing is gone
-	ListStored                   // complete, as the node last held it; perhaps old
+	ListFull                     // complete: servers that are missing from it are removed
+	ListStored                   // complete, as this node last stored it; possibly outdated
 	ListFailed                   // a call for the list failed, or the watch was lost
-	ListRestored                 // changed entries only, of what the node had: no word of discovery's
+	ListRestored                 // changed entries only, from this node's own records instead of discovery
 )
 
 // Health is a server's state in the list.
 type Health int
 
-// The states.
+// States of a server.
 const (
 	Healthy Health = iota
 	Draining
 	Removed
 )
 
-// Server is one entry of the list of servers.
+// Server is one entry of the server list.
 type Server struct {
-	ID         string
-	Zone       string
-	Cell       int
-	Health     Health
-	Weight     float64       // relative size; 0 counts as 1
-	Started    time.Duration // the time of its start; 0: long ago
-	Unverified bool          // of an old list: something else may answer at its address, so nothing unsafe is sent there
+	ID      string
+	Zone    string
+	Cell    int
+	Health  Health
+	Weight  float64       // relative size; 0 counts as 1
+	Started time.Duration // start time of its process; 0: long ago
+	// Unverified marks an entry of a stored list at whose address another process may answer, so that
+	// requests that must not run twice are not sent there.
+	Unverified bool
 }
 
-// Members brings word of the servers.
+// ListUpdate carries a new list of servers or changes to it.
 type ListUpdate struct {
 	Kind      ListKind
 	Servers   []Server
-	FleetSize int     // servers that there are likely to be, if this is a part of an old list; 0: those listed
-	PriorRate float64 // answers a second that each server gave each node in the last life, if all shared it; 0: not known
-
-	AsOf           time.Duration // discovery had nothing newer then, and tells what changes; 0: not told
-	ConfirmedUntil time.Duration // from then on a change that this node lacks may count as told; 0: not told, or never
+	FleetSize int // estimated number of servers if the list is part of a stored one; 0: those listed
+	// PriorRate is the number of responses per second that each server gave each node before this node's
+	// restart, if all nodes shared it evenly; 0: unknown.
+	PriorRate float64
+
+	AsOf time.Duration // discovery had nothing newer at this time and reports changes; 0: unknown
+	// ConfirmedUntil is the time from which changes that this node has not received may count as announced
+	// to it; 0: unknown or never.
+	ConfirmedUntil time.Duration
 }
 
-// Outcomes is a set of results of attempts, one bit each.
+// ResultSet is a set of attempt results, one bit each.
 type ResultSet uint16
 
-// Bit is the set of this result alone.
+// Bit returns the set that contains only this result.
 func (r Result) Bit() ResultSet { return 1 << r }
 
-// Bounds are the operators' timing rules for a part of the traffic. They only narrow what the settings and the
-// four rules allow; what is zero stays as it is without them. A request keeps those that it arrived under.
+// RoutePolicy holds the operators' timing rules for some of the traffic. A policy only narrows what the
+// settings and the safety rules allow; zero fields change nothing. A request keeps the policy under which
+// it arrived.
 type RoutePolicy struct {
-	AttemptTimeout time.Duration // an attempt is given up after this; 0: when the request's time is up
-	MaxAttempts    int           // at most, the first one and second copies included; 0: Settings.MaxTries
+	AttemptTimeout time.Duration // time-out of an attempt; 0: the request's remaining time
+	MaxAttempts    int           // including the first attempt and hedged ones; 0: Settings.MaxAttempts
 	BackoffInitial time.Duration // wait before the second attempt, doubled for each further one ...
-	BackoffMax     time.Duration // ... up to this; 0: no bound
-	BackoffJitter  float64       // up to this part of a wait is taken off at random, 0 to 1
-	RetryOn        ResultSet     // what another attempt may follow; 0: any
-	HedgeAfter     time.Duration // a second copy goes out this long after the first; 0: none
-	DeadlineCap    time.Duration // the request is given up this long after it came; 0: at its own time
-	MaxRetryAfter  time.Duration // the longest advice in refusals; 0: Settings.MaxRetryAfter
+	BackoffMax     time.Duration // ... up to this; 0: unbounded
+	BackoffJitter  float64       // random fraction of a wait that is subtracted at most, 0 to 1
+	RetryOn        ResultSet     // results that may be retried; 0: any
+	HedgeAfter     time.Duration // a hedged attempt starts this long after the first; 0: never
+	DeadlineCap    time.Duration // given up this long after its arrival; 0: at its own deadline
+	MaxRetryAfter  time.Duration // longest retry-after of a refusal; 0: Settings.MaxRetryAfter
 }
 
-// Request is a call that this node must now answer once.
+// Request is a call that this node must answer exactly once.
 type Request struct {
 	ID      uint64
 	Class   int           // index into Settings.Classes
-	Route   int           // 1 + index into the bounds that Routes took last; 0: none apply
+	Route   int           // 1 + index into the policies of the last SetRoutePolicies; 0: no policy
 	Tenant  int           // index into Settings.Tenants; -1: none
-	TTL     time.Duration // what is left until the caller gives up
+	TTL     time.Duration // time until the client gives up
 	Work    time.Duration // expected work; 0: unknown
-	IsRetry bool          // known to be a client's retry
+	IsRetry bool          // marked as a client's retry
 
-	// A budget that the request shares with the tiers below. Extra is how many attempts beyond the first are left
-	// of it; what they spend comes back in Outcome.Spent.
+	// A request with a budget shares it with the tiers below. ExtraAttempts is the number of attempts
+	// beyond the first that are left of it; Outcome.Spent reports what the tiers below used.
 	Budgeted      bool
 	ExtraAttempts int
 }
@@ -206,23 +212,24 @@
 // Result is how an attempt ended.
 type Result int
 
-// The results; Full, Unconnected and NotSent prove that nothing ran.
+// Results of attempts. Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
 	Served Result = iota
 	Errored
-	Rejected       // rejected unseen
-	TimedOut       // no answer in time
-	ConnectFailed  // no connection
-	ConnectionLost // connection lost while waiting
+	Rejected       // refused by the server before processing
+	TimedOut       // no response in time
+	ConnectFailed  // no connection could be made
+	ConnectionLost // the connection broke before a response
 	Cancelled
 	NotSent
-	Malformed // an answer that is none; it came, so neither server nor connection was dead
+	Malformed // invalid response; neither the server nor the connection was dead
 )
 
-// String names the result, as logs have it.
+// String returns the result as written in logs.
 func (r Result) String() string {
 	names := [...]string{
-		"served", "error", "turned away", "timed out", "unconnected", "broken", "cancelled", "not sent", "spoilt",
+		"served", "error", "turned away", "timed out", "unconnected", "broken", "cancelled", "not sent",
+		"spoilt",
 	}
 	if r < 0 || int(r) >= len(names) {
 		return "unknown"
@@ -230,47 +237,48 @@
 	return names[r]
 }
 
-// Outcome ends one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
-	Request    uint64
-	Attempt    int
-	Server     string
-	Result     Result
-	Elapsed    time.Duration // since the send
-	ConnAge    time.Duration // of the connection on which an answer came; 0: not told
-	DialTime   time.Duration // of the time since the send, until a new connection was there, if an answer came on one
-	Final      bool          // the request is finished
-	ConnClosed bool          // its connection is of no further use
-	Spent      int           // further attempts that were made below for this one, of the request's budget
+	Request uint64
+	Attempt int
+	Server  string
+	Result  Result
+	Elapsed time.Duration // since the attempt was sent
+	ConnAge time.Duration // age of the connection that carried the response; 0: unknown
+	// DialTime is the part of Elapsed until a new connection was established, if a response came on one.
+	DialTime   time.Duration
+	Final      bool // the request is finished
+	ConnClosed bool // the connection can't be used again
+	Spent      int  // extra attempts of the request's budget that the tiers below made for this one
 }
 
-// Probed ends one probe.
+// ProbeResult reports the end of one probe.
 type ProbeResult struct {
 	Server  string
 	Result  Result
 	Elapsed time.Duration
 }
 
-// Timer is a due After.
+// Timer reports that a timer of StartTimer has fired.
 type Timer struct{ Token uint64 }
 
-// Gone says that a request's client has left.
+// Disconnect reports that a request's client has left.
 type Disconnect struct{ Request uint64 }
 
-// Kind names an action.
+// ActionKind is the type of an Action.
 type ActionKind int
 
-// The actions and the fields of Action that each uses.
+// Kinds of actions, with the fields of Action that each uses.
 const (
-	Send        ActionKind = iota // Request, Server, Wait (time-out of the attempt)
-	Refuse                        // Request, Wait (retry-after; 0: no advice), Reason
+	Send        ActionKind = iota // Request, Server, Wait (time-out of the attempt), SendWithin
+	Refuse                        // Request, Wait (retry-after; 0: none), Reason
 	Fail                          // Request, Reason
 	Cancel                        // Request, Attempt
 	Probe                         // Server
-	WatchList                     // ask for changes of the list from now on
-	UnwatchList                   // ask for no more changes
+	WatchList                     // subscribe to changes of the server list
+	UnwatchList                   // end the subscription
 	CloseIdle                     // Server: close the idle connections to it
-	FetchList                     // ask for the whole list once
+	FetchList                     // fetch the whole list once
 	StartTimer                    // Token, Wait
 	Log                           // Text
 )
@@ -278,25 +286,25 @@
 // Reason says why a request is refused or failed.
 type Reason int
 
-// The reasons.
+// Reasons for refusing or failing a request.
 const (
 	NoReason            Reason = iota
-	Overloaded                 // admission: response times or the calls here are too high for its worth
-	NoServer                   // no server could take it for as long as it could wait
+	Overloaded                 // admission: response times or open calls are too high for the request's worth
+	NoServer                   // no server was available for as long as the request could wait
 	DeadlineExceeded           // its time is up
-	OutOfAttempts              // it has had as many attempts as it may
-	OutOfRetryBudget           // the node makes too many retries
+	OutOfAttempts              // it has used all attempts that it may have
+	OutOfRetryBudget           // this node makes too many retries
 	MayHaveRun                 // it must not run twice, and an attempt may have run
-	KeyExpired                 // servers may have forgotten its key, and an attempt may have run
-	RouteDisallowsRetry        // the operators' rule wants no attempt after such an outcome
-	UnknownClass               // the settings have no such class
+	KeyExpired                 // servers may have dropped its key, and an attempt may have run
+	RouteDisallowsRetry        // the route's policy allows no retry after this result
+	UnknownClass               // no such class in the settings
 )
 
-// String names the reason, as logs have it.
+// String returns the reason as written in logs.
 func (r Reason) String() string {
 	names := [...]string{
-		"none", "crowded", "no server", "out of time", "out of attempts", "out of retry budget", "may have run",
-		"key forgotten", "route forbids", "unknown class",
+		"none", "crowded", "no server", "out of time", "out of attempts", "out of retry budget",
+		"may have run", "key forgotten", "route forbids", "unknown class",
 	}
 	if r < 0 || int(r) >= len(names) {
 		return "unknown"
@@ -304,37 +312,40 @@
 	return names[r]
 }
 
-// Action is something the node must do.
+// Action is something that the node must do.
 type Action struct {
 	Kind       ActionKind
 	Request    uint64
 	Attempt    int
 	Server     string
 	Wait       time.Duration
-	SendWithin time.Duration // Send: its last byte leaves within this, or it is not sent; 0: whenever
+	SendWithin time.Duration // Send: the last byte must leave within this, or it is not sent; 0: no limit
 	Token      uint64
 	Text       string
 	Reason     Reason // Refuse, Fail
 }
 
-// Cold is a cold server of this node's subset, for nodes that pool what they may send to it.
+// ColdServer describes a cold server of this node's subset, for nodes that pool their send budgets for it.
 type ColdServer struct {
-	Server       string
-	Zone         string
-	Started      time.Duration
-	SendRate     float64 // sends a second that are this node's part of the budget, as it may be used by whole sends
-	MeanSendRate float64 // sends a second that it makes to a server on average; 0 of one that it turns to where no near one may
-	GrantsUsed   int     // of what was dealt since the server started, sent
-	GrantsHeld   int     // of that, still there
-	Answered     int     // requests that it has served this node since it started
-	Starved      bool    // it was passed over for want of one, since it was last looked at
+	Server   string
+	Zone     string
+	Started  time.Duration
+	SendRate float64 // this node's share of the send budget, usable in whole sends per second
+	// MeanSendRate is the average number of sends per second that this node makes to a server; 0 if the
+	// node uses this server only when no server of its own zone is available.
+	MeanSendRate float64
+	GrantsUsed   int  // granted sends used since the server started
+	GrantsHeld   int  // granted sends that are left
+	Answered     int  // requests that it has served for this node since it started
+	Starved      bool // skipped for lack of a grant since the last call of ColdServers
 }
 
-// Deal is what the nodes have settled for a cold server.
+// Grant is what the nodes have agreed on for a cold server.
 type Grant struct {
-	Server     string
-	Started    time.Duration // of its life; another's is void
-	LentUntil  time.Duration // until then this node's own part is lent to the pool, and only what is dealt is sent
-	Sends      int           // dealt with this word ...
-	ValidUntil time.Duration // ... and good until then
+	Server  string
+	Started time.Duration // start time of the process that it applies to; void for any other
+	// Until LentUntil this node's own share is lent to the pool, and only granted sends are made.
+	LentUntil  time.Duration
+	Sends      int           // granted sends ...
+	ValidUntil time.Duration // ... and until when they can be used
 }
--- a/decide/choice.go
+++ b/decide/choice.go
@@ -6,117 +6,124 @@
 	"time"
 )
 
-// Which server an attempt goes to.
+// Choice of the server for an attempt.
 
 const (
-	longList   = 16              // servers, above which not all are looked at
-	manyDraws  = 12              // after which they are all the same
-	unmadeMost = 0.1             // part of attempts unconnected, above which made ones are sought
-	ejectAfter = 3               // failures in a row that take a server out
-	ejectFor   = time.Second     // doubled with each further ejection
-	coldSafety = 0.5             // part of the cold budget that a node uses by itself, as chances
-	lateGain   = 0.25            // weight of the newest response time of a server
-	lateMemory = 2 * time.Second // after which a server's slowness is mostly forgotten
+	sampleThreshold         = 16              // longer lists are sampled at random instead of searched
+	maxDraws                = 12              // draws after which a long list is searched all the same
+	connectFailureThreshold = 0.1             // failure rate above which existing ones are preferred
+	ejectAfterFailures      = 3               // consecutive failures that eject a server
+	baseEjectionTime        = time.Second     // doubled with each further ejection
+	coldOwnShare            = 0.5             // fraction of the cold budget that a node uses without a grant
+	slownessGain            = 0.25            // weight of a server's newest response time
+	slownessMemory          = 2 * time.Second // time constant with which a server's measured slowness decays
 )
 
-// fail counts a failure, and ejects after some in a row, each time for longer.
-func (h *health) fail(now time.Duration, after int) {
-	h.fails++
-	if h.fails >= after {
-		h.outUntil = now + ejectFor<<min(h.ejections, 3)
-		h.fails = after - 1 // one more failure afterwards is enough
+// recordFailure counts a failure; several in a row eject, each time for longer.
+func (h *health) recordFailure(now time.Duration, after int) {
+	h.consecutiveFailures++
+	if h.consecutiveFailures >= after {
+		h.ejectedUntil = now + baseEjectionTime<<min(h.ejections, 3)
+		h.consecutiveFailures = after - 1 // one more failure after the ejection is enough
 		h.ejections++
 	}
 }
 
-// served clears what was held against it.
-func (h *health) served() { h.fails, h.ejections, h.outUntil = 0, 0, 0 }
+// recordSuccess clears all failures and ejections.
+func (h *health) recordSuccess() { h.consecutiveFailures, h.ejections, h.ejectedUntil = 0, 0, 0 }
 
-// out tells whether to keep away. After an ejection there is one call at a time until it has served one:
-// what hangs would else swallow a full share of calls at each return.
-func (h *health) out(now time.Duration) bool {
-	return h.outUntil > now || h.ejections > 0 && h.inflight > 0
+// unavailable reports whether to send nothing. After an ejection only one call at a time is allowed until
+// one succeeds: otherwise a server that hangs would take a full share of the calls each time its ejection
+// ends.
+func (h *health) unavailable(now time.Duration) bool {
+	return h.ejectedUntil > now || h.ejections > 0 && h.inflight > 0
 }
 
-// cold is the part of its capacity that a server surely has; 1 when warm.
-func (b *Balancer) cold(s *server) float64 {
+// capacityFraction returns the minimum fraction of its capacity that a server has; 1 when warm.
+func (b *Balancer) capacityFraction(s *server) float64 {
 	age := b.now - s.Started
-	if s.Started == 0 || age >= b.set.WarmupTime {
+	if s.Started == 0 || age >= b.cfg.WarmupTime {
 		return 1
 	}
-	return b.set.ColdCapacity + (1-b.set.ColdCapacity)*max(0, float64(age)/float64(b.set.WarmupTime))
+	return b.cfg.ColdCapacity + (1-b.cfg.ColdCapacity)*max(0, float64(age)/float64(b.cfg.WarmupTime))
 }
 
-// slowStart is what this node may send a cold server by itself, in sends a second. All nodes together may
-// send FallMultiple times what it can do; each takes a fixed part, measured by what its servers answer:
-// sends would count a storm as capacity.
-func (b *Balancer) slowStart(s *server, safety float64) float64 {
-	subset, members := float64(max(1, len(b.near)+len(b.far))), float64(max(1, b.members()))
-	sharing := max(1, float64(b.set.Nodes)*subset/members)
-	rate := max(b.answers()/subset, b.before) * safety * b.set.CollapseMultiple * b.cold(s)
-	return max(rate, 1/sharing/b.set.CollapseWindow.Seconds())
+// slowStartRate returns the sends per second that this node may make to a cold server on its own. All nodes
+// together may send CollapseMultiple times the server's current capacity, and each takes a fixed share.
+// Capacity is estimated from responses, since sends would count an overload as capacity.
+func (b *Balancer) slowStartRate(s *server, fraction float64) float64 {
+	subset, members := float64(max(1, len(b.localSubset)+len(b.remoteSubset))),
+		float64(max(1, b.memberCount()))
+	nodesPerServer := max(1, float64(b.cfg.Nodes)*subset/members)
+	rate := max(b.currentAnswerRate()/subset, b.priorRate) * fraction *
+		b.cfg.CollapseMultiple * b.capacityFraction(s)
+	return max(rate, 1/nodesPerServer/b.cfg.CollapseWindow.Seconds())
 }
 
-// may tells if a cold server's budget has room. While its part is lent a node sends what it is dealt.
-func (b *Balancer) may(s *server) bool {
-	if b.cold(s) == 1 {
+// coldBudgetAllows reports whether a cold server's budget allows a send. While this node's share is lent to
+// the pool, only granted sends are allowed.
+func (b *Balancer) coldBudgetAllows(s *server) bool {
+	if b.capacityFraction(s) == 1 {
 		return true
 	}
-	if s.filled < s.lent { // what is lent does not add up here
-		s.tokens, s.filled = 0, s.lent
+	if s.refilledAt < s.lentUntil { // lent tokens do not accumulate here
+		s.tokens, s.refilledAt = 0, s.lentUntil
 	}
-	if b.now < s.lent {
-		s.short = s.short || s.held(b.now) == 0 && (s.near || b.noNear)
-		return s.held(b.now) > 0
+	if b.now < s.lentUntil {
+		s.starved = s.starved || s.grantsHeld(b.now) == 0 && (s.local || b.noLocalServer)
+		return s.grantsHeld(b.now) > 0
 	}
-	rate := b.slowStart(s, coldSafety)
-	s.tokens = min(s.tokens+rate*(b.now-s.filled).Seconds(), 1+rate*b.set.CollapseWindow.Seconds()/4)
-	s.filled = b.now
+	rate := b.slowStartRate(s, coldOwnShare)
+	s.tokens = min(s.tokens+rate*(b.now-s.refilledAt).Seconds(), 1+rate*b.cfg.CollapseWindow.Seconds()/4)
+	s.refilledAt = b.now
 	return s.tokens >= 1
 }
 
-// pick finds the less loaded of two random members of the subset, and in other zones likewise; the far one
-// is taken where it is idler by its cost. Where half the subset is ejected the fault is hardly the servers',
-// and none of it is trusted.
-func (b *Balancer) pick(c *call) *server {
-	if c.ran && b.set.Classes[c.Class].Idempotency == Keyed && b.set.Classes[c.Class].Group != GroupAll {
-		for _, trust := range [...]bool{true, false} {
-			b.scratch = b.usable(c, b.homes, trust, b.scratch[:0])
-			if b.scratch = b.usable(c, b.others, trust, b.scratch); len(b.scratch) > 0 {
-				return b.two(b.connected(b.scratch))
+// pickServer returns the less loaded of two random servers of the local subset, unless the same choice in
+// the remote subset gives one that is less loaded by more than the cross-zone penalty. If half the subset
+// is ejected, the servers are unlikely to be at fault, and ejections are ignored.
+func (b *Balancer) pickServer(c *call) *server {
+	if c.mayHaveRun && b.cfg.Classes[c.Class].Idempotency == Keyed &&
+		b.cfg.Classes[c.Class].Group != GroupAll {
+		for _, honorEjections := range [...]bool{true, false} {
+			b.scratch = b.appendEligible(c, b.localServers, honorEjections, b.scratch[:0])
+			if b.scratch = b.appendEligible(c, b.remoteServers, honorEjections,
+				b.scratch); len(b.scratch) > 0 {
+				return b.pickOfTwo(b.preferConnected(b.scratch))
 			}
 		}
 		return b.leastDoubtful(c)
 	}
-	_, out := b.faults()
-	trust := 2*out < len(b.near)+len(b.far)
-	near := b.choice(c, b.near, trust)
-	b.noNear = near == nil
-	far := b.choice(c, b.far, trust)
-	if near == nil && far == nil {
+	_, ejected := b.countEjected()
+	honorEjections := 2*ejected < len(b.localSubset)+len(b.remoteSubset)
+	local := b.pickFrom(c, b.localSubset, honorEjections)
+	b.noLocalServer = local == nil
+	remote := b.pickFrom(c, b.remoteSubset, honorEjections)
+	if local == nil && remote == nil {
 		return b.leastDoubtful(c)
 	}
-	if near == nil || far != nil && (b.cost(b.set.Penalties.CrossZone)*b.load(far) < b.load(near)) {
-		return far
+	if local == nil || remote != nil &&
+		(b.priceFactor(b.cfg.Penalties.CrossZone)*b.load(remote) < b.load(local)) {
+		return remote
 	}
-	return near
+	return local
 }
 
-// cost is how many times as loaded a server counts where a send there has a price. A call of b.late aims
-// saves b.late*(1-1/x) at one x times as idle; an aim saved is taken to be worth a request, and must exceed
-// the price.
-func (b *Balancer) cost(price float64) float64 {
-	return 1 / max(1e-3, 1-price/max(b.late, 1e-6))
+// priceFactor returns by what factor a server's load counts if a send to it incurs a penalty. At a mean
+// latency of m targets, a server with 1/x of the load saves m*(1-1/x) targets. A target saved is valued at
+// one request, and the saving must exceed the penalty.
+func (b *Balancer) priceFactor(price float64) float64 {
+	return 1 / max(1e-3, 1-price/max(b.meanLatency, 1e-6))
 }
 
-// choice picks the less loaded of two random servers of a list that may take a call. Of a long list two are
-// drawn until they may; a short one, or one of which few may, is gone through.
-func (b *Balancer) choice(c *call, list []*server, trust bool) *server {
-	if len(list) > longList && b.unmade <= unmadeMost {
+// pickFrom returns the less loaded of two random eligible servers of a list. Long lists are sampled; short
+// lists, and those with few eligible servers, are searched completely.
+func (b *Balancer) pickFrom(c *call, list []*server, honorEjections bool) *server {
+	if len(list) > sampleThreshold && b.connectFailureRate <= connectFailureThreshold {
 		var first *server
-		for range manyDraws {
+		for range maxDraws {
 			s := list[b.rng.IntN(len(list))]
-			if s == first || !b.fits(c, s, trust, true) {
+			if s == first || !b.eligible(c, s, honorEjections, true) {
 				continue
 			}
 			if first == nil {
@@ -128,15 +135,15 @@
 			}
 		}
 	}
-	b.scratch = b.usable(c, list, trust, b.scratch[:0])
-	return b.two(b.connected(b.scratch))
+	b.scratch = b.appendEligible(c, list, honorEjections, b.scratch[:0])
+	return b.pickOfTwo(b.preferConnected(b.scratch))
 }
 
-// two is the power of two choices. A send that was dealt is lost if it is not made soon, and others go
-// without it: it comes first, one at a time.
-func (b *Balancer) two(list []*server) *server {
+// pickOfTwo is the power of two choices. A server with unused grants takes precedence, one call at a time:
+// a granted send expires if it is not made soon, and no other node can use it.
+func (b *Balancer) pickOfTwo(list []*server) *server {
 	for _, s := range list {
-		if s.inflight == 0 && s.held(b.now) > 0 {
+		if s.inflight == 0 && s.grantsHeld(b.now) > 0 {
 			return s
 		}
 	}
@@ -154,92 +161,96 @@
 	return list[i]
 }
 
-// load is a server's load: this node's own calls there, each weighed by how slow the server has lately
-// been. With one call in flight or none, as on most servers of a large fleet, the count alone is blind. Where
-// a connection would have to be made, its price counts as a far server's does.
+// load returns this node's open calls on a server, weighted by how slow the server has recently been. The
+// count alone says little with one open call or none, as on most servers of a large fleet. If a new
+// connection is needed, its penalty counts in the same way as the cross-zone penalty.
 func (b *Balancer) load(s *server) float64 {
 	load := float64(s.inflight+1) * b.slowness(s)
-	if len(s.idle) == 0 {
-		load *= b.cost(b.set.Penalties.Handshake)
+	if len(s.idleConns) == 0 {
+		load *= b.priceFactor(b.cfg.Penalties.Handshake)
 	}
 	return load
 }
 
-// slowness is a server's response time against that of all: what its size says, and what was seen beyond
-// that, which fades.
+// slowness returns a server's response time relative to all servers: what its weight predicts, plus the
+// observed deviation, which decays.
 func (b *Balancer) slowness(s *server) float64 {
-	usual := b.weight / s.weight
-	if s.inflight > 0 || s.held(b.now) == 0 {
-		usual /= b.cold(s)
+	expected := b.meanWeight / s.weight
+	if s.inflight > 0 || s.grantsHeld(b.now) == 0 {
+		expected /= b.capacityFraction(s)
 	}
-	return usual + s.late*math.Exp(-float64(b.now-s.lateAt)/float64(lateMemory))
+	return expected + s.extraSlowness*math.Exp(-float64(b.now-s.extraSlownessAt)/float64(slownessMemory))
 }
 
-// learn books the response time of an attempt against that of all servers.
-func (b *Balancer) learn(s *server, x float64) {
-	b.late += (x - b.late) * lateGain / 8
-	slow := b.slowness(s)
-	s.late *= math.Exp(-float64(b.now-s.lateAt) / float64(lateMemory))
-	s.late += (x/max(b.late, 1e-6) - slow) * lateGain
-	s.lateAt = b.now
+// recordLatency updates a server's slowness with the response time of an attempt.
+func (b *Balancer) recordLatency(s *server, latency float64) {
+	b.meanLatency += (latency - b.meanLatency) * slownessGain / 8
+	previous := b.slowness(s)
+	s.extraSlowness *= math.Exp(-float64(b.now-s.extraSlownessAt) / float64(slownessMemory))
+	s.extraSlowness += (latency/max(b.meanLatency, 1e-6) - previous) * slownessGain
+	s.extraSlownessAt = b.now
 }
 
-// fits tells whether a server may take a call; ejected ones may not where that is trusted.
-func (b *Balancer) fits(c *call, s *server, trust, others bool) bool {
-	if trust && (s.out(b.now) || s.zone.out(b.now)) || b.unproven(s) || !b.allowed(c, s) {
+// eligible reports whether a server may take a call. Ejected servers may not, unless ejections are ignored.
+func (b *Balancer) eligible(c *call, s *server, honorEjections, hasAlternative bool) bool {
+	if honorEjections && (s.unavailable(b.now) || s.zone.unavailable(b.now)) ||
+		b.doubtful(s) || !b.permitted(c, s) {
 		return false
 	}
-	// Not the server that just failed, unless a keyed call has no other: it would wait in vain.
+	// Not the server that has just failed, unless a keyed call has no other: it would wait for nothing.
 	n := len(c.attempts)
-	return !(trust && n > 0 && c.attempts[n-1].server == s && others)
+	return !(honorEjections && n > 0 && c.attempts[n-1].server == s && hasAlternative)
 }
 
-// allowed tells whether the rules let a server take a call: its key's group, a cold server's budget, and
-// what may answer at its address.
-func (b *Balancer) allowed(c *call, s *server) bool {
-	return b.inGroup(c, s) && b.may(s) && !(s.Unverified && b.set.Classes[c.Class].Idempotency == AtMostOnce)
+// permitted reports whether the safety rules allow a server to take a call: the group of its key, a cold
+// server's budget, and servers at whose address another process may answer.
+func (b *Balancer) permitted(c *call, s *server) bool {
+	return b.inKeyGroup(c, s) && b.coldBudgetAllows(s) &&
+		!(s.Unverified && b.cfg.Classes[c.Class].Idempotency == AtMostOnce)
 }
 
-// usable appends the servers of a list that may take a call.
-func (b *Balancer) usable(c *call, list []*server, trust bool, to []*server) []*server {
+// appendEligible appends the servers of a list that may take a call.
+func (b *Balancer) appendEligible(c *call, list []*server, honorEjections bool, to []*server) []*server {
 	for _, s := range list {
-		if b.fits(c, s, trust, len(list) > 1) {
+		if b.eligible(c, s, honorEjections, len(list) > 1) {
 			to = append(to, s)
 		}
 	}
 	return to
 }
 
-// connected keeps the servers with a connection to spare, where many accept none, or too slowly.
-func (b *Balancer) connected(list []*server) []*server {
-	idle := func(s *server) bool { return len(s.idle) > 0 }
-	if b.unmade > unmadeMost && slices.ContainsFunc(list, idle) {
+// preferConnected keeps only servers with an idle connection if many connections fail or take too long.
+func (b *Balancer) preferConnected(list []*server) []*server {
+	idle := func(s *server) bool { return len(s.idleConns) > 0 }
+	if b.connectFailureRate > connectFailureThreshold && slices.ContainsFunc(list, idle) {
 		return slices.DeleteFunc(list, func(s *server) bool { return !idle(s) })
 	}
 	return list
 }
 
-// inGroup tells whether a keyed call that may have run is known to this server.
-func (b *Balancer) inGroup(c *call, s *server) bool {
-	class := &b.set.Classes[c.Class]
-	return !c.ran || class.Idempotency != Keyed || class.Group == GroupAll ||
-		class.Group == GroupZone && s.Zone == c.ranOn.Zone ||
-		class.Group == GroupCell && s.Cell == c.ranOn.Cell
+// inKeyGroup reports whether a server drops repeats of a keyed call that may have run.
+func (b *Balancer) inKeyGroup(c *call, s *server) bool {
+	class := &b.cfg.Classes[c.Class]
+	return !c.mayHaveRun || class.Idempotency != Keyed || class.Group == GroupAll ||
+		class.Group == GroupZone && s.Zone == c.mayHaveRunOn.Zone ||
+		class.Group == GroupCell && s.Cell == c.mayHaveRunOn.Cell
 }
 
-// judge ejects a server that fails again and again, and a whole zone where all of its servers do: it is
-// lost, or cut off from here, and to find that out server by server would take many calls.
-func (b *Balancer) judge(s *server, r Result) {
+// updateHealth ejects a server that fails repeatedly, and a whole zone if all of its servers fail: the zone
+// is lost or unreachable, and it would take many calls to find that out server by server.
+func (b *Balancer) updateHealth(s *server, r Result) {
 	switch r {
 	case Served:
-		b.rate, b.rateAt = b.answers()+1/rateMemory.Seconds(), b.now
-		s.served()
-		s.zone.served()
-	case TimedOut, ConnectFailed, ConnectionLost, Errored: // errors in a row are the server's own, not its zone's
-		if r != Errored && (s.fails == 0 || s.zone.ejections > 0) { // one bad server is counted once
-			s.zone.fail(b.now, min(2*ejectAfter, max(ejectAfter, s.zone.members)))
+		b.answerRate, b.answerRateAt = b.currentAnswerRate()+1/answerRateMemory.Seconds(), b.now
+		s.recordSuccess()
+		s.zone.recordSuccess()
+	case TimedOut, ConnectFailed, ConnectionLost, Errored:
+		// Error responses are the server's fault, not its zone's. A single bad server counts once.
+		if r != Errored && (s.consecutiveFailures == 0 || s.zone.ejections > 0) {
+			s.zone.recordFailure(b.now,
+				min(2*ejectAfterFailures, max(ejectAfterFailures, s.zone.subsetServers)))
 		}
-		s.fail(b.now, ejectAfter)
-		b.faulty = true
+		s.recordFailure(b.now, ejectAfterFailures)
+		b.maybeEjected = true
 	}
 }
--- a/decide/room_test.go
+++ b/decide/concurrency_test.go
@@ -9,14 +9,14 @@
 // learner feeds a room answers of a plant: a server of so many cores with a
 // service time in aims, at so many calls held, of which the room knows nothing.
 type learner struct {
-	room
+	concurrencyLimit
 	now   time.Duration
 	cores float64
 	took  float64
 }
 
 func newLearner(cores, took float64) *learner {
-	return &learner{room: newRoom(LimitLearned, 5, 0, time.Second), cores: cores, took: took}
+	return &learner{concurrencyLimit: newConcurrencyLimit(LimitLearned, 5, 0, time.Second), cores: cores, took: took}
 }
 
 // hold plays so many answers at so many calls held a server, a millisecond apart;
@@ -24,17 +24,17 @@
 func (l *learner) hold(held float64, answers int) {
 	for range answers {
 		l.now += ms
-		l.wanted = l.wanted || held >= l.calls()
-		l.room.took(l.now, l.took*max(1, held/l.cores), false, held)
+		l.reached = l.reached || held >= l.perServer()
+		l.concurrencyLimit.record(l.now, l.took*max(1, held/l.cores), false, held)
 		if l.now%(200*ms) == 0 {
-			l.measure(l.now, 1)
+			l.update(l.now, 1)
 		}
 	}
 }
 
 func TestRoomBeforeAnyAnswer(t *testing.T) {
-	m := newRoom(LimitLearned, 5, 0, time.Second)
-	if c := m.calls(); c != clearPart/leastStart {
+	m := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
+	if c := m.perServer(); c != clearFraction/initialMinLatency {
 		t.Errorf("room for %v calls", c)
 	}
 }
@@ -42,21 +42,21 @@
 // A node that starts in the midst of an overload has no answer to go by, but it
 // waits for one: the longer, the less room. Without calls it waits for nothing.
 func TestRoomWhileTheFirstAnswerIsWaitedFor(t *testing.T) {
-	m := newRoom(LimitLearned, 5, 0, time.Second)
-	m.measure(10*time.Second, 0)
-	if c := m.calls(); c != clearPart/leastStart {
+	m := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
+	m.update(10*time.Second, 0)
+	if c := m.perServer(); c != clearFraction/initialMinLatency {
 		t.Errorf("idle for 10 s: room for %v calls", c)
 	}
-	m.measure(10*time.Second+50*ms, 1)
-	if c := m.calls(); c != 10 {
+	m.update(10*time.Second+50*ms, 1)
+	if c := m.perServer(); c != 10 {
 		t.Errorf("50 ms without an answer: room for %v calls, want 10", c)
 	}
-	m.measure(10*time.Second+300*ms, 1)
-	if c := m.calls(); c != 5 {
+	m.update(10*time.Second+300*ms, 1)
+	if c := m.perServer(); c != 5 {
 		t.Errorf("300 ms without an answer: room for %v calls, want the presumed 5", c)
 	}
-	m.took(10*time.Second+310*ms, 0.04, false, 1) // it was the listing that took long
-	if c := m.calls(); c != 12.5 {
+	m.record(10*time.Second+310*ms, 0.04, false, 1) // it was the listing that took long
+	if c := m.perServer(); c != 12.5 {
 		t.Errorf("after one answer in 0.04 aims: room for %v calls, want 12.5", c)
 	}
 }
@@ -67,7 +67,7 @@
 	for _, c := range []struct{ took, least, most float64 }{{0.002, 200, 300}, {0.02, 20, 30}, {0.3, 5, 5}, {2, 5, 5}} {
 		l := newLearner(1, c.took)
 		l.hold(1, 400)
-		if got := l.calls(); got < c.least || got > c.most {
+		if got := l.perServer(); got < c.least || got > c.most {
 			t.Errorf("answers in %v aims: room for %v calls, want %v to %v", c.took, got, c.least, c.most)
 		}
 	}
@@ -79,9 +79,9 @@
 	for _, cores := range []float64{1, 8, 64} {
 		l := newLearner(cores, 0.15)
 		for range 60 { // the load is as much as is let in
-			l.hold(l.calls(), 1000)
+			l.hold(l.perServer(), 1000)
 		}
-		got := l.calls()
+		got := l.perServer()
 		if want := max(5, cores); got < 0.8*want || got > 2*want {
 			t.Errorf("%v cores: room for %v calls", cores, got)
 		}
@@ -93,21 +93,21 @@
 func TestRoomThroughAFault(t *testing.T) {
 	l := newLearner(8, 0.02)
 	for range 20 {
-		l.hold(l.calls(), 1000)
+		l.hold(l.perServer(), 1000)
 	}
-	before := l.calls()
+	before := l.perServer()
 	l.took = 0.2
 	for range 40 {
 		l.hold(6, 1000)
-		if got := l.calls(); got > before*1.05 {
+		if got := l.perServer(); got > before*1.05 {
 			t.Fatalf("room for %v calls in the fault, %v before", got, before)
 		}
 	}
 	l.took = 0.02
 	for range 3 {
-		l.hold(l.calls(), 1000)
+		l.hold(l.perServer(), 1000)
 	}
-	if got := l.calls(); got < before/3 {
+	if got := l.perServer(); got < before/3 {
 		t.Errorf("room for %v calls 3 s after the fault, %v before", got, before)
 	}
 }
@@ -117,10 +117,10 @@
 	l := newLearner(1, 0.002)
 	for range 20 {
 		l.now += 500 * ms
-		l.room.took(l.now, 0.002, false, 1)
-		l.measure(l.now, 1)
+		l.concurrencyLimit.record(l.now, 0.002, false, 1)
+		l.update(l.now, 1)
 	}
-	if got := l.calls(); got < 200 {
+	if got := l.perServer(); got < 200 {
 		t.Errorf("room for %v calls after 20 answers", got)
 	}
 }
@@ -128,20 +128,20 @@
 func TestRoomIsForgotten(t *testing.T) {
 	l := newLearner(64, 0.15)
 	for range 60 {
-		l.hold(l.calls(), 1000)
+		l.hold(l.perServer(), 1000)
 	}
 	for range 120 {
 		l.hold(1, 1000)
 	}
-	if l.learned > 2 {
-		t.Errorf("%v cores are still held to be there after two minutes without need", l.learned)
+	if l.learnedCores > 2 {
+		t.Errorf("%v cores are still held to be there after two minutes without need", l.learnedCores)
 	}
 }
 
 func TestRulesForComparison(t *testing.T) {
 	for rule, want := range map[LimitMode]float64{LimitFixed: 5, LimitNone: math.Inf(1)} {
-		if m := newRoom(rule, 5, 0, time.Second); m.calls() != want {
-			t.Errorf("rule %d: room for %v calls, want %v", rule, m.calls(), want)
+		if m := newConcurrencyLimit(rule, 5, 0, time.Second); m.perServer() != want {
+			t.Errorf("rule %d: room for %v calls, want %v", rule, m.perServer(), want)
 		}
 	}
 }
@@ -153,21 +153,21 @@
 	l.hold(1, 200)
 	for range 64 {
 		l.now += ms
-		l.room.took(l.now, 0.001, true, 100)
+		l.concurrencyLimit.record(l.now, 0.001, true, 100)
 	}
-	l.measure(l.now, 100)
-	if got := l.calls(); got != fullBack*100 {
+	l.update(l.now, 100)
+	if got := l.perServer(); got != rejectionBackoff*100 {
 		t.Errorf("room for %v calls where boxes were full at 100", got)
 	}
 	l.hold(1, 2000)
-	if got := l.calls(); got < 200 {
+	if got := l.perServer(); got < 200 {
 		t.Errorf("room for %v calls after 2 s without", got)
 	}
 	for i := range 64 { // one box in twenty turns all away
-		l.room.took(l.now, 0.001, i%20 == 0, 100)
+		l.concurrencyLimit.record(l.now, 0.001, i%20 == 0, 100)
 	}
-	l.measure(l.now, 100)
-	if got := l.calls(); got < 200 {
+	l.update(l.now, 100)
+	if got := l.perServer(); got < 200 {
 		t.Errorf("room for %v calls for one bad box", got)
 	}
 }
@@ -175,14 +175,14 @@
 // A node that nobody has asked for anything waits for no answer: a burst before quick servers that comes late
 // in a period is not refused for the time before it.
 func TestBurstAtTheStartIsNotRefused(t *testing.T) {
-	for idle := time.Duration(0); idle < period; idle += 10 * ms {
+	for idle := time.Duration(0); idle < measurePeriod; idle += 10 * ms {
 		b := node(8)
 		start := time.Second + idle
 		if sent := offer(b, start, 0, 100); sent < 100 {
 			t.Errorf("a burst %v after the start: %d of 100 sent", idle, sent)
 		}
 		// The period ends before the first answer.
-		if next := time.Second + period; next-start <= 20*ms && offer(b, next, 0, 1) < 1 {
+		if next := time.Second + measurePeriod; next-start <= 20*ms && offer(b, next, 0, 1) < 1 {
 			t.Errorf("%v after a burst: refused", next-start)
 		}
 	}
@@ -200,7 +200,7 @@
 				Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: 100 * ms, DialTime: dial, Final: true,
 			}, nil)
 		}
-		if got, want := b.room.least[0], (100*ms - dial).Seconds(); math.Abs(got-want) > 1e-9 {
+		if got, want := b.limit.minLatency[0], (100*ms - dial).Seconds(); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%v of 100 ms spent dialling: the least is %v aims, want %v", dial, got, want)
 		}
 	}
@@ -252,7 +252,7 @@
 		for answers := uint64(1); answers <= 4; answers++ {
 			b := node(8)
 			from := nextID
-			end := time.Second + period
+			end := time.Second + measurePeriod
 			offer(b, end-late, 0, 128)
 			for i := range answers {
 				answer(b, from+1+i, end-ms, late-ms)
@@ -265,7 +265,7 @@
 	// 150 requests a second at a node whose servers answer one in 70 ms: within three periods it is shut.
 	b, done := node(8), nextID
 	now := time.Second
-	for ; now < time.Second+3*period; now += 10 * ms {
+	for ; now < time.Second+3*measurePeriod; now += 10 * ms {
 		b.HandleRequest(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
 		nextID++
 		if now%(70*ms) == 0 && b.calls[done+1] != nil {
@@ -275,7 +275,7 @@
 	}
 	b.HandleRequest(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
 	nextID++
-	if b.r < curveTop {
-		t.Errorf("after three periods of overload r is %.2f", b.r)
+	if b.latencyRatio < shedAllRatio {
+		t.Errorf("after three periods of overload r is %.2f", b.latencyRatio)
 	}
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,4 +1,4 @@
-// The decisions of curlewring; its interface stands in decide/api.go.
+// Event handlers of the Balancer; see api.go for the package's interface.
 package decide
 
 import (
@@ -9,325 +9,336 @@
 )
 
 const (
-	period       = 200 * time.Millisecond // between two readings of r
-	tierCrowd    = 2                      // calls a server, for each tier on, that are surely no crowd
-	repeatWorth  = 0.9                    // a client's repeat stands a step below a first try
-	crowdMemory  = 8                      // arrivals over which the calls here are averaged
-	mixMemory    = 64                     // arrivals over which the shares of the levels are averaged
-	countMemory  = 24                     // outcomes over which r is averaged
-	retryRate    = 0.2                    // retry budget: attempts earned by each first try
-	retryBurst   = 10
-	gapSpans     = 8                     // spans of idle time told apart, each double the one before
-	gapMemory    = 10 * time.Second      // over which what became of sends after such idle times is kept
-	unmadeMemory = 32                    // attempts over which the part without a connection is averaged
-	holdStep     = 10 * time.Millisecond // wait before looking again for a server
-	coldPooled   = 0.8                   // part of the cold budget that nodes deal among themselves
-	rateMemory   = 5 * time.Second       // how slowly the send rate is followed
-	mostSpare    = 256                   // calls kept to be used again
-	askToken     = 1 << 62               // timer that asks for the list; others carry a request's id
+	measurePeriod         = 200 * time.Millisecond // interval between updates of the latency ratio
+	assumedCallsPerTier   = 2                      // calls per server and remaining tier without queueing
+	retryWorthFactor      = 0.9                    // retries rank just below first attempts
+	openCallsMemory       = 8                      // arrivals over which the open calls are averaged
+	trafficMixMemory      = 64                     // arrivals over which the mix of worths is averaged
+	latencyRatioMemory    = 24                     // outcomes over which the latency ratio is averaged
+	retryBudgetPerRequest = 0.2                    // retries earned by each admitted request
+	retryBudgetMax        = 10
+	idleBuckets           = 8                     // buckets of idle time, each twice as long as the previous
+	idleStatsMemory       = 10 * time.Second      // time constant of the idle statistics
+	connectFailureMemory  = 32                    // attempts over which connection failures are averaged
+	holdInterval          = 10 * time.Millisecond // wait before looking for an available server again
+	coldPoolShare         = 0.8                   // fraction of the cold budget that is granted by the pool
+	answerRateMemory      = 5 * time.Second       // time constant of the answer rate
+	maxFreeCalls          = 256                   // calls kept for reuse
+	watchTimerToken       = 1 << 62               // timer that renews the watch; others carry a request id
 )
 
-// Balancer decides for one node.
+// Balancer makes the decisions of one node.
 type Balancer struct {
-	noNear  bool // no near server may take the call that is looked at
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	out     []Action
-	servers map[string]*server
-	homes   []*server // all of the own zone that may be sent to, in the ring's order
-	others  []*server // the same of other zones
-	near    []*server // the subset: own zone
-	far     []*server // the subset: other zones
-	size    float64   // of the subset
-	starts  [2]uint64 // of the subset, on the rings of the own zone and of the others
-	scratch []*server
-	faulty  bool    // a server of the subset, or its zone, may be ejected
-	spare   []*call // to be used again
-	zones   map[string]*zone
-	calls   map[uint64]*call
-	tenants []tenant
-	bounds  []RoutePolicy // the operators', behind those of no route; never written to: calls point into it
-	levels  []float64     // distinct worths, ascending
-	offered []float64     // arrivals on each, of late
+	noLocalServer bool // no server of the own zone can take the current call
+	cfg           Settings
+	rng           *rand.Rand
+	now           time.Duration
+	actions       []Action
+	servers       map[string]*server
+	localServers  []*server // healthy servers of the own zone, in ring order
+	remoteServers []*server // healthy servers of other zones, in ring order
+	localSubset   []*server // servers of the own zone that this node sends to
+	remoteSubset  []*server // servers of other zones that this node sends to
+	subsetSize    float64
+	subsetStarts  [2]uint64 // where the subsets start on the rings of the own zone and of the others
+	scratch       []*server
+	maybeEjected  bool    // a server of the subset, or its zone, may be ejected
+	freeCalls     []*call // for reuse
+	zones         map[string]*zone
+	calls         map[uint64]*call
+	tenants       []tenant
+	// policies holds the empty policy at index 0, then the operators'. It is replaced, never modified,
+	// since calls point into it.
+	policies        []RoutePolicy
+	worthLevels     []float64 // distinct worths, ascending
+	arrivalsByLevel []float64 // recent arrivals at each level
 
-	r            float64 // smoothed response time in units of the aim
-	sum          float64 // time that calls spent here this period, in aims
-	outcomes     float64 // in all
-	room         room    // what a server holds without a crowd
-	crowd        float64 // calls here, averaged over arrivals
-	known        float64 // servers that count as room
-	limited      bool    // crowding made for a refusal this period
-	held         float64 // calls here now, each as one over its aim
-	count        float64
-	periodEnd    time.Duration
-	rate         float64 // answers a second, smoothed
-	rateAt       time.Duration
-	before       float64 // answers a second of a server to one node, as of the last life; 0: not gone by
-	there        float64 // servers that there are, if the members are a part of an old list; 0: the members
-	retryBudget  float64
-	gaps         [gapSpans]idling
-	stale        int     // the span from which connections are dead; gapSpans: none
-	unmade       float64 // part of the attempts that found no connection
-	late         float64 // mean response time of attempts in aims
-	weight, sums float64 // mean weight of the members, and its sum
-	asking       bool
-	watching     bool
-	askTries     int
-	heard        time.Duration   // as of when discovery last confirmed the list; 0: never
-	unconfirmed  time.Duration   // from then on unheard drains may count as told; 0: never
-	longest      []time.Duration // largest TTL seen, by class
+	latencyRatio          float64          // response time as a multiple of the latency target, smoothed
+	periodLatency         float64          // time that calls spent here in this period, in latency targets
+	finishedCalls         float64          // calls of all previous periods
+	limit                 concurrencyLimit // concurrency limit of a server
+	meanOpenCalls         float64          // open calls, averaged over arrivals
+	countedServers        float64          // servers that count as capacity
+	limitReached          bool             // the limit has caused a refusal in this period
+	openLoad              float64          // open calls, each counted as 1 / its latency target
+	periodCalls           float64
+	periodEnd             time.Duration
+	answerRate            float64 // responses per second, smoothed
+	answerRateAt          time.Duration
+	priorRate             float64 // responses per second of a server before this node's restart; 0: unknown
+	fleetSize             float64 // number of servers if the list is part of a stored one, else 0
+	retryBudget           float64
+	idleStats             [idleBuckets]idleStat
+	staleBucket           int     // shortest idle time from which connections are dead; idleBuckets: none
+	connectFailureRate    float64 // fraction of the attempts that found no connection
+	meanLatency           float64 // mean response time of attempts, in latency targets
+	meanWeight, weightSum float64 // over the healthy servers
+	watchRequested        bool
+	watching              bool
+	watchTries            int
+	confirmedAt           time.Duration   // as of when discovery last confirmed the list; 0: never
+	confirmedUntil        time.Duration   // from then on missed changes may count as announced; 0: never
+	maxTTL                []time.Duration // largest TTL seen, by class
 }
 
-// New returns the decisions of a node that starts now.
-func New(set Settings, seed uint64, now time.Duration) *Balancer {
+// New returns the Balancer of a node that starts now.
+func New(cfg Settings, seed uint64, now time.Duration) *Balancer {
 	b := &Balancer{
-		set:         set,
-		rng:         rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		now:         now,
-		servers:     map[string]*server{},
-		calls:       map[uint64]*call{},
-		zones:       map[string]*zone{},
-		tenants:     make([]tenant, len(set.Tenants)),
-		bounds:      make([]RoutePolicy, 1),
-		longest:     make([]time.Duration, len(set.Classes)),
-		periodEnd:   now + period,
-		rateAt:      now,
-		retryBudget: retryBurst,
-		stale:       gapSpans,
+		cfg:          cfg,
+		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		now:          now,
+		servers:      map[string]*server{},
+		calls:        map[uint64]*call{},
+		zones:        map[string]*zone{},
+		tenants:      make([]tenant, len(cfg.Tenants)),
+		policies:     make([]RoutePolicy, 1),
+		maxTTL:       make([]time.Duration, len(cfg.Classes)),
+		periodEnd:    now + measurePeriod,
+		answerRateAt: now,
+		retryBudget:  retryBudgetMax,
+		staleBucket:  idleBuckets,
 	}
-	aim := time.Duration(math.MaxInt64)
-	for _, c := range set.Classes {
-		b.levels, aim = append(b.levels, c.Worth), min(aim, c.LatencyTarget)
+	shortestTarget := time.Duration(math.MaxInt64)
+	for _, c := range cfg.Classes {
+		b.worthLevels, shortestTarget = append(b.worthLevels, c.Worth), min(shortestTarget, c.LatencyTarget)
 	}
-	if set.MarksRetries {
-		b.stack(repeatWorth)
+	if cfg.MarksRetries {
+		b.addScaledLevels(retryWorthFactor)
 	}
-	if len(set.Tenants) > 0 {
-		b.stack(set.OverShareWorth)
+	if len(cfg.Tenants) > 0 {
+		b.addScaledLevels(cfg.OverShareWorth)
 	}
 	// A server also holds the calls that wait for the tiers below.
-	b.room = newRoom(set.LimitMode, float64(1+tierCrowd*max(2, set.Tiers-set.Tier)), now, aim)
-	slices.Sort(b.levels)
-	b.levels = slices.Compact(b.levels)
-	b.offered = slices.Repeat([]float64{mixMemory / float64(max(1, len(b.levels)))}, len(b.levels))
+	b.limit = newConcurrencyLimit(cfg.LimitMode,
+		float64(1+assumedCallsPerTier*max(2, cfg.Tiers-cfg.Tier)), now, shortestTarget)
+	slices.Sort(b.worthLevels)
+	b.worthLevels = slices.Compact(b.worthLevels)
+	b.arrivalsByLevel = slices.Repeat(
+		[]float64{trafficMixMemory / float64(max(1, len(b.worthLevels)))}, len(b.worthLevels))
 	return b
 }
 
-// stack adds to the levels each of them times some share.
-func (b *Balancer) stack(share float64) {
-	for _, worth := range b.levels {
-		b.levels = append(b.levels, worth*share)
+// addScaledLevels adds a level for each existing one, its worth multiplied by a factor.
+func (b *Balancer) addScaledLevels(factor float64) {
+	for _, worth := range b.worthLevels {
+		b.worthLevels = append(b.worthLevels, worth*factor)
 	}
 }
 
-// begin takes an event's time and buffer; every handler calls it first.
-func (b *Balancer) begin(now time.Duration, out []Action) {
-	b.sum += b.held * float64(now-b.now)
-	b.now, b.out = now, out
+// beginEvent sets the time and the output buffer of an event; every handler calls it first.
+func (b *Balancer) beginEvent(now time.Duration, out []Action) {
+	b.periodLatency += b.openLoad * float64(now-b.now)
+	b.now, b.actions = now, out
 	if now < b.periodEnd {
 		return
 	}
-	// A period without outcomes keeps r; few move it little, lest one slow answer shut a node that sees few.
-	// So with the first reading: a burst late in a period has many calls here, and one or two that ended.
-	if memory := min(countMemory, b.outcomes); b.count > 0 {
+	// Without finished calls the ratio stays as it is. Few of them change it little: otherwise one slow
+	// response would make a node with little traffic refuse everything. The same holds for the first
+	// update, where a burst late in the period has many open calls and one or two finished ones.
+	if memory := min(latencyRatioMemory, b.finishedCalls); b.periodCalls > 0 {
 		if memory == 0 {
 			memory = firstSamples
 		}
-		b.r += (b.sum/b.count - b.r) * b.count / (b.count + memory)
-		b.outcomes += b.count
+		b.latencyRatio += (b.periodLatency/b.periodCalls - b.latencyRatio) *
+			b.periodCalls / (b.periodCalls + memory)
+		b.finishedCalls += b.periodCalls
 	}
-	b.widen()
-	b.room.measure(now, b.perServer())
-	for i := range b.gaps {
-		b.gaps[i].lost *= 1 - float64(period)/float64(gapMemory)
-		b.gaps[i].answered *= 1 - float64(period)/float64(gapMemory)
+	b.growCountedServers()
+	b.limit.update(now, b.callsPerServer())
+	for i := range b.idleStats {
+		b.idleStats[i].lost *= 1 - float64(measurePeriod)/float64(idleStatsMemory)
+		b.idleStats[i].answered *= 1 - float64(measurePeriod)/float64(idleStatsMemory)
 	}
-	b.sum, b.count = 0, 0
-	b.periodEnd = now + period
+	b.periodLatency, b.periodCalls = 0, 0
+	b.periodEnd = now + measurePeriod
 }
 
-func (b *Balancer) act(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// jitter takes up to half off a wait.
+// jitter shortens a wait by up to half, at random.
 func (b *Balancer) jitter(wait time.Duration) time.Duration {
 	return time.Duration((0.5 + b.rng.Float64()/2) * float64(wait))
 }
 
-// Routes takes new bounds, for requests that come from now on; those under way keep theirs.
-func (b *Balancer) SetRoutePolicies(now time.Duration, bounds []RoutePolicy, out []Action) []Action {
-	b.begin(now, out)
-	b.bounds = append([]RoutePolicy{{}}, bounds...)
-	return b.out
+// SetRoutePolicies replaces the policies for new requests; open requests keep theirs.
+func (b *Balancer) SetRoutePolicies(now time.Duration, policies []RoutePolicy, out []Action) []Action {
+	b.beginEvent(now, out)
+	b.policies = append([]RoutePolicy{{}}, policies...)
+	return b.actions
 }
 
-// within returns the bounds of a request.
-func (b *Balancer) within(r *Request) *RoutePolicy {
-	if r.Route < 0 || r.Route >= len(b.bounds) {
-		return &b.bounds[0]
+// policyFor returns the policy of a request.
+func (b *Balancer) policyFor(r *Request) *RoutePolicy {
+	if r.Route < 0 || r.Route >= len(b.policies) {
+		return &b.policies[0]
 	}
-	return &b.bounds[r.Route]
+	return &b.policies[r.Route]
 }
 
-// Request takes a new call: a verdict at the front, then a server. A call of an unknown class fails, one told
-// twice is passed over, an unknown tenant counts as none.
+// HandleRequest takes a new request: first the front tier decides on admission, then a server is chosen. A
+// request of an unknown class fails, one with the id of an open request is ignored, and an unknown tenant
+// counts as none.
 func (b *Balancer) HandleRequest(now time.Duration, r Request, out []Action) []Action {
-	b.begin(now, out)
+	b.beginEvent(now, out)
 	if b.calls[r.ID] != nil {
-		return b.out // told twice
+		return b.actions // duplicate
 	}
-	if r.Class < 0 || r.Class >= len(b.set.Classes) {
-		b.act(Action{Kind: Fail, Request: r.ID, Reason: UnknownClass})
-		return b.out
+	if r.Class < 0 || r.Class >= len(b.cfg.Classes) {
+		b.emit(Action{Kind: Fail, Request: r.ID, Reason: UnknownClass})
+		return b.actions
 	}
-	class := &b.set.Classes[r.Class]
+	class := &b.cfg.Classes[r.Class]
 	worth := class.Worth
-	if r.Tenant >= 0 && r.Tenant < len(b.tenants) && !b.withinShare(r.Tenant) {
-		worth *= b.set.OverShareWorth
+	if r.Tenant >= 0 && r.Tenant < len(b.tenants) && !b.takeQuotaToken(r.Tenant) {
+		worth *= b.cfg.OverShareWorth
 	}
-	if r.IsRetry { // part of its aim is gone, and refused clients would crowd out the first tries
-		worth *= repeatWorth
+	if r.IsRetry {
+		// It has used up part of its latency target, and retries of refused clients must not displace first
+		// attempts.
+		worth *= retryWorthFactor
 	}
-	bounds := b.within(&r)
+	policy := b.policyFor(&r)
 	c := b.newCall()
-	*c = call{Request: r, bounds: bounds, arrived: now, until: now + r.TTL, attempts: c.attempts[:0]}
-	if bounds.DeadlineCap > 0 {
-		c.until = min(c.until, now+bounds.DeadlineCap)
+	*c = call{Request: r, policy: policy, arrived: now, giveUpAt: now + r.TTL, attempts: c.attempts[:0]}
+	if policy.DeadlineCap > 0 {
+		c.giveUpAt = min(c.giveUpAt, now+policy.DeadlineCap)
 	}
-	aimLeft := b.aimLeft(&r)
-	if b.set.Tier == 0 && class.LateWorth == 0 {
-		// An answer past the aim is worth nothing: stop before it, and spare the servers.
-		if aimLeft <= b.set.AnswerGrace {
+	targetLeft := b.targetLeft(&r)
+	if b.cfg.Tier == 0 && class.LateWorth == 0 {
+		// A response after the latency target is worth nothing: give up before it to spare the servers.
+		if targetLeft <= b.cfg.AnswerGrace {
 			worth = 0
 		} else {
-			c.until = min(c.until, now+aimLeft-b.set.AnswerGrace)
+			c.giveUpAt = min(c.giveUpAt, now+targetLeft-b.cfg.AnswerGrace)
 		}
 	}
-	for i := range b.offered {
-		b.offered[i] *= 1 - 1.0/mixMemory
+	for i := range b.arrivalsByLevel {
+		b.arrivalsByLevel[i] *= 1 - 1.0/trafficMixMemory
 	}
-	b.offered[b.level(worth)]++
-	if b.crowd == 0 && b.room.count == 0 { // nothing has been asked for yet: nothing is waited for
-		b.room.since = now
+	b.arrivalsByLevel[b.worthLevel(worth)]++
+	if b.meanOpenCalls == 0 && b.limit.count == 0 { // no request so far, so no response is outstanding
+		b.limit.since = now
 	}
-	b.crowd += (float64(len(b.calls)) - b.crowd) / crowdMemory
-	if b.set.Tier == 0 && len(b.calls) > 0 && b.rng.Float64() >= b.admits(worth) {
-		if b.crowding() > 1 {
-			b.limited, b.room.wanted = true, true
+	b.meanOpenCalls += (float64(len(b.calls)) - b.meanOpenCalls) / openCallsMemory
+	if b.cfg.Tier == 0 && len(b.calls) > 0 && b.rng.Float64() >= b.admitProbability(worth) {
+		if b.utilization() > 1 {
+			b.limitReached, b.limit.reached = true, true
 		}
-		b.act(Action{Kind: Refuse, Request: r.ID, Wait: b.retryAfter(bounds, aimLeft), Reason: Overloaded})
-		b.release(c)
-		return b.out
+		b.emit(Action{Kind: Refuse, Request: r.ID,
+			Wait: b.retryAfter(policy, targetLeft), Reason: Overloaded})
+		b.recycleCall(c)
+		return b.actions
 	}
 	b.calls[r.ID] = c
-	b.held += 1 / float64(max(1, b.aim(&r)))
-	b.retryBudget = min(b.retryBudget+retryRate, retryBurst)
+	b.openLoad += 1 / float64(max(1, b.latencyTarget(&r)))
+	b.retryBudget = min(b.retryBudget+retryBudgetPerRequest, retryBudgetMax)
 	b.send(c)
-	return b.out
+	return b.actions
 }
 
-// subset returns the i-th server of the subset.
-func (b *Balancer) subset(i int) *server {
-	if i < len(b.near) {
-		return b.near[i]
+// subsetServer returns the i-th server of the subset.
+func (b *Balancer) subsetServer(i int) *server {
+	if i < len(b.localSubset) {
+		return b.localSubset[i]
 	}
-	return b.far[i-len(b.near)]
+	return b.remoteSubset[i-len(b.localSubset)]
 }
 
-// Outcome takes the end of an attempt.
+// HandleOutcome takes the end of an attempt.
 func (b *Balancer) HandleOutcome(now time.Duration, o Outcome, out []Action) []Action {
-	b.begin(now, out)
+	b.beginEvent(now, out)
 	c := b.calls[o.Request]
 	if c != nil && (o.Attempt < 0 || o.Attempt >= len(c.attempts) || c.attempts[o.Attempt].done) {
-		return b.out // not one of ours, or told before
+		return b.actions // unknown attempt or duplicate outcome
 	}
 	if s := b.servers[o.Server]; s != nil {
 		s.inflight = max(0, s.inflight-1)
 		s.zone.inflight = max(0, s.zone.inflight-1)
-		b.judge(s, o.Result)
-		s.prove(now, &o)
-		s.zone.book(now, o.Result)
+		b.updateHealth(s, o.Result)
+		s.recordOutcome(now, &o)
+		s.zone.recordResult(now, o.Result)
 		if s.Health == Removed && s.inflight == 0 {
 			delete(b.servers, o.Server)
 		}
 	}
 	if c == nil {
-		return b.out
+		return b.actions
 	}
 	a := &c.attempts[o.Attempt]
 	a.done, a.result = true, o.Result
 	c.ExtraAttempts -= o.Spent
-	b.unmade *= 1 - 1.0/unmadeMemory
+	b.connectFailureRate *= 1 - 1.0/connectFailureMemory
 	if o.Result == ConnectFailed {
-		b.unmade += 1.0 / unmadeMemory
+		b.connectFailureRate += 1.0 / connectFailureMemory
 	}
 	if o.Result == Served || o.Result == Errored || o.Result == Rejected || o.Result == Malformed {
-		if b.idled(a, false); !o.ConnClosed && o.Result != Malformed {
-			a.server.idle = append(a.server.idle, b.now)
+		if b.recordIdleSend(a, false); !o.ConnClosed && o.Result != Malformed {
+			a.server.idleConns = append(a.server.idleConns, b.now)
 		}
 	} else if o.Result == ConnectionLost || o.Result == TimedOut && !a.overdue {
-		b.idled(a, true)
+		b.recordIdleSend(a, true)
 	}
-	c.open--
+	c.openAttempts--
 	if o.Result != Cancelled && o.Result != NotSent {
-		took, aim := o.Elapsed, b.aim(&c.Request)
-		if o.Result != Served { // else a server that fails fast would look fast, and draw all calls
-			took = max(took, aim)
+		took, target := o.Elapsed, b.latencyTarget(&c.Request)
+		if o.Result != Served { // otherwise a server that fails fast would look fast and attract all calls
+			took = max(took, target)
 		} else {
 			a.server.answered++
 		}
-		x := float64(took) / float64(max(1, aim))
-		b.learn(a.server, x)
-		b.room.took(now, x-float64(o.DialTime)/float64(max(1, aim)), o.Result == Rejected, b.perServer())
+		latency := float64(took) / float64(max(1, target))
+		b.recordLatency(a.server, latency)
+		b.limit.record(now, latency-float64(o.DialTime)/float64(max(1, target)),
+			o.Result == Rejected, b.callsPerServer())
 	}
 	if o.Final {
-		b.drop(c, 0)
-		b.cancel(c)
-		b.release(c)
-		return b.out
+		b.removeCall(c, 0)
+		b.cancelAttempts(c)
+		b.recycleCall(c)
+		return b.actions
 	}
 	if o.Result != Rejected && o.Result != ConnectFailed && o.Result != NotSent {
-		b.maybeRan(c, a)
+		b.markMayHaveRun(c, a)
 	}
-	if c.open == 0 {
-		b.again(c)
+	if c.openAttempts == 0 {
+		b.retryOrFinish(c)
 	}
-	return b.out
+	return b.actions
 }
 
-// Probed takes the result of a probe.
+// HandleProbe takes the result of a probe.
 func (b *Balancer) HandleProbe(now time.Duration, p ProbeResult, out []Action) []Action {
-	b.begin(now, out)
-	return b.out
+	b.beginEvent(now, out)
+	return b.actions
 }
 
-// Timer takes a due After.
+// HandleTimer takes a timer that has fired.
 func (b *Balancer) HandleTimer(now time.Duration, t Timer, out []Action) []Action {
-	b.begin(now, out)
-	if t.Token == askToken {
-		if !b.asking && !b.watching {
-			b.asking = true
-			b.act(Action{Kind: WatchList})
+	b.beginEvent(now, out)
+	if t.Token == watchTimerToken {
+		if !b.watchRequested && !b.watching {
+			b.watchRequested = true
+			b.emit(Action{Kind: WatchList})
 		}
-		return b.out
+		return b.actions
 	}
-	if c := b.calls[t.Token]; c != nil && c.open == 0 {
-		if b.now >= c.resume { // else a timer from before its back-off
+	if c := b.calls[t.Token]; c != nil && c.openAttempts == 0 {
+		if b.now >= c.notBefore { // otherwise the timer was started before the back-off
 			b.send(c)
 		}
 	} else if c != nil {
-		b.overdue(c)
+		b.checkOverdue(c)
 	}
-	return b.out
+	return b.actions
 }
 
-// Gone takes word that a client has left.
-func (b *Balancer) HandleDisconnect(now time.Duration, g Disconnect, out []Action) []Action {
-	b.begin(now, out)
-	if c := b.calls[g.Request]; c != nil {
-		b.drop(c, 0)
-		b.cancel(c)
-		b.release(c)
+// HandleDisconnect takes the departure of a client.
+func (b *Balancer) HandleDisconnect(now time.Duration, d Disconnect, out []Action) []Action {
+	b.beginEvent(now, out)
+	if c := b.calls[d.Request]; c != nil {
+		b.removeCall(c, 0)
+		b.cancelAttempts(c)
+		b.recycleCall(c)
 	}
-	return b.out
+	return b.actions
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -62,7 +62,7 @@
 // must not pile up on them, and what there is room for goes to the higher worth.
 func TestCrowdingIsRefusedBeforeAnswers(t *testing.T) {
 	b := node(4)
-	room := int(4 * b.room.calls()) // before any answer, what it is taken to be
+	room := int(4 * b.limit.perServer()) // before any answer, what it is taken to be
 	low := offer(b, time.Second, 0, 500)
 	if low < room || low > 2*room {
 		t.Errorf("%d calls of low worth let in on 4 servers, no crowd is %d", low, room)
@@ -90,8 +90,8 @@
 		price, late, want float64
 	}{{0, 0.4, 1}, {0.2, 0.4, 2}, {0.2, 0.25, 5}, {0.2, 0.1, 1000}, {0.2, 0, 1000}} {
 		b := twoZones(c.price)
-		b.late = c.late
-		if got := b.cost(b.set.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
+		b.meanLatency = c.late
+		if got := b.priceFactor(b.cfg.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("price %v, response time %v: a far server counts %v times, want %v", c.price, c.late, got, c.want)
 		}
 	}
@@ -106,9 +106,9 @@
 	}{{0, 1.05, "b"}, {0.03, 1.05, "a"}, {0.03, 1.2, "b"}} {
 		b := node(0)
 		b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}}}, nil)
-		b.set.Penalties.Handshake, b.late = c.price, 0.3
-		b.servers["a"].idle = []time.Duration{time.Second}
-		b.servers["a"].late, b.servers["a"].lateAt = c.slower-1, time.Second
+		b.cfg.Penalties.Handshake, b.meanLatency = c.price, 0.3
+		b.servers["a"].idleConns = []time.Duration{time.Second}
+		b.servers["a"].extraSlowness, b.servers["a"].extraSlownessAt = c.slower-1, time.Second
 		out := b.HandleRequest(time.Second, Request{ID: 1, Tenant: -1, TTL: time.Second}, nil)
 		if len(out) == 0 || out[0].Kind != Send || out[0].Server != c.want {
 			t.Errorf("price %v, the connected one %v times as slow: %+v, want a send to %s", c.price, c.slower, out, c.want)
@@ -120,7 +120,7 @@
 func timeOut(b *Balancer, now time.Duration, server string) {
 	for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 		c := b.calls[id]
-		if n := len(c.attempts) - 1; n >= 0 && c.open > 0 && c.attempts[n].server.ID == server {
+		if n := len(c.attempts) - 1; n >= 0 && c.openAttempts > 0 && c.attempts[n].server.ID == server {
 			b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: server, Result: TimedOut, Elapsed: time.Second}, nil)
 		}
 	}
@@ -135,16 +135,16 @@
 	now += time.Second
 	timeOut(b, now, "s0")
 	hung := b.servers["s0"]
-	if hung.outUntil <= now {
+	if hung.ejectedUntil <= now {
 		t.Fatal("a server with nothing but time-outs is not ejected")
 	}
-	room := 3 * b.room.calls()
-	if got, want := b.crowding(), b.crowd/(room+math.Sqrt(room)/2); math.Abs(got-want) > 1e-9 {
+	room := 3 * b.limit.perServer()
+	if got, want := b.utilization(), b.meanOpenCalls/(room+math.Sqrt(room)/2); math.Abs(got-want) > 1e-9 {
 		t.Errorf("crowding %v, want %v: an ejected server is no room", got, want)
 	}
-	now = hung.outUntil + ms
+	now = hung.ejectedUntil + ms
 	for range 50 {
-		b.r = 0
+		b.latencyRatio = 0
 		offer(b, now, 1, 1)
 		if hung.inflight > 1 {
 			t.Fatalf("%d calls to a server on trial", hung.inflight)
@@ -169,29 +169,29 @@
 	now := time.Second
 	b.HandleList(now, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	for _, id := range []string{"y0", "y0", "y0", "y0", "y1", "y2", "y3"} {
-		b.judge(b.servers[id], ConnectFailed)
+		b.updateHealth(b.servers[id], ConnectFailed)
 	}
-	if b.zones["y"].out(now) {
+	if b.zones["y"].unavailable(now) {
 		t.Error("a zone is ejected though one of its servers was not tried")
 	}
-	b.judge(b.servers["y4"], ConnectFailed)
-	if !b.zones["y"].out(now) {
+	b.updateHealth(b.servers["y4"], ConnectFailed)
+	if !b.zones["y"].unavailable(now) {
 		t.Fatal("all servers of a zone failed in a row, and it is not ejected")
 	}
 	for id, s := range b.servers {
-		s.served() // leave only what is held against the zone
-		if s.near == (id[0] == 'y') {
-			t.Errorf("%s near: %v", id, s.near)
+		s.recordSuccess() // leave only what is held against the zone
+		if s.local == (id[0] == 'y') {
+			t.Errorf("%s near: %v", id, s.local)
 		}
 	}
 	c := &call{}
 	for range 50 {
-		if s := b.pick(c); s.Zone == "y" {
+		if s := b.pickServer(c); s.Zone == "y" {
 			t.Fatalf("%s is picked, of a zone that is cut off", s.ID)
 		}
 	}
-	b.judge(b.servers["y0"], Served)
-	if b.zones["y"].out(now) {
+	b.updateHealth(b.servers["y0"], Served)
+	if b.zones["y"].unavailable(now) {
 		t.Error("a zone that serves again stays ejected")
 	}
 }
@@ -201,13 +201,13 @@
 	b := node(4)
 	s := b.servers["s1"]
 	for range 3 {
-		b.judge(s, ConnectionLost)
-		b.learn(s, 5)
+		b.updateHealth(s, ConnectionLost)
+		b.recordLatency(s, 5)
 	}
 	now := 2 * time.Second
-	b.set.ColdCapacity, b.set.WarmupTime, b.set.CollapseWindow, b.set.CollapseMultiple = 1, time.Second, time.Second, 2
+	b.cfg.ColdCapacity, b.cfg.WarmupTime, b.cfg.CollapseWindow, b.cfg.CollapseMultiple = 1, time.Second, time.Second, 2
 	b.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "s1", Started: now}}}, nil)
-	if s.out(now) {
+	if s.unavailable(now) {
 		t.Error("a new process is ejected for the old one's failures")
 	}
 	if got := b.slowness(s); got != 1 {
@@ -220,13 +220,13 @@
 func TestChanceIsNoCrowd(t *testing.T) {
 	few, many := node(1), node(100)
 	for b, n := range map[*Balancer]float64{few: 1, many: 100} {
-		b.room.rule = LimitFixed
-		b.crowd = n * b.room.calls()
+		b.limit.mode = LimitFixed
+		b.meanOpenCalls = n * b.limit.perServer()
 	}
-	if c := few.crowding(); c > 0.9 {
+	if c := few.utilization(); c > 0.9 {
 		t.Errorf("crowding %v where one server has what it holds on average", c)
 	}
-	if c := many.crowding(); c < 0.9 {
+	if c := many.utilization(); c < 0.9 {
 		t.Errorf("crowding %v where a hundred servers have", c)
 	}
 }
@@ -234,16 +234,16 @@
 // A moment with many calls at a node that sees few is chance, and no reason to refuse the highest worth.
 func TestMomentaryCrowdIsAveraged(t *testing.T) {
 	b := node(1)
-	b.crowd = 1
+	b.meanOpenCalls = 1
 	for i := range 9 {
 		b.calls[1000+uint64(i)] = &call{}
 	}
 	offer(b, time.Second, 1, 1)
-	if p := b.admits(9); p < 1 {
+	if p := b.admitProbability(9); p < 1 {
 		t.Errorf("the highest worth is let in with %v after a moment of 9 calls", p)
 	}
 	offer(b, time.Second, 1, 50)
-	if p := b.admits(9); p > 0 {
+	if p := b.admitProbability(9); p > 0 {
 		t.Errorf("the highest worth is let in with %v where 9 calls and more stay", p)
 	}
 }
@@ -252,23 +252,23 @@
 // the tiers below may be what is short.
 func TestGrownFleetIsNoRoomAtOnce(t *testing.T) {
 	b := node(4)
-	b.crowd = 10
-	before := b.crowding()
+	b.meanOpenCalls = 10
+	before := b.utilization()
 	var list []Server
 	for i := range 12 {
 		list = append(list, Server{ID: fmt.Sprint("s", i)})
 	}
 	b.HandleList(2*time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
-	if c := b.crowding(); c < before {
+	if c := b.utilization(); c < before {
 		t.Errorf("crowding falls from %v to %v as servers are added", before, c)
 	}
-	b.r = 0.2
-	for now := 3 * time.Second; now < 20*time.Second; now += period {
-		b.limited = true
-		b.begin(now, nil)
+	b.latencyRatio = 0.2
+	for now := 3 * time.Second; now < 20*time.Second; now += measurePeriod {
+		b.limitReached = true
+		b.beginEvent(now, nil)
 	}
-	if b.known != 12 {
-		t.Errorf("%v servers count as room after calm refusals, want 12", b.known)
+	if b.countedServers != 12 {
+		t.Errorf("%v servers count as room after calm refusals, want 12", b.countedServers)
 	}
 }
 
@@ -276,7 +276,7 @@
 // keeps a tier full.
 // Those without a connection did not; where servers accept few, a request must find the one that does.
 func TestRetriesDrawOnTheBudget(t *testing.T) {
-	for result, most := range map[Result]int{Rejected: 8 + retryBurst, TimedOut: 8 + retryBurst, ConnectFailed: 8 * 3} {
+	for result, most := range map[Result]int{Rejected: 8 + retryBudgetMax, TimedOut: 8 + retryBudgetMax, ConnectFailed: 8 * 3} {
 		if sends := storm(result); sends > most || result == ConnectFailed && sends < most {
 			t.Errorf("%d sends of 8 requests that all end with %d, want %d", sends, result, most)
 		}
@@ -312,7 +312,7 @@
 			offer(b, time.Second, classes[i%len(classes)], 1)
 		}
 		for p := 0.5; ; p += 0.01 {
-			if b.r, b.crowd = curveFoot+p*(curveTop-curveFoot), 0; b.admits(9) < 1 {
+			if b.latencyRatio, b.meanOpenCalls = shedStartRatio+p*(shedAllRatio-shedStartRatio), 0; b.admitProbability(9) < 1 {
 				return p
 			}
 		}
@@ -334,7 +334,7 @@
 		{"one server hangs", func(id string) bool { return id == "s0" }, false},
 	} {
 		b := node(6)
-		b.set.MayHedge = true
+		b.cfg.MayHedge = true
 		now, hung, copies := time.Second, false, 0
 		for range 12 {
 			for range 4 { // leave some idle
@@ -345,7 +345,7 @@
 					if a.Kind != Send {
 						continue
 					}
-					if span := b.calls[nextID].attempts[0].span; span < 0 || !c.lost(a.Server) {
+					if span := b.calls[nextID].attempts[0].idleBucket; span < 0 || !c.lost(a.Server) {
 						b.HandleOutcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms, Final: true}, nil)
 						continue
 					}
@@ -368,16 +368,16 @@
 // connects costs the servers work and the calls their time.
 func TestMadeConnectionsArePreferredWhereNewOnesFail(t *testing.T) {
 	b := node(6)
-	b.servers["s3"].idle = []time.Duration{time.Second}
+	b.servers["s3"].idleConns = []time.Duration{time.Second}
 	others := 0
 	for range 40 {
-		if b.pick(&call{}).ID != "s3" {
+		if b.pickServer(&call{}).ID != "s3" {
 			others++
 		}
 	}
-	b.unmade = 2 * unmadeMost
+	b.connectFailureRate = 2 * connectFailureThreshold
 	for range 40 {
-		if s := b.pick(&call{}); s.ID != "s3" {
+		if s := b.pickServer(&call{}); s.ID != "s3" {
 			t.Fatalf("%s is picked, to which there is no connection", s.ID)
 		}
 	}
@@ -390,7 +390,7 @@
 func TestAttemptsOfALeftClientAreCancelled(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		b := node(4)
-		b.set.MayCancel = may
+		b.cfg.MayCancel = may
 		offer(b, time.Second, 0, 1)
 		out := b.HandleDisconnect(time.Second, Disconnect{nextID}, nil)
 		if got := len(out) == 1 && out[0] == (Action{Kind: Cancel, Request: nextID}); got != may {
@@ -404,8 +404,8 @@
 func TestRepeatsGiveWayToFirstTries(t *testing.T) {
 	b := New(Settings{MarksRetries: true, Classes: []Class{{Worth: 1}, {Worth: 9}}}, 1, 0)
 	for at := 0.0; at < 1; at += 0.01 {
-		b.r = curveFoot + at*(curveTop-curveFoot)
-		p := []float64{b.admits(1 * repeatWorth), b.admits(1), b.admits(9 * repeatWorth), b.admits(9)}
+		b.latencyRatio = shedStartRatio + at*(shedAllRatio-shedStartRatio)
+		p := []float64{b.admitProbability(1 * retryWorthFactor), b.admitProbability(1), b.admitProbability(9 * retryWorthFactor), b.admitProbability(9)}
 		for i := range 3 {
 			if p[i] > 0 && p[i+1] < 1 {
 				t.Fatalf("at %v of the stack level %d is let in with %v, the next with %v", at, i, p[i], p[i+1])
@@ -427,14 +427,14 @@
 	for i := range nodes {
 		b := New(Settings{Node: i, Nodes: nodes, Classes: []Class{{Worth: 1}}}, uint64(i), 0)
 		b.HandleList(0, ListUpdate{Kind: ListFull, Servers: list}, nil)
-		for k := range len(b.near) + len(b.far) {
-			known[b.subset(k).ID]++
+		for k := range len(b.localSubset) + len(b.remoteSubset) {
+			known[b.subsetServer(k).ID]++
 			if i < nodes/2 {
-				half[b.subset(k).ID]++
+				half[b.subsetServer(k).ID]++
 			}
 		}
 	}
-	mean := float64(subsetFront*servers/nodes*nodes) / servers
+	mean := float64(subsetSizeFront*servers/nodes*nodes) / servers
 	for _, s := range list {
 		if n := float64(known[s.ID]); math.Abs(n-mean) > 3 {
 			t.Errorf("%s is known by %v nodes, %.1f on average", s.ID, n, mean)
@@ -461,7 +461,7 @@
 	lost.Attempt = 0
 	b.HandleOutcome(time.Second, lost, nil) // goes again
 	b.HandleOutcome(time.Second, lost, nil)
-	if c := b.calls[id]; c == nil || c.open != 1 || len(c.attempts) != 2 {
+	if c := b.calls[id]; c == nil || c.openAttempts != 1 || len(c.attempts) != 2 {
 		t.Errorf("an outcome told twice counts twice: %+v", c)
 	}
 }
@@ -503,7 +503,7 @@
 		for range 3 {
 			for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 				take(b.HandleTimer(now, Timer{id}, nil))
-				if c := b.calls[id]; c != nil && c.open > 0 {
+				if c := b.calls[id]; c != nil && c.openAttempts > 0 {
 					n := len(c.attempts) - 1
 					take(b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
 				}
@@ -538,9 +538,9 @@
 	b := node(4)
 	s := b.servers["s0"]
 	for range 20 {
-		b.learn(b.servers["s1"], 0.2)
+		b.recordLatency(b.servers["s1"], 0.2)
 	}
-	b.learn(s, 2)
+	b.recordLatency(s, 2)
 	fresh := b.slowness(s) - 1
 	b.now += 5 * time.Second
 	if left := (b.slowness(s) - 1) / fresh; fresh <= 0 || left > 0.1 {
@@ -551,11 +551,11 @@
 // A keyed call whose cell has one server may go there again; it must not wait, polling, until its end.
 func TestKeyedCallReturnsToItsOnlyServer(t *testing.T) {
 	b := node(3) // all servers in one cell but for the first
-	b.set.Classes[0].Idempotency, b.set.Classes[0].Group, b.set.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
+	b.cfg.Classes[0].Idempotency, b.cfg.Classes[0].Group, b.cfg.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
 	b.servers["s0"].Cell = 1
-	c := &call{Request: Request{ID: 1, TTL: time.Second}, ran: true, ranOn: b.servers["s0"]}
+	c := &call{Request: Request{ID: 1, TTL: time.Second}, mayHaveRun: true, mayHaveRunOn: b.servers["s0"]}
 	c.attempts = []attempt{{server: b.servers["s0"], done: true}}
-	if s := b.pick(c); s == nil || s.ID != "s0" {
+	if s := b.pickServer(c); s == nil || s.ID != "s0" {
 		t.Errorf("picked %v, want the only server that knows the call", s)
 	}
 }
@@ -565,13 +565,13 @@
 func TestErringServerIsEjected(t *testing.T) {
 	b := node(4)
 	s := b.servers["s1"]
-	for range ejectAfter {
-		b.judge(s, Errored)
+	for range ejectAfterFailures {
+		b.updateHealth(s, Errored)
 	}
-	if !s.out(b.now) || s.zone.out(b.now) {
-		t.Errorf("ejected %v, its zone %v", s.out(b.now), s.zone.out(b.now))
+	if !s.unavailable(b.now) || s.zone.unavailable(b.now) {
+		t.Errorf("ejected %v, its zone %v", s.unavailable(b.now), s.zone.unavailable(b.now))
 	}
-	if b.judge(s, Served); s.out(b.now) {
+	if b.updateHealth(s, Served); s.unavailable(b.now) {
 		t.Error("a server that serves again stays ejected")
 	}
 }
@@ -598,19 +598,19 @@
 		b.HandleOutcome(now+ms, Outcome{Request: nextID, Server: "s0", Result: result, Final: true, ConnClosed: closed}, nil)
 	}
 	send(Served, false)
-	if len(s.idle) != 1 {
-		t.Errorf("%d idle connections after an answer", len(s.idle))
+	if len(s.idleConns) != 1 {
+		t.Errorf("%d idle connections after an answer", len(s.idleConns))
 	}
-	for range 2 * ejectAfter {
+	for range 2 * ejectAfterFailures {
 		send(Malformed, true)
-		if len(s.idle) != 0 {
-			t.Errorf("%d idle connections after a spoilt answer", len(s.idle))
+		if len(s.idleConns) != 0 {
+			t.Errorf("%d idle connections after a spoilt answer", len(s.idleConns))
 		}
 	}
-	if s.ejections > 0 || s.zone.ejections > 0 || b.stale < gapSpans {
-		t.Errorf("ejected %d times, its zone %d; dead from span %d", s.ejections, s.zone.ejections, b.stale)
+	if s.ejections > 0 || s.zone.ejections > 0 || b.staleBucket < idleBuckets {
+		t.Errorf("ejected %d times, its zone %d; dead from span %d", s.ejections, s.zone.ejections, b.staleBucket)
 	}
-	if send(Served, true); len(s.idle) != 0 {
-		t.Errorf("%d idle connections after an answer that closed its own", len(s.idle))
+	if send(Served, true); len(s.idleConns) != 0 {
+		t.Errorf("%d idle connections after an answer that closed its own", len(s.idleConns))
 	}
 }
--- a/decide/members.go
+++ b/decide/members.go
@@ -7,172 +7,176 @@
 	"time"
 )
 
-// Which servers there are to a node, and which of them it keeps to.
+// The list of servers, and the subset of it that this node sends to.
 
 const (
-	subsetFront = 8                      // servers a front node keeps to, and nodes that know each
-	subsetInner = 5                      // the same below: more of a node's calls on each
-	nearPart    = 0.75                   // part of the subset that lies in the own zone
-	askStep     = 250 * time.Millisecond // first wait before asking for the list again
-	askMost     = 3 * time.Second / 2    // the longest: what discovery has known for 6 s counts as told
-	sizeSlack   = 1.0 / 16               // part by which a subset may be larger or smaller than its share
-	startSlack  = 32                     // part of a ring (one in so many) by which its start may be off
-	spread      = 0.63224128846          // multiples of it spread evenly, every 2nd to 16th of them too
+	subsetSizeFront  = 8                      // servers in a front node's subset, and nodes per server
+	subsetSizeInner  = 5                      // below the front: more of a node's calls on each
+	localShare       = 0.75                   // fraction of the subset in the own zone
+	watchRetryMin    = 250 * time.Millisecond // first wait before renewing a failed watch
+	watchRetryMax    = 3 * time.Second / 2    // a lost call must fit into the 6 s of announcementDelay
+	subsetSizeSlack  = 1.0 / 16               // allowed relative deviation from the even size
+	ringStartSlack   = 32                     // a start on the ring may deviate by 1/32 of the ring
+	ringStartSpacing = 0.63224128846          // multiples modulo 1 are even, every 2nd to 16th too
 )
 
-// Members takes word of the servers.
-func (b *Balancer) HandleList(now time.Duration, m ListUpdate, out []Action) []Action {
-	b.begin(now, out)
-	if b.set.MustSubscribe && m.Kind != ListRestored {
-		b.follow(m.Kind)
-	}
-	b.confirm(&m)
-	if m.Kind == ListFailed {
-		return b.out
-	}
-	whole := m.Kind != ListDiff && m.Kind != ListRestored
-	b.before, b.there = m.PriorRate, float64(m.FleetSize)
-	if whole {
+// HandleList takes an update of the server list.
+func (b *Balancer) HandleList(now time.Duration, update ListUpdate, out []Action) []Action {
+	b.beginEvent(now, out)
+	if b.cfg.MustSubscribe && update.Kind != ListRestored {
+		b.followWatch(update.Kind)
+	}
+	b.updateConfirmation(&update)
+	if update.Kind == ListFailed {
+		return b.actions
+	}
+	full := update.Kind != ListDiff && update.Kind != ListRestored
+	b.priorRate, b.fleetSize = update.PriorRate, float64(update.FleetSize)
+	if full {
 		for _, s := range b.servers {
-			s.seen, s.listed = false, false
+			s.inFullList, s.listed = false, false
 		}
-		b.homes, b.others, b.sums = b.homes[:0], b.others[:0], 0
+		b.localServers, b.remoteServers, b.weightSum = b.localServers[:0], b.remoteServers[:0], 0
 		for _, z := range b.zones {
-			z.listed = 0
+			z.listedServers = 0
 		}
 	}
-	for i := range m.Servers {
-		b.enter(&m.Servers[i], whole)
+	for i := range update.Servers {
+		b.applyEntry(&update.Servers[i], full)
 	}
-	if whole {
+	if full {
 		for id, s := range b.servers {
-			if !s.seen {
+			if !s.inFullList {
 				s.Health = Removed
 			}
 			switch {
-			case s.Health == Healthy && s.near:
-				b.homes = append(b.homes, s)
+			case s.Health == Healthy && s.local:
+				b.localServers = append(b.localServers, s)
 			case s.Health == Healthy:
-				b.others = append(b.others, s)
+				b.remoteServers = append(b.remoteServers, s)
 			case s.Health == Removed && s.inflight == 0:
 				delete(b.servers, id)
 			}
 			if s.listed = s.Health == Healthy; s.listed {
-				b.sums += s.weight
-				s.zone.listed++
+				b.weightSum += s.weight
+				s.zone.listedServers++
 			}
 		}
-		slices.SortFunc(b.homes, byRing)
-		slices.SortFunc(b.others, byRing)
+		slices.SortFunc(b.localServers, byRingPosition)
+		slices.SortFunc(b.remoteServers, byRingPosition)
 	}
-	b.choose()
-	return b.out
+	b.chooseSubset()
+	return b.actions
 }
 
-// enter takes one entry of a list. Changes cost what the entry costs, whatever the number of servers.
-func (b *Balancer) enter(e *Server, whole bool) {
+// applyEntry takes one entry of a list. The cost of a change does not depend on the number of servers.
+func (b *Balancer) applyEntry(e *Server, full bool) {
 	s := b.servers[e.ID]
 	if s == nil {
-		s = &server{rank: hash(e.ID), zone: b.zone(e.Zone)}
+		s = &server{ringPosition: hash(e.ID), zone: b.zone(e.Zone)}
 		b.servers[e.ID] = s
 	}
-	if e.Started > s.Started { // a new process: what was held against the old one is void
-		s.served()
-		s.idle, s.alive = nil, lifetime{}
-		s.late, s.tokens, s.filled, s.pooled = 0, b.rng.Float64(), b.now, pooled{}
+	if e.Started > s.Started { // a new process does not inherit the old one's failures
+		s.recordSuccess()
+		s.idleConns, s.uptime = nil, timeSpan{}
+		s.extraSlowness, s.tokens, s.refilledAt, s.grantState = 0, b.rng.Float64(), b.now, grantState{}
 	}
 	if s.listed && e.Health != Healthy {
-		s.zone.leave(b.now)
+		s.zone.recordDeparture(b.now)
 	}
-	if !whole {
-		b.enlist(s, false) // by what it was
+	if !full {
+		b.setListed(s, false) // while its old zone and weight are known
 	}
-	s.Server, s.seen, s.near, s.weight = *e, true, e.Zone == b.set.Zone, e.Weight
+	s.Server, s.inFullList, s.local, s.weight = *e, true, e.Zone == b.cfg.Zone, e.Weight
 	if s.weight <= 0 {
 		s.weight = 1
 	}
-	if whole {
-		return // all of them in one go
+	if full {
+		return // HandleList rebuilds the lists in one pass
 	}
 	if s.Health == Healthy {
-		b.enlist(s, true)
+		b.setListed(s, true)
 	} else if s.Health == Removed && s.inflight == 0 {
 		delete(b.servers, e.ID)
 	}
 }
 
-// choose draws the subset: a stretch of the ring, mostly of the own zone. The nodes' stretches start evenly
-// along it: were each drawn for itself, chance would let twice as many nodes know one server as another.
-func (b *Balancer) choose() {
-	size, all := subsetFront, b.members()
-	if b.set.Tier > 0 {
-		size = subsetInner
-	}
-	want := max(float64(size), float64(size*all)/float64(max(1, b.set.Nodes)))
-	b.size = min(max(b.size, want*(1-sizeSlack)), want*(1+sizeSlack))
-	size = min(int(math.Ceil(b.size)), all)
-	// A fleet that has grown is no proof of room: the tier below may be the one that is short. Room follows
-	// as long as r stays calm.
-	if b.known == 0 {
-		b.known = float64(all)
-	}
-	b.weight = b.sums / float64(max(1, all))
-	nears := min(len(b.homes), max(int(math.Ceil(nearPart*float64(size))), size-len(b.others)))
-	b.near = b.stretch(b.near[:0], b.homes, nears, &b.starts[0])
-	b.far = b.stretch(b.far[:0], b.others, size-nears, &b.starts[1])
+// chooseSubset selects a section of the ring, mostly in the own zone. The sections of the nodes start at
+// even distances: with random starts some servers would be known to twice as many nodes as others.
+func (b *Balancer) chooseSubset() {
+	size, all := subsetSizeFront, b.memberCount()
+	if b.cfg.Tier > 0 {
+		size = subsetSizeInner
+	}
+	want := max(float64(size), float64(size*all)/float64(max(1, b.cfg.Nodes)))
+	b.subsetSize = min(max(b.subsetSize, want*(1-subsetSizeSlack)), want*(1+subsetSizeSlack))
+	size = min(int(math.Ceil(b.subsetSize)), all)
+	// A larger fleet does not prove more capacity, since the tier below may be the bottleneck. The counted
+	// servers follow while the latency ratio stays low.
+	if b.countedServers == 0 {
+		b.countedServers = float64(all)
+	}
+	b.meanWeight = b.weightSum / float64(max(1, all))
+	localCount := min(len(b.localServers),
+		max(int(math.Ceil(localShare*float64(size))), size-len(b.remoteServers)))
+	b.localSubset = b.ringSection(b.localSubset[:0], b.localServers, localCount, &b.subsetStarts[0])
+	b.remoteSubset = b.ringSection(b.remoteSubset[:0], b.remoteServers, size-localCount, &b.subsetStarts[1])
 	for _, z := range b.zones {
-		z.members = 0
+		z.subsetServers = 0
 	}
-	for i := range len(b.near) + len(b.far) {
-		b.subset(i).zone.members++
+	for i := range len(b.localSubset) + len(b.remoteSubset) {
+		b.subsetServer(i).zone.subsetServers++
 	}
-	b.faulty = true // until it was looked at
+	b.maybeEjected = true // until countEjected has looked
 }
 
-// stretch appends n members of a ring, from this node's start. Starts spread evenly by place, and keep to
-// where they are on the ring while that is near enough, so that one change moves hardly more than its own.
-func (b *Balancer) stretch(to, ring []*server, n int, from *uint64) []*server {
-	_, at := math.Modf(float64(max(0, b.set.Node)) * spread)
+// ringSection appends n servers of a ring from this node's start. Starts are evenly spaced by node number,
+// but stay where they are on the ring while that is close enough, so that a change moves hardly more
+// servers than the changed one.
+func (b *Balancer) ringSection(to, ring []*server, n int, from *uint64) []*server {
+	_, at := math.Modf(float64(max(0, b.cfg.Node)) * ringStartSpacing)
 	start, length := int(at*float64(len(ring))), len(ring)
-	byRank := func(s *server, rank uint64) int { return cmp.Compare(s.rank, rank) }
-	i, _ := slices.BinarySearchFunc(ring, *from, byRank)
-	if slack := min(n, length/startSlack); slack > 0 && *from > 0 {
-		off := (i-start+length+length/2)%length - length/2 // the shorter way round
-		start = (start + min(max(off, -slack), slack) + length) % length
+	byPosition := func(s *server, position uint64) int { return cmp.Compare(s.ringPosition, position) }
+	current, _ := slices.BinarySearchFunc(ring, *from, byPosition)
+	if slack := min(n, length/ringStartSlack); slack > 0 && *from > 0 {
+		offset := (current-start+length+length/2)%length - length/2 // in the shorter direction
+		start = (start + min(max(offset, -slack), slack) + length) % length
 	}
-	if n > 0 && start != i%length {
-		*from = ring[start].rank
+	if n > 0 && start != current%length {
+		*from = ring[start].ringPosition
 	}
 	to = append(to, ring[start:min(start+n, length)]...)
 	return append(to, ring[:n-len(to)]...)
 }
 
-// faults counts the servers of the subset that are ejected or on trial, and those to keep away from now.
-func (b *Balancer) faults() (ejected, out int) {
-	if !b.faulty {
+// countEjected counts the servers of the subset that are ejected or not yet trusted again, and those that
+// are ejected now.
+func (b *Balancer) countEjected() (ejected, ejectedNow int) {
+	if !b.maybeEjected {
 		return 0, 0
 	}
-	for i := range len(b.near) + len(b.far) {
-		s := b.subset(i)
+	for i := range len(b.localSubset) + len(b.remoteSubset) {
+		s := b.subsetServer(i)
 		if s.ejections > 0 || s.zone.ejections > 0 {
 			ejected++
 		}
-		if s.outUntil > b.now || s.zone.outUntil > b.now {
-			out++
+		if s.ejectedUntil > b.now || s.zone.ejectedUntil > b.now {
+			ejectedNow++
 		}
 	}
-	b.faulty = ejected > 0
-	return ejected, out
+	b.maybeEjected = ejected > 0
+	return ejected, ejectedNow
 }
 
-// follow keeps a watch on a list that comes only when asked for, and asks again with back-off and jitter.
-func (b *Balancer) follow(c ListKind) {
-	b.asking, b.watching = false, c == ListDiff || c == ListFull
-	wait := max(holdStep, min(askStep<<min(b.askTries, 8), askMost, b.set.ResubscribeWithin/2))
+// followWatch tracks the subscription to the server list and renews it with back-off and jitter.
+func (b *Balancer) followWatch(kind ListKind) {
+	b.watchRequested, b.watching = false, kind == ListDiff || kind == ListFull
+	wait := max(holdInterval,
+		min(watchRetryMin<<min(b.watchTries, 8), watchRetryMax, b.cfg.ResubscribeWithin/2))
 	if b.watching {
-		b.askTries = 0
+		b.watchTries = 0
 		return
 	}
-	b.askTries++
-	b.act(Action{Kind: StartTimer, Token: askToken, Wait: b.jitter(wait)})
+	b.watchTries++
+	b.emit(Action{Kind: StartTimer, Token: watchTimerToken, Wait: b.jitter(wait)})
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -4,62 +4,64 @@
 	"time"
 )
 
-// When an attempt goes out, when another follows, and when a request gets its final answer.
+// Attempts, retries and the final response of a request.
 
 const (
-	usualTimes = 4                      // mean response times: all answers but few come sooner
-	usualLeast = 0.1                    // aims that the mean is taken to be, at the least
-	gapLeast   = 100 * time.Millisecond // connections idle for less are never in question
-	gapProof   = 2                      // lost sends that prove it, where they outnumber the answered
+	overdueFactor  = 4                      // multiple of the mean response time that few responses exceed
+	minMeanLatency = 0.1                    // lower bound of the mean, in latency targets
+	minIdleTime    = 100 * time.Millisecond // connections idle for less are always usable
+	minLostSends   = 2                      // mark an idle time as stale if they outnumber the answered
 )
 
-// send gives a call its next attempt, or holds it until a server may take it.
+// send makes a call's next attempt, or holds the call until a server is available.
 func (b *Balancer) send(c *call) {
-	left := c.until - b.now
-	if left <= 0 || b.forgotten(c, b.now) { // also while it is held
-		b.end(c, b.outOfTime(c, left))
+	left := c.giveUpAt - b.now
+	if left <= 0 || b.keyExpired(c, b.now) { // also for held calls
+		b.finishUnserved(c, b.expiryReason(c, left))
 		return
 	}
-	s := b.pick(c)
-	if c.held = s == nil; c.held {
-		if c.open == 0 { // a second copy does not wait
-			b.act(Action{Kind: StartTimer, Token: c.ID, Wait: min(holdStep, left)})
+	s := b.pickServer(c)
+	if c.waiting = s == nil; c.waiting {
+		if c.openAttempts == 0 { // a hedged attempt does not wait
+			b.emit(Action{Kind: StartTimer, Token: c.ID, Wait: min(holdInterval, left)})
 		}
 		return
 	}
-	if b.cold(s) < 1 && !s.spend(b.now) {
+	if b.capacityFraction(s) < 1 && !s.spendGrant(b.now) {
 		s.tokens--
 	}
 	s.inflight++
 	s.zone.inflight++
-	if c.bounds.AttemptTimeout > 0 {
-		left = min(left, c.bounds.AttemptTimeout)
+	if c.policy.AttemptTimeout > 0 {
+		left = min(left, c.policy.AttemptTimeout)
 	}
-	due := b.usually(c)
-	a := attempt{server: s, sent: b.now, due: b.now + due, span: b.connect(s)}
-	copying := c.bounds.HedgeAfter
-	if copying > 0 && copying < left && c.open == 0 && b.set.Classes[c.Class].Idempotency == Idempotent {
-		a.copyAt = b.now + copying
+	overdueAfter := b.overdueAfter(c)
+	a := attempt{server: s, sentAt: b.now, dueAt: b.now + overdueAfter, idleBucket: b.takeConnection(s)}
+	hedgeAfter := c.policy.HedgeAfter
+	if hedgeAfter > 0 && hedgeAfter < left && c.openAttempts == 0 &&
+		b.cfg.Classes[c.Class].Idempotency == Idempotent {
+		a.hedgeAt = b.now + hedgeAfter
 	}
 	c.attempts = append(c.attempts, a)
-	c.open++
-	act := Action{Kind: Send, Request: c.ID, Server: s.ID, Wait: left}
-	if class := &b.set.Classes[c.Class]; c.ran && class.Idempotency == Keyed { // it may wait for a connection
-		act.SendWithin = max(1, class.KeyTTL*9/10-(b.now-c.ranAt))
+	c.openAttempts++
+	action := Action{Kind: Send, Request: c.ID, Server: s.ID, Wait: left}
+	if class := &b.cfg.Classes[c.Class]; c.mayHaveRun && class.Idempotency == Keyed {
+		// It may have to wait for a connection.
+		action.SendWithin = max(1, class.KeyTTL*9/10-(b.now-c.mayHaveRunAt))
 	}
-	b.act(act)
-	if a.span >= 0 && due < left {
-		b.act(Action{Kind: StartTimer, Token: c.ID, Wait: due})
+	b.emit(action)
+	if a.idleBucket >= 0 && overdueAfter < left {
+		b.emit(Action{Kind: StartTimer, Token: c.ID, Wait: overdueAfter})
 	}
-	if a.copyAt > 0 {
-		b.act(Action{Kind: StartTimer, Token: c.ID, Wait: copying})
+	if a.hedgeAt > 0 {
+		b.emit(Action{Kind: StartTimer, Token: c.ID, Wait: hedgeAfter})
 	}
 }
 
-// outOfTime is why a call that can wait no longer gets no further attempt.
-func (b *Balancer) outOfTime(c *call, left time.Duration) Reason {
+// expiryReason returns why a call that has expired gets no further attempt.
+func (b *Balancer) expiryReason(c *call, left time.Duration) Reason {
 	switch {
-	case c.held:
+	case c.waiting:
 		return NoServer
 	case left <= 0:
 		return DeadlineExceeded
@@ -67,209 +69,214 @@
 	return KeyExpired
 }
 
-// forgotten tells whether the servers may have dropped a keyed call's key by then, some time kept in hand.
-func (b *Balancer) forgotten(c *call, then time.Duration) bool {
-	class := &b.set.Classes[c.Class]
-	return c.ran && class.Idempotency == Keyed && then-c.ranAt > class.KeyTTL*9/10
+// keyExpired reports whether servers may have dropped a keyed call's key at a time, with a safety margin.
+func (b *Balancer) keyExpired(c *call, at time.Duration) bool {
+	class := &b.cfg.Classes[c.Class]
+	return c.mayHaveRun && class.Idempotency == Keyed && at-c.mayHaveRunAt > class.KeyTTL*9/10
 }
 
-// connect takes the connection for a send and returns the span of its idle time. Connections that idled for
-// as long as those that proved dead are closed first: a new one costs a handshake, a dead one the request.
-// It acts only while sends after such idle times are lost more often than answered, at whatever servers: one
-// server that hangs does not make it so.
-func (b *Balancer) connect(s *server) int {
-	if len(s.idle) == 0 {
+// takeConnection takes the connection for a send and returns the bucket of its idle time. Connections that
+// have been idle for as long as those found dead are closed first: a new connection costs a handshake, a
+// dead one loses the request. This applies only while more sends after such idle times are lost than
+// answered over all servers, so that a single hanging server does not cause it.
+func (b *Balancer) takeConnection(s *server) int {
+	if len(s.idleConns) == 0 {
 		return -1
 	}
-	gap := b.now - s.idle[len(s.idle)-1]
-	s.idle = s.idle[:len(s.idle)-1]
-	if b.set.ConnIdleTimeout > 0 && gap >= b.set.ConnIdleTimeout {
-		s.idle = s.idle[:0] // closed by itself, and so are those that idled for longer
+	idleTime := b.now - s.idleConns[len(s.idleConns)-1]
+	s.idleConns = s.idleConns[:len(s.idleConns)-1]
+	if b.cfg.ConnIdleTimeout > 0 && idleTime >= b.cfg.ConnIdleTimeout {
+		s.idleConns = s.idleConns[:0] // closed by the time-out, as are all that were idle for longer
 		return -1
 	}
-	span := -1
-	for d := gapLeast; gap >= d && span < gapSpans-1; d *= 2 {
-		span++
+	bucket := -1
+	for bound := minIdleTime; idleTime >= bound && bucket < idleBuckets-1; bound *= 2 {
+		bucket++
 	}
-	if span >= b.stale {
-		s.idle = s.idle[:0]
-		b.act(Action{Kind: CloseIdle, Server: s.ID})
+	if bucket >= b.staleBucket {
+		s.idleConns = s.idleConns[:0]
+		b.emit(Action{Kind: CloseIdle, Server: s.ID})
 		return -1
 	}
-	return span
+	return bucket
 }
 
-// idled books whether a send on an idle connection was lost, and finds the shortest idle time after which
-// they are dead.
-func (b *Balancer) idled(a *attempt, lost bool) {
-	if a.span >= 0 && lost {
-		b.gaps[a.span].lost++
-	} else if a.span >= 0 {
-		b.gaps[a.span].answered++
+// recordIdleSend counts whether a send on an idle connection was lost, and finds the shortest idle time
+// after which connections are dead.
+func (b *Balancer) recordIdleSend(a *attempt, lost bool) {
+	if a.idleBucket >= 0 && lost {
+		b.idleStats[a.idleBucket].lost++
+	} else if a.idleBucket >= 0 {
+		b.idleStats[a.idleBucket].answered++
 	}
-	var sum idling
-	b.stale = gapSpans
-	for i := gapSpans - 1; i >= 0; i-- {
-		g := b.gaps[i]
-		sum.lost, sum.answered = sum.lost+g.lost, sum.answered+g.answered
-		if sum.lost >= gapProof && sum.lost > sum.answered && g.lost > g.answered {
-			b.stale = i
+	var sum idleStat
+	b.staleBucket = idleBuckets
+	for i := idleBuckets - 1; i >= 0; i-- {
+		stat := b.idleStats[i]
+		sum.lost, sum.answered = sum.lost+stat.lost, sum.answered+stat.answered
+		if sum.lost >= minLostSends && sum.lost > sum.answered && stat.lost > stat.answered {
+			b.staleBucket = i
 		}
 	}
 }
 
-// usually is the time that all answers but few take.
-func (b *Balancer) usually(c *call) time.Duration {
-	return time.Duration(usualTimes * max(b.late, usualLeast) * float64(b.aim(&c.Request)))
+// overdueAfter returns the time that few responses exceed.
+func (b *Balancer) overdueAfter(c *call) time.Duration {
+	return time.Duration(
+		overdueFactor * max(b.meanLatency, minMeanLatency) * float64(b.latencyTarget(&c.Request)))
 }
 
-// overdue looks for attempts that have had no answer in the usual time. One sent on a connection that proves
-// dead hardly reached the server: a second copy goes out where that is harmless, within the retry budget.
-// Copies of what is merely slow cost more than they save: the first goes on running.
-func (b *Balancer) overdue(c *call) {
+// checkOverdue handles attempts without a response in the usual time. If the connection turns out to be
+// dead, the request hardly reached the server, and a hedged attempt is made where that is harmless and the
+// retry budget allows it. Hedging requests that are merely slow costs more than it saves, so these just
+// continue.
+func (b *Balancer) checkOverdue(c *call) {
 	for i := range c.attempts {
 		a := &c.attempts[i]
-		if !a.done && a.copyAt > 0 && b.now >= a.copyAt {
-			a.copyAt = 0
-			if b.mayCopy(c, a) {
+		if !a.done && a.hedgeAt > 0 && b.now >= a.hedgeAt {
+			a.hedgeAt = 0
+			if b.mayHedge(c, a) {
 				b.retryBudget--
-				b.maybeRan(c, a)
+				b.markMayHaveRun(c, a)
 				b.send(c)
 				return
 			}
 		}
-		if a.done || a.overdue || b.now < a.due {
+		if a.done || a.overdue || b.now < a.dueAt {
 			continue
 		}
 		a.overdue = true
-		if b.idled(a, true); a.span >= b.stale && b.mayCopy(c, a) {
+		if b.recordIdleSend(a, true); a.idleBucket >= b.staleBucket && b.mayHedge(c, a) {
 			b.retryBudget--
-			b.maybeRan(c, a)
+			b.markMayHaveRun(c, a)
 			b.send(c)
 			return
 		}
 	}
 }
 
-// mayCopy tells whether a second copy of an attempt may go out.
-func (b *Balancer) mayCopy(c *call, a *attempt) bool {
-	class := &b.set.Classes[c.Class]
-	since := a.sent
-	if c.ran {
-		since = c.ranAt
+// mayHedge reports whether a hedged attempt may be made.
+func (b *Balancer) mayHedge(c *call, a *attempt) bool {
+	class := &b.cfg.Classes[c.Class]
+	since := a.sentAt
+	if c.mayHaveRun {
+		since = c.mayHaveRunAt
 	}
-	return b.set.MayHedge && class.Idempotency != AtMostOnce && c.open == 1 && len(c.attempts) < b.most(c) &&
-		b.retryBudget >= 1 && c.until > b.now && (class.Idempotency != Keyed || b.now-since < class.KeyTTL*9/10)
+	return b.cfg.MayHedge && class.Idempotency != AtMostOnce && c.openAttempts == 1 &&
+		len(c.attempts) < b.maxAttempts(c) && b.retryBudget >= 1 && c.giveUpAt > b.now &&
+		(class.Idempotency != Keyed || b.now-since < class.KeyTTL*9/10)
 }
 
-// most is the number of attempts that a call may have.
-func (b *Balancer) most(c *call) int {
-	most := b.set.MaxAttempts
-	if c.bounds.MaxAttempts > 0 {
-		most = min(most, c.bounds.MaxAttempts)
+// maxAttempts returns the number of attempts that a call may have.
+func (b *Balancer) maxAttempts(c *call) int {
+	limit := b.cfg.MaxAttempts
+	if c.policy.MaxAttempts > 0 {
+		limit = min(limit, c.policy.MaxAttempts)
 	}
 	if c.Budgeted {
-		most = min(most, 1+c.ExtraAttempts)
+		limit = min(limit, 1+c.ExtraAttempts)
 	}
-	return most
+	return limit
 }
 
-// backoff is the wait before a call's next attempt.
+// backoff returns the wait before a call's next attempt.
 func (b *Balancer) backoff(c *call) time.Duration {
-	wait := c.bounds.BackoffInitial << min(len(c.attempts)-1, 16)
-	if most := c.bounds.BackoffMax; most > 0 {
-		wait = min(wait, most)
+	wait := c.policy.BackoffInitial << min(len(c.attempts)-1, 16)
+	if limit := c.policy.BackoffMax; limit > 0 {
+		wait = min(wait, limit)
 	}
-	return wait - time.Duration(c.bounds.BackoffJitter*b.rng.Float64()*float64(wait))
+	return wait - time.Duration(c.policy.BackoffJitter*b.rng.Float64()*float64(wait))
 }
 
-// maybeRan notes that an attempt may have run.
-func (b *Balancer) maybeRan(c *call, a *attempt) {
-	if !c.ran {
-		c.ran, c.ranAt, c.ranOn = true, a.sent, a.server
+// markMayHaveRun records that an attempt may have run.
+func (b *Balancer) markMayHaveRun(c *call, a *attempt) {
+	if !c.mayHaveRun {
+		c.mayHaveRun, c.mayHaveRunAt, c.mayHaveRunOn = true, a.sentAt, a.server
 	}
 }
 
-// again decides between a further attempt and giving up.
-func (b *Balancer) again(c *call) {
-	class := &b.set.Classes[c.Class]
-	// Drawn on also where nothing ran: tries turned away by a full tier multiply from tier to tier into the
-	// storm that keeps it full. Those that found no connection reached no server's queue, and are free.
+// retryOrFinish decides between another attempt and giving up.
+func (b *Balancer) retryOrFinish(c *call) {
+	class := &b.cfg.Classes[c.Class]
+	// The retry budget also pays for attempts that did not run: those rejected by a full tier multiply from
+	// tier to tier and would keep it full. Attempts without a connection reached no server's queue and are
+	// free.
 	last := c.attempts[len(c.attempts)-1].result
 	free := last == ConnectFailed
-	allowed := c.bounds.RetryOn == 0 || c.bounds.RetryOn&last.Bit() != 0
-	stop := NoReason
+	allowed := c.policy.RetryOn == 0 || c.policy.RetryOn&last.Bit() != 0
+	reason := NoReason
 	switch {
-	case len(c.attempts) >= b.most(c):
-		stop = OutOfAttempts
-	case b.now >= c.until:
-		stop = DeadlineExceeded
+	case len(c.attempts) >= b.maxAttempts(c):
+		reason = OutOfAttempts
+	case b.now >= c.giveUpAt:
+		reason = DeadlineExceeded
 	case !free && b.retryBudget < 1:
-		stop = OutOfRetryBudget
-	case c.ran && class.Idempotency == AtMostOnce:
-		stop = MayHaveRun
+		reason = OutOfRetryBudget
+	case c.mayHaveRun && class.Idempotency == AtMostOnce:
+		reason = MayHaveRun
 	case !allowed:
-		stop = RouteDisallowsRetry
+		reason = RouteDisallowsRetry
 	}
 	wait := time.Duration(0)
-	if stop == NoReason && c.bounds.BackoffInitial > 0 {
-		// What would come too late after the wait is given up now.
+	if reason == NoReason && c.policy.BackoffInitial > 0 {
+		// Give up now if the attempt would come too late after the wait.
 		wait = b.backoff(c)
-		if b.now+wait >= c.until {
-			stop = DeadlineExceeded
-		} else if b.forgotten(c, b.now+wait) {
-			stop = KeyExpired
+		if b.now+wait >= c.giveUpAt {
+			reason = DeadlineExceeded
+		} else if b.keyExpired(c, b.now+wait) {
+			reason = KeyExpired
 		}
 	}
-	if stop != NoReason {
-		b.end(c, stop)
+	if reason != NoReason {
+		b.finishUnserved(c, reason)
 		return
 	}
 	if !free {
 		b.retryBudget--
 	}
 	if wait > 0 {
-		c.resume = b.now + wait
-		b.act(Action{Kind: StartTimer, Token: c.ID, Wait: wait})
+		c.notBefore = b.now + wait
+		b.emit(Action{Kind: StartTimer, Token: c.ID, Wait: wait})
 		return
 	}
 	b.send(c)
 }
 
-// end gives the final answer. A refusal is a promise that trying again is harmless, so it is given only
-// where that is true.
-func (b *Balancer) end(c *call, why Reason) {
-	class := &b.set.Classes[c.Class]
-	harmless := !c.ran || class.Idempotency == Idempotent ||
-		class.Idempotency == Keyed && class.Group == GroupAll && !b.forgotten(c, b.now)
-	if harmless && b.now < c.until {
-		wait := b.retryAfter(c.bounds, b.aim(&c.Request)-(b.now-c.arrived))
-		if c.ran && class.Idempotency == Keyed { // the client must be back while its key is known
-			wait = min(wait, class.KeyTTL*9/10-(b.now-c.ranAt))
+// finishUnserved gives the final response of a call that was not served. A refusal promises that a retry is
+// harmless, so it is given only if that is true.
+func (b *Balancer) finishUnserved(c *call, reason Reason) {
+	class := &b.cfg.Classes[c.Class]
+	harmless := !c.mayHaveRun || class.Idempotency == Idempotent ||
+		class.Idempotency == Keyed && class.Group == GroupAll && !b.keyExpired(c, b.now)
+	if harmless && b.now < c.giveUpAt {
+		wait := b.retryAfter(c.policy, b.latencyTarget(&c.Request)-(b.now-c.arrived))
+		if c.mayHaveRun && class.Idempotency == Keyed { // the client must retry while its key is remembered
+			wait = min(wait, class.KeyTTL*9/10-(b.now-c.mayHaveRunAt))
 		}
-		b.act(Action{Kind: Refuse, Request: c.ID, Wait: wait, Reason: why})
+		b.emit(Action{Kind: Refuse, Request: c.ID, Wait: wait, Reason: reason})
 	} else {
-		b.act(Action{Kind: Fail, Request: c.ID, Reason: why})
+		b.emit(Action{Kind: Fail, Request: c.ID, Reason: reason})
 	}
-	b.drop(c, b.aim(&c.Request))
-	b.release(c)
+	b.removeCall(c, b.latencyTarget(&c.Request))
+	b.recycleCall(c)
 }
 
-// drop forgets a finished call and books its response time, in units of its aim. One that was not served
-// counts as least at its aim: else quick failures would read as a quick service and let in more.
-func (b *Balancer) drop(c *call, least time.Duration) {
+// removeCall deletes a finished call and records its response time in units of its latency target. A call
+// that was not served counts as at least the minimum: otherwise quick failures would look like a fast
+// service and admit more.
+func (b *Balancer) removeCall(c *call, minLatency time.Duration) {
 	delete(b.calls, c.ID)
-	aim := float64(max(1, b.aim(&c.Request)))
-	b.held = max(0, b.held-1/aim)
-	b.sum += float64(max(0, least-(b.now-c.arrived))) / aim
-	b.count++
+	target := float64(max(1, b.latencyTarget(&c.Request)))
+	b.openLoad = max(0, b.openLoad-1/target)
+	b.periodLatency += float64(max(0, minLatency-(b.now-c.arrived))) / target
+	b.periodCalls++
 }
 
-// cancel calls off what a finished call has out.
-func (b *Balancer) cancel(c *call) {
+// cancelAttempts cancels the open attempts of a finished call.
+func (b *Balancer) cancelAttempts(c *call) {
 	for i := range c.attempts {
-		if b.set.MayCancel && !c.attempts[i].done {
-			b.act(Action{Kind: Cancel, Request: c.ID, Attempt: i})
+		if b.cfg.MayCancel && !c.attempts[i].done {
+			b.emit(Action{Kind: Cancel, Request: c.ID, Attempt: i})
 		}
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -14,46 +14,46 @@
 
 // world feeds a Balancer random legal events and checks every action against the
 // four rules, from the events alone.
-type world struct {
-	t        *testing.T
-	set      Settings
-	rng      *rand.Rand
-	balancer *Balancer
-	now      time.Duration
-	buf      []Action
-	servers  map[string]*listed
-	ids      []string
-	open     map[uint64]*owed
-	flying   []flight
-	timers   []timer
-	nextID   uint64
-	sends    map[string][]time.Duration // to cold servers
-	bounds   []RoutePolicy
-	broken   bool // the rules are broken on purpose
+type simulation struct {
+	t               *testing.T
+	cfg             Settings
+	rng             *rand.Rand
+	balancer        *Balancer
+	now             time.Duration
+	buf             []Action
+	servers         map[string]*listedServer
+	ids             []string
+	requests        map[uint64]*openRequest
+	pending         []pendingOutcome
+	timers          []pendingTimer
+	nextID          uint64
+	sends           map[string][]time.Duration // to cold servers
+	policies        []RoutePolicy
+	expectViolation bool // the rules are broken on purpose
 }
 
-type listed struct {
+type listedServer struct {
 	Server
-	gone bool
+	unavailable bool
 }
 
-type owed struct {
+type openRequest struct {
 	Request
-	bounds   RoutePolicy // those that it arrived under
-	came     time.Duration
-	deadline time.Duration
-	sent     []try
+	policy    RoutePolicy // those that it arrived under
+	arrivedAt time.Duration
+	deadline  time.Duration
+	attempts  []sentAttempt
 }
 
-type try struct {
-	server  *listed
-	at      time.Duration
-	open    bool
-	harmful bool // may have run
-	result  Result
+type sentAttempt struct {
+	server     *listedServer
+	sentAt     time.Duration
+	open       bool
+	mayHaveRun bool // may have run
+	result     Result
 }
 
-type flight struct {
+type pendingOutcome struct {
 	at      time.Duration
 	request uint64
 	attempt int
@@ -62,7 +62,7 @@
 	took    time.Duration
 }
 
-type timer struct {
+type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
@@ -70,15 +70,15 @@
 // violation is what fail panics with where a test means the rules to be broken.
 type violation string
 
-func (w *world) fail(format string, args ...any) {
+func (w *simulation) fail(format string, args ...any) {
 	w.t.Helper()
-	if w.broken {
+	if w.expectViolation {
 		panic(violation(fmt.Sprintf(format, args...)))
 	}
 	w.t.Fatalf("at %v: %s", w.now, fmt.Sprintf(format, args...))
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newSimulation(t *testing.T, seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	zones := []string{"x", "y", "z"}[:1+rng.IntN(3)]
 	set := Settings{
@@ -99,19 +99,19 @@
 	if rng.IntN(2) == 0 {
 		set.Tenants = []Tenant{{Quota: 30}, {}}
 	}
-	w := &world{
-		t: t, set: set, rng: rng, now: time.Second, servers: map[string]*listed{}, open: map[uint64]*owed{},
+	w := &simulation{
+		t: t, cfg: set, rng: rng, now: time.Second, servers: map[string]*listedServer{}, requests: map[uint64]*openRequest{},
 		sends: map[string][]time.Duration{}, balancer: New(set, seed, time.Second),
 	}
 	first := make([]Server, rng.IntN(9))
 	for i := range first {
 		first[i] = w.newServer(zones)
 	}
-	w.members(ListUpdate{Kind: ListStored, Servers: first})
+	w.updateList(ListUpdate{Kind: ListStored, Servers: first})
 	return w
 }
 
-func (w *world) newServer(zones []string) Server {
+func (w *simulation) newServer(zones []string) Server {
 	id := fmt.Sprintf("s%d", len(w.ids))
 	w.ids = append(w.ids, id)
 	s := Server{ID: id, Zone: zones[w.rng.IntN(len(zones))], Cell: w.rng.IntN(3), Weight: float64(w.rng.IntN(3))}
@@ -121,29 +121,29 @@
 	return s
 }
 
-func (w *world) members(m ListUpdate) {
+func (w *simulation) updateList(m ListUpdate) {
 	if m.Kind == ListFull || m.Kind == ListStored {
 		for _, s := range w.servers {
-			s.gone = true
+			s.unavailable = true
 		}
 	}
 	for _, e := range m.Servers {
-		w.servers[e.ID] = &listed{Server: e, gone: e.Health != Healthy}
+		w.servers[e.ID] = &listedServer{Server: e, unavailable: e.Health != Healthy}
 	}
-	w.take(w.balancer.HandleList(w.now, m, w.buf[:0]))
+	w.apply(w.balancer.HandleList(w.now, m, w.buf[:0]))
 }
 
 // step plays the next millisecond.
-func (w *world) step(zones []string, until time.Duration) {
+func (w *simulation) step(zones []string, until time.Duration) {
 	w.now += ms
 	if w.rng.IntN(700) == 0 { // the node stands still, and then finds all that came meanwhile
 		w.now += time.Duration(w.rng.IntN(400)) * ms
 	}
 	for _, f := range w.due() {
-		c := w.open[f.request]
+		c := w.requests[f.request]
 		if c != nil {
-			c.sent[f.attempt].open, c.sent[f.attempt].result = false, f.result
-			c.sent[f.attempt].harmful = f.result != Rejected && f.result != ConnectFailed && f.result != NotSent
+			c.attempts[f.attempt].open, c.attempts[f.attempt].result = false, f.result
+			c.attempts[f.attempt].mayHaveRun = f.result != Rejected && f.result != ConnectFailed && f.result != NotSent
 		}
 		final := f.result == Served && c != nil && w.now <= c.deadline
 		w.handle(func(out []Action) []Action {
@@ -153,7 +153,7 @@
 			}, out)
 		}, func() {
 			if final {
-				delete(w.open, f.request)
+				delete(w.requests, f.request)
 			}
 		})
 	}
@@ -161,62 +161,62 @@
 		if tm := w.timers[i]; tm.at <= w.now {
 			w.timers = append(w.timers[:i], w.timers[i+1:]...)
 			i--
-			w.take(w.balancer.HandleTimer(w.now, Timer{tm.token}, w.buf[:0]))
+			w.apply(w.balancer.HandleTimer(w.now, Timer{tm.token}, w.buf[:0]))
 		}
 	}
 	if w.now < until {
-		w.random(zones)
+		w.randomEvent(zones)
 	}
-	for id, c := range w.open {
-		if w.now > c.deadline+w.set.AnswerGrace {
+	for id, c := range w.requests {
+		if w.now > c.deadline+w.cfg.AnswerGrace {
 			w.fail("request %d got no final answer", id)
 		}
 	}
 }
 
 // handle runs before, then hands an event to the module.
-func (w *world) handle(event func([]Action) []Action, before func()) {
+func (w *simulation) handle(event func([]Action) []Action, before func()) {
 	before()
-	w.take(event(w.buf[:0]))
+	w.apply(event(w.buf[:0]))
 }
 
-func (w *world) due() []flight {
-	var due, rest []flight
-	for _, f := range w.flying {
+func (w *simulation) due() []pendingOutcome {
+	var due, rest []pendingOutcome
+	for _, f := range w.pending {
 		if f.at <= w.now {
 			due = append(due, f)
 		} else {
 			rest = append(rest, f)
 		}
 	}
-	w.flying = rest
+	w.pending = rest
 	return due
 }
 
-func (w *world) random(zones []string) {
+func (w *simulation) randomEvent(zones []string) {
 	switch p := w.rng.IntN(1000); {
 	case p < 200:
 		w.nextID++
 		tenant := -1
-		if n := len(w.set.Tenants); n > 0 {
+		if n := len(w.cfg.Tenants); n > 0 {
 			tenant = w.rng.IntN(n+1) - 1
 		}
 		r := Request{
-			ID: w.nextID, Class: w.rng.IntN(len(w.set.Classes)), Tenant: tenant,
+			ID: w.nextID, Class: w.rng.IntN(len(w.cfg.Classes)), Tenant: tenant,
 			TTL: time.Duration(w.rng.IntN(800)) * ms, Work: time.Duration(w.rng.IntN(2)) * 20 * ms,
 		}
-		r.Route = w.rng.IntN(len(w.bounds) + 2)
-		c := &owed{Request: r, deadline: w.now + r.TTL, came: w.now}
-		if at := r.Route - 1; at >= 0 && at < len(w.bounds) {
-			c.bounds = w.bounds[at]
-			if limit := c.bounds.DeadlineCap; limit > 0 {
+		r.Route = w.rng.IntN(len(w.policies) + 2)
+		c := &openRequest{Request: r, deadline: w.now + r.TTL, arrivedAt: w.now}
+		if at := r.Route - 1; at >= 0 && at < len(w.policies) {
+			c.policy = w.policies[at]
+			if limit := c.policy.DeadlineCap; limit > 0 {
 				c.deadline = min(c.deadline, w.now+limit)
 			}
 		}
-		w.open[r.ID] = c
-		w.take(w.balancer.HandleRequest(w.now, r, w.buf[:0]))
+		w.requests[r.ID] = c
+		w.apply(w.balancer.HandleRequest(w.now, r, w.buf[:0]))
 	case p < 203:
-		w.members(ListUpdate{Kind: ListDiff, Servers: []Server{w.newServer(zones)}})
+		w.updateList(ListUpdate{Kind: ListDiff, Servers: []Server{w.newServer(zones)}})
 	case p < 208 && len(w.ids) > 0:
 		if s := w.servers[w.ids[w.rng.IntN(len(w.ids))]]; s != nil {
 			e := s.Server
@@ -224,86 +224,86 @@
 			if e.Health == Healthy {
 				e.Started = w.now
 			}
-			w.members(ListUpdate{Kind: ListDiff, Servers: []Server{e}})
+			w.updateList(ListUpdate{Kind: ListDiff, Servers: []Server{e}})
 		}
 	case p < 209:
 		var full []Server
 		for _, id := range w.ids {
-			if s := w.servers[id]; s != nil && !s.gone && w.rng.IntN(5) > 0 {
+			if s := w.servers[id]; s != nil && !s.unavailable && w.rng.IntN(5) > 0 {
 				full = append(full, s.Server)
 			}
 		}
-		w.members(ListUpdate{Kind: ListFull, Servers: full})
+		w.updateList(ListUpdate{Kind: ListFull, Servers: full})
 	case p >= 990 && p < 992:
-		w.route()
-	case p < 210 && w.set.MustSubscribe:
-		w.members(ListUpdate{Kind: ListFailed, ConfirmedUntil: time.Duration(w.rng.IntN(2)) * (w.now + time.Duration(w.rng.IntN(6000))*ms)})
+		w.randomPolicies()
+	case p < 210 && w.cfg.MustSubscribe:
+		w.updateList(ListUpdate{Kind: ListFailed, ConfirmedUntil: time.Duration(w.rng.IntN(2)) * (w.now + time.Duration(w.rng.IntN(6000))*ms)})
 	case p < 215:
-		for _, id := range slices.Sorted(maps.Keys(w.open)) {
+		for _, id := range slices.Sorted(maps.Keys(w.requests)) {
 			if id%7 == 0 {
-				delete(w.open, id)
-				w.take(w.balancer.HandleDisconnect(w.now, Disconnect{id}, w.buf[:0]))
+				delete(w.requests, id)
+				w.apply(w.balancer.HandleDisconnect(w.now, Disconnect{id}, w.buf[:0]))
 				break
 			}
 		}
 	case p < 217: // events for what is not held
-		w.take(w.balancer.HandleDisconnect(w.now, Disconnect{1 << 40}, w.buf[:0]))
-		w.take(w.balancer.HandleTimer(w.now, Timer{1 << 41}, w.buf[:0]))
-		w.take(w.balancer.HandleOutcome(w.now, Outcome{Request: 1 << 40, Server: "unknown"}, w.buf[:0]))
-		w.take(w.balancer.HandleProbe(w.now, ProbeResult{Server: "unknown"}, w.buf[:0]))
+		w.apply(w.balancer.HandleDisconnect(w.now, Disconnect{1 << 40}, w.buf[:0]))
+		w.apply(w.balancer.HandleTimer(w.now, Timer{1 << 41}, w.buf[:0]))
+		w.apply(w.balancer.HandleOutcome(w.now, Outcome{Request: 1 << 40, Server: "unknown"}, w.buf[:0]))
+		w.apply(w.balancer.HandleProbe(w.now, ProbeResult{Server: "unknown"}, w.buf[:0]))
 	}
 }
 
 // route gives the module new bounds, whatever they are: those that make no sense must break no rule either.
-func (w *world) route() {
+func (w *simulation) randomPolicies() {
 	span := func(most int) time.Duration { return time.Duration(w.rng.IntN(2)*w.rng.IntN(most)) * ms }
-	w.bounds = make([]RoutePolicy, w.rng.IntN(4))
-	for i := range w.bounds {
-		w.bounds[i] = RoutePolicy{
+	w.policies = make([]RoutePolicy, w.rng.IntN(4))
+	for i := range w.policies {
+		w.policies[i] = RoutePolicy{
 			AttemptTimeout: span(400), MaxAttempts: w.rng.IntN(8), BackoffInitial: span(200), BackoffMax: span(300),
 			BackoffJitter: w.rng.Float64(), RetryOn: ResultSet(w.rng.IntN(2) * w.rng.IntN(1<<9)),
 			HedgeAfter: span(200), DeadlineCap: span(500), MaxRetryAfter: span(1500),
 		}
 	}
-	w.take(w.balancer.SetRoutePolicies(w.now, w.bounds, w.buf[:0]))
+	w.apply(w.balancer.SetRoutePolicies(w.now, w.policies, w.buf[:0]))
 }
 
 // take checks and carries out a reply.
-func (w *world) take(actions []Action) {
+func (w *simulation) apply(actions []Action) {
 	for _, a := range actions {
-		c := w.open[a.Request]
+		c := w.requests[a.Request]
 		switch a.Kind {
 		case Send:
-			w.send(c, a)
+			w.checkSend(c, a)
 		case Refuse, Fail:
 			if c == nil {
 				w.fail("a second answer to request %d", a.Request)
 			}
 			if a.Kind == Refuse {
-				w.mayRefuse(c)
-				if limit := c.bounds.MaxRetryAfter; limit > 0 && a.Wait > limit {
+				w.checkRefuse(c)
+				if limit := c.policy.MaxRetryAfter; limit > 0 && a.Wait > limit {
 					w.fail("retry-after of %v, %v are allowed", a.Wait, limit)
 				}
-				if a.Wait < 0 || a.Wait > w.set.MaxRetryAfter || a.Wait > 0 && !w.set.MayAdviseRetry {
+				if a.Wait < 0 || a.Wait > w.cfg.MaxRetryAfter || a.Wait > 0 && !w.cfg.MayAdviseRetry {
 					w.fail("retry-after of %v", a.Wait)
 				}
 			}
-			delete(w.open, a.Request)
+			delete(w.requests, a.Request)
 		case StartTimer:
 			if a.Wait < 0 {
 				w.fail("a timer in the past")
 			}
-			w.timers = append(w.timers, timer{w.now + a.Wait, a.Token})
+			w.timers = append(w.timers, pendingTimer{w.now + a.Wait, a.Token})
 		case Cancel:
-			if !w.set.MayCancel {
+			if !w.cfg.MayCancel {
 				w.fail("a cancel that is not permitted")
 			}
 		case WatchList, FetchList:
-			if !w.set.MustSubscribe {
+			if !w.cfg.MustSubscribe {
 				w.fail("asked for a list that comes by itself")
 			}
 		case Probe:
-			if !w.set.MayProbe {
+			if !w.cfg.MayProbe {
 				w.fail("a probe that is not permitted")
 			}
 		}
@@ -311,60 +311,60 @@
 	w.buf = actions
 }
 
-func (w *world) send(c *owed, a Action) {
+func (w *simulation) checkSend(c *openRequest, a Action) {
 	s := w.servers[a.Server]
 	switch {
 	case c == nil:
 		w.fail("a send for request %d, which is not owed", a.Request)
-	case s == nil || s.gone:
+	case s == nil || s.unavailable:
 		w.fail("a send to %s, which drains or is gone", a.Server)
-	case len(c.sent) >= w.set.MaxAttempts:
-		w.fail("more than %d attempts", w.set.MaxAttempts)
-	case c.bounds.MaxAttempts > 0 && len(c.sent) >= c.bounds.MaxAttempts:
-		w.fail("more than the %d attempts of its bounds", c.bounds.MaxAttempts)
-	case c.bounds.AttemptTimeout > 0 && a.Wait > c.bounds.AttemptTimeout:
-		w.fail("an attempt of %v, its bounds allow %v", a.Wait, c.bounds.AttemptTimeout)
+	case len(c.attempts) >= w.cfg.MaxAttempts:
+		w.fail("more than %d attempts", w.cfg.MaxAttempts)
+	case c.policy.MaxAttempts > 0 && len(c.attempts) >= c.policy.MaxAttempts:
+		w.fail("more than the %d attempts of its bounds", c.policy.MaxAttempts)
+	case c.policy.AttemptTimeout > 0 && a.Wait > c.policy.AttemptTimeout:
+		w.fail("an attempt of %v, its bounds allow %v", a.Wait, c.policy.AttemptTimeout)
 	case a.Wait <= 0 || w.now+a.Wait > c.deadline:
 		w.fail("an attempt of %v, %v are left", a.Wait, c.deadline-w.now)
 	}
-	class := w.set.Classes[c.Class]
+	class := w.cfg.Classes[c.Class]
 	open := 0
-	if n := len(c.sent); n > 0 && !c.sent[n-1].open && c.bounds.RetryOn != 0 &&
-		c.bounds.RetryOn&c.sent[n-1].result.Bit() == 0 {
+	if n := len(c.attempts); n > 0 && !c.attempts[n-1].open && c.policy.RetryOn != 0 &&
+		c.policy.RetryOn&c.attempts[n-1].result.Bit() == 0 {
 		w.fail("an attempt after an outcome that its bounds do not name")
 	}
-	for _, t := range c.sent {
+	for _, t := range c.attempts {
 		if t.open {
 			open++
 		}
-		if !t.open && !t.harmful {
+		if !t.open && !t.mayHaveRun {
 			continue
 		}
 		switch {
 		case class.Idempotency == AtMostOnce:
 			w.fail("an effect could happen twice")
-		case class.Idempotency == Keyed && w.now-t.at > class.KeyTTL:
+		case class.Idempotency == Keyed && w.now-t.sentAt > class.KeyTTL:
 			w.fail("a repeat after the key was forgotten")
 		case class.Idempotency == Keyed && class.Group == GroupZone && s.Zone != t.server.Zone,
 			class.Idempotency == Keyed && class.Group == GroupCell && s.Cell != t.server.Cell:
 			w.fail("a repeat outside the group that drops it")
 		}
 	}
-	if open > 1 || open == 1 && !w.set.MayHedge {
+	if open > 1 || open == 1 && !w.cfg.MayHedge {
 		w.fail("%d attempts at once", open+1)
 	}
-	c.sent = append(c.sent, try{server: s, at: w.now, open: true})
-	if s.Started > 0 && w.now-s.Started < w.set.WarmupTime {
+	c.attempts = append(c.attempts, sentAttempt{server: s, sentAt: w.now, open: true})
+	if s.Started > 0 && w.now-s.Started < w.cfg.WarmupTime {
 		// The budget of one of three nodes, were the server able to do 100 requests a second.
 		w.sends[s.ID] = append(w.sends[s.ID], w.now)
 		n := 0
 		for _, at := range w.sends[s.ID] {
-			if w.now-at < w.set.CollapseWindow {
+			if w.now-at < w.cfg.CollapseWindow {
 				n++
 			}
 		}
-		if room := w.set.CollapseMultiple * w.set.ColdCapacity * 100 * w.set.CollapseWindow.Seconds() / 3; float64(n) > room+0.5 {
-			w.fail("%d sends to cold %s within %v, room for %.0f", n, s.ID, w.set.CollapseWindow, room)
+		if room := w.cfg.CollapseMultiple * w.cfg.ColdCapacity * 100 * w.cfg.CollapseWindow.Seconds() / 3; float64(n) > room+0.5 {
+			w.fail("%d sends to cold %s within %v, room for %.0f", n, s.ID, w.cfg.CollapseWindow, room)
 		}
 	}
 	took := time.Duration(1+w.rng.IntN(300)) * ms
@@ -372,13 +372,13 @@
 	if took >= a.Wait || w.rng.IntN(20) == 0 { // slow, or silent for ever
 		took, result = a.Wait, TimedOut
 	}
-	w.flying = append(w.flying, flight{w.now + took, c.ID, len(c.sent) - 1, s.ID, result, took})
+	w.pending = append(w.pending, pendingOutcome{w.now + took, c.ID, len(c.attempts) - 1, s.ID, result, took})
 }
 
-func (w *world) mayRefuse(c *owed) {
-	class := w.set.Classes[c.Class]
-	for _, t := range c.sent {
-		if !t.open && !t.harmful {
+func (w *simulation) checkRefuse(c *openRequest) {
+	class := w.cfg.Classes[c.Class]
+	for _, t := range c.attempts {
+		if !t.open && !t.mayHaveRun {
 			continue
 		}
 		if class.Idempotency == AtMostOnce || class.Idempotency == Keyed && class.Group != GroupAll {
@@ -390,13 +390,13 @@
 func TestRulesOnRandomEvents(t *testing.T) {
 	for seed := uint64(0); seed < 60; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newWorld(t, seed)
+			w := newSimulation(t, seed)
 			zones := []string{"x", "y", "z"}
 			for end := w.now + 8*time.Second; w.now < end; {
 				w.step(zones, end-time.Second)
 			}
-			if n := len(w.balancer.calls); n != 0 || len(w.open) != 0 {
-				t.Errorf("%d calls are kept after their end, %d owed", n, len(w.open))
+			if n := len(w.balancer.calls); n != 0 || len(w.requests) != 0 {
+				t.Errorf("%d calls are kept after their end, %d owed", n, len(w.requests))
 			}
 			for id, s := range w.balancer.servers {
 				if s.inflight != 0 {
@@ -412,51 +412,51 @@
 	wait := 50 * ms
 	for _, c := range []struct {
 		name, want string
-		act        func(w *world)
+		act        func(w *simulation)
 	}{
-		{"two answers", "second answer", func(w *world) {
-			w.take([]Action{{Kind: Fail, Request: 1}, {Kind: Refuse, Request: 1}})
+		{"two answers", "second answer", func(w *simulation) {
+			w.apply([]Action{{Kind: Fail, Request: 1}, {Kind: Refuse, Request: 1}})
 		}},
-		{"sent after the end", "not owed", func(w *world) {
-			w.take([]Action{{Kind: Fail, Request: 1}, {Kind: Send, Request: 1, Server: "a", Wait: wait}})
+		{"sent after the end", "not owed", func(w *simulation) {
+			w.apply([]Action{{Kind: Fail, Request: 1}, {Kind: Send, Request: 1, Server: "a", Wait: wait}})
 		}},
-		{"no answer", "no final answer", func(w *world) {
+		{"no answer", "no final answer", func(w *simulation) {
 			for range 2000 {
 				w.step(nil, 0)
 			}
 		}},
-		{"an effect twice", "effect could happen twice", func(w *world) {
-			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
-			w.open[1].sent[0].open, w.open[1].sent[0].harmful = false, true
-			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
+		{"an effect twice", "effect could happen twice", func(w *simulation) {
+			w.apply([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
+			w.requests[1].attempts[0].open, w.requests[1].attempts[0].mayHaveRun = false, true
+			w.apply([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
 		}},
-		{"refused after it may have run", "may have run", func(w *world) {
-			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}, {Kind: Refuse, Request: 1}})
+		{"refused after it may have run", "may have run", func(w *simulation) {
+			w.apply([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}, {Kind: Refuse, Request: 1}})
 		}},
-		{"outside the group", "outside the group", func(w *world) {
-			w.open[1].Class = 5 // keyed, by cell
-			w.take([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
-			w.open[1].sent[0].open, w.open[1].sent[0].harmful = false, true
-			w.take([]Action{{Kind: Send, Request: 1, Server: "cold", Wait: wait}})
+		{"outside the group", "outside the group", func(w *simulation) {
+			w.requests[1].Class = 5 // keyed, by cell
+			w.apply([]Action{{Kind: Send, Request: 1, Server: "a", Wait: wait}})
+			w.requests[1].attempts[0].open, w.requests[1].attempts[0].mayHaveRun = false, true
+			w.apply([]Action{{Kind: Send, Request: 1, Server: "cold", Wait: wait}})
 		}},
-		{"sent to a draining server", "drains or is gone", func(w *world) {
-			w.take([]Action{{Kind: Send, Request: 1, Server: "draining", Wait: wait}})
+		{"sent to a draining server", "drains or is gone", func(w *simulation) {
+			w.apply([]Action{{Kind: Send, Request: 1, Server: "draining", Wait: wait}})
 		}},
-		{"a cold server pushed over", "sends to cold", func(w *world) {
+		{"a cold server pushed over", "sends to cold", func(w *simulation) {
 			for id := uint64(2); id < 200; id++ {
-				w.open[id] = &owed{Request: Request{ID: id}, deadline: w.now + time.Second}
-				w.take([]Action{{Kind: Send, Request: id, Server: "cold", Wait: wait}})
+				w.requests[id] = &openRequest{Request: Request{ID: id}, deadline: w.now + time.Second}
+				w.apply([]Action{{Kind: Send, Request: id, Server: "cold", Wait: wait}})
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, 3)
-			w.broken, w.set.MaxAttempts = true, 9
-			w.servers = map[string]*listed{
-				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, gone: true},
+			w := newSimulation(t, 3)
+			w.expectViolation, w.cfg.MaxAttempts = true, 9
+			w.servers = map[string]*listedServer{
+				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, unavailable: true},
 				"cold": {Server: Server{ID: "cold", Cell: 1, Started: w.now}},
 			}
-			w.open = map[uint64]*owed{1: {Request: Request{ID: 1, Class: 8}, deadline: w.now + time.Second}}
+			w.requests = map[uint64]*openRequest{1: {Request: Request{ID: 1, Class: 8}, deadline: w.now + time.Second}}
 			defer func() {
 				if v, _ := recover().(violation); !strings.Contains(string(v), c.want) {
 					t.Errorf("seen: %q, want %q", v, c.want)
@@ -565,13 +565,13 @@
 	asked := 0
 	watch := func(actions []Action) {
 		for _, a := range actions {
-			if a.Kind == WatchList || a.Kind == StartTimer && a.Token == askToken {
+			if a.Kind == WatchList || a.Kind == StartTimer && a.Token == watchTimerToken {
 				asked++
 			}
 		}
 	}
 	watch(b.HandleList(0, ListUpdate{Kind: ListStored, Servers: []Server{{ID: "old"}, {ID: "kept"}}}, nil))
-	watch(b.HandleTimer(ms, Timer{askToken}, nil))
+	watch(b.HandleTimer(ms, Timer{watchTimerToken}, nil))
 	watch(b.HandleList(2*ms, ListUpdate{Kind: ListFailed}, nil))
 	if asked < 3 {
 		t.Errorf("asked %d times after a stored list and a failure", asked)
@@ -616,7 +616,7 @@
 		longest = max(longest, wait)
 		pauses[wait] = true
 		now += wait
-		if out := b.HandleTimer(now, Timer{Token: askToken}, nil); len(out) != 1 || out[0].Kind != WatchList {
+		if out := b.HandleTimer(now, Timer{Token: watchTimerToken}, nil); len(out) != 1 || out[0].Kind != WatchList {
 			t.Fatalf("after the pause: %v", out)
 		}
 		now += time.Second
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -46,8 +46,8 @@
 		kept := make([]map[*server]bool, nodes)
 		for i, b := range all {
 			kept[i] = map[*server]bool{}
-			for at := range len(b.near) + len(b.far) {
-				kept[i][b.subset(at)] = true
+			for at := range len(b.localSubset) + len(b.remoteSubset) {
+				kept[i][b.subsetServer(at)] = true
 			}
 		}
 		// Each change takes one server out and, as a change of its own, puts one in.
@@ -63,12 +63,12 @@
 					b.HandleList(time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{s}}, nil)
 					if s.Health == Removed && kept[i][old] {
 						must++
-					} else if fresh := b.servers[s.ID]; s.Health == Healthy && (slices.Contains(b.near, fresh) || slices.Contains(b.far, fresh)) {
+					} else if fresh := b.servers[s.ID]; s.Health == Healthy && (slices.Contains(b.localSubset, fresh) || slices.Contains(b.remoteSubset, fresh)) {
 						must++
 					}
 					now := map[*server]bool{}
-					for at := range len(b.near) + len(b.far) {
-						now[b.subset(at)] = true
+					for at := range len(b.localSubset) + len(b.remoteSubset) {
+						now[b.subsetServer(at)] = true
 					}
 					lost, won := 0, 0
 					for x := range kept[i] {
@@ -107,8 +107,8 @@
 	count := map[string]int{}
 	sum := 0
 	for _, b := range all {
-		for at := range len(b.near) + len(b.far) {
-			count[b.subset(at).ID]++
+		for at := range len(b.localSubset) + len(b.remoteSubset) {
+			count[b.subsetServer(at).ID]++
 			sum++
 		}
 	}
--- a/decide/unconfirmed_test.go
+++ b/decide/unconfirmed_test.go
@@ -131,14 +131,14 @@
 		b.HandleList(heard, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "a", Started: c.started}}}, nil)
 		s := b.servers["a"]
 		for _, x := range c.answers {
-			s.prove(x.sent, &Outcome{Result: Served, ConnAge: x.sent - x.opened})
+			s.recordOutcome(x.sent, &Outcome{Result: Served, ConnAge: x.sent - x.opened})
 		}
 		b.HandleList(now, ListUpdate{Kind: ListFailed, ConfirmedUntil: now}, nil)
-		if got := !b.unproven(s); got != c.proven {
+		if got := !b.doubtful(s); got != c.proven {
 			t.Errorf("%s: proven %v, want %v", c.name, got, c.proven)
 		}
 		b.HandleList(now, ListUpdate{Kind: ListDiff}, nil)
-		if b.unproven(s) {
+		if b.doubtful(s) {
 			t.Errorf("%s: doubted though the list is confirmed", c.name)
 		}
 	}
@@ -150,11 +150,11 @@
 	for age, want := range map[time.Duration]time.Duration{7 * time.Second: 2010 * ms, 20 * ms: 8990 * ms, 0: 9 * time.Second} {
 		b := askingNode("a")
 		ask(b, time.Second, serveAll) // leaves a connection
-		b.servers["a"].alive = lifetime{}
+		b.servers["a"].uptime = timeSpan{}
 		nextID++
 		b.HandleRequest(9*time.Second, Request{ID: nextID, Tenant: -1, TTL: time.Second}, nil)
 		b.HandleOutcome(9*time.Second+10*ms, Outcome{Request: nextID, Server: "a", Result: Served, Elapsed: 10 * ms, ConnAge: age, Final: true}, nil)
-		if got := b.servers["a"].alive.from; got != want {
+		if got := b.servers["a"].uptime.from; got != want {
 			t.Errorf("on a connection of %v: it lives since %v, want %v", age, got, want)
 		}
 	}
@@ -169,9 +169,9 @@
 		near, far     int
 		nearIsDoubted bool
 	}{
-		{"a large zone", slowToTell, 50, true},
-		{"a small zone", slowToTell - 1, 50, false},
-		{"the only zone", slowToTell, 0, false},
+		{"a large zone", slowAnnouncementSize, 50, true},
+		{"a small zone", slowAnnouncementSize - 1, 50, false},
+		{"the only zone", slowAnnouncementSize, 0, false},
 	} {
 		b := New(Settings{
 			Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second, Zone: "near",
@@ -223,12 +223,12 @@
 	} {
 		b := nodeOfTwoZones(20)
 		for i := range 20 {
-			b.servers[fmt.Sprint("far-", i)].prove(2*time.Second, &Outcome{Result: Served, ConnAge: time.Second})
-			b.servers[fmt.Sprint("near-", i)].prove(2500*ms, &Outcome{Result: Served, ConnAge: time.Second})
+			b.servers[fmt.Sprint("far-", i)].recordOutcome(2*time.Second, &Outcome{Result: Served, ConnAge: time.Second})
+			b.servers[fmt.Sprint("near-", i)].recordOutcome(2500*ms, &Outcome{Result: Served, ConnAge: time.Second})
 		}
 		for i, r := range c.results {
-			b.servers[fmt.Sprint("near-", i)].prove(3500*ms, &Outcome{Result: r})
-			b.zones["near"].book(3500*ms, r)
+			b.servers[fmt.Sprint("near-", i)].recordOutcome(3500*ms, &Outcome{Result: r})
+			b.zones["near"].recordResult(3500*ms, r)
 		}
 		b.HandleList(10*time.Second, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
 		b.HandleList(10*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
@@ -240,11 +240,11 @@
 
 // A server that turned work away is not asked again because of a list that discovery made before it could name that.
 func TestDenialOutlivesAnOlderList(t *testing.T) {
-	for heard, denied := range map[time.Duration]bool{0: true, 4 * time.Second: true, 3*time.Second + listedWithin: false} {
+	for heard, denied := range map[time.Duration]bool{0: true, 4 * time.Second: true, 3*time.Second + listingDelay: false} {
 		b := askingNode("a")
-		b.servers["a"].prove(3*time.Second, &Outcome{Result: Rejected})
-		b.heard = heard
-		if got := b.denied(b.servers["a"]); got != denied {
+		b.servers["a"].recordOutcome(3*time.Second, &Outcome{Result: Rejected})
+		b.confirmedAt = heard
+		if got := b.refusedSince(b.servers["a"]); got != denied {
 			t.Errorf("denied at 3 s, the list is as of %v: denied still %v, want %v", heard, got, denied)
 		}
 	}
@@ -274,7 +274,7 @@
 // well, and go on doing so while they drain: while the list is unconfirmed the zone is left alone, until discovery was heard as of a time
 // at which it had listed all. Processes that have started since, the only zone, and one of which fewer leave are asked.
 func TestZoneThatLeavesIsNotAsked(t *testing.T) {
-	const near, told = 2 * slowToTell, 3 * time.Second
+	const near, told = 2 * slowAnnouncementSize, 3 * time.Second
 	for _, c := range []struct {
 		name    string
 		far     int
@@ -283,11 +283,11 @@
 		heard   time.Duration
 		asked   bool // the zone
 	}{
-		{"many leave", near, slowToTell, 0, told, false},
-		{"few leave", near, slowToTell - 1, 0, told, true},
-		{"the only zone", 0, slowToTell, 0, told, true},
-		{"the rest has started since", near, slowToTell, 4 * time.Second, told, true},
-		{"all are listed", near, slowToTell, 0, told + listedWithin, true},
+		{"many leave", near, slowAnnouncementSize, 0, told, false},
+		{"few leave", near, slowAnnouncementSize - 1, 0, told, true},
+		{"the only zone", 0, slowAnnouncementSize, 0, told, true},
+		{"the rest has started since", near, slowAnnouncementSize, 4 * time.Second, told, true},
+		{"all are listed", near, slowAnnouncementSize, 0, told + listingDelay, true},
 	} {
 		b := nodeOfZones(near, c.far)
 		var changes []Server
@@ -302,7 +302,7 @@
 		b.HandleList(told, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
 		b.HandleList(told, ListUpdate{Kind: ListFailed, ConfirmedUntil: 9 * time.Second}, nil)
 		for _, s := range b.servers {
-			s.prove(9*time.Second, &Outcome{Result: Served, ConnAge: 9 * time.Second})
+			s.recordOutcome(9*time.Second, &Outcome{Result: Served, ConnAge: 9 * time.Second})
 		}
 		got := slices.ContainsFunc(asked(b, 9*time.Second, 10*time.Second, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
 		if got != c.asked {
@@ -327,27 +327,27 @@
 		now      time.Duration
 		asked    bool // the zone
 	}{
-		{"lost", slowToTell, slowToTell, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + listedTold, false},
-		{"not told yet", slowToTell, slowToTell, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + listedTold - time.Second, true},
-		{"a small zone", slowToTell - 1, slowToTell, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + listedTold, true},
-		{"the only zone", slowToTell, 0, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + listedTold, true},
-		{"few failures", slowToTell, slowToTell, []time.Duration{0, 3 * time.Second}, false, time.Second, lost + listedTold, true},
-		{"a moment", slowToTell, slowToTell, []time.Duration{0, 10 * ms, 20 * ms}, false, time.Second, lost + listedTold, true},
-		{"connections that lasted", slowToTell, slowToTell, []time.Duration{0, time.Second, 3 * time.Second}, true, time.Second, lost + listedTold, true},
-		{"heard since", slowToTell, slowToTell, []time.Duration{0, time.Second, 3 * time.Second}, false, lost + 3*time.Second + listedWithin, lost + 9*time.Second, true},
-		{"back for long", slowToTell, slowToTell, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, back + returnTold, true},
+		{"lost", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay, false},
+		{"not told yet", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay - time.Second, true},
+		{"a small zone", slowAnnouncementSize - 1, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay, true},
+		{"the only zone", slowAnnouncementSize, 0, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay, true},
+		{"few failures", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 3 * time.Second}, false, time.Second, lost + announcementDelay, true},
+		{"a moment", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 10 * ms, 20 * ms}, false, time.Second, lost + announcementDelay, true},
+		{"connections that lasted", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, true, time.Second, lost + announcementDelay, true},
+		{"heard since", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, lost + 3*time.Second + listingDelay, lost + 9*time.Second, true},
+		{"back for long", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, back + restartKnownAfter, true},
 	} {
 		b := nodeOfZones(c.near, c.far)
 		for _, after := range c.failures {
-			b.zones["near"].book(lost+after, ConnectFailed)
+			b.zones["near"].recordResult(lost+after, ConnectFailed)
 		}
 		opened := back
 		if c.kept {
 			opened = time.Second
 		}
 		for _, s := range b.servers {
-			s.prove(c.now, &Outcome{Result: Served, ConnAge: c.now - opened})
-			s.zone.book(back, Served)
+			s.recordOutcome(c.now, &Outcome{Result: Served, ConnAge: c.now - opened})
+			s.zone.recordResult(back, Served)
 		}
 		b.HandleList(c.now, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
 		got := slices.ContainsFunc(asked(b, c.now, c.now+900*ms, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
--- a/policy_test.go
+++ b/policy_test.go
@@ -12,7 +12,7 @@
 )
 
 // policyData are the files of decide/ that decide nothing.
-func policyData() []string { return []string{"decide/api.go", "decide/pool.go", "decide/rows.go"} }
+func policyData() []string { return []string{"decide/api.go", "decide/grants.go", "decide/state.go"} }
 
 // The files that hold decisions are read by auditors: all of them are named in the deploy file, and each is short enough to
 // be read at once.
