--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchFleet returns a front proxy, one of a hundred, before n servers in four zones.
+// benchFleet returns one of a hundred front proxies before n servers in four zones.
 func benchFleet(n int) (*Balancer, []Server) {
 	zones := []string{"a", "b", "c", "d"}
 	b := New(Settings{
@@ -23,8 +23,7 @@
 	return b, list
 }
 
-// BenchmarkDecision is one request with its attempt and its end, at a steady
-// eight in flight.
+// BenchmarkDecision measures a request with its attempt and its end, with eight requests in flight.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -56,7 +55,7 @@
 	}
 }
 
-// BenchmarkListChange is one server that changes.
+// BenchmarkListChange measures an update of one server.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// burst plays nodes before one server, which all of them have kept busy: it starts anew, no requests come for a lull, and
-// then each node gets some at once. It returns the most that the server is sent in a window, and what it may be.
-func burst(nodes int, busy float64, lull time.Duration, each int, seed uint64) (worst, bound float64) {
-	set := Settings{
+// simulateBurst runs several nodes with one server that all of them have kept busy. The server restarts, no
+// requests come during a lull, and then each node gets some at once. It returns the largest number of sends
+// in a window, and the bound on it, for the window that comes closest to its bound.
+func simulateBurst(nodes int, busy float64, lull time.Duration, each int, seed uint64) (worst, bound float64) {
+	cfg := Settings{
 		Nodes: nodes, MaxAttempts: 4, ColdCapacity: 0.3, WarmupTime: 8400 * ms, CollapseMultiple: 2.5, CollapseWindow: time.Second, AnswerGrace: 10 * ms,
-		Tier: 1, Tiers: 2, // below the front nothing is refused for the time it takes
+		Tier: 1, Tiers: 2, // below the front tier nothing is refused
 		Classes: []Class{{LatencyTarget: 3 * time.Second, Deadline: 3 * time.Second, Worth: 1}},
 	}
 	const warm, start = 30 * time.Second, 60 * time.Second
 	all := make([]*Balancer, nodes)
 	for i := range all {
-		set.Node = i
-		all[i] = New(set, seed*1000+uint64(i), 0)
+		cfg.Node = i
+		all[i] = New(cfg, seed*1000+uint64(i), 0)
 		all[i].HandleList(0, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}}}, nil)
 		every := time.Duration(float64(nodes) / busy * float64(time.Second))
 		id := uint64(0)
@@ -35,8 +36,8 @@
 		id   uint64
 	}
 	var sent []time.Duration
-	waits := map[time.Duration][]due{}
-	take := func(now time.Duration, node int, id uint64, out []Action) {
+	timers := map[time.Duration][]due{}
+	apply := func(now time.Duration, node int, id uint64, out []Action) {
 		for _, a := range out {
 			switch a.Kind {
 			case Send:
@@ -44,7 +45,7 @@
 				all[node].HandleOutcome(now, Outcome{Request: id, Server: "a", Result: Served, Elapsed: 20 * ms, Final: true}, nil)
 			case StartTimer:
 				at := now + max(a.Wait, ms)
-				waits[at] = append(waits[at], due{node, id})
+				timers[at] = append(timers[at], due{node, id})
 			}
 		}
 	}
@@ -52,53 +53,53 @@
 	for i := range all {
 		for k := range each {
 			id := uint64(1_000_000 + k)
-			take(begin, i, id, all[i].HandleRequest(begin, Request{ID: id, Tenant: -1, TTL: 2 * time.Second}, nil))
+			apply(begin, i, id, all[i].HandleRequest(begin, Request{ID: id, Tenant: -1, TTL: 2 * time.Second}, nil))
 		}
 	}
 	for now := begin; now < begin+2*time.Second; now += ms {
-		for _, d := range waits[now] {
-			take(now, d.node, d.id, all[d.node].HandleTimer(now, Timer{d.id}, nil))
+		for _, d := range timers[now] {
+			apply(now, d.node, d.id, all[d.node].HandleTimer(now, Timer{d.id}, nil))
 		}
 	}
 	for i, at := range sent {
 		n := 0
 		for _, x := range sent[i:] {
-			if x < at+set.CollapseWindow && x < start+set.WarmupTime { // none that is warm falls
+			if x < at+cfg.CollapseWindow && x < start+cfg.WarmupTime { // a warm server does not collapse
 				n++
 			}
 		}
-		warmth := set.ColdCapacity + (1-set.ColdCapacity)*min(1, float64(at-start)/float64(set.WarmupTime))
-		if calls := set.CollapseMultiple * warmth * busy; warmth < 1 && float64(n)/(calls+2*math.Sqrt(calls)+2) > worst/max(bound, 1e-9) {
+		warmth := cfg.ColdCapacity + (1-cfg.ColdCapacity)*min(1, float64(at-start)/float64(cfg.WarmupTime))
+		if calls := cfg.CollapseMultiple * warmth * busy; warmth < 1 && float64(n)/(calls+2*math.Sqrt(calls)+2) > worst/max(bound, 1e-9) {
 			worst, bound = float64(n), calls+2*math.Sqrt(calls)+2
 		}
 	}
 	return worst, bound
 }
 
-// Many nodes before one cold server, and a lull: each node goes by how many answers a second it has had, and that has to
-// fade with time. Read as of the last answer it is far too much for nodes that see few, and all of them save up a chance to
-// send in the lull, which they use at once as requests come again.
-func TestALullIsNoCapacity(t *testing.T) {
+// Many nodes use one cold server, and there is a lull. Each node derives its budget from its rate of
+// responses, which must decay with time. Without decay the rate is far too high at nodes with few requests,
+// and all of them earn a send during the lull, which they use at once when requests come again.
+func TestLullEarnsNoColdBudget(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
 		busy  float64
 		lull  time.Duration
 	}{{20, 3, 7 * time.Second}, {30, 5, 7 * time.Second}, {30, 5, 5 * time.Second}, {60, 10, 7 * time.Second}, {300, 40, 7 * time.Second}} {
 		t.Run(fmt.Sprintf("%d nodes, %v a second, %v", c.nodes, c.busy, c.lull), func(t *testing.T) {
-			over, part := 0, 0.0
+			over, worstRatio := 0, 0.0
 			for seed := range uint64(10) {
-				worst, bound := burst(c.nodes, c.busy, c.lull, 3, seed)
-				part = max(part, worst/bound)
+				worst, bound := simulateBurst(c.nodes, c.busy, c.lull, 3, seed)
+				worstRatio = max(worstRatio, worst/bound)
 				if worst > bound {
 					over++
 				}
 			}
-			t.Logf("worst window %.2f of the bound; above it in %d of 10", part, over)
+			t.Logf("worst window %.2f of the bound; above it in %d of 10 runs", worstRatio, over)
 			if over > 0 {
-				t.Errorf("in %d of 10 plays the server is sent more than chance explains, up to %.2f of it", over, part)
+				t.Errorf("in %d of 10 runs the server is sent more than chance explains, up to %.2f of the bound", over, worstRatio)
 			}
-			if part < 0.1 {
-				t.Error("nothing to speak of is sent")
+			if worstRatio < 0.1 {
+				t.Error("hardly anything is sent")
 			}
 		})
 	}
--- a/decide/concurrency_test.go
+++ b/decide/concurrency_test.go
@@ -6,127 +6,127 @@
 	"time"
 )
 
-// learner feeds a room answers of a plant: a server of so many cores with a
-// service time in aims, at so many calls held, of which the room knows nothing.
-type learner struct {
+// limitSimulation feeds a concurrencyLimit with the responses of a simulated server that has the given
+// cores and service time, in latency targets. The limit knows neither.
+type limitSimulation struct {
 	concurrencyLimit
-	now   time.Duration
-	cores float64
-	took  float64
+	now         time.Duration
+	cores       float64
+	serviceTime float64
 }
 
-func newLearner(cores, took float64) *learner {
-	return &learner{concurrencyLimit: newConcurrencyLimit(LimitLearned, 5, 0, time.Second), cores: cores, took: took}
+func newLimitSimulation(cores, serviceTime float64) *limitSimulation {
+	return &limitSimulation{concurrencyLimit: newConcurrencyLimit(LimitLearned, 5, 0, time.Second), cores: cores, serviceTime: serviceTime}
 }
 
-// hold plays so many answers at so many calls held a server, a millisecond apart;
-// calls are refused where that is above the room.
-func (l *learner) hold(held float64, answers int) {
-	for range answers {
+// hold simulates responses, one per millisecond, at a number of calls held on a server. Calls are refused
+// if that number reaches the limit.
+func (l *limitSimulation) hold(callsHeld float64, responses int) {
+	for range responses {
 		l.now += ms
-		l.reached = l.reached || held >= l.perServer()
-		l.concurrencyLimit.record(l.now, l.took*max(1, held/l.cores), false, held)
+		l.reached = l.reached || callsHeld >= l.perServer()
+		l.concurrencyLimit.record(l.now, l.serviceTime*max(1, callsHeld/l.cores), false, callsHeld)
 		if l.now%(200*ms) == 0 {
 			l.update(l.now, 1)
 		}
 	}
 }
 
-func TestRoomBeforeAnyAnswer(t *testing.T) {
-	m := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
-	if c := m.perServer(); c != clearFraction/initialMinLatency {
-		t.Errorf("room for %v calls", c)
+func TestLimitBeforeFirstResponse(t *testing.T) {
+	limit := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
+	if c := limit.perServer(); c != clearFraction/initialMinLatency {
+		t.Errorf("limit of %v calls", c)
 	}
 }
 
-// A node that starts in the midst of an overload has no answer to go by, but it
-// waits for one: the longer, the less room. Without calls it waits for nothing.
-func TestRoomWhileTheFirstAnswerIsWaitedFor(t *testing.T) {
-	m := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
-	m.update(10*time.Second, 0)
-	if c := m.perServer(); c != clearFraction/initialMinLatency {
-		t.Errorf("idle for 10 s: room for %v calls", c)
-	}
-	m.update(10*time.Second+50*ms, 1)
-	if c := m.perServer(); c != 10 {
-		t.Errorf("50 ms without an answer: room for %v calls, want 10", c)
-	}
-	m.update(10*time.Second+300*ms, 1)
-	if c := m.perServer(); c != 5 {
-		t.Errorf("300 ms without an answer: room for %v calls, want the presumed 5", c)
-	}
-	m.record(10*time.Second+310*ms, 0.04, false, 1) // it was the listing that took long
-	if c := m.perServer(); c != 12.5 {
-		t.Errorf("after one answer in 0.04 aims: room for %v calls, want 12.5", c)
+// A node that starts during an overload has no response to go by, but it waits for one: the longer, the
+// lower the limit. Without calls it waits for nothing.
+func TestLimitWhileFirstResponseIsOutstanding(t *testing.T) {
+	limit := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
+	limit.update(10*time.Second, 0)
+	if c := limit.perServer(); c != clearFraction/initialMinLatency {
+		t.Errorf("idle for 10 s: limit of %v calls", c)
+	}
+	limit.update(10*time.Second+50*ms, 1)
+	if c := limit.perServer(); c != 10 {
+		t.Errorf("50 ms without a response: limit of %v calls, want 10", c)
+	}
+	limit.update(10*time.Second+300*ms, 1)
+	if c := limit.perServer(); c != 5 {
+		t.Errorf("300 ms without a response: limit of %v calls, want the assumed 5", c)
+	}
+	limit.record(10*time.Second+310*ms, 0.04, false, 1) // the list of servers took long, not the response
+	if c := limit.perServer(); c != 12.5 {
+		t.Errorf("after one response in 0.04 latency targets: limit of %v calls, want 12.5", c)
 	}
 }
 
-// Answers in a thousandth of the aim are cleared in time whatever their number;
-// those in a third of it leave the presumed room.
-func TestRoomIsWhatIsClearedInTheAim(t *testing.T) {
-	for _, c := range []struct{ took, least, most float64 }{{0.002, 200, 300}, {0.02, 20, 30}, {0.3, 5, 5}, {2, 5, 5}} {
-		l := newLearner(1, c.took)
+// Any number of calls that take a thousandth of the latency target is cleared in time; calls that take a
+// third of it leave the assumed limit.
+func TestLimitIsClearedWithinTarget(t *testing.T) {
+	for _, c := range []struct{ serviceTime, low, high float64 }{{0.002, 200, 300}, {0.02, 20, 30}, {0.3, 5, 5}, {2, 5, 5}} {
+		l := newLimitSimulation(1, c.serviceTime)
 		l.hold(1, 400)
-		if got := l.perServer(); got < c.least || got > c.most {
-			t.Errorf("answers in %v aims: room for %v calls, want %v to %v", c.took, got, c.least, c.most)
+		if got := l.perServer(); got < c.low || got > c.high {
+			t.Errorf("responses in %v latency targets: limit of %v calls, want %v to %v", c.serviceTime, got, c.low, c.high)
 		}
 	}
 }
 
-// Where more calls do not lengthen answers there are more cores; they are found
-// while calls are refused for want of room, and not beyond what is there.
-func TestRoomLearnsCores(t *testing.T) {
+// If more calls do not lengthen response times there are more cores. They are found while the limit causes
+// refusals, and no more of them than there are.
+func TestLimitLearnsCores(t *testing.T) {
 	for _, cores := range []float64{1, 8, 64} {
-		l := newLearner(cores, 0.15)
-		for range 60 { // the load is as much as is let in
+		l := newLimitSimulation(cores, 0.15)
+		for range 60 { // the load is as high as the limit
 			l.hold(l.perServer(), 1000)
 		}
 		got := l.perServer()
 		if want := max(5, cores); got < 0.8*want || got > 2*want {
-			t.Errorf("%v cores: room for %v calls", cores, got)
+			t.Errorf("%v cores: limit of %v calls", cores, got)
 		}
 	}
 }
 
-// Slow must not become the normal: while servers are ten times slower for longer
-// than the memory, room only shrinks, and it is back soon after.
-func TestRoomThroughAFault(t *testing.T) {
-	l := newLearner(8, 0.02)
+// Slow must not become the baseline: while servers are ten times slower for longer than the memory of the
+// minimum, the limit only falls, and it recovers soon afterwards.
+func TestLimitDuringSlowdown(t *testing.T) {
+	l := newLimitSimulation(8, 0.02)
 	for range 20 {
 		l.hold(l.perServer(), 1000)
 	}
 	before := l.perServer()
-	l.took = 0.2
+	l.serviceTime = 0.2
 	for range 40 {
 		l.hold(6, 1000)
 		if got := l.perServer(); got > before*1.05 {
-			t.Fatalf("room for %v calls in the fault, %v before", got, before)
+			t.Fatalf("limit of %v calls during the fault, %v before", got, before)
 		}
 	}
-	l.took = 0.02
+	l.serviceTime = 0.02
 	for range 3 {
 		l.hold(l.perServer(), 1000)
 	}
 	if got := l.perServer(); got < before/3 {
-		t.Errorf("room for %v calls 3 s after the fault, %v before", got, before)
+		t.Errorf("limit of %v calls 3 s after the fault, %v before", got, before)
 	}
 }
 
-// A node with two requests a second learns as well, if later.
-func TestRoomFromFewSamples(t *testing.T) {
-	l := newLearner(1, 0.002)
+// A node with two requests per second learns as well, only later.
+func TestLimitFromFewSamples(t *testing.T) {
+	l := newLimitSimulation(1, 0.002)
 	for range 20 {
 		l.now += 500 * ms
 		l.concurrencyLimit.record(l.now, 0.002, false, 1)
 		l.update(l.now, 1)
 	}
 	if got := l.perServer(); got < 200 {
-		t.Errorf("room for %v calls after 20 answers", got)
+		t.Errorf("limit of %v calls after 20 responses", got)
 	}
 }
 
-func TestRoomIsForgotten(t *testing.T) {
-	l := newLearner(64, 0.15)
+func TestUnusedLimitDecays(t *testing.T) {
+	l := newLimitSimulation(64, 0.15)
 	for range 60 {
 		l.hold(l.perServer(), 1000)
 	}
@@ -134,22 +134,22 @@
 		l.hold(1, 1000)
 	}
 	if l.learnedCores > 2 {
-		t.Errorf("%v cores are still held to be there after two minutes without need", l.learnedCores)
+		t.Errorf("%v cores are still assumed after two minutes without need", l.learnedCores)
 	}
 }
 
-func TestRulesForComparison(t *testing.T) {
-	for rule, want := range map[LimitMode]float64{LimitFixed: 5, LimitNone: math.Inf(1)} {
-		if m := newConcurrencyLimit(rule, 5, 0, time.Second); m.perServer() != want {
-			t.Errorf("rule %d: room for %v calls, want %v", rule, m.perServer(), want)
+func TestFixedAndUnlimitedModes(t *testing.T) {
+	for mode, want := range map[LimitMode]float64{LimitFixed: 5, LimitNone: math.Inf(1)} {
+		if limit := newConcurrencyLimit(mode, 5, 0, time.Second); limit.perServer() != want {
+			t.Errorf("mode %d: limit of %v calls, want %v", mode, limit.perServer(), want)
 		}
 	}
 }
 
-// Boxes with short queues turn calls away long before answers take longer: their
-// room is what they held then, less some, and grows back.
-func TestRoomOfShortQueues(t *testing.T) {
-	l := newLearner(2, 0.001)
+// Servers with short queues reject calls long before response times rise. The limit is then what they held,
+// reduced, and grows back.
+func TestLimitWithShortQueues(t *testing.T) {
+	l := newLimitSimulation(2, 0.001)
 	l.hold(1, 200)
 	for range 64 {
 		l.now += ms
@@ -157,41 +157,41 @@
 	}
 	l.update(l.now, 100)
 	if got := l.perServer(); got != rejectionBackoff*100 {
-		t.Errorf("room for %v calls where boxes were full at 100", got)
+		t.Errorf("limit of %v calls if servers were full at 100", got)
 	}
 	l.hold(1, 2000)
 	if got := l.perServer(); got < 200 {
-		t.Errorf("room for %v calls after 2 s without", got)
+		t.Errorf("limit of %v calls after 2 s without rejections", got)
 	}
-	for i := range 64 { // one box in twenty turns all away
+	for i := range 64 { // one server in twenty rejects everything
 		l.concurrencyLimit.record(l.now, 0.001, i%20 == 0, 100)
 	}
 	l.update(l.now, 100)
 	if got := l.perServer(); got < 200 {
-		t.Errorf("room for %v calls for one bad box", got)
+		t.Errorf("limit of %v calls because of one bad server", got)
 	}
 }
 
-// A node that nobody has asked for anything waits for no answer: a burst before quick servers that comes late
-// in a period is not refused for the time before it.
+// A node without any request so far waits for no response: a burst before fast servers that arrives late in
+// a period must not be refused because of the idle time before it.
 func TestBurstAtTheStartIsNotRefused(t *testing.T) {
 	for idle := time.Duration(0); idle < measurePeriod; idle += 10 * ms {
-		b := node(8)
+		b := newFrontNode(8)
 		start := time.Second + idle
 		if sent := offer(b, start, 0, 100); sent < 100 {
-			t.Errorf("a burst %v after the start: %d of 100 sent", idle, sent)
+			t.Errorf("burst %v after the start: %d of 100 sent", idle, sent)
 		}
-		// The period ends before the first answer.
+		// The period ends before the first response.
 		if next := time.Second + measurePeriod; next-start <= 20*ms && offer(b, next, 0, 1) < 1 {
-			t.Errorf("%v after a burst: refused", next-start)
+			t.Errorf("refused %v after a burst", next-start)
 		}
 	}
 }
 
-// What an answer took to dial for is not what calls need: with it the room would shrink.
-func TestDiallingIsNotServing(t *testing.T) {
+// The time to dial is not part of the service time, and must not lower the limit.
+func TestDialTimeIsNotServiceTime(t *testing.T) {
 	for _, dial := range []time.Duration{0, 90 * ms} {
-		b := node(8)
+		b := newFrontNode(8)
 		from := nextID
 		offer(b, time.Second, 0, 64)
 		for id := from + 1; id <= nextID; id++ {
@@ -201,19 +201,19 @@
 			}, nil)
 		}
 		if got, want := b.limit.minLatency[0], (100*ms - dial).Seconds(); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v of 100 ms spent dialling: the least is %v aims, want %v", dial, got, want)
+			t.Errorf("%v of 100 ms spent dialling: the minimum is %v latency targets, want %v", dial, got, want)
 		}
 	}
 }
 
-// A node of many that may send to a few of an old list has its share of all that are there, not of the few; and
-// nothing unsafe goes to those of them that have not answered yet.
-func TestPartOfAnOldList(t *testing.T) {
+// A node that may use only a few servers of a stored list counts its share of the whole fleet as capacity,
+// not of these few. Requests that must not run twice do not go to servers that have not responded yet.
+func TestPartOfStoredList(t *testing.T) {
 	var list []Server
 	for i := range 8 {
 		list = append(list, Server{ID: string(rune('a' + i)), Unverified: true})
 	}
-	start := func(there int) *Balancer {
+	start := func(fleetSize int) *Balancer {
 		b := New(Settings{
 			Nodes: 300, MaxAttempts: 3, AnswerGrace: 10 * ms,
 			Classes: []Class{
@@ -221,49 +221,51 @@
 				{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: AtMostOnce},
 			},
 		}, 1, time.Second)
-		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list, FleetSize: there}, nil)
+		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list, FleetSize: fleetSize}, nil)
 		return b
 	}
-	for _, there := range []int{0, 300} {
-		if sent := offer(start(there), time.Second, 0, 16); (sent == 16) != (there == 300) {
-			t.Errorf("%d taken to be there: %d of 16 sent", there, sent)
+	for _, fleetSize := range []int{0, 300} {
+		if sent := offer(start(fleetSize), time.Second, 0, 16); (sent == 16) != (fleetSize == 300) {
+			t.Errorf("fleet size %d: %d of 16 sent", fleetSize, sent)
 		}
 	}
 	b := start(300)
 	if sent := offer(b, time.Second, 1, 1); sent > 0 {
 		t.Error("an unsafe request went to an untried server")
 	}
-	proven := list[0]
-	proven.Unverified = false
-	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{proven}, FleetSize: 300}, nil)
+	verified := list[0]
+	verified.Unverified = false
+	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{verified}, FleetSize: 300}, nil)
 	if sent := offer(b, time.Second, 1, 2); sent != 2 {
 		t.Errorf("%d of 2 unsafe requests went to the one that has answered", sent)
 	}
 }
 
-// The first reading of r counts by the outcomes behind it. 128 callers who come late in a period have all waited a
-// little, and one or two answers have come: that is no overload. A node that starts into one still finds out.
-func TestFirstReadingCountsByItsOutcomes(t *testing.T) {
-	answer := func(b *Balancer, id uint64, at, took time.Duration) {
+// The first update of the latency ratio is weighted by its number of outcomes. If 128 clients arrive late
+// in a period, all of them have waited a little and one or two responses have come: that is no overload. A
+// node that starts during an overload must still detect it.
+func TestFirstRatioIsWeightedByOutcomes(t *testing.T) {
+	answer := func(b *Balancer, id uint64, at, serviceTime time.Duration) {
 		c := b.calls[id]
-		b.HandleOutcome(at, Outcome{Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: took, Final: true}, nil)
+		b.HandleOutcome(at, Outcome{Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: serviceTime, Final: true}, nil)
 	}
 	for late := 10 * ms; late <= 30*ms; late += 2 * ms {
-		for answers := uint64(1); answers <= 4; answers++ {
-			b := node(8)
+		for responses := uint64(1); responses <= 4; responses++ {
+			b := newFrontNode(8)
 			from := nextID
 			end := time.Second + measurePeriod
 			offer(b, end-late, 0, 128)
-			for i := range answers {
+			for i := range responses {
 				answer(b, from+1+i, end-ms, late-ms)
 			}
 			if sent := offer(b, end, 0, 10); sent < 10 {
-				t.Errorf("128 callers %v before the period's end, %d answered: %d of 10 sent", late, answers, sent)
+				t.Errorf("128 clients %v before the period's end, %d answered: %d of 10 sent", late, responses, sent)
 			}
 		}
 	}
-	// 150 requests a second at a node whose servers answer one in 70 ms: within three periods it is shut.
-	b, done := node(8), nextID
+	// 150 requests per second at a node whose servers answer one per 70 ms: within three periods it must
+	// refuse all.
+	b, done := newFrontNode(8), nextID
 	now := time.Second
 	for ; now < time.Second+3*measurePeriod; now += 10 * ms {
 		b.HandleRequest(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
@@ -276,6 +278,6 @@
 	b.HandleRequest(now, Request{ID: nextID + 1, Tenant: -1, TTL: 5 * time.Second}, nil)
 	nextID++
 	if b.latencyRatio < shedAllRatio {
-		t.Errorf("after three periods of overload r is %.2f", b.latencyRatio)
+		t.Errorf("after three periods of overload the latency ratio is %.2f", b.latencyRatio)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -14,7 +14,7 @@
 		{0, 0.55, 1.05, 1},
 		{0.55, 0.55, 1.05, 1},
 		{0.80, 0.55, 1.05, 0.5},
-		{0.95, 0.55, 1.05, 0.2}, // the paper's printed middle would give 0.8
+		{0.95, 0.55, 1.05, 0.2}, // falls from 1 to 0, does not rise
 		{1.05, 0.55, 1.05, 0},
 		{9, 0.55, 1.05, 0},
 	} {
@@ -24,8 +24,8 @@
 	}
 }
 
-// node returns a front proxy, alone before n servers, with a low and a high worth.
-func node(n int) *Balancer {
+// node returns the only front proxy before n servers, with classes of worth 1 and worth 9.
+func newFrontNode(n int) *Balancer {
 	b := New(Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms,
 		Classes: []Class{
@@ -41,7 +41,7 @@
 	return b
 }
 
-// offer sends a node n requests of a class at once and counts those it sends on.
+// offer sends n requests of a class to a node at once and returns how many it forwards.
 func offer(b *Balancer, now time.Duration, class, n int) int {
 	sent := 0
 	for range n {
@@ -58,24 +58,24 @@
 
 var nextID uint64
 
-// Servers that turn slow when crowded do so before r has risen: a second of overload with no answer yet
-// must not pile up on them, and what there is room for goes to the higher worth.
-func TestCrowdingIsRefusedBeforeAnswers(t *testing.T) {
-	b := node(4)
-	room := int(4 * b.limit.perServer()) // before any answer, what it is taken to be
+// Overloaded servers can slow down before the latency ratio rises. A second of overload without any
+// response must not pile up on them, and the capacity that is left goes to the higher worth.
+func TestOverloadIsRefusedBeforeResponses(t *testing.T) {
+	b := newFrontNode(4)
+	limit := int(4 * b.limit.perServer()) // the assumed limit before any response
 	low := offer(b, time.Second, 0, 500)
-	if low < room || low > 2*room {
-		t.Errorf("%d calls of low worth let in on 4 servers, no crowd is %d", low, room)
+	if low < limit || low > 2*limit {
+		t.Errorf("%d requests of low worth admitted to 4 servers, whose limit is %d", low, limit)
 	}
-	if high := offer(b, time.Second, 1, 500); high == 0 || low+high > 3*room {
-		t.Errorf("%d calls of high worth let in after %d", high, low)
+	if high := offer(b, time.Second, 1, 500); high == 0 || low+high > 3*limit {
+		t.Errorf("%d requests of high worth admitted after %d", high, low)
 	}
 }
 
-// twoZones returns a front proxy of zone x among four, before two servers in each of zones x and y.
-func twoZones(price float64) *Balancer {
+// twoZones returns one of four front proxies in zone x, before two servers in each of the zones x and y.
+func newFrontNodeInZoneX(penalty float64) *Balancer {
 	b := New(Settings{
-		Nodes: 4, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x", Penalties: Penalties{CrossZone: price},
+		Nodes: 4, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x", Penalties: Penalties{CrossZone: penalty},
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{
@@ -84,39 +84,39 @@
 	return b
 }
 
-// A call goes to another zone for an idler server only where the time saved is worth the crossing.
-func TestCrossingIsWeighedByItsPrice(t *testing.T) {
+// A request goes to a less loaded server of another zone only if the time saved is worth the penalty.
+func TestCrossZonePenalty(t *testing.T) {
 	for _, c := range []struct {
-		price, late, want float64
+		penalty, meanLatency, want float64
 	}{{0, 0.4, 1}, {0.2, 0.4, 2}, {0.2, 0.25, 5}, {0.2, 0.1, 1000}, {0.2, 0, 1000}} {
-		b := twoZones(c.price)
-		b.meanLatency = c.late
+		b := newFrontNodeInZoneX(c.penalty)
+		b.meanLatency = c.meanLatency
 		if got := b.priceFactor(b.cfg.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
-			t.Errorf("price %v, response time %v: a far server counts %v times, want %v", c.price, c.late, got, c.want)
+			t.Errorf("penalty %v, response time %v: the load of a remote server counts %v times, want %v", c.penalty, c.meanLatency, got, c.want)
 		}
 	}
 }
 
-// A new connection has a price: of two servers that are about as loaded the one with a connection to spare is
-// taken, and one that is idler by more than the price all the same.
-func TestNewConnectionIsWeighedByItsPrice(t *testing.T) {
+// New connections incur a penalty. Of two servers with about the same load the one with an idle connection
+// is chosen, but not if the other's load is lower by more than the penalty.
+func TestHandshakePenalty(t *testing.T) {
 	for _, c := range []struct {
-		price, slower float64 // of the server with a connection
-		want          string
+		penalty, slower float64 // of the server with an idle connection
+		want            string
 	}{{0, 1.05, "b"}, {0.03, 1.05, "a"}, {0.03, 1.2, "b"}} {
-		b := node(0)
+		b := newFrontNode(0)
 		b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}}}, nil)
-		b.cfg.Penalties.Handshake, b.meanLatency = c.price, 0.3
+		b.cfg.Penalties.Handshake, b.meanLatency = c.penalty, 0.3
 		b.servers["a"].idleConns = []time.Duration{time.Second}
 		b.servers["a"].extraSlowness, b.servers["a"].extraSlownessAt = c.slower-1, time.Second
 		out := b.HandleRequest(time.Second, Request{ID: 1, Tenant: -1, TTL: time.Second}, nil)
 		if len(out) == 0 || out[0].Kind != Send || out[0].Server != c.want {
-			t.Errorf("price %v, the connected one %v times as slow: %+v, want a send to %s", c.price, c.slower, out, c.want)
+			t.Errorf("penalty %v, the connected server %v times as slow: %+v, want a send to %s", c.penalty, c.slower, out, c.want)
 		}
 	}
 }
 
-// timeOut ends every call sent to a server with a time-out.
+// timeOut ends every call on a server with a time-out.
 func timeOut(b *Balancer, now time.Duration, server string) {
 	for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 		c := b.calls[id]
@@ -126,10 +126,10 @@
 	}
 }
 
-// A server that hangs must not swallow a full share of calls each time its ejection ends, and what it held
-// must not move on to crowd the others.
+// A server that hangs must not get a full share of calls each time its ejection ends, and its former calls
+// must not overload the other servers.
 func TestHungServerIsTriedOneCallAtATime(t *testing.T) {
-	b := node(4)
+	b := newFrontNode(4)
 	now := time.Second
 	offer(b, now, 1, 20)
 	now += time.Second
@@ -138,16 +138,16 @@
 	if hung.ejectedUntil <= now {
 		t.Fatal("a server with nothing but time-outs is not ejected")
 	}
-	room := 3 * b.limit.perServer()
-	if got, want := b.utilization(), b.meanOpenCalls/(room+math.Sqrt(room)/2); math.Abs(got-want) > 1e-9 {
-		t.Errorf("crowding %v, want %v: an ejected server is no room", got, want)
+	limit := 3 * b.limit.perServer()
+	if got, want := b.utilization(), b.meanOpenCalls/(limit+math.Sqrt(limit)/2); math.Abs(got-want) > 1e-9 {
+		t.Errorf("utilization %v, want %v: an ejected server is not capacity", got, want)
 	}
 	now = hung.ejectedUntil + ms
 	for range 50 {
 		b.latencyRatio = 0
 		offer(b, now, 1, 1)
 		if hung.inflight > 1 {
-			t.Fatalf("%d calls to a server on trial", hung.inflight)
+			t.Fatalf("%d calls to a server whose ejection has just ended", hung.inflight)
 		}
 	}
 	if hung.inflight == 0 {
@@ -155,9 +155,9 @@
 	}
 }
 
-// A zone cut off from this node must be given up as one: to eject its servers one by one takes many calls,
-// and each call that cannot connect loses time.
-func TestZoneCutOffIsEjected(t *testing.T) {
+// A zone that this node can't reach must be ejected as a whole: ejecting its servers one by one takes many
+// calls, and each call that can't connect loses time.
+func TestUnreachableZoneIsEjected(t *testing.T) {
 	b := New(Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x",
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
@@ -179,15 +179,15 @@
 		t.Fatal("all servers of a zone failed in a row, and it is not ejected")
 	}
 	for id, s := range b.servers {
-		s.recordSuccess() // leave only what is held against the zone
+		s.recordSuccess() // leave only the zone's ejection
 		if s.local == (id[0] == 'y') {
-			t.Errorf("%s near: %v", id, s.local)
+			t.Errorf("%s local: %v", id, s.local)
 		}
 	}
 	c := &call{}
 	for range 50 {
 		if s := b.pickServer(c); s.Zone == "y" {
-			t.Fatalf("%s is picked, of a zone that is cut off", s.ID)
+			t.Fatalf("%s of the ejected zone is picked", s.ID)
 		}
 	}
 	b.updateHealth(b.servers["y0"], Served)
@@ -196,9 +196,9 @@
 	}
 }
 
-// A restarted process must not inherit what was held against the one before.
-func TestRestartClearsWhatWasHeldAgainstAServer(t *testing.T) {
-	b := node(4)
+// A restarted process must not inherit the failures of the one before.
+func TestRestartClearsFailures(t *testing.T) {
+	b := newFrontNode(4)
 	s := b.servers["s1"]
 	for range 3 {
 		b.updateHealth(s, ConnectionLost)
@@ -211,47 +211,47 @@
 		t.Error("a new process is ejected for the old one's failures")
 	}
 	if got := b.slowness(s); got != 1 {
-		t.Errorf("a new process counts as %v times as slow, for the old one's answers", got)
+		t.Errorf("a new process counts as %v times as slow because of the old one's responses", got)
 	}
 }
 
-// A node with room for few calls sees them vary by chance; that is no crowd of the servers, as other nodes
-// then have fewer.
-func TestChanceIsNoCrowd(t *testing.T) {
-	few, many := node(1), node(100)
+// The few calls of a node with little capacity fluctuate at random. That does not overload the servers,
+// since other nodes have fewer calls at the same time.
+func TestRandomVariationIsNoOverload(t *testing.T) {
+	few, many := newFrontNode(1), newFrontNode(100)
 	for b, n := range map[*Balancer]float64{few: 1, many: 100} {
 		b.limit.mode = LimitFixed
 		b.meanOpenCalls = n * b.limit.perServer()
 	}
 	if c := few.utilization(); c > 0.9 {
-		t.Errorf("crowding %v where one server has what it holds on average", c)
+		t.Errorf("utilization %v with one server at its limit on average", c)
 	}
 	if c := many.utilization(); c < 0.9 {
-		t.Errorf("crowding %v where a hundred servers have", c)
+		t.Errorf("utilization %v with a hundred servers at their limit", c)
 	}
 }
 
-// A moment with many calls at a node that sees few is chance, and no reason to refuse the highest worth.
-func TestMomentaryCrowdIsAveraged(t *testing.T) {
-	b := node(1)
+// A short burst of calls at a node with little traffic is random and no reason to refuse the highest worth.
+func TestOpenCallsAreAveraged(t *testing.T) {
+	b := newFrontNode(1)
 	b.meanOpenCalls = 1
 	for i := range 9 {
 		b.calls[1000+uint64(i)] = &call{}
 	}
 	offer(b, time.Second, 1, 1)
 	if p := b.admitProbability(9); p < 1 {
-		t.Errorf("the highest worth is let in with %v after a moment of 9 calls", p)
+		t.Errorf("the highest worth is admitted with probability %v after a moment of 9 calls", p)
 	}
 	offer(b, time.Second, 1, 50)
 	if p := b.admitProbability(9); p > 0 {
-		t.Errorf("the highest worth is let in with %v where 9 calls and more stay", p)
+		t.Errorf("the highest worth is admitted with probability %v with 9 or more calls all the time", p)
 	}
 }
 
-// A fleet whose first tier grows threefold has room for no more calls until r has stayed calm for a while:
-// the tiers below may be what is short.
-func TestGrownFleetIsNoRoomAtOnce(t *testing.T) {
-	b := node(4)
+// When the first tier grows threefold, it must not admit more calls until the latency ratio has stayed low
+// for a while: the tiers below may be the bottleneck.
+func TestAddedServersCountGradually(t *testing.T) {
+	b := newFrontNode(4)
 	b.meanOpenCalls = 10
 	before := b.utilization()
 	var list []Server
@@ -260,7 +260,7 @@
 	}
 	b.HandleList(2*time.Second, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	if c := b.utilization(); c < before {
-		t.Errorf("crowding falls from %v to %v as servers are added", before, c)
+		t.Errorf("utilization falls from %v to %v as servers are added", before, c)
 	}
 	b.latencyRatio = 0.2
 	for now := 3 * time.Second; now < 20*time.Second; now += measurePeriod {
@@ -268,24 +268,24 @@
 		b.beginEvent(now, nil)
 	}
 	if b.countedServers != 12 {
-		t.Errorf("%v servers count as room after calm refusals, want 12", b.countedServers)
+		t.Errorf("%v servers count as capacity after refusals at a low latency ratio, want 12", b.countedServers)
 	}
 }
 
-// Tries that were turned away unseen must be counted too: tier by tier they multiply into the storm that
-// keeps a tier full.
-// Those without a connection did not; where servers accept few, a request must find the one that does.
-func TestRetriesDrawOnTheBudget(t *testing.T) {
-	for result, most := range map[Result]int{Rejected: 8 + retryBudgetMax, TimedOut: 8 + retryBudgetMax, ConnectFailed: 8 * 3} {
-		if sends := storm(result); sends > most || result == ConnectFailed && sends < most {
-			t.Errorf("%d sends of 8 requests that all end with %d, want %d", sends, result, most)
+// Retries of rejected attempts must draw on the retry budget, since they multiply from tier to tier and
+// keep a full tier full. Attempts without a connection are free: if servers accept few connections, a
+// request must be able to find the one that does.
+func TestRetriesUseRetryBudget(t *testing.T) {
+	for result, limit := range map[Result]int{Rejected: 8 + retryBudgetMax, TimedOut: 8 + retryBudgetMax, ConnectFailed: 8 * 3} {
+		if sends := countSends(result); sends > limit || result == ConnectFailed && sends < limit {
+			t.Errorf("%d sends of 8 requests that all end with %d, want %d", sends, result, limit)
 		}
 	}
 }
 
-// storm counts the sends of 8 requests whose attempts all end with a result.
-func storm(result Result) int {
-	b := node(4)
+// countSends returns the number of sends for 8 requests whose attempts all end with the given result.
+func countSends(result Result) int {
+	b := newFrontNode(4)
 	sends := offer(b, time.Second, 1, 8)
 	for range 50 {
 		for _, id := range slices.Sorted(maps.Keys(b.calls)) {
@@ -302,11 +302,11 @@
 	return sends
 }
 
-// Where a high worth is rare, letting it in costs little: its curve must stand off, so that the noise of one
-// node does not refuse it. Where it is most of the traffic it must not, or nothing holds the load down.
-func TestRareWorthStandsOff(t *testing.T) {
+// Admitting a rare high worth costs little: its curve must be shifted so that random fluctuation at one
+// node does not refuse it. If it is most of the traffic it must not be shifted, or nothing limits the load.
+func TestRareWorthIsRefusedLater(t *testing.T) {
 	refusedAt := func(classes ...int) float64 {
-		b := node(4)
+		b := newFrontNode(4)
 		for i := range 1000 {
 			b.calls = map[uint64]*call{}
 			offer(b, time.Second, classes[i%len(classes)], 1)
@@ -317,14 +317,15 @@
 			}
 		}
 	}
-	if rare, most := refusedAt(0, 0, 0, 0, 0, 0, 0, 1), refusedAt(1, 1, 1, 0); rare < 0.9 || most > 0.6 {
-		t.Errorf("worth 9 begins to be refused at pressure %.2f where it is rare, at %.2f where it is most", rare, most)
+	if rare, frequent := refusedAt(0, 0, 0, 0, 0, 0, 0, 1), refusedAt(1, 1, 1, 0); rare < 0.9 || frequent > 0.6 {
+		t.Errorf("worth 9 begins to be refused at pressure %.2f if it is rare, at %.2f if it is most of the traffic", rare, frequent)
 	}
 }
 
-// Connections that a proxy drops unseen when idle lose what is sent on them, at whatever server: once that is
-// proven they must be hung up first, what was lost goes again, and one server that hangs proves nothing.
-func TestDeadIdleConnectionsAreHungUp(t *testing.T) {
+// If a proxy silently drops idle connections, sends on them are lost at every server. Once that is
+// detected, such connections must be closed first and the lost sends hedged. A single server that hangs is
+// no such case.
+func TestStaleIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lost func(server string) bool
@@ -333,89 +334,89 @@
 		{"all lost", func(string) bool { return true }, true},
 		{"one server hangs", func(id string) bool { return id == "s0" }, false},
 	} {
-		b := node(6)
+		b := newFrontNode(6)
 		b.cfg.MayHedge = true
-		now, hung, copies := time.Second, false, 0
+		now, closed, hedged := time.Second, false, 0
 		for range 12 {
-			for range 4 { // leave some idle
+			for range 4 { // leave some connections idle
 				nextID++
 				b.calls = map[uint64]*call{}
 				for _, a := range b.HandleRequest(now, Request{ID: nextID, Class: 1, Tenant: -1, TTL: 2 * time.Second}, nil) {
-					hung = hung || a.Kind == CloseIdle
+					closed = closed || a.Kind == CloseIdle
 					if a.Kind != Send {
 						continue
 					}
-					if span := b.calls[nextID].attempts[0].idleBucket; span < 0 || !c.lost(a.Server) {
+					if bucket := b.calls[nextID].attempts[0].idleBucket; bucket < 0 || !c.lost(a.Server) {
 						b.HandleOutcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms, Final: true}, nil)
 						continue
 					}
-					for _, again := range b.HandleTimer(now+900*ms, Timer{nextID}, nil) {
-						if again.Kind == Send {
-							copies++
+					for _, action := range b.HandleTimer(now+900*ms, Timer{nextID}, nil) {
+						if action.Kind == Send {
+							hedged++
 						}
 					}
 				}
 			}
 			now += 2 * time.Second
 		}
-		if hung != c.want || (copies > 0) != c.want {
-			t.Errorf("%s: hung up %v, %d copies, want %v", c.name, hung, copies, c.want)
+		if closed != c.want || (hedged > 0) != c.want {
+			t.Errorf("%s: connections closed %v, %d hedged sends, want %v", c.name, closed, hedged, c.want)
 		}
 	}
 }
 
-// Where most servers accept no new connection, those with one to spare must be tried first; a storm of
-// connects costs the servers work and the calls their time.
-func TestMadeConnectionsArePreferredWhereNewOnesFail(t *testing.T) {
-	b := node(6)
+// If most servers accept no new connections, those with an idle one must be tried first: many connection
+// attempts cost the servers work and the calls their time.
+func TestIdleConnectionsArePreferredWhenConnectsFail(t *testing.T) {
+	b := newFrontNode(6)
 	b.servers["s3"].idleConns = []time.Duration{time.Second}
-	others := 0
+	otherPicks := 0
 	for range 40 {
 		if b.pickServer(&call{}).ID != "s3" {
-			others++
+			otherPicks++
 		}
 	}
 	b.connectFailureRate = 2 * connectFailureThreshold
 	for range 40 {
 		if s := b.pickServer(&call{}); s.ID != "s3" {
-			t.Fatalf("%s is picked, to which there is no connection", s.ID)
+			t.Fatalf("%s is picked although there is no connection to it", s.ID)
 		}
 	}
-	if others == 0 {
+	if otherPicks == 0 {
 		t.Error("nothing else is picked where connections can be had")
 	}
 }
 
-// A client that has left wants no answer: what is out for it is called off where that is allowed.
-func TestAttemptsOfALeftClientAreCancelled(t *testing.T) {
-	for _, may := range []bool{true, false} {
-		b := node(4)
-		b.cfg.MayCancel = may
+// When a client has left, its open attempts are cancelled where that is allowed.
+func TestDisconnectCancelsAttempts(t *testing.T) {
+	for _, allowed := range []bool{true, false} {
+		b := newFrontNode(4)
+		b.cfg.MayCancel = allowed
 		offer(b, time.Second, 0, 1)
 		out := b.HandleDisconnect(time.Second, Disconnect{nextID}, nil)
-		if got := len(out) == 1 && out[0] == (Action{Kind: Cancel, Request: nextID}); got != may {
-			t.Errorf("cancels allowed: %v, actions %v", may, out)
+		if got := len(out) == 1 && out[0] == (Action{Kind: Cancel, Request: nextID}); got != allowed {
+			t.Errorf("cancelling allowed: %v, actions %v", allowed, out)
 		}
 	}
 }
 
-// Refused clients come back at once; marked repeats must not crowd out the first tries of their worth, nor
-// give way to first tries of a lesser one.
-func TestRepeatsGiveWayToFirstTries(t *testing.T) {
+// Refused clients retry at once. Marked retries must not displace first attempts of their worth, nor rank
+// below first attempts of a lower worth.
+func TestRetriesRankBelowFirstAttempts(t *testing.T) {
 	b := New(Settings{MarksRetries: true, Classes: []Class{{Worth: 1}, {Worth: 9}}}, 1, 0)
 	for at := 0.0; at < 1; at += 0.01 {
 		b.latencyRatio = shedStartRatio + at*(shedAllRatio-shedStartRatio)
 		p := []float64{b.admitProbability(1 * retryWorthFactor), b.admitProbability(1), b.admitProbability(9 * retryWorthFactor), b.admitProbability(9)}
 		for i := range 3 {
 			if p[i] > 0 && p[i+1] < 1 {
-				t.Fatalf("at %v of the stack level %d is let in with %v, the next with %v", at, i, p[i], p[i+1])
+				t.Fatalf("at %v of the curves level %d is admitted with probability %v, the next with %v", at, i, p[i], p[i+1])
 			}
 		}
 	}
 }
 
-// Each server must be known by about as many nodes as any other, whatever the nodes' numbers: where one is
-// known by twice as many, it is crowded while others idle, and no node can see it.
+// Each server must be in the subsets of about as many nodes as any other, whatever the nodes' numbers. A
+// server in twice as many subsets would be overloaded while others idle, and no node could see it.
 func TestSubsetsCoverServersEvenly(t *testing.T) {
 	const nodes, servers = 76, 91
 	var list []Server
@@ -423,7 +424,7 @@
 		list = append(list, Server{ID: fmt.Sprintf("10.0.%d.%d:80", i%7, i)})
 	}
 	known := map[string]int{}
-	half := map[string]int{} // by the first half of the nodes, as if these were one zone's
+	half := map[string]int{} // counts the first half of the nodes only, as if they were one zone
 	for i := range nodes {
 		b := New(Settings{Node: i, Nodes: nodes, Classes: []Class{{Worth: 1}}}, uint64(i), 0)
 		b.HandleList(0, ListUpdate{Kind: ListFull, Servers: list}, nil)
@@ -437,17 +438,17 @@
 	mean := float64(subsetSizeFront*servers/nodes*nodes) / servers
 	for _, s := range list {
 		if n := float64(known[s.ID]); math.Abs(n-mean) > 3 {
-			t.Errorf("%s is known by %v nodes, %.1f on average", s.ID, n, mean)
+			t.Errorf("%s is known to %v nodes, %.1f on average", s.ID, n, mean)
 		}
 		if n := float64(half[s.ID]); math.Abs(n-mean/2) > 3 {
-			t.Errorf("%s is known by %v of half the nodes, %.1f on average", s.ID, n, mean/2)
+			t.Errorf("%s is known to %v of half the nodes, %.1f on average", s.ID, n, mean/2)
 		}
 	}
 }
 
-// An outcome told twice, or of an attempt never made, must not change what is known.
-func TestOddOutcomesAreIgnored(t *testing.T) {
-	b := node(1)
+// A duplicate outcome, or one of an unknown attempt, must not change any state.
+func TestInvalidOutcomesAreIgnored(t *testing.T) {
+	b := newFrontNode(1)
 	offer(b, time.Second, 0, 2)
 	id := nextID
 	lost := Outcome{Request: id, Server: "s0", Result: ConnectionLost, Elapsed: ms}
@@ -456,31 +457,31 @@
 		b.HandleOutcome(time.Second, lost, nil)
 	}
 	if got := b.servers["s0"].inflight; got != 2 {
-		t.Errorf("%d calls in flight after odd outcomes, want 2", got)
+		t.Errorf("%d calls in flight after invalid outcomes, want 2", got)
 	}
 	lost.Attempt = 0
-	b.HandleOutcome(time.Second, lost, nil) // goes again
+	b.HandleOutcome(time.Second, lost, nil) // the call is retried
 	b.HandleOutcome(time.Second, lost, nil)
 	if c := b.calls[id]; c == nil || c.openAttempts != 1 || len(c.attempts) != 2 {
-		t.Errorf("an outcome told twice counts twice: %+v", c)
+		t.Errorf("a duplicate outcome counts twice: %+v", c)
 	}
 }
 
-// Settings and events that make no sense must not panic, and every request must still get its one answer.
-func TestNonsenseIsAnswered(t *testing.T) {
-	for i, set := range []Settings{
+// Invalid settings and events must not panic, and every request must still get exactly one final response.
+func TestInvalidInputIsAnswered(t *testing.T) {
+	for i, cfg := range []Settings{
 		{},
 		{Node: -7, Nodes: -2, MaxAttempts: -1, Classes: []Class{{LatencyTarget: -time.Second, Deadline: -1, Worth: -3}}},
 		{Tier: 9, Tiers: 2, MayAdviseRetry: true, MaxRetryAfter: -time.Second, Classes: []Class{{Worth: 1}}, MustSubscribe: true},
 		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Idempotency: 77, Group: 99, KeyTTL: -1}}, WarmupTime: -1, CollapseWindow: -1},
 	} {
-		b := New(set, 1, time.Second)
+		b := New(cfg, 1, time.Second)
 		b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{{}, {ID: "s", Weight: -1, Started: 5}}}, nil)
-		answers, sends := map[uint64]int{}, map[uint64]string{}
-		take := func(out []Action) {
+		responses, sends := map[uint64]int{}, map[uint64]string{}
+		check := func(out []Action) {
 			for _, a := range out {
 				if a.Kind == Refuse || a.Kind == Fail {
-					answers[a.Request]++
+					responses[a.Request]++
 				}
 				if a.Kind == Send {
 					sends[a.Request] = a.Server
@@ -492,34 +493,34 @@
 		}
 		for id := range uint64(6) {
 			r := Request{ID: id, Class: int(id) - 2, Tenant: int(id) - 1, TTL: time.Duration(int(id)-1) * time.Second, Work: -1}
-			take(b.HandleRequest(time.Second, r, nil))
-			if id == 3 && sends[id] != "" { // told twice
-				take(b.HandleRequest(time.Second, r, nil))
+			check(b.HandleRequest(time.Second, r, nil))
+			if id == 3 && sends[id] != "" { // duplicate
+				check(b.HandleRequest(time.Second, r, nil))
 			}
-			take(b.HandleOutcome(time.Second, Outcome{Request: id, Attempt: 5, Server: "never", Result: 99, Elapsed: -1}, nil))
-			take(b.HandleProbe(time.Second, ProbeResult{Server: "never"}, nil))
+			check(b.HandleOutcome(time.Second, Outcome{Request: id, Attempt: 5, Server: "never", Result: 99, Elapsed: -1}, nil))
+			check(b.HandleProbe(time.Second, ProbeResult{Server: "never"}, nil))
 		}
 		now := 20 * time.Second
 		for range 3 {
 			for _, id := range slices.Sorted(maps.Keys(b.calls)) {
-				take(b.HandleTimer(now, Timer{id}, nil))
+				check(b.HandleTimer(now, Timer{id}, nil))
 				if c := b.calls[id]; c != nil && c.openAttempts > 0 {
 					n := len(c.attempts) - 1
-					take(b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
+					check(b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
 				}
 			}
 		}
 		for id := range uint64(6) {
-			if answers[id] != 1 {
-				t.Errorf("settings %d: %d answers to request %d", i, answers[id], id)
+			if responses[id] != 1 {
+				t.Errorf("settings %d: %d answers to request %d", i, responses[id], id)
 			}
 		}
 	}
 }
 
-// BenchmarkCall measures a request and its outcome at a node before a large fleet.
+// BenchmarkCall measures a request and its outcome at a node before many servers.
 func BenchmarkCall(b *testing.B) {
-	n := node(300)
+	n := newFrontNode(300)
 	var out []Action
 	now := time.Second
 	b.ReportAllocs()
@@ -532,10 +533,10 @@
 	}
 }
 
-// What was learnt of a server from a call or two must fade before it is seldom asked again: kept for long,
-// chance judgements starve good servers and crowd the rest.
-func TestSlownessFades(t *testing.T) {
-	b := node(4)
+// The slowness that was learned from one or two calls must decay quickly, because a slow server is seldom
+// chosen: otherwise random measurements would starve good servers and overload the rest.
+func TestSlownessDecays(t *testing.T) {
+	b := newFrontNode(4)
 	s := b.servers["s0"]
 	for range 20 {
 		b.recordLatency(b.servers["s1"], 0.2)
@@ -548,22 +549,22 @@
 	}
 }
 
-// A keyed call whose cell has one server may go there again; it must not wait, polling, until its end.
+// A keyed call whose cell has only one server may be retried there instead of waiting until its deadline.
 func TestKeyedCallReturnsToItsOnlyServer(t *testing.T) {
-	b := node(3) // all servers in one cell but for the first
+	b := newFrontNode(3) // all servers but the first one are in the same cell
 	b.cfg.Classes[0].Idempotency, b.cfg.Classes[0].Group, b.cfg.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
 	b.servers["s0"].Cell = 1
 	c := &call{Request: Request{ID: 1, TTL: time.Second}, mayHaveRun: true, mayHaveRunOn: b.servers["s0"]}
 	c.attempts = []attempt{{server: b.servers["s0"], done: true}}
 	if s := b.pickServer(c); s == nil || s.ID != "s0" {
-		t.Errorf("picked %v, want the only server that knows the call", s)
+		t.Errorf("picked %v, want the only server that knows the key", s)
 	}
 }
 
-// A server that answers every call with an error at once holds none, and would
-// look the least loaded of all: it must be ejected. Its zone is not at fault.
+// A server that answers every call with an error at once has no open calls and would look the least loaded:
+// it must be ejected. Its zone is not at fault.
 func TestErringServerIsEjected(t *testing.T) {
-	b := node(4)
+	b := newFrontNode(4)
 	s := b.servers["s1"]
 	for range ejectAfterFailures {
 		b.updateHealth(s, Errored)
@@ -576,13 +577,12 @@
 	}
 }
 
-// A spoilt answer may have run, but it came: it must not eject its server or
-// zone, for all servers may spoil alike, nor count as proof that connections die
-// while idle. Its connection is gone, and so is one that its answer closed: a
-// send that counted on it would need a new one.
-func TestSpoiltAnswers(t *testing.T) {
+// A request with a malformed response may have run, but there was a response. So it must not eject the
+// server or the zone, since all servers may behave alike, nor mark idle connections as dead. Its connection
+// is closed, as is one whose response closed it: the next send must not count on it.
+func TestMalformedResponses(t *testing.T) {
 	now := time.Second
-	b := node(1)
+	b := newFrontNode(1)
 	s := b.servers["s0"]
 	send := func(result Result, closed bool) {
 		t.Helper()
@@ -599,18 +599,18 @@
 	}
 	send(Served, false)
 	if len(s.idleConns) != 1 {
-		t.Errorf("%d idle connections after an answer", len(s.idleConns))
+		t.Errorf("%d idle connections after a response", len(s.idleConns))
 	}
 	for range 2 * ejectAfterFailures {
 		send(Malformed, true)
 		if len(s.idleConns) != 0 {
-			t.Errorf("%d idle connections after a spoilt answer", len(s.idleConns))
+			t.Errorf("%d idle connections after a malformed response", len(s.idleConns))
 		}
 	}
 	if s.ejections > 0 || s.zone.ejections > 0 || b.staleBucket < idleBuckets {
-		t.Errorf("ejected %d times, its zone %d; dead from span %d", s.ejections, s.zone.ejections, b.staleBucket)
+		t.Errorf("ejected %d times, its zone %d; stale from bucket %d", s.ejections, s.zone.ejections, b.staleBucket)
 	}
 	if send(Served, true); len(s.idleConns) != 0 {
-		t.Errorf("%d idle connections after an answer that closed its own", len(s.idleConns))
+		t.Errorf("%d idle connections after a response that closed its own", len(s.idleConns))
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"curlewring/decide"
 )
 
-// A node keeps one Balancer, hands it each event with the time, and carries out what comes back.
+// A node keeps one Balancer, passes it each event with the time, and carries out the returned actions.
 func Example() {
 	set := decide.Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * time.Millisecond,
@@ -27,11 +27,11 @@
 			continue
 		}
 		fmt.Println("send request", a.Request)
-		now += 20 * time.Millisecond // the server is not there
-		lost := decide.Outcome{Request: 7, Server: a.Server, Result: decide.ConnectFailed, Elapsed: 20 * time.Millisecond}
-		for _, again := range b.HandleOutcome(now, lost, nil) {
-			if again.Kind == decide.Send {
-				fmt.Println("send again to another server:", again.Server != a.Server)
+		now += 20 * time.Millisecond // no connection to the server
+		failed := decide.Outcome{Request: 7, Server: a.Server, Result: decide.ConnectFailed, Elapsed: 20 * time.Millisecond}
+		for _, retry := range b.HandleOutcome(now, failed, nil) {
+			if retry.Kind == decide.Send {
+				fmt.Println("send again to another server:", retry.Server != a.Server)
 			}
 		}
 	}
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ring is many nodes before the same servers, in so many zones.
-func ring(nodes, servers, zones int) ([]*Balancer, []Server) {
+// newNodes returns many nodes with the same servers in the given number of zones.
+func newNodes(nodes, servers, zones int) ([]*Balancer, []Server) {
 	list := make([]Server, servers)
 	for i := range list {
 		list[i] = Server{ID: fmt.Sprintf("s-%08x", hash(fmt.Sprint(i))), Zone: fmt.Sprint("z", i%zones)}
@@ -24,10 +24,9 @@
 	return all, list
 }
 
-// Servers must be known to about as many nodes each, and hardly more pairs of a
-// node and a server may move than those of the server itself, at once and through
-// a long churn: after it the spread must be what it was.
-func TestSubsetsSpreadAndMove(t *testing.T) {
+// Servers must be known to about the same number of nodes each. A change must move hardly more pairs of
+// node and server than those of the changed server. Both must hold at once and after many changes.
+func TestSubsetsSpreadAndChurn(t *testing.T) {
 	sizes := [][3]int{{10, 10, 1}, {10, 100, 4}, {100, 100, 4}, {100, 1000, 12}, {300, 300, 4}}
 	changes := 200
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -40,8 +39,8 @@
 		if nodes*servers > 5e6 {
 			changes = 300
 		}
-		all, list := ring(nodes, servers, zones)
-		least, most, mean := known(all, list)
+		all, list := newNodes(nodes, servers, zones)
+		fewest, most, mean := countKnown(all, list)
 		rng := rand.New(rand.NewPCG(5, 5))
 		kept := make([]map[*server]bool, nodes)
 		for i, b := range all {
@@ -50,27 +49,27 @@
 				kept[i][b.subsetServer(at)] = true
 			}
 		}
-		// Each change takes one server out and, as a change of its own, puts one in.
-		moved, must := 0, 0
+		// Each change removes one server and then adds one in a second update.
+		moved, required := 0, 0
 		for c := range changes {
 			at := rng.IntN(servers)
-			gone, fresh := list[at], list[at]
-			gone.Health, fresh.ID = Removed, fmt.Sprintf("s-%08x-%d", hash(fmt.Sprint(c, at)), c)
-			list[at] = fresh
-			for _, s := range []Server{gone, fresh} {
+			removed, added := list[at], list[at]
+			removed.Health, added.ID = Removed, fmt.Sprintf("s-%08x-%d", hash(fmt.Sprint(c, at)), c)
+			list[at] = added
+			for _, s := range []Server{removed, added} {
 				for i, b := range all {
 					old := b.servers[s.ID]
 					b.HandleList(time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{s}}, nil)
 					if s.Health == Removed && kept[i][old] {
-						must++
-					} else if fresh := b.servers[s.ID]; s.Health == Healthy && (slices.Contains(b.localSubset, fresh) || slices.Contains(b.remoteSubset, fresh)) {
-						must++
+						required++
+					} else if added := b.servers[s.ID]; s.Health == Healthy && (slices.Contains(b.localSubset, added) || slices.Contains(b.remoteSubset, added)) {
+						required++
 					}
 					now := map[*server]bool{}
 					for at := range len(b.localSubset) + len(b.remoteSubset) {
 						now[b.subsetServer(at)] = true
 					}
-					lost, won := 0, 0
+					lost, gained := 0, 0
 					for x := range kept[i] {
 						if !now[x] {
 							lost++
@@ -78,32 +77,32 @@
 					}
 					for x := range now {
 						if !kept[i][x] {
-							won++
+							gained++
 						}
 					}
-					moved += max(lost, won)
+					moved += max(lost, gained)
 					kept[i] = now
 				}
 			}
 		}
-		least2, most2, _ := known(all, list)
+		fewestAfter, mostAfter, _ := countKnown(all, list)
 		each := func(n int) float64 { return float64(n) / float64(2*changes) }
-		t.Logf("| %d | %d | %d | %d to %d (%.1f) | %d to %d | %.2f | %.2f |", nodes, servers, zones, least, most, mean, least2, most2,
-			each(moved), each(must))
-		for _, m := range [][2]int{{least, most}, {least2, most2}} {
+		t.Logf("| %d | %d | %d | %d to %d (%.1f) | %d to %d | %.2f | %.2f |", nodes, servers, zones, fewest, most, mean, fewestAfter, mostAfter,
+			each(moved), each(required))
+		for _, m := range [][2]int{{fewest, most}, {fewestAfter, mostAfter}} {
 			if float64(m[1]) > 2*mean+2 || m[0] == 0 && mean >= 4 {
 				t.Errorf("%v: known to %d to %d nodes, %.1f on average", size, m[0], m[1], mean)
 			}
 		}
-		if each(moved) > 2*each(must)+0.04*float64(nodes) {
-			t.Errorf("%v: %.2f pairs moved with a change, %.2f would do", size, each(moved), each(must))
+		if each(moved) > 2*each(required)+0.04*float64(nodes) {
+			t.Errorf("%v: %.2f pairs moved per change, %.2f are necessary", size, each(moved), each(required))
 		}
 	}
 }
 
-// known tells to how many nodes the servers of a list are known: the fewest, the
-// most, and on average.
-func known(all []*Balancer, list []Server) (least, most int, mean float64) {
+// countKnown returns to how many nodes the servers of a list are known: the fewest, the most, and the
+// average.
+func countKnown(all []*Balancer, list []Server) (fewest, most int, mean float64) {
 	count := map[string]int{}
 	sum := 0
 	for _, b := range all {
@@ -112,9 +111,9 @@
 			sum++
 		}
 	}
-	least = len(all)
+	fewest = len(all)
 	for _, s := range list {
-		least, most = min(least, count[s.ID]), max(most, count[s.ID])
+		fewest, most = min(fewest, count[s.ID]), max(most, count[s.ID])
 	}
-	return least, most, float64(sum) / float64(len(list))
+	return fewest, most, float64(sum) / float64(len(list))
 }
--- a/decide/unconfirmed_test.go
+++ b/decide/unconfirmed_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// askingNode returns the only node before servers of a list that comes when asked for, as discovery has just told it.
-func askingNode(servers ...string) *Balancer {
+// subscribedNode returns the only node, with an up-to-date list of servers that needs a subscription.
+func subscribedNode(servers ...string) *Balancer {
 	b := New(Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second,
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
@@ -22,8 +22,9 @@
 	return b
 }
 
-// ask sends one request and ends its attempt with what the server answers; it returns the server, "" if there was none.
-func ask(b *Balancer, now time.Duration, result func(server string) Result) string {
+// sendOne sends one request and ends its attempt with the given result; it returns the server, or "" if
+// there was none.
+func sendOne(b *Balancer, now time.Duration, result func(server string) Result) string {
 	nextID++
 	for _, a := range b.HandleRequest(now, Request{ID: nextID, Tenant: -1, TTL: 2 * time.Second}, nil) {
 		if a.Kind == Send {
@@ -35,13 +36,13 @@
 	return ""
 }
 
-// serveAll answers every request.
+// serveAll serves every request.
 func serveAll(string) Result { return Served }
 
-// asked returns which servers get requests that are sent every 20 ms for a time.
-func asked(b *Balancer, from, until time.Duration, result func(server string) Result) (servers []string) {
+// serversUsed returns the servers that get requests sent every 20 ms for some time.
+func serversUsed(b *Balancer, from, until time.Duration, result func(server string) Result) (servers []string) {
 	for now := from; now < until; now += 20 * ms {
-		if s := ask(b, now, result); s != "" && !slices.Contains(servers, s) {
+		if s := sendOne(b, now, result); s != "" && !slices.Contains(servers, s) {
 			servers = append(servers, s)
 		}
 	}
@@ -49,125 +50,129 @@
 	return servers
 }
 
-// Once drains may count as told that the node can't have heard of, it must send to servers that took new work lately alone,
-// and to others of the list again as soon as discovery answers. Before that time nothing changes.
-func TestUnconfirmedListLeavesProvenServers(t *testing.T) {
-	b := askingNode("a", "b", "c", "d")
+// Once drains that the node can't have received may count as announced, it must use only servers that
+// accepted work lately. As soon as discovery responds it must use the others again. Until then nothing
+// changes.
+func TestUnconfirmedListUsesAcceptingServers(t *testing.T) {
+	b := subscribedNode("a", "b", "c", "d")
 	at := 2 * time.Second
-	drained := func(server string) Result { // two have drained in between, and turn away what comes
+	drained := func(server string) Result { // two servers have started to drain and reject work
 		if server == "c" || server == "d" {
 			return Rejected
 		}
 		return Served
 	}
 	b.HandleList(at, ListUpdate{Kind: ListFailed, ConfirmedUntil: 7 * time.Second}, nil)
-	if got := asked(b, at, 7*time.Second, drained); len(got) != 4 {
-		t.Fatalf("while the list is confirmed only %v are asked", got)
+	if got := serversUsed(b, at, 7*time.Second, drained); len(got) != 4 {
+		t.Fatalf("while the list is confirmed only %v are used", got)
 	}
-	if got := asked(b, 7*time.Second, 20*time.Second, drained); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("with the list unconfirmed %v are asked, want a and b", got)
+	if got := serversUsed(b, 7*time.Second, 20*time.Second, drained); !slices.Equal(got, []string{"a", "b"}) {
+		t.Errorf("with the list unconfirmed %v are used, want a and b", got)
 	}
 	b.HandleList(20*time.Second, ListUpdate{Kind: ListDiff}, nil)
-	if got := asked(b, 20*time.Second, 40*time.Second, serveAll); !slices.Contains(got, "c") && !slices.Contains(got, "d") {
-		t.Errorf("with the list confirmed only %v are asked", got)
+	if got := serversUsed(b, 20*time.Second, 40*time.Second, serveAll); !slices.Contains(got, "c") && !slices.Contains(got, "d") {
+		t.Errorf("with the list confirmed only %v are used", got)
 	}
 }
 
-// A node that has sent nothing for a while has no server that took new work lately. It must go on with the one that did so
-// last, never with one that has turned it away since, and not refuse all it gets.
-func TestUnconfirmedListWithoutProof(t *testing.T) {
-	b := askingNode("a", "b", "c")
+// A node that has sent nothing for a while has no server that accepted work lately. It must use the one
+// that did so last, never one that has rejected work since, and must not refuse everything.
+func TestUnconfirmedListWithoutRecentAcceptance(t *testing.T) {
+	b := subscribedNode("a", "b", "c")
 	b.HandleList(time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 3 * time.Second}, nil)
-	asked(b, time.Second, 2*time.Second, func(server string) Result {
+	serversUsed(b, time.Second, 2*time.Second, func(server string) Result {
 		if server == "c" {
 			return Rejected
 		}
 		return Served
 	})
-	last := ask(b, 2500*ms, serveAll)
+	last := sendOne(b, 2500*ms, serveAll)
 	for last == "c" {
-		t.Fatal("the seed has to be another: the last one served is the one that drains")
+		t.Fatal("choose another seed: the last server that served is the draining one")
 	}
-	if got := ask(b, 30*time.Second, func(string) Result { return Rejected }); got != last {
-		t.Errorf("after a pause %q is asked, want %q, which served last", got, last)
+	if got := sendOne(b, 30*time.Second, func(string) Result { return Rejected }); got != last {
+		t.Errorf("after a pause %q is used, want %q, which served last", got, last)
 	}
-	if got := ask(b, 31*time.Second, serveAll); got == last || got == "c" || got == "" {
-		t.Errorf("%q is asked, though it has turned work away", got)
+	if got := sendOne(b, 31*time.Second, serveAll); got == last || got == "c" || got == "" {
+		t.Errorf("%q is used although it has rejected work", got)
 	}
 }
 
-// A server that has started lately is none that drains: it must be among those that an unconfirmed list leaves.
-func TestUnconfirmedListLeavesStartedServers(t *testing.T) {
-	b := askingNode("a", "b")
+// A server that has started lately does not drain, so it must be used with an unconfirmed list.
+func TestUnconfirmedListUsesStartedServers(t *testing.T) {
+	b := subscribedNode("a", "b")
 	b.HandleList(9*time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "new1", Started: 9 * time.Second}, {ID: "new2", Started: 9 * time.Second}}}, nil)
 	b.HandleList(9*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
-	if got := asked(b, 10*time.Second, 12*time.Second, serveAll); !slices.Equal(got, []string{"new1", "new2"}) {
-		t.Errorf("%v are asked, want those that have just started", got)
+	if got := serversUsed(b, 10*time.Second, 12*time.Second, serveAll); !slices.Equal(got, []string{"new1", "new2"}) {
+		t.Errorf("%v are used, want those that have just started", got)
 	}
 }
 
-// A server that was lost and is back takes new work while its loss still counts as told. One whose connections have all been
-// made anew since the last answer may be such a one, until it has served for longer than that can count; one that answers on
-// a connection from before, or closes each and answers all the time, is none.
-func TestUnconfirmedListLeavesServersThatLivedOn(t *testing.T) {
-	const heard, now = 20 * time.Second, 27 * time.Second
-	type answer struct{ opened, sent time.Duration } // on a connection that was opened then
+// A server that was lost and is back accepts work while its loss still counts as announced. A server whose
+// connections are all newer than the last response of discovery may be one of these, until it has served
+// for longer than the loss can count. A server that responds on an older connection, or that closes each
+// connection but responds all the time, is not.
+func TestUnconfirmedListUsesRunningProcesses(t *testing.T) {
+	const confirmedAt, now = 20 * time.Second, 27 * time.Second
+	type answer struct{ opened, sent time.Duration } // on a connection opened at that time
 	for _, c := range []struct {
 		name    string
 		started time.Duration
 		answers []answer
-		proven  bool
+		usable  bool
 	}{
-		{"never asked", 0, nil, false},
-		{"one connection since before the last answer", 0, []answer{{5 * time.Second, 26 * time.Second}}, true},
-		{"that connection, but a while ago", 0, []answer{{5 * time.Second, 22 * time.Second}}, false},
-		{"a connection made after the last answer", 0, []answer{{5 * time.Second, 21 * time.Second}, {24 * time.Second, 26 * time.Second}}, false},
-		{"it follows closely on one from before", 0, []answer{{5 * time.Second, 23500 * ms}, {24 * time.Second, 26 * time.Second}}, true},
-		{"two side by side, one from before", 0, []answer{{24 * time.Second, 26 * time.Second}, {5 * time.Second, 26 * time.Second}}, true},
+		{"no response", 0, nil, false},
+		{"one connection older than the confirmation", 0, []answer{{5 * time.Second, 26 * time.Second}}, true},
+		{"that connection, but some time ago", 0, []answer{{5 * time.Second, 22 * time.Second}}, false},
+		{"a connection newer than the confirmation", 0, []answer{{5 * time.Second, 21 * time.Second}, {24 * time.Second, 26 * time.Second}}, false},
+		{"shortly after a response on an older one", 0, []answer{{5 * time.Second, 23500 * ms}, {24 * time.Second, 26 * time.Second}}, true},
+		{"two connections, one of them older", 0, []answer{{24 * time.Second, 26 * time.Second}, {5 * time.Second, 26 * time.Second}}, true},
 		{"a process that the list names", 23 * time.Second, []answer{{24 * time.Second, 26 * time.Second}}, true},
-		{"the list names one that started long before", 10 * time.Second, []answer{{24 * time.Second, 26 * time.Second}}, false},
+		{"the list names a process that started long before", 10 * time.Second, []answer{{24 * time.Second, 26 * time.Second}}, false},
 	} {
-		b := askingNode("a")
-		b.HandleList(heard, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "a", Started: c.started}}}, nil)
+		b := subscribedNode("a")
+		b.HandleList(confirmedAt, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "a", Started: c.started}}}, nil)
 		s := b.servers["a"]
 		for _, x := range c.answers {
 			s.recordOutcome(x.sent, &Outcome{Result: Served, ConnAge: x.sent - x.opened})
 		}
 		b.HandleList(now, ListUpdate{Kind: ListFailed, ConfirmedUntil: now}, nil)
-		if got := !b.doubtful(s); got != c.proven {
-			t.Errorf("%s: proven %v, want %v", c.name, got, c.proven)
+		if got := !b.doubtful(s); got != c.usable {
+			t.Errorf("%s: usable %v, want %v", c.name, got, c.usable)
 		}
 		b.HandleList(now, ListUpdate{Kind: ListDiff}, nil)
 		if b.doubtful(s) {
-			t.Errorf("%s: doubted though the list is confirmed", c.name)
+			t.Errorf("%s: doubtful although the list is confirmed", c.name)
 		}
 	}
 }
 
-// A process has lived on since the connection was opened on which it answered, as the outcome tells, whatever connections the
-// module counts: those that idled while a server was away are dead. Untold, only the send counts.
-func TestLifeBeginsWithTheConnection(t *testing.T) {
+// A process has been running since the connection of its response was opened, as reported by the outcome.
+// The idle connections counted here say nothing, since those from before an outage are dead. If the age is
+// unknown only the time of the send counts.
+func TestUptimeStartsWithConnection(t *testing.T) {
 	for age, want := range map[time.Duration]time.Duration{7 * time.Second: 2010 * ms, 20 * ms: 8990 * ms, 0: 9 * time.Second} {
-		b := askingNode("a")
-		ask(b, time.Second, serveAll) // leaves a connection
+		b := subscribedNode("a")
+		sendOne(b, time.Second, serveAll) // leaves a connection
 		b.servers["a"].uptime = timeSpan{}
 		nextID++
 		b.HandleRequest(9*time.Second, Request{ID: nextID, Tenant: -1, TTL: time.Second}, nil)
 		b.HandleOutcome(9*time.Second+10*ms, Outcome{Request: nextID, Server: "a", Result: Served, Elapsed: 10 * ms, ConnAge: age, Final: true}, nil)
 		if got := b.servers["a"].uptime.from; got != want {
-			t.Errorf("on a connection of %v: it lives since %v, want %v", age, got, want)
+			t.Errorf("connection age %v: running since %v, want %v", age, got, want)
 		}
 	}
 }
 
-// A node that has started knows of no server what became of it before, and may have been lost with its zone. Where that is so
-// large that discovery can't tell of it in time, servers there that serve prove nothing from the time on at which their loss may
-// count, until discovery is heard. Those of other zones do; and neither a small zone nor the only one is doubted.
-func TestStartedNodeDoubtsItsOwnZone(t *testing.T) {
+// A node that has just started does not know what happened to servers before, and may have been lost
+// together with its zone. If the zone is too large for discovery to announce its loss in time, its servers
+// must not be used from the time at which their loss may count as announced until discovery responds, even
+// if they serve. Other zones are used, and so are a small zone and the only zone.
+func TestStartedNodeAvoidsOwnLargeZone(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		near, far     int
-		nearIsDoubted bool
+		name      string
+		near, far int
+		avoided   bool
 	}{
 		{"a large zone", slowAnnouncementSize, 50, true},
 		{"a small zone", slowAnnouncementSize - 1, 50, false},
@@ -187,41 +192,42 @@
 		}
 		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list, ConfirmedUntil: 3 * time.Second}, nil)
 		near := func(from, until time.Duration) bool {
-			return slices.ContainsFunc(asked(b, from, until, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
+			return slices.ContainsFunc(serversUsed(b, from, until, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
 		}
 		if !near(time.Second, 3*time.Second) {
-			t.Errorf("%s: none of it is asked before its loss can count", c.name)
+			t.Errorf("%s: not used before its loss can count as announced", c.name)
 		}
-		if got := near(3*time.Second, 20*time.Second); got == c.nearIsDoubted {
-			t.Errorf("%s: asked while discovery is not heard: %v", c.name, got)
+		if got := near(3*time.Second, 20*time.Second); got == c.avoided {
+			t.Errorf("%s: used while discovery does not respond: %v", c.name, got)
 		}
-		if got := asked(b, 20*time.Second, 21*time.Second, serveAll); len(got) == 0 {
-			t.Errorf("%s: nobody is asked", c.name)
+		if got := serversUsed(b, 20*time.Second, 21*time.Second, serveAll); len(got) == 0 {
+			t.Errorf("%s: no server is used", c.name)
 		}
 		b.HandleList(21*time.Second, ListUpdate{Kind: ListRestored, AsOf: 20 * time.Second}, nil)
 		if !near(21*time.Second, 40*time.Second) {
-			t.Errorf("%s: none of it is asked once discovery is heard", c.name)
+			t.Errorf("%s: not used although discovery responds", c.name)
 		}
 	}
 }
 
-// A zone drains or is lost as a whole, and this node has asked few of its servers. As long as discovery can't have listed that, a
-// server of another zone goes first where none is proven, though the zone's own were proven later: each of them would have to be
-// asked to be known. Some refusals among answers are no sign of that.
-func TestZoneThatRefusesIsAskedLast(t *testing.T) {
+// A zone drains or is lost as a whole, and this node has tried only a few of its servers. As long as
+// discovery can't have listed that, and no server is known to be good, a server of another zone comes first
+// although the zone's own servers accepted work later: otherwise each of them would have to be tried. A few
+// refusals among successes are no sign of this.
+func TestRefusingZoneIsUsedLast(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		results []Result // of the near zone's servers, in turn
-		heard   time.Duration
-		asked   string
+		name        string
+		results     []Result // of servers of the near zone, in order
+		confirmedAt time.Duration
+		used        string
 	}{
-		{"all turned away", []Result{Rejected, Rejected, Rejected}, 3 * time.Second, "far"},
+		{"all reject", []Result{Rejected, Rejected, Rejected}, 3 * time.Second, "far"},
 		{"all unreachable", []Result{ConnectFailed, ConnectFailed, ConnectFailed}, 3 * time.Second, "far"},
 		{"one serves", []Result{Rejected, Rejected, Served, Rejected}, 3 * time.Second, "near"},
 		{"few refusals", []Result{Rejected, Rejected}, 3 * time.Second, "near"},
 		{"discovery has listed it", []Result{Rejected, Rejected, Rejected}, 9 * time.Second, "near"},
 	} {
-		b := nodeOfTwoZones(20)
+		b := nodeWithTwoZones(20)
 		for i := range 20 {
 			b.servers[fmt.Sprint("far-", i)].recordOutcome(2*time.Second, &Outcome{Result: Served, ConnAge: time.Second})
 			b.servers[fmt.Sprint("near-", i)].recordOutcome(2500*ms, &Outcome{Result: Served, ConnAge: time.Second})
@@ -230,31 +236,33 @@
 			b.servers[fmt.Sprint("near-", i)].recordOutcome(3500*ms, &Outcome{Result: r})
 			b.zones["near"].recordResult(3500*ms, r)
 		}
-		b.HandleList(10*time.Second, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
+		b.HandleList(10*time.Second, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
 		b.HandleList(10*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
-		if got := ask(b, 12*time.Second, serveAll); !strings.HasPrefix(got, c.asked) {
-			t.Errorf("%s: %q is asked, want one that is %s", c.name, got, c.asked)
+		if got := sendOne(b, 12*time.Second, serveAll); !strings.HasPrefix(got, c.used) {
+			t.Errorf("%s: %q is used, want a server of zone %s", c.name, got, c.used)
 		}
 	}
 }
 
-// A server that turned work away is not asked again because of a list that discovery made before it could name that.
-func TestDenialOutlivesAnOlderList(t *testing.T) {
-	for heard, denied := range map[time.Duration]bool{0: true, 4 * time.Second: true, 3*time.Second + listingDelay: false} {
-		b := askingNode("a")
+// A server that rejected work must not be used again because of a list that discovery made too early to
+// include its drain.
+func TestRejectionOutlivesOlderList(t *testing.T) {
+	for confirmedAt, refused := range map[time.Duration]bool{0: true, 4 * time.Second: true, 3*time.Second + listingDelay: false} {
+		b := subscribedNode("a")
 		b.servers["a"].recordOutcome(3*time.Second, &Outcome{Result: Rejected})
-		b.confirmedAt = heard
-		if got := b.refusedSince(b.servers["a"]); got != denied {
-			t.Errorf("denied at 3 s, the list is as of %v: denied still %v, want %v", heard, got, denied)
+		b.confirmedAt = confirmedAt
+		if got := b.refusedSince(b.servers["a"]); got != refused {
+			t.Errorf("rejected at 3 s, list as of %v: still refused %v, want %v", confirmedAt, got, refused)
 		}
 	}
 }
 
-// nodeOfTwoZones returns a node before so many servers in its own zone and as many in another, as discovery has just told it.
-func nodeOfTwoZones(servers int) *Balancer { return nodeOfZones(servers, servers) }
+// nodeWithTwoZones returns a node with an up-to-date list of as many servers in its own zone as in another
+// one.
+func nodeWithTwoZones(servers int) *Balancer { return nodeWithZones(servers, servers) }
 
-// nodeOfZones returns a node before so many servers in its own zone and so many in another, as discovery has just told it.
-func nodeOfZones(near, far int) *Balancer {
+// nodeWithZones returns a node with an up-to-date list of servers in its own zone and in another one.
+func nodeWithZones(near, far int) *Balancer {
 	b := New(Settings{
 		Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second, Zone: "near",
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
@@ -270,26 +278,27 @@
 	return b
 }
 
-// Hundreds of servers of a zone are listed as draining at once, and then discovery is too busy to tell of the rest. These take work as
-// well, and go on doing so while they drain: while the list is unconfirmed the zone is left alone, until discovery was heard as of a time
-// at which it had listed all. Processes that have started since, the only zone, and one of which fewer leave are asked.
-func TestZoneThatLeavesIsNotAsked(t *testing.T) {
-	const near, told = 2 * slowAnnouncementSize, 3 * time.Second
+// Hundreds of servers of a zone are listed as draining at once, and then discovery is too busy to announce
+// the rest. These accept work, also while they drain. While the list is unconfirmed the zone must not be
+// used, until discovery responds as of a time by which it had listed all. Processes that started later, the
+// only zone, and a zone of which fewer servers leave are used.
+func TestLeavingZoneIsNotUsed(t *testing.T) {
+	const near, announcedAt = 2 * slowAnnouncementSize, 3 * time.Second
 	for _, c := range []struct {
-		name    string
-		far     int
-		leave   int
-		started time.Duration // the rest of the zone's servers
-		heard   time.Duration
-		asked   bool // the zone
+		name        string
+		far         int
+		leave       int
+		started     time.Duration // of the zone's other servers
+		confirmedAt time.Duration
+		used        bool // whether the zone is used
 	}{
-		{"many leave", near, slowAnnouncementSize, 0, told, false},
-		{"few leave", near, slowAnnouncementSize - 1, 0, told, true},
-		{"the only zone", 0, slowAnnouncementSize, 0, told, true},
-		{"the rest has started since", near, slowAnnouncementSize, 4 * time.Second, told, true},
-		{"all are listed", near, slowAnnouncementSize, 0, told + listingDelay, true},
+		{"many leave", near, slowAnnouncementSize, 0, announcedAt, false},
+		{"few leave", near, slowAnnouncementSize - 1, 0, announcedAt, true},
+		{"the only zone", 0, slowAnnouncementSize, 0, announcedAt, true},
+		{"the rest started later", near, slowAnnouncementSize, 4 * time.Second, announcedAt, true},
+		{"all are listed", near, slowAnnouncementSize, 0, announcedAt + listingDelay, true},
 	} {
-		b := nodeOfZones(near, c.far)
+		b := nodeWithZones(near, c.far)
 		var changes []Server
 		for i := range near {
 			e := Server{ID: fmt.Sprint("near-", i), Zone: "near", Started: c.started}
@@ -298,61 +307,63 @@
 			}
 			changes = append(changes, e)
 		}
-		b.HandleList(told, ListUpdate{Kind: ListDiff, Servers: changes}, nil)
-		b.HandleList(told, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
-		b.HandleList(told, ListUpdate{Kind: ListFailed, ConfirmedUntil: 9 * time.Second}, nil)
+		b.HandleList(announcedAt, ListUpdate{Kind: ListDiff, Servers: changes}, nil)
+		b.HandleList(announcedAt, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
+		b.HandleList(announcedAt, ListUpdate{Kind: ListFailed, ConfirmedUntil: 9 * time.Second}, nil)
 		for _, s := range b.servers {
 			s.recordOutcome(9*time.Second, &Outcome{Result: Served, ConnAge: 9 * time.Second})
 		}
-		got := slices.ContainsFunc(asked(b, 9*time.Second, 10*time.Second, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
-		if got != c.asked {
-			t.Errorf("%s: servers of the zone are asked: %v, want %v", c.name, got, c.asked)
+		got := slices.ContainsFunc(serversUsed(b, 9*time.Second, 10*time.Second, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
+		if got != c.used {
+			t.Errorf("%s: servers of the zone used: %v, want %v", c.name, got, c.used)
 		}
 	}
 }
 
-// A zone of hundreds of servers is lost and comes back. Discovery has so much to tell that its answer to this node's open long poll
-// waits, and the list seems confirmed. From the time on at which the loss may count as told, servers there that have no connection from
-// before it are not asked, until discovery is heard as of a time at which it had listed the loss, or they have served for longer than
-// it can count. Neither a small zone nor the only one is left alone, nor one where few sends failed or all within a moment.
-func TestZoneThatIsBackUntoldIsNotAsked(t *testing.T) {
-	const lost, back = 2 * time.Second, 7 * time.Second
+// A zone of hundreds of servers is lost and comes back. Discovery has so much to announce that its response
+// to this node's long poll is delayed, and the list seems confirmed. From the time at which the loss may
+// count as announced, servers of the zone without an older connection must not be used, until discovery
+// responds as of a time by which it had listed the loss, or until they have served for longer than the loss
+// can count. A small zone and the only zone are used, and so is one where few sends failed, or all within a
+// moment.
+func TestRestartedZoneIsNotUsed(t *testing.T) {
+	const lostAt, backAt = 2 * time.Second, 7 * time.Second
 	for _, c := range []struct {
-		name     string
-		near     int
-		far      int
-		failures []time.Duration // after the loss
-		kept     bool            // connections
-		heard    time.Duration
-		now      time.Duration
-		asked    bool // the zone
+		name         string
+		near         int
+		far          int
+		failures     []time.Duration // times after the loss
+		connsSurvive bool            // connections survive
+		confirmedAt  time.Duration
+		now          time.Duration
+		used         bool // whether the zone is used
 	}{
-		{"lost", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay, false},
-		{"not told yet", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay - time.Second, true},
-		{"a small zone", slowAnnouncementSize - 1, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay, true},
-		{"the only zone", slowAnnouncementSize, 0, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lost + announcementDelay, true},
-		{"few failures", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 3 * time.Second}, false, time.Second, lost + announcementDelay, true},
-		{"a moment", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 10 * ms, 20 * ms}, false, time.Second, lost + announcementDelay, true},
-		{"connections that lasted", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, true, time.Second, lost + announcementDelay, true},
-		{"heard since", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, lost + 3*time.Second + listingDelay, lost + 9*time.Second, true},
-		{"back for long", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, back + restartKnownAfter, true},
+		{"lost", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, false},
+		{"not announced yet", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay - time.Second, true},
+		{"a small zone", slowAnnouncementSize - 1, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, true},
+		{"the only zone", slowAnnouncementSize, 0, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, true},
+		{"few failures", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, true},
+		{"all failures at once", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 10 * ms, 20 * ms}, false, time.Second, lostAt + announcementDelay, true},
+		{"surviving connections", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, true, time.Second, lostAt + announcementDelay, true},
+		{"confirmed since", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, lostAt + 3*time.Second + listingDelay, lostAt + 9*time.Second, true},
+		{"back for long", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, backAt + restartKnownAfter, true},
 	} {
-		b := nodeOfZones(c.near, c.far)
+		b := nodeWithZones(c.near, c.far)
 		for _, after := range c.failures {
-			b.zones["near"].recordResult(lost+after, ConnectFailed)
+			b.zones["near"].recordResult(lostAt+after, ConnectFailed)
 		}
-		opened := back
-		if c.kept {
+		opened := backAt
+		if c.connsSurvive {
 			opened = time.Second
 		}
 		for _, s := range b.servers {
 			s.recordOutcome(c.now, &Outcome{Result: Served, ConnAge: c.now - opened})
-			s.zone.recordResult(back, Served)
+			s.zone.recordResult(backAt, Served)
 		}
-		b.HandleList(c.now, ListUpdate{Kind: ListRestored, AsOf: c.heard}, nil)
-		got := slices.ContainsFunc(asked(b, c.now, c.now+900*ms, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
-		if got != c.asked {
-			t.Errorf("%s: servers of the zone are asked: %v, want %v", c.name, got, c.asked)
+		b.HandleList(c.now, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
+		got := slices.ContainsFunc(serversUsed(b, c.now, c.now+900*ms, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
+		if got != c.used {
+			t.Errorf("%s: servers of the zone used: %v, want %v", c.name, got, c.used)
 		}
 	}
 }
