--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -12,35 +12,34 @@
 	"curlewring/internal/operators/settings"
 )
 
-const rosters = 16 // list numbers run from 0 to 15
+const maxLists = 16 // lists are numbered from 0 to 15
 
-// node is one instance of the module and the names that its settings gave.
+// node is one instance of the Balancer, with the indices of the names in its settings.
 type node struct {
 	balancer *decide.Balancer
 	classes  map[string]int
 	tenants  map[string]int
 }
 
-// host keeps the instances of one process. They share nothing but the lists of
-// servers on their way in.
+// host runs the instances of one process. They share nothing but the server lists that they are given.
 type host struct {
-	in    *bufio.Reader
-	out   *bufio.Writer
-	nodes map[int]*node
-	lists [rosters][]decide.Server
-	buf   []decide.Action
-	now   time.Duration
-	open  bool // inside a batch
+	in      *bufio.Reader
+	out     *bufio.Writer
+	nodes   map[int]*node
+	lists   [maxLists][]decide.Server
+	actions []decide.Action
+	now     time.Duration
+	open    bool // inside a batch
 }
 
 func newHost(in *bufio.Reader, out *bufio.Writer) *host {
 	return &host{in: in, out: out, nodes: map[int]*node{}}
 }
 
-// run answers batches until the input ends.
+// run processes batches until the input ends.
 func (h *host) run() error {
 	for number := 1; ; number++ {
-		line, err := h.line()
+		line, err := h.readLine()
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			if h.open {
 				return fmt.Errorf("line %d: input ends inside a batch", number)
@@ -50,14 +49,14 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: reading input: %w", number, err)
 		}
-		if err := h.handle(line); err != nil {
+		if err := h.handleLine(line); err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 	}
 }
 
-// line reads one line of any length.
-func (h *host) line() ([]byte, error) {
+// readLine reads one line of any length.
+func (h *host) readLine() ([]byte, error) {
 	line, err := h.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return line, err
@@ -70,19 +69,19 @@
 	return long, err
 }
 
-// handle takes one event.
-func (h *host) handle(line []byte) error {
+// handleLine processes one event.
+func (h *host) handleLine(line []byte) error {
 	m, err := parse(line)
 	if err != nil {
 		return err
 	}
 	if (m.Turn == nil) != h.open {
-		return errors.New("event outside a batch, or a batch inside another")
+		return errors.New("event outside a batch, or start of a batch inside another one")
 	}
 	switch {
 	case m.Turn != nil:
 		if m.Turn.Clock == nil || *m.Turn.Clock < h.now {
-			return errors.New("a turn needs a clock that does not run backwards")
+			return errors.New("a batch needs a clock value that does not run backwards")
 		}
 		h.now, h.open = *m.Turn.Clock, true
 		return nil
@@ -96,47 +95,47 @@
 		}
 		return nil
 	case m.Census != nil:
-		return h.census(m.Census)
+		return h.storeList(m.Census)
 	case m.Boot != nil:
 		return h.boot(m.Boot)
 	case m.Exit != nil:
-		if _, _, err := h.node(m.Exit.I); err != nil {
+		if _, _, err := h.instance(m.Exit.I); err != nil {
 			return err
 		}
 		delete(h.nodes, *m.Exit.I)
 		return nil
 	}
-	return h.event(&m)
+	return h.dispatch(&m)
 }
 
-// census keeps a numbered list of servers.
-func (h *host) census(c *census) error {
-	if c.Roster < 0 || c.Roster >= rosters {
-		return fmt.Errorf("list number %d is out of range", c.Roster)
+// storeList stores a numbered list of servers.
+func (h *host) storeList(c *serverList) error {
+	if c.Number < 0 || c.Number >= maxLists {
+		return fmt.Errorf("list number %d is out of range", c.Number)
 	}
 	list := make([]decide.Server, 0, len(c.Items))
 	for _, e := range c.Items {
 		if e.Server == "" {
-			return errors.New("a list entry names no server")
+			return errors.New("list entry without a server name")
 		}
-		health, err := settings.LookupName(states, "health", e.Health)
+		health, err := settings.LookupName(healthStates, "health", e.Health)
 		if err != nil {
 			return err
 		}
 		list = append(list, decide.Server{
-			ID: e.Server, Zone: e.Zone, Cell: e.Pod, Health: health, Weight: e.Power, Started: e.Start,
+			ID: e.Server, Zone: e.Zone, Cell: e.Cell, Health: health, Weight: e.Weight, Started: e.Started,
 		})
 	}
-	h.lists[c.Roster] = list
+	h.lists[c.Number] = list
 	return nil
 }
 
 // boot starts an instance.
-func (h *host) boot(b *boot) error {
-	if b.I == nil || b.Info == nil {
-		return errors.New("boot needs an instance and its settings")
+func (h *host) boot(b *bootEvent) error {
+	if b.I == nil || b.Settings == nil {
+		return errors.New("boot needs an instance number and settings")
 	}
-	set, err := b.Info.Translate()
+	set, err := b.Settings.Translate()
 	if err != nil {
 		return fmt.Errorf("boot of instance %d: %w", *b.I, err)
 	}
@@ -145,20 +144,20 @@
 		classes:  map[string]int{},
 		tenants:  map[string]int{},
 	}
-	for i, c := range b.Info.Categories {
+	for i, c := range b.Settings.Categories {
 		n.classes[c.Name] = i
 	}
-	for i, t := range b.Info.Tenants {
+	for i, t := range b.Settings.Tenants {
 		n.tenants[t.Name] = i
 	}
 	h.nodes[*b.I] = n
 	return nil
 }
 
-// node finds the instance that an event is for.
-func (h *host) node(i *int) (*node, int, error) {
+// instance returns the instance that an event is for.
+func (h *host) instance(i *int) (*node, int, error) {
 	if i == nil {
-		return nil, 0, errors.New("event names no instance")
+		return nil, 0, errors.New("event without an instance number")
 	}
 	n := h.nodes[*i]
 	if n == nil {
@@ -167,154 +166,154 @@
 	return n, *i, nil
 }
 
-// event hands an event to its instance and writes the actions. A panic in the
-// module is reported by the wire's own action.
-func (h *host) event(m *message) (err error) {
-	var at *int
+// dispatch passes an event to its instance and writes the returned actions. A panic of the Balancer is
+// reported as a bail_out.
+func (h *host) dispatch(m *message) (err error) {
+	var target *int
 	switch {
 	case m.View != nil:
-		at = m.View.I
+		target = m.View.I
 	case m.Req != nil:
-		at = m.Req.I
+		target = m.Req.I
 	case m.Done != nil:
-		at = m.Done.I
+		target = m.Done.I
 	case m.Check != nil:
-		at = m.Check.I
+		target = m.Check.I
 	case m.Reminder != nil:
-		at = m.Reminder.I
+		target = m.Reminder.I
 	case m.Cancelled != nil:
-		at = m.Cancelled.I
+		target = m.Cancelled.I
 	case m.Opened != nil:
-		at = m.Opened.I
+		target = m.Opened.I
 	case m.Heard != nil:
-		at = m.Heard.I
+		target = m.Heard.I
 	}
-	n, i, err := h.node(at)
+	n, i, err := h.instance(target)
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = h.write("bail_out", text{i, fmt.Sprint(p)})
+			err = h.writeObject("bail_out", textAction{i, fmt.Sprint(p)})
 		}
 	}()
-	h.buf = h.buf[:0]
+	h.actions = h.actions[:0]
 	switch {
 	case m.View != nil:
-		err = h.view(n, m.View)
+		err = h.listUpdate(n, m.View)
 	case m.Req != nil:
 		err = h.request(n, m.Req)
 	case m.Done != nil:
 		err = h.outcome(n, m.Done)
 	case m.Check != nil:
-		err = h.probed(n, m.Check)
+		err = h.probeResult(n, m.Check)
 	case m.Reminder != nil:
-		h.buf = n.balancer.HandleTimer(h.now, decide.Timer{Token: m.Reminder.Handle}, h.buf)
+		h.actions = n.balancer.HandleTimer(h.now, decide.Timer{Token: m.Reminder.Token}, h.actions)
 	case m.Cancelled != nil:
 		if m.Cancelled.ID == nil {
-			return errors.New("a departure names no request")
+			return errors.New("cancellation without a request id")
 		}
-		h.buf = n.balancer.HandleDisconnect(h.now, decide.Disconnect{Request: *m.Cancelled.ID}, h.buf)
+		h.actions = n.balancer.HandleDisconnect(h.now, decide.Disconnect{Request: *m.Cancelled.ID}, h.actions)
 	}
 	if err != nil {
 		return err
 	}
-	for k := range h.buf {
-		if err := h.reply(i, &h.buf[k]); err != nil {
+	for k := range h.actions {
+		if err := h.writeAction(i, &h.actions[k]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *host) view(n *node, v *view) error {
-	change, err := settings.LookupName(changes, "kind of list", v.How)
+func (h *host) listUpdate(n *node, v *listEvent) error {
+	kind, err := settings.LookupName(listKinds, "kind of list", v.Kind)
 	if err != nil {
 		return err
 	}
-	m := decide.ListUpdate{Kind: change}
-	if change != decide.ListFailed {
-		if v.Roster < 0 || v.Roster >= rosters || h.lists[v.Roster] == nil {
-			return fmt.Errorf("list %d was never given", v.Roster)
+	update := decide.ListUpdate{Kind: kind}
+	if kind != decide.ListFailed {
+		if v.Number < 0 || v.Number >= maxLists || h.lists[v.Number] == nil {
+			return fmt.Errorf("list %d does not exist", v.Number)
 		}
-		m.Servers = h.lists[v.Roster]
+		update.Servers = h.lists[v.Number]
 	}
-	h.buf = n.balancer.HandleList(h.now, m, h.buf)
+	h.actions = n.balancer.HandleList(h.now, update, h.actions)
 	return nil
 }
 
-func (h *host) request(n *node, r *req) error {
-	class, err := settings.LookupName(n.classes, "class", r.Grade)
+func (h *host) request(n *node, r *requestEvent) error {
+	class, err := settings.LookupName(n.classes, "class", r.Class)
 	if err != nil {
 		return err
 	}
-	tenant, ok := n.tenants[r.Group]
+	tenant, ok := n.tenants[r.Tenant]
 	if !ok {
 		tenant = -1
 	}
 	if r.ID == nil || r.TTL < 0 || r.Work < 0 {
-		return errors.New("a request needs an id and times that are not negative")
+		return errors.New("a request needs an id and non-negative times")
 	}
-	h.buf = n.balancer.HandleRequest(h.now, decide.Request{
-		ID: *r.ID, Class: class, Tenant: tenant, TTL: r.TTL, Work: r.Work, IsRetry: r.Repeat,
-	}, h.buf)
+	h.actions = n.balancer.HandleRequest(h.now, decide.Request{
+		ID: *r.ID, Class: class, Tenant: tenant, TTL: r.TTL, Work: r.Work, IsRetry: r.IsRetry,
+	}, h.actions)
 	return nil
 }
 
-func (h *host) outcome(n *node, o *outcome) error {
-	result, err := settings.LookupName(results, "outcome", o.State)
+func (h *host) outcome(n *node, o *outcomeEvent) error {
+	result, err := settings.LookupName(results, "outcome", o.Result)
 	if err != nil {
 		return err
 	}
-	if o.ID == nil || o.Attempt < 0 || o.Server == "" || o.Took < 0 {
-		return errors.New("an outcome needs a request, an attempt, a server and a time")
+	if o.ID == nil || o.Attempt < 0 || o.Server == "" || o.Elapsed < 0 {
+		return errors.New("an outcome needs a request id, an attempt, a server and a non-negative time")
 	}
-	h.buf = n.balancer.HandleOutcome(h.now, decide.Outcome{
-		Request: *o.ID, Attempt: o.Attempt, Server: o.Server, Result: result, Elapsed: o.Took, Final: o.Complete,
-	}, h.buf)
+	h.actions = n.balancer.HandleOutcome(h.now, decide.Outcome{
+		Request: *o.ID, Attempt: o.Attempt, Server: o.Server, Result: result, Elapsed: o.Elapsed, Final: o.Final,
+	}, h.actions)
 	return nil
 }
 
-func (h *host) probed(n *node, o *outcome) error {
-	result, err := settings.LookupName(results, "outcome", o.State)
+func (h *host) probeResult(n *node, o *outcomeEvent) error {
+	result, err := settings.LookupName(results, "outcome", o.Result)
 	if err != nil {
 		return err
 	}
-	h.buf = n.balancer.HandleProbe(h.now, decide.ProbeResult{Server: o.Server, Result: result, Elapsed: o.Took}, h.buf)
+	h.actions = n.balancer.HandleProbe(h.now, decide.ProbeResult{Server: o.Server, Result: result, Elapsed: o.Elapsed}, h.actions)
 	return nil
 }
 
-// reply writes one action of an instance.
-func (h *host) reply(i int, a *decide.Action) error {
+// writeAction writes one action of an instance.
+func (h *host) writeAction(i int, a *decide.Action) error {
 	switch a.Kind {
 	case decide.Send:
-		return h.write("issue", issue{i, a.Request, a.Server, a.Wait})
+		return h.writeObject("issue", sendAction{i, a.Request, a.Server, a.Wait})
 	case decide.Refuse:
-		return h.write("shed", ending{i, a.Request, a.Wait})
+		return h.writeObject("shed", finalAction{i, a.Request, a.Wait})
 	case decide.Fail:
-		return h.write("lose", ending{i, a.Request, 0})
+		return h.writeObject("lose", finalAction{i, a.Request, 0})
 	case decide.Cancel:
-		return h.write("abandon", abandon{i, a.Request, a.Attempt})
+		return h.writeObject("abandon", cancelAction{i, a.Request, a.Attempt})
 	case decide.Probe:
-		return h.write("ping", toServer{i, a.Server})
+		return h.writeObject("ping", serverAction{i, a.Server})
 	case decide.WatchList:
-		return h.write("stream_changes", streamChanges{i, true})
+		return h.writeObject("stream_changes", watchAction{i, true})
 	case decide.UnwatchList:
-		return h.write("stream_changes", streamChanges{i, false})
+		return h.writeObject("stream_changes", watchAction{i, false})
 	case decide.CloseIdle:
-		return h.write("hang_up", toServer{i, a.Server})
+		return h.writeObject("hang_up", serverAction{i, a.Server})
 	case decide.FetchList:
-		return h.write("get_list", getList{i})
+		return h.writeObject("get_list", fetchListAction{i})
 	case decide.StartTimer:
-		return h.write("defer", deferral{i, a.Wait, a.Token})
+		return h.writeObject("defer", timerAction{i, a.Wait, a.Token})
 	case decide.Log:
-		return h.write("emit", text{i, a.Text})
+		return h.writeObject("emit", textAction{i, a.Text})
 	}
-	return fmt.Errorf("the module returned an unknown action %d", a.Kind)
+	return fmt.Errorf("unknown action kind %d", a.Kind)
 }
 
-// write encodes one action under its name.
-func (h *host) write(name string, fields any) error {
+// writeObject writes an object with a single key, the name of the action.
+func (h *host) writeObject(name string, fields any) error {
 	h.out.WriteString(`{"`)
 	h.out.WriteString(name)
 	h.out.WriteString(`":`)
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,6 +1,5 @@
-// Command benchlink runs the decisions of package decide on a simulator's wire:
-// batches of events on standard input, one reply a batch on standard output.
-// It translates and decides nothing.
+// Command benchlink connects package decide to a simulator. It reads batches of events from standard input
+// and writes the actions of each batch to standard output. It only translates and decides nothing itself.
 package main
 
 import (
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -10,24 +10,24 @@
 	"curlewring/internal/operators/settings"
 )
 
-// message is one line of input: an object with a single key, the event's name.
+// message is one line of input: a JSON object whose only key is the name of the event.
 type message struct {
-	Turn      *turn      `json:"turn"`
-	Commit    *struct{}  `json:"commit"`
-	Boot      *boot      `json:"boot"`
-	Census    *census    `json:"census"`
-	View      *view      `json:"view"`
-	Req       *req       `json:"req"`
-	Opened    *outcome   `json:"opened"`
-	Done      *outcome   `json:"done"`
-	Check     *outcome   `json:"check_result"`
-	Reminder  *reminder  `json:"reminder"`
-	Cancelled *requestID `json:"cancelled_by_client"`
-	Exit      *instance  `json:"exit"`
-	Heard     *instance  `json:"heard"`
-}
-
-type turn struct {
+	Turn      *batchStart   `json:"turn"`
+	Commit    *struct{}     `json:"commit"`
+	Boot      *bootEvent    `json:"boot"`
+	Census    *serverList   `json:"census"`
+	View      *listEvent    `json:"view"`
+	Req       *requestEvent `json:"req"`
+	Opened    *outcomeEvent `json:"opened"`
+	Done      *outcomeEvent `json:"done"`
+	Check     *outcomeEvent `json:"check_result"`
+	Reminder  *timerEvent   `json:"reminder"`
+	Cancelled *requestID    `json:"cancelled_by_client"`
+	Exit      *instance     `json:"exit"`
+	Heard     *instance     `json:"heard"`
+}
+
+type batchStart struct {
 	Clock *time.Duration `json:"clock_ns"`
 }
 
@@ -35,55 +35,55 @@
 	I *int `json:"i"`
 }
 
-type boot struct {
+type bootEvent struct {
 	instance
-	Seed uint64           `json:"rng_seed"`
-	Info *settings.Object `json:"boot_info"`
+	Seed     uint64           `json:"rng_seed"`
+	Settings *settings.Object `json:"boot_info"`
 }
 
-type census struct {
-	Roster int     `json:"roster_id"`
-	Items  []entry `json:"items"`
+type serverList struct {
+	Number int           `json:"roster_id"`
+	Items  []serverEntry `json:"items"`
 }
 
-type entry struct {
-	Server string        `json:"server"`
-	Zone   string        `json:"failure_domain"`
-	Pod    int           `json:"pod"`
-	Health string        `json:"health"`
-	Power  float64       `json:"power_hint"`
-	Start  time.Duration `json:"start_time_ns"`
+type serverEntry struct {
+	Server  string        `json:"server"`
+	Zone    string        `json:"failure_domain"`
+	Cell    int           `json:"pod"`
+	Health  string        `json:"health"`
+	Weight  float64       `json:"power_hint"`
+	Started time.Duration `json:"start_time_ns"`
 }
 
-type view struct {
+type listEvent struct {
 	instance
-	How    string `json:"how"`
-	Roster int    `json:"roster_id"`
+	Kind   string `json:"how"`
+	Number int    `json:"roster_id"`
 }
 
-type req struct {
+type requestEvent struct {
 	instance
-	ID     *uint64       `json:"op_id"`
-	Grade  string        `json:"grade"`
-	TTL    time.Duration `json:"ttl_ns"`
-	Group  string        `json:"user_group"`
-	Repeat bool          `json:"repeat"`
-	Work   time.Duration `json:"work_hint_ns"`
+	ID      *uint64       `json:"op_id"`
+	Class   string        `json:"grade"`
+	TTL     time.Duration `json:"ttl_ns"`
+	Tenant  string        `json:"user_group"`
+	IsRetry bool          `json:"repeat"`
+	Work    time.Duration `json:"work_hint_ns"`
 }
 
-type outcome struct {
+type outcomeEvent struct {
 	instance
-	ID       *uint64       `json:"op_id"`
-	Attempt  int           `json:"attempt"`
-	Server   string        `json:"server"`
-	State    string        `json:"state_code"`
-	Took     time.Duration `json:"took_ns"`
-	Complete bool          `json:"complete"`
+	ID      *uint64       `json:"op_id"`
+	Attempt int           `json:"attempt"`
+	Server  string        `json:"server"`
+	Result  string        `json:"state_code"`
+	Elapsed time.Duration `json:"took_ns"`
+	Final   bool          `json:"complete"`
 }
 
-type reminder struct {
+type timerEvent struct {
 	instance
-	Handle uint64 `json:"handle"`
+	Token uint64 `json:"handle"`
 }
 
 type requestID struct {
@@ -91,50 +91,50 @@
 	ID *uint64 `json:"op_id"`
 }
 
-// Actions. The fields stand in the order in which the wire lists them.
-type issue struct {
-	I      int           `json:"i"`
-	ID     uint64        `json:"op_id"`
-	Server string        `json:"server"`
-	GiveUp time.Duration `json:"give_up_after_ns"`
+// The fields of the actions are in the order of the simulator's protocol.
+type sendAction struct {
+	I       int           `json:"i"`
+	ID      uint64        `json:"op_id"`
+	Server  string        `json:"server"`
+	Timeout time.Duration `json:"give_up_after_ns"`
 }
 
-type ending struct {
-	I         int           `json:"i"`
-	ID        uint64        `json:"op_id"`
-	NotBefore time.Duration `json:"not_before_for_ns,omitempty"`
+type finalAction struct {
+	I          int           `json:"i"`
+	ID         uint64        `json:"op_id"`
+	RetryAfter time.Duration `json:"not_before_for_ns,omitempty"`
 }
 
-type abandon struct {
+type cancelAction struct {
 	I       int    `json:"i"`
 	ID      uint64 `json:"op_id"`
 	Attempt int    `json:"attempt"`
 }
 
-// toServer is a ping or a hang_up.
-type toServer struct {
+// serverAction is a ping or a hang_up.
+type serverAction struct {
 	I      int    `json:"i"`
 	Server string `json:"server"`
 }
 
-type streamChanges struct {
+type watchAction struct {
 	I      int  `json:"i"`
 	Active bool `json:"active"`
 }
 
-type getList struct {
+type fetchListAction struct {
 	I int `json:"i"`
 }
 
-type deferral struct {
-	I      int           `json:"i"`
-	In     time.Duration `json:"in_ns"`
-	Handle uint64        `json:"handle"`
+type timerAction struct {
+	I     int           `json:"i"`
+	Wait  time.Duration `json:"in_ns"`
+	Token uint64        `json:"handle"`
 }
 
-type text struct {
+type textAction struct {
 	I    int    `json:"i"`
-	Line string `json:"line"`
+	Text string `json:"line"`
 }
 
 var (
@@ -142,15 +142,15 @@
 		"S": decide.Served, "E": decide.Errored, "F": decide.Rejected, "T": decide.TimedOut,
 		"C": decide.ConnectFailed, "R": decide.ConnectionLost, "X": decide.Cancelled, "N": decide.NotSent,
 	}
-	changes = map[string]decide.ListKind{
+	listKinds = map[string]decide.ListKind{
 		"diff": decide.ListDiff, "snapshot": decide.ListFull, "disk": decide.ListStored, "error": decide.ListFailed,
 	}
-	states = map[string]decide.Health{
+	healthStates = map[string]decide.Health{
 		"healthy": decide.Healthy, "cordoned": decide.Draining, "deregistered": decide.Removed,
 	}
 )
 
-// parse reads one line and checks that it is one known event.
+// parse reads one line and checks that it contains exactly one known event.
 func parse(line []byte) (message, error) {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
@@ -167,7 +167,7 @@
 		}
 	}
 	if known != 1 {
-		return m, fmt.Errorf("not one known event: %.80s", bytes.TrimSpace(line))
+		return m, fmt.Errorf("want exactly one known event, got %.80s", bytes.TrimSpace(line))
 	}
 	return m, nil
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Bounds of what a header may say.
+// Limits on the content of a header.
 const (
-	MaxHeaderBytes   = 1280             // bytes: a full path of the longest names, and all other fields
-	MaxHops          = 32               // nodes on a path: the planned fleet has calls through 22
-	MaxNameBytes     = 32               // bytes of a node's name
-	MaxExtraAttempts = 15               // further attempts
-	MaxTimeLeft      = 10 * time.Minute // longer waits are taken for nonsense
+	MaxHeaderBytes   = 1280 // a full path of the longest names, and all other fields
+	MaxHops          = 32   // nodes on a path; the planned fleet has calls through 22
+	MaxNameBytes     = 32   // of a node's or class's name
+	MaxExtraAttempts = 15
+	MaxTimeLeft      = 10 * time.Minute // longer times are considered invalid
 	MaxWorth         = 1e6
 )
 
-// Budget is what a request may still spend, as it comes to a node.
+// Budget is what a request may still spend when it arrives at a node.
 type Budget struct {
 	TimeLeft      time.Duration // until its client gives up, counted from its arrival
-	ExtraAttempts int           // attempts beyond the first of each call, in all tiers below together
-	Worth         float64       // of the graph's entry
-	Class         string        // of the graph's entry
-	AttemptID     string        // of the attempt above that the call belongs to; "": none
-	Path          []string      // the nodes that it has crossed, the entry first
+	ExtraAttempts int           // beyond the first attempt of each call, in this tier and all below together
+	Worth         float64       // of the request at the entry node
+	Class         string        // of the request at the entry node
+	AttemptID     string        // attempt of the tier above that the call belongs to; "": none
+	Path          []string      // nodes that the request has passed, starting at the entry
 }
 
-// Hops is how many nodes the request has crossed.
+// Hops returns the number of nodes that the request has passed.
 func (b *Budget) Hops() int { return len(b.Path) }
 
-// Crossed tells whether the request has crossed a node, and returns the loop that
-// it makes there: the path from that node on, and the node again.
+// FindLoop reports whether the request has passed a node, and returns the loop: the path from that node on,
+// followed by the node again.
 func (b *Budget) FindLoop(node string) (loop []string, crossed bool) {
 	for i, name := range b.Path {
 		if name == node {
@@ -39,148 +39,144 @@
 	return nil, false
 }
 
-// Truth is what a node knows of a request by itself.
+// LocalLimits is what a node knows about a request without its budget.
 type LocalLimits struct {
-	TimeLeft      time.Duration // by the platform's header
-	ExtraAttempts int           // further attempts that the class has
-	Worth         float64       // of its class
+	TimeLeft      time.Duration // from the platform's header
+	ExtraAttempts int           // extra attempts of the class
+	Worth         float64       // of the class
 	Class         string
 }
 
-// Lie is a bit for each thing that a budget said beyond the truth.
+// Excess is a set of the values in which a budget exceeds the local limits, one bit each.
 type Excess uint8
 
-// What a budget may say too much of.
+// Values that a budget can exceed.
 const (
 	ExcessTime Excess = 1 << iota
 	ExcessAttempts
 	ExcessWorth
 )
 
-// Clamp takes the smaller of a budget and the truth, and says where it was told
-// more than is true. Without a budget the truth is the budget: the node is the
-// entry, or stands behind one that knows none.
-func Clamp(b *Budget, t LocalLimits) (Budget, Excess) {
+// Clamp returns the smaller of a budget and the local limits, and reports which values the budget exceeds.
+// Without a budget the limits become the budget: the node is the entry, or the tier above sends no budgets.
+func Clamp(b *Budget, limits LocalLimits) (Budget, Excess) {
 	if b == nil {
-		return Budget{TimeLeft: t.TimeLeft, ExtraAttempts: t.ExtraAttempts, Worth: t.Worth, Class: t.Class}, 0
+		return Budget{TimeLeft: limits.TimeLeft, ExtraAttempts: limits.ExtraAttempts, Worth: limits.Worth, Class: limits.Class}, 0
 	}
-	out, lies := *b, Excess(0)
-	if out.TimeLeft > t.TimeLeft {
-		out.TimeLeft, lies = t.TimeLeft, lies|ExcessTime
+	out, excess := *b, Excess(0)
+	if out.TimeLeft > limits.TimeLeft {
+		out.TimeLeft, excess = limits.TimeLeft, excess|ExcessTime
 	}
-	if out.ExtraAttempts > t.ExtraAttempts {
-		out.ExtraAttempts, lies = t.ExtraAttempts, lies|ExcessAttempts
+	if out.ExtraAttempts > limits.ExtraAttempts {
+		out.ExtraAttempts, excess = limits.ExtraAttempts, excess|ExcessAttempts
 	}
-	if out.Worth > t.Worth {
-		out.Worth, lies = t.Worth, lies|ExcessWorth
+	if out.Worth > limits.Worth {
+		out.Worth, excess = limits.Worth, excess|ExcessWorth
 	}
-	return out, lies
+	return out, excess
 }
 
-// Account is what one node does with one request's budget. The sum of what is
-// spent, what is out and what is left is the grant at all times.
+// Account tracks how one node spends a request's budget. The sum of what is spent, granted to an attempt
+// and remaining always equals the grant.
 type Account struct {
-	grant Budget
-	spent int // further attempts, here and below
-	out   int // granted to the attempt under way
-	sent  int // attempts from here
-	open  bool
-	wayUp time.Duration // what an answer's way back takes from here
+	grant       Budget
+	spent       int // extra attempts, here and below
+	granted     int // extra attempts granted to the open attempt
+	attempts    int // attempts made here
+	attemptOpen bool
+	returnTime  time.Duration // time that a response takes from here to the client
 }
 
-// Open begins an account for a request that has come with a budget. wayUp is what
-// the way back to the caller costs, as it is measured.
-func OpenAccount(grant Budget, wayUp time.Duration) Account {
-	return Account{grant: grant, wayUp: max(0, wayUp)}
+// OpenAccount returns an account for a request that has arrived with a budget. returnTime is the measured
+// time that a response takes back to the client.
+func OpenAccount(grant Budget, returnTime time.Duration) Account {
+	return Account{grant: grant, returnTime: max(0, returnTime)}
 }
 
-// Spent is what the request has spent here and below, for its answer.
+// Spent returns the extra attempts spent here and below, as reported in the response.
 func (a *Account) Spent() int { return a.spent }
 
-// Committed is Spent and what may yet be spent by an attempt that is still out:
-// what the tier above must reckon with.
-func (a *Account) Committed() int { return a.spent + a.out }
+// Committed returns Spent plus what an open attempt may still spend, which is what the tier above has to
+// assume.
+func (a *Account) Committed() int { return a.spent + a.granted }
 
-// Below is how much of what was spent was not spent from here.
-func (a *Account) SpentBelow() int { return a.spent - max(0, a.sent-1) }
+// SpentBelow returns the part of Spent that the tiers below spent.
+func (a *Account) SpentBelow() int { return a.spent - max(0, a.attempts-1) }
 
-// Remains is how many further attempts are left to this node and those below.
-func (a *Account) Remaining() int { return max(0, a.grant.ExtraAttempts-a.spent-a.out) }
+// Remaining returns the extra attempts left to this node and those below.
+func (a *Account) Remaining() int { return max(0, a.grant.ExtraAttempts-a.spent-a.granted) }
 
-// MayTry tells whether another attempt can be paid for: the first is free, every
-// further one takes one of the extra attempts.
+// CanAttempt reports whether another attempt can be paid for. The first one is free, each further one uses
+// an extra attempt.
 func (a *Account) CanAttempt() bool {
-	return !a.open && (a.sent == 0 || a.grant.ExtraAttempts-a.spent >= 1)
+	return !a.attemptOpen && (a.attempts == 0 || a.grant.ExtraAttempts-a.spent >= 1)
 }
 
-// Time is what an attempt may last that begins when so much of the request's time
-// has passed here: what is left, less the way back.
+// AttemptTimeout returns how long an attempt may take that starts when the request has been here for the
+// given time: the time left, less the return time.
 func (a *Account) AttemptTimeout(passed time.Duration) time.Duration {
-	return max(0, a.grant.TimeLeft-passed-a.wayUp)
+	return max(0, a.grant.TimeLeft-passed-a.returnTime)
 }
 
-// Send takes an attempt out, and returns what travels with it; id tells it from
-// all others. One further
-// attempt is held back here: if no word comes of what was spent below, all that
-// was granted counts as spent, and this tier can still try once more.
+// BeginAttempt starts an attempt and returns the budget to send with it; id identifies the attempt. One
+// extra attempt is kept back: if the tier below does not report what it spent, all that was granted counts
+// as spent, and this tier can still retry once.
 func (a *Account) BeginAttempt(node, id string, passed time.Duration) (Budget, bool) {
 	if !a.CanAttempt() {
 		return Budget{}, false
 	}
-	if a.sent > 0 {
+	if a.attempts > 0 {
 		a.spent++
 	}
-	a.sent++
-	a.open = true
-	a.out = max(0, a.grant.ExtraAttempts-a.spent-1)
+	a.attempts++
+	a.attemptOpen = true
+	a.granted = max(0, a.grant.ExtraAttempts-a.spent-1)
 	b := a.grant
-	b.TimeLeft, b.ExtraAttempts, b.AttemptID = a.AttemptTimeout(passed), a.out, id
+	b.TimeLeft, b.ExtraAttempts, b.AttemptID = a.AttemptTimeout(passed), a.granted, id
 	b.Path = append(append(make([]string, 0, len(a.grant.Path)+1), a.grant.Path...), node)
 	return b, true
 }
 
-// Keep takes back what was granted to the attempt under way: there is no tier
-// below that could spend it.
-func (a *Account) RevokeGrant() { a.out = 0 }
+// RevokeGrant takes back the grant of the open attempt because no tier below can spend it.
+func (a *Account) RevokeGrant() { a.granted = 0 }
 
-// Unknown is what is said where no word came of what was spent below.
+// UnknownSpent is the value used if the tier below did not report what it spent.
 const UnknownSpent = -1
 
-// Back takes in an attempt's end: what was spent below, or Unknown. More than was
-// granted cannot be true, and counts as all of it. An attempt that is known not
-// to have run has spent nothing below.
+// EndAttempt ends the open attempt with what was spent below, or UnknownSpent. A value greater than the
+// grant is invalid and counts as all of it. An attempt that is known not to have run has spent nothing.
 func (a *Account) EndAttempt(spent int, ran bool) {
-	if !a.open {
+	if !a.attemptOpen {
 		return
 	}
 	switch {
 	case !ran:
 		spent = 0
-	case spent < 0 || spent > a.out:
-		spent = a.out
+	case spent < 0 || spent > a.granted:
+		spent = a.granted
 	}
 	a.spent += spent
-	a.out, a.open = 0, false
+	a.granted, a.attemptOpen = 0, false
 }
 
-// Word is what an error says to the tier above about trying again.
+// RetryAdvice tells the tier above whether a retry after an error makes sense.
 type RetryAdvice string
 
-// The words.
+// Kinds of retry advice.
 const (
-	Overloaded  RetryAdvice = "overloaded"    // it has not run; another server may have room
-	OutOfBudget RetryAdvice = "out-of-budget" // nothing is left: trying again is of no use
+	Overloaded  RetryAdvice = "overloaded"    // it has not run; another server may have capacity
+	OutOfBudget RetryAdvice = "out-of-budget" // nothing is left, so a retry is useless
 	MayHaveRun  RetryAdvice = "may-have-run"
 	HasNotRun   RetryAdvice = "has-not-run"
-	Loop        RetryAdvice = "loop" // it has been here before
+	Loop        RetryAdvice = "loop" // the request has passed this node before
 )
 
-// Again tells whether trying again after this word is of any use, by the budget
-// alone; rule 2 is the module's.
-func (w RetryAdvice) RetryUseful() bool { return w != OutOfBudget && w != Loop }
+// RetryUseful reports whether a retry makes sense as far as the budget is concerned. Whether it is safe is
+// for package decide to say.
+func (a RetryAdvice) RetryUseful() bool { return a != OutOfBudget && a != Loop }
 
-// Merge takes the smaller of two budgets that came with one request: a header of
-// our own and one carried by others, say.
+// Merge returns the smaller of two budgets that came with one request, for example in the budget header and
+// in the baggage.
 func Merge(x, y *Budget) *Budget {
 	switch {
 	case x == nil:
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -13,73 +13,73 @@
 
 const ms = time.Millisecond
 
-// world plays one graph in virtual time: nodes try servers, servers call the tier
-// below, and anything may fail.
-type world struct {
-	t       *rapid.T
-	depth   int
-	fan     int
-	limit   int  // attempts of a call, the first included
-	naive   bool // each node has the class's attempts for itself: the control
-	carries bool // applications hand the word of what was spent up
-	ledger  []*Ledger
-	now     time.Duration
-	ids     int
-	at      map[string]int // attempts by call, wherever its servers are
-	worst   int
-	wrong   string
+// graphSimulation simulates the calls of one service graph in virtual time: nodes try servers, servers call
+// the tier below, and any attempt may fail.
+type graphSimulation struct {
+	t              *rapid.T
+	depth          int
+	callsPerServer int
+	maxAttempts    int  // attempts of a call, the first included
+	naive          bool // control: each node has all attempts of the class for itself
+	reportsSpent   bool // applications report to the tier above what was spent
+	ledgers        []*Ledger
+	now            time.Duration
+	lastID         int
+	attemptsByCall map[string]int // by call, on whatever servers
+	mostAttempts   int
+	violation      string
 }
 
-// call is one call that comes to a node of a tier. place names it by the calls
-// above it, whatever attempt of these made it.
-func (w *world) call(tier int, place string, given *Budget, truth LocalLimits) (ok bool, spent int) {
-	grant, _ := Clamp(given, truth)
-	if grant.TimeLeft > truth.TimeLeft || grant.ExtraAttempts > truth.ExtraAttempts {
-		w.wrong = "more than the truth"
+// call simulates one call that arrives at a node of a tier. place identifies it by the calls above it,
+// independent of their attempts.
+func (sim *graphSimulation) call(tier int, place string, given *Budget, limits LocalLimits) (ok bool, spent int) {
+	grant, _ := Clamp(given, limits)
+	if grant.TimeLeft > limits.TimeLeft || grant.ExtraAttempts > limits.ExtraAttempts {
+		sim.violation = "more than the local limits"
 	}
-	grant = w.ledger[tier].BeginCall(w.now, grant)
+	grant = sim.ledgers[tier].BeginCall(sim.now, grant)
 	a := OpenAccount(grant, ms)
-	if w.naive {
-		a = OpenAccount(Budget{TimeLeft: grant.TimeLeft, ExtraAttempts: w.limit - 1}, ms)
+	if sim.naive {
+		a = OpenAccount(Budget{TimeLeft: grant.TimeLeft, ExtraAttempts: sim.maxAttempts - 1}, ms)
 	}
-	begun := w.now
+	start := sim.now
 	for a.CanAttempt() {
-		w.ids++
-		down, sent := a.BeginAttempt(fmt.Sprintf("n%d", tier), fmt.Sprint("a", w.ids), w.now-begun)
+		sim.lastID++
+		down, sent := a.BeginAttempt(fmt.Sprintf("n%d", tier), fmt.Sprint("a", sim.lastID), sim.now-start)
 		if !sent {
-			w.wrong = "may try, and cannot"
+			sim.violation = "CanAttempt allows an attempt that BeginAttempt refuses"
 			break
 		}
-		if a.spent+a.out > a.grant.ExtraAttempts {
-			w.wrong = fmt.Sprintf("%d spent and %d out of %d", a.spent, a.out, a.grant.ExtraAttempts)
+		if a.spent+a.granted > a.grant.ExtraAttempts {
+			sim.violation = fmt.Sprintf("%d spent and %d granted of %d", a.spent, a.granted, a.grant.ExtraAttempts)
 		}
-		if down.TimeLeft > grant.TimeLeft-(w.now-begun) && down.TimeLeft > 0 {
-			w.wrong = "time grew"
+		if down.TimeLeft > grant.TimeLeft-(sim.now-start) && down.TimeLeft > 0 {
+			sim.violation = "the time left has grown"
 		}
-		w.at[place]++
-		w.worst = max(w.worst, w.at[place])
-		w.now += time.Duration(rapid.IntRange(0, 20).Draw(w.t, "way")) * ms
-		if rapid.IntRange(0, 3).Draw(w.t, "not run") == 0 {
+		sim.attemptsByCall[place]++
+		sim.mostAttempts = max(sim.mostAttempts, sim.attemptsByCall[place])
+		sim.now += time.Duration(rapid.IntRange(0, 20).Draw(sim.t, "way")) * ms
+		if rapid.IntRange(0, 3).Draw(sim.t, "not run") == 0 {
 			a.EndAttempt(UnknownSpent, false)
 			continue
 		}
 		good, below := true, 0
-		if tier+1 < w.depth {
-			for i := range w.fan {
+		if tier+1 < sim.depth {
+			for i := range sim.callsPerServer {
 				var b *Budget
-				if !w.naive {
+				if !sim.naive {
 					b = &down
 				}
 				var n int
-				good, n = w.call(tier+1, fmt.Sprintf("%s.%d", place, i), b, LocalLimits{TimeLeft: down.TimeLeft, ExtraAttempts: w.limit - 1})
+				good, n = sim.call(tier+1, fmt.Sprintf("%s.%d", place, i), b, LocalLimits{TimeLeft: down.TimeLeft, ExtraAttempts: sim.maxAttempts - 1})
 				below = n
 				if !good {
 					break
 				}
 			}
 		}
-		good = good && rapid.IntRange(0, 2).Draw(w.t, "good") > 0
-		if !w.carries || rapid.IntRange(0, 4).Draw(w.t, "lost") == 0 {
+		good = good && rapid.IntRange(0, 2).Draw(sim.t, "good") > 0
+		if !sim.reportsSpent || rapid.IntRange(0, 4).Draw(sim.t, "lost") == 0 {
 			below = UnknownSpent
 		}
 		a.EndAttempt(below, true)
@@ -88,72 +88,70 @@
 			break
 		}
 	}
-	if w.naive {
+	if sim.naive {
 		return ok, 0
 	}
 	if a.Spent() > grant.ExtraAttempts {
-		w.wrong = fmt.Sprintf("%d spent of %d", a.Spent(), grant.ExtraAttempts)
+		sim.violation = fmt.Sprintf("%d spent of %d", a.Spent(), grant.ExtraAttempts)
 	}
-	return ok, w.ledger[tier].EndCall(grant, a.Spent())
+	return ok, sim.ledgers[tier].EndCall(grant, a.Spent())
 }
 
-// graph draws a graph and plays it.
-func graph(t *rapid.T, naive bool) *world {
-	w := &world{t: t, depth: rapid.IntRange(1, 6).Draw(t, "depth"), limit: rapid.IntRange(1, 4).Draw(t, "limit"), naive: naive,
-		carries: rapid.Bool().Draw(t, "carries"), at: map[string]int{}}
-	w.fan = rapid.IntRange(1, 2).Draw(t, "fan")
-	if w.depth > 4 {
-		w.fan = 1
+// simulateGraph draws a random graph and simulates it.
+func simulateGraph(t *rapid.T, naive bool) *graphSimulation {
+	sim := &graphSimulation{t: t, depth: rapid.IntRange(1, 6).Draw(t, "depth"), maxAttempts: rapid.IntRange(1, 4).Draw(t, "limit"), naive: naive,
+		reportsSpent: rapid.Bool().Draw(t, "carries"), attemptsByCall: map[string]int{}}
+	sim.callsPerServer = rapid.IntRange(1, 2).Draw(t, "fan")
+	if sim.depth > 4 {
+		sim.callsPerServer = 1
 	}
-	for range w.depth {
-		w.ledger = append(w.ledger, NewLedger(rapid.SampledFrom([]int{1, 1000}).Draw(t, "ledger")))
+	for range sim.depth {
+		sim.ledgers = append(sim.ledgers, NewLedger(rapid.SampledFrom([]int{1, 1000}).Draw(t, "ledger")))
 	}
-	w.call(0, "entry", nil, LocalLimits{TimeLeft: time.Second, ExtraAttempts: w.limit - 1, Worth: 1})
-	return w
+	sim.call(0, "entry", nil, LocalLimits{TimeLeft: time.Second, ExtraAttempts: sim.maxAttempts - 1, Worth: 1})
+	return sim
 }
 
-// Whatever fails, wherever: no call is tried more often than its class has
-// attempts, though every tier tries again; nothing is spent that was not granted;
-// time does not grow.
-func TestAttemptsInAllTiersTogether(t *testing.T) {
+// Whatever fails: no call is tried more often than its class allows although every tier retries, nothing is
+// spent that was not granted, and the time left never grows.
+func TestAttemptsAcrossTiers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := graph(t, false)
-		if w.worst > w.limit || w.wrong != "" {
-			t.Fatalf("%d attempts of a call, its class has %d; %s", w.worst, w.limit, w.wrong)
+		sim := simulateGraph(t, false)
+		if sim.mostAttempts > sim.maxAttempts || sim.violation != "" {
+			t.Fatalf("%d attempts of a call, its class allows %d; %s", sim.mostAttempts, sim.maxAttempts, sim.violation)
 		}
 	})
 }
 
-// The control: with the class's attempts at every node for itself the same must
-// fail.
+// Control: the same simulation must exceed the limit if each node has all attempts of the class for itself.
 func TestNaiveAttemptsMultiply(t *testing.T) {
 	worst := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := graph(t, true)
-		if w.limit == 4 {
-			worst = max(worst, w.worst)
+		sim := simulateGraph(t, true)
+		if sim.maxAttempts == 4 {
+			worst = max(worst, sim.mostAttempts)
 		}
 	})
 	if worst <= 4 {
-		t.Errorf("at most %d attempts of a call: the property proves nothing", worst)
+		t.Errorf("at most %d attempts of a call: the property test proves nothing", worst)
 	}
-	t.Logf("up to %d attempts of a call where its class has 4", worst)
+	t.Logf("up to %d attempts of a call whose class allows 4", worst)
 }
 
 func TestClamp(t *testing.T) {
-	truth := LocalLimits{TimeLeft: time.Second, ExtraAttempts: 2, Worth: 5, Class: "a"}
+	limits := LocalLimits{TimeLeft: time.Second, ExtraAttempts: 2, Worth: 5, Class: "a"}
 	for _, x := range []struct {
-		b    *Budget
-		want Budget
-		lies Excess
+		b      *Budget
+		want   Budget
+		excess Excess
 	}{
 		{nil, Budget{TimeLeft: time.Second, ExtraAttempts: 2, Worth: 5, Class: "a"}, 0},
 		{&Budget{TimeLeft: ms, ExtraAttempts: 1, Worth: 4, Class: "b"}, Budget{TimeLeft: ms, ExtraAttempts: 1, Worth: 4, Class: "b"}, 0},
 		{&Budget{TimeLeft: 2 * time.Second, ExtraAttempts: 1, Worth: 4}, Budget{TimeLeft: time.Second, ExtraAttempts: 1, Worth: 4}, ExcessTime},
 		{&Budget{TimeLeft: ms, ExtraAttempts: 3, Worth: 6}, Budget{TimeLeft: ms, ExtraAttempts: 2, Worth: 5}, ExcessAttempts | ExcessWorth},
 	} {
-		if got, lies := Clamp(x.b, truth); !reflect.DeepEqual(got, x.want) || lies != x.lies {
-			t.Errorf("%+v: %+v, %v", x.b, got, lies)
+		if got, excess := Clamp(x.b, limits); !reflect.DeepEqual(got, x.want) || excess != x.excess {
+			t.Errorf("%+v: %+v, %v", x.b, got, excess)
 		}
 	}
 }
@@ -164,27 +162,27 @@
 		t.Error(loop, crossed)
 	}
 	if _, crossed := b.FindLoop("d"); crossed {
-		t.Error("a loop where there is none")
+		t.Error("found a loop where there is none")
 	}
 }
 
-// A full ledger must not forget an attempt whose time runs, and give none.
+// A full ledger must not forget an attempt whose time is still running, and must grant nothing to new ones.
 func TestFullLedger(t *testing.T) {
 	l := NewLedger(2)
 	for i, id := range []string{"a", "b", "c"} {
 		b := l.BeginCall(0, Budget{AttemptID: id, TimeLeft: time.Second, ExtraAttempts: 3})
 		if want := []int{3, 3, 0}[i]; b.ExtraAttempts != want {
-			t.Errorf("%s: %d further attempts, want %d", id, b.ExtraAttempts, want)
+			t.Errorf("%s: %d extra attempts, want %d", id, b.ExtraAttempts, want)
 		}
 		l.EndCall(b, 2)
 	}
 	if b := l.BeginCall(500*ms, Budget{AttemptID: "a", TimeLeft: 500 * ms, ExtraAttempts: 3}); b.ExtraAttempts != 1 {
-		t.Errorf("the second call has %d further attempts, want 1", b.ExtraAttempts)
+		t.Errorf("the second call has %d extra attempts, want 1", b.ExtraAttempts)
 	} else {
 		l.EndCall(b, 0)
 	}
 	if b := l.BeginCall(2*time.Second, Budget{AttemptID: "d", TimeLeft: time.Second, ExtraAttempts: 3}); b.ExtraAttempts != 3 || l.Len() != 1 {
-		t.Errorf("%d further attempts, %d attempts kept", b.ExtraAttempts, l.Len())
+		t.Errorf("%d extra attempts, %d attempts kept", b.ExtraAttempts, l.Len())
 	}
 }
 
@@ -211,7 +209,7 @@
 		t.Errorf("%+v %v", got, err)
 	}
 	if _, err := Parse("2;t=1;x=new;a=1;w=1;c=a;z=2"); err != nil {
-		t.Error("a later version:", err)
+		t.Error("later version:", err)
 	}
 	for _, bad := range []string{
 		"", "1", "0;t=1;a=1;w=1;c=a", "x;t=1;a=1;w=1;c=a", "1;t=1;a=1;w=1", "1;t=-1;a=1;w=1;c=a", "1;t=1;a=1;w=1;c=a;", "1;t=1;t=1;a=1;w=1;c=a",
@@ -220,14 +218,14 @@
 		"1;t=1;a=1;w=1;c=" + strings.Repeat("a", 33), "1;t=1;a=1;w=1;c=a;p=" + strings.Repeat("a,", MaxHops) + "a", want + strings.Repeat("a", 10<<10),
 	} {
 		if b, err := Parse(bad); err == nil {
-			t.Errorf("%.60q was read as %+v", bad, b)
+			t.Errorf("%.60q was parsed as %+v", bad, b)
 		}
 	}
 	if _, err := FromHeaders([]string{want, want}, nil); err == nil {
-		t.Error("a header that stands there twice was read")
+		t.Error("a duplicate header was accepted")
 	}
 	if b, err := FromHeaders([]string{want}, []string{"curlewring-budget=%zz"}); err == nil || b == nil {
-		t.Error("an odd baggage must be told, and leave the header:", b, err)
+		t.Error("invalid baggage must be reported without discarding the header:", b, err)
 	}
 	for value, spent := range map[string]int{"1;s=2": 2, "1;s=0;r=loop": 0, "": UnknownSpent, "1;s=-1": UnknownSpent, "1;s=2;r=what": UnknownSpent, "2;s=1": UnknownSpent, "1;s=99": UnknownSpent} {
 		got, _, err := ParseSpent([]string{value})
@@ -235,14 +233,15 @@
 			t.Errorf("%q: %d, %v", value, got, err)
 		}
 	}
-	if spent, word, err := ParseSpent([]string{EncodeSpent(3, OutOfBudget)}); spent != 3 || word != OutOfBudget || err != nil {
-		t.Error(spent, word, err)
+	if spent, advice, err := ParseSpent([]string{EncodeSpent(3, OutOfBudget)}); spent != 3 || advice != OutOfBudget || err != nil {
+		t.Error(spent, advice, err)
 	}
 }
 
-// A call of the planned fleet goes through 22 nodes. The last of them must read the budget all the same, whatever the names
-// of the nodes are and in which form it came: without it each tier would have all attempts again.
-func TestBudgetsPassThroughLongPaths(t *testing.T) {
+// A call of the planned fleet passes 22 nodes. The last of them must still be able to read the budget,
+// whatever the names of the nodes and whichever header carries it: without a budget each tier would have
+// all attempts again.
+func TestHeadersWithLongPaths(t *testing.T) {
 	for _, hops := range []int{22, MaxHops} {
 		b := Budget{
 			TimeLeft: MaxTimeLeft, ExtraAttempts: MaxExtraAttempts, Worth: 12.345678, Class: strings.Repeat("c", MaxNameBytes), AttemptID: strings.Repeat("i", MaxNameBytes),
@@ -260,8 +259,8 @@
 	}
 }
 
-// FuzzParse: no value may break the reading; what is read is within the bounds,
-// and written again it is read as the same.
+// FuzzParse checks that no value breaks the parser, that results are within the limits, and that an encoded
+// result is parsed as the same budget.
 func FuzzParse(f *testing.F) {
 	f.Add("1;t=1850;a=2;w=12;c=notruf-abfrage;i=7f;p=n0,n1")
 	f.Add("1;t=0;a=0;w=0.5;c=a")
@@ -272,20 +271,20 @@
 			return
 		}
 		if b.TimeLeft < 0 || b.TimeLeft > MaxTimeLeft || b.ExtraAttempts < 0 || b.ExtraAttempts > MaxExtraAttempts || !(b.Worth >= 0 && b.Worth <= MaxWorth) || b.Hops() > MaxHops {
-			t.Fatalf("%q: %+v", value, b)
+			t.Fatalf("%q: out of range: %+v", value, b)
 		}
 		again, err := Parse(b.Encode())
 		if err != nil || !reflect.DeepEqual(again, b) {
-			t.Errorf("%q: %+v, again %+v, %v", value, b, again, err)
+			t.Errorf("%q: %+v, parsed again %+v, %v", value, b, again, err)
 		}
 		carried, err := FromHeaders(nil, []string{b.AddToBaggage("")})
 		if err != nil || !reflect.DeepEqual(carried, b) {
-			t.Errorf("%q: carried %+v, %v", value, carried, err)
+			t.Errorf("%q: from baggage %+v, %v", value, carried, err)
 		}
 	})
 }
 
-// FuzzRead: nothing that comes in the headers may break the reading.
+// FuzzRead checks that no headers break the parsers.
 func FuzzRead(f *testing.F) {
 	f.Add("1;t=1;a=1;w=1;c=a", "a=b,curlewring-budget=1%3Bt%3D1%3Ba%3D1%3Bw%3D1%3Bc%3Da;prop=1")
 	f.Fuzz(func(t *testing.T, own, baggage string) {
--- a/internal/budget/header.go
+++ b/internal/budget/header.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// The headers.
+// Names of the headers.
 const (
 	HeaderName        = "Curlewring-Budget"       // of a request
-	SpentHeaderName   = "Curlewring-Budget-Spent" // of an answer
+	SpentHeaderName   = "Curlewring-Budget-Spent" // of a response
 	BaggageHeaderName = "Baggage"                 // W3C Baggage, section 3.2
 	BaggageKey        = "curlewring-budget"
 	version           = "1"
 )
 
-// Odd is why a header is not taken: the request is as if there were none.
+// HeaderError says why a header is ignored: the request is treated as if it had none.
 type HeaderError string
 
-func (o HeaderError) Error() string { return "odd budget header: " + string(o) }
+func (e HeaderError) Error() string { return "invalid budget header: " + string(e) }
 
-func odd(format string, args ...any) error { return HeaderError(fmt.Sprintf(format, args...)) }
+func headerErrorf(format string, args ...any) error { return HeaderError(fmt.Sprintf(format, args...)) }
 
-// Encode writes a budget as the header's value.
+// Encode returns the budget as a header value.
 func (b *Budget) Encode() string {
 	s := make([]byte, 0, 96)
 	s = append(s, version+";t="...)
@@ -46,69 +46,69 @@
 	return string(s)
 }
 
-// Parse reads a header's value. Fields come in their order, each once; a later
-// version is read as far as it is known.
+// Parse reads a header value. Fields come in a fixed order, each at most once. Unknown fields of a later
+// version are ignored.
 func Parse(value string) (*Budget, error) {
 	if len(value) > MaxHeaderBytes {
-		return nil, odd("%d bytes, at most %d", len(value), MaxHeaderBytes)
+		return nil, headerErrorf("the value has %d bytes, at most %d are allowed", len(value), MaxHeaderBytes)
 	}
 	if strings.HasSuffix(value, ";") {
-		return nil, odd("it ends with a semicolon")
+		return nil, headerErrorf("the value ends with a semicolon")
 	}
 	head, rest, _ := strings.Cut(value, ";")
-	if v, err := number(head, 9); err != nil || v < 1 {
-		return nil, odd("the version %.20q", head)
+	if v, err := parseNumber(head, 9); err != nil || v < 1 {
+		return nil, headerErrorf("invalid version %.20q", head)
 	}
 	b := &Budget{}
 	const order = "tawcip"
-	at := -1
+	last := -1
 	seen := 0
 	for rest != "" {
 		var field string
 		field, rest, _ = strings.Cut(rest, ";")
 		key, value, found := strings.Cut(field, "=")
-		i := -1
+		index := -1
 		if len(key) == 1 {
-			i = strings.Index(order, key)
+			index = strings.Index(order, key)
 		}
-		if !found || i < 0 && head == version {
-			return nil, odd("the field %.20q", field)
+		if !found || index < 0 && head == version {
+			return nil, headerErrorf("unknown or incomplete field %.20q", field)
 		}
-		if i < 0 {
+		if index < 0 {
 			continue // of a later version
 		}
-		if i <= at {
-			return nil, odd("the field %.20q stands twice, or out of its order", key)
+		if index <= last {
+			return nil, headerErrorf("field %.20q is duplicate or out of order", key)
 		}
-		at = i
-		seen |= 1 << i
+		last = index
+		seen |= 1 << index
 		var err error
 		switch key {
 		case "t":
 			var ms int64
-			ms, err = number(value, 9)
+			ms, err = parseNumber(value, 9)
 			if b.TimeLeft = time.Duration(ms) * time.Millisecond; err == nil && b.TimeLeft > MaxTimeLeft {
-				err = odd("a time of %v", b.TimeLeft)
+				err = headerErrorf("time of %v is too long", b.TimeLeft)
 			}
 		case "a":
 			var n int64
-			n, err = number(value, 2)
+			n, err = parseNumber(value, 2)
 			if b.ExtraAttempts = int(n); err == nil && n > MaxExtraAttempts {
-				err = odd("%d attempts", n)
+				err = headerErrorf("%d extra attempts are too many", n)
 			}
 		case "w":
-			b.Worth, err = worth(value)
+			b.Worth, err = parseWorth(value)
 		case "c":
-			b.Class, err = value, name(value)
+			b.Class, err = value, checkName(value)
 		case "i":
-			b.AttemptID, err = value, name(value)
+			b.AttemptID, err = value, checkName(value)
 		case "p":
 			b.Path = strings.Split(value, ",")
 			if len(b.Path) > MaxHops {
-				return nil, odd("%d nodes on the path", len(b.Path))
+				return nil, headerErrorf("%d nodes on the path are too many", len(b.Path))
 			}
 			for _, n := range b.Path {
-				if err = name(n); err != nil {
+				if err = checkName(n); err != nil {
 					break
 				}
 			}
@@ -117,68 +117,67 @@
 			return nil, err
 		}
 	}
-	const must = 1<<4 - 1 // all but the id and the path
-	if seen&must != must {
-		return nil, odd("a field is missing")
+	const required = 1<<4 - 1 // all but the attempt id and the path
+	if seen&required != required {
+		return nil, headerErrorf("a required field is missing")
 	}
 	return b, nil
 }
 
-// number reads digits alone, without a sign.
-func number(s string, most int) (int64, error) {
-	if s == "" || len(s) > most {
-		return 0, odd("the number %.20q", s)
+// parseNumber reads decimal digits without a sign.
+func parseNumber(s string, maxDigits int) (int64, error) {
+	if s == "" || len(s) > maxDigits {
+		return 0, headerErrorf("invalid number %.20q", s)
 	}
 	n := int64(0)
 	for _, c := range []byte(s) {
 		if c < '0' || c > '9' {
-			return 0, odd("the number %.20q", s)
+			return 0, headerErrorf("invalid number %.20q", s)
 		}
 		n = n*10 + int64(c-'0')
 	}
 	return n, nil
 }
 
-// worth reads digits with up to one point among them.
-func worth(s string) (float64, error) {
-	whole, part, point := strings.Cut(s, ".")
-	if _, err := number(whole, 7); err != nil {
+// parseWorth reads decimal digits with at most one point.
+func parseWorth(s string) (float64, error) {
+	whole, fraction, hasPoint := strings.Cut(s, ".")
+	if _, err := parseNumber(whole, 7); err != nil {
 		return 0, err
 	}
-	if point {
-		if _, err := number(part, 17); err != nil {
+	if hasPoint {
+		if _, err := parseNumber(fraction, 17); err != nil {
 			return 0, err
 		}
 	}
 	w, err := strconv.ParseFloat(s, 64)
 	if err != nil || w > MaxWorth {
-		return 0, odd("the worth %.20q", s)
+		return 0, headerErrorf("invalid worth %.20q", s)
 	}
 	return w, nil
 }
 
-// name checks a class's or a node's name: what a header's token may hold (RFC
-// 9110, section 5.6.2) less what stands between fields here.
-func name(s string) error {
+// checkName checks the name of a class or a node. It may contain the characters of an HTTP token (RFC 9110,
+// section 5.6.2) except those used as separators here.
+func checkName(s string) error {
 	if s == "" || len(s) > MaxNameBytes {
-		return odd("the name %.40q", s)
+		return headerErrorf("invalid name %.40q", s)
 	}
 	for _, c := range []byte(s) {
 		ok := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.' || c == '@'
 		if !ok {
-			return odd("the name %.40q", s)
+			return headerErrorf("invalid name %.40q", s)
 		}
 	}
 	return nil
 }
 
-// Read finds the budget of a request: its own header, and the member of a W3C
-// baggage, the smaller of both. A header that stands there twice is none: which
-// one counts would be for each to guess.
+// FromHeaders returns the budget of a request: the smaller of that in its own header and that in the W3C
+// baggage. A header that occurs twice is ignored, since it is unclear which one counts.
 func FromHeaders(own, baggage []string) (*Budget, error) {
 	var b *Budget
 	if len(own) > 1 {
-		return nil, odd("the header stands there %d times", len(own))
+		return nil, headerErrorf("the header occurs %d times", len(own))
 	}
 	if len(own) == 1 {
 		var err error
@@ -189,7 +188,7 @@
 	members := 0
 	for _, line := range baggage {
 		if len(line) > 8192 { // W3C Baggage, section 3.3.2
-			return b, odd("a baggage of %d bytes", len(line))
+			return b, headerErrorf("baggage of %d bytes is too long", len(line))
 		}
 		for member := range strings.SplitSeq(line, ",") {
 			key, value, _ := strings.Cut(member, "=")
@@ -197,12 +196,12 @@
 				continue
 			}
 			if members++; members > 1 {
-				return b, odd("the baggage holds it twice")
+				return b, headerErrorf("the baggage contains more than one budget")
 			}
 			value, _, _ = strings.Cut(value, ";") // properties
 			text, err := url.PathUnescape(strings.TrimSpace(value))
 			if err != nil {
-				return b, odd("the baggage: %v", err)
+				return b, headerErrorf("baggage: %v", err)
 			}
 			carried, err := Parse(text)
 			if err != nil {
@@ -214,8 +213,7 @@
 	return b, nil
 }
 
-// InBaggage puts a budget into a baggage that the request already has, in the
-// place of the one there.
+// AddToBaggage adds a budget to a request's baggage and replaces one that is there.
 func (b *Budget) AddToBaggage(line string) string {
 	var members []string
 	for member := range strings.SplitSeq(line, ",") {
@@ -228,49 +226,49 @@
 	return strings.Join(append(members, BaggageKey+"="+escaped), ",")
 }
 
-// EncodeSpent writes what an answer says: how much was spent here and below, and
-// a word if it is an error.
-func EncodeSpent(spent int, w RetryAdvice) string {
+// EncodeSpent returns the header value of a response: what was spent here and below, and the retry advice
+// of an error.
+func EncodeSpent(spent int, advice RetryAdvice) string {
 	s := version + ";s=" + strconv.Itoa(spent)
-	if w != "" {
-		s += ";r=" + string(w)
+	if advice != "" {
+		s += ";r=" + string(advice)
 	}
 	return s
 }
 
-// ParseSpent reads it.
-func ParseSpent(values []string) (spent int, w RetryAdvice, err error) {
+// ParseSpent reads the value that EncodeSpent writes.
+func ParseSpent(values []string) (spent int, advice RetryAdvice, err error) {
 	if len(values) == 0 {
 		return UnknownSpent, "", nil
 	}
 	if len(values) > 1 || len(values[0]) > MaxHeaderBytes {
-		return UnknownSpent, "", odd("the header stands there twice, or is too long")
+		return UnknownSpent, "", headerErrorf("the header occurs more than once or is too long")
 	}
 	parts := strings.Split(values[0], ";")
 	if len(parts) < 2 || len(parts) > 3 || parts[0] != version {
-		return UnknownSpent, "", odd("%.40q", values[0])
+		return UnknownSpent, "", headerErrorf("invalid value %.40q", values[0])
 	}
 	text, found := strings.CutPrefix(parts[1], "s=")
-	n, err := number(text, 2)
+	n, err := parseNumber(text, 2)
 	if !found || err != nil || n > MaxExtraAttempts {
-		return UnknownSpent, "", odd("%.40q", values[0])
+		return UnknownSpent, "", headerErrorf("invalid value %.40q", values[0])
 	}
 	if len(parts) == 3 {
 		text, found := strings.CutPrefix(parts[2], "r=")
-		switch w = RetryAdvice(text); {
+		switch advice = RetryAdvice(text); {
 		case !found:
-			return UnknownSpent, "", odd("%.40q", values[0])
-		case w != Overloaded && w != OutOfBudget && w != MayHaveRun && w != HasNotRun && w != Loop:
-			return UnknownSpent, "", odd("the word %.20q", text)
+			return UnknownSpent, "", headerErrorf("invalid value %.40q", values[0])
+		case advice != Overloaded && advice != OutOfBudget && advice != MayHaveRun && advice != HasNotRun && advice != Loop:
+			return UnknownSpent, "", headerErrorf("unknown retry advice %.20q", text)
 		}
 	}
-	return int(n), w, nil
+	return int(n), advice, nil
 }
 
-// NodeName makes a name for a path of a node's own: the name itself, or, where a
-// header can't hold that, a sum of it (FNV-1a, 64 bits).
+// NodeName returns a node's name for a path: the name itself, or its hash (FNV-1a, 64 bits) if the name
+// can't be used in a header.
 func NodeName(s string) string {
-	if name(s) == nil {
+	if checkName(s) == nil {
 		return s
 	}
 	h := uint64(14695981039346656037)
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -2,81 +2,81 @@
 
 import "time"
 
-// Ledger remembers what the calls of one attempt have spent: an application makes
-// several, one after another, and hands each the same budget, since it does not
-// count. The node beside it does, by the attempt's id.
+// Ledger tracks what the calls of one attempt have spent. An application makes several calls and gives each
+// the same budget, since it does not count attempts. The node next to it does, by the id of the attempt.
 //
-// What the ledger does not know any more is a new attempt to it, with all that
-// was granted; so it keeps an attempt for as long as its time runs, and when it
-// is full it lets nobody in with further attempts rather than forget one that
-// may still spend.
+// An attempt that the ledger does not know is treated as a new one that has spent nothing. So the ledger
+// keeps attempts for as long as their time runs. When it is full it grants no extra attempts rather than
+// forget an attempt that may still spend.
 type Ledger struct {
-	most  int
-	rows  map[string]*row
-	order []string // ids in the order in which they are looked at next
+	maxAttempts int
+	entries     map[string]*ledgerEntry
+	sweepOrder  []string // ids in the order in which Expire checks them
 }
 
-type row struct {
-	until time.Duration // on the node's clock: the grant's time is over then
-	spent int
-	out   int // granted to calls under way
+type ledgerEntry struct {
+	expiresAt time.Duration // on the node's clock: the budget's time is over then
+	spent     int
+	granted   int // granted to open calls
 }
 
-// NewLedger makes a ledger of so many attempts.
-func NewLedger(most int) *Ledger { return &Ledger{most: max(1, most), rows: map[string]*row{}} }
+// NewLedger returns a ledger of at most the given number of attempts.
+func NewLedger(maxAttempts int) *Ledger {
+	return &Ledger{maxAttempts: max(1, maxAttempts), entries: map[string]*ledgerEntry{}}
+}
 
-// Len is how many attempts are kept.
-func (l *Ledger) Len() int { return len(l.rows) }
+// Len returns the number of attempts that are kept.
+func (l *Ledger) Len() int { return len(l.entries) }
 
-// Open takes a call in, and returns its budget: what was granted, less what the
-// calls before it have spent and those beside it may.
+// BeginCall registers a call and returns its budget: the given one, less what earlier calls of the attempt
+// have spent and what concurrent ones may spend.
 func (l *Ledger) BeginCall(now time.Duration, b Budget) Budget {
 	if b.AttemptID == "" {
 		return b
 	}
-	r := l.rows[b.AttemptID]
-	if r == nil {
-		if len(l.rows) >= l.most {
-			l.Expire(now, sweepAtOnce)
+	entry := l.entries[b.AttemptID]
+	if entry == nil {
+		if len(l.entries) >= l.maxAttempts {
+			l.Expire(now, sweepBatch)
 		}
-		if len(l.rows) >= l.most {
+		if len(l.entries) >= l.maxAttempts {
 			b.ExtraAttempts = 0
 			return b
 		}
-		r = &row{}
-		l.rows[b.AttemptID] = r
-		l.order = append(l.order, b.AttemptID)
+		entry = &ledgerEntry{}
+		l.entries[b.AttemptID] = entry
+		l.sweepOrder = append(l.sweepOrder, b.AttemptID)
 	}
-	r.until = max(r.until, now+b.TimeLeft)
-	b.ExtraAttempts = max(0, b.ExtraAttempts-r.spent-r.out)
-	r.out += b.ExtraAttempts
+	entry.expiresAt = max(entry.expiresAt, now+b.TimeLeft)
+	b.ExtraAttempts = max(0, b.ExtraAttempts-entry.spent-entry.granted)
+	entry.granted += b.ExtraAttempts
 	return b
 }
 
-// Close books what a call has spent of the budget that Open gave it, and returns
-// what all calls of the attempt have spent: that goes into the answer.
-func (l *Ledger) EndCall(b Budget, spent int) (all int) {
-	r := l.rows[b.AttemptID]
-	if b.AttemptID == "" || r == nil {
+// EndCall records what a call has spent of the budget that BeginCall returned. It returns what all calls of
+// the attempt have spent, for the response.
+func (l *Ledger) EndCall(b Budget, spent int) (total int) {
+	entry := l.entries[b.AttemptID]
+	if b.AttemptID == "" || entry == nil {
 		return spent
 	}
-	r.out = max(0, r.out-b.ExtraAttempts)
-	r.spent += min(max(0, spent), b.ExtraAttempts)
-	return r.spent
+	entry.granted = max(0, entry.granted-b.ExtraAttempts)
+	entry.spent += min(max(0, spent), b.ExtraAttempts)
+	return entry.spent
 }
 
-// sweepAtOnce is how many attempts a full ledger looks at for one that comes.
-const sweepAtOnce = 64
+// sweepBatch is the number of attempts that a full ledger checks for each new one.
+const sweepBatch = 64
 
-// Forget looks at the next few attempts, and forgets those whose time is over.
-func (l *Ledger) Expire(now time.Duration, most int) {
-	for range min(most, len(l.order)) {
-		id := l.order[0]
-		l.order = l.order[1:]
-		if r := l.rows[id]; now >= r.until && r.out == 0 {
-			delete(l.rows, id)
+// Expire checks the next few attempts and deletes those whose time is over.
+func (l *Ledger) Expire(now time.Duration, maxChecks int) {
+	for range min(maxChecks, len(l.sweepOrder)) {
+		id := l.sweepOrder[0]
+		l.sweepOrder = l.sweepOrder[1:]
+		if entry := l.entries[id]; now >= entry.expiresAt && entry.granted == 0 {
+			delete(l.entries, id)
 		} else {
-			l.order = append(l.order, id)
+			l.sweepOrder = append(l.sweepOrder, id)
 		}
 	}
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -11,20 +11,20 @@
 	"unicode/utf8"
 )
 
-// policyData are the files of decide/ that decide nothing.
+// policyData returns the files of decide/ that contain no decisions.
 func policyData() []string { return []string{"decide/api.go", "decide/grants.go", "decide/state.go"} }
 
-// The files that hold decisions are read by auditors: all of them are named in the deploy file, and each is short enough to
-// be read at once.
+// Auditors read the files that contain decisions: all of them must be listed in deploy/balancer.toml, and
+// each must be short enough to be read at once.
 func TestPolicyFiles(t *testing.T) {
-	const mostLines, mostColumns = 400, 110
+	const maxLines, maxColumns = 400, 110
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := regexp.MustCompile(`(?m)^policy = (\[.*?\])`).FindSubmatch(deploy)
 	if found == nil {
-		t.Fatal("deploy/balancer.toml names no policy files")
+		t.Fatal("deploy/balancer.toml has no list of policy files")
 	}
 	var files []string
 	if err := json.Unmarshal(found[1], &files); err != nil || len(files) == 0 {
@@ -36,7 +36,7 @@
 	}
 	for _, name := range all {
 		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(policyData(), name) && !slices.Contains(files, name) {
-			t.Errorf("%s is not among the policy files", name)
+			t.Errorf("%s is not listed among the policy files", name)
 		}
 	}
 	for _, name := range files {
@@ -49,12 +49,12 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > mostColumns {
-				t.Errorf("%s:%d has %d columns, at most %d are allowed", name, i+1, n, mostColumns)
+			if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > maxColumns {
+				t.Errorf("%s:%d has %d columns, at most %d are allowed", name, i+1, n, maxColumns)
 			}
 		}
-		if lines > mostLines {
-			t.Errorf("%s has %d lines, at most %d are allowed", name, lines, mostLines)
+		if lines > maxLines {
+			t.Errorf("%s has %d lines, at most %d are allowed", name, lines, maxLines)
 		}
 	}
 }
--- a/pure_test.go
+++ b/pure_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// pure lists the packages that decide. They get events and time, and give
-// actions back: all else would make a decision depend on what no test can set.
-func pure() []string {
+// purePackages returns the packages that make decisions. They take events and the time, and return actions:
+// any other input would make a decision depend on something that no test can control.
+func purePackages() []string {
 	return []string{"decide", "internal/operators/routes", "internal/operators/apps", "internal/operators/document", "internal/budget",
 		"internal/sched/timerwheel", "internal/conns/idleconns", "internal/sched/background", "internal/conns/membudget",
 		"internal/store", "internal/servers/serverdb", "internal/servers/stalelist", "internal/servers/endpoints", "internal/fleet/membership", "internal/fleet/wire",
@@ -22,8 +22,8 @@
 	}
 }
 
-// impurities finds what a pure package must not do in one of its files.
-func impurities(t *testing.T, name string, text any) []string {
+// findImpurities returns what one of its files does that a pure package must not do.
+func findImpurities(t *testing.T, name string, text any) []string {
 	t.Helper()
 	files := token.NewFileSet()
 	f, err := parser.ParseFile(files, name, text, 0)
@@ -70,7 +70,7 @@
 }
 
 func TestPurePackagesStayPure(t *testing.T) {
-	for _, dir := range pure() {
+	for _, dir := range purePackages() {
 		paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(paths) == 0 {
 			t.Fatalf("%s: %v, %v", dir, paths, err)
@@ -83,14 +83,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, what := range impurities(t, path, text) {
-				t.Errorf("%s %s", path, what)
+			for _, impurity := range findImpurities(t, path, text) {
+				t.Errorf("%s %s", path, impurity)
 			}
 		}
 	}
 }
 
-// The check must find what it is for.
+// The check must find each kind of impurity.
 func TestImpuritiesAreFound(t *testing.T) {
 	for _, text := range []string{
 		`package x; import "net/http"; type T = http.Request`,
@@ -101,19 +101,19 @@
 		`package x; func f() { go f() }`,
 		`package x; var state int`,
 	} {
-		if len(impurities(t, "x.go", text)) == 0 {
-			t.Errorf("nothing found in %q", text)
+		if len(findImpurities(t, "x.go", text)) == 0 {
+			t.Errorf("found no impurity in %q", text)
 		}
 	}
-	if found := impurities(t, "x.go", `package x; import "time"; const d = time.Second`); len(found) > 0 {
-		t.Errorf("found %v", found)
+	if found := findImpurities(t, "x.go", `package x; import "time"; const d = time.Second`); len(found) > 0 {
+		t.Errorf("found %v in a pure file", found)
 	}
 }
 
-// Leases must not depend on what time it is: a wall clock may be set. What holds them goes by clock.Boot; the time of day is
-// for the deadlines of sockets alone.
+// Leases must not depend on the time of day, since a wall clock may be set. They use clock.Boot; the time
+// of day serves only for the deadlines of sockets.
 func TestLeasesNeedNoTimeOfDay(t *testing.T) {
-	looked := 0
+	readings := 0
 	for _, dir := range []string{"internal/node/leases", "internal/node/bootstrap", "internal/leaseexec"} {
 		paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil {
@@ -126,15 +126,15 @@
 			}
 			for n, line := range strings.Split(string(text), "\n") {
 				if strings.Contains(line, "clock.Boot()") {
-					looked++
+					readings++
 				}
 				if strings.Contains(line, "time.Now()") && !strings.Contains(line, "Deadline(") || strings.Contains(line, "time.Since(") {
-					t.Errorf("%s:%d asks for the time of day: %s", path, n+1, strings.TrimSpace(line))
+					t.Errorf("%s:%d uses the time of day: %s", path, n+1, strings.TrimSpace(line))
 				}
 			}
 		}
 	}
-	if looked < 20 {
-		t.Errorf("only %d readings of the clock were seen", looked)
+	if readings < 20 {
+		t.Errorf("found only %d readings of the clock", readings)
 	}
 }
