--- a/decide/admission.go
+++ b/decide/admission.go
@@ -43,9 +43,10 @@
 	return left
 }
 
-// admitProbability returns the probability of admitting a request of this worth: 1 below its curve's start,
-// 0 above its end, linear in between. The curves of the levels are stacked, so that a lower worth is
-// refused entirely before a higher one starts to be refused.
+// admitProbability returns the probability of admitting a request of this worth, P(a,b) of the paper that
+// describes this scheme: 1 below the start a of the worth's curve, 0 above its end b, linear in between. The
+// curves of the levels are stacked, so that a lower worth is refused entirely before a higher one starts to
+// be refused.
 func (b *Balancer) admitProbability(worth float64) float64 {
 	level := b.worthLevel(worth)
 	width := 1 / float64(len(b.worthLevels))
@@ -109,7 +110,8 @@
 	return min(float64(b.memberCount()), b.countedServers)
 }
 
-// curve falls linearly from 1 at a to 0 at b.
+// curve falls linearly from 1 at a to 0 at b. The paper prints (r-a)/(b-a), which would rise with r;
+// (b-r)/(b-a) is meant.
 func curve(r, a, b float64) float64 {
 	if r <= a {
 		return 1
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -12,7 +12,8 @@
 	b := New(Settings{
 		Node: 7, Nodes: max(1, min(100, n/4)), Zone: "a", Zones: 4, MaxAttempts: 4, AnswerGrace: 10 * ms,
 		ColdCapacity: 0.3, WarmupTime: 8 * time.Second, CollapseMultiple: 2.5, CollapseWindow: time.Second,
-		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}, {LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 12}},
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 12}},
 	}, 1, time.Second)
 	list := make([]Server, n)
 	for i := range list {
@@ -48,7 +49,8 @@
 				if len(out) > 8 {
 					f := out[0]
 					out = append(out[:0], out[1:]...)
-					buf = d.HandleOutcome(now, Outcome{Request: f.id, Server: f.server, Elapsed: 4 * ms, Final: true}, buf[:0])
+					buf = d.HandleOutcome(now, Outcome{Request: f.id, Server: f.server, Elapsed: 4 * ms,
+						Final: true}, buf[:0])
 				}
 			}
 		})
--- a/decide/concurrency_test.go
+++ b/decide/concurrency_test.go
@@ -16,7 +16,8 @@
 }
 
 func newLimitSimulation(cores, serviceTime float64) *limitSimulation {
-	return &limitSimulation{concurrencyLimit: newConcurrencyLimit(LimitLearned, 5, 0, time.Second), cores: cores, serviceTime: serviceTime}
+	return &limitSimulation{concurrencyLimit: newConcurrencyLimit(LimitLearned, 5, 0, time.Second),
+		cores: cores, serviceTime: serviceTime}
 }
 
 // hold simulates responses, one per millisecond, at a number of calls held on a server. Calls are refused
@@ -64,11 +65,13 @@
 // Any number of calls that take a thousandth of the latency target is cleared in time; calls that take a
 // third of it leave the assumed limit.
 func TestLimitIsClearedWithinTarget(t *testing.T) {
-	for _, c := range []struct{ serviceTime, low, high float64 }{{0.002, 200, 300}, {0.02, 20, 30}, {0.3, 5, 5}, {2, 5, 5}} {
+	for _, c := range []struct{ serviceTime, low, high float64 }{{0.002, 200, 300}, {0.02, 20, 30},
+		{0.3, 5, 5}, {2, 5, 5}} {
 		l := newLimitSimulation(1, c.serviceTime)
 		l.hold(1, 400)
 		if got := l.perServer(); got < c.low || got > c.high {
-			t.Errorf("responses in %v latency targets: limit of %v calls, want %v to %v", c.serviceTime, got, c.low, c.high)
+			t.Errorf("responses in %v latency targets: limit of %v calls, want %v to %v", c.serviceTime, got,
+				c.low, c.high)
 		}
 	}
 }
@@ -197,11 +200,13 @@
 		for id := from + 1; id <= nextID; id++ {
 			c := b.calls[id]
 			b.HandleOutcome(time.Second+100*ms, Outcome{
-				Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: 100 * ms, DialTime: dial, Final: true,
+				Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: 100 * ms,
+				DialTime: dial, Final: true,
 			}, nil)
 		}
 		if got, want := b.limit.minLatency[0], (100*ms - dial).Seconds(); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v of 100 ms spent dialling: the minimum is %v latency targets, want %v", dial, got, want)
+			t.Errorf("%v of 100 ms spent dialling: the minimum is %v latency targets, want %v", dial, got,
+				want)
 		}
 	}
 }
@@ -235,7 +240,8 @@
 	}
 	verified := list[0]
 	verified.Unverified = false
-	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{verified}, FleetSize: 300}, nil)
+	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{verified}, FleetSize: 300},
+		nil)
 	if sent := offer(b, time.Second, 1, 2); sent != 2 {
 		t.Errorf("%d of 2 unsafe requests went to the one that has answered", sent)
 	}
@@ -247,7 +253,8 @@
 func TestFirstRatioIsWeightedByOutcomes(t *testing.T) {
 	answer := func(b *Balancer, id uint64, at, serviceTime time.Duration) {
 		c := b.calls[id]
-		b.HandleOutcome(at, Outcome{Request: id, Server: c.attempts[0].server.ID, Result: Served, Elapsed: serviceTime, Final: true}, nil)
+		b.HandleOutcome(at, Outcome{Request: id, Server: c.attempts[0].server.ID, Result: Served,
+			Elapsed: serviceTime, Final: true}, nil)
 	}
 	for late := 10 * ms; late <= 30*ms; late += 2 * ms {
 		for responses := uint64(1); responses <= 4; responses++ {
@@ -259,7 +266,8 @@
 				answer(b, from+1+i, end-ms, late-ms)
 			}
 			if sent := offer(b, end, 0, 10); sent < 10 {
-				t.Errorf("128 clients %v before the period's end, %d answered: %d of 10 sent", late, responses, sent)
+				t.Errorf("128 clients %v before the period's end, %d answered: %d of 10 sent", late,
+					responses, sent)
 			}
 		}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -69,7 +69,7 @@
 	fleetSize             float64 // number of servers if the list is part of a stored one, else 0
 	retryBudget           float64
 	idleStats             [idleBuckets]idleStat
-	staleBucket           int     // shortest idle time from which connections are dead; idleBuckets: none
+	staleBucket           int     // first bucket whose connections are dead; idleBuckets: none
 	connectFailureRate    float64 // fraction of the attempts that found no connection
 	meanLatency           float64 // mean response time of attempts, in latency targets
 	meanWeight, weightSum float64 // over the healthy servers
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -14,7 +14,7 @@
 		{0, 0.55, 1.05, 1},
 		{0.55, 0.55, 1.05, 1},
 		{0.80, 0.55, 1.05, 0.5},
-		{0.95, 0.55, 1.05, 0.2}, // falls from 1 to 0, does not rise
+		{0.95, 0.55, 1.05, 0.2}, // the formula as printed in the paper would give 0.8
 		{1.05, 0.55, 1.05, 0},
 		{9, 0.55, 1.05, 0},
 	} {
@@ -92,7 +92,8 @@
 		b := newFrontNodeInZoneX(c.penalty)
 		b.meanLatency = c.meanLatency
 		if got := b.priceFactor(b.cfg.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
-			t.Errorf("penalty %v, response time %v: the load of a remote server counts %v times, want %v", c.penalty, c.meanLatency, got, c.want)
+			t.Errorf("penalty %v, response time %v: the load of a remote server counts %v times, want %v",
+				c.penalty, c.meanLatency, got, c.want)
 		}
 	}
 }
@@ -111,7 +112,8 @@
 		b.servers["a"].extraSlowness, b.servers["a"].extraSlownessAt = c.slower-1, time.Second
 		out := b.HandleRequest(time.Second, Request{ID: 1, Tenant: -1, TTL: time.Second}, nil)
 		if len(out) == 0 || out[0].Kind != Send || out[0].Server != c.want {
-			t.Errorf("penalty %v, the connected server %v times as slow: %+v, want a send to %s", c.penalty, c.slower, out, c.want)
+			t.Errorf("penalty %v, the connected server %v times as slow: %+v, want a send to %s", c.penalty,
+				c.slower, out, c.want)
 		}
 	}
 }
@@ -121,7 +123,8 @@
 	for _, id := range slices.Sorted(maps.Keys(b.calls)) {
 		c := b.calls[id]
 		if n := len(c.attempts) - 1; n >= 0 && c.openAttempts > 0 && c.attempts[n].server.ID == server {
-			b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: server, Result: TimedOut, Elapsed: time.Second}, nil)
+			b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: server, Result: TimedOut,
+				Elapsed: time.Second}, nil)
 		}
 	}
 }
@@ -164,7 +167,8 @@
 	}, 1, time.Second)
 	var list []Server
 	for i := range 5 {
-		list = append(list, Server{ID: fmt.Sprint("x", i), Zone: "x"}, Server{ID: fmt.Sprint("y", i), Zone: "y"})
+		list = append(list, Server{ID: fmt.Sprint("x", i), Zone: "x"},
+			Server{ID: fmt.Sprint("y", i), Zone: "y"})
 	}
 	now := time.Second
 	b.HandleList(now, ListUpdate{Kind: ListFull, Servers: list}, nil)
@@ -205,7 +209,8 @@
 		b.recordLatency(s, 5)
 	}
 	now := 2 * time.Second
-	b.cfg.ColdCapacity, b.cfg.WarmupTime, b.cfg.CollapseWindow, b.cfg.CollapseMultiple = 1, time.Second, time.Second, 2
+	b.cfg.ColdCapacity, b.cfg.WarmupTime, b.cfg.CollapseWindow,
+		b.cfg.CollapseMultiple = 1, time.Second, time.Second, 2
 	b.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "s1", Started: now}}}, nil)
 	if s.unavailable(now) {
 		t.Error("a new process is ejected for the old one's failures")
@@ -268,7 +273,8 @@
 		b.beginEvent(now, nil)
 	}
 	if b.countedServers != 12 {
-		t.Errorf("%v servers count as capacity after refusals at a low latency ratio, want 12", b.countedServers)
+		t.Errorf("%v servers count as capacity after refusals at a low latency ratio, want 12",
+			b.countedServers)
 	}
 }
 
@@ -276,7 +282,8 @@
 // keep a full tier full. Attempts without a connection are free: if servers accept few connections, a
 // request must be able to find the one that does.
 func TestRetriesUseRetryBudget(t *testing.T) {
-	for result, limit := range map[Result]int{Rejected: 8 + retryBudgetMax, TimedOut: 8 + retryBudgetMax, ConnectFailed: 8 * 3} {
+	for result, limit := range map[Result]int{Rejected: 8 + retryBudgetMax, TimedOut: 8 + retryBudgetMax,
+		ConnectFailed: 8 * 3} {
 		if sends := countSends(result); sends > limit || result == ConnectFailed && sends < limit {
 			t.Errorf("%d sends of 8 requests that all end with %d, want %d", sends, result, limit)
 		}
@@ -312,13 +319,16 @@
 			offer(b, time.Second, classes[i%len(classes)], 1)
 		}
 		for p := 0.5; ; p += 0.01 {
-			if b.latencyRatio, b.meanOpenCalls = shedStartRatio+p*(shedAllRatio-shedStartRatio), 0; b.admitProbability(9) < 1 {
+			if b.latencyRatio, b.meanOpenCalls = shedStartRatio+p*(shedAllRatio-shedStartRatio),
+				0; b.admitProbability(9) < 1 {
 				return p
 			}
 		}
 	}
-	if rare, frequent := refusedAt(0, 0, 0, 0, 0, 0, 0, 1), refusedAt(1, 1, 1, 0); rare < 0.9 || frequent > 0.6 {
-		t.Errorf("worth 9 begins to be refused at pressure %.2f if it is rare, at %.2f if it is most of the traffic", rare, frequent)
+	if rare, frequent := refusedAt(0, 0, 0, 0, 0, 0, 0, 1), refusedAt(1, 1, 1, 0); rare < 0.9 ||
+		frequent > 0.6 {
+		t.Errorf("worth 9 begins to be refused at pressure %.2f if it is rare, at %.2f if it is frequent",
+			rare, frequent)
 	}
 }
 
@@ -341,13 +351,15 @@
 			for range 4 { // leave some connections idle
 				nextID++
 				b.calls = map[uint64]*call{}
-				for _, a := range b.HandleRequest(now, Request{ID: nextID, Class: 1, Tenant: -1, TTL: 2 * time.Second}, nil) {
+				for _, a := range b.HandleRequest(now, Request{ID: nextID, Class: 1, Tenant: -1,
+					TTL: 2 * time.Second}, nil) {
 					closed = closed || a.Kind == CloseIdle
 					if a.Kind != Send {
 						continue
 					}
 					if bucket := b.calls[nextID].attempts[0].idleBucket; bucket < 0 || !c.lost(a.Server) {
-						b.HandleOutcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms, Final: true}, nil)
+						b.HandleOutcome(now, Outcome{Request: nextID, Server: a.Server, Elapsed: ms,
+							Final: true}, nil)
 						continue
 					}
 					for _, action := range b.HandleTimer(now+900*ms, Timer{nextID}, nil) {
@@ -406,10 +418,12 @@
 	b := New(Settings{MarksRetries: true, Classes: []Class{{Worth: 1}, {Worth: 9}}}, 1, 0)
 	for at := 0.0; at < 1; at += 0.01 {
 		b.latencyRatio = shedStartRatio + at*(shedAllRatio-shedStartRatio)
-		p := []float64{b.admitProbability(1 * retryWorthFactor), b.admitProbability(1), b.admitProbability(9 * retryWorthFactor), b.admitProbability(9)}
+		p := []float64{b.admitProbability(1 * retryWorthFactor), b.admitProbability(1),
+			b.admitProbability(9 * retryWorthFactor), b.admitProbability(9)}
 		for i := range 3 {
 			if p[i] > 0 && p[i+1] < 1 {
-				t.Fatalf("at %v of the curves level %d is admitted with probability %v, the next with %v", at, i, p[i], p[i+1])
+				t.Fatalf("at %v of the curves level %d is admitted with probability %v, the next with %v", at,
+					i, p[i], p[i+1])
 			}
 		}
 	}
@@ -471,12 +485,16 @@
 func TestInvalidInputIsAnswered(t *testing.T) {
 	for i, cfg := range []Settings{
 		{},
-		{Node: -7, Nodes: -2, MaxAttempts: -1, Classes: []Class{{LatencyTarget: -time.Second, Deadline: -1, Worth: -3}}},
-		{Tier: 9, Tiers: 2, MayAdviseRetry: true, MaxRetryAfter: -time.Second, Classes: []Class{{Worth: 1}}, MustSubscribe: true},
-		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Idempotency: 77, Group: 99, KeyTTL: -1}}, WarmupTime: -1, CollapseWindow: -1},
+		{Node: -7, Nodes: -2, MaxAttempts: -1, Classes: []Class{{LatencyTarget: -time.Second, Deadline: -1,
+			Worth: -3}}},
+		{Tier: 9, Tiers: 2, MayAdviseRetry: true, MaxRetryAfter: -time.Second, Classes: []Class{{Worth: 1}},
+			MustSubscribe: true},
+		{Tenants: []Tenant{{Quota: -5}}, Classes: []Class{{Idempotency: 77, Group: 99, KeyTTL: -1}},
+			WarmupTime: -1, CollapseWindow: -1},
 	} {
 		b := New(cfg, 1, time.Second)
-		b.HandleList(time.Second, ListUpdate{Kind: ListFull, Servers: []Server{{}, {ID: "s", Weight: -1, Started: 5}}}, nil)
+		b.HandleList(time.Second, ListUpdate{Kind: ListFull,
+			Servers: []Server{{}, {ID: "s", Weight: -1, Started: 5}}}, nil)
 		responses, sends := map[uint64]int{}, map[uint64]string{}
 		check := func(out []Action) {
 			for _, a := range out {
@@ -492,12 +510,14 @@
 			}
 		}
 		for id := range uint64(6) {
-			r := Request{ID: id, Class: int(id) - 2, Tenant: int(id) - 1, TTL: time.Duration(int(id)-1) * time.Second, Work: -1}
+			r := Request{ID: id, Class: int(id) - 2, Tenant: int(id) - 1,
+				TTL: time.Duration(int(id)-1) * time.Second, Work: -1}
 			check(b.HandleRequest(time.Second, r, nil))
 			if id == 3 && sends[id] != "" { // duplicate
 				check(b.HandleRequest(time.Second, r, nil))
 			}
-			check(b.HandleOutcome(time.Second, Outcome{Request: id, Attempt: 5, Server: "never", Result: 99, Elapsed: -1}, nil))
+			check(b.HandleOutcome(time.Second, Outcome{Request: id, Attempt: 5, Server: "never", Result: 99,
+				Elapsed: -1}, nil))
 			check(b.HandleProbe(time.Second, ProbeResult{Server: "never"}, nil))
 		}
 		now := 20 * time.Second
@@ -506,7 +526,8 @@
 				check(b.HandleTimer(now, Timer{id}, nil))
 				if c := b.calls[id]; c != nil && c.openAttempts > 0 {
 					n := len(c.attempts) - 1
-					check(b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: sends[id], Result: TimedOut}, nil))
+					check(b.HandleOutcome(now, Outcome{Request: id, Attempt: n, Server: sends[id],
+						Result: TimedOut}, nil))
 				}
 			}
 		}
@@ -528,7 +549,8 @@
 		now += ms
 		out = n.HandleRequest(now, Request{ID: id, Class: 1, Tenant: -1, TTL: time.Second}, out[:0])
 		if out[0].Kind == Send {
-			n.HandleOutcome(now+ms/2, Outcome{Request: id, Server: out[0].Server, Elapsed: ms / 2, Final: true}, out[:0])
+			n.HandleOutcome(now+ms/2, Outcome{Request: id, Server: out[0].Server, Elapsed: ms / 2,
+				Final: true}, out[:0])
 		}
 	}
 }
@@ -552,7 +574,8 @@
 // A keyed call whose cell has only one server may be retried there instead of waiting until its deadline.
 func TestKeyedCallReturnsToItsOnlyServer(t *testing.T) {
 	b := newFrontNode(3) // all servers but the first one are in the same cell
-	b.cfg.Classes[0].Idempotency, b.cfg.Classes[0].Group, b.cfg.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
+	b.cfg.Classes[0].Idempotency, b.cfg.Classes[0].Group,
+		b.cfg.Classes[0].KeyTTL = Keyed, GroupCell, time.Second
 	b.servers["s0"].Cell = 1
 	c := &call{Request: Request{ID: 1, TTL: time.Second}, mayHaveRun: true, mayHaveRunOn: b.servers["s0"]}
 	c.attempts = []attempt{{server: b.servers["s0"], done: true}}
@@ -595,7 +618,8 @@
 		if !sent {
 			t.Fatal("not sent")
 		}
-		b.HandleOutcome(now+ms, Outcome{Request: nextID, Server: "s0", Result: result, Final: true, ConnClosed: closed}, nil)
+		b.HandleOutcome(now+ms, Outcome{Request: nextID, Server: "s0", Result: result, Final: true,
+			ConnClosed: closed}, nil)
 	}
 	send(Served, false)
 	if len(s.idleConns) != 1 {
@@ -608,7 +632,8 @@
 		}
 	}
 	if s.ejections > 0 || s.zone.ejections > 0 || b.staleBucket < idleBuckets {
-		t.Errorf("ejected %d times, its zone %d; stale from bucket %d", s.ejections, s.zone.ejections, b.staleBucket)
+		t.Errorf("ejected %d times, its zone %d; stale from bucket %d", s.ejections, s.zone.ejections,
+			b.staleBucket)
 	}
 	if send(Served, true); len(s.idleConns) != 0 {
 		t.Errorf("%d idle connections after a response that closed its own", len(s.idleConns))
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -12,7 +12,8 @@
 	set := decide.Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * time.Millisecond,
 		Classes: []decide.Class{{
-			LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Worth: 1, Idempotency: decide.Idempotent,
+			LatencyTarget: 300 * time.Millisecond, Deadline: time.Second, Worth: 1,
+			Idempotency: decide.Idempotent,
 		}},
 	}
 	now := time.Duration(0) // the node's own monotonic clock
@@ -28,7 +29,8 @@
 		}
 		fmt.Println("send request", a.Request)
 		now += 20 * time.Millisecond // no connection to the server
-		failed := decide.Outcome{Request: 7, Server: a.Server, Result: decide.ConnectFailed, Elapsed: 20 * time.Millisecond}
+		failed := decide.Outcome{Request: 7, Server: a.Server, Result: decide.ConnectFailed,
+			Elapsed: 20 * time.Millisecond}
 		for _, retry := range b.HandleOutcome(now, failed, nil) {
 			if retry.Kind == decide.Send {
 				fmt.Println("send again to another server:", retry.Server != a.Server)
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -50,7 +50,8 @@
 // outcome ends the last attempt after some time.
 func (d *policyTest) outcome(after time.Duration, r Result) {
 	d.now += after
-	d.apply(d.b.HandleOutcome(d.now, Outcome{Request: d.id, Attempt: d.attempts - 1, Server: d.server, Result: r, Elapsed: after}, nil))
+	d.apply(d.b.HandleOutcome(d.now, Outcome{Request: d.id, Attempt: d.attempts - 1, Server: d.server,
+		Result: r, Elapsed: after}, nil))
 }
 
 // fireTimer lets time pass and fires the request's timer.
@@ -113,7 +114,8 @@
 }
 
 func TestBackoffDoublesUpToMax(t *testing.T) {
-	d := newPolicyTest(t, idempotentClass(5*time.Second), false, RoutePolicy{BackoffInitial: 100 * ms, BackoffMax: 150 * ms})
+	d := newPolicyTest(t, idempotentClass(5*time.Second), false,
+		RoutePolicy{BackoffInitial: 100 * ms, BackoffMax: 150 * ms})
 	for i, want := range []time.Duration{100 * ms, 150 * ms, 150 * ms} {
 		d.outcome(ms, ConnectionLost)
 		d.wantNoAction(Send)
@@ -130,7 +132,8 @@
 func TestBackoffJitterShortensWait(t *testing.T) {
 	shortest, longest := time.Second, time.Duration(0)
 	for id := range uint64(200) {
-		d := newPolicyTest(t, idempotentClass(5*time.Second), false, RoutePolicy{BackoffInitial: 100 * ms, BackoffJitter: 0.5})
+		d := newPolicyTest(t, idempotentClass(5*time.Second), false,
+			RoutePolicy{BackoffInitial: 100 * ms, BackoffJitter: 0.5})
 		d.b.rng.Uint64()
 		for range id { // use different random numbers each time
 			d.b.rng.Uint64()
@@ -171,7 +174,8 @@
 		if r == Cancelled {
 			continue
 		}
-		d := newPolicyTest(t, idempotentClass(2*time.Second), false, RoutePolicy{RetryOn: Rejected.Bit() | ConnectionLost.Bit()})
+		d := newPolicyTest(t, idempotentClass(2*time.Second), false,
+			RoutePolicy{RetryOn: Rejected.Bit() | ConnectionLost.Bit()})
 		d.outcome(ms, r)
 		if _, again := d.find(Send); again != (r == Rejected || r == ConnectionLost) {
 			t.Errorf("after result %d: %+v", r, d.actions)
@@ -195,7 +199,8 @@
 	d.fireTimer(300 * ms) // no third attempt
 	d.wantNoAction(Send)
 	// The first response ends the request, and the other attempt is cancelled.
-	d.apply(d.b.HandleOutcome(d.now, Outcome{Request: d.id, Attempt: 1, Server: d.server, Result: Served, Final: true}, nil))
+	d.apply(d.b.HandleOutcome(d.now, Outcome{Request: d.id, Attempt: 1, Server: d.server, Result: Served,
+		Final: true}, nil))
 	if a := d.wantAction(Cancel); a.Attempt != 0 {
 		t.Errorf("cancelled attempt %d", a.Attempt)
 	}
@@ -223,7 +228,8 @@
 }
 
 func TestRetryAfterIsBounded(t *testing.T) {
-	d := newPolicyTest(t, idempotentClass(5*time.Second), false, RoutePolicy{MaxAttempts: 1, MaxRetryAfter: 60 * ms})
+	d := newPolicyTest(t, idempotentClass(5*time.Second), false,
+		RoutePolicy{MaxAttempts: 1, MaxRetryAfter: 60 * ms})
 	d.outcome(ms, Rejected)
 	if a := d.wantAction(Refuse); a.Wait <= 0 || a.Wait > 60*ms {
 		t.Errorf("retry-after of %v", a.Wait)
@@ -232,7 +238,8 @@
 
 // New policies apply to later requests; one in the middle of its second attempt keeps its own.
 func TestNewPoliciesKeepOpenRequests(t *testing.T) {
-	d := newPolicyTest(t, idempotentClass(2*time.Second), false, RoutePolicy{MaxAttempts: 3, AttemptTimeout: 100 * ms})
+	d := newPolicyTest(t, idempotentClass(2*time.Second), false,
+		RoutePolicy{MaxAttempts: 3, AttemptTimeout: 100 * ms})
 	d.outcome(100*ms, TimedOut)
 	d.apply(d.b.SetRoutePolicies(d.now, []RoutePolicy{{}, {MaxAttempts: 1, AttemptTimeout: 50 * ms}}, nil))
 	d.outcome(100*ms, TimedOut)
@@ -255,7 +262,8 @@
 // limited to that, and once the key has expired there is no refusal.
 func TestRetryAfterWithinKeyTTL(t *testing.T) {
 	class := idempotentClass(10 * time.Second)
-	class.LatencyTarget, class.Idempotency, class.Group, class.KeyTTL = 10*time.Second, Keyed, GroupAll, time.Second
+	class.LatencyTarget, class.Idempotency, class.Group,
+		class.KeyTTL = 10*time.Second, Keyed, GroupAll, time.Second
 	d := newPolicyTest(t, class, false, RoutePolicy{MaxAttempts: 1})
 	d.outcome(800*ms, ConnectionLost)
 	if a := d.wantAction(Refuse); a.Wait > 100*ms {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -83,15 +83,18 @@
 	zones := []string{"x", "y", "z"}[:1+rng.IntN(3)]
 	cfg := Settings{
 		Node: rng.IntN(3), Nodes: 3, Tier: rng.IntN(3), Zone: zones[0], MustSubscribe: rng.IntN(2) == 0,
-		ResubscribeWithin: 4 * time.Second, ColdCapacity: 0.3, WarmupTime: 5 * time.Second, CollapseMultiple: 3, CollapseWindow: 2 * time.Second,
-		AnswerGrace: 8 * ms, MaxAttempts: 1 + rng.IntN(6), MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
-		MayHedge: rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayAdviseRetry: rng.IntN(2) == 0,
+		ResubscribeWithin: 4 * time.Second, ColdCapacity: 0.3, WarmupTime: 5 * time.Second,
+		CollapseMultiple: 3, CollapseWindow: 2 * time.Second,
+		AnswerGrace: 8 * ms, MaxAttempts: 1 + rng.IntN(6),
+		MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
+		MayHedge:      rng.IntN(2) == 0, MayCancel: rng.IntN(2) == 0, MayAdviseRetry: rng.IntN(2) == 0,
 		OverShareWorth: 0.2,
 	}
 	for idempotency := Idempotent; idempotency <= AtMostOnce; idempotency++ {
 		for group := GroupAll; group <= GroupCell; group++ {
 			cfg.Classes = append(cfg.Classes, Class{
-				LatencyTarget: 300 * ms, Deadline: 900 * ms, Worth: float64(1 + rng.IntN(3)), LateWorth: float64(rng.IntN(2)) / 2,
+				LatencyTarget: 300 * ms, Deadline: 900 * ms, Worth: float64(1 + rng.IntN(3)),
+				LateWorth:   float64(rng.IntN(2)) / 2,
 				Idempotency: idempotency, Group: group, KeyTTL: 400 * ms,
 			})
 		}
@@ -100,8 +103,9 @@
 		cfg.Tenants = []Tenant{{Quota: 30}, {}}
 	}
 	sim := &simulation{
-		t: t, cfg: cfg, rng: rng, now: time.Second, servers: map[string]*listedServer{}, requests: map[uint64]*openRequest{},
-		sends: map[string][]time.Duration{}, balancer: New(cfg, seed, time.Second),
+		t: t, cfg: cfg, rng: rng, now: time.Second, servers: map[string]*listedServer{},
+		requests: map[uint64]*openRequest{},
+		sends:    map[string][]time.Duration{}, balancer: New(cfg, seed, time.Second),
 	}
 	first := make([]Server, rng.IntN(9))
 	for i := range first {
@@ -114,7 +118,8 @@
 func (sim *simulation) newServer(zones []string) Server {
 	id := fmt.Sprintf("s%d", len(sim.ids))
 	sim.ids = append(sim.ids, id)
-	s := Server{ID: id, Zone: zones[sim.rng.IntN(len(zones))], Cell: sim.rng.IntN(3), Weight: float64(sim.rng.IntN(3))}
+	s := Server{ID: id, Zone: zones[sim.rng.IntN(len(zones))], Cell: sim.rng.IntN(3),
+		Weight: float64(sim.rng.IntN(3))}
 	if sim.rng.IntN(3) == 0 {
 		s.Started = sim.now - time.Duration(sim.rng.IntN(900))*ms
 	}
@@ -143,13 +148,15 @@
 		c := sim.requests[f.request]
 		if c != nil {
 			c.attempts[f.attempt].open, c.attempts[f.attempt].result = false, f.result
-			c.attempts[f.attempt].mayHaveRun = f.result != Rejected && f.result != ConnectFailed && f.result != NotSent
+			c.attempts[f.attempt].mayHaveRun = f.result != Rejected && f.result != ConnectFailed &&
+				f.result != NotSent
 		}
 		final := f.result == Served && c != nil && sim.now <= c.deadline
 		sim.handle(func(out []Action) []Action {
 			return sim.balancer.HandleOutcome(sim.now, Outcome{
-				Request: f.request, Attempt: f.attempt, Server: f.server, Result: f.result, Elapsed: f.elapsed,
-				Final: final, ConnClosed: f.result == Malformed,
+				Request: f.request, Attempt: f.attempt, Server: f.server, Result: f.result,
+				Elapsed: f.elapsed,
+				Final:   final, ConnClosed: f.result == Malformed,
 			}, out)
 		}, func() {
 			if final {
@@ -237,7 +244,9 @@
 	case p >= 990 && p < 992:
 		sim.randomPolicies()
 	case p < 210 && sim.cfg.MustSubscribe:
-		sim.updateList(ListUpdate{Kind: ListFailed, ConfirmedUntil: time.Duration(sim.rng.IntN(2)) * (sim.now + time.Duration(sim.rng.IntN(6000))*ms)})
+		sim.updateList(ListUpdate{Kind: ListFailed,
+			ConfirmedUntil: time.Duration(sim.rng.IntN(2)) *
+				(sim.now + time.Duration(sim.rng.IntN(6000))*ms)})
 	case p < 215:
 		for _, id := range slices.Sorted(maps.Keys(sim.requests)) {
 			if id%7 == 0 {
@@ -249,18 +258,22 @@
 	case p < 217: // events for unknown requests and servers
 		sim.apply(sim.balancer.HandleDisconnect(sim.now, Disconnect{1 << 40}, sim.buf[:0]))
 		sim.apply(sim.balancer.HandleTimer(sim.now, Timer{1 << 41}, sim.buf[:0]))
-		sim.apply(sim.balancer.HandleOutcome(sim.now, Outcome{Request: 1 << 40, Server: "unknown"}, sim.buf[:0]))
+		sim.apply(sim.balancer.HandleOutcome(sim.now, Outcome{Request: 1 << 40, Server: "unknown"},
+			sim.buf[:0]))
 		sim.apply(sim.balancer.HandleProbe(sim.now, ProbeResult{Server: "unknown"}, sim.buf[:0]))
 	}
 }
 
 // randomPolicies sets arbitrary policies: even invalid ones must not break a rule.
 func (sim *simulation) randomPolicies() {
-	duration := func(limit int) time.Duration { return time.Duration(sim.rng.IntN(2)*sim.rng.IntN(limit)) * ms }
+	duration := func(limit int) time.Duration {
+		return time.Duration(sim.rng.IntN(2)*sim.rng.IntN(limit)) * ms
+	}
 	sim.policies = make([]RoutePolicy, sim.rng.IntN(4))
 	for i := range sim.policies {
 		sim.policies[i] = RoutePolicy{
-			AttemptTimeout: duration(400), MaxAttempts: sim.rng.IntN(8), BackoffInitial: duration(200), BackoffMax: duration(300),
+			AttemptTimeout: duration(400), MaxAttempts: sim.rng.IntN(8), BackoffInitial: duration(200),
+			BackoffMax:    duration(300),
 			BackoffJitter: sim.rng.Float64(), RetryOn: ResultSet(sim.rng.IntN(2) * sim.rng.IntN(1<<9)),
 			HedgeAfter: duration(200), DeadlineCap: duration(500), MaxRetryAfter: duration(1500),
 		}
@@ -363,16 +376,20 @@
 				n++
 			}
 		}
-		if allowed := sim.cfg.CollapseMultiple * sim.cfg.ColdCapacity * 100 * sim.cfg.CollapseWindow.Seconds() / 3; float64(n) > allowed+0.5 {
-			sim.fail("%d sends to cold %s within %v, %.0f are allowed", n, s.ID, sim.cfg.CollapseWindow, allowed)
+		if allowed := sim.cfg.CollapseMultiple * sim.cfg.ColdCapacity * 100 *
+			sim.cfg.CollapseWindow.Seconds() / 3; float64(n) > allowed+0.5 {
+			sim.fail("%d sends to cold %s within %v, %.0f are allowed", n, s.ID, sim.cfg.CollapseWindow,
+				allowed)
 		}
 	}
 	elapsed := time.Duration(1+sim.rng.IntN(300)) * ms
-	result := []Result{Served, Served, Served, Errored, Rejected, ConnectFailed, ConnectionLost, Served, Malformed}[sim.rng.IntN(9)]
+	result := []Result{Served, Served, Served, Errored, Rejected, ConnectFailed, ConnectionLost, Served,
+		Malformed}[sim.rng.IntN(9)]
 	if elapsed >= a.Wait || sim.rng.IntN(20) == 0 { // slow, or no response at all
 		elapsed, result = a.Wait, TimedOut
 	}
-	sim.pending = append(sim.pending, pendingOutcome{sim.now + elapsed, c.ID, len(c.attempts) - 1, s.ID, result, elapsed})
+	sim.pending = append(sim.pending, pendingOutcome{sim.now + elapsed, c.ID, len(c.attempts) - 1, s.ID,
+		result, elapsed})
 }
 
 func (sim *simulation) checkRefuse(c *openRequest) {
@@ -453,10 +470,12 @@
 			sim := newSimulation(t, 3)
 			sim.expectViolation, sim.cfg.MaxAttempts = true, 9
 			sim.servers = map[string]*listedServer{
-				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"}, unavailable: true},
+				"a": {Server: Server{ID: "a"}}, "draining": {Server: Server{ID: "draining"},
+					unavailable: true},
 				"cold": {Server: Server{ID: "cold", Cell: 1, Started: sim.now}},
 			}
-			sim.requests = map[uint64]*openRequest{1: {Request: Request{ID: 1, Class: 8}, deadline: sim.now + time.Second}}
+			sim.requests = map[uint64]*openRequest{1: {Request: Request{ID: 1, Class: 8},
+				deadline: sim.now + time.Second}}
 			defer func() {
 				if v, _ := recover().(violation); !strings.Contains(string(v), c.want) {
 					t.Errorf("got violation %q, want %q", v, c.want)
@@ -469,7 +488,8 @@
 
 // simulateFleet runs several nodes with the same servers, which answer after the given time. It returns the
 // times of all sends to one of the servers.
-func simulateFleet(nodes, servers int, cfg Settings, elapsed, length time.Duration, restart func(i int) (time.Duration, bool)) []time.Duration {
+func simulateFleet(nodes, servers int, cfg Settings, elapsed, length time.Duration,
+	restart func(i int) (time.Duration, bool)) []time.Duration {
 	type due struct {
 		at      time.Duration
 		node    int
@@ -493,7 +513,8 @@
 	for now := time.Duration(0); now < length; now += 10 * ms {
 		if started, yes := restart(int(now / (10 * ms))); yes {
 			for _, b := range all {
-				b.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "s0", Started: started}}}, nil)
+				b.HandleList(now, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "s0", Started: started}}},
+					nil)
 			}
 		}
 		for len(flying) > 0 && flying[0].at <= now {
@@ -509,7 +530,8 @@
 				if a.Server == "s0" {
 					sends = append(sends, now)
 				}
-				flying = append(flying, due{now + elapsed, i, Outcome{Request: id, Server: a.Server, Elapsed: elapsed, Final: true}})
+				flying = append(flying, due{now + elapsed, i,
+					Outcome{Request: id, Server: a.Server, Elapsed: elapsed, Final: true}})
 			}
 		}
 	}
@@ -522,14 +544,17 @@
 	const restartAt = 5 * time.Second
 	for _, nodes := range []int{4, 24} {
 		cfg := Settings{
-			ColdCapacity: 0.1, WarmupTime: 20 * time.Second, CollapseMultiple: 2.5, CollapseWindow: time.Second, MaxAttempts: 2,
-			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{LatencyTarget: 9 * time.Second, Deadline: 9 * time.Second, Worth: 1}},
+			ColdCapacity: 0.1, WarmupTime: 20 * time.Second, CollapseMultiple: 2.5,
+			CollapseWindow: time.Second, MaxAttempts: 2,
+			Tier: 1, AnswerGrace: 10 * ms, Classes: []Class{{LatencyTarget: 9 * time.Second,
+				Deadline: 9 * time.Second, Worth: 1}},
 		}
 		// Every node gets 100 requests per second. The servers, twice as many as nodes, can just serve
 		// that, and hold so many calls that a cold one looks idle.
-		sends := simulateFleet(nodes, 2*nodes, cfg, 900*ms, 15*time.Second, func(step int) (time.Duration, bool) {
-			return restartAt, step == int(restartAt/(10*ms))
-		})
+		sends := simulateFleet(nodes, 2*nodes, cfg, 900*ms, 15*time.Second,
+			func(step int) (time.Duration, bool) {
+				return restartAt, step == int(restartAt/(10*ms))
+			})
 		const capacity = 50.0
 		coldSends := 0
 		for i, at := range sends {
@@ -544,8 +569,10 @@
 				}
 			}
 			age := (at - restartAt).Seconds() / cfg.WarmupTime.Seconds()
-			if allowed := cfg.CollapseMultiple * (cfg.ColdCapacity + (1-cfg.ColdCapacity)*age) * capacity; float64(n) > allowed {
-				t.Fatalf("%d nodes: %d sends within %v at age %v, %.1f are allowed", nodes, n, cfg.CollapseWindow, at-restartAt, allowed)
+			if allowed := cfg.CollapseMultiple * (cfg.ColdCapacity + (1-cfg.ColdCapacity)*age) *
+				capacity; float64(n) > allowed {
+				t.Fatalf("%d nodes: %d sends within %v at age %v, %.1f are allowed", nodes, n,
+					cfg.CollapseWindow, at-restartAt, allowed)
 			}
 		}
 		if coldSends < 5 {
@@ -559,8 +586,9 @@
 // list loses no call.
 func TestStoredListIsReplaced(t *testing.T) {
 	cfg := Settings{
-		Nodes: 1, MustSubscribe: true, ResubscribeWithin: 4 * time.Second, MaxAttempts: 3, AnswerGrace: 10 * ms,
-		Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}},
+		Nodes: 1, MustSubscribe: true, ResubscribeWithin: 4 * time.Second, MaxAttempts: 3,
+		AnswerGrace: 10 * ms,
+		Classes:     []Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}},
 	}
 	b := New(cfg, 1, 0)
 	subscriptions := 0
@@ -579,7 +607,8 @@
 	}
 	b.HandleList(3*ms, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
 	b.HandleList(3*ms, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "kept"}}}, nil)
-	b.HandleList(3*ms, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "new", Health: Draining}, {ID: "odd", Health: Removed}}}, nil)
+	b.HandleList(3*ms, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "new", Health: Draining},
+		{ID: "odd", Health: Removed}}}, nil)
 	for id := range uint64(20) {
 		for _, a := range b.HandleRequest(4*ms, Request{ID: id, Tenant: -1, TTL: time.Second}, nil) {
 			if a.Kind == Send && a.Server != "kept" {
@@ -593,7 +622,8 @@
 	if len(actions) != 1 || actions[0].Kind != StartTimer {
 		t.Fatalf("with no server: %v, want the call to wait", actions)
 	}
-	if last := b.HandleTimer(26*ms, Timer{99}, nil); len(last) != 1 || last[0].Kind != Fail && last[0].Kind != Refuse {
+	if last := b.HandleTimer(26*ms, Timer{99}, nil); len(last) != 1 || last[0].Kind != Fail &&
+		last[0].Kind != Refuse {
 		t.Errorf("at its deadline: %v, want a final response", last)
 	}
 }
@@ -617,7 +647,8 @@
 		longest = max(longest, wait)
 		pauses[wait] = true
 		now += wait
-		if out := b.HandleTimer(now, Timer{Token: watchTimerToken}, nil); len(out) != 1 || out[0].Kind != WatchList {
+		if out := b.HandleTimer(now, Timer{Token: watchTimerToken}, nil); len(out) != 1 ||
+			out[0].Kind != WatchList {
 			t.Fatalf("after the pause: %v", out)
 		}
 		now += time.Second
@@ -639,7 +670,8 @@
 	for _, idempotency := range []Idempotency{Idempotent, Keyed} {
 		b := New(Settings{
 			Nodes: 1, MaxAttempts: 4, AnswerGrace: 10 * ms,
-			Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: idempotency, Group: GroupAll, KeyTTL: window}},
+			Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1,
+				Idempotency: idempotency, Group: GroupAll, KeyTTL: window}},
 		}, 1, 0)
 		b.HandleList(0, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}, nil)
 		now, attempts := 10*ms, 0
@@ -654,10 +686,12 @@
 				sent = true
 				retry := idempotency == Keyed && attempts > 0
 				if (a.SendWithin > 0) != retry || retry && now+a.SendWithin > first+window {
-					t.Errorf("idempotency %v: attempt %d at %v must leave within %v", idempotency, attempts, now, a.SendWithin)
+					t.Errorf("idempotency %v: attempt %d at %v must leave within %v", idempotency, attempts,
+						now, a.SendWithin)
 				}
 				now += 100 * ms
-				out = b.HandleOutcome(now, Outcome{Request: 1, Attempt: attempts, Server: a.Server, Result: ConnectionLost, Elapsed: 100 * ms}, nil)
+				out = b.HandleOutcome(now, Outcome{Request: 1, Attempt: attempts, Server: a.Server,
+					Result: ConnectionLost, Elapsed: 100 * ms}, nil)
 				attempts++
 				break
 			}
--- a/decide/subset_test.go
+++ b/decide/subset_test.go
@@ -17,8 +17,9 @@
 	}
 	all := make([]*Balancer, nodes)
 	for i := range all {
-		all[i] = New(Settings{Node: i, Nodes: nodes, Zone: fmt.Sprint("z", i%zones), Zones: zones, MaxAttempts: 1,
-			Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}}}, uint64(i), 0)
+		all[i] = New(Settings{Node: i, Nodes: nodes, Zone: fmt.Sprint("z", i%zones), Zones: zones,
+			MaxAttempts: 1, Classes: []Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}}},
+			uint64(i), 0)
 		all[i].HandleList(0, ListUpdate{Kind: ListFull, Servers: list}, nil)
 	}
 	return all, list
@@ -62,7 +63,8 @@
 					b.HandleList(time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{s}}, nil)
 					if s.Health == Removed && kept[i][old] {
 						required++
-					} else if added := b.servers[s.ID]; s.Health == Healthy && (slices.Contains(b.localSubset, added) || slices.Contains(b.remoteSubset, added)) {
+					} else if added := b.servers[s.ID]; s.Health == Healthy &&
+						(slices.Contains(b.localSubset, added) || slices.Contains(b.remoteSubset, added)) {
 						required++
 					}
 					now := map[*server]bool{}
@@ -87,7 +89,8 @@
 		}
 		fewestAfter, mostAfter, _ := countKnown(all, list)
 		each := func(n int) float64 { return float64(n) / float64(2*changes) }
-		t.Logf("| %d | %d | %d | %d to %d (%.1f) | %d to %d | %.2f | %.2f |", nodes, servers, zones, fewest, most, mean, fewestAfter, mostAfter,
+		t.Logf("| %d | %d | %d | %d to %d (%.1f) | %d to %d | %.2f | %.2f |", nodes, servers, zones, fewest,
+			most, mean, fewestAfter, mostAfter,
 			each(moved), each(required))
 		for _, m := range [][2]int{{fewest, most}, {fewestAfter, mostAfter}} {
 			if float64(m[1]) > 2*mean+2 || m[0] == 0 && mean >= 4 {
--- a/decide/unconfirmed_test.go
+++ b/decide/unconfirmed_test.go
@@ -11,8 +11,9 @@
 // subscribedNode returns the only node, with an up-to-date list of servers that needs a subscription.
 func subscribedNode(servers ...string) *Balancer {
 	b := New(Settings{
-		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second,
-		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
+		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true,
+		ResubscribeWithin: 10 * time.Second,
+		Classes:           []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	var list []Server
 	for _, id := range servers {
@@ -29,7 +30,8 @@
 	for _, a := range b.HandleRequest(now, Request{ID: nextID, Tenant: -1, TTL: 2 * time.Second}, nil) {
 		if a.Kind == Send {
 			r := result(a.Server)
-			b.HandleOutcome(now+10*ms, Outcome{Request: nextID, Server: a.Server, Result: r, Elapsed: 10 * ms, Final: true}, nil)
+			b.HandleOutcome(now+10*ms, Outcome{Request: nextID, Server: a.Server, Result: r, Elapsed: 10 * ms,
+				Final: true}, nil)
 			return a.Server
 		}
 	}
@@ -40,7 +42,8 @@
 func serveAll(string) Result { return Served }
 
 // serversUsed returns the servers that get requests sent every 20 ms for some time.
-func serversUsed(b *Balancer, from, until time.Duration, result func(server string) Result) (servers []string) {
+func serversUsed(b *Balancer, from, until time.Duration,
+	result func(server string) Result) (servers []string) {
 	for now := from; now < until; now += 20 * ms {
 		if s := sendOne(b, now, result); s != "" && !slices.Contains(servers, s) {
 			servers = append(servers, s)
@@ -70,7 +73,8 @@
 		t.Errorf("with the list unconfirmed %v are used, want a and b", got)
 	}
 	b.HandleList(20*time.Second, ListUpdate{Kind: ListDiff}, nil)
-	if got := serversUsed(b, 20*time.Second, 40*time.Second, serveAll); !slices.Contains(got, "c") && !slices.Contains(got, "d") {
+	if got := serversUsed(b, 20*time.Second, 40*time.Second, serveAll); !slices.Contains(got, "c") &&
+		!slices.Contains(got, "d") {
 		t.Errorf("with the list confirmed only %v are used", got)
 	}
 }
@@ -101,9 +105,12 @@
 // A server that has started lately does not drain, so it must be used with an unconfirmed list.
 func TestUnconfirmedListUsesStartedServers(t *testing.T) {
 	b := subscribedNode("a", "b")
-	b.HandleList(9*time.Second, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "new1", Started: 9 * time.Second}, {ID: "new2", Started: 9 * time.Second}}}, nil)
+	b.HandleList(9*time.Second, ListUpdate{Kind: ListDiff,
+		Servers: []Server{{ID: "new1", Started: 9 * time.Second},
+			{ID: "new2", Started: 9 * time.Second}}}, nil)
 	b.HandleList(9*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
-	if got := serversUsed(b, 10*time.Second, 12*time.Second, serveAll); !slices.Equal(got, []string{"new1", "new2"}) {
+	if got := serversUsed(b, 10*time.Second, 12*time.Second, serveAll); !slices.Equal(got,
+		[]string{"new1", "new2"}) {
 		t.Errorf("%v are used, want those that have just started", got)
 	}
 }
@@ -122,16 +129,23 @@
 		usable  bool
 	}{
 		{"no response", 0, nil, false},
-		{"one connection older than the confirmation", 0, []answer{{5 * time.Second, 26 * time.Second}}, true},
+		{"one connection older than the confirmation", 0, []answer{{5 * time.Second, 26 * time.Second}},
+			true},
 		{"that connection, but some time ago", 0, []answer{{5 * time.Second, 22 * time.Second}}, false},
-		{"a connection newer than the confirmation", 0, []answer{{5 * time.Second, 21 * time.Second}, {24 * time.Second, 26 * time.Second}}, false},
-		{"shortly after a response on an older one", 0, []answer{{5 * time.Second, 23500 * ms}, {24 * time.Second, 26 * time.Second}}, true},
-		{"two connections, one of them older", 0, []answer{{24 * time.Second, 26 * time.Second}, {5 * time.Second, 26 * time.Second}}, true},
-		{"a process that the list names", 23 * time.Second, []answer{{24 * time.Second, 26 * time.Second}}, true},
-		{"the list names a process that started long before", 10 * time.Second, []answer{{24 * time.Second, 26 * time.Second}}, false},
+		{"a connection newer than the confirmation", 0,
+			[]answer{{5 * time.Second, 21 * time.Second}, {24 * time.Second, 26 * time.Second}}, false},
+		{"shortly after a response on an older one", 0,
+			[]answer{{5 * time.Second, 23500 * ms}, {24 * time.Second, 26 * time.Second}}, true},
+		{"two connections, one of them older", 0, []answer{{24 * time.Second, 26 * time.Second},
+			{5 * time.Second, 26 * time.Second}}, true},
+		{"a process that the list names", 23 * time.Second, []answer{{24 * time.Second, 26 * time.Second}},
+			true},
+		{"the list names a process that started long before", 10 * time.Second,
+			[]answer{{24 * time.Second, 26 * time.Second}}, false},
 	} {
 		b := subscribedNode("a")
-		b.HandleList(confirmedAt, ListUpdate{Kind: ListDiff, Servers: []Server{{ID: "a", Started: c.started}}}, nil)
+		b.HandleList(confirmedAt, ListUpdate{Kind: ListDiff,
+			Servers: []Server{{ID: "a", Started: c.started}}}, nil)
 		s := b.servers["a"]
 		for _, x := range c.answers {
 			s.recordOutcome(x.sent, &Outcome{Result: Served, ConnAge: x.sent - x.opened})
@@ -151,13 +165,15 @@
 // The idle connections counted here say nothing, since those from before an outage are dead. If the age is
 // unknown only the time of the send counts.
 func TestUptimeStartsWithConnection(t *testing.T) {
-	for age, want := range map[time.Duration]time.Duration{7 * time.Second: 2010 * ms, 20 * ms: 8990 * ms, 0: 9 * time.Second} {
+	for age, want := range map[time.Duration]time.Duration{7 * time.Second: 2010 * ms, 20 * ms: 8990 * ms,
+		0: 9 * time.Second} {
 		b := subscribedNode("a")
 		sendOne(b, time.Second, serveAll) // leaves a connection
 		b.servers["a"].uptime = timeSpan{}
 		nextID++
 		b.HandleRequest(9*time.Second, Request{ID: nextID, Tenant: -1, TTL: time.Second}, nil)
-		b.HandleOutcome(9*time.Second+10*ms, Outcome{Request: nextID, Server: "a", Result: Served, Elapsed: 10 * ms, ConnAge: age, Final: true}, nil)
+		b.HandleOutcome(9*time.Second+10*ms, Outcome{Request: nextID, Server: "a", Result: Served,
+			Elapsed: 10 * ms, ConnAge: age, Final: true}, nil)
 		if got := b.servers["a"].uptime.from; got != want {
 			t.Errorf("connection age %v: running since %v, want %v", age, got, want)
 		}
@@ -179,7 +195,8 @@
 		{"the only zone", slowAnnouncementSize, 0, false},
 	} {
 		b := New(Settings{
-			Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second, Zone: "near",
+			Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true,
+			ResubscribeWithin: 10 * time.Second, Zone: "near",
 			Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 		}, 1, time.Second)
 		var list []Server
@@ -190,9 +207,11 @@
 			}
 			list = append(list, Server{ID: fmt.Sprintf("%s-%d", zone, i), Zone: zone})
 		}
-		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list, ConfirmedUntil: 3 * time.Second}, nil)
+		b.HandleList(time.Second, ListUpdate{Kind: ListStored, Servers: list,
+			ConfirmedUntil: 3 * time.Second}, nil)
 		near := func(from, until time.Duration) bool {
-			return slices.ContainsFunc(serversUsed(b, from, until, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
+			return slices.ContainsFunc(serversUsed(b, from, until, serveAll),
+				func(s string) bool { return strings.HasPrefix(s, "near") })
 		}
 		if !near(time.Second, 3*time.Second) {
 			t.Errorf("%s: not used before its loss can count as announced", c.name)
@@ -229,8 +248,10 @@
 	} {
 		b := nodeWithTwoZones(20)
 		for i := range 20 {
-			b.servers[fmt.Sprint("far-", i)].recordOutcome(2*time.Second, &Outcome{Result: Served, ConnAge: time.Second})
-			b.servers[fmt.Sprint("near-", i)].recordOutcome(2500*ms, &Outcome{Result: Served, ConnAge: time.Second})
+			b.servers[fmt.Sprint("far-", i)].recordOutcome(2*time.Second,
+				&Outcome{Result: Served, ConnAge: time.Second})
+			b.servers[fmt.Sprint("near-", i)].recordOutcome(2500*ms,
+				&Outcome{Result: Served, ConnAge: time.Second})
 		}
 		for i, r := range c.results {
 			b.servers[fmt.Sprint("near-", i)].recordOutcome(3500*ms, &Outcome{Result: r})
@@ -247,7 +268,8 @@
 // A server that rejected work must not be used again because of a list that discovery made too early to
 // include its drain.
 func TestRejectionOutlivesOlderList(t *testing.T) {
-	for confirmedAt, refused := range map[time.Duration]bool{0: true, 4 * time.Second: true, 3*time.Second + listingDelay: false} {
+	for confirmedAt, refused := range map[time.Duration]bool{0: true, 4 * time.Second: true,
+		3*time.Second + listingDelay: false} {
 		b := subscribedNode("a")
 		b.servers["a"].recordOutcome(3*time.Second, &Outcome{Result: Rejected})
 		b.confirmedAt = confirmedAt
@@ -264,7 +286,8 @@
 // nodeWithZones returns a node with an up-to-date list of servers in its own zone and in another one.
 func nodeWithZones(near, far int) *Balancer {
 	b := New(Settings{
-		Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true, ResubscribeWithin: 10 * time.Second, Zone: "near",
+		Nodes: 10, MaxAttempts: 3, AnswerGrace: 10 * ms, MustSubscribe: true,
+		ResubscribeWithin: 10 * time.Second, Zone: "near",
 		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}},
 	}, 1, time.Second)
 	var list []Server
@@ -313,7 +336,8 @@
 		for _, s := range b.servers {
 			s.recordOutcome(9*time.Second, &Outcome{Result: Served, ConnAge: 9 * time.Second})
 		}
-		got := slices.ContainsFunc(serversUsed(b, 9*time.Second, 10*time.Second, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
+		got := slices.ContainsFunc(serversUsed(b, 9*time.Second, 10*time.Second, serveAll),
+			func(s string) bool { return strings.HasPrefix(s, "near") })
 		if got != c.used {
 			t.Errorf("%s: servers of the zone used: %v, want %v", c.name, got, c.used)
 		}
@@ -338,15 +362,29 @@
 		now          time.Duration
 		used         bool // whether the zone is used
 	}{
-		{"lost", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, false},
-		{"not announced yet", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay - time.Second, true},
-		{"a small zone", slowAnnouncementSize - 1, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, true},
-		{"the only zone", slowAnnouncementSize, 0, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, true},
-		{"few failures", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 3 * time.Second}, false, time.Second, lostAt + announcementDelay, true},
-		{"all failures at once", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 10 * ms, 20 * ms}, false, time.Second, lostAt + announcementDelay, true},
-		{"surviving connections", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, true, time.Second, lostAt + announcementDelay, true},
-		{"confirmed since", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, lostAt + 3*time.Second + listingDelay, lostAt + 9*time.Second, true},
-		{"back for long", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second}, false, time.Second, backAt + restartKnownAfter, true},
+		{"lost", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, time.Second, 3 * time.Second},
+			false, time.Second, lostAt + announcementDelay, false},
+		{"not announced yet", slowAnnouncementSize, slowAnnouncementSize,
+			[]time.Duration{0, time.Second, 3 * time.Second},
+			false, time.Second, lostAt + announcementDelay - time.Second, true},
+		{"a small zone", slowAnnouncementSize - 1, slowAnnouncementSize,
+			[]time.Duration{0, time.Second, 3 * time.Second},
+			false, time.Second, lostAt + announcementDelay, true},
+		{"the only zone", slowAnnouncementSize, 0, []time.Duration{0, time.Second, 3 * time.Second},
+			false, time.Second, lostAt + announcementDelay, true},
+		{"few failures", slowAnnouncementSize, slowAnnouncementSize, []time.Duration{0, 3 * time.Second},
+			false, time.Second, lostAt + announcementDelay, true},
+		{"all failures at once", slowAnnouncementSize, slowAnnouncementSize,
+			[]time.Duration{0, 10 * ms, 20 * ms}, false, time.Second, lostAt + announcementDelay, true},
+		{"surviving connections", slowAnnouncementSize, slowAnnouncementSize,
+			[]time.Duration{0, time.Second, 3 * time.Second},
+			true, time.Second, lostAt + announcementDelay, true},
+		{"confirmed since", slowAnnouncementSize, slowAnnouncementSize,
+			[]time.Duration{0, time.Second, 3 * time.Second},
+			false, lostAt + 3*time.Second + listingDelay, lostAt + 9*time.Second, true},
+		{"back for long", slowAnnouncementSize, slowAnnouncementSize,
+			[]time.Duration{0, time.Second, 3 * time.Second},
+			false, time.Second, backAt + restartKnownAfter, true},
 	} {
 		b := nodeWithZones(c.near, c.far)
 		for _, after := range c.failures {
@@ -361,7 +399,8 @@
 			s.zone.recordResult(backAt, Served)
 		}
 		b.HandleList(c.now, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
-		got := slices.ContainsFunc(serversUsed(b, c.now, c.now+900*ms, serveAll), func(s string) bool { return strings.HasPrefix(s, "near") })
+		got := slices.ContainsFunc(serversUsed(b, c.now, c.now+900*ms, serveAll),
+			func(s string) bool { return strings.HasPrefix(s, "near") })
 		if got != c.used {
 			t.Errorf("%s: servers of the zone used: %v, want %v", c.name, got, c.used)
 		}
