--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// benchFleet returns a front proxy, one of a hundred, before n servers in four zones.
+// benchFleet returns one of a hundred front proxies before n servers in four zones.
 func benchFleet(n int) (*Balancer, []Server) {
 	zones := []string{"a", "b", "c", "d"}
 	b := New(Settings{
 		Node: 7, Nodes: max(1, min(100, n/4)), Zone: "a", Zones: 4, MaxAttempts: 4, AnswerGrace: 10 * ms,
 		ColdCapacity: 0.3, WarmupTime: 8 * time.Second, CollapseMultiple: 2.5, CollapseWindow: time.Second,
-		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1}, {LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 12}},
+		Classes: []Class{{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 12}},
 	}, 1, time.Second)
 	list := make([]Server, n)
 	for i := range list {
@@ -23,8 +24,7 @@
 	return b, list
 }
 
-// BenchmarkDecision is one request with its attempt and its end, at a steady
-// eight in flight.
+// BenchmarkDecision measures a request with its attempt and its end, with eight requests in flight.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -49,14 +49,15 @@
 				if len(out) > 8 {
 					f := out[0]
 					out = append(out[:0], out[1:]...)
-					buf = d.HandleOutcome(now, Outcome{Request: f.id, Server: f.server, Elapsed: 4 * ms, Final: true}, buf[:0])
+					buf = d.HandleOutcome(now, Outcome{Request: f.id, Server: f.server, Elapsed: 4 * ms,
+						Final: true}, buf[:0])
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkListChange is one server that changes.
+// BenchmarkListChange measures an update of one server.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
