--- a/internal/servers/endpoints/asking.go
+++ b/internal/servers/endpoints/asking.go
@@ -6,159 +6,169 @@
 )
 
 const (
-	// Signs that the list is old: so many failures within a time, of one server or of several.
-	signWindow  = 10 * time.Second
-	signsOfOne  = 3
-	signsOfMany = 2 // servers
-	mostSigns   = 8 // servers remembered
-	// Early questions are apart by at least this, doubled by each that brought nothing new ...
-	leastGap = 2 * time.Second
-	mostGap  = time.Minute
-	// ... and each waits for a random part of a time that grows with the nodes: they see the same.
-	spreadANode = 5 * time.Millisecond
-	mostSpread  = 2 * time.Second
-
-	// A node with a list asks for its changes later than one that has none, as each of these.
-	firstANode = 100 * time.Millisecond
-	mostFirst  = 4 * time.Second
-	// A node that starts may have been away for 5 s. A loss that discovery lists 2 s after it counts as told 6 s later, so 3 s
-	// after the start: the first call must have been answered by then.
-	mostAtStart = 2500 * time.Millisecond
-	// A call that was given up in discovery's queue cost discovery its work all the same: the next waits longer, up to
-	// what a fleet of this size may have to wait. In a small one a network that swallows calls is found sooner.
-	patienceTimes = 2
-	leastANode    = 50 * time.Millisecond
-	mostANode     = time.Second
+	// The list counts as stale after this many failures within failureWindow, of one server or of several servers.
+	failureWindow          = 10 * time.Second
+	minFailuresOfOneServer = 3
+	minFailedServers       = 2
+	maxTrackedServers      = 8 // servers whose failures are tracked
+	// Minimum time between early fetches. It doubles after each fetch that brought nothing new.
+	minRefetchInterval = 2 * time.Second
+	maxRefetchInterval = time.Minute
+	// Each early fetch is delayed by a random part of a time that grows with the number of nodes, because all of them
+	// see the same failures.
+	refetchSpreadPerNode = 5 * time.Millisecond
+	maxRefetchSpread     = 2 * time.Second
+
+	// A starting node that has a list delays its first call, so that nodes without one are answered first.
+	startSpreadPerNode = 100 * time.Millisecond
+	maxStartSpread     = 4 * time.Second
+	// A starting node may have been away for 5 s. If discovery lists a loss 2 s after it happens, the node counts as
+	// notified of it 6 s later, which is 3 s after the start. The first call must have been answered by then.
+	maxStartDelay = 2500 * time.Millisecond
+	// A call that times out in the queue of discovery has cost discovery its work all the same. The next call
+	// therefore gets a longer timeout, up to what a fleet of this size may have to wait. In a small fleet the short
+	// timeout detects a network that swallows calls sooner.
+	timeoutFactor     = 2
+	minTimeoutPerNode = 50 * time.Millisecond
+	maxTimeoutPerNode = time.Second
 )
 
-// Signs weighs signs that the list is old, and says when to ask early.
+// StalenessDetector detects from failures of servers that the list may be stale, and says when to fetch it early.
 type StalenessDetector struct {
-	nodes   int
-	rng     *rand.Rand
-	servers []sign // bounded: the oldest gives way
-	gap     time.Duration
-	nextAt  time.Duration // no early question before
-	asked   bool          // one is out, or about to go
+	nodeCount      int
+	rng            *rand.Rand
+	failures       []serverFailures // at most maxTrackedServers; a new server replaces the oldest
+	interval       time.Duration    // minimum time to the next early fetch
+	nextRefetchAt  time.Duration    // no early fetch before this time
+	refetchPending bool             // an early fetch is running or scheduled
 }
 
-type sign struct {
+// serverFailures counts the recent failures of one server.
+type serverFailures struct {
 	id    string
 	count int
 	last  time.Duration
 }
 
-// NewSigns returns signs of nothing, for one of so many nodes.
-func NewStalenessDetector(nodes int, seed uint64) *StalenessDetector {
-	return &StalenessDetector{nodes: max(1, nodes), rng: rand.New(rand.NewPCG(seed, 0x51475)), gap: leastGap}
+// NewStalenessDetector returns a detector without failures for one node of a fleet of the given size.
+func NewStalenessDetector(nodeCount int, seed uint64) *StalenessDetector {
+	return &StalenessDetector{nodeCount: max(1, nodeCount), rng: rand.New(rand.NewPCG(seed, 0x51475)), interval: minRefetchInterval}
 }
 
-// Failed takes a connection that failed, or an attempt that was turned away. If ok, discovery is to be asked
-// after the wait.
-func (s *StalenessDetector) RecordFailure(now time.Duration, id string) (wait time.Duration, ok bool) {
-	kept := s.servers[:0]
-	found := -1
-	for _, x := range s.servers {
-		if now-x.last > signWindow {
+// RecordFailure records a failed connection to a server or an attempt that it rejected. If ok, the list is to be
+// fetched after the wait.
+func (d *StalenessDetector) RecordFailure(now time.Duration, id string) (wait time.Duration, ok bool) {
+	kept := d.failures[:0]
+	count := -1
+	for _, tracked := range d.failures {
+		if now-tracked.last > failureWindow {
 			continue
 		}
-		if x.id == id {
-			x.count++
-			x.last = now
-			found = x.count
+		if tracked.id == id {
+			tracked.count++
+			tracked.last = now
+			count = tracked.count
 		}
-		kept = append(kept, x)
+		kept = append(kept, tracked)
 	}
-	if found < 0 {
-		if len(kept) == mostSigns {
+	if count < 0 {
+		if len(kept) == maxTrackedServers {
 			kept = append(kept[:0], kept[1:]...)
 		}
-		kept = append(kept, sign{id, 1, now})
-		found = 1
+		kept = append(kept, serverFailures{id, 1, now})
+		count = 1
 	}
-	s.servers = kept
-	if s.asked || now < s.nextAt || found < signsOfOne && len(kept) < signsOfMany {
+	d.failures = kept
+	if d.refetchPending || now < d.nextRefetchAt || count < minFailuresOfOneServer && len(kept) < minFailedServers {
 		return 0, false
 	}
-	s.asked = true
-	return s.spread(), true
+	d.refetchPending = true
+	return d.randomDelay(), true
 }
 
-// Served takes an answer: what was held against its server is void.
-func (s *StalenessDetector) RecordSuccess(id string) {
-	for i := range s.servers {
-		if s.servers[i].id == id {
-			s.servers = append(s.servers[:i], s.servers[i+1:]...)
+// RecordSuccess records an answer of a server and forgets its failures.
+func (d *StalenessDetector) RecordSuccess(id string) {
+	for i := range d.failures {
+		if d.failures[i].id == id {
+			d.failures = append(d.failures[:i], d.failures[i+1:]...)
 			return
 		}
 	}
 }
 
-// Quiet tells whether there is nothing to forget: the usual case.
-func (s *StalenessDetector) Empty() bool { return len(s.servers) == 0 }
+// Empty reports whether no failures are recorded. It lets callers skip RecordSuccess in the usual case.
+func (d *StalenessDetector) Empty() bool { return len(d.failures) == 0 }
 
-// Doubted asks for a second look at a list. One beyond the budget waits for it, as no further sign may come.
-func (s *StalenessDetector) RequestRefetch(now time.Duration) (wait time.Duration, ok bool) {
-	if s.asked {
+// RequestRefetch schedules a second fetch of a suspicious list. If the interval since the last early fetch is not
+// over, the wait includes the rest of it, since no further trigger may come.
+func (d *StalenessDetector) RequestRefetch(now time.Duration) (wait time.Duration, ok bool) {
+	if d.refetchPending {
 		return 0, false
 	}
-	s.asked = true
-	return max(0, s.nextAt-now) + s.spread(), true
+	d.refetchPending = true
+	return max(0, d.nextRefetchAt-now) + d.randomDelay(), true
 }
 
-func (s *StalenessDetector) spread() time.Duration {
-	most := min(time.Duration(s.nodes)*spreadANode, mostSpread)
-	return time.Duration(s.rng.Float64() * float64(most))
+// randomDelay returns the random delay of an early fetch.
+func (d *StalenessDetector) randomDelay() time.Duration {
+	maxDelay := min(time.Duration(d.nodeCount)*refetchSpreadPerNode, maxRefetchSpread)
+	return time.Duration(d.rng.Float64() * float64(maxDelay))
 }
 
-// Answered takes what came of a question, early or not: whether it was an answer, and brought news.
-func (s *StalenessDetector) RecordFetch(now time.Duration, news bool) {
-	if news {
-		s.gap, s.servers = leastGap, s.servers[:0]
-	} else if s.asked {
-		s.gap = min(2*s.gap, mostGap)
+// RecordFetch records the end of a call to discovery, early or not. changed: it brought an answer that differs from
+// the list.
+func (d *StalenessDetector) RecordFetch(now time.Duration, changed bool) {
+	if changed {
+		d.interval, d.failures = minRefetchInterval, d.failures[:0]
+	} else if d.refetchPending {
+		d.interval = min(2*d.interval, maxRefetchInterval)
 	}
-	if s.asked {
-		s.asked, s.nextAt = false, now+s.gap
+	if d.refetchPending {
+		d.refetchPending, d.nextRefetchAt = false, now+d.interval
 	}
 }
 
-// Asking says when a starting node asks first, and how long a call may take.
+// CallTiming determines when a starting node makes its first call to discovery, and how long a call may take. Each
+// kind of call has a CallTiming of its own.
 type CallTiming struct {
-	nodes    int
-	least    time.Duration
-	most     time.Duration
-	patience time.Duration
+	nodeCount  int
+	minTimeout time.Duration
+	maxTimeout time.Duration
+	timeout    time.Duration
 }
 
-// NewAsking is for one of so many nodes, whose calls may take that long at the least.
-func NewCallTiming(nodes int, least time.Duration) *CallTiming {
-	nodes = max(1, nodes)
-	least = max(least, time.Duration(nodes)*leastANode)
-	return &CallTiming{nodes: nodes, least: least, most: max(patienceTimes*least, time.Duration(nodes)*mostANode), patience: least}
+// NewCallTiming returns the timing for a node of a fleet of the given size, with a lower bound for timeouts.
+func NewCallTiming(nodeCount int, minTimeout time.Duration) *CallTiming {
+	nodeCount = max(1, nodeCount)
+	minTimeout = max(minTimeout, time.Duration(nodeCount)*minTimeoutPerNode)
+	return &CallTiming{nodeCount: nodeCount, minTimeout: minTimeout,
+		maxTimeout: max(timeoutFactor*minTimeout, time.Duration(nodeCount)*maxTimeoutPerNode), timeout: minTimeout}
 }
 
-// First is how long a starting node waits before it asks discovery, if its turn is after such a part of the time that the
-// fleet needs. One that has a list serves meanwhile, and leaves the turn to those that have none.
-func (a *CallTiming) StartDelay(haveList bool, turn float64) time.Duration {
-	if !haveList {
+// StartDelay returns how long a starting node waits before its first call. turnOffset is its turn as a fraction of
+// the time over which the fleet spreads its calls. A node that has a list can serve meanwhile and lets those go first
+// that have none.
+func (t *CallTiming) StartDelay(hasList bool, turnOffset float64) time.Duration {
+	if !hasList {
 		return 0
 	}
-	return time.Duration(turn * float64(min(a.StartSpread(), mostAtStart)))
+	return time.Duration(turnOffset * float64(min(t.StartSpread(), maxStartDelay)))
 }
 
-// Spread is the time over which the first calls of a fleet are spread.
-func (a *CallTiming) StartSpread() time.Duration {
-	return min(time.Duration(a.nodes)*firstANode, mostFirst)
+// StartSpread returns the time over which the first calls of a fleet are spread.
+func (t *CallTiming) StartSpread() time.Duration {
+	return min(time.Duration(t.nodeCount)*startSpreadPerNode, maxStartSpread)
 }
 
-// Patience is how long a call may take: the more its kind was lost of late, the longer.
-func (a *CallTiming) Timeout() time.Duration { return a.patience }
+// Timeout returns how long the next call may take: longer after each call that timed out, and a multiple of the
+// duration of the last one that did not.
+func (t *CallTiming) Timeout() time.Duration { return t.timeout }
 
-// Ended takes how long a call took, and whether it ended by its own patience.
-func (a *CallTiming) RecordCall(took time.Duration, lost bool) {
-	if lost {
-		a.patience = min(patienceTimes*a.patience, a.most)
+// RecordCall records how long a call took, and whether it timed out.
+func (t *CallTiming) RecordCall(took time.Duration, timedOut bool) {
+	if timedOut {
+		t.timeout = min(timeoutFactor*t.timeout, t.maxTimeout)
 	} else {
-		a.patience = min(max(a.least, patienceTimes*took), a.most)
+		t.timeout = min(max(t.minTimeout, timeoutFactor*took), t.maxTimeout)
 	}
 }
--- a/internal/servers/endpoints/asking_test.go
+++ b/internal/servers/endpoints/asking_test.go
@@ -58,8 +58,8 @@
 			asked = append(asked, now)
 			x.RecordFetch(now+time.Second, false)
 		}
-		if len(x.servers) > mostSigns {
-			t.Fatalf("%d servers remembered", len(x.servers))
+		if len(x.failures) > maxTrackedServers {
+			t.Fatalf("%d servers remembered", len(x.failures))
 		}
 	}
 	if len(asked) > 70 || len(asked) < 55 {
@@ -68,13 +68,13 @@
 }
 
 // slowRegistry works through calls in turn at so many lines a second, whether or not the caller waits.
-type slowRegistry struct {
+type simulatedRegistry struct {
 	rate  float64
 	busy  time.Duration
 	calls int
 }
 
-func (l *slowRegistry) call(now time.Duration, lines int) (answered time.Duration) {
+func (l *simulatedRegistry) call(now time.Duration, lines int) (answered time.Duration) {
 	l.calls++
 	l.busy = max(l.busy, now) + time.Duration(float64(lines+1)/l.rate*float64(time.Second))
 	return l.busy
@@ -84,13 +84,13 @@
 	at time.Duration
 	do func()
 }
-type events []event
+type eventQueue []event
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Len() int           { return len(e) }
+func (e eventQueue) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e eventQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)        { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -99,10 +99,10 @@
 
 // restart has nodes start at once, of which some have a list and ask for its changes alone, and returns when the
 // last was told, beside the bound from capacity.
-func restart(nodes, stored, lines, changed int, patient bool, seed uint64) (last, bound time.Duration, calls int) {
-	l := &slowRegistry{rate: 200}
+func simulateRestart(nodes, stored, lines, changed int, patient bool, seed uint64) (last, bound time.Duration, calls int) {
+	l := &simulatedRegistry{rate: 200}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	var q events
+	var q eventQueue
 	told := 0
 	for n := range nodes {
 		a := NewCallTiming(nodes, 5*time.Second)
@@ -155,8 +155,8 @@
 	}{{0, 100, 0, 6.5}, {300, 100, 2, 1.3}, {200, 100, 2, 3.5}} {
 		var worst, control, calls, controlCalls float64
 		for seed := range uint64(10) {
-			last, bound, n := restart(300, c.stored, c.lines, c.changed, true, seed)
-			fixed, _, m := restart(300, c.stored, c.lines, c.changed, false, seed)
+			last, bound, n := simulateRestart(300, c.stored, c.lines, c.changed, true, seed)
+			fixed, _, m := simulateRestart(300, c.stored, c.lines, c.changed, false, seed)
 			worst, control = max(worst, float64(last)/float64(bound)), max(control, float64(fixed)/float64(bound))
 			calls, controlCalls = calls+float64(n)/10, controlCalls+float64(m)/10
 		}
@@ -173,7 +173,7 @@
 // and whichever its turn.
 func TestStartedNodesAskBeforeALossCounts(t *testing.T) {
 	const away, noticed, forTheAnswer = 5 * time.Second, 2 * time.Second, 500 * time.Millisecond
-	counts := noticed + toldAfterFailure - away
+	counts := noticed + notifiedAfterFailure - away
 	for _, nodes := range []int{1, 8, 47, 267, 900, 5400} {
 		if last := NewCallTiming(nodes, 0).StartDelay(true, 1); last+forTheAnswer > counts {
 			t.Errorf("%d nodes: the last asks %v after its start, a loss counts after %v", nodes, last, counts)
--- a/internal/servers/endpoints/confirm.go
+++ b/internal/servers/endpoints/confirm.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// How long a change that a node has not received may still be held not to count as told to it (STANDING, PROTOCOL).
+// Under the protocol a node counts as notified of a change that it has not received after these times (STANDING,
+// PROTOCOL).
 const (
-	// toldAfterFailure holds after any call that failed, was refused or given up.
-	toldAfterFailure = 6 * time.Second
-	// toldAfterWait holds for a long poll that fell silent, from the end of its wait.
-	toldAfterWait = 2 * time.Second
-	// toldAfterMove holds once discovery has moved to another address.
-	toldAfterMove = 4 * time.Second
-	// A node that starts has the list of its last life, which ended this long before at the most, as far as it can tell.
-	// What changed since counts as told to it like to any other. That is of weight where the list is so long that discovery
-	// may be too busy to tell: a node with a short one is answered before, and would go by few servers in vain.
-	longestRestart = 4 * time.Second
-	longList       = 150
-	// Discovery gives calls up that have waited in its queue for so long. That may have been the answer to a long poll.
-	longestQueue = 3 * time.Second
-	// A call that fails sooner than this may have waited in discovery's queue all the time. One that lasted longer was an
-	// open long poll, on which every change would have come.
-	openAfter = 4 * time.Second
+	// notifiedAfterFailure applies after a call that failed, was rejected or was given up.
+	notifiedAfterFailure = 6 * time.Second
+	// notifiedAfterPollEnd applies to a long poll without an answer, from the end of its wait.
+	notifiedAfterPollEnd = 2 * time.Second
+	// notifiedAfterMove applies after discovery has moved to another address.
+	notifiedAfterMove = 4 * time.Second
+	// A starting node has the list of its previous process, which ended at most this long ago as far as the node can
+	// tell. The node counts as notified of later changes like any other. This matters only for a list so long that
+	// discovery may be too busy to answer: a node with a short list gets its answer earlier, and restricting it to a
+	// few servers meanwhile would bring nothing.
+	maxRestartGap = 4 * time.Second
+	longListSize  = 150
+	// Discovery gives up calls that have waited in its queue for this long, among them possibly the answer to a long
+	// poll.
+	maxDiscoveryQueueTime = 3 * time.Second
+	// A call that fails sooner than this may have been in the queue of discovery all the time. One that lasted longer
+	// was an open long poll, which would have delivered every change.
+	openPollAge = 4 * time.Second
 )
 
-// Reason is why a call to discovery brought no list.
+// FailureReason is why a call to discovery brought no list.
 type FailureReason int
 
 // The reasons.
 const (
-	Unreachable   FailureReason = iota // no connection, or an answer that can't be read
-	Overloaded                         // an HTTP error: discovery is down, or has more calls than it can work through
-	PollTimedOut                       // nothing came in time on a long poll; the next one begins at once
-	PollReset                          // the connection of an open long poll was ended: the network delivers
-	PartialAnswer                      // an answer has begun and did not come whole, or has not yet: it counts as told
+	Unreachable   FailureReason = iota // no connection, or an answer that can't be parsed
+	Overloaded                         // an HTTP error: discovery is down or has more calls than it can process
+	PollTimedOut                       // no answer to a long poll in time; the next poll starts at once
+	PollReset                          // the connection of an open long poll was closed, so the network delivers packets
+	PartialAnswer                      // the answer has begun but is incomplete; the node counts as notified of its changes
 )
 
-// String names the reason, as logs have it.
+// String returns the name of the reason for logs.
 func (r FailureReason) String() string {
 	names := [...]string{"unreachable", "overloaded", "silent", "reset", "partial"}
 	if r < 0 || int(r) >= len(names) {
@@ -43,81 +46,84 @@
 	return names[r]
 }
 
-// Failure is a call to discovery that brought no list.
+// CallFailure describes a call to discovery that brought no list.
 type CallFailure struct {
 	Reason   FailureReason
 	Took     time.Duration
 	PollWait time.Duration // how long discovery was asked to wait for a change
 }
 
-// Confirmation tracks until when a node's list is as good as confirmed: no change that the node has not received can count
-// as told to it before.
+// Confirmation tracks until when the list of a node counts as confirmed: until then the node counts as notified of no
+// change that it has not received.
 type Confirmation struct {
-	heard    time.Duration // every change that discovery had by then has been received
-	troubled bool          // a call has failed, or discovery has moved, since its last answer
+	currentAsOf time.Duration // the node has received every change that discovery had at this time
+	disturbed   bool          // since the last answer a call has failed or discovery has moved
 }
 
-// AcceptedAfter is how long a long poll has to be out until discovery surely keeps it open: what it had for the node by the
-// time at which the call came would have been written, or the call have failed in the queue.
-const PollAcceptedAfter = longestQueue + 500*time.Millisecond
+// PollAcceptedAfter is how long a long poll has to be open before discovery must have accepted it. Changes from
+// before the call would have been written by then, or the call would have failed in the queue.
+const PollAcceptedAfter = maxDiscoveryQueueTime + 500*time.Millisecond
 
-// Accepted takes a long poll that has been out for AcceptedAfter. It returns as of when that confirms the list, and until when: 0,
-// as long as the poll is open, unless a call has failed since the last answer. Discovery may then be so slow that what changes waits
-// in its queue for too long.
+// RecordOpenPoll records that a long poll has been open for PollAcceptedAfter. It returns as of when this confirms
+// the list and until when; until is 0 if the list stays confirmed while the poll is open. If a call has failed since
+// the last answer, the confirmation ends earlier: discovery may be so slow that changes wait in its queue for too
+// long.
 func (c *Confirmation) RecordOpenPoll(now time.Duration) (asOf, until time.Duration) {
-	c.heard = max(c.heard, now-PollAcceptedAfter)
-	if c.troubled {
+	c.currentAsOf = max(c.currentAsOf, now-PollAcceptedAfter)
+	if c.disturbed {
 		until = c.ConfirmedUntil()
 	}
-	return c.heard, until
+	return c.currentAsOf, until
 }
 
-// NewConfirmation is for a node that starts now.
-func NewConfirmation(now time.Duration) *Confirmation { return &Confirmation{heard: now} }
+// NewConfirmation returns the confirmation of a node that starts now.
+func NewConfirmation(now time.Duration) *Confirmation { return &Confirmation{currentAsOf: now} }
 
-// Begin takes the list of so many servers that a node starts with, and returns until when it is confirmed; 0: until a call fails.
-func (c *Confirmation) Restore(servers int) (until time.Duration) {
-	if servers < longList {
+// Restore takes the number of servers in the list that a node starts with, and returns until when that list is
+// confirmed; 0: until a call fails.
+func (c *Confirmation) Restore(serverCount int) (until time.Duration) {
+	if serverCount < longListSize {
 		return 0
 	}
-	c.heard -= longestRestart
+	c.currentAsOf -= maxRestartGap
 	return c.ConfirmedUntil()
 }
 
-// Until is until when the list is confirmed as long as nothing is heard of discovery.
-func (c *Confirmation) ConfirmedUntil() time.Duration { return c.heard + toldAfterFailure }
+// ConfirmedUntil returns until when the list is confirmed if discovery sends nothing more.
+func (c *Confirmation) ConfirmedUntil() time.Duration { return c.currentAsOf + notifiedAfterFailure }
 
-// Answered takes an answer to a call that took so long and let discovery wait for changes, and returns as of when it confirms the
-// list. One that came before the end of that wait may have been made up to longestQueue before, and have waited in the queue.
+// RecordAnswer records the answer to a call that took a certain time and let discovery wait for changes, and returns
+// as of when it confirms the list. An answer from before the end of that wait may have been in the queue for up to
+// maxDiscoveryQueueTime.
 func (c *Confirmation) RecordAnswer(now, took, wait time.Duration) (asOf time.Duration) {
-	if asOf = now - min(took, longestQueue); wait > 0 && took >= wait {
+	if asOf = now - min(took, maxDiscoveryQueueTime); wait > 0 && took >= wait {
 		asOf = now - (took - wait)
 	}
-	c.heard, c.troubled = max(c.heard, asOf), false
-	return c.heard
+	c.currentAsOf, c.disturbed = max(c.currentAsOf, asOf), false
+	return c.currentAsOf
 }
 
-// Failed takes a call that failed and returns until when the list is confirmed.
+// RecordFailure records a failed call and returns until when the list is confirmed.
 func (c *Confirmation) RecordFailure(now time.Duration, failure CallFailure) (until time.Duration) {
-	c.troubled = true
+	c.disturbed = true
 	switch failure.Reason {
 	case PartialAnswer:
 		return now
 	case PollTimedOut:
-		begun := now - failure.Took
-		return begun + failure.PollWait + toldAfterWait
+		start := now - failure.Took
+		return start + failure.PollWait + notifiedAfterPollEnd
 	}
-	if failure.Took > openAfter {
+	if failure.Took > openPollAge {
 		if failure.Reason == Overloaded {
-			now -= longestQueue
+			now -= maxDiscoveryQueueTime
 		}
-		c.heard = max(c.heard, now)
+		c.currentAsOf = max(c.currentAsOf, now)
 	}
 	return c.ConfirmedUntil()
 }
 
-// Moved takes a move of discovery to another address and returns until when the list is confirmed.
+// RecordMove records that discovery has moved to another address, and returns until when the list is confirmed.
 func (c *Confirmation) RecordMove(now time.Duration) (until time.Duration) {
-	c.troubled = true
-	return now + toldAfterMove
+	c.disturbed = true
+	return now + notifiedAfterMove
 }
--- a/internal/servers/endpoints/confirm_test.go
+++ b/internal/servers/endpoints/confirm_test.go
@@ -31,10 +31,10 @@
 		t.Errorf("a new process: confirmed until %v, want 6 s from its start", until)
 	}
 	long, short := NewConfirmation(10*time.Second), NewConfirmation(10*time.Second)
-	if until := long.Restore(longList); until != 12*time.Second {
+	if until := long.Restore(longListSize); until != 12*time.Second {
 		t.Errorf("a long list: confirmed until %v, want 6 s from the end of the last life, 4 s before the start at the most", until)
 	}
-	if until := short.Restore(longList - 1); until != 0 {
+	if until := short.Restore(longListSize - 1); until != 0 {
 		t.Errorf("a short list: confirmed until %v, want until a call fails", until)
 	}
 	if until := long.RecordFailure(11*time.Second, CallFailure{Reason: Overloaded}); until != 12*time.Second {
@@ -72,7 +72,7 @@
 	for _, c := range []struct{ took, wait, age time.Duration }{
 		{30 * time.Second, 30 * time.Second, 0},                              // nothing has changed up to the end of the wait
 		{30200 * time.Millisecond, 30 * time.Second, 200 * time.Millisecond}, // written a little later
-		{20 * time.Second, 30 * time.Second, longestQueue},                   // a change, which may have waited in the queue
+		{20 * time.Second, 30 * time.Second, maxDiscoveryQueueTime},          // a change, which may have waited in the queue
 		{time.Second, 30 * time.Second, time.Second},                         // no older than the call
 		{time.Second, 0, time.Second},                                        // a whole list
 	} {
--- a/internal/servers/endpoints/doc.go
+++ b/internal/servers/endpoints/doc.go
@@ -1,11 +1,15 @@
-// Package endpoints judges what discovery says of the servers: which of its word to
-// believe at once, which to let wait, and when to ask again.
+// Package endpoints processes the server lists that a node receives from discovery. It decides which changes take
+// effect at once, which ones are delayed, and when discovery is called.
 //
-// A View is between the lists that come and the loop that carries them out. Word that a
-// server drains or is gone is passed on in the same call, whoever is wrong: the protocol
-// leaves no doubt about it. Only good news may wait, and always ends doing so by itself.
-// Signs say when to ask early, Asking when to ask first and how long to wait.
+// View turns lists into changes for the node's event loop. StalenessDetector and CallTiming determine when to fetch a
+// list early, when a starting node makes its first call, and how long a call may take. CallPacer and PollSchedule
+// determine when the next call starts and how long a long poll may wait. Confirmation tracks until when the node's
+// list counts as up to date.
 //
-// It is pure: lists and time come in, changes go out. A View belongs to the loop. It must
-// not choose servers, nor make calls.
+// Reports that a server drains or is gone are published in the call that receives them, even if the report is wrong:
+// the protocol requires it. Only reports that a server is serving may be delayed, and each delay is bounded.
+//
+// The package does no I/O and reads no clock: lists and times are passed in, and changes are returned. A View is not
+// safe for concurrent use; it belongs to the event loop. The package doesn't choose servers for requests and makes no
+// calls.
 package endpoints
--- a/internal/servers/endpoints/incoming.go
+++ b/internal/servers/endpoints/incoming.go
@@ -2,32 +2,32 @@
 
 import "curlewring/decide"
 
-// Incoming holds changes of a list that are still to be taken in, where they are too many for one go. Of each server it holds the
-// newest word alone: an older one, taken in later, would open a server again that has been said to drain or to be gone. Word of
-// these goes first.
+// ChangeQueue holds changes of a list that are still to be applied, where they are too many for one step. It keeps
+// the newest change of each server only: applying an older one later would readmit a server that has been reported as
+// draining or removed. Drains and removals come first.
 type ChangeQueue struct {
 	entries []Entry
-	next    int // the first that is still there
+	next    int // index of the first entry that is still queued
 }
 
-// Len is how many changes wait.
+// Len returns how many changes are queued.
 func (q *ChangeQueue) Len() int { return len(q.entries) - q.next }
 
-// Add takes further changes, one of each server. They are newer than all that wait.
+// Add queues changes, at most one of each server. They replace queued changes of the same servers.
 func (q *ChangeQueue) Add(changes []Entry) {
-	newer := make(map[string]struct{}, len(changes))
+	changed := make(map[string]struct{}, len(changes))
 	for i := range changes {
-		newer[changes[i].ID] = struct{}{}
+		changed[changes[i].ID] = struct{}{}
 	}
 	all := make([]Entry, 0, q.Len()+len(changes))
-	for _, bad := range [...]bool{true, false} {
+	for _, notServing := range [...]bool{true, false} {
 		for _, e := range q.entries[q.next:] {
-			if _, replaced := newer[e.ID]; !replaced && (e.Health != decide.Healthy) == bad {
+			if _, replaced := changed[e.ID]; !replaced && (e.Health != decide.Healthy) == notServing {
 				all = append(all, e)
 			}
 		}
 		for _, e := range changes {
-			if (e.Health != decide.Healthy) == bad {
+			if (e.Health != decide.Healthy) == notServing {
 				all = append(all, e)
 			}
 		}
@@ -35,11 +35,11 @@
 	q.entries, q.next = all, 0
 }
 
-// Take takes up to so many changes out. They are valid until the next call.
-func (q *ChangeQueue) Take(most int) []Entry {
-	part := q.entries[q.next:min(len(q.entries), q.next+most)]
-	if q.next += len(part); q.next == len(q.entries) {
+// Take removes and returns up to the given number of changes. They are valid until the next call.
+func (q *ChangeQueue) Take(limit int) []Entry {
+	taken := q.entries[q.next:min(len(q.entries), q.next+limit)]
+	if q.next += len(taken); q.next == len(q.entries) {
 		q.entries, q.next = nil, 0
 	}
-	return part
+	return taken
 }
--- a/internal/servers/endpoints/incoming_test.go
+++ b/internal/servers/endpoints/incoming_test.go
@@ -12,11 +12,11 @@
 // must go first.
 func TestNewerWordGoesFirst(t *testing.T) {
 	var q ChangeQueue
-	q.Add([]Entry{entry("a", serving, 0), entry("b", serving, 0), entry("c", deleted, 0)})
-	q.Add([]Entry{entry("d", serving, 0), entry("a", deleted, 0)})
-	want(t, "in order", changed(q.Take(2)), []string{"a gone", "c gone"})
-	want(t, "the rest", changed(q.Take(9)), []string{"b serves", "d serves"})
-	want(t, "left", q.Len(), 0)
+	q.Add([]Entry{entry("a", serving, 0), entry("b", serving, 0), entry("c", removed, 0)})
+	q.Add([]Entry{entry("d", serving, 0), entry("a", removed, 0)})
+	assertEqual(t, "in order", describeChanges(q.Take(2)), []string{"a gone", "c gone"})
+	assertEqual(t, "the rest", describeChanges(q.Take(9)), []string{"b serves", "d serves"})
+	assertEqual(t, "left", q.Len(), 0)
 }
 
 // Whatever comes between the steps, each server ends as its newest word says, and once that is bad no good one follows.
@@ -34,7 +34,7 @@
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			var changes []Entry
 			for _, id := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 0, 6, rapid.ID[string]).Draw(t, "ids") {
-				health := rapid.SampledFrom([]decide.Health{serving, draining, deleted}).Draw(t, "health")
+				health := rapid.SampledFrom([]decide.Health{serving, draining, removed}).Draw(t, "health")
 				newest[id] = health
 				changes = append(changes, entry(id, health, 0))
 			}
--- a/internal/servers/endpoints/list.go
+++ b/internal/servers/endpoints/list.go
@@ -11,7 +11,7 @@
 	"curlewring/decide"
 )
 
-// Entry is a server in a list: what the module is told, and where to dial it.
+// Entry is a server in a list: what the decide package knows of it, and the address to dial.
 type Entry struct {
 	decide.Server
 	Address string
@@ -20,11 +20,11 @@
 // List is one answer of discovery.
 type List struct {
 	Generation uint64
-	Whole      bool
+	Whole      bool // the list names all servers; otherwise only those that changed
 	Entries    []Entry
 }
 
-// Servers is the list in the module's form.
+// Servers returns the entries as the decide package takes them.
 func (l *List) Servers() []decide.Server {
 	servers := make([]decide.Server, len(l.Entries))
 	for i := range l.Entries {
@@ -33,14 +33,14 @@
 	return servers
 }
 
-// The form of a list on the wire (PROTOCOL, discovery).
+// The JSON encoding of a list (PROTOCOL, discovery).
 type (
-	rawList struct {
+	wireList struct {
 		Generation *uint64     `json:"generation"`
 		Reset      bool        `json:"reset"`
 		Instances  *[]Instance `json:"instances"`
 	}
-	// Instance is a server.
+	// Instance is the JSON encoding of a server.
 	Instance struct {
 		ID        string  `json:"instanceId"`
 		HostPort  string  `json:"hostPort"`
@@ -52,7 +52,7 @@
 	}
 )
 
-// Text writes a list in discovery's form.
+// Encode returns the list in the JSON encoding of discovery.
 func (l *List) Encode() ([]byte, error) {
 	all := make([]Instance, len(l.Entries))
 	states := [...]string{decide.Healthy: "SERVING", decide.Draining: "DRAINING", decide.Removed: "DELETED"}
@@ -60,22 +60,22 @@
 		e := &l.Entries[i]
 		all[i] = Instance{e.ID, e.Address, e.Zone, e.Cell, states[e.Health], e.Weight, e.Started.Milliseconds()}
 	}
-	return json.Marshal(rawList{&l.Generation, l.Whole, &all})
+	return json.Marshal(wireList{&l.Generation, l.Whole, &all})
 }
 
-// Parse reads a list in discovery's form. Whatever is missing or odd makes
-// the whole list malformed: half a list would drop the servers of the other half.
-func Parse(text []byte) (*List, error) {
-	var raw rawList
-	if err := json.Unmarshal(text, &raw); err != nil {
+// Parse decodes a list in the JSON encoding of discovery. Any missing or invalid part makes the whole list malformed:
+// half a list would drop the servers of the other half.
+func Parse(data []byte) (*List, error) {
+	var wire wireList
+	if err := json.Unmarshal(data, &wire); err != nil {
 		return nil, fmt.Errorf("malformed list: %w", err)
 	}
-	if raw.Generation == nil || raw.Instances == nil {
+	if wire.Generation == nil || wire.Instances == nil {
 		return nil, errors.New("malformed list: no generation or no instances")
 	}
-	l := &List{Generation: *raw.Generation, Whole: raw.Reset, Entries: make([]Entry, 0, len(*raw.Instances))}
-	for i := range *raw.Instances {
-		e, err := (*raw.Instances)[i].Entry()
+	l := &List{Generation: *wire.Generation, Whole: wire.Reset, Entries: make([]Entry, 0, len(*wire.Instances))}
+	for i := range *wire.Instances {
+		e, err := (*wire.Instances)[i].Entry()
 		if err != nil {
 			return nil, err
 		}
@@ -84,16 +84,16 @@
 	return l, nil
 }
 
-// Entry checks what discovery tells of a server.
-func (r *Instance) Entry() (Entry, error) {
+// Entry validates an instance and converts it to an entry.
+func (i *Instance) Entry() (Entry, error) {
 	e := Entry{
 		Server: decide.Server{
-			ID: r.ID, Zone: r.Zone, Cell: r.Cell, Weight: r.Weight,
-			Started: time.Duration(r.StartedMs) * time.Millisecond,
+			ID: i.ID, Zone: i.Zone, Cell: i.Cell, Weight: i.Weight,
+			Started: time.Duration(i.StartedMs) * time.Millisecond,
 		},
-		Address: r.HostPort,
+		Address: i.HostPort,
 	}
-	switch r.Lifecycle {
+	switch i.Lifecycle {
 	case "SERVING":
 		e.Health = decide.Healthy
 	case "DRAINING":
@@ -101,37 +101,37 @@
 	case "DELETED":
 		e.Health = decide.Removed
 	default:
-		return e, fmt.Errorf("malformed list: unknown lifecycle %q", r.Lifecycle)
+		return e, fmt.Errorf("malformed list: unknown lifecycle %q", i.Lifecycle)
 	}
-	if r.ID == "" {
+	if i.ID == "" {
 		return e, errors.New("malformed list: an instance has no id")
 	}
-	if err := hostPort(r.HostPort); err != nil && e.Health != decide.Removed {
-		return e, fmt.Errorf("malformed list: instance %s: %w", r.ID, err)
+	if err := validateHostPort(i.HostPort); err != nil && e.Health != decide.Removed {
+		return e, fmt.Errorf("malformed list: instance %s: %w", i.ID, err)
 	}
 	return e, nil
 }
 
-// hostPort tells what is wrong with an address: host:port, or [host]:port where the host
-// holds colons.
-func hostPort(text string) error {
-	at := strings.LastIndexByte(text, ':')
-	if at < 0 {
-		return fmt.Errorf("address %q: missing port", text)
+// validateHostPort returns an error unless the text is an address of the form host:port, or [host]:port if the host
+// contains colons.
+func validateHostPort(address string) error {
+	colon := strings.LastIndexByte(address, ':')
+	if colon < 0 {
+		return fmt.Errorf("address %q: missing port", address)
 	}
-	host := text[:at]
+	host := address[:colon]
 	if inner, ok := strings.CutPrefix(host, "["); ok {
 		if host, ok = strings.CutSuffix(inner, "]"); !ok {
-			return fmt.Errorf("address %q: missing ']'", text)
+			return fmt.Errorf("address %q: missing ']'", address)
 		}
 	} else if strings.Contains(host, ":") {
-		return fmt.Errorf("address %q: too many colons", text)
+		return fmt.Errorf("address %q: too many colons", address)
 	}
 	if strings.ContainsAny(host, "[]") {
-		return fmt.Errorf("address %q: unexpected bracket", text)
+		return fmt.Errorf("address %q: unexpected bracket", address)
 	}
-	if _, err := strconv.ParseUint(text[at+1:], 10, 16); err != nil {
-		return fmt.Errorf("address %q: the port is no number up to 65535", text)
+	if _, err := strconv.ParseUint(address[colon+1:], 10, 16); err != nil {
+		return fmt.Errorf("address %q: the port is not a number from 0 to 65535", address)
 	}
 	return nil
 }
--- a/internal/servers/endpoints/pace.go
+++ b/internal/servers/endpoints/pace.go
@@ -6,209 +6,218 @@
 )
 
 const (
-	// A call that discovery had no capacity for is followed by a pause. The first ones give each node of the tier a turn of
-	// its own, and leave time for a call before what discovery has counts as told; each further one doubles the pause.
-	backOffTurn  = 190 * time.Millisecond
-	backOffFirst = 1250 * time.Millisecond
-	backOffSoon  = 5 * time.Second
-	backOffHeld  = 1 // pauses beyond the first that are not doubled
-	backOffMost  = 48 * time.Second
-	// A call that waited for so long in the queue had as much work before it: the first pauses are a multiple of that wait, so that
-	// the queue of a small fleet can clear. A node that has not heard discovery since its start asks again as early as its turn
-	// lets it: what discovery has counts as told soon after the start.
-	backOffWaits = 4
-	// No pause is longer than this for each node of the tier, with a floor, as the nodes of other tiers call as well. A node
-	// that is alone in its tier has a shorter one.
-	backOffANode = 2 * time.Second
-	backOffFleet = 16 * time.Second
-	backOffAlone = 2 * time.Second
-	// A call that ended sooner than this was turned away by a full queue. It cost discovery nothing, and counts less.
-	queuedLeast = 300 * time.Millisecond
-	turnedAway  = 0.5
-
-	// A turn that comes sooner than this part of the pause is left out for the next.
-	turnSoonest = 0.25
-
-	// Long polls of a whole fleet may be reset at once. A change then counts as told 6 s later: each node has its turn before,
-	// with 2 s left for the call.
-	resetSpread = toldAfterFailure - 2*time.Second
-
-	// Periodic calls come as often as what discovery has counts as told, each between half a period and one and a half after the
-	// answer before.
-	periodicCalls   = toldAfterFailure
-	periodicSoonest = 0.5
-	// An answer to a long poll costs discovery the call that follows it as well, and the whole list its lines. By the platform's page
-	// a call costs 20 to 60 lines: a list of so many costs no more than that call.
-	periodicServers = 20
-	// An answer that took longer than answeredLate says that whole lists are more than discovery can bear, and one that came sooner
-	// than answeredSoon that they are not. Long polls take their place meanwhile.
-	answeredLate = time.Second
-	answeredSoon = answeredLate / 2
-	// After so many periodic calls in a row that failed, only the pauses of long polls give discovery time enough.
-	periodicInVain = 3
-	// Periodic calls leave a node without a watch for a period, and the next call may wait in the queue before it is answered. A node
-	// that is held to its list for less than that makes none.
-	periodicLeast = periodicCalls + longestQueue
-	// After so many answers in a row with nothing new the node's list is quiet, and a long poll costs discovery less.
-	periodicQuiet = 2
-	// An overload counts as over when so much of the failures is left.
-	overloadEnded = 0.5
+	// An overloaded call is followed by a backoff. The first backoffs give each node of the tier its own time slot,
+	// and leave time for another call before the node counts as notified of pending changes. Each further overloaded
+	// call doubles the backoff.
+	firstBackoffPerNode = 190 * time.Millisecond
+	minFirstBackoff     = 1250 * time.Millisecond
+	maxFirstBackoff     = 5 * time.Second
+	constantBackoffs    = 1 // backoffs after the first that are not doubled
+	maxBackoff          = 48 * time.Second
+	// A call that waited in the queue of discovery had that much work ahead of it. The first backoffs are a multiple
+	// of this wait, so that the queue of a small fleet can clear. A node without an answer since its start calls
+	// again as early as its time slot allows, because it counts as notified soon after the start.
+	queueTimeFactor = 4
+	// The longest backoff grows with the nodes of the tier. It has a floor, as the nodes of other tiers call too. A
+	// node that is alone in its tier has a shorter one.
+	maxBackoffPerNode    = 2 * time.Second
+	maxBackoffFloor      = 16 * time.Second
+	maxBackoffSingleNode = 2 * time.Second
+	// A call that ended sooner than this was rejected by a full queue. It cost discovery nothing and counts less.
+	minQueueTime       = 300 * time.Millisecond
+	rejectedCallWeight = 0.5
+
+	// A time slot that is nearer than this fraction of the backoff is skipped for the next one.
+	minBackoffFraction = 0.25
+
+	// The long polls of a whole fleet may be reset at once. A node then counts as notified of a change 6 s later. The
+	// time slots of all nodes come earlier and leave 2 s for the call.
+	maxResetSpread = notifiedAfterFailure - 2*time.Second
+
+	// Periodic calls come at the interval after which a node counts as notified of what discovery has. Each one
+	// starts between half an interval and one and a half intervals after the previous answer.
+	periodicInterval    = notifiedAfterFailure
+	minIntervalFraction = 0.5
+	// The answer to a long poll costs discovery the subsequent call as well, and a whole list costs its lines.
+	// According to the platform documentation a call costs 20 to 60 lines, so a list of this size costs no more than
+	// that call.
+	maxPeriodicServers = 20
+	// An answer that took longer than slowAnswer shows that whole lists are too much for discovery, and one that took
+	// less than fastAnswer that they are not. Between a slow answer and the next fast one, long polls replace them.
+	slowAnswer = time.Second
+	fastAnswer = slowAnswer / 2
+	// After this many failed periodic calls in a row only the backoffs of long polls give discovery enough time.
+	maxPeriodicFailures = 3
+	// Periodic calls leave a node without a watch for an interval, and the next call may wait in the queue. A node
+	// that must call again earlier than that makes no periodic calls.
+	minPeriodicObligation = periodicInterval + maxDiscoveryQueueTime
+	// After this many unchanged answers in a row the list is stable, and a long poll costs discovery less.
+	maxUnchangedAnswers = 2
+	// An overload is over once the overload count has fallen below this.
+	overloadEndThreshold = 0.5
 )
 
-// mode is how a node asks discovery.
-type mode int
+// callMode is how a node calls discovery.
+type callMode int
 
 const (
-	longPolling  mode = iota // one long poll after the other
-	periodic                 // at its turn in a period
-	longPollOnly             // as longPolling, until the overload has ended
+	longPolling  callMode = iota // one long poll after the other
+	periodic                     // one call in each interval, at the time slot of the node
+	longPollOnly                 // as longPolling, with no periodic calls until the overload has ended
 )
 
-// Pace controls a node's rate of calls to discovery by what becomes of them, as the retries of a whole fleet would keep an
-// overloaded discovery from answering any. Pauses end at the node's turn in a period of their length, by its number and the
-// wall clock, so that calls of nodes that fail together do not come together again.
+// CallPacer controls how often a node calls discovery, based on the results of earlier calls. Otherwise the retries
+// of a whole fleet would keep an overloaded discovery from answering any call. A backoff ends at the time slot of the
+// node: the wall clock is divided into periods as long as the backoff, and the node number determines the offset in
+// the period. So nodes whose calls fail together do not call again together.
 //
-// An answer to a long poll is followed by the next at once, however busy discovery is: what changes in the 200 ms after an answer
-// counts as told. So where all nodes watch a list that changes, each change costs a call of each node. In an overload a node with a
-// short list asks for the whole of it instead, once in a period: that is no watch, and one answer tells all changes of the period.
-// Where discovery is too slow for that as well, long polls come as seldom. What changes in the 200 ms after their answers is heard
-// late then; where all nodes go on with one long poll after the other, most that changes is.
+// The answer to a long poll is followed by the next poll at once, even if discovery is busy: a node counts as
+// notified of what changes in the 200 ms after an answer. If all nodes watch a list that changes, each change
+// therefore costs a call of each node. In an overload a node with a short list fetches the whole list once in each
+// interval instead. That is no watch, and one answer delivers all changes of the interval. If discovery is too slow
+// for that too, the node makes long polls at the same interval. It then receives changes from the 200 ms after an
+// answer late, but with one long poll after the other by all nodes most changes would be late.
 type CallPacer struct {
-	turn     float64       // part of a period after which this node's turn is
-	failures float64       // calls in a row that discovery had no capacity for; an answer takes half of them back
-	first    time.Duration // pause after an overloaded call ...
-	most     time.Duration // ... and at the most
-	reset    time.Duration // over which a fleet's calls are spread after a reset
-
-	seldom bool // calls may be as seldom as periodic ones
-	mode   mode
-	period time.Duration // of periodic calls
-	slow   bool          // discovery, to write whole lists
-	failed int           // periodic calls that failed in a row
-	quiet  int           // answers to periodic calls in a row with nothing new
+	turnOffset   float64       // fraction of a period at which the time slot of this node begins
+	overloads    float64       // overloaded calls in a row; each answer halves the count
+	firstBackoff time.Duration // backoff after the first overloaded call
+	backoffLimit time.Duration // limit of the backoff
+	resetSpread  time.Duration // time over which the fleet spreads its calls after a reset
+
+	allowsPeriodic   bool // the node may make periodic calls
+	mode             callMode
+	period           time.Duration // interval of periodic calls
+	avoidsWholeLists bool          // discovery is too slow for whole lists
+	periodicFailures int           // failed periodic calls in a row
+	unchangedAnswers int           // answers to periodic calls in a row without changes
 }
 
-// NewPace returns the pace of a node that stands there in its fleet.
+// NewCallPacer returns the pacer of the node at a position in its fleet.
 func NewCallPacer(p FleetPosition) *CallPacer {
 	nodes := time.Duration(max(0, p.NodeCount))
 	if nodes <= 1 {
-		return &CallPacer{turn: p.turn(), first: backOffFirst, most: backOffAlone}
+		return &CallPacer{turnOffset: p.turnOffset(), firstBackoff: minFirstBackoff, backoffLimit: maxBackoffSingleNode}
 	}
 	return &CallPacer{
-		turn:  p.turn(),
-		first: min(max(backOffFirst, nodes*backOffTurn), backOffSoon),
-		most:  min(max(backOffFleet, nodes*backOffANode), backOffMost),
-		reset: resetSpread,
+		turnOffset:   p.turnOffset(),
+		firstBackoff: min(max(minFirstBackoff, nodes*firstBackoffPerNode), maxFirstBackoff),
+		backoffLimit: min(max(maxBackoffFloor, nodes*maxBackoffPerNode), maxBackoff),
+		resetSpread:  maxResetSpread,
 
-		seldom: p.ListObligation == 0 || p.ListObligation >= periodicLeast,
+		allowsPeriodic: p.ListObligation == 0 || p.ListObligation >= minPeriodicObligation,
 	}
 }
 
-// Overload is a call that discovery had no capacity for.
+// OverloadedCall describes a call that discovery had no capacity for.
 type OverloadedCall struct {
 	Took           time.Duration
-	AnsweredBefore bool // discovery has been heard since the node's start
-	Servers        int  // that the node's list has; 0: not known
+	AnsweredBefore bool // discovery has answered since the start of the node
+	Servers        int  // number of servers in the list of the node; 0: unknown
 }
 
-// Overloaded takes an overload that ended at a time of the wall clock, and returns the pause before the next call.
+// RecordOverload records an overloaded call that ended at a wall clock time, and returns the backoff before the next
+// call.
 func (p *CallPacer) RecordOverload(wall time.Duration, call OverloadedCall) (pause time.Duration) {
-	if p.askPeriodically(call) {
-		return p.until(wall, p.period, periodicSoonest)
+	if p.updateMode(call) {
+		return p.untilTurn(wall, p.period, minIntervalFraction)
 	}
-	doublings := min(max(0, p.failures-backOffHeld), 8)
-	first := p.first
+	doublings := min(max(0, p.overloads-constantBackoffs), 8)
+	first := p.firstBackoff
 	if call.AnsweredBefore {
-		first = max(first, min(backOffWaits*call.Took, backOffSoon))
+		first = max(first, min(queueTimeFactor*call.Took, maxFirstBackoff))
 	}
-	period := min(time.Duration(math.Exp2(doublings)*float64(first)), p.most)
-	if call.Took < queuedLeast {
-		p.failures += turnedAway
+	period := min(time.Duration(math.Exp2(doublings)*float64(first)), p.backoffLimit)
+	if call.Took < minQueueTime {
+		p.overloads += rejectedCallWeight
 	} else {
-		p.failures++
+		p.overloads++
 	}
-	return p.until(wall, period, turnSoonest)
+	return p.untilTurn(wall, period, minBackoffFraction)
 }
 
-// askPeriodically takes an overload, and tells whether the node asks once in a period from now on.
-func (p *CallPacer) askPeriodically(call OverloadedCall) bool {
+// updateMode updates the mode after an overloaded call, and reports whether the next call is a periodic one.
+func (p *CallPacer) updateMode(call OverloadedCall) bool {
 	switch {
-	case p.mode == longPollOnly || !p.seldom || call.Servers == 0 || call.Servers > periodicServers:
+	case p.mode == longPollOnly || !p.allowsPeriodic || call.Servers == 0 || call.Servers > maxPeriodicServers:
 		p.mode = longPollOnly
 	case p.mode == longPolling && call.AnsweredBefore:
-		p.mode, p.period, p.slow, p.failed, p.quiet = periodic, periodicCalls, false, 0, 0
-	case p.mode == periodic && call.Took >= queuedLeast:
-		p.periodicFailed()
+		p.mode, p.period, p.avoidsWholeLists, p.periodicFailures, p.unchangedAnswers = periodic, periodicInterval, false, 0, 0
+	case p.mode == periodic && call.Took >= minQueueTime:
+		p.recordPeriodicFailure()
 		return true
 	}
 	return p.mode == periodic
 }
 
-// periodicFailed takes a periodic call that waited in vain. The next one costs discovery less, if that is possible, or comes later.
-func (p *CallPacer) periodicFailed() {
-	if p.slow {
-		p.period = min(2*p.period, p.most)
+// recordPeriodicFailure records a periodic call that waited in the queue and failed. The next one costs discovery
+// less, or comes later if that is not possible.
+func (p *CallPacer) recordPeriodicFailure() {
+	if p.avoidsWholeLists {
+		p.period = min(2*p.period, p.backoffLimit)
 	}
-	p.slow = true
-	if p.failed++; p.failed == periodicInVain {
-		p.mode, p.failures = longPollOnly, max(p.failures, backOffHeld)
+	p.avoidsWholeLists = true
+	if p.periodicFailures++; p.periodicFailures == maxPeriodicFailures {
+		p.mode, p.overloads = longPollOnly, max(p.overloads, constantBackoffs)
 	}
 }
 
-// Periodic tells whether the node makes its calls once in a period.
+// Periodic reports whether the node makes periodic calls.
 func (p *CallPacer) Periodic() bool { return p.mode == periodic }
 
-// AsksForWhole tells whether the next call of a node that has a list is for the whole list, and no long poll.
-func (p *CallPacer) FetchesWholeList() bool { return p.mode == periodic && !p.slow }
+// FetchesWholeList reports whether the next call of a node that has a list fetches the whole list instead of polling
+// for changes.
+func (p *CallPacer) FetchesWholeList() bool { return p.mode == periodic && !p.avoidsWholeLists }
 
-// Answer is an answer of discovery.
+// Answer describes an answer of discovery.
 type Answer struct {
 	Took    time.Duration
-	Whole   bool // to a call for the whole list; else to a long poll
-	Changed bool // it holds what the node did not have
+	Whole   bool // the call was for the whole list; otherwise it was a long poll
+	Changed bool // it contains changes that the node did not have
 }
 
-// Answered takes an answer that came at a time of the wall clock, and returns the pause before the next call; 0: none. One answer
-// does not end an overload.
+// RecordAnswer records an answer that came at a wall clock time, and returns the pause before the next call; 0: none.
+// A single answer does not end an overload.
 func (p *CallPacer) RecordAnswer(wall time.Duration, answer Answer) (pause time.Duration) {
-	p.failures /= 2
-	if p.mode == longPollOnly && p.failures < overloadEnded {
+	p.overloads /= 2
+	if p.mode == longPollOnly && p.overloads < overloadEndThreshold {
 		p.mode = longPolling
 	}
 	if p.mode != periodic {
 		return 0
 	}
-	p.failed = 0
+	p.periodicFailures = 0
 	switch {
-	case answer.Took < answeredSoon:
-		p.slow = false
-	case answer.Whole && answer.Took > answeredLate:
-		p.slow = true
+	case answer.Took < fastAnswer:
+		p.avoidsWholeLists = false
+	case answer.Whole && answer.Took > slowAnswer:
+		p.avoidsWholeLists = true
 	}
-	p.quiet++
+	p.unchangedAnswers++
 	if answer.Changed {
-		p.quiet = 0
+		p.unchangedAnswers = 0
 	}
-	if p.quiet >= periodicQuiet || !answer.Whole && answer.Took > p.period { // it was open for long: discovery has time
+	// A poll that was open for longer than the interval shows that discovery has spare capacity.
+	if p.unchangedAnswers >= maxUnchangedAnswers || !answer.Whole && answer.Took > p.period {
 		p.mode = longPolling
 		return 0
 	}
-	return p.until(wall, p.period, periodicSoonest)
+	return p.untilTurn(wall, p.period, minIntervalFraction)
 }
 
-// Reset takes a long poll that was reset while it was open, and returns the pause before the next.
-func (p *CallPacer) RecordReset() (pause time.Duration) { return p.SpreadDelay(p.reset) }
+// RecordReset records that an open long poll was reset, and returns the pause before the next one.
+func (p *CallPacer) RecordReset() (pause time.Duration) { return p.SpreadDelay(p.resetSpread) }
 
-// Spread is the pause before a node's first call at an address to which all of the fleet come at once, of a time that the
-// fleet may need.
-func (p *CallPacer) SpreadDelay(all time.Duration) time.Duration {
-	return time.Duration(p.turn * float64(all))
+// SpreadDelay returns the delay of the first call of this node when the whole fleet moves to an address and spreads
+// its calls over the given time.
+func (p *CallPacer) SpreadDelay(spread time.Duration) time.Duration {
+	return time.Duration(p.turnOffset * float64(spread))
 }
 
-// until is the time up to the node's next turn in a period, or the one after that if it is nearer than a part of the period.
-func (p *CallPacer) until(wall, period time.Duration, soonest float64) time.Duration {
-	wait := (time.Duration(p.turn*float64(period)) - wall%period + period) % period
-	if wait < time.Duration(soonest*float64(period)) {
+// untilTurn returns the time until the next time slot of the node in a period, skipping a slot that is nearer than
+// minFraction of the period.
+func (p *CallPacer) untilTurn(wall, period time.Duration, minFraction float64) time.Duration {
+	wait := (time.Duration(p.turnOffset*float64(period)) - wall%period + period) % period
+	if wait < time.Duration(minFraction*float64(period)) {
 		wait += period
 	}
 	return wait
--- a/internal/servers/endpoints/pace_test.go
+++ b/internal/servers/endpoints/pace_test.go
@@ -6,7 +6,7 @@
 )
 
 // overloads has a node that has heard discovery meet overloaded calls in a row, and returns the pauses.
-func overloads(p *CallPacer, wall, took time.Duration, n int) (pauses []time.Duration) {
+func recordOverloads(p *CallPacer, wall, took time.Duration, n int) (pauses []time.Duration) {
 	for range n {
 		pause := p.RecordOverload(wall, OverloadedCall{Took: took, AnsweredBefore: true})
 		pauses = append(pauses, pause)
@@ -22,19 +22,19 @@
 	const slow = 2 * time.Second
 	for node := range 20 {
 		at := FleetPosition{NodeIndex: node, NodeCount: 60}
-		pauses := overloads(NewCallPacer(at), time.Hour, slow, 8)
+		pauses := recordOverloads(NewCallPacer(at), time.Hour, slow, 8)
 		if pauses[0] > 6250*time.Millisecond || pauses[1] > 6250*time.Millisecond || pauses[7] < 12*time.Second || pauses[7] > 60*time.Second {
 			t.Errorf("of 60 nodes %d pauses for %v", node, pauses)
 		}
 		sum, sumTurned := time.Duration(0), time.Duration(0)
-		for i, pause := range overloads(NewCallPacer(at), time.Hour, 0, 8) {
+		for i, pause := range recordOverloads(NewCallPacer(at), time.Hour, 0, 8) {
 			sum, sumTurned = sum+pauses[i], sumTurned+pause
 		}
 		if sumTurned > sum/2 {
 			t.Errorf("node %d: turned away at once it pauses for %v in all, after a wait for %v", node, sumTurned, sum)
 		}
 	}
-	for _, pause := range overloads(NewCallPacer(FleetPosition{NodeCount: 1, Seed: 7}), time.Hour, slow, 8) {
+	for _, pause := range recordOverloads(NewCallPacer(FleetPosition{NodeCount: 1, Seed: 7}), time.Hour, slow, 8) {
 		if pause > 2500*time.Millisecond {
 			t.Errorf("one node alone pauses for %v", pause)
 		}
@@ -45,10 +45,10 @@
 func TestPausesEndInTurn(t *testing.T) {
 	const slots = 5
 	var calls [slots]int
-	fleet := fleetOf(30, 70)
+	fleet := fleetPositions(30, 70)
 	for _, at := range fleet {
 		p := NewCallPacer(at)
-		overloads(p, time.Hour, 2*time.Second, 4)
+		recordOverloads(p, time.Hour, 2*time.Second, 4)
 		const period = 40 * time.Second // the fifth
 		pause := p.RecordOverload(2*time.Hour, OverloadedCall{Took: 2 * time.Second})
 		calls[int(pause%period*slots/period)]++
@@ -68,14 +68,14 @@
 	const wall, took = time.Hour, 2 * time.Second
 	for step := range 20 {
 		now := wall + time.Duration(step)*100*time.Millisecond
-		if pause := NewCallPacer(at).RecordOverload(now, OverloadedCall{Took: took}); pause < backOffFirst/4 || took+pause+took > toldAfterFailure {
+		if pause := NewCallPacer(at).RecordOverload(now, OverloadedCall{Took: took}); pause < minFirstBackoff/4 || took+pause+took > notifiedAfterFailure {
 			t.Errorf("after its start it pauses for %v", pause)
 		}
-		if pause := NewCallPacer(at).RecordOverload(now, OverloadedCall{Took: took, AnsweredBefore: true}); pause < backOffSoon/4 || pause > backOffSoon*5/4 {
+		if pause := NewCallPacer(at).RecordOverload(now, OverloadedCall{Took: took, AnsweredBefore: true}); pause < maxFirstBackoff/4 || pause > maxFirstBackoff*5/4 {
 			t.Errorf("having heard discovery it pauses for %v", pause)
 		}
 	}
-	if pauses := overloads(NewCallPacer(at), wall, took, 10); pauses[9] < 4*time.Second || pauses[9] > backOffFleet*5/4 {
+	if pauses := recordOverloads(NewCallPacer(at), wall, took, 10); pauses[9] < 4*time.Second || pauses[9] > maxBackoffFloor*5/4 {
 		t.Errorf("in the end it pauses for %v", pauses[9])
 	}
 }
@@ -85,16 +85,16 @@
 	if pause := NewCallPacer(FleetPosition{NodeCount: 1, Seed: 7}).RecordReset(); pause != 0 {
 		t.Errorf("a node alone pauses for %v", pause)
 	}
-	for _, fleet := range [][]FleetPosition{fleetOf(2), fleetOf(3, 5), fleetOf(50, 250)} {
+	for _, fleet := range [][]FleetPosition{fleetPositions(2), fleetPositions(3, 5), fleetPositions(50, 250)} {
 		const parts = 2
 		var calls [parts]int
 		for _, at := range fleet {
 			p := NewCallPacer(at)
 			pause := p.RecordReset()
-			if pause < 0 || pause > toldAfterFailure-2*time.Second {
+			if pause < 0 || pause > notifiedAfterFailure-2*time.Second {
 				t.Errorf("%+v pauses for %v", at, pause)
 			}
-			calls[min(parts-1, int(pause*parts/p.reset))]++
+			calls[min(parts-1, int(pause*parts/p.resetSpread))]++
 		}
 		if calls[0] < len(fleet)/3 || calls[1] < len(fleet)/3 {
 			t.Errorf("%d nodes: %v call in the halves of the time", len(fleet), calls)
@@ -105,10 +105,10 @@
 // One answer does not end an overload: the next pause goes on from a part of the last one, and several answers end it.
 func TestAnswersEndAnOverload(t *testing.T) {
 	p := NewCallPacer(FleetPosition{NodeIndex: 3, NodeCount: 60})
-	overloads(p, time.Hour, 2*time.Second, 6)
+	recordOverloads(p, time.Hour, 2*time.Second, 6)
 	p.RecordAnswer(2*time.Hour, Answer{})
-	if p.failures != 3 {
-		t.Errorf("after one answer %v of 6 failures count", p.failures)
+	if p.overloads != 3 {
+		t.Errorf("after one answer %v of 6 failures count", p.overloads)
 	}
 	for range 8 {
 		p.RecordAnswer(2*time.Hour, Answer{})
@@ -119,11 +119,11 @@
 }
 
 // periodicPace is the pace of a node with a short list whose call has just timed out in the queue.
-func periodicPace(t *testing.T) *CallPacer {
+func newPeriodicPacer(t *testing.T) *CallPacer {
 	t.Helper()
 	p := NewCallPacer(FleetPosition{NodeIndex: 5, NodeCount: 24})
-	pause := p.RecordOverload(time.Hour, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers})
-	if !p.FetchesWholeList() || pause < periodicCalls/2 || pause > periodicCalls*3/2 {
+	pause := p.RecordOverload(time.Hour, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers})
+	if !p.FetchesWholeList() || pause < periodicInterval/2 || pause > periodicInterval*3/2 {
 		t.Fatalf("asks for the whole list: %v, after %v", p.FetchesWholeList(), pause)
 	}
 	return p
@@ -139,14 +139,14 @@
 		overload OverloadedCall
 		whole    bool
 	}{
-		"a short list":   {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers}, true},
+		"a short list":   {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}, true},
 		"turned away":    {at, OverloadedCall{AnsweredBefore: true, Servers: 1}, true},
-		"a long list":    {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers + 1}, false},
+		"a long list":    {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers + 1}, false},
 		"not known":      {at, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true}, false},
-		"a new process":  {at, OverloadedCall{Took: 2 * time.Second, Servers: periodicServers}, false},
-		"held for long":  {FleetPosition{NodeIndex: 5, NodeCount: 24, ListObligation: periodicLeast}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, true},
-		"held briefly":   {FleetPosition{NodeIndex: 5, NodeCount: 24, ListObligation: periodicLeast - 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, false},
-		"one node alone": {FleetPosition{NodeCount: 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers}, false},
+		"a new process":  {at, OverloadedCall{Took: 2 * time.Second, Servers: maxPeriodicServers}, false},
+		"held for long":  {FleetPosition{NodeIndex: 5, NodeCount: 24, ListObligation: minPeriodicObligation}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, true},
+		"held briefly":   {FleetPosition{NodeIndex: 5, NodeCount: 24, ListObligation: minPeriodicObligation - 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, false},
+		"one node alone": {FleetPosition{NodeCount: 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}, false},
 	} {
 		p := NewCallPacer(c.at)
 		p.RecordOverload(time.Hour, c.overload)
@@ -158,10 +158,10 @@
 
 // Periodic calls go on for as long as they bring news, each at the node's turn, and end when the list is quiet.
 func TestPeriodicCallsEndWhenTheListIsQuiet(t *testing.T) {
-	p, wall := periodicPace(t), time.Hour
+	p, wall := newPeriodicPacer(t), time.Hour
 	for range 5 {
 		pause := p.RecordAnswer(wall, Answer{Took: time.Second / 10, Whole: true, Changed: true})
-		if pause < periodicCalls/2 || pause > periodicCalls*3/2 || !p.FetchesWholeList() {
+		if pause < periodicInterval/2 || pause > periodicInterval*3/2 || !p.FetchesWholeList() {
 			t.Fatalf("after news it pauses for %v", pause)
 		}
 		wall += pause
@@ -180,18 +180,18 @@
 // Where discovery is slow to write whole lists, long polls take their place, as seldom, until it is not; one that was open for long
 // ends the overload.
 func TestSlowAnswersEndWholeLists(t *testing.T) {
-	p := periodicPace(t)
-	if pause := p.RecordAnswer(time.Hour, Answer{Took: answeredLate * 3 / 2, Whole: true, Changed: true}); pause == 0 || p.FetchesWholeList() {
+	p := newPeriodicPacer(t)
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: slowAnswer * 3 / 2, Whole: true, Changed: true}); pause == 0 || p.FetchesWholeList() {
 		t.Errorf("after a slow answer it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	if pause := p.RecordAnswer(time.Hour, Answer{Took: answeredLate, Changed: true}); pause == 0 || p.FetchesWholeList() {
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: slowAnswer, Changed: true}); pause == 0 || p.FetchesWholeList() {
 		t.Errorf("after a long poll it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	if pause := p.RecordAnswer(time.Hour, Answer{Took: answeredSoon / 2, Changed: true}); pause == 0 || !p.FetchesWholeList() {
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: fastAnswer / 2, Changed: true}); pause == 0 || !p.FetchesWholeList() {
 		t.Errorf("after a quick answer it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	p.RecordAnswer(time.Hour, Answer{Took: answeredLate * 3 / 2, Whole: true, Changed: true})
-	if pause := p.RecordAnswer(time.Hour, Answer{Took: 2 * periodicCalls, Changed: true}); pause != 0 {
+	p.RecordAnswer(time.Hour, Answer{Took: slowAnswer * 3 / 2, Whole: true, Changed: true})
+	if pause := p.RecordAnswer(time.Hour, Answer{Took: 2 * periodicInterval, Changed: true}); pause != 0 {
 		t.Errorf("after a poll that was open for long it pauses for %v", pause)
 	}
 }
@@ -199,12 +199,12 @@
 // Periodic calls that fail cost discovery less first, then come later, and give way to the growing pauses of long polls until the
 // overload has ended.
 func TestPeriodicCallsInVain(t *testing.T) {
-	p := periodicPace(t)
-	vain := OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: periodicServers}
-	if pause := p.RecordOverload(time.Hour, vain); pause > periodicCalls*3/2 || p.FetchesWholeList() {
+	p := newPeriodicPacer(t)
+	vain := OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}
+	if pause := p.RecordOverload(time.Hour, vain); pause > periodicInterval*3/2 || p.FetchesWholeList() {
 		t.Errorf("after one call in vain it pauses for %v and asks for the whole list: %v", pause, p.FetchesWholeList())
 	}
-	if pause := p.RecordOverload(time.Hour, vain); pause < periodicCalls || pause > 3*periodicCalls {
+	if pause := p.RecordOverload(time.Hour, vain); pause < periodicInterval || pause > 3*periodicInterval {
 		t.Errorf("after two calls in vain it pauses for %v", pause)
 	}
 	for range 3 {
--- a/internal/servers/endpoints/poll_test.go
+++ b/internal/servers/endpoints/poll_test.go
@@ -8,7 +8,7 @@
 )
 
 // fleetOf lists the places of a fleet with so many nodes in each tier.
-func fleetOf(tiers ...int) (all []FleetPosition) {
+func fleetPositions(tiers ...int) (all []FleetPosition) {
 	for tier, nodes := range tiers {
 		for node := range nodes {
 			all = append(all, FleetPosition{NodeIndex: node, NodeCount: nodes, Tier: tier, Seed: uint64(len(all))})
@@ -43,7 +43,7 @@
 // answered plays a moment in which all polls of a fleet have been swallowed, and returns how long after the end of its
 // wait a node has had the answer to its next call at the latest. Discovery takes the calls in turn, all of them in so
 // long. Each node comes back late, and after up to 250 ms of back-off, as the module does.
-func answered(ends []time.Duration, late, all time.Duration, rng *rand.Rand) (worst time.Duration) {
+func maxAnswerDelay(ends []time.Duration, late, all time.Duration, rng *rand.Rand) (worst time.Duration) {
 	type call struct{ ended, at time.Duration }
 	calls := make([]call, len(ends))
 	for i, end := range ends {
@@ -72,7 +72,7 @@
 			rng := rand.New(rand.NewPCG(seed, 5))
 			wall := time.Duration(rng.Int64N(int64(time.Hour)))
 			var ends, together []time.Duration
-			for _, p := range fleetOf(c.tiers...) {
+			for _, p := range fleetPositions(c.tiers...) {
 				p.Seed += seed * 1000
 				begun := wall + time.Duration(rng.Int64N(int64(200*time.Millisecond)))
 				wait, _ := NewPollSchedule(p).NextPoll(begun, false)
@@ -80,8 +80,8 @@
 				long := min(max(6*time.Second, time.Duration(p.NodeCount)*1500*time.Millisecond), time.Minute)
 				together = append(together, begun+long-time.Duration(rng.Int64N(int64(long/10))))
 			}
-			worst = max(worst, answered(ends, pollLate, c.all, rng))
-			control = max(control, answered(together, pollLate, c.all, rng))
+			worst = max(worst, maxAnswerDelay(ends, pollAnswerMargin, c.all, rng))
+			control = max(control, maxAnswerDelay(together, pollAnswerMargin, c.all, rng))
 		}
 		t.Logf("%v nodes: %v after the end of a wait at the latest; with waits of one length %v", c.tiers, worst, control)
 		if worst > bound {
@@ -95,7 +95,7 @@
 
 // After a failed call the next poll is short whatever the fleet's size, and discovery may let it wait in turn.
 func TestPollsAfterAFailureAreShort(t *testing.T) {
-	for _, p := range fleetOf(2, 40) {
+	for _, p := range fleetPositions(2, 40) {
 		if wait, patience := NewPollSchedule(p).NextPoll(time.Hour, true); wait > 2*time.Second || patience < wait+time.Second || patience > 4*time.Second {
 			t.Fatalf("%+v: waits %v, and is lost after %v", p, wait, patience)
 		}
--- a/internal/servers/endpoints/view.go
+++ b/internal/servers/endpoints/view.go
@@ -10,16 +10,16 @@
 	"curlewring/decide"
 )
 
-// Settings bound a view's doubts. The zero value of each field stands for its default.
+// Settings configure a View. The zero value of a field selects its default.
 type Settings struct {
-	LossFraction     float64       // part of the serving servers whose loss by one list is asked about again; 0.5
-	MinLoss          int           // and so many at the least; 3
-	RollbackDelay    time.Duration // how long what an older list brings back waits; 30 s
-	FlapWindow       time.Duration // returns further apart than this are none of one flapping; 30 s
-	FlapThreshold    int           // returns in the window that are believed at once; 2
-	FlapInitialDelay time.Duration // wait of the next one, doubled with each further; 2 s
-	FlapMaxDelay     time.Duration // up to this; 30 s
-	MaxTombstones    int           // servers remembered as gone; 4096
+	LossFraction     float64       // refetch if one list removes more than this share of the serving servers; default 0.5
+	MinLoss          int           // ... and at least this many; default 3
+	RollbackDelay    time.Duration // how long a server that returns in an older list is held back; default 30 s
+	FlapWindow       time.Duration // returns are counted until a server has been stable for this long; default 30 s
+	FlapThreshold    int           // returns in the window that are admitted at once; default 2
+	FlapInitialDelay time.Duration // delay of the next return, doubled by each further one; default 2 s
+	FlapMaxDelay     time.Duration // upper bound of that delay; default 30 s
+	MaxTombstones    int           // removed servers that are remembered; default 4096
 }
 
 func (s Settings) withDefaults() Settings {
@@ -30,58 +30,61 @@
 	return s
 }
 
-// LongestDoubt is how long good news of a list waits at the most.
+// MaxDelay returns the longest time for which a View holds back a server that is reported as serving.
 func (s Settings) MaxDelay() time.Duration {
 	s = s.withDefaults()
 	return max(s.RollbackDelay, s.FlapMaxDelay)
 }
 
-// row is what is known of a server, gone ones included.
-type row struct {
-	Entry                      // by the newest list
-	passed       decide.Health // what was passed on
-	returns      int           // in the window
-	turnedAt     time.Duration // the last return or leaving
-	heldUntil    time.Duration // good news waits till then; 0: none does
-	byGeneration bool          // ... or till a list above the highest generation
-	over         string        // a newer process at its address; "": none
-	gonePlace    uint64        // in the order of the gone; 0: not among them
+// serverRecord is the state of one server, which may have been removed.
+type serverRecord struct {
+	Entry                           // as reported by the newest list
+	published         decide.Health // health that the event loop has been given
+	returnCount       int           // returns in the flap window
+	lastTransition    time.Duration // time of the last return or departure
+	heldUntil         time.Duration // not published as serving before this time; 0: not held
+	endsWithNewerList bool          // the hold also ends with a list above the highest generation
+	supersededBy      string        // ID of a newer process at its address; "": none
+	tombstoneSeq      uint64        // its tombstone; 0: not removed
 }
 
-// turn notes that it comes or goes. After a calm its earlier returns count no more.
-func (r *row) turn(now, window time.Duration) {
-	if now-r.turnedAt > window {
-		r.returns = 0
+// recordTransition records that the server returns or departs. Returns before a stable period of length window are
+// forgotten.
+func (r *serverRecord) recordTransition(now, window time.Duration) {
+	if now-r.lastTransition > window {
+		r.returnCount = 0
 	}
-	r.turnedAt = now
+	r.lastTransition = now
 }
 
-// View is what a node believes of the servers of its tier.
+// View holds the state of the servers of a node's tier. "Published" is what its changes have told the event loop,
+// which can lag behind the newest list.
 type View struct {
-	set        Settings
-	rows       map[string]*row
-	owners     map[string]string // by address: who is passed on as serving there
-	serving    int               // passed on as such
-	generation uint64            // of the newest list
-	highest    uint64            // of all
-	begun      bool
-	held       []string // ids whose good news waits
-	beaten     []string // ids that another process has taken the address of
-	gone       []goneID // oldest first
-	nextGone   uint64
-	out        []Entry
-	odd        []Anomaly
+	settings          Settings
+	records           map[string]*serverRecord
+	addressOwners     map[string]string // by address: ID of the server that is published as serving there
+	serving           int               // number of servers published as serving
+	generation        uint64            // of the newest list
+	highestGeneration uint64            // highest of any list
+	hasList           bool
+	held              []string    // IDs with heldUntil set
+	superseded        []string    // IDs of servers whose address belongs to a newer process
+	tombstones        []tombstone // oldest first
+	lastTombstoneSeq  uint64
+	changes           []Entry
+	anomalies         []Anomaly
 }
 
-type goneID struct {
-	id    string
-	place uint64
+// tombstone marks a removed server. seq gives the order of removal.
+type tombstone struct {
+	id  string
+	seq uint64
 }
 
-// Kind is what is odd about a list.
+// AnomalyKind classifies an anomaly of a list.
 type AnomalyKind string
 
-// The kinds.
+// The kinds of anomalies. Logs and operators' tools use these texts.
 const (
 	GenerationRollback AnomalyKind = "the generation runs backwards"
 	MassRemoval        AnomalyKind = "most servers are gone at once"
@@ -92,144 +95,147 @@
 	ReturnInOlderList  AnomalyKind = "an older list brings a server back"
 )
 
-// Odd is one thing that is odd about a list.
+// Anomaly is an inconsistency in a list, or between a list and those before it.
 type Anomaly struct {
 	Kind AnomalyKind
-	ID   string // of the server; "": the list as a whole
+	ID   string // of the server; "": concerns the list as a whole
 	Text string
 }
 
-func (o Anomaly) String() string {
-	if o.ID == "" {
-		return fmt.Sprintf("%s: %s", o.Kind, o.Text)
+// String formats the anomaly for logs.
+func (a Anomaly) String() string {
+	if a.ID == "" {
+		return fmt.Sprintf("%s: %s", a.Kind, a.Text)
 	}
-	return fmt.Sprintf("%s: %s: %s", o.Kind, o.ID, o.Text)
+	return fmt.Sprintf("%s: %s: %s", a.Kind, a.ID, a.Text)
 }
 
-// Update is what comes of a list.
+// Update is the result of applying a list.
 type Update struct {
-	Changes      []Entry   // to be carried out now; valid until the next call
-	Anomalies    []Anomaly // the same
-	RefetchWhole bool      // the whole list should be asked for once more
+	Changes      []Entry   // to apply now; valid until the next call of the View
+	Anomalies    []Anomaly // valid until the next call of the View
+	RefetchWhole bool      // the list is suspicious: fetch the whole list again
 }
 
-// New returns a view of nothing.
-func New(set Settings) *View {
-	return &View{set: set.withDefaults(), rows: map[string]*row{}, owners: map[string]string{}}
+// New returns an empty view.
+func New(settings Settings) *View {
+	return &View{settings: settings.withDefaults(), records: map[string]*serverRecord{}, addressOwners: map[string]string{}}
 }
 
-// Begin takes a list that the node had before it started. All of it is held to be passed on.
+// Restore loads a list from before the node started. All its entries count as published.
 func (v *View) Restore(l *List) {
 	for i := range l.Entries {
 		e := &l.Entries[i]
-		r := &row{Entry: *e, passed: e.Health}
-		if old := v.rows[e.ID]; old != nil {
-			v.leave(old)
+		r := &serverRecord{Entry: *e, published: e.Health}
+		if old := v.records[e.ID]; old != nil {
+			v.removeFromServing(old)
 		}
-		v.rows[e.ID] = r
+		v.records[e.ID] = r
 		if e.Health == decide.Healthy {
 			v.serving++
-			v.owners[e.Address] = e.ID
+			v.addressOwners[e.Address] = e.ID
 		} else if e.Health == decide.Removed {
-			v.bury(r)
+			v.addTombstone(r)
 		}
 	}
-	v.generation, v.highest = l.Generation, l.Generation
-	v.begun = l.Generation > 0
+	v.generation, v.highestGeneration = l.Generation, l.Generation
+	v.hasList = l.Generation > 0
 }
 
-// Serving is how many servers are passed on as such, and Len how many rows are kept.
+// Serving returns how many servers are published as serving.
 func (v *View) Serving() int { return v.serving }
-func (v *View) Len() int     { return len(v.rows) }
 
-// Apply takes a list. Whatever of it is bad news is among the changes.
+// Len returns how many servers have a record, including removed ones.
+func (v *View) Len() int { return len(v.records) }
+
+// Apply processes a list from discovery. The changes include every drain and removal that it reports.
 func (v *View) Apply(now time.Duration, l *List) Update {
-	v.out, v.odd = v.out[:0], v.odd[:0]
-	backwards := v.begun && l.Generation < v.generation
-	above := l.Generation > v.highest
+	v.changes, v.anomalies = v.changes[:0], v.anomalies[:0]
+	backwards := v.hasList && l.Generation < v.generation
+	aboveHighest := l.Generation > v.highestGeneration
 	if backwards {
-		v.strange(GenerationRollback, "", fmt.Sprintf("from %d to %d", v.generation, l.Generation))
+		v.reportAnomaly(GenerationRollback, "", fmt.Sprintf("from %d to %d", v.generation, l.Generation))
 	}
 	before := v.serving
-	entries := v.once(l.Entries)
+	entries := v.deduplicate(l.Entries)
 	if l.Whole {
-		v.missing(now, entries)
+		v.removeUnlisted(now, entries)
 		if len(entries) == 0 && before > 0 {
-			v.strange(EmptyList, "", fmt.Sprintf("%d servers were serving", before))
+			v.reportAnomaly(EmptyList, "", fmt.Sprintf("%d servers were serving", before))
 		}
 	}
-	// Bad news first: an address that is given up may be taken in the same list.
+	// Drains and removals go first: an address that becomes free may be reused in the same list.
 	for i := range entries {
 		if e := &entries[i]; e.Health != decide.Healthy {
-			v.bad(now, e)
+			v.applyNotServing(now, e)
 		}
 	}
 	lost := before - v.serving
 	for i := range entries {
 		if e := &entries[i]; e.Health == decide.Healthy {
-			v.good(now, e, backwards, above)
+			v.applyServing(now, e, backwards, aboveHighest)
 		}
 	}
-	v.revive()
-	again := lost >= v.set.MinLoss && float64(lost) > v.set.LossFraction*float64(before) ||
+	v.restoreSuperseded()
+	refetch := lost >= v.settings.MinLoss && float64(lost) > v.settings.LossFraction*float64(before) ||
 		l.Whole && len(entries) == 0 && before > 0
-	if again && v.serving+v.set.MinLoss > before { // replaced in the same list
-		again = false
+	if refetch && v.serving+v.settings.MinLoss > before { // the same list brings replacements
+		refetch = false
 	}
-	if again {
-		v.strange(MassRemoval, "", fmt.Sprintf("%d of %d", lost, before))
+	if refetch {
+		v.reportAnomaly(MassRemoval, "", fmt.Sprintf("%d of %d", lost, before))
 	}
-	v.generation, v.highest, v.begun = l.Generation, max(v.highest, l.Generation), true
-	return Update{v.out, v.odd, again}
+	v.generation, v.highestGeneration, v.hasList = l.Generation, max(v.highestGeneration, l.Generation), true
+	return Update{v.changes, v.anomalies, refetch}
 }
 
-// Partial takes what a list that broke off told of servers that drain or are gone, and returns the changes. The list's
-// generation is not reached: the next one tells the same again.
-func (v *View) ApplyPartial(now time.Duration, bad []Entry) []Entry {
-	v.out = v.out[:0]
-	for i := range bad {
-		v.bad(now, &bad[i])
+// ApplyPartial processes the drains and removals of a list that was cut off and returns the changes. The view's
+// generation stays as it is, so the next list repeats them.
+func (v *View) ApplyPartial(now time.Duration, entries []Entry) []Entry {
+	v.changes = v.changes[:0]
+	for i := range entries {
+		v.applyNotServing(now, &entries[i])
 	}
-	return v.out
+	return v.changes
 }
 
-// Due passes on what has waited long enough.
+// ReleaseDue publishes the held servers whose delay is over.
 func (v *View) ReleaseDue(now time.Duration) []Entry {
-	v.out = v.out[:0]
-	left := v.held[:0]
+	v.changes = v.changes[:0]
+	remaining := v.held[:0]
 	for _, id := range v.held {
-		r := v.rows[id]
+		r := v.records[id]
 		switch {
 		case r == nil || r.heldUntil == 0:
 		case r.heldUntil <= now:
-			r.heldUntil, r.turnedAt = 0, now
+			r.heldUntil, r.lastTransition = 0, now
 			v.admit(now, r)
 		default:
-			left = append(left, id)
+			remaining = append(remaining, id)
 		}
 	}
-	clear(v.held[len(left):])
-	v.held = left
-	return v.out
+	clear(v.held[len(remaining):])
+	v.held = remaining
+	return v.changes
 }
 
-// Next is when Due has something to do, and false if never.
+// NextRelease returns when ReleaseDue has work to do next, and false if no server is held.
 func (v *View) NextRelease() (at time.Duration, ok bool) {
 	for _, id := range v.held {
-		if r := v.rows[id]; r != nil && r.heldUntil > 0 && (!ok || r.heldUntil < at) {
+		if r := v.records[id]; r != nil && r.heldUntil > 0 && (!ok || r.heldUntil < at) {
 			at, ok = r.heldUntil, true
 		}
 	}
 	return at, ok
 }
 
-// All are the servers that were passed on and not taken back, in order of their ids.
+// Published returns the servers that are published and not removed, sorted by ID.
 func (v *View) Published() []Entry {
 	var all []Entry
-	for _, r := range v.rows {
-		if r.passed != decide.Removed {
+	for _, r := range v.records {
+		if r.published != decide.Removed {
 			e := r.Entry
-			e.Health = r.passed
+			e.Health = r.published
 			all = append(all, e)
 		}
 	}
@@ -237,10 +243,11 @@
 	return all
 }
 
-// Told is the newest list as discovery told it, gone servers left out, whatever of it is doubted here.
+// LatestList returns the newest list as discovery reported it, without removed servers and regardless of what is held
+// back here.
 func (v *View) LatestList() *List {
 	l := &List{Generation: v.generation, Whole: true}
-	for _, r := range v.rows {
+	for _, r := range v.records {
 		if r.Health != decide.Removed {
 			l.Entries = append(l.Entries, r.Entry)
 		}
@@ -249,61 +256,65 @@
 	return l
 }
 
-// Health is what was passed on of a server; Removed if nothing was.
+// Health returns the published health of a server, or Removed if it was never published.
 func (v *View) Health(id string) decide.Health {
-	if r := v.rows[id]; r != nil {
-		return r.passed
+	if r := v.records[id]; r != nil {
+		return r.published
 	}
 	return decide.Removed
 }
 
-func (v *View) strange(k AnomalyKind, id, text string) { v.odd = append(v.odd, Anomaly{k, id, text}) }
+// reportAnomaly adds an anomaly to the current update.
+func (v *View) reportAnomaly(k AnomalyKind, id, text string) {
+	v.anomalies = append(v.anomalies, Anomaly{k, id, text})
+}
 
-// pass makes a change.
-func (v *View) pass(r *row, h decide.Health) {
-	if r.passed == decide.Healthy {
-		v.leave(r)
+// publish sets the published health of a server and adds the change to the current update.
+func (v *View) publish(r *serverRecord, h decide.Health) {
+	if r.published == decide.Healthy {
+		v.removeFromServing(r)
 	}
-	if r.passed = h; h == decide.Healthy {
+	if r.published = h; h == decide.Healthy {
 		v.serving++
-		v.owners[r.Address] = r.ID
+		v.addressOwners[r.Address] = r.ID
 	}
 	e := r.Entry
 	e.Health = h
-	v.out = append(v.out, e)
+	v.changes = append(v.changes, e)
 }
 
-// leave takes a row off the counts of what serves.
-func (v *View) leave(r *row) {
-	if r.passed != decide.Healthy {
+// removeFromServing takes a server out of the serving count and the address owners.
+func (v *View) removeFromServing(r *serverRecord) {
+	if r.published != decide.Healthy {
 		return
 	}
 	v.serving--
-	if v.owners[r.Address] == r.ID {
-		delete(v.owners, r.Address)
+	if v.addressOwners[r.Address] == r.ID {
+		delete(v.addressOwners, r.Address)
 	}
 }
 
-// once leaves one entry of each server: the newer process, and of one process the worse news.
-func (v *View) once(entries []Entry) []Entry {
-	at := make(map[string]int, len(entries))
+// deduplicate keeps one entry per server: that of the newer process, and for the same process the one that is further
+// from serving.
+func (v *View) deduplicate(entries []Entry) []Entry {
+	index := make(map[string]int, len(entries))
 	for i := range entries {
-		at[entries[i].ID] = i
+		index[entries[i].ID] = i
 	}
-	if len(at) == len(entries) {
+	if len(index) == len(entries) {
 		return entries
 	}
-	kept := make([]Entry, 0, len(at))
-	clear(at)
+	kept := make([]Entry, 0, len(index))
+	clear(index)
 	for _, e := range entries {
-		i, twice := at[e.ID]
-		if !twice {
-			at[e.ID] = len(kept)
+		i, duplicate := index[e.ID]
+		if !duplicate {
+			index[e.ID] = len(kept)
 			kept = append(kept, e)
 			continue
 		}
 		old := &kept[i]
-		v.strange(DuplicateEntry, e.ID, fmt.Sprintf("at %s and %s", old.Address, e.Address))
+		v.reportAnomaly(DuplicateEntry, e.ID, fmt.Sprintf("at %s and %s", old.Address, e.Address))
 		if e.Started > old.Started || e.Started == old.Started && e.Health > old.Health {
 			*old = e
 		}
@@ -311,75 +322,76 @@
 	return kept
 }
 
-// missing removes what a whole list does not name.
-func (v *View) missing(now time.Duration, entries []Entry) {
-	named := make(map[string]struct{}, len(entries))
+// removeUnlisted removes every server that a whole list does not contain.
+func (v *View) removeUnlisted(now time.Duration, entries []Entry) {
+	listed := make(map[string]struct{}, len(entries))
 	for i := range entries {
-		named[entries[i].ID] = struct{}{}
+		listed[entries[i].ID] = struct{}{}
 	}
-	var lost []*row
-	for id, r := range v.rows {
-		if _, ok := named[id]; !ok && (r.passed != decide.Removed || r.Health != decide.Removed) {
-			lost = append(lost, r)
+	var unlisted []*serverRecord
+	for id, r := range v.records {
+		if _, ok := listed[id]; !ok && (r.published != decide.Removed || r.Health != decide.Removed) {
+			unlisted = append(unlisted, r)
 		}
 	}
-	slices.SortFunc(lost, func(x, y *row) int { return strings.Compare(x.ID, y.ID) })
-	for _, r := range lost {
+	slices.SortFunc(unlisted, func(x, y *serverRecord) int { return strings.Compare(x.ID, y.ID) })
+	for _, r := range unlisted {
 		e := r.Entry
 		e.Health = decide.Removed
-		v.bad(now, &e)
+		v.applyNotServing(now, &e)
 	}
 }
 
-// bad takes word that a server drains or is gone.
-func (v *View) bad(now time.Duration, e *Entry) {
-	r := v.rows[e.ID]
+// applyNotServing processes an entry that reports a server as draining or removed.
+func (v *View) applyNotServing(now time.Duration, e *Entry) {
+	r := v.records[e.ID]
 	if r == nil {
-		r = &row{Entry: *e, passed: decide.Removed}
-		v.rows[e.ID] = r
+		r = &serverRecord{Entry: *e, published: decide.Removed}
+		v.records[e.ID] = r
 		if e.Health == decide.Draining {
-			v.pass(r, decide.Draining)
+			v.publish(r, decide.Draining)
 		} else {
-			v.bury(r)
+			v.addTombstone(r)
 		}
 		return
 	}
-	if r.passed == decide.Healthy {
-		r.turn(now, v.set.FlapWindow)
+	if r.published == decide.Healthy {
+		r.recordTransition(now, v.settings.FlapWindow)
 	}
 	address, started := r.Address, r.Started
-	was := r.passed
+	was := r.published
 	if was == decide.Healthy {
-		v.leave(r)
-		r.passed = decide.Draining // off the counts
+		v.removeFromServing(r)
+		r.published = decide.Draining // already taken out of the serving count
 	}
-	r.Entry, r.heldUntil, r.byGeneration, r.over = *e, 0, false, ""
+	r.Entry, r.heldUntil, r.endsWithNewerList, r.supersededBy = *e, 0, false, ""
 	if r.Address == "" {
 		r.Address = address
 	}
 	r.Started = max(r.Started, started)
 	if was != e.Health {
-		v.pass(r, e.Health)
+		v.publish(r, e.Health)
 	}
 	if e.Health == decide.Removed {
-		v.bury(r)
+		v.addTombstone(r)
 	} else {
-		r.gonePlace = 0
+		r.tombstoneSeq = 0
 	}
 }
 
-// good takes word that a server serves.
-func (v *View) good(now time.Duration, e *Entry, backwards, above bool) {
-	r := v.rows[e.ID]
+// applyServing processes an entry that reports a server as serving. backwards: the list is older than the one before
+// it; aboveHighest: its generation is above the highest so far.
+func (v *View) applyServing(now time.Duration, e *Entry, backwards, aboveHighest bool) {
+	r := v.records[e.ID]
 	if r == nil {
-		r = &row{Entry: *e, passed: decide.Removed}
-		v.rows[e.ID] = r
+		r = &serverRecord{Entry: *e, published: decide.Removed}
+		v.records[e.ID] = r
 		v.admit(now, r)
 		return
 	}
 	newer := e.Started > r.Started
-	if r.passed == decide.Healthy {
-		if e.Started < r.Started { // an older word of a process that is gone: the start stays
+	if r.published == decide.Healthy {
+		if e.Started < r.Started { // an outdated report of an earlier process: keep the start time
 			older := *e
 			older.Started = r.Started
 			e = &older
@@ -387,94 +399,94 @@
 		if *e == r.Entry {
 			return
 		}
-		v.leave(r)
-		r.passed = decide.Removed // so that whatever comes of it is passed on
+		v.removeFromServing(r)
+		r.published = decide.Removed // so that admit publishes it again
 		r.Entry = *e
 		v.admit(now, r)
 		return
 	}
 	known := r.Started
-	r.Entry, r.gonePlace = *e, 0
+	r.Entry, r.tombstoneSeq = *e, 0
 	r.Started = max(known, e.Started)
-	if r.over != "" && !newer {
-		return // another process has its address; revive looks whether still
+	if r.supersededBy != "" && !newer {
+		return // a newer process has its address; restoreSuperseded checks whether it still does
 	}
 	if r.heldUntil > 0 {
-		if newer || r.byGeneration && above {
-			r.heldUntil, r.byGeneration = 0, false
+		if newer || r.endsWithNewerList && aboveHighest {
+			r.heldUntil, r.endsWithNewerList = 0, false
 			v.admit(now, r)
 		}
 		return
 	}
-	wait := time.Duration(0)
-	r.turn(now, v.set.FlapWindow)
+	delay := time.Duration(0)
+	r.recordTransition(now, v.settings.FlapWindow)
 	switch {
 	case newer:
 	case backwards:
-		wait, r.byGeneration = v.set.RollbackDelay, true
-		v.strange(ReturnInOlderList, e.ID, fmt.Sprintf("it waits for %v, or a newer list", wait))
-	case r.returns >= v.set.FlapThreshold:
-		wait = min(v.set.FlapInitialDelay<<min(r.returns-v.set.FlapThreshold, 16), v.set.FlapMaxDelay)
-		v.strange(Flapping, e.ID, fmt.Sprintf("%d returns, the next waits for %v", r.returns, wait))
-	}
-	r.returns++
-	if wait > 0 {
-		r.heldUntil = now + wait
+		delay, r.endsWithNewerList = v.settings.RollbackDelay, true
+		v.reportAnomaly(ReturnInOlderList, e.ID, fmt.Sprintf("held for %v or until a newer list arrives", delay))
+	case r.returnCount >= v.settings.FlapThreshold:
+		delay = min(v.settings.FlapInitialDelay<<min(r.returnCount-v.settings.FlapThreshold, 16), v.settings.FlapMaxDelay)
+		v.reportAnomaly(Flapping, e.ID, fmt.Sprintf("%d returns, held for %v", r.returnCount, delay))
+	}
+	r.returnCount++
+	if delay > 0 {
+		r.heldUntil = now + delay
 		v.held = append(v.held, r.ID)
 		return
 	}
 	v.admit(now, r)
 }
 
-// admit passes a server on as serving, unless a newer process has its address.
-func (v *View) admit(now time.Duration, r *row) {
-	if id, ok := v.owners[r.Address]; ok && id != r.ID {
-		other := v.rows[id]
-		v.strange(AddressConflict, r.ID, fmt.Sprintf("%s is at %s too", id, r.Address))
+// admit publishes a server as serving, unless a newer process has its address.
+func (v *View) admit(now time.Duration, r *serverRecord) {
+	if id, ok := v.addressOwners[r.Address]; ok && id != r.ID {
+		other := v.records[id]
+		v.reportAnomaly(AddressConflict, r.ID, fmt.Sprintf("%s is at %s too", id, r.Address))
 		switch {
 		case r.Started > other.Started && other.Started > 0:
-			v.pass(other, decide.Draining)
-			other.over = r.ID
-			v.beaten = append(v.beaten, id)
+			v.publish(other, decide.Draining)
+			other.supersededBy = r.ID
+			v.superseded = append(v.superseded, id)
 		case r.Started < other.Started && r.Started > 0:
-			r.over = id
-			v.beaten = append(v.beaten, r.ID)
-			if r.passed != decide.Draining {
-				v.pass(r, decide.Draining)
+			r.supersededBy = id
+			v.superseded = append(v.superseded, r.ID)
+			if r.published != decide.Draining {
+				v.publish(r, decide.Draining)
 			}
 			return
 		}
 	}
-	v.pass(r, decide.Healthy)
+	v.publish(r, decide.Healthy)
 }
 
-// revive passes those on again whose address the newer process has left.
-func (v *View) revive() {
-	left := v.beaten[:0]
-	for _, id := range v.beaten {
-		r := v.rows[id]
+// restoreSuperseded publishes servers again whose address the newer process has left.
+func (v *View) restoreSuperseded() {
+	remaining := v.superseded[:0]
+	for _, id := range v.superseded {
+		r := v.records[id]
 		switch {
-		case r == nil || r.over == "":
-		case v.Health(r.over) == decide.Healthy && v.rows[r.over].Address == r.Address:
-			left = append(left, id)
+		case r == nil || r.supersededBy == "":
+		case v.Health(r.supersededBy) == decide.Healthy && v.records[r.supersededBy].Address == r.Address:
+			remaining = append(remaining, id)
 		case r.Health == decide.Healthy:
-			r.over = ""
-			v.pass(r, decide.Healthy)
+			r.supersededBy = ""
+			v.publish(r, decide.Healthy)
 		}
 	}
-	v.beaten = left
+	v.superseded = remaining
 }
 
-// bury remembers a server as gone, and forgets the one gone longest where they are too many.
-func (v *View) bury(r *row) {
-	v.nextGone++
-	r.gonePlace = v.nextGone
-	v.gone = append(v.gone, goneID{r.ID, v.nextGone})
-	for len(v.gone) > v.set.MaxTombstones {
-		g := v.gone[0]
-		v.gone = v.gone[1:]
-		if x := v.rows[g.id]; x != nil && x.gonePlace == g.place {
-			delete(v.rows, g.id)
+// addTombstone marks a server as removed and forgets the oldest removals beyond the limit.
+func (v *View) addTombstone(r *serverRecord) {
+	v.lastTombstoneSeq++
+	r.tombstoneSeq = v.lastTombstoneSeq
+	v.tombstones = append(v.tombstones, tombstone{r.ID, v.lastTombstoneSeq})
+	for len(v.tombstones) > v.settings.MaxTombstones {
+		oldest := v.tombstones[0]
+		v.tombstones = v.tombstones[1:]
+		if x := v.records[oldest.id]; x != nil && x.tombstoneSeq == oldest.seq {
+			delete(v.records, oldest.id)
 		}
 	}
 }
--- a/internal/servers/serverdb/memory.go
+++ b/internal/servers/serverdb/memory.go
@@ -36,7 +36,7 @@
 }
 
 // writesBurst is how many seconds of writes may be saved up.
-const writesBurst = 5
+const burstSeconds = 5
 
 // Note is what the loop tells of a server, the newest for each. Told is set where discovery has spoken.
 type Observation struct {
@@ -46,38 +46,38 @@
 
 // Memory is what a node knows over its restarts.
 type DB struct {
-	set              Settings
-	store            *store.Store
-	servers          map[string]*kept
-	list             List
-	gone             []goneID // in the order in which they went; some may have come back
-	nextGone, buried int      // places given, and tombstones there are
-	digest           uint64   // of what the list says, over all servers
-	tokens           float64
-	filled           time.Duration
-	late             map[string]struct{} // servers with something to write for which there were no tokens
-	listDue          bool
-	buffer           []byte
-	lost             int // rows that did not fit
+	settings                         Settings
+	store                            *store.Store
+	rows                             map[string]*row
+	list                             List
+	tombstones                       []tombstone // in the order in which they went; some may have come back
+	lastTombstoneSeq, tombstoneCount int         // places given, and tombstones there are
+	digest                           uint64      // of what the list says, over all servers
+	tokens                           float64
+	refilledAt                       time.Duration
+	pending                          map[string]struct{} // servers with something to write for which there were no tokens
+	listPending                      bool
+	buffer                           []byte
+	droppedRows                      int // rows that did not fit
 }
 
-type kept struct {
+type row struct {
 	Server
-	written Server // as the store has it
-	place   int    // among the gone; 0: it is not
+	written      Server // as the store has it
+	tombstoneSeq int    // among the gone; 0: it is not
 }
 
-type goneID struct {
-	id    string
-	place int
+type tombstone struct {
+	id  string
+	seq int
 }
 
 // Open reads what the store has. The notes are rows that it could not make sense of, a line each.
 func Open(s *store.Store, set Settings, now time.Duration) (*DB, []string) {
 	m := &DB{
-		set: set.withDefaults(), store: s, servers: map[string]*kept{}, late: map[string]struct{}{}, filled: now,
+		settings: set.withDefaults(), store: s, rows: map[string]*row{}, pending: map[string]struct{}{}, refilledAt: now,
 	}
-	m.tokens = m.set.WritesPerSecond * writesBurst
+	m.tokens = m.settings.WritesPerSecond * burstSeconds
 	var notes []string
 	for _, id := range s.Keys(tableServers) {
 		x, err := decodeServer(id, s.Get(tableServers, id))
@@ -85,13 +85,13 @@
 			notes = append(notes, err.Error())
 			continue
 		}
-		m.servers[id] = &kept{Server: x, written: x}
+		m.rows[id] = &row{Server: x, written: x}
 		m.digest ^= x.digest()
 	}
-	for _, x := range slices.SortedFunc(maps.Values(m.servers), func(x, y *kept) int {
+	for _, x := range slices.SortedFunc(maps.Values(m.rows), func(x, y *row) int {
 		return cmp.Or(x.StateSince.Compare(y.StateSince), strings.Compare(x.ID, y.ID))
 	}) {
-		m.entomb(x)
+		m.addTombstone(x)
 	}
 	if value := s.Get(tableList, listKey); value != nil {
 		var err error
@@ -106,8 +106,8 @@
 
 // Servers are all that are known, by id, gone ones included.
 func (m *DB) Servers() []Server {
-	all := make([]Server, 0, len(m.servers))
-	for _, k := range m.servers {
+	all := make([]Server, 0, len(m.rows))
+	for _, k := range m.rows {
 		all = append(all, k.Server)
 	}
 	slices.SortFunc(all, func(x, y Server) int { return strings.Compare(x.ID, y.ID) })
@@ -118,7 +118,7 @@
 func (m *DB) List() List { return m.list }
 
 // Lost is how many rows did not fit.
-func (m *DB) DroppedRows() int { return m.lost }
+func (m *DB) DroppedRows() int { return m.droppedRows }
 
 // Age is how old the list is, by wall time. It is not known where the list has no time, or one after now
 // by more than a minute: then a clock is wrong, and nobody can tell which.
@@ -135,24 +135,24 @@
 
 // Take takes what was seen since the last time. What discovery told of drains and ends is urgent.
 func (m *DB) Record(now time.Duration, notes []Observation) {
-	m.fill(now)
+	m.refillTokens(now)
 	for i := range notes {
-		m.take(now, &notes[i])
+		m.recordOne(now, &notes[i])
 	}
 }
 
-func (m *DB) take(now time.Duration, n *Observation) {
-	k := m.servers[n.ID]
+func (m *DB) recordOne(now time.Duration, n *Observation) {
+	k := m.rows[n.ID]
 	if k == nil {
 		if !n.FromDiscovery {
 			return // nobody has said that it exists
 		}
-		if len(m.servers)-m.buried >= m.set.MaxServers {
-			m.lost++
+		if len(m.rows)-m.tombstoneCount >= m.settings.MaxServers {
+			m.droppedRows++
 			return
 		}
-		k = &kept{}
-		m.servers[n.ID] = k
+		k = &row{}
+		m.rows[n.ID] = k
 	}
 	was := k.Server
 	if n.FromDiscovery {
@@ -175,64 +175,64 @@
 		k.LastServed = n.LastServed
 	}
 	m.digest ^= was.digest() ^ k.digest()
-	if k.State != Gone && k.place > 0 {
-		k.place = 0
-		m.buried--
+	if k.State != Gone && k.tombstoneSeq > 0 {
+		k.tombstoneSeq = 0
+		m.tombstoneCount--
 	}
-	m.entomb(k)
+	m.addTombstone(k)
 	urgent := n.FromDiscovery && k.State != Serving && (was.ID == "" || was.State != k.State)
-	if urgent || m.matters(k) {
+	if urgent || m.needsWrite(k) {
 		m.write(now, k, urgent)
 	}
-	m.bury(now)
+	m.evictTombstones(now)
 }
 
 // matters tells whether a row differs from what is written by enough.
-func (m *DB) matters(k *kept) bool {
+func (m *DB) needsWrite(k *row) bool {
 	x, y := &k.Server, &k.written
 	if y.ID == "" || x.State != y.State || x.Address != y.Address || x.Zone != y.Zone || x.Cell != y.Cell ||
 		x.Started != y.Started || float32(x.Weight) != float32(y.Weight) {
 		return true
 	}
-	return x.LastServed.Sub(y.LastServed) >= m.set.ServedResolution || y.LastServed.IsZero() != x.LastServed.IsZero()
+	return x.LastServed.Sub(y.LastServed) >= m.settings.ServedResolution || y.LastServed.IsZero() != x.LastServed.IsZero()
 }
 
 // write puts a row to the store, if there are tokens or it is urgent.
-func (m *DB) write(now time.Duration, k *kept, urgent bool) {
+func (m *DB) write(now time.Duration, k *row, urgent bool) {
 	if m.tokens < 1 && !urgent {
-		m.late[k.ID] = struct{}{}
+		m.pending[k.ID] = struct{}{}
 		return
 	}
-	m.tokens = max(m.tokens-1, -m.set.WritesPerSecond*writesBurst)
+	m.tokens = max(m.tokens-1, -m.settings.WritesPerSecond*burstSeconds)
 	m.buffer = k.encode(m.buffer[:0])
 	if _, err := m.store.Put(now, tableServers, k.ID, m.buffer, urgent); err != nil {
-		m.lost++
+		m.droppedRows++
 		return
 	}
 	k.written = k.Server
-	delete(m.late, k.ID)
+	delete(m.pending, k.ID)
 }
 
 // entomb counts a server that is gone among those.
-func (m *DB) entomb(k *kept) {
-	if k.State != Gone || k.place > 0 {
+func (m *DB) addTombstone(k *row) {
+	if k.State != Gone || k.tombstoneSeq > 0 {
 		return
 	}
-	m.nextGone++
-	k.place = m.nextGone
-	m.buried++
-	m.gone = append(m.gone, goneID{k.ID, k.place})
+	m.lastTombstoneSeq++
+	k.tombstoneSeq = m.lastTombstoneSeq
+	m.tombstoneCount++
+	m.tombstones = append(m.tombstones, tombstone{k.ID, k.tombstoneSeq})
 }
 
 // bury forgets those gone longest where there are too many.
-func (m *DB) bury(now time.Duration) {
-	for m.buried > m.set.MaxTombstones {
-		g := m.gone[0]
-		m.gone = m.gone[1:]
-		if k := m.servers[g.id]; k != nil && k.place == g.place {
-			m.buried--
-			delete(m.servers, g.id)
-			delete(m.late, g.id)
+func (m *DB) evictTombstones(now time.Duration) {
+	for m.tombstoneCount > m.settings.MaxTombstones {
+		g := m.tombstones[0]
+		m.tombstones = m.tombstones[1:]
+		if k := m.rows[g.id]; k != nil && k.tombstoneSeq == g.seq {
+			m.tombstoneCount--
+			delete(m.rows, g.id)
+			delete(m.pending, g.id)
 			m.store.Delete(now, tableServers, g.id, false)
 		}
 	}
@@ -241,55 +241,55 @@
 // Confirm takes word that discovery answered. Rate is what a server answers this node a second, 0 if that is
 // not known; servers are those that serve.
 func (m *DB) RecordConfirmation(now time.Duration, l List) {
-	m.fill(now)
+	m.refillTokens(now)
 	if l.ServerRate == 0 {
 		l.ServerRate = m.list.ServerRate
 	}
 	old := m.list
 	m.list = l
 	if l.Generation != old.Generation || l.Discovery != old.Discovery ||
-		l.Confirmed.Sub(old.Confirmed) >= m.set.ConfirmInterval || l.Confirmed.Before(old.Confirmed) {
-		m.listDue = true
+		l.Confirmed.Sub(old.Confirmed) >= m.settings.ConfirmInterval || l.Confirmed.Before(old.Confirmed) {
+		m.listPending = true
 	} else {
 		m.list.Confirmed = old.Confirmed
 	}
-	m.flush(now)
+	m.writeList(now)
 }
 
 // flush writes the list's row.
-func (m *DB) flush(now time.Duration) {
-	if !m.listDue || m.tokens < 1 {
+func (m *DB) writeList(now time.Duration) {
+	if !m.listPending || m.tokens < 1 {
 		return
 	}
 	m.tokens--
 	m.list.Digest, m.list.Consistent = m.digest, true
 	m.buffer = m.list.encode(m.buffer[:0])
 	if _, err := m.store.Put(now, tableList, listKey, m.buffer, false); err != nil {
-		m.lost++
+		m.droppedRows++
 		return
 	}
-	m.listDue = false
+	m.listPending = false
 }
 
 // Catch writes what waited for tokens, as far as there are any now, and tells whether there is more.
 func (m *DB) WritePending(now time.Duration) (more bool) {
-	m.fill(now)
-	m.flush(now)
-	for id := range m.late {
+	m.refillTokens(now)
+	m.writeList(now)
+	for id := range m.pending {
 		if m.tokens < 1 {
 			break
 		}
-		if k := m.servers[id]; k != nil {
+		if k := m.rows[id]; k != nil {
 			m.write(now, k, false)
 		}
-		delete(m.late, id)
+		delete(m.pending, id)
 	}
-	return len(m.late) > 0 || m.listDue
+	return len(m.pending) > 0 || m.listPending
 }
 
-func (m *DB) fill(now time.Duration) {
-	m.tokens = min(m.tokens+m.set.WritesPerSecond*(now-m.filled).Seconds(), m.set.WritesPerSecond*writesBurst)
-	m.filled = now
+func (m *DB) refillTokens(now time.Duration) {
+	m.tokens = min(m.tokens+m.settings.WritesPerSecond*(now-m.refilledAt).Seconds(), m.settings.WritesPerSecond*burstSeconds)
+	m.refilledAt = now
 }
 
 // Merge is the list that a starting node goes by: what the memory has, and what its configuration brings, which
--- a/internal/servers/serverdb/recall_test.go
+++ b/internal/servers/serverdb/recall_test.go
@@ -16,52 +16,52 @@
 )
 
 // folder is a store's folder in memory, whose last file may be cut, and which may be full.
-type folder struct {
+type memoryFS struct {
 	files map[string][]byte
 	full  bool
 }
 
-func newFolder() *folder { return &folder{files: map[string][]byte{}} }
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string][]byte{}} }
 
-type file struct {
-	f    *folder
+type memoryFile struct {
+	f    *memoryFS
 	name string
 }
 
 var errFull = errors.New("no space left on device")
 
-func (f *folder) List() (names []string, _ error) {
+func (f *memoryFS) List() (names []string, _ error) {
 	for name := range f.files {
 		names = append(names, name)
 	}
 	return names, nil
 }
-func (f *folder) Read(name string, _ int) ([]byte, error) { return f.files[name], nil }
-func (f *folder) Create(name string) (store.File, error) {
+func (f *memoryFS) Read(name string, _ int) ([]byte, error) { return f.files[name], nil }
+func (f *memoryFS) Create(name string) (store.File, error) {
 	if f.full {
 		return nil, errFull
 	}
 	f.files[name] = nil
-	return &file{f, name}, nil
+	return &memoryFile{f, name}, nil
 }
-func (f *folder) Rename(from, to string) error {
+func (f *memoryFS) Rename(from, to string) error {
 	f.files[to] = f.files[from]
 	delete(f.files, from)
 	return nil
 }
-func (f *folder) Remove(name string) error { delete(f.files, name); return nil }
-func (f *folder) SyncDir() error           { return nil }
-func (h *file) Write(p []byte) (int, error) {
+func (f *memoryFS) Remove(name string) error { delete(f.files, name); return nil }
+func (f *memoryFS) SyncDir() error           { return nil }
+func (h *memoryFile) Write(p []byte) (int, error) {
 	if h.f.full {
 		return 0, errFull
 	}
 	h.f.files[h.name] = append(h.f.files[h.name], p...)
 	return len(p), nil
 }
-func (h *file) Sync() error  { return nil }
-func (h *file) Close() error { return nil }
+func (h *memoryFile) Sync() error  { return nil }
+func (h *memoryFile) Close() error { return nil }
 
-func (f *folder) size() (n int) {
+func (f *memoryFS) size() (n int) {
 	for _, data := range f.files {
 		n += len(data)
 	}
@@ -69,19 +69,19 @@
 }
 
 // life is a memory in one process.
-type life struct {
+type process struct {
 	*DB
 	store *store.Store
 }
 
-func open(f *folder, set Settings, now time.Duration) (life, []string) {
+func open(f *memoryFS, set Settings, now time.Duration) (process, []string) {
 	s, _ := store.Open(f, store.Settings{})
 	m, notes := Open(s, set, now)
-	return life{m, s}, notes
+	return process{m, s}, notes
 }
 
 // commit writes what waits, as the keeper does, with all the time it takes.
-func (l life) commit(t interface{ Fatal(...any) }, now time.Duration) time.Duration {
+func (l process) commit(t interface{ Fatal(...any) }, now time.Duration) time.Duration {
 	for range 10_000 {
 		more := l.WritePending(now)
 		now += 10 * time.Second
@@ -103,15 +103,15 @@
 
 var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-func told(id string, s State, started time.Duration, at time.Time) Observation {
+func fromDiscovery(id string, s State, started time.Duration, at time.Time) Observation {
 	return Observation{Server: Server{ID: id, Address: id + ":1", Zone: "a", Cell: 3, Weight: 2, State: s, Started: started, StateSince: at}, FromDiscovery: true}
 }
 
 func TestRowsComeBack(t *testing.T) {
-	f := newFolder()
+	f := newMemoryFS()
 	l, _ := open(f, Settings{}, 0)
-	l.Record(0, []Observation{told("a", Serving, time.Hour, noon), told("b", Draining, 0, noon), told("c", Serving, 0, noon)})
-	l.Record(0, []Observation{{Server: Server{ID: "a", LastServed: noon.Add(time.Minute)}}, told("c", Gone, 0, noon.Add(time.Second))})
+	l.Record(0, []Observation{fromDiscovery("a", Serving, time.Hour, noon), fromDiscovery("b", Draining, 0, noon), fromDiscovery("c", Serving, 0, noon)})
+	l.Record(0, []Observation{{Server: Server{ID: "a", LastServed: noon.Add(time.Minute)}}, fromDiscovery("c", Gone, 0, noon.Add(time.Second))})
 	l.Record(0, []Observation{{Server: Server{ID: "nobody told of it", LastServed: noon}}})
 	l.RecordConfirmation(0, List{Generation: 7, Discovery: "d:1", Confirmed: noon, ServerRate: 12.5, ServingCount: 1})
 	l.commit(t, time.Second)
@@ -130,13 +130,13 @@
 
 // A row that was lost, or is newer than the list's row, is noticed: changes since that generation would not be all.
 func TestUnsoundRowsAreNoticed(t *testing.T) {
-	for name, change := range map[string]func(life){
-		"a newer row": func(l life) { l.Record(0, []Observation{told("b", Draining, 1, noon)}) },
-		"a lost row":  func(l life) { l.store.Delete(0, tableServers, "a", true) },
+	for name, change := range map[string]func(process){
+		"a newer row": func(l process) { l.Record(0, []Observation{fromDiscovery("b", Draining, 1, noon)}) },
+		"a lost row":  func(l process) { l.store.Delete(0, tableServers, "a", true) },
 	} {
-		f := newFolder()
+		f := newMemoryFS()
 		l, _ := open(f, Settings{}, 0)
-		l.Record(0, []Observation{told("a", Serving, 1, noon), told("b", Serving, 1, noon)})
+		l.Record(0, []Observation{fromDiscovery("a", Serving, 1, noon), fromDiscovery("b", Serving, 1, noon)})
 		l.RecordConfirmation(0, List{Generation: 7, Confirmed: noon})
 		l.commit(t, 0)
 		if l, _ = open(f, Settings{}, 0); !l.List().Consistent {
@@ -171,11 +171,11 @@
 
 // A clock that is a year ahead, or behind, forgets no drain; what is forgotten is the oldest, by number.
 func TestTombstonesGoByNumber(t *testing.T) {
-	f := newFolder()
+	f := newMemoryFS()
 	for _, wall := range []time.Time{noon, noon.AddDate(1, 0, 0), noon.AddDate(-1, 0, 0)} {
 		l, _ := open(f, Settings{MaxTombstones: 3}, 0)
-		l.Record(0, []Observation{told("x"+wall.Format("2006"), Serving, 1, wall)})
-		l.Record(0, []Observation{told("x"+wall.Format("2006"), Gone, 1, wall)})
+		l.Record(0, []Observation{fromDiscovery("x"+wall.Format("2006"), Serving, 1, wall)})
+		l.Record(0, []Observation{fromDiscovery("x"+wall.Format("2006"), Gone, 1, wall)})
 		l.commit(t, 0)
 	}
 	l, _ := open(f, Settings{MaxTombstones: 3}, 0)
@@ -183,13 +183,13 @@
 		t.Fatalf("known: %v", l.Servers())
 	}
 	for i := range 10 {
-		l.Record(0, []Observation{told(fmt.Sprint("y", i), Gone, 1, noon)})
+		l.Record(0, []Observation{fromDiscovery(fmt.Sprint("y", i), Gone, 1, noon)})
 	}
 	if got := fmt.Sprint(ids(l.Servers())); got != "[y7 y8 y9]" {
 		t.Errorf("left: %v", got)
 	}
 	// One that came back and went again is the newest.
-	l.Record(0, []Observation{told("y7", Serving, 2, noon), told("y7", Gone, 2, noon), told("y10", Gone, 1, noon)})
+	l.Record(0, []Observation{fromDiscovery("y7", Serving, 2, noon), fromDiscovery("y7", Gone, 2, noon), fromDiscovery("y10", Gone, 1, noon)})
 	if got := fmt.Sprint(ids(l.Servers())); got != "[y10 y7 y9]" {
 		t.Errorf("left: %v", got)
 	}
@@ -209,7 +209,7 @@
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		hours = 720
 	}
-	f := newFolder()
+	f := newMemoryFS()
 	const boxes = 1000
 	l, _ := open(f, Settings{}, 0)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -217,7 +217,7 @@
 	now, wall, largest := time.Duration(0), noon, 0
 	fresh := func() Observation {
 		next++
-		return told(fmt.Sprintf("box-%08x", next), Serving, time.Duration(next)*time.Second, wall)
+		return fromDiscovery(fmt.Sprintf("box-%08x", next), Serving, time.Duration(next)*time.Second, wall)
 	}
 	for i := range names {
 		n := fresh()
@@ -232,7 +232,7 @@
 			var notes []Observation
 			if minute%6 == 0 { // ten an hour: one percent
 				i := rng.IntN(boxes)
-				gone := told(names[i], Gone, 0, wall)
+				gone := fromDiscovery(names[i], Gone, 0, wall)
 				n := fresh()
 				names[i] = n.ID
 				notes = append(notes, gone, n)
@@ -269,10 +269,10 @@
 
 // Restarts each second reset nothing and grow nothing: a life that learns nothing writes nothing.
 func TestRestartLoop(t *testing.T) {
-	f := newFolder()
+	f := newMemoryFS()
 	l, _ := open(f, Settings{}, 0)
 	for i := range 500 {
-		l.Record(0, []Observation{told(fmt.Sprint("s", i), Serving, time.Second, noon)})
+		l.Record(0, []Observation{fromDiscovery(fmt.Sprint("s", i), Serving, time.Second, noon)})
 	}
 	l.RecordConfirmation(0, List{Generation: 3, Confirmed: noon, ServerRate: 2})
 	now := l.commit(t, 0)
@@ -301,7 +301,7 @@
 func TestLives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
-		f := newFolder()
+		f := newMemoryFS()
 		now, wall := time.Hour, noon
 		truth := map[string]Server{}         // as told
 		at := map[uint64]map[string]Server{} // and as of each generation
@@ -344,7 +344,7 @@
 				var changes []Observation
 				for range rng.IntN(4) {
 					id := string(rune('a' + rng.IntN(8)))
-					n := told(id, State(rng.IntN(3)), max(truth[id].Started, time.Duration(rng.IntN(4))*time.Second), wall)
+					n := fromDiscovery(id, State(rng.IntN(3)), max(truth[id].Started, time.Duration(rng.IntN(4))*time.Second), wall)
 					if rng.IntN(3) > 0 {
 						n.Started = truth[id].Started
 					}
@@ -417,7 +417,7 @@
 
 // Any bytes are a row or an error, and a row that is read is written as it was.
 func FuzzRows(f *testing.F) {
-	s := told("a", Draining, time.Hour, noon).Server
+	s := fromDiscovery("a", Draining, time.Hour, noon).Server
 	f.Add(s.encode(nil))
 	l := List{Generation: 9, Discovery: "d:1", Confirmed: noon, ServerRate: 2, ServingCount: 4}
 	f.Add(l.encode(nil))
@@ -441,24 +441,24 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	l, _ := open(newFolder(), Settings{WritesPerSecond: 1e9}, 0)
+	l, _ := open(newMemoryFS(), Settings{WritesPerSecond: 1e9}, 0)
 	names := make([]string, 10_000)
 	for i := range names {
 		names[i] = fmt.Sprint("box-", i)
-		l.Record(0, []Observation{told(names[i], Serving, 1, noon)})
+		l.Record(0, []Observation{fromDiscovery(names[i], Serving, 1, noon)})
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		n := told(names[i%len(names)], Serving, time.Duration(i+2), noon)
+		n := fromDiscovery(names[i%len(names)], Serving, time.Duration(i+2), noon)
 		l.Record(0, []Observation{n})
 	}
 }
 
 func BenchmarkOpen(b *testing.B) {
-	f := newFolder()
+	f := newMemoryFS()
 	l, _ := open(f, Settings{WritesPerSecond: 1e9}, 0)
 	for i := range 10_000 {
-		l.Record(0, []Observation{told(fmt.Sprintf("box-%08x", i), Serving, time.Second, noon)})
+		l.Record(0, []Observation{fromDiscovery(fmt.Sprintf("box-%08x", i), Serving, time.Second, noon)})
 	}
 	l.RecordConfirmation(0, List{Generation: 1, Confirmed: noon})
 	l.WritePending(0)
--- a/internal/servers/serverdb/row.go
+++ b/internal/servers/serverdb/row.go
@@ -60,25 +60,25 @@
 const rowVersion = 1
 
 // errShort says that a value ends too early.
-type errShort struct{ what string }
+type truncatedError struct{ what string }
 
-func (e errShort) Error() string { return "the value of " + e.what + " ends too early" }
+func (e truncatedError) Error() string { return "the value of " + e.what + " ends too early" }
 
-func millis(t time.Time) uint64 {
+func toUnixMillis(t time.Time) uint64 {
 	if t.IsZero() {
 		return 0
 	}
 	return uint64(max(1, t.UnixMilli()))
 }
 
-func fromMillis(ms uint64) time.Time {
+func fromUnixMillis(ms uint64) time.Time {
 	if ms == 0 || ms > math.MaxInt64 {
 		return time.Time{}
 	}
 	return time.UnixMilli(int64(ms)).UTC()
 }
 
-func appendText(to []byte, text string) []byte {
+func appendString(to []byte, text string) []byte {
 	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
 }
 
@@ -89,54 +89,54 @@
 // encode appends a server's value.
 func (s *Server) encode(to []byte) []byte {
 	to = append(to, rowVersion, byte(s.State))
-	to = appendText(appendText(to, s.Address), s.Zone)
+	to = appendString(appendString(to, s.Address), s.Zone)
 	to = binary.AppendVarint(to, int64(s.Cell))
 	to = appendFloat(to, s.Weight)
 	to = binary.AppendVarint(to, s.Started.Milliseconds())
-	to = binary.AppendUvarint(to, millis(s.StateSince))
-	return binary.AppendUvarint(to, millis(s.LastServed))
+	to = binary.AppendUvarint(to, toUnixMillis(s.StateSince))
+	return binary.AppendUvarint(to, toUnixMillis(s.LastServed))
 }
 
 // cursor reads a value. After its end everything is zero, and short is set.
-type cursor struct {
-	left  []byte
-	short bool
+type decoder struct {
+	rest      []byte
+	truncated bool
 }
 
-func (c *cursor) take(n uint64) []byte {
-	if uint64(len(c.left)) < n {
-		c.left, c.short = nil, true
+func (c *decoder) take(n uint64) []byte {
+	if uint64(len(c.rest)) < n {
+		c.rest, c.truncated = nil, true
 		return nil
 	}
-	part := c.left[:n]
-	c.left = c.left[n:]
+	part := c.rest[:n]
+	c.rest = c.rest[n:]
 	return part
 }
 
-func (c *cursor) byte() byte {
+func (c *decoder) byte() byte {
 	if b := c.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (c *cursor) uvarint() uint64 { return read(c, binary.Uvarint) }
-func (c *cursor) varint() int64   { return read(c, binary.Varint) }
+func (c *decoder) uvarint() uint64 { return readVarint(c, binary.Uvarint) }
+func (c *decoder) varint() int64   { return readVarint(c, binary.Varint) }
 
-func read[T int64 | uint64](c *cursor, number func([]byte) (T, int)) T {
-	v, n := number(c.left)
+func readVarint[T int64 | uint64](c *decoder, number func([]byte) (T, int)) T {
+	v, n := number(c.rest)
 	if n <= 0 {
-		c.left, c.short = nil, true
+		c.rest, c.truncated = nil, true
 		return 0
 	}
-	c.left = c.left[n:]
+	c.rest = c.rest[n:]
 	return v
 }
 
-func (c *cursor) text() string { return string(c.take(c.uvarint())) }
+func (c *decoder) string() string { return string(c.take(c.uvarint())) }
 
 // float reads a number; one that is none of use is 0.
-func (c *cursor) float() float64 {
+func (c *decoder) float() float64 {
 	b := c.take(4)
 	if b == nil {
 		return 0
@@ -148,11 +148,11 @@
 	return x
 }
 
-const mostMillis = math.MaxInt64 / int64(time.Millisecond)
+const maxMillis = math.MaxInt64 / int64(time.Millisecond)
 
-func (c *cursor) millis() time.Duration {
+func (c *decoder) millis() time.Duration {
 	ms := c.varint()
-	if ms < 0 || ms > mostMillis {
+	if ms < 0 || ms > maxMillis {
 		return 0
 	}
 	return time.Duration(ms) * time.Millisecond
@@ -179,17 +179,17 @@
 
 // decodeServer reads a server's value.
 func decodeServer(id string, value []byte) (Server, error) {
-	c := cursor{left: value}
+	c := decoder{rest: value}
 	if v := c.byte(); v == 0 {
 		return Server{}, fmt.Errorf("the value of %s has no version", id)
 	}
 	s := Server{ID: id, State: State(c.byte())}
-	s.Address, s.Zone = c.text(), c.text()
+	s.Address, s.Zone = c.string(), c.string()
 	s.Cell, s.Weight = int(c.varint()), c.float()
 	s.Started = c.millis()
-	s.StateSince, s.LastServed = fromMillis(c.uvarint()), fromMillis(c.uvarint())
-	if c.short {
-		return Server{}, errShort{id}
+	s.StateSince, s.LastServed = fromUnixMillis(c.uvarint()), fromUnixMillis(c.uvarint())
+	if c.truncated {
+		return Server{}, truncatedError{id}
 	}
 	if s.State > Gone {
 		return Server{}, fmt.Errorf("the value of %s has a state %d", id, s.State)
@@ -200,23 +200,23 @@
 func (l *List) encode(to []byte) []byte {
 	to = append(to, rowVersion)
 	to = binary.AppendUvarint(to, l.Generation)
-	to = appendText(to, l.Discovery)
-	to = binary.AppendUvarint(to, millis(l.Confirmed))
+	to = appendString(to, l.Discovery)
+	to = binary.AppendUvarint(to, toUnixMillis(l.Confirmed))
 	to = appendFloat(to, l.ServerRate)
 	to = binary.AppendUvarint(to, uint64(max(0, l.ServingCount)))
 	return binary.LittleEndian.AppendUint64(to, l.Digest)
 }
 
 func decodeList(value []byte) (List, error) {
-	c := cursor{left: value}
+	c := decoder{rest: value}
 	if c.byte() == 0 {
 		return List{}, fmt.Errorf("the list's value has no version")
 	}
-	l := List{Generation: c.uvarint(), Discovery: c.text(), Confirmed: fromMillis(c.uvarint()), ServerRate: c.float()}
+	l := List{Generation: c.uvarint(), Discovery: c.string(), Confirmed: fromUnixMillis(c.uvarint()), ServerRate: c.float()}
 	n := c.uvarint()
 	digest := c.take(8)
-	if c.short {
-		return List{}, errShort{"the list"}
+	if c.truncated {
+		return List{}, truncatedError{"the list"}
 	}
 	l.Digest = binary.LittleEndian.Uint64(digest)
 	l.ServingCount = int(min(n, math.MaxInt32))
--- a/internal/servers/stalelist/table_test.go
+++ b/internal/servers/stalelist/table_test.go
@@ -25,10 +25,10 @@
 	if p := set.GoneProbability(week); p < 0.58 || p > 0.62 {
 		t.Errorf("a week: %v, want three fifths", p)
 	}
-	if p := set.GoneProbability(time.Minute); p != leastPrior {
+	if p := set.GoneProbability(time.Minute); p != minPrior {
 		t.Errorf("a minute: %v", p)
 	}
-	if p := set.GoneProbability(10 * 365 * 24 * time.Hour); p != mostPrior {
+	if p := set.GoneProbability(10 * 365 * 24 * time.Hour); p != maxPrior {
 		t.Errorf("ten years: %v", p)
 	}
 	last := 0.0
@@ -83,7 +83,7 @@
 	for range 2000 {
 		var id string
 		for _, s := range x.servers {
-			if s.is == Trying && (id == "" || s.order < x.servers[id].order) {
+			if s.state == Trying && (id == "" || s.order < x.servers[id].order) {
 				id = s.ID
 			}
 		}
@@ -150,8 +150,8 @@
 	x.OfferFirst(0)
 	for _, s := range []string{"s0", "s1", "s2"} { // of rack 0, whoever was offered
 		y := x.servers[s]
-		if y.is != Trying {
-			y.is = Trying
+		if y.state != Trying {
+			y.state = Trying
 			x.trying++
 		}
 		x.RecordResult(0, s, decide.ConnectFailed)
@@ -230,13 +230,13 @@
 			}
 			trying, proven := 0, 0
 			for id, s := range x.servers {
-				if o, ok := offered[id]; ok && (o == Trying || o == Proven) != (s.is == Trying || s.is == Proven) {
-					t.Fatalf("%s was told as %v and is %v", id, o, s.is)
+				if o, ok := offered[id]; ok && (o == Trying || o == Proven) != (s.state == Trying || s.state == Proven) {
+					t.Fatalf("%s was told as %v and is %v", id, o, s.state)
 				}
-				if s.is == Trying {
+				if s.state == Trying {
 					trying++
 				}
-				if s.is == Proven {
+				if s.state == Proven {
 					proven++
 				}
 			}
