--- a/internal/servers/endpoints/incoming_test.go
+++ b/internal/servers/endpoints/incoming_test.go
@@ -8,26 +8,26 @@
 	"curlewring/decide"
 )
 
-// A server that a newer list says is gone must not be opened again by an older word that still waits, and word of such servers
-// must go first.
-func TestNewerWordGoesFirst(t *testing.T) {
+// A server that a newer list removes must not be readmitted by an older change that is still queued, and drains and
+// removals must come first.
+func TestNewerChangeReplacesQueuedOne(t *testing.T) {
 	var q ChangeQueue
 	q.Add([]Entry{entry("a", serving, 0), entry("b", serving, 0), entry("c", removed, 0)})
 	q.Add([]Entry{entry("d", serving, 0), entry("a", removed, 0)})
-	assertEqual(t, "in order", describeChanges(q.Take(2)), []string{"a gone", "c gone"})
-	assertEqual(t, "the rest", describeChanges(q.Take(9)), []string{"b serves", "d serves"})
-	assertEqual(t, "left", q.Len(), 0)
+	assertEqual(t, "first changes", describeChanges(q.Take(2)), []string{"a gone", "c gone"})
+	assertEqual(t, "remaining changes", describeChanges(q.Take(9)), []string{"b serves", "d serves"})
+	assertEqual(t, "queue length", q.Len(), 0)
 }
 
-// Whatever comes between the steps, each server ends as its newest word says, and once that is bad no good one follows.
-func TestIncomingEndsWithTheNewest(t *testing.T) {
+// However adds and takes are interleaved, each server ends in its newest state, and no outdated change is handed out.
+func TestChangeQueueEndsWithTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q ChangeQueue
-		newest, state := map[string]decide.Health{}, map[string]decide.Health{}
-		take := func(most int) {
-			for _, e := range q.Take(most) {
-				if state[e.ID] = e.Health; newest[e.ID] != e.Health {
-					t.Fatalf("%s is said to be %v, its newest word is %v", e.ID, e.Health, newest[e.ID])
+		newest, applied := map[string]decide.Health{}, map[string]decide.Health{}
+		take := func(limit int) {
+			for _, e := range q.Take(limit) {
+				if applied[e.ID] = e.Health; newest[e.ID] != e.Health {
+					t.Fatalf("%s: change to %v, its newest change is to %v", e.ID, e.Health, newest[e.ID])
 				}
 			}
 		}
@@ -43,8 +43,8 @@
 		}
 		take(q.Len())
 		for id := range newest {
-			if state[id] != newest[id] {
-				t.Fatalf("%s ends as %v, want %v", id, state[id], newest[id])
+			if applied[id] != newest[id] {
+				t.Fatalf("%s ends as %v, want %v", id, applied[id], newest[id])
 			}
 		}
 	})
--- a/internal/servers/endpoints/view_test.go
+++ b/internal/servers/endpoints/view_test.go
@@ -22,12 +22,15 @@
 	return Entry{Server: decide.Server{ID: id, Health: h, Started: started, Weight: 1}, Address: id + ":1"}
 }
 
+// fullList returns a list that names all servers.
 func fullList(g uint64, entries ...Entry) *List {
 	return &List{Generation: g, Whole: true, Entries: entries}
 }
+
+// deltaList returns a list of changes.
 func deltaList(g uint64, entries ...Entry) *List { return &List{Generation: g, Entries: entries} }
 
-// changed lists changes as "id health".
+// describeChanges formats changes as "ID health", sorted.
 func describeChanges(entries []Entry) (all []string) {
 	for _, e := range entries {
 		all = append(all, fmt.Sprintf("%s %s", e.ID, [...]string{"serves", "drains", "gone"}[e.Health]))
@@ -36,24 +39,26 @@
 	return all
 }
 
-func anomalyKinds(odd []Anomaly) (all []AnomalyKind) {
-	for _, o := range odd {
-		all = append(all, o.Kind)
+// anomalyKinds returns the distinct kinds of the anomalies, sorted.
+func anomalyKinds(anomalies []Anomaly) (all []AnomalyKind) {
+	for _, a := range anomalies {
+		all = append(all, a.Kind)
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-func assertEqual(t *testing.T, what string, got any, wanted any) {
+// assertEqual compares two values by their printed form.
+func assertEqual(t *testing.T, what string, got any, want any) {
 	t.Helper()
-	if fmt.Sprint(got) != fmt.Sprint(wanted) {
-		t.Errorf("%s: %v, want %v", what, got, wanted)
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
 const second = time.Second
 
-// fleet is a view of a to e, serving at generation 10.
+// fiveServerView returns a view of the servers a to e, all serving at generation 10.
 func fiveServerView() *View {
 	v := New(Settings{})
 	v.Apply(second, fullList(10, entry("a", serving, second), entry("b", serving, second), entry("c", serving, second),
@@ -61,7 +66,7 @@
 	return v
 }
 
-func TestUsualLists(t *testing.T) {
+func TestOrdinaryLists(t *testing.T) {
 	v := fiveServerView()
 	assertEqual(t, "serving", v.Serving(), 5)
 	u := v.Apply(2*second, deltaList(11, entry("a", draining, second), entry("f", serving, 2*second)))
@@ -69,8 +74,8 @@
 	u = v.Apply(3*second, fullList(12, entry("b", serving, second), entry("c", serving, second), entry("d", serving, second),
 		entry("e", serving, second), entry("f", serving, 2*second)))
 	assertEqual(t, "a whole list", describeChanges(u.Changes), "[a gone]")
-	assertEqual(t, "odd", u.Anomalies, "[]")
-	// A server that starts again, or moves, is told with its new start or address.
+	assertEqual(t, "anomalies", u.Anomalies, "[]")
+	// A server that restarts or moves is published with its new start time or address.
 	u = v.Apply(4*second, deltaList(13, entry("b", serving, 4*second)))
 	assertEqual(t, "a new process", describeChanges(u.Changes), "[b serves]")
 	moved := entry("c", serving, second)
@@ -80,13 +85,13 @@
 	assertEqual(t, "serving", v.Serving(), 5)
 }
 
-// Bad news counts at once, whatever else is odd; and an empty list is asked about again.
+// Drains and removals take effect at once, whatever anomalies a list has, and an empty list is fetched again.
 func TestSuddenLoss(t *testing.T) {
 	v := fiveServerView()
 	u := v.Apply(2*second, fullList(11))
 	assertEqual(t, "changes", describeChanges(u.Changes), "[a gone b gone c gone d gone e gone]")
-	assertEqual(t, "odd", anomalyKinds(u.Anomalies), "[most servers are gone at once the whole list is empty]")
-	assertEqual(t, "again", u.RefetchWhole, true)
+	assertEqual(t, "anomalies", anomalyKinds(u.Anomalies), "[most servers are gone at once the whole list is empty]")
+	assertEqual(t, "refetch", u.RefetchWhole, true)
 	u = v.Apply(3*second, fullList(12, entry("a", serving, second), entry("b", serving, second)))
 	assertEqual(t, "they return", describeChanges(u.Changes), "[a serves b serves]")
 	v = fiveServerView()
@@ -101,36 +106,37 @@
 	assertEqual(t, "replaced in one list", u.RefetchWhole, false)
 }
 
-// A list from a backup: its bad news counts, what it brings back waits; a newer process, and what the old list
-// knew nothing of, does not.
+// A list restored from a backup: its drains and removals take effect, but servers that it brings back are held. Newer
+// processes and servers that are new to the node are not.
 func TestGenerationBackwards(t *testing.T) {
 	v := fiveServerView()
 	v.Apply(2*second, deltaList(20, entry("a", draining, second), entry("b", removed, second), entry("c", removed, second)))
 	u := v.Apply(3*second, fullList(8, entry("a", serving, second), entry("b", serving, second), entry("c", serving, 3*second),
 		entry("d", serving, second), entry("new", serving, second)))
 	assertEqual(t, "changes", describeChanges(u.Changes), "[c serves e gone new serves]")
-	assertEqual(t, "odd", anomalyKinds(u.Anomalies), "[an older list brings a server back the generation runs backwards]")
+	assertEqual(t, "anomalies", anomalyKinds(u.Anomalies), "[an older list brings a server back the generation runs backwards]")
 	at, ok := v.NextRelease()
-	assertEqual(t, "next", fmt.Sprint(at, ok), "33s true")
-	assertEqual(t, "before its time", describeChanges(v.ReleaseDue(32*second)), "[]")
-	// It counts on from there: no further doubt about what is told next.
+	assertEqual(t, "next release", fmt.Sprint(at, ok), "33s true")
+	assertEqual(t, "before the release", describeChanges(v.ReleaseDue(32*second)), "[]")
+	// The generation counts from there: the next list is no anomaly.
 	u = v.Apply(4*second, deltaList(9, entry("x", serving, second)))
-	assertEqual(t, "the next", describeChanges(u.Changes), "[x serves]")
-	assertEqual(t, "odd", u.Anomalies, "[]")
-	assertEqual(t, "in time", describeChanges(v.ReleaseDue(33*second)), "[a serves b serves]")
-	// A list above the highest generation settles it at once; bad news does too.
+	assertEqual(t, "the next list", describeChanges(u.Changes), "[x serves]")
+	assertEqual(t, "anomalies", u.Anomalies, "[]")
+	assertEqual(t, "at the release", describeChanges(v.ReleaseDue(33*second)), "[a serves b serves]")
+	// A list above the highest generation ends the hold at once, and so do drains and removals.
 	v = fiveServerView()
 	v.Apply(2*second, deltaList(20, entry("a", draining, second), entry("b", removed, second)))
 	v.Apply(3*second, fullList(8, entry("a", serving, second), entry("b", serving, second), entry("c", serving, second), entry("d", serving, second), entry("e", serving, second)))
 	u = v.Apply(4*second, deltaList(21, entry("a", serving, second), entry("b", draining, second)))
 	assertEqual(t, "above the highest", describeChanges(u.Changes), "[a serves b drains]")
-	assertEqual(t, "nothing waits", describeChanges(v.ReleaseDue(time.Hour)), "[]")
+	assertEqual(t, "nothing is held", describeChanges(v.ReleaseDue(time.Hour)), "[]")
 }
 
-// Two registries that disagree, asked in turns: what drains by one of them gets nothing but for the waits' ends.
-func TestTwoThatDisagree(t *testing.T) {
+// Two registries that disagree answer in turns: a server that drains according to one of them is not published as
+// serving.
+func TestTwoDisagreeingRegistries(t *testing.T) {
 	v := fiveServerView()
-	up := 0
+	servingSeconds := 0
 	for i := range 300 {
 		now := time.Duration(3+i) * second
 		if i%2 == 0 {
@@ -140,126 +146,128 @@
 		}
 		v.ReleaseDue(now)
 		if v.Health("a") == serving {
-			up++
+			servingSeconds++
 		}
 	}
-	if up > 0 {
-		t.Errorf("sent to in %d of 300 s", up)
+	if servingSeconds > 0 {
+		t.Errorf("published as serving in %d of 300 s", servingSeconds)
 	}
 }
 
-// The first two returns are believed at once, each further one waits longer; 30 s of calm clear it.
+// The first two returns of a server are admitted at once, and each further one is held for longer. Drains are never
+// held. After 30 s without a transition the count starts again.
 func TestFlapping(t *testing.T) {
 	v := fiveServerView()
 	g, now := uint64(10), second
-	flap := func() (wait time.Duration) {
+	flap := func() (delay time.Duration) {
 		g += 2
 		now += 100 * time.Millisecond
 		u := v.Apply(now, deltaList(g-1, entry("a", draining, second)))
 		if v.Health("a") != draining {
-			t.Fatalf("bad news waits: %v", u)
+			t.Fatalf("a drain is delayed: %v", u)
 		}
 		v.Apply(now, deltaList(g, entry("a", serving, second)))
 		if v.Health("a") == serving {
 			return 0
 		}
 		at, _ := v.NextRelease()
-		wait = at - now
+		delay = at - now
 		now = at
-		assertEqual(t, "in time", describeChanges(v.ReleaseDue(now)), "[a serves]")
-		return wait
+		assertEqual(t, "at the release", describeChanges(v.ReleaseDue(now)), "[a serves]")
+		return delay
 	}
-	var waits []time.Duration
+	var delays []time.Duration
 	for range 8 {
-		waits = append(waits, flap())
+		delays = append(delays, flap())
 	}
-	assertEqual(t, "waits", waits, "[0s 0s 2s 4s 8s 16s 30s 30s]")
+	assertEqual(t, "delays", delays, "[0s 0s 2s 4s 8s 16s 30s 30s]")
 	now += 31 * second
-	assertEqual(t, "after a calm", flap(), "0s")
-	// One that never settles is served to for most of the time, and none of its drains waits.
+	assertEqual(t, "after a stable period", flap(), "0s")
+	// A repeated report of a server that is serving is no change.
 	if u := v.Apply(now, deltaList(g+1, entry("a", serving, second))); len(u.Changes) > 0 {
-		t.Error("told again")
+		t.Error("an unchanged server is published again")
 	}
 }
 
 func TestDuplicatesAndConflicts(t *testing.T) {
 	v := fiveServerView()
 	u := v.Apply(2*second, deltaList(11, entry("a", serving, second), entry("a", draining, second), entry("b", removed, second), entry("b", serving, 2*second)))
-	assertEqual(t, "worse news, newer process", describeChanges(u.Changes), "[a drains b serves]")
-	assertEqual(t, "odd", anomalyKinds(u.Anomalies), "[a server stands in one list twice]")
-	// Two at one address: the newer process has it, until it goes.
+	assertEqual(t, "drain, newer process", describeChanges(u.Changes), "[a drains b serves]")
+	assertEqual(t, "anomalies", anomalyKinds(u.Anomalies), "[a server stands in one list twice]")
+	// Of two servers at one address the newer process is published until it is removed.
 	at := func(id string, h decide.Health, started time.Duration) Entry {
 		e := entry(id, h, started)
 		e.Address = "c:1"
 		return e
 	}
 	u = v.Apply(3*second, deltaList(12, at("new", serving, 3*second)))
-	assertEqual(t, "the newer", describeChanges(u.Changes), "[c drains new serves]")
-	assertEqual(t, "odd", anomalyKinds(u.Anomalies), "[two servers are said to be at one address]")
+	assertEqual(t, "the newer process", describeChanges(u.Changes), "[c drains new serves]")
+	assertEqual(t, "anomalies", anomalyKinds(u.Anomalies), "[two servers are said to be at one address]")
 	u = v.Apply(3*second, deltaList(13, at("old", serving, second/2)))
-	assertEqual(t, "the older", describeChanges(u.Changes), "[old drains]")
+	assertEqual(t, "the older process", describeChanges(u.Changes), "[old drains]")
 	u = v.Apply(4*second, deltaList(14, at("new", removed, 3*second)))
 	if n := len(u.Changes); n < 2 || v.Health("new") != removed {
-		t.Errorf("once it has gone: %v", describeChanges(u.Changes))
+		t.Errorf("after the removal: %v", describeChanges(u.Changes))
 	}
-	// Where starts are not known, both stay.
+	// If start times are unknown, both stay.
 	v = fiveServerView()
 	u = v.Apply(3*second, deltaList(12, at("same", serving, 0)))
-	assertEqual(t, "unknown start", describeChanges(u.Changes), "[same serves]")
+	assertEqual(t, "unknown start time", describeChanges(u.Changes), "[same serves]")
 }
 
-func TestBoundOnTheGone(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	v := New(Settings{MaxTombstones: 10})
 	for i := range 1000 {
 		id := fmt.Sprint("x", i)
 		v.Apply(second, deltaList(uint64(2*i+1), entry(id, serving, second)))
 		v.Apply(second, deltaList(uint64(2*i+2), entry(id, removed, second)))
 	}
-	assertEqual(t, "rows", v.Len(), 10)
+	assertEqual(t, "records", v.Len(), 10)
 }
 
-// Whatever lists come: bad news is out in the same call; what is passed on is what a list says, or worse; all good
-// news is believed within the stated bound; counts hold. Two lists in one second may tell anything.
+// For arbitrary lists: drains and removals are published in the same call; a published health is the listed one or
+// one further from serving; a server that stays listed as serving is published within MaxDelay; the counts are right.
+// Two lists within a second may contradict each other.
 func TestAnyLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := New(Settings{})
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		now := time.Duration(0)
-		passed := map[string]Entry{} // as the loop has them
-		last := map[string]Entry{}   // by the newest list
+		published := map[string]Entry{} // what the event loop has been given
+		last := map[string]Entry{}      // as reported by the newest list
 		since := map[string]time.Duration{}
-		take := func(changes []Entry) {
+		apply := func(changes []Entry) {
 			for _, e := range changes {
-				if passed[e.ID] = e; e.Health == removed {
-					delete(passed, e.ID)
+				if published[e.ID] = e; e.Health == removed {
+					delete(published, e.ID)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "lists") {
 			now += time.Duration(rng.IntN(5000)) * time.Millisecond
-			take(v.ReleaseDue(now))
+			apply(v.ReleaseDue(now))
 			l := &List{Generation: uint64(rng.IntN(40)), Whole: rng.IntN(3) == 0}
-			told := map[string][]Entry{}
+			listed := map[string][]Entry{}
 			for range rng.IntN(8) {
 				e := entry(string(rune('a'+rng.IntN(6))), decide.Health(rng.IntN(3)), time.Duration(rng.IntN(3))*second)
 				if rng.IntN(6) == 0 {
 					e.Address = "shared:1"
 				}
 				l.Entries = append(l.Entries, e)
-				told[e.ID] = append(told[e.ID], e)
+				listed[e.ID] = append(listed[e.ID], e)
 			}
-			take(v.Apply(now, l).Changes)
+			apply(v.Apply(now, l).Changes)
 			if l.Whole {
 				for id := range last {
-					if told[id] == nil {
+					if listed[id] == nil {
 						delete(last, id)
-						if _, ok := passed[id]; ok {
-							t.Fatalf("%s was left out of a whole list and is kept", id)
+						if _, ok := published[id]; ok {
+							t.Fatalf("%s is not in a whole list and is still published", id)
 						}
 					}
 				}
 			}
-			for id, all := range told {
+			for id, all := range listed {
 				best := all[0]
 				for _, e := range all[1:] {
 					if e.Started > best.Started || e.Started == best.Started && e.Health > best.Health {
@@ -270,64 +278,64 @@
 					since[id] = now
 				}
 				last[id] = best
-				if best.Health != serving && passed[id].ID != "" && passed[id].Health == serving {
-					t.Fatalf("%s is told %v and still served to", id, best.Health)
+				if best.Health != serving && published[id].ID != "" && published[id].Health == serving {
+					t.Fatalf("%s is listed as %v and still published as serving", id, best.Health)
 				}
 			}
-			serves := 0
-			for id, e := range passed {
+			servingCount := 0
+			for id, e := range published {
 				if e.Health == serving {
-					serves++
+					servingCount++
 					if last[id].Health != serving || last[id].ID == "" {
-						t.Fatalf("%s is served to and no list says so", id)
+						t.Fatalf("%s is published as serving and not listed as such", id)
 					}
 				}
 				if e.Health != v.Health(id) {
-					t.Fatalf("%s: passed on as %v, known as %v", id, e.Health, v.Health(id))
+					t.Fatalf("%s: published as %v, the view returns %v", id, e.Health, v.Health(id))
 				}
 			}
-			if serves != v.Serving() {
-				t.Fatalf("%d serve, counted %d", serves, v.Serving())
+			if servingCount != v.Serving() {
+				t.Fatalf("%d servers are published as serving, the view returns %d", servingCount, v.Serving())
 			}
 		}
-		// No further list: all that serves by the newest word is served to, or another has its address.
+		// Without further lists, every server that is listed as serving gets published, unless another has its address.
 		now += Settings{}.MaxDelay()
-		take(v.ReleaseDue(now))
+		apply(v.ReleaseDue(now))
 		if _, ok := v.NextRelease(); ok {
-			t.Fatal("something waits for longer than stated")
+			t.Fatal("a server is held for longer than MaxDelay")
 		}
 		for id, e := range last {
-			if e.Health != serving || passed[id].Health == serving && passed[id].ID != "" {
+			if e.Health != serving || published[id].Health == serving && published[id].ID != "" {
 				continue
 			}
-			taken := false
-			for other, x := range passed {
-				taken = taken || other != id && x.Health == serving && x.Address == v.records[id].Address
+			addressTaken := false
+			for other, x := range published {
+				addressTaken = addressTaken || other != id && x.Health == serving && x.Address == v.records[id].Address
 			}
-			if !taken {
-				t.Fatalf("%s serves by the newest list, and is not served to", id)
+			if !addressTaken {
+				t.Fatalf("%s is listed as serving and not published as such", id)
 			}
 		}
 	})
 }
 
-// A change costs the same at any number of servers.
+// The cost of a change must not depend on the number of servers.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			v := New(Settings{})
 			l := fullList(1)
 			for i := range n {
-				l.Entries = append(l.Entries, entry(fmt.Sprint("box-", i), serving, second))
+				l.Entries = append(l.Entries, entry(fmt.Sprint("server-", i), serving, second))
 			}
 			v.Apply(0, l)
 			g, now := uint64(1), time.Duration(0)
 			ids := make([]string, n)
 			for i := range ids {
-				ids[i] = fmt.Sprint("box-", i)
+				ids[i] = fmt.Sprint("server-", i)
 			}
 			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ { // 5% a second: each drains, goes, and comes again as a new process
+			for i := 0; b.Loop(); i++ { // 5% a second: each server drains, is removed, and returns as a new process
 				id := ids[i%n]
 				now += second / time.Duration(n/20)
 				g += 3
