--- a/internal/servers/endpoints/view_test.go
+++ b/internal/servers/endpoints/view_test.go
@@ -326,13 +326,13 @@
 			v := New(Settings{})
 			l := fullList(1)
 			for i := range n {
-				l.Entries = append(l.Entries, entry(fmt.Sprint("server-", i), serving, second))
+				l.Entries = append(l.Entries, entry(fmt.Sprint("srv-", i), serving, second))
 			}
 			v.Apply(0, l)
 			g, now := uint64(1), time.Duration(0)
 			ids := make([]string, n)
 			for i := range ids {
-				ids[i] = fmt.Sprint("server-", i)
+				ids[i] = fmt.Sprint("srv-", i)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ { // 5% a second: each server drains, is removed, and returns as a new process
--- a/internal/servers/serverdb/doc.go
+++ b/internal/servers/serverdb/doc.go
@@ -1,10 +1,11 @@
-// Package serverdb is what a node knows of its tier's servers over its restarts: the rows
-// of package store that tell of servers and of the list, and what they mean.
+// Package serverdb persists what a node knows of the servers of its tier, so that a restarted node can serve before
+// discovery answers. It defines the rows for servers and for the list as a whole in package store, and what they
+// mean.
 //
-// A Memory owns its store, and belongs to one goroutine, which is not the loop's. What the
-// loop has seen comes as Notes, the newest of each server; time comes in, wall time where
-// it must outlast the process. Times of a clock that cannot be right give no age, and
-// tombstones go by number alone.
+// A DB owns its store. It belongs to one goroutine, which must not be the event loop. The event loop passes in
+// Observations, the newest of each server. Times are passed in too, as wall time where they must outlast the process.
+// A timestamp from a wrong clock yields no age, and tombstones are ordered by sequence number only.
 //
-// It must not decide whether a server may be sent to: that is doubt's and the module's.
+// The package doesn't decide whether a request may be sent to a server; that is up to the packages stalelist and
+// decide.
 package serverdb
--- a/internal/servers/serverdb/memory.go
+++ b/internal/servers/serverdb/memory.go
@@ -11,7 +11,7 @@
 	"curlewring/internal/store"
 )
 
-// Tables of the store.
+// Table numbers in the store.
 const (
 	tableServers = 1
 	tableList    = 2
@@ -19,13 +19,13 @@
 
 const listKey = "list"
 
-// Settings bound a memory. The zero value of each field stands for its default.
+// Settings configure a DB. The zero value of a field selects its default.
 type Settings struct {
-	MaxTombstones    int           // tombstones; 4096
-	MaxServers       int           // rows besides; 20,000
-	ServedResolution time.Duration // between two times of serving that are told apart; 10 min
-	ConfirmInterval  time.Duration // between two confirmations; 1 min
-	WritesPerSecond  float64       // rows a second that are not urgent; 20
+	MaxTombstones    int           // rows of removed servers; default 4096
+	MaxServers       int           // other rows; default 20,000
+	ServedResolution time.Duration // LastServed is written if it has advanced by this much; default 10 min
+	ConfirmInterval  time.Duration // List.Confirmed is written if it has advanced by this much; default 1 min
+	WritesPerSecond  float64       // rate limit of row writes that are not urgent; default 20
 }
 
 func (s Settings) withDefaults() Settings {
@@ -35,93 +35,97 @@
 	return s
 }
 
-// writesBurst is how many seconds of writes may be saved up.
+// burstSeconds is how many seconds of the write rate limit can accumulate.
 const burstSeconds = 5
 
-// Note is what the loop tells of a server, the newest for each. Told is set where discovery has spoken.
+// Observation is the newest information of the event loop about a server. FromDiscovery is set if it contains what
+// discovery has reported; otherwise only LastServed is used.
 type Observation struct {
 	Server
 	FromDiscovery bool
 }
 
-// Memory is what a node knows over its restarts.
+// DB holds the persisted servers and the persisted list.
 type DB struct {
 	settings                         Settings
 	store                            *store.Store
 	rows                             map[string]*row
 	list                             List
-	tombstones                       []tombstone // in the order in which they went; some may have come back
-	lastTombstoneSeq, tombstoneCount int         // places given, and tombstones there are
-	digest                           uint64      // of what the list says, over all servers
-	tokens                           float64
+	tombstones                       []tombstone // in order of removal; some of the servers may have returned
+	lastTombstoneSeq, tombstoneCount int         // last sequence number in use, and number of removed servers
+	digest                           uint64      // of all servers as listed
+	tokens                           float64     // of the write rate limit
 	refilledAt                       time.Duration
-	pending                          map[string]struct{} // servers with something to write for which there were no tokens
+	pending                          map[string]struct{} // IDs of servers whose row waits for tokens
 	listPending                      bool
 	buffer                           []byte
 	droppedRows                      int // rows that did not fit
 }
 
+// row is a server with its state in the store.
 type row struct {
 	Server
-	written      Server // as the store has it
-	tombstoneSeq int    // among the gone; 0: it is not
+	written      Server // as last written to the store
+	tombstoneSeq int    // 0: not removed
 }
 
+// tombstone marks a removed server. seq gives the order of removal.
 type tombstone struct {
 	id  string
 	seq int
 }
 
-// Open reads what the store has. The notes are rows that it could not make sense of, a line each.
+// Open reads the contents of the store. The warnings name the rows that could not be decoded, one line each.
 func Open(s *store.Store, set Settings, now time.Duration) (*DB, []string) {
-	m := &DB{
+	db := &DB{
 		settings: set.withDefaults(), store: s, rows: map[string]*row{}, pending: map[string]struct{}{}, refilledAt: now,
 	}
-	m.tokens = m.settings.WritesPerSecond * burstSeconds
-	var notes []string
+	db.tokens = db.settings.WritesPerSecond * burstSeconds
+	var warnings []string
 	for _, id := range s.Keys(tableServers) {
-		x, err := decodeServer(id, s.Get(tableServers, id))
+		server, err := decodeServer(id, s.Get(tableServers, id))
 		if err != nil {
-			notes = append(notes, err.Error())
+			warnings = append(warnings, err.Error())
 			continue
 		}
-		m.rows[id] = &row{Server: x, written: x}
-		m.digest ^= x.digest()
+		db.rows[id] = &row{Server: server, written: server}
+		db.digest ^= server.digest()
 	}
-	for _, x := range slices.SortedFunc(maps.Values(m.rows), func(x, y *row) int {
+	for _, r := range slices.SortedFunc(maps.Values(db.rows), func(x, y *row) int {
 		return cmp.Or(x.StateSince.Compare(y.StateSince), strings.Compare(x.ID, y.ID))
 	}) {
-		m.addTombstone(x)
+		db.addTombstone(r)
 	}
 	if value := s.Get(tableList, listKey); value != nil {
 		var err error
-		if m.list, err = decodeList(value); err != nil {
-			notes = append(notes, err.Error())
+		if db.list, err = decodeList(value); err != nil {
+			warnings = append(warnings, err.Error())
 		}
-		// A row was lost or is older than the list's: what changed since that generation is not all that changed.
-		m.list.Consistent = err == nil && m.list.Digest == m.digest
+		// If the digests differ, a row is missing or belongs to another generation than the list. The changes since
+		// that generation would then be incomplete.
+		db.list.Consistent = err == nil && db.list.Digest == db.digest
 	}
-	return m, notes
+	return db, warnings
 }
 
-// Servers are all that are known, by id, gone ones included.
-func (m *DB) Servers() []Server {
-	all := make([]Server, 0, len(m.rows))
-	for _, k := range m.rows {
-		all = append(all, k.Server)
+// Servers returns all known servers including removed ones, sorted by ID.
+func (db *DB) Servers() []Server {
+	all := make([]Server, 0, len(db.rows))
+	for _, r := range db.rows {
+		all = append(all, r.Server)
 	}
 	slices.SortFunc(all, func(x, y Server) int { return strings.Compare(x.ID, y.ID) })
 	return all
 }
 
-// List is what is known of the list.
-func (m *DB) List() List { return m.list }
+// List returns what is known of the list.
+func (db *DB) List() List { return db.list }
 
-// Lost is how many rows did not fit.
-func (m *DB) DroppedRows() int { return m.droppedRows }
+// DroppedRows returns how many rows did not fit.
+func (db *DB) DroppedRows() int { return db.droppedRows }
 
-// Age is how old the list is, by wall time. It is not known where the list has no time, or one after now
-// by more than a minute: then a clock is wrong, and nobody can tell which.
+// Age returns the age of the list in wall time. It is unknown if the list has no time or one that is more than a
+// minute in the future: then a clock is wrong, and it is not known which one.
 func (l *List) Age(wall time.Time) (age time.Duration, known bool) {
 	if l.Confirmed.IsZero() {
 		return 0, false
@@ -133,193 +137,197 @@
 	return max(0, age), true
 }
 
-// Take takes what was seen since the last time. What discovery told of drains and ends is urgent.
-func (m *DB) Record(now time.Duration, notes []Observation) {
-	m.refillTokens(now)
-	for i := range notes {
-		m.recordOne(now, &notes[i])
+// Record stores what was observed since the last call. Drains and removals that discovery reported are written
+// urgently.
+func (db *DB) Record(now time.Duration, observations []Observation) {
+	db.refillTokens(now)
+	for i := range observations {
+		db.recordOne(now, &observations[i])
 	}
 }
 
-func (m *DB) recordOne(now time.Duration, n *Observation) {
-	k := m.rows[n.ID]
-	if k == nil {
-		if !n.FromDiscovery {
-			return // nobody has said that it exists
+// recordOne stores a single observation.
+func (db *DB) recordOne(now time.Duration, o *Observation) {
+	r := db.rows[o.ID]
+	if r == nil {
+		if !o.FromDiscovery {
+			return // discovery has never listed it
 		}
-		if len(m.rows)-m.tombstoneCount >= m.settings.MaxServers {
-			m.droppedRows++
+		if len(db.rows)-db.tombstoneCount >= db.settings.MaxServers {
+			db.droppedRows++
 			return
 		}
-		k = &row{}
-		m.rows[n.ID] = k
+		r = &row{}
+		db.rows[o.ID] = r
 	}
-	was := k.Server
-	if n.FromDiscovery {
-		served := k.LastServed
-		if n.Started > k.Started { // a new process, which has not served yet
+	before := r.Server
+	if o.FromDiscovery {
+		served := r.LastServed
+		if o.Started > r.Started { // a new process has not served yet
 			served = time.Time{}
 		}
-		changed := k.StateSince
-		if was.ID == "" || was.State != n.State {
-			changed = n.StateSince
+		changed := r.StateSince
+		if before.ID == "" || before.State != o.State {
+			changed = o.StateSince
 		}
-		k.Server = n.Server
-		k.LastServed, k.StateSince = served, changed
-		k.Started = max(k.Started, was.Started)
-		if k.Address == "" { // word of an end may name none
-			k.Address = was.Address
+		r.Server = o.Server
+		r.LastServed, r.StateSince = served, changed
+		r.Started = max(r.Started, before.Started)
+		if r.Address == "" { // a removal may come without an address
+			r.Address = before.Address
 		}
 	}
-	if !n.LastServed.IsZero() {
-		k.LastServed = n.LastServed
+	if !o.LastServed.IsZero() {
+		r.LastServed = o.LastServed
 	}
-	m.digest ^= was.digest() ^ k.digest()
-	if k.State != Gone && k.tombstoneSeq > 0 {
-		k.tombstoneSeq = 0
-		m.tombstoneCount--
+	db.digest ^= before.digest() ^ r.digest()
+	if r.State != Gone && r.tombstoneSeq > 0 {
+		r.tombstoneSeq = 0
+		db.tombstoneCount--
 	}
-	m.addTombstone(k)
-	urgent := n.FromDiscovery && k.State != Serving && (was.ID == "" || was.State != k.State)
-	if urgent || m.needsWrite(k) {
-		m.write(now, k, urgent)
+	db.addTombstone(r)
+	urgent := o.FromDiscovery && r.State != Serving && (before.ID == "" || before.State != r.State)
+	if urgent || db.needsWrite(r) {
+		db.write(now, r, urgent)
 	}
-	m.evictTombstones(now)
+	db.evictTombstones(now)
 }
 
-// matters tells whether a row differs from what is written by enough.
-func (m *DB) needsWrite(k *row) bool {
-	x, y := &k.Server, &k.written
-	if y.ID == "" || x.State != y.State || x.Address != y.Address || x.Zone != y.Zone || x.Cell != y.Cell ||
-		x.Started != y.Started || float32(x.Weight) != float32(y.Weight) {
+// needsWrite reports whether a row differs enough from what is written.
+func (db *DB) needsWrite(r *row) bool {
+	current, written := &r.Server, &r.written
+	if written.ID == "" || current.State != written.State || current.Address != written.Address ||
+		current.Zone != written.Zone || current.Cell != written.Cell ||
+		current.Started != written.Started || float32(current.Weight) != float32(written.Weight) {
 		return true
 	}
-	return x.LastServed.Sub(y.LastServed) >= m.settings.ServedResolution || y.LastServed.IsZero() != x.LastServed.IsZero()
+	return current.LastServed.Sub(written.LastServed) >= db.settings.ServedResolution ||
+		written.LastServed.IsZero() != current.LastServed.IsZero()
 }
 
-// write puts a row to the store, if there are tokens or it is urgent.
-func (m *DB) write(now time.Duration, k *row, urgent bool) {
-	if m.tokens < 1 && !urgent {
-		m.pending[k.ID] = struct{}{}
+// write puts a row into the store if it is urgent or a token is available. Otherwise the row becomes pending.
+func (db *DB) write(now time.Duration, r *row, urgent bool) {
+	if db.tokens < 1 && !urgent {
+		db.pending[r.ID] = struct{}{}
 		return
 	}
-	m.tokens = max(m.tokens-1, -m.settings.WritesPerSecond*burstSeconds)
-	m.buffer = k.encode(m.buffer[:0])
-	if _, err := m.store.Put(now, tableServers, k.ID, m.buffer, urgent); err != nil {
-		m.droppedRows++
+	db.tokens = max(db.tokens-1, -db.settings.WritesPerSecond*burstSeconds)
+	db.buffer = r.encode(db.buffer[:0])
+	if _, err := db.store.Put(now, tableServers, r.ID, db.buffer, urgent); err != nil {
+		db.droppedRows++
 		return
 	}
-	k.written = k.Server
-	delete(m.pending, k.ID)
+	r.written = r.Server
+	delete(db.pending, r.ID)
 }
 
-// entomb counts a server that is gone among those.
-func (m *DB) addTombstone(k *row) {
-	if k.State != Gone || k.tombstoneSeq > 0 {
+// addTombstone counts a server as removed, if it is and has no tombstone yet.
+func (db *DB) addTombstone(r *row) {
+	if r.State != Gone || r.tombstoneSeq > 0 {
 		return
 	}
-	m.lastTombstoneSeq++
-	k.tombstoneSeq = m.lastTombstoneSeq
-	m.tombstoneCount++
-	m.tombstones = append(m.tombstones, tombstone{k.ID, k.tombstoneSeq})
+	db.lastTombstoneSeq++
+	r.tombstoneSeq = db.lastTombstoneSeq
+	db.tombstoneCount++
+	db.tombstones = append(db.tombstones, tombstone{r.ID, r.tombstoneSeq})
 }
 
-// bury forgets those gone longest where there are too many.
-func (m *DB) evictTombstones(now time.Duration) {
-	for m.tombstoneCount > m.settings.MaxTombstones {
-		g := m.tombstones[0]
-		m.tombstones = m.tombstones[1:]
-		if k := m.rows[g.id]; k != nil && k.tombstoneSeq == g.seq {
-			m.tombstoneCount--
-			delete(m.rows, g.id)
-			delete(m.pending, g.id)
-			m.store.Delete(now, tableServers, g.id, false)
+// evictTombstones forgets the oldest removals beyond the limit.
+func (db *DB) evictTombstones(now time.Duration) {
+	for db.tombstoneCount > db.settings.MaxTombstones {
+		oldest := db.tombstones[0]
+		db.tombstones = db.tombstones[1:]
+		if r := db.rows[oldest.id]; r != nil && r.tombstoneSeq == oldest.seq {
+			db.tombstoneCount--
+			delete(db.rows, oldest.id)
+			delete(db.pending, oldest.id)
+			db.store.Delete(now, tableServers, oldest.id, false)
 		}
 	}
 }
 
-// Confirm takes word that discovery answered. Rate is what a server answers this node a second, 0 if that is
-// not known; servers are those that serve.
-func (m *DB) RecordConfirmation(now time.Duration, l List) {
-	m.refillTokens(now)
+// RecordConfirmation records that discovery answered. A ServerRate of 0 keeps the previous one.
+func (db *DB) RecordConfirmation(now time.Duration, l List) {
+	db.refillTokens(now)
 	if l.ServerRate == 0 {
-		l.ServerRate = m.list.ServerRate
+		l.ServerRate = db.list.ServerRate
 	}
-	old := m.list
-	m.list = l
+	old := db.list
+	db.list = l
 	if l.Generation != old.Generation || l.Discovery != old.Discovery ||
-		l.Confirmed.Sub(old.Confirmed) >= m.settings.ConfirmInterval || l.Confirmed.Before(old.Confirmed) {
-		m.listPending = true
+		l.Confirmed.Sub(old.Confirmed) >= db.settings.ConfirmInterval || l.Confirmed.Before(old.Confirmed) {
+		db.listPending = true
 	} else {
-		m.list.Confirmed = old.Confirmed
+		db.list.Confirmed = old.Confirmed
 	}
-	m.writeList(now)
+	db.writeList(now)
 }
 
-// flush writes the list's row.
-func (m *DB) writeList(now time.Duration) {
-	if !m.listPending || m.tokens < 1 {
+// writeList writes the row of the list if it is pending and a token is available.
+func (db *DB) writeList(now time.Duration) {
+	if !db.listPending || db.tokens < 1 {
 		return
 	}
-	m.tokens--
-	m.list.Digest, m.list.Consistent = m.digest, true
-	m.buffer = m.list.encode(m.buffer[:0])
-	if _, err := m.store.Put(now, tableList, listKey, m.buffer, false); err != nil {
-		m.droppedRows++
+	db.tokens--
+	db.list.Digest, db.list.Consistent = db.digest, true
+	db.buffer = db.list.encode(db.buffer[:0])
+	if _, err := db.store.Put(now, tableList, listKey, db.buffer, false); err != nil {
+		db.droppedRows++
 		return
 	}
-	m.listPending = false
+	db.listPending = false
 }
 
-// Catch writes what waited for tokens, as far as there are any now, and tells whether there is more.
-func (m *DB) WritePending(now time.Duration) (more bool) {
-	m.refillTokens(now)
-	m.writeList(now)
-	for id := range m.pending {
-		if m.tokens < 1 {
+// WritePending writes pending rows as far as tokens are available, and reports whether some are left.
+func (db *DB) WritePending(now time.Duration) (more bool) {
+	db.refillTokens(now)
+	db.writeList(now)
+	for id := range db.pending {
+		if db.tokens < 1 {
 			break
 		}
-		if k := m.rows[id]; k != nil {
-			m.write(now, k, false)
+		if r := db.rows[id]; r != nil {
+			db.write(now, r, false)
 		}
-		delete(m.pending, id)
+		delete(db.pending, id)
 	}
-	return len(m.pending) > 0 || m.listPending
+	return len(db.pending) > 0 || db.listPending
 }
 
-func (m *DB) refillTokens(now time.Duration) {
-	m.tokens = min(m.tokens+m.settings.WritesPerSecond*(now-m.refilledAt).Seconds(), m.settings.WritesPerSecond*burstSeconds)
-	m.refilledAt = now
+// refillTokens adds the tokens of the time since the last call.
+func (db *DB) refillTokens(now time.Duration) {
+	db.tokens = min(db.tokens+db.settings.WritesPerSecond*(now-db.refilledAt).Seconds(), db.settings.WritesPerSecond*burstSeconds)
+	db.refilledAt = now
 }
 
-// Merge is the list that a starting node goes by: what the memory has, and what its configuration brings, which
-// may be the older. Of a server that both know the newer process counts, and of one process the worse news: what
-// was told drained or gone stays so over a restart.
-func Merge(known []Server, brought []Server) []Server {
-	at := make(map[string]int, len(known)+len(brought))
+// Merge combines the list in the DB with the one in the configuration, which may be older. If both know a server, the
+// newer process counts, and for the same process the state that is further from serving: a server that drained or was
+// removed stays so over a restart.
+func Merge(known []Server, configured []Server) []Server {
+	index := make(map[string]int, len(known)+len(configured))
 	all := slices.Clone(known)
 	for i := range all {
-		at[all[i].ID] = i
+		index[all[i].ID] = i
 	}
-	for _, x := range brought {
-		i, ok := at[x.ID]
+	for _, server := range configured {
+		i, ok := index[server.ID]
 		if !ok {
-			at[x.ID] = len(all)
-			all = append(all, x)
+			index[server.ID] = len(all)
+			all = append(all, server)
 			continue
 		}
-		y := &all[i]
-		if x.Started > y.Started {
-			*y = x
-		} else if x.Started == y.Started && x.State > y.State {
-			y.State = x.State
+		merged := &all[i]
+		if server.Started > merged.Started {
+			*merged = server
+		} else if server.Started == merged.Started && server.State > merged.State {
+			merged.State = server.State
 		}
 	}
 	slices.SortFunc(all, func(x, y Server) int { return strings.Compare(x.ID, y.ID) })
 	return all
 }
 
-// String is a server on one line.
+// String formats the server on one line.
 func (s Server) String() string {
 	text := fmt.Sprintf("%s %s at %s, zone %s, cell %d", s.ID, s.State, s.Address, s.Zone, s.Cell)
 	if !s.StateSince.IsZero() {
--- a/internal/servers/serverdb/row.go
+++ b/internal/servers/serverdb/row.go
@@ -9,16 +9,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is a server's state as discovery told it last.
+// State is the state of a server as last reported by discovery. Rows contain its number.
 type State byte
 
-// The states.
+// The states. A higher one is further from serving.
 const (
 	Serving State = iota
 	Draining
 	Gone
 )
 
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Serving:
@@ -31,7 +32,7 @@
 	return fmt.Sprintf("state %d", byte(s))
 }
 
-// Server is what is known of one. Times are wall times; the zero time: unknown.
+// Server is what is known of one server. A zero time is unknown.
 type Server struct {
 	ID         string
 	Address    string
@@ -39,31 +40,32 @@
 	Cell       int
 	Weight     float64
 	State      State
-	Started    time.Duration // since 1970, as discovery tells it; 0: unknown
-	StateSince time.Time     // when its state became what it is
-	LastServed time.Time     // when it last served, to ten minutes
+	Started    time.Duration // since 1970, as reported by discovery; 0: unknown
+	StateSince time.Time     // wall time of the last change of State
+	LastServed time.Time     // wall time of the last answer, at the resolution of Settings.ServedResolution
 }
 
 // List is what is known of the list as a whole.
 type List struct {
 	Generation   uint64
-	Discovery    string    // its address
-	Confirmed    time.Time // when discovery answered last, to a minute
-	ServerRate   float64   // answers a second of one server to this node; 0: unknown
-	ServingCount int       // that served then
-	Digest       uint64    // of what the list said of all servers
-	Consistent   bool      // the rows are those of this generation; not written
+	Discovery    string    // address
+	Confirmed    time.Time // wall time of the last answer of discovery, at the resolution of Settings.ConfirmInterval
+	ServerRate   float64   // answers per second of one server to this node; 0: unknown
+	ServingCount int       // number of serving servers at that time
+	Digest       uint64    // of all servers as listed
+	Consistent   bool      // the rows of the servers belong to this generation; not written
 }
 
-// rowVersion begins each value. Later versions append fields, and readers pass over what they
-// do not know; one that changes the meaning of a field takes a new table.
+// rowVersion is the first byte of each value. Later versions append fields, and readers skip unknown ones. A version
+// that changes the meaning of a field needs a new table.
 const rowVersion = 1
 
-// errShort says that a value ends too early.
-type truncatedError struct{ what string }
+// truncatedError reports that the value of a row is too short.
+type truncatedError struct{ rowName string }
 
-func (e truncatedError) Error() string { return "the value of " + e.what + " ends too early" }
+func (e truncatedError) Error() string { return "the row of " + e.rowName + " is truncated" }
 
+// toUnixMillis converts a time for a row. 0 stands for the zero time.
 func toUnixMillis(t time.Time) uint64 {
 	if t.IsZero() {
 		return 0
@@ -71,6 +73,7 @@
 	return uint64(max(1, t.UnixMilli()))
 }
 
+// fromUnixMillis is the inverse of toUnixMillis.
 func fromUnixMillis(ms uint64) time.Time {
 	if ms == 0 || ms > math.MaxInt64 {
 		return time.Time{}
@@ -78,66 +81,70 @@
 	return time.UnixMilli(int64(ms)).UTC()
 }
 
-func appendString(to []byte, text string) []byte {
-	return append(binary.AppendUvarint(to, uint64(len(text))), text...)
+// appendString appends a string with its length.
+func appendString(buffer []byte, text string) []byte {
+	return append(binary.AppendUvarint(buffer, uint64(len(text))), text...)
 }
 
-func appendFloat(to []byte, x float64) []byte {
-	return binary.LittleEndian.AppendUint32(to, math.Float32bits(float32(x)))
+// appendFloat appends a number as a 32-bit float.
+func appendFloat(buffer []byte, x float64) []byte {
+	return binary.LittleEndian.AppendUint32(buffer, math.Float32bits(float32(x)))
 }
 
-// encode appends a server's value.
-func (s *Server) encode(to []byte) []byte {
-	to = append(to, rowVersion, byte(s.State))
-	to = appendString(appendString(to, s.Address), s.Zone)
-	to = binary.AppendVarint(to, int64(s.Cell))
-	to = appendFloat(to, s.Weight)
-	to = binary.AppendVarint(to, s.Started.Milliseconds())
-	to = binary.AppendUvarint(to, toUnixMillis(s.StateSince))
-	return binary.AppendUvarint(to, toUnixMillis(s.LastServed))
+// encode appends the value of the row of a server.
+func (s *Server) encode(buffer []byte) []byte {
+	buffer = append(buffer, rowVersion, byte(s.State))
+	buffer = appendString(appendString(buffer, s.Address), s.Zone)
+	buffer = binary.AppendVarint(buffer, int64(s.Cell))
+	buffer = appendFloat(buffer, s.Weight)
+	buffer = binary.AppendVarint(buffer, s.Started.Milliseconds())
+	buffer = binary.AppendUvarint(buffer, toUnixMillis(s.StateSince))
+	return binary.AppendUvarint(buffer, toUnixMillis(s.LastServed))
 }
 
-// cursor reads a value. After its end everything is zero, and short is set.
+// decoder reads a value. Past its end, or after an invalid varint, it returns zero values and sets truncated.
 type decoder struct {
 	rest      []byte
 	truncated bool
 }
 
-func (c *decoder) take(n uint64) []byte {
-	if uint64(len(c.rest)) < n {
-		c.rest, c.truncated = nil, true
+// take returns the next n bytes, or nil if there are fewer.
+func (d *decoder) take(n uint64) []byte {
+	if uint64(len(d.rest)) < n {
+		d.rest, d.truncated = nil, true
 		return nil
 	}
-	part := c.rest[:n]
-	c.rest = c.rest[n:]
-	return part
+	taken := d.rest[:n]
+	d.rest = d.rest[n:]
+	return taken
 }
 
-func (c *decoder) byte() byte {
-	if b := c.take(1); b != nil {
+func (d *decoder) byte() byte {
+	if b := d.take(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (c *decoder) uvarint() uint64 { return readVarint(c, binary.Uvarint) }
-func (c *decoder) varint() int64   { return readVarint(c, binary.Varint) }
+func (d *decoder) uvarint() uint64 { return readVarint(d, binary.Uvarint) }
+func (d *decoder) varint() int64   { return readVarint(d, binary.Varint) }
 
-func readVarint[T int64 | uint64](c *decoder, number func([]byte) (T, int)) T {
-	v, n := number(c.rest)
+// readVarint reads an integer with a function of package binary.
+func readVarint[T int64 | uint64](d *decoder, decode func([]byte) (T, int)) T {
+	value, n := decode(d.rest)
 	if n <= 0 {
-		c.rest, c.truncated = nil, true
+		d.rest, d.truncated = nil, true
 		return 0
 	}
-	c.rest = c.rest[n:]
-	return v
+	d.rest = d.rest[n:]
+	return value
 }
 
-func (c *decoder) string() string { return string(c.take(c.uvarint())) }
+func (d *decoder) string() string { return string(d.take(d.uvarint())) }
 
-// float reads a number; one that is none of use is 0.
-func (c *decoder) float() float64 {
-	b := c.take(4)
+// float reads a number. An invalid one becomes 0.
+func (d *decoder) float() float64 {
+	b := d.take(4)
 	if b == nil {
 		return 0
 	}
@@ -148,77 +155,81 @@
 	return x
 }
 
+// maxMillis is the longest duration that fits a time.Duration.
 const maxMillis = math.MaxInt64 / int64(time.Millisecond)
 
-func (c *decoder) millis() time.Duration {
-	ms := c.varint()
+// millis reads a duration. An invalid one becomes 0.
+func (d *decoder) millis() time.Duration {
+	ms := d.varint()
 	if ms < 0 || ms > maxMillis {
 		return 0
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// digest is a hash of what the list says of a server. Of a set of them it is the exclusive or; who is gone is
-// not in it.
+// digest hashes what the list says of a server. The digest of a list is the exclusive or of those of its servers.
+// Removed servers are not part of it.
 func (s *Server) digest() uint64 {
 	if s.ID == "" || s.State == Gone {
 		return 0
 	}
-	var b [32]byte
-	to := binary.LittleEndian.AppendUint64(append(b[:0], byte(s.State)), uint64(s.Started.Milliseconds()))
-	to = binary.LittleEndian.AppendUint64(to, uint64(s.Cell))
-	var d xxhash.Digest
-	d.Reset()
-	d.Write(to)
+	var space [32]byte
+	buffer := binary.LittleEndian.AppendUint64(append(space[:0], byte(s.State)), uint64(s.Started.Milliseconds()))
+	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(s.Cell))
+	var hash xxhash.Digest
+	hash.Reset()
+	hash.Write(buffer)
 	for _, text := range [...]string{s.ID, s.Address, s.Zone} {
-		d.WriteString(text)
-		d.Write([]byte{0})
+		hash.WriteString(text)
+		hash.Write([]byte{0})
 	}
-	return d.Sum64()
+	return hash.Sum64()
 }
 
-// decodeServer reads a server's value.
+// decodeServer decodes the value of the row of a server.
 func decodeServer(id string, value []byte) (Server, error) {
-	c := decoder{rest: value}
-	if v := c.byte(); v == 0 {
-		return Server{}, fmt.Errorf("the value of %s has no version", id)
-	}
-	s := Server{ID: id, State: State(c.byte())}
-	s.Address, s.Zone = c.string(), c.string()
-	s.Cell, s.Weight = int(c.varint()), c.float()
-	s.Started = c.millis()
-	s.StateSince, s.LastServed = fromUnixMillis(c.uvarint()), fromUnixMillis(c.uvarint())
-	if c.truncated {
+	d := decoder{rest: value}
+	if v := d.byte(); v == 0 {
+		return Server{}, fmt.Errorf("the row of %s has no version", id)
+	}
+	s := Server{ID: id, State: State(d.byte())}
+	s.Address, s.Zone = d.string(), d.string()
+	s.Cell, s.Weight = int(d.varint()), d.float()
+	s.Started = d.millis()
+	s.StateSince, s.LastServed = fromUnixMillis(d.uvarint()), fromUnixMillis(d.uvarint())
+	if d.truncated {
 		return Server{}, truncatedError{id}
 	}
 	if s.State > Gone {
-		return Server{}, fmt.Errorf("the value of %s has a state %d", id, s.State)
+		return Server{}, fmt.Errorf("the row of %s has the unknown state %d", id, s.State)
 	}
 	return s, nil
 }
 
-func (l *List) encode(to []byte) []byte {
-	to = append(to, rowVersion)
-	to = binary.AppendUvarint(to, l.Generation)
-	to = appendString(to, l.Discovery)
-	to = binary.AppendUvarint(to, toUnixMillis(l.Confirmed))
-	to = appendFloat(to, l.ServerRate)
-	to = binary.AppendUvarint(to, uint64(max(0, l.ServingCount)))
-	return binary.LittleEndian.AppendUint64(to, l.Digest)
+// encode appends the value of the row of the list.
+func (l *List) encode(buffer []byte) []byte {
+	buffer = append(buffer, rowVersion)
+	buffer = binary.AppendUvarint(buffer, l.Generation)
+	buffer = appendString(buffer, l.Discovery)
+	buffer = binary.AppendUvarint(buffer, toUnixMillis(l.Confirmed))
+	buffer = appendFloat(buffer, l.ServerRate)
+	buffer = binary.AppendUvarint(buffer, uint64(max(0, l.ServingCount)))
+	return binary.LittleEndian.AppendUint64(buffer, l.Digest)
 }
 
+// decodeList decodes the value of the row of the list.
 func decodeList(value []byte) (List, error) {
-	c := decoder{rest: value}
-	if c.byte() == 0 {
-		return List{}, fmt.Errorf("the list's value has no version")
-	}
-	l := List{Generation: c.uvarint(), Discovery: c.string(), Confirmed: fromUnixMillis(c.uvarint()), ServerRate: c.float()}
-	n := c.uvarint()
-	digest := c.take(8)
-	if c.truncated {
+	d := decoder{rest: value}
+	if d.byte() == 0 {
+		return List{}, fmt.Errorf("the row of the list has no version")
+	}
+	l := List{Generation: d.uvarint(), Discovery: d.string(), Confirmed: fromUnixMillis(d.uvarint()), ServerRate: d.float()}
+	servingCount := d.uvarint()
+	digest := d.take(8)
+	if d.truncated {
 		return List{}, truncatedError{"the list"}
 	}
 	l.Digest = binary.LittleEndian.Uint64(digest)
-	l.ServingCount = int(min(n, math.MaxInt32))
+	l.ServingCount = int(min(servingCount, math.MaxInt32))
 	return l, nil
 }
--- a/internal/servers/stalelist/doc.go
+++ b/internal/servers/stalelist/doc.go
@@ -1,11 +1,11 @@
-// Package stalelist says which servers of an old list a starting node may try, while
-// discovery is silent.
+// Package stalelist determines which servers of an old list a starting node may try while discovery does not answer.
 //
-// Each server of a Table has a doubt, the odds that nothing of its tier is at its address any
-// more: by the list's age, by what trying others brought, in its rack above all, and by what
-// trying it brought. A few at a time are offered, each node its own few; what fails is taken
-// back, and the next comes. A young list is offered whole.
+// A Table estimates for each server the probability that it is gone, that is, that no server of its tier is at its
+// address any more. The estimate is based on the age of the list, on the results of attempts at other servers, above
+// all in the same rack, and on those of attempts at the server itself. The Table offers a few servers at a time, in a
+// different order on each node. A server that fails is withdrawn and replaced by the next one. A fresh list is
+// offered whole.
 //
-// It is pure. A Table belongs to the loop. It must not choose the server of a request: it says
-// which there are, and which of these are untried.
+// The package does no I/O and reads no clock. A Table belongs to the event loop. It doesn't choose the server of a
+// request: it determines which servers are available and which of them are untried.
 package stalelist
--- a/internal/servers/stalelist/table.go
+++ b/internal/servers/stalelist/table.go
@@ -11,16 +11,16 @@
 	"curlewring/decide"
 )
 
-// Settings bound a table. The zero value of each field but Node and Nodes stands for its default.
+// Settings configure a Table. The zero value of a field other than NodeName and NodeCount selects its default.
 type Settings struct {
-	NodeName          string        // its name: each node tries in an order of its own
-	NodeCount         int           // of the tier
-	MinOffered        int           // servers that a node keeps to; 8
-	DecayTime         time.Duration // age at which 1/e of a list are still there; 7.6 days: three fifths are gone after a week
-	FreshLimit        float64       // doubt by age up to which a list is offered whole; 0.05
-	DefaultAge        time.Duration // age that a list of unknown age is taken to have; 7 days
-	InitialRetryDelay time.Duration // a server that failed is tried again after this, doubled each time; 1 s
-	MaxRetryDelay     time.Duration // up to this; 60 s
+	NodeName          string        // each node tries the servers in an order of its own
+	NodeCount         int           // nodes of the tier
+	MinOffered        int           // minimum number of servers that a node uses; default 8
+	DecayTime         time.Duration // age at which 1/e of the servers are still there; default 7.6 days, so that three fifths are gone after a week
+	FreshLimit        float64       // a list is fresh up to this probability by age that a server is gone; default 0.05
+	DefaultAge        time.Duration // assumed if the age of the list is unknown; default 7 days
+	InitialRetryDelay time.Duration // until a failed server is tried again, doubled by each further failure; default 1 s
+	MaxRetryDelay     time.Duration // upper bound of that delay; default 60 s
 }
 
 func (s Settings) withDefaults() Settings {
@@ -31,104 +31,107 @@
 	return s
 }
 
-// Odds, as logarithms, by which what was seen moves a doubt.
+// Log-odds that results add to the estimate that a server is gone, and thresholds.
 const (
-	minPrior              = 0.01
+	minPrior              = 0.01 // bounds of the probability by age
 	maxPrior              = 0.95
 	connectFailureLogOdds = 4.0  // no connection
-	timeoutLogOdds        = 1.5  // an answer that did not come, or broke off
-	errorLogOdds          = 1.0  // an error: also one that is there may err
-	foreignAnswerLogOdds  = 3.0  // an answer that is none of this protocol
-	servedLogOdds         = -8.0 // the right answer
-	fleetWeight           = 0.5  // weight of what trying others brought
-	rackWeight            = 0.8  // and others in the same rack
-	maxTallyLogOdds       = 2.5  // that others can bring, either way
-	withdrawThreshold     = 0.9  // doubt from which a server is taken back
-	maxFreshFailures      = 4    // servers of a young list that fail, and more than answer: it is not young
+	timeoutLogOdds        = 1.5  // no answer, or an incomplete one
+	errorLogOdds          = 1.0  // an error, which servers that are there can return as well
+	foreignAnswerLogOdds  = 3.0  // an answer of another protocol
+	servedLogOdds         = -8.0 // a correct answer
+	fleetWeight           = 0.5  // weight of the results of other servers
+	rackWeight            = 0.8  // additional weight of servers in the same rack
+	maxTallyLogOdds       = 2.5  // limit of what the results of others add, in both directions
+	withdrawThreshold     = 0.9  // probability from which a server is withdrawn
+	maxFreshFailures      = 4    // a list is not fresh if this many servers fail, and more than answer
 	lookAhead             = 16   // servers among which the least doubtful is tried next
 )
 
-// Server is one of an old list.
+// Server is a server of the old list.
 type Server struct {
 	ID   string
-	Rack string // those that went may have gone together
+	Rack string // servers of one rack may have gone together
 }
 
-// Offer is a change of what the module may know.
+// Change is a change of the state of a server.
 type Change struct {
 	ID              string
 	State           State
 	GoneProbability float64
 }
 
-// Standing is what becomes of a server.
+// State is the state of a server in a Table.
 type State int
 
-// The standings.
+// The states.
 const (
 	Waiting   State = iota // not offered yet
-	Trying                 // offered, as untried and cold
+	Trying                 // offered as untried and cold
 	Proven                 // offered, and it has answered
-	Withdrawn              // taken back
+	Withdrawn              // failed, and may be tried again later
 )
 
+// candidate is a server of the list with what is known of it.
 type candidate struct {
 	Server
-	order         uint64
+	order         uint64 // rank among the servers, specific to the node
 	state         State
-	logOdds       float64 // of its own
-	withdrawals   int
-	retryAt       time.Duration // Out: not tried before
-	countedFailed bool          // counted in its rack and the fleet
-	countedProven bool          // the same
+	logOdds       float64       // from its own results
+	withdrawals   int           // number of times it was withdrawn
+	retryAt       time.Duration // if Withdrawn: not tried before this time
+	countedFailed bool          // counted as failed in the tallies
+	countedProven bool          // counted as proven in the tallies
 }
 
-// tally counts servers that failed and that answered, each once.
+// tally counts servers that failed and that answered, each server once.
 type tally struct{ failed, proven float64 }
 
-func (t *tally) logOdds(part float64) float64 {
-	return min(max(part*math.Log((t.failed+1)/(t.proven+1)), -maxTallyLogOdds), maxTallyLogOdds)
+// logOdds returns the log-odds that another server is gone, with a weight.
+func (t *tally) logOdds(weight float64) float64 {
+	return min(max(weight*math.Log((t.failed+1)/(t.proven+1)), -maxTallyLogOdds), maxTallyLogOdds)
 }
 
-// Table is what is doubted.
+// Table holds the estimates for the servers of a list.
 type Table struct {
 	settings     Settings
-	priorLogOdds float64 // odds by age
+	priorLogOdds float64 // by age
 	servers      map[string]*candidate
-	waiting      []*candidate // waiting, in this node's order
+	waiting      []*candidate // not offered yet, in the order of this node
 	fleet        tally
 	racks        map[string]*tally
 	trying       int
 	proven       int
-	fresh        bool // the list is young: all is offered
+	fresh        bool // all servers are offered
 	changes      []Change
-	nextRetry    time.Duration // when one that is out may be tried again; 0: never
+	nextRetry    time.Duration // when a withdrawn server may be tried again; 0: never
 }
 
-// ByAge is the doubt of an entry that nothing is known of but its list's age, from 0 to 1.
+// GoneProbability returns the probability, from 0 to 1, that a server is gone if only the age of its list is known.
 func (s Settings) GoneProbability(age time.Duration) float64 {
 	s = s.withDefaults()
 	return min(max(1-math.Exp(-max(0, age.Seconds())/s.DecayTime.Seconds()), minPrior), maxPrior)
 }
 
-// New returns a table of a list that is so old; where that is not known, known is false. Begin offers the first.
-func New(set Settings, age time.Duration, known bool, servers []Server) *Table {
-	set = set.withDefaults()
+// New returns a table for a list of a certain age, which counts only if known is set. OfferFirst offers the first
+// servers.
+func New(settings Settings, age time.Duration, known bool, servers []Server) *Table {
+	settings = settings.withDefaults()
 	if !known {
-		age = set.DefaultAge
+		age = settings.DefaultAge
 	}
-	p := set.GoneProbability(age)
+	p := settings.GoneProbability(age)
 	t := &Table{
-		settings: set, priorLogOdds: math.Log(p / (1 - p)), fresh: p <= set.FreshLimit,
+		settings: settings, priorLogOdds: math.Log(p / (1 - p)), fresh: p <= settings.FreshLimit,
 		servers: make(map[string]*candidate, len(servers)), racks: map[string]*tally{},
 	}
 	for _, s := range servers {
 		if t.servers[s.ID] != nil {
 			continue
 		}
-		x := &candidate{Server: s, order: xxhash.Sum64String(set.NodeName + "\x00" + s.ID)}
-		t.servers[s.ID] = x
-		t.waiting = append(t.waiting, x)
+		c := &candidate{Server: s, order: xxhash.Sum64String(settings.NodeName + "\x00" + s.ID)}
+		t.servers[s.ID] = c
+		t.waiting = append(t.waiting, c)
 		if t.racks[s.Rack] == nil {
 			t.racks[s.Rack] = &tally{}
 		}
@@ -139,10 +142,10 @@
 	return t
 }
 
-// Young tells whether the list is offered whole, as discovery last told it.
+// Fresh reports whether the list is offered whole, as discovery last reported it.
 func (t *Table) Fresh() bool { return t.fresh }
 
-// Doubt is the odds that a server is not there, as a part from 0 to 1; 1 for one that the table has not.
+// GoneProbability returns the probability, from 0 to 1, that a server is gone; 1 if it is not in the table.
 func (t *Table) GoneProbability(id string) float64 {
 	s := t.servers[id]
 	if s == nil {
@@ -151,12 +154,13 @@
 	return t.probability(s)
 }
 
+// probability is GoneProbability of a server in the table.
 func (t *Table) probability(s *candidate) float64 {
-	odds := t.priorLogOdds + s.logOdds + t.fleet.logOdds(fleetWeight) + t.racks[s.Rack].logOdds(rackWeight)
-	return 1 / (1 + math.Exp(-odds))
+	logOdds := t.priorLogOdds + s.logOdds + t.fleet.logOdds(fleetWeight) + t.racks[s.Rack].logOdds(rackWeight)
+	return 1 / (1 + math.Exp(-logOdds))
 }
 
-// Standing is what has become of a server.
+// State returns the state of a server. A server that is not in the table is Withdrawn.
 func (t *Table) State(id string) State {
 	if s := t.servers[id]; s != nil {
 		return s.state
@@ -164,19 +168,19 @@
 	return Withdrawn
 }
 
-// Counts are how many are tried, proven, and not offered now.
+// Counts returns how many servers are Trying, how many are Proven, and how many are not offered.
 func (t *Table) Counts() (trying, proven, rest int) {
 	return t.trying, t.proven, len(t.servers) - t.trying - t.proven
 }
 
-// Begin offers the first servers.
+// OfferFirst offers the first servers.
 func (t *Table) OfferFirst(now time.Duration) []Change {
 	t.changes = t.changes[:0]
 	t.offerMore(now)
 	return t.changes
 }
 
-// Due offers servers again that failed before, once it is time.
+// OfferDue offers withdrawn servers again whose retry delay is over.
 func (t *Table) OfferDue(now time.Duration) []Change {
 	t.changes = t.changes[:0]
 	if t.nextRetry > 0 && now >= t.nextRetry {
@@ -185,36 +189,36 @@
 	return t.changes
 }
 
-// Next is when Due has something to do, and false if never.
+// NextRetry returns when OfferDue has work to do next, and false if never.
 func (t *Table) NextRetry() (at time.Duration, ok bool) { return t.nextRetry, t.nextRetry > 0 }
 
-// Outcome takes how an attempt at a server ended.
+// RecordResult records the result of an attempt at a server and returns the changes that follow.
 func (t *Table) RecordResult(now time.Duration, id string, r decide.Result) []Change {
 	t.changes = t.changes[:0]
 	s := t.servers[id]
 	if s == nil || s.state == Waiting || s.state == Withdrawn {
 		return nil
 	}
-	odds := 0.0
+	logOdds := 0.0
 	switch r {
 	case decide.Served, decide.Rejected:
 		t.markProven(now, s)
 		return t.changes
 	case decide.ConnectFailed:
-		odds = connectFailureLogOdds
+		logOdds = connectFailureLogOdds
 	case decide.TimedOut, decide.ConnectionLost:
-		odds = timeoutLogOdds
+		logOdds = timeoutLogOdds
 	case decide.Errored:
-		odds = errorLogOdds
+		logOdds = errorLogOdds
 	case decide.Malformed:
-		odds = foreignAnswerLogOdds
+		logOdds = foreignAnswerLogOdds
 	default:
 		return nil
 	}
 	if s.state == Proven {
-		return nil // it is there; what ails it is the module's to judge
+		return nil // the server is there; its failures are handled by package decide
 	}
-	s.logOdds += odds
+	s.logOdds += logOdds
 	if t.probability(s) < withdrawThreshold && r != decide.ConnectFailed {
 		return nil
 	}
@@ -230,21 +234,21 @@
 	return t.changes
 }
 
-// turn ends the trust in a list that was taken for young: most that were sent to are not there. What has not
-// answered is untried from now on, and what failed is out.
+// distrust ends the special treatment of a list that was taken for fresh, because most servers that were tried are
+// gone. Servers that have not answered become untried, and failed ones are withdrawn.
 func (t *Table) distrust(now time.Duration) {
 	t.fresh = false
 	p := t.settings.GoneProbability(t.settings.DefaultAge)
 	t.priorLogOdds = math.Log(p / (1 - p))
 	t.waiting = t.waiting[:0]
-	var rest []*candidate
+	var unproven []*candidate
 	for _, s := range t.servers {
 		if s.state == Trying {
-			rest = append(rest, s)
+			unproven = append(unproven, s)
 		}
 	}
-	slices.SortFunc(rest, func(x, y *candidate) int { return cmp.Compare(x.order, y.order) })
-	for _, s := range rest {
+	slices.SortFunc(unproven, func(x, y *candidate) int { return cmp.Compare(x.order, y.order) })
+	for _, s := range unproven {
 		if s.countedFailed {
 			t.withdraw(now, s)
 			continue
@@ -257,7 +261,7 @@
 	t.offerMore(now)
 }
 
-// prove notes that a server is there.
+// markProven records that a server is there.
 func (t *Table) markProven(now time.Duration, s *candidate) {
 	s.logOdds = servedLogOdds
 	if s.state == Proven {
@@ -271,7 +275,7 @@
 	t.offerMore(now)
 }
 
-// count books what came of a server, once each way, the last word for it.
+// updateTallies counts a server as proven or failed. Only its latest result counts.
 func (t *Table) updateTallies(s *candidate, proven bool) {
 	if s.countedFailed {
 		t.fleet.failed--
@@ -291,7 +295,7 @@
 	}
 }
 
-// take takes a server back.
+// withdraw takes a server back and schedules its retry.
 func (t *Table) withdraw(now time.Duration, s *candidate) {
 	t.trying--
 	s.state = Withdrawn
@@ -301,13 +305,14 @@
 	t.changes = append(t.changes, Change{s.ID, Withdrawn, t.probability(s)})
 }
 
-// There is how many servers of the list are likely to be there.
+// EstimatedAlive returns how many servers of the list are probably there.
 func (t *Table) EstimatedAlive() int {
 	fleet := 1 / (1 + math.Exp(-(t.priorLogOdds + t.fleet.logOdds(fleetWeight))))
 	return int(math.Ceil(float64(t.proven) + (1-fleet)*float64(len(t.servers)-t.proven)))
 }
 
-// want is how many servers may be offered: so many that the node's share of those that are there is among them.
+// maxOffered returns how many servers may be offered: enough to include the share of this node in those that are
+// there.
 func (t *Table) maxOffered() int {
 	if t.fresh {
 		return len(t.servers)
@@ -316,9 +321,10 @@
 	return min(len(t.servers), max(t.settings.MinOffered, share))
 }
 
-// fill offers further servers: never more untried ones at once than a few, or than have proved to be there.
+// offerMore offers further servers. The number of untried servers never exceeds the larger of MinOffered and the
+// number of proven ones.
 func (t *Table) offerMore(now time.Duration) {
-	t.nextRetry = 0 // with all places taken, the next look comes with the next that falls free
+	t.nextRetry = 0 // if no further server may be offered, the next change offers more
 	for t.trying+t.proven < t.maxOffered() && (t.fresh || t.trying < max(t.settings.MinOffered, t.proven)) {
 		s := t.nextCandidate(now)
 		if s == nil {
@@ -330,8 +336,8 @@
 	}
 }
 
-// next is the one to be tried now: the least doubtful of those that come next in line, and then those that
-// failed, once their time has come.
+// nextCandidate returns the server to try next: the one most likely to be there among the next in order, and after
+// those the withdrawn ones that are due.
 func (t *Table) nextCandidate(now time.Duration) *candidate {
 	if n := min(lookAhead, len(t.waiting)); n > 0 {
 		best := 0
@@ -346,20 +352,20 @@
 		return s
 	}
 	var due *candidate
-	later := time.Duration(0)
+	earliest := time.Duration(0)
 	for _, s := range t.servers {
 		switch {
 		case s.state != Withdrawn:
 		case s.retryAt > now:
-			if later == 0 || s.retryAt < later {
-				later = s.retryAt
+			if earliest == 0 || s.retryAt < earliest {
+				earliest = s.retryAt
 			}
 		case due == nil || s.retryAt < due.retryAt || s.retryAt == due.retryAt && s.order < due.order:
 			due = s
 		}
 	}
 	if due == nil {
-		t.nextRetry = later
+		t.nextRetry = earliest
 	}
 	return due
 }
