--- a/internal/servers/stalelist/table.go
+++ b/internal/servers/stalelist/table.go
@@ -16,10 +16,10 @@
 	NodeName          string        // each node tries the servers in an order of its own
 	NodeCount         int           // nodes of the tier
 	MinOffered        int           // minimum number of servers that a node uses; default 8
-	DecayTime         time.Duration // age at which 1/e of the servers are still there; default 7.6 days, so that three fifths are gone after a week
-	FreshLimit        float64       // a list is fresh up to this probability by age that a server is gone; default 0.05
+	DecayTime         time.Duration // age at which 1/e of the servers are left; default 182 h: after a week three fifths are gone
+	FreshLimit        float64       // a list is fresh if the probability by age is at most this; default 0.05
 	DefaultAge        time.Duration // assumed if the age of the list is unknown; default 7 days
-	InitialRetryDelay time.Duration // until a failed server is tried again, doubled by each further failure; default 1 s
+	InitialRetryDelay time.Duration // before a failed server is tried again, doubled by each further failure; default 1 s
 	MaxRetryDelay     time.Duration // upper bound of that delay; default 60 s
 }
 
@@ -33,8 +33,8 @@
 
 // Log-odds that results add to the estimate that a server is gone, and thresholds.
 const (
-	minPrior              = 0.01 // bounds of the probability by age
-	maxPrior              = 0.95
+	minPrior              = 0.01 // lower bound of the probability by age
+	maxPrior              = 0.95 // upper bound of the probability by age
 	connectFailureLogOdds = 4.0  // no connection
 	timeoutLogOdds        = 1.5  // no answer, or an incomplete one
 	errorLogOdds          = 1.0  // an error, which servers that are there can return as well
@@ -44,8 +44,8 @@
 	rackWeight            = 0.8  // additional weight of servers in the same rack
 	maxTallyLogOdds       = 2.5  // limit of what the results of others add, in both directions
 	withdrawThreshold     = 0.9  // probability from which a server is withdrawn
-	maxFreshFailures      = 4    // a list is not fresh if this many servers fail, and more than answer
-	lookAhead             = 16   // servers among which the least doubtful is tried next
+	maxFreshFailures      = 4    // a list is no longer fresh if this many servers fail, and more than answer
+	candidateWindow       = 16   // the next candidates in order, of which the least likely to be gone is tried first
 )
 
 // Server is a server of the old list.
@@ -75,7 +75,7 @@
 // candidate is a server of the list with what is known of it.
 type candidate struct {
 	Server
-	order         uint64 // rank among the servers, specific to the node
+	order         uint64 // hash that gives the order of this node
 	state         State
 	logOdds       float64       // from its own results
 	withdrawals   int           // number of times it was withdrawn
@@ -147,23 +147,23 @@
 
 // GoneProbability returns the probability, from 0 to 1, that a server is gone; 1 if it is not in the table.
 func (t *Table) GoneProbability(id string) float64 {
-	s := t.servers[id]
-	if s == nil {
+	c := t.servers[id]
+	if c == nil {
 		return 1
 	}
-	return t.probability(s)
+	return t.probability(c)
 }
 
 // probability is GoneProbability of a server in the table.
-func (t *Table) probability(s *candidate) float64 {
-	logOdds := t.priorLogOdds + s.logOdds + t.fleet.logOdds(fleetWeight) + t.racks[s.Rack].logOdds(rackWeight)
+func (t *Table) probability(c *candidate) float64 {
+	logOdds := t.priorLogOdds + c.logOdds + t.fleet.logOdds(fleetWeight) + t.racks[c.Rack].logOdds(rackWeight)
 	return 1 / (1 + math.Exp(-logOdds))
 }
 
 // State returns the state of a server. A server that is not in the table is Withdrawn.
 func (t *Table) State(id string) State {
-	if s := t.servers[id]; s != nil {
-		return s.state
+	if c := t.servers[id]; c != nil {
+		return c.state
 	}
 	return Withdrawn
 }
@@ -195,14 +195,14 @@
 // RecordResult records the result of an attempt at a server and returns the changes that follow.
 func (t *Table) RecordResult(now time.Duration, id string, r decide.Result) []Change {
 	t.changes = t.changes[:0]
-	s := t.servers[id]
-	if s == nil || s.state == Waiting || s.state == Withdrawn {
+	c := t.servers[id]
+	if c == nil || c.state == Waiting || c.state == Withdrawn {
 		return nil
 	}
 	logOdds := 0.0
 	switch r {
 	case decide.Served, decide.Rejected:
-		t.markProven(now, s)
+		t.markProven(now, c)
 		return t.changes
 	case decide.ConnectFailed:
 		logOdds = connectFailureLogOdds
@@ -215,100 +215,100 @@
 	default:
 		return nil
 	}
-	if s.state == Proven {
+	if c.state == Proven {
 		return nil // the server is there; its failures are handled by package decide
 	}
-	s.logOdds += logOdds
-	if t.probability(s) < withdrawThreshold && r != decide.ConnectFailed {
+	c.logOdds += logOdds
+	if t.probability(c) < withdrawThreshold && r != decide.ConnectFailed {
 		return nil
 	}
 	if t.fresh {
-		t.updateTallies(s, false)
+		t.updateTallies(c, false)
 		if t.fleet.failed >= maxFreshFailures && t.fleet.failed > t.fleet.proven {
 			t.distrust(now)
 		}
 		return t.changes
 	}
-	t.withdraw(now, s)
+	t.withdraw(now, c)
 	t.offerMore(now)
 	return t.changes
 }
 
 // distrust ends the special treatment of a list that was taken for fresh, because most servers that were tried are
-// gone. Servers that have not answered become untried, and failed ones are withdrawn.
+// gone. Servers that have not answered are taken back and become Waiting, and failed ones are withdrawn.
 func (t *Table) distrust(now time.Duration) {
 	t.fresh = false
 	p := t.settings.GoneProbability(t.settings.DefaultAge)
 	t.priorLogOdds = math.Log(p / (1 - p))
 	t.waiting = t.waiting[:0]
 	var unproven []*candidate
-	for _, s := range t.servers {
-		if s.state == Trying {
-			unproven = append(unproven, s)
+	for _, c := range t.servers {
+		if c.state == Trying {
+			unproven = append(unproven, c)
 		}
 	}
 	slices.SortFunc(unproven, func(x, y *candidate) int { return cmp.Compare(x.order, y.order) })
-	for _, s := range unproven {
-		if s.countedFailed {
-			t.withdraw(now, s)
+	for _, c := range unproven {
+		if c.countedFailed {
+			t.withdraw(now, c)
 			continue
 		}
 		t.trying--
-		s.state = Waiting
-		t.waiting = append(t.waiting, s)
-		t.changes = append(t.changes, Change{s.ID, Withdrawn, t.probability(s)})
+		c.state = Waiting
+		t.waiting = append(t.waiting, c)
+		t.changes = append(t.changes, Change{c.ID, Withdrawn, t.probability(c)})
 	}
 	t.offerMore(now)
 }
 
 // markProven records that a server is there.
-func (t *Table) markProven(now time.Duration, s *candidate) {
-	s.logOdds = servedLogOdds
-	if s.state == Proven {
+func (t *Table) markProven(now time.Duration, c *candidate) {
+	c.logOdds = servedLogOdds
+	if c.state == Proven {
 		return
 	}
-	s.state = Proven
+	c.state = Proven
 	t.trying--
 	t.proven++
-	t.updateTallies(s, true)
-	t.changes = append(t.changes, Change{s.ID, Proven, t.probability(s)})
+	t.updateTallies(c, true)
+	t.changes = append(t.changes, Change{c.ID, Proven, t.probability(c)})
 	t.offerMore(now)
 }
 
 // updateTallies counts a server as proven or failed. Only its latest result counts.
-func (t *Table) updateTallies(s *candidate, proven bool) {
-	if s.countedFailed {
+func (t *Table) updateTallies(c *candidate, proven bool) {
+	if c.countedFailed {
 		t.fleet.failed--
-		t.racks[s.Rack].failed--
+		t.racks[c.Rack].failed--
 	}
-	if s.countedProven {
+	if c.countedProven {
 		t.fleet.proven--
-		t.racks[s.Rack].proven--
+		t.racks[c.Rack].proven--
 	}
-	s.countedFailed, s.countedProven = !proven, proven
+	c.countedFailed, c.countedProven = !proven, proven
 	if proven {
 		t.fleet.proven++
-		t.racks[s.Rack].proven++
+		t.racks[c.Rack].proven++
 	} else {
 		t.fleet.failed++
-		t.racks[s.Rack].failed++
+		t.racks[c.Rack].failed++
 	}
 }
 
 // withdraw takes a server back and schedules its retry.
-func (t *Table) withdraw(now time.Duration, s *candidate) {
+func (t *Table) withdraw(now time.Duration, c *candidate) {
 	t.trying--
-	s.state = Withdrawn
-	s.retryAt = now + min(t.settings.InitialRetryDelay<<min(s.withdrawals, 16), t.settings.MaxRetryDelay)
-	s.withdrawals++
-	t.updateTallies(s, false)
-	t.changes = append(t.changes, Change{s.ID, Withdrawn, t.probability(s)})
+	c.state = Withdrawn
+	c.retryAt = now + min(t.settings.InitialRetryDelay<<min(c.withdrawals, 16), t.settings.MaxRetryDelay)
+	c.withdrawals++
+	t.updateTallies(c, false)
+	t.changes = append(t.changes, Change{c.ID, Withdrawn, t.probability(c)})
 }
 
 // EstimatedAlive returns how many servers of the list are probably there.
 func (t *Table) EstimatedAlive() int {
-	fleet := 1 / (1 + math.Exp(-(t.priorLogOdds + t.fleet.logOdds(fleetWeight))))
-	return int(math.Ceil(float64(t.proven) + (1-fleet)*float64(len(t.servers)-t.proven)))
+	goneProbability := 1 / (1 + math.Exp(-(t.priorLogOdds + t.fleet.logOdds(fleetWeight))))
+	return int(math.Ceil(float64(t.proven) + (1-goneProbability)*float64(len(t.servers)-t.proven)))
 }
 
 // maxOffered returns how many servers may be offered: enough to include the share of this node in those that are
@@ -326,42 +326,42 @@
 func (t *Table) offerMore(now time.Duration) {
 	t.nextRetry = 0 // if no further server may be offered, the next change offers more
 	for t.trying+t.proven < t.maxOffered() && (t.fresh || t.trying < max(t.settings.MinOffered, t.proven)) {
-		s := t.nextCandidate(now)
-		if s == nil {
+		c := t.nextCandidate(now)
+		if c == nil {
 			break
 		}
-		s.state = Trying
+		c.state = Trying
 		t.trying++
-		t.changes = append(t.changes, Change{s.ID, Trying, t.probability(s)})
+		t.changes = append(t.changes, Change{c.ID, Trying, t.probability(c)})
 	}
 }
 
 // nextCandidate returns the server to try next: the one most likely to be there among the next in order, and after
 // those the withdrawn ones that are due.
 func (t *Table) nextCandidate(now time.Duration) *candidate {
-	if n := min(lookAhead, len(t.waiting)); n > 0 {
+	if n := min(candidateWindow, len(t.waiting)); n > 0 {
 		best := 0
 		for i := 1; i < n; i++ {
 			if t.probability(t.waiting[i]) < t.probability(t.waiting[best]) {
 				best = i
 			}
 		}
-		s := t.waiting[best]
+		c := t.waiting[best]
 		copy(t.waiting[1:best+1], t.waiting[:best])
 		t.waiting = t.waiting[1:]
-		return s
+		return c
 	}
 	var due *candidate
 	earliest := time.Duration(0)
-	for _, s := range t.servers {
+	for _, c := range t.servers {
 		switch {
-		case s.state != Withdrawn:
-		case s.retryAt > now:
-			if earliest == 0 || s.retryAt < earliest {
-				earliest = s.retryAt
+		case c.state != Withdrawn:
+		case c.retryAt > now:
+			if earliest == 0 || c.retryAt < earliest {
+				earliest = c.retryAt
 			}
-		case due == nil || s.retryAt < due.retryAt || s.retryAt == due.retryAt && s.order < due.order:
-			due = s
+		case due == nil || c.retryAt < due.retryAt || c.retryAt == due.retryAt && c.order < due.order:
+			due = c
 		}
 	}
 	if due == nil {
