--- a/internal/servers/endpoints/confirm.go
+++ b/internal/servers/endpoints/confirm.go
@@ -33,8 +33,8 @@
 	Unreachable   FailureReason = iota // no connection, or an answer that can't be parsed
 	Overloaded                         // an HTTP error: discovery is down or has more calls than it can process
 	PollTimedOut                       // no answer to a long poll in time; the next poll starts at once
-	PollReset                          // the connection of an open long poll was closed, so the network delivers packets
-	PartialAnswer                      // the answer has begun but is incomplete; the node counts as notified of its changes
+	PollReset                          // the connection of an open long poll was closed: the network is up
+	PartialAnswer                      // the answer is incomplete; the node counts as notified of all of it
 )
 
 // String returns the name of the reason for logs.
--- a/internal/servers/endpoints/confirm_test.go
+++ b/internal/servers/endpoints/confirm_test.go
@@ -72,9 +72,9 @@
 		t.Errorf("an open poll after an answer confirms the list until %v", until)
 	}
 	for _, c := range []struct{ took, wait, age time.Duration }{
-		{30 * time.Second, 30 * time.Second, 0},                              // nothing has changed until the end of the wait
+		{30 * time.Second, 30 * time.Second, 0},                              // no change until the end of the wait
 		{30200 * time.Millisecond, 30 * time.Second, 200 * time.Millisecond}, // sent a little later
-		{20 * time.Second, 30 * time.Second, maxDiscoveryQueueTime},          // a change, which may have been in the queue
+		{20 * time.Second, 30 * time.Second, maxDiscoveryQueueTime},          // a change, possibly from the queue
 		{time.Second, 30 * time.Second, time.Second},                         // not older than the call
 		{time.Second, 0, time.Second},                                        // a whole list
 	} {
--- a/internal/servers/endpoints/pace_test.go
+++ b/internal/servers/endpoints/pace_test.go
@@ -63,9 +63,9 @@
 }
 
 // A call that timed out in the queue of a small fleet shows that discovery is slow, and the backoff gives the queue
-// time to clear. But the first call after the start leaves time for one more before the node counts as notified of
-// pending changes. If calls go on failing, the backoffs grow beyond what the few nodes of one tier need, as other
-// nodes call too.
+// time to clear. But the first backoff after the start leaves time for one more call before the node counts as
+// notified of pending changes. If calls go on failing, the backoffs grow beyond what the few nodes of one tier need,
+// as other nodes call too.
 func TestBackoffsOfASmallFleet(t *testing.T) {
 	position := FleetPosition{NodeIndex: 1, NodeCount: 3}
 	const wall, took = time.Hour, 2 * time.Second
--- a/internal/servers/endpoints/poll.go
+++ b/internal/servers/endpoints/poll.go
@@ -20,8 +20,8 @@
 	// answer came, and discovery may need most of that time for the next call. So a poll without an answer by then is
 	// lost.
 	pollAnswerMargin = 300 * time.Millisecond
-	// After a call that did not get through, the node counts as notified of everything that discovery has known for 6
-	// s. The next poll is a short probe that shows early whether calls get through and leaves time for one more.
+	// After a call that did not get through, the node counts as notified of each change that discovery has had for 6
+	// s. The next poll is a short probe: it shows early whether calls get through, and leaves time for one more.
 	probeWait    = 1500 * time.Millisecond
 	probeTimeout = 4 * time.Second // includes the time that the call may wait in the queue of discovery
 
@@ -38,7 +38,7 @@
 type FleetPosition struct {
 	NodeIndex, NodeCount int // number of the node in its tier, negative if unknown; and nodes of the tier
 	Tier                 int
-	ListObligation       time.Duration // a node without a watch must call again within this time of its last call; 0: no limit
+	ListObligation       time.Duration // without a watch, the longest time between two calls; 0: no limit
 	Pushed               bool          // lists come from an agent on the same machine, at no cost
 	Seed                 uint64
 }
@@ -71,8 +71,8 @@
 	return offset
 }
 
-// tierOffset returns the offset of the time slots of a tier: halfway between those of earlier tiers (van der Corput
-// sequence).
+// tierOffset returns the offset of the time slots of a tier: halfway between those of the tiers before it (van der
+// Corput sequence).
 func tierOffset(tier int) (offset float64) {
 	for half := 0.5; tier > 0; tier, half = tier/2, half/2 {
 		offset += float64(tier%2) * half
--- a/internal/servers/endpoints/view.go
+++ b/internal/servers/endpoints/view.go
@@ -12,7 +12,7 @@
 
 // Settings configure a View. The zero value of a field selects its default.
 type Settings struct {
-	LossFraction     float64       // refetch if one list removes more than this share of the serving servers; default 0.5
+	LossFraction     float64       // refetch if one list removes more than this share of what serves; default 0.5
 	MinLoss          int           // ... and at least this many; default 3
 	RollbackDelay    time.Duration // how long a server that returns in an older list is held back; default 30 s
 	FlapWindow       time.Duration // returns are counted until a server has been stable for this long; default 30 s
@@ -359,8 +359,8 @@
 		r.recordTransition(now, v.settings.FlapWindow)
 	}
 	address, started := r.Address, r.Started
-	was := r.published
-	if was == decide.Healthy {
+	previous := r.published
+	if previous == decide.Healthy {
 		v.removeFromServing(r)
 		r.published = decide.Draining // already taken out of the serving count
 	}
@@ -369,7 +369,7 @@
 		r.Address = address
 	}
 	r.Started = max(r.Started, started)
-	if was != e.Health {
+	if previous != e.Health {
 		v.publish(r, e.Health)
 	}
 	if e.Health == decide.Removed {
@@ -485,7 +485,7 @@
 	for len(v.tombstones) > v.settings.MaxTombstones {
 		oldest := v.tombstones[0]
 		v.tombstones = v.tombstones[1:]
-		if x := v.records[oldest.id]; x != nil && x.tombstoneSeq == oldest.seq {
+		if r := v.records[oldest.id]; r != nil && r.tombstoneSeq == oldest.seq {
 			delete(v.records, oldest.id)
 		}
 	}
--- a/internal/servers/endpoints/view_test.go
+++ b/internal/servers/endpoints/view_test.go
@@ -298,7 +298,7 @@
 				t.Fatalf("%d servers are published as serving, the view returns %d", servingCount, v.Serving())
 			}
 		}
-		// Without further lists, every server that is listed as serving gets published, unless another has its address.
+		// Without further lists, each server that is listed as serving gets published, unless another has its address.
 		now += Settings{}.MaxDelay()
 		apply(v.ReleaseDue(now))
 		if _, ok := v.NextRelease(); ok {
