--- a/internal/servers/endpoints/confirmation.go
+++ b/internal/servers/endpoints/confirmation.go
@@ -50,7 +50,7 @@
 type CallFailure struct {
 	Reason   FailureReason
 	Took     time.Duration
-	PollWait time.Duration // how long discovery was asked to wait for a change
+	PollWait time.Duration // how long the call let discovery wait for a change
 }
 
 // Confirmation tracks until when the list of a node counts as confirmed: until then the node counts as notified of no
--- a/internal/servers/endpoints/view.go
+++ b/internal/servers/endpoints/view.go
@@ -57,8 +57,8 @@
 	r.lastTransition = now
 }
 
-// View holds the state of the servers of a node's tier. "Published" is what its changes have told the event loop,
-// which can lag behind the newest list.
+// View holds the state of the servers of a node's tier. Its "published" state is what the event loop has received as
+// changes, which can lag behind the newest list.
 type View struct {
 	settings          Settings
 	records           map[string]*serverRecord
--- a/internal/servers/stalelist/table.go
+++ b/internal/servers/stalelist/table.go
@@ -16,7 +16,7 @@
 	NodeName          string        // each node tries the servers in an order of its own
 	NodeCount         int           // nodes of the tier
 	MinOffered        int           // minimum number of servers that a node uses; default 8
-	DecayTime         time.Duration // age at which 1/e of the servers are left; default 182 h, three fifths gone in a week
+	DecayTime         time.Duration // age at which 1/e of the servers are left; default 182 h: 3/5 gone in a week
 	FreshLimit        float64       // a list is fresh if the probability by age is at most this; default 0.05
 	DefaultAge        time.Duration // assumed if the age of the list is unknown; default 7 days
 	InitialRetryDelay time.Duration // before a failed server is tried again, doubled each time; default 1 s
