--- a/internal/servers/stalelist/table.go
+++ b/internal/servers/stalelist/table.go
@@ -11,16 +11,16 @@
 	"curlewring/decide"
 )
 
-// Settings bound a table. The zero value of each field but Node and Nodes stands for its default.
+// Settings configure a Table. The zero value of a field other than NodeName and NodeCount selects its default.
 type Settings struct {
-	NodeName          string        // its name: each node tries in an order of its own
-	NodeCount         int           // of the tier
-	MinOffered        int           // servers that a node keeps to; 8
-	DecayTime         time.Duration // age at which 1/e of a list are still there; 7.6 days: three fifths are gone after a week
-	FreshLimit        float64       // doubt by age up to which a list is offered whole; 0.05
-	DefaultAge        time.Duration // age that a list of unknown age is taken to have; 7 days
-	InitialRetryDelay time.Duration // a server that failed is tried again after this, doubled each time; 1 s
-	MaxRetryDelay     time.Duration // up to this; 60 s
+	NodeName          string        // each node tries the servers in an order of its own
+	NodeCount         int           // nodes of the tier
+	MinOffered        int           // minimum number of servers that a node uses; default 8
+	DecayTime         time.Duration // age at which 1/e of the servers are left; default 182 h: 3/5 gone in a week
+	FreshLimit        float64       // a list is fresh if the probability by age is at most this; default 0.05
+	DefaultAge        time.Duration // assumed if the age of the list is unknown; default 7 days
+	InitialRetryDelay time.Duration // before a failed server is tried again, doubled each time; default 1 s
+	MaxRetryDelay     time.Duration // upper bound of that delay; default 60 s
 }
 
 func (s Settings) withDefaults() Settings {
@@ -31,335 +31,341 @@
 	return s
 }
 
-// Odds, as logarithms, by which what was seen moves a doubt.
+// Log-odds that results add to the estimate that a server is gone, and thresholds.
 const (
-	leastPrior  = 0.01
-	mostPrior   = 0.95
-	refusedOdds = 4.0  // no connection
-	silentOdds  = 1.5  // an answer that did not come, or broke off
-	errorOdds   = 1.0  // an error: also one that is there may err
-	foreignOdds = 3.0  // an answer that is none of this protocol
-	servedOdds  = -8.0 // the right answer
-	fleetPart   = 0.5  // weight of what trying others brought
-	rackPart    = 0.8  // and others in the same rack
-	mostOdds    = 2.5  // that others can bring, either way
-	givenUp     = 0.9  // doubt from which a server is taken back
-	tooMany     = 4    // servers of a young list that fail, and more than answer: it is not young
-	lookAhead   = 16   // servers among which the least doubtful is tried next
+	minPrior              = 0.01 // lower bound of the probability by age
+	maxPrior              = 0.95 // upper bound of the probability by age
+	connectFailureLogOdds = 4.0  // no connection
+	timeoutLogOdds        = 1.5  // no answer, or an incomplete one
+	errorLogOdds          = 1.0  // an error, which servers that are there can return as well
+	foreignAnswerLogOdds  = 3.0  // an answer of another protocol
+	servedLogOdds         = -8.0 // a correct answer
+	fleetWeight           = 0.5  // weight of the results of other servers
+	rackWeight            = 0.8  // additional weight of servers in the same rack
+	maxTallyLogOdds       = 2.5  // limit of what the results of others add, in both directions
+	withdrawThreshold     = 0.9  // probability from which a server is withdrawn
+	maxFreshFailures      = 4    // a list is no longer fresh if this many servers fail, and more than answer
+	candidateWindow       = 16   // the next candidates in order, of which the least likely to be gone is tried first
 )
 
-// Server is one of an old list.
+// Server is a server of the old list.
 type Server struct {
 	ID   string
-	Rack string // those that went may have gone together
+	Rack string // servers of one rack may have gone together
 }
 
-// Offer is a change of what the module may know.
+// Change is a change of the state of a server.
 type Change struct {
 	ID              string
 	State           State
 	GoneProbability float64
 }
 
-// Standing is what becomes of a server.
+// State is the state of a server in a Table.
 type State int
 
-// The standings.
+// The states.
 const (
 	Waiting   State = iota // not offered yet
-	Trying                 // offered, as untried and cold
+	Trying                 // offered as untried and cold
 	Proven                 // offered, and it has answered
-	Withdrawn              // taken back
+	Withdrawn              // failed, and may be tried again later
 )
 
-type server struct {
+// candidate is a server of the list with what is known of it.
+type candidate struct {
 	Server
-	order  uint64
-	is     State
-	odds   float64 // of its own
-	fails  int
-	until  time.Duration // Out: not tried before
-	failed bool          // counted in its rack and the fleet
-	proved bool          // the same
+	order         uint64 // hash that gives the order of this node
+	state         State
+	logOdds       float64       // from its own results
+	withdrawals   int           // number of times it was withdrawn
+	retryAt       time.Duration // if Withdrawn: not tried before this time
+	countedFailed bool          // counted as failed in the tallies
+	countedProven bool          // counted as proven in the tallies
 }
 
-// tally counts servers that failed and that answered, each once.
+// tally counts servers that failed and that answered, each server once.
 type tally struct{ failed, proven float64 }
 
-func (t *tally) odds(part float64) float64 {
-	return min(max(part*math.Log((t.failed+1)/(t.proven+1)), -mostOdds), mostOdds)
+// logOdds returns the log-odds that another server is gone, with a weight.
+func (t *tally) logOdds(weight float64) float64 {
+	return min(max(weight*math.Log((t.failed+1)/(t.proven+1)), -maxTallyLogOdds), maxTallyLogOdds)
 }
 
-// Table is what is doubted.
+// Table holds the estimates for the servers of a list.
 type Table struct {
-	set     Settings
-	prior   float64 // odds by age
-	servers map[string]*server
-	line    []*server // waiting, in this node's order
-	fleet   tally
-	racks   map[string]*tally
-	trying  int
-	proven  int
-	whole   bool // the list is young: all is offered
-	out     []Change
-	wake    time.Duration // when one that is out may be tried again; 0: never
+	settings     Settings
+	priorLogOdds float64 // by age
+	servers      map[string]*candidate
+	waiting      []*candidate // not offered yet, in the order of this node
+	fleet        tally
+	racks        map[string]*tally
+	trying       int
+	proven       int
+	fresh        bool // all servers are offered
+	changes      []Change
+	nextRetry    time.Duration // when a withdrawn server may be tried again; 0: never
 }
 
-// ByAge is the doubt of an entry that nothing is known of but its list's age, from 0 to 1.
+// GoneProbability returns the probability, from 0 to 1, that a server is gone if only the age of its list is known.
 func (s Settings) GoneProbability(age time.Duration) float64 {
 	s = s.withDefaults()
-	return min(max(1-math.Exp(-max(0, age.Seconds())/s.DecayTime.Seconds()), leastPrior), mostPrior)
+	return min(max(1-math.Exp(-max(0, age.Seconds())/s.DecayTime.Seconds()), minPrior), maxPrior)
 }
 
-// New returns a table of a list that is so old; where that is not known, known is false. Begin offers the first.
-func New(set Settings, age time.Duration, known bool, servers []Server) *Table {
-	set = set.withDefaults()
+// New returns a table for a list of a certain age, which counts only if known is set. OfferFirst offers the first
+// servers.
+func New(settings Settings, age time.Duration, known bool, servers []Server) *Table {
+	settings = settings.withDefaults()
 	if !known {
-		age = set.DefaultAge
+		age = settings.DefaultAge
 	}
-	p := set.GoneProbability(age)
+	p := settings.GoneProbability(age)
 	t := &Table{
-		set: set, prior: math.Log(p / (1 - p)), whole: p <= set.FreshLimit,
-		servers: make(map[string]*server, len(servers)), racks: map[string]*tally{},
+		settings: settings, priorLogOdds: math.Log(p / (1 - p)), fresh: p <= settings.FreshLimit,
+		servers: make(map[string]*candidate, len(servers)), racks: map[string]*tally{},
 	}
 	for _, s := range servers {
 		if t.servers[s.ID] != nil {
 			continue
 		}
-		x := &server{Server: s, order: xxhash.Sum64String(set.NodeName + "\x00" + s.ID)}
-		t.servers[s.ID] = x
-		t.line = append(t.line, x)
+		c := &candidate{Server: s, order: xxhash.Sum64String(settings.NodeName + "\x00" + s.ID)}
+		t.servers[s.ID] = c
+		t.waiting = append(t.waiting, c)
 		if t.racks[s.Rack] == nil {
 			t.racks[s.Rack] = &tally{}
 		}
 	}
-	slices.SortFunc(t.line, func(x, y *server) int {
+	slices.SortFunc(t.waiting, func(x, y *candidate) int {
 		return cmp.Or(cmp.Compare(x.order, y.order), cmp.Compare(x.ID, y.ID))
 	})
 	return t
 }
 
-// Young tells whether the list is offered whole, as discovery last told it.
-func (t *Table) Fresh() bool { return t.whole }
+// Fresh reports whether the list is offered whole, as discovery last reported it.
+func (t *Table) Fresh() bool { return t.fresh }
 
-// Doubt is the odds that a server is not there, as a part from 0 to 1; 1 for one that the table has not.
+// GoneProbability returns the probability, from 0 to 1, that a server is gone; 1 if it is not in the table.
 func (t *Table) GoneProbability(id string) float64 {
-	s := t.servers[id]
-	if s == nil {
+	c := t.servers[id]
+	if c == nil {
 		return 1
 	}
-	return t.doubt(s)
+	return t.probability(c)
 }
 
-func (t *Table) doubt(s *server) float64 {
-	odds := t.prior + s.odds + t.fleet.odds(fleetPart) + t.racks[s.Rack].odds(rackPart)
-	return 1 / (1 + math.Exp(-odds))
+// probability is GoneProbability of a server in the table.
+func (t *Table) probability(c *candidate) float64 {
+	logOdds := t.priorLogOdds + c.logOdds + t.fleet.logOdds(fleetWeight) + t.racks[c.Rack].logOdds(rackWeight)
+	return 1 / (1 + math.Exp(-logOdds))
 }
 
-// Standing is what has become of a server.
+// State returns the state of a server. A server that is not in the table is Withdrawn.
 func (t *Table) State(id string) State {
-	if s := t.servers[id]; s != nil {
-		return s.is
+	if c := t.servers[id]; c != nil {
+		return c.state
 	}
 	return Withdrawn
 }
 
-// Counts are how many are tried, proven, and not offered now.
+// Counts returns how many servers are Trying, how many are Proven, and how many are not offered.
 func (t *Table) Counts() (trying, proven, rest int) {
 	return t.trying, t.proven, len(t.servers) - t.trying - t.proven
 }
 
-// Begin offers the first servers.
+// OfferFirst offers the first servers.
 func (t *Table) OfferFirst(now time.Duration) []Change {
-	t.out = t.out[:0]
-	t.fill(now)
-	return t.out
+	t.changes = t.changes[:0]
+	t.offerMore(now)
+	return t.changes
 }
 
-// Due offers servers again that failed before, once it is time.
+// OfferDue offers withdrawn servers again whose retry delay is over.
 func (t *Table) OfferDue(now time.Duration) []Change {
-	t.out = t.out[:0]
-	if t.wake > 0 && now >= t.wake {
-		t.fill(now)
+	t.changes = t.changes[:0]
+	if t.nextRetry > 0 && now >= t.nextRetry {
+		t.offerMore(now)
 	}
-	return t.out
+	return t.changes
 }
 
-// Next is when Due has something to do, and false if never.
-func (t *Table) NextRetry() (at time.Duration, ok bool) { return t.wake, t.wake > 0 }
+// NextRetry returns when OfferDue has work to do next, and false if never.
+func (t *Table) NextRetry() (at time.Duration, ok bool) { return t.nextRetry, t.nextRetry > 0 }
 
-// Outcome takes how an attempt at a server ended.
+// RecordResult records the result of an attempt at a server and returns the changes that follow.
 func (t *Table) RecordResult(now time.Duration, id string, r decide.Result) []Change {
-	t.out = t.out[:0]
-	s := t.servers[id]
-	if s == nil || s.is == Waiting || s.is == Withdrawn {
+	t.changes = t.changes[:0]
+	c := t.servers[id]
+	if c == nil || c.state == Waiting || c.state == Withdrawn {
 		return nil
 	}
-	odds := 0.0
+	logOdds := 0.0
 	switch r {
 	case decide.Served, decide.Rejected:
-		t.prove(now, s)
-		return t.out
+		t.markProven(now, c)
+		return t.changes
 	case decide.ConnectFailed:
-		odds = refusedOdds
+		logOdds = connectFailureLogOdds
 	case decide.TimedOut, decide.ConnectionLost:
-		odds = silentOdds
+		logOdds = timeoutLogOdds
 	case decide.Errored:
-		odds = errorOdds
+		logOdds = errorLogOdds
 	case decide.Malformed:
-		odds = foreignOdds
+		logOdds = foreignAnswerLogOdds
 	default:
 		return nil
 	}
-	if s.is == Proven {
-		return nil // it is there; what ails it is the module's to judge
+	if c.state == Proven {
+		return nil // the server is there; its failures are handled by package decide
 	}
-	s.odds += odds
-	if t.doubt(s) < givenUp && r != decide.ConnectFailed {
+	c.logOdds += logOdds
+	if t.probability(c) < withdrawThreshold && r != decide.ConnectFailed {
 		return nil
 	}
-	if t.whole {
-		t.count(s, false)
-		if t.fleet.failed >= tooMany && t.fleet.failed > t.fleet.proven {
-			t.turn(now)
+	if t.fresh {
+		t.updateTallies(c, false)
+		if t.fleet.failed >= maxFreshFailures && t.fleet.failed > t.fleet.proven {
+			t.distrust(now)
 		}
-		return t.out
+		return t.changes
 	}
-	t.take(now, s)
-	t.fill(now)
-	return t.out
+	t.withdraw(now, c)
+	t.offerMore(now)
+	return t.changes
 }
 
-// turn ends the trust in a list that was taken for young: most that were sent to are not there. What has not
-// answered is untried from now on, and what failed is out.
-func (t *Table) turn(now time.Duration) {
-	t.whole = false
-	p := t.set.GoneProbability(t.set.DefaultAge)
-	t.prior = math.Log(p / (1 - p))
-	t.line = t.line[:0]
-	var rest []*server
-	for _, s := range t.servers {
-		if s.is == Trying {
-			rest = append(rest, s)
+// distrust ends the special treatment of a list that was taken for fresh, because most servers that were tried are
+// gone. Servers that have not answered are taken back and become Waiting, and failed ones are withdrawn.
+func (t *Table) distrust(now time.Duration) {
+	t.fresh = false
+	p := t.settings.GoneProbability(t.settings.DefaultAge)
+	t.priorLogOdds = math.Log(p / (1 - p))
+	t.waiting = t.waiting[:0]
+	var unproven []*candidate
+	for _, c := range t.servers {
+		if c.state == Trying {
+			unproven = append(unproven, c)
 		}
 	}
-	slices.SortFunc(rest, func(x, y *server) int { return cmp.Compare(x.order, y.order) })
-	for _, s := range rest {
-		if s.failed {
-			t.take(now, s)
+	slices.SortFunc(unproven, func(x, y *candidate) int { return cmp.Compare(x.order, y.order) })
+	for _, c := range unproven {
+		if c.countedFailed {
+			t.withdraw(now, c)
 			continue
 		}
 		t.trying--
-		s.is = Waiting
-		t.line = append(t.line, s)
-		t.out = append(t.out, Change{s.ID, Withdrawn, t.doubt(s)})
+		c.state = Waiting
+		t.waiting = append(t.waiting, c)
+		t.changes = append(t.changes, Change{c.ID, Withdrawn, t.probability(c)})
 	}
-	t.fill(now)
+	t.offerMore(now)
 }
 
-// prove notes that a server is there.
-func (t *Table) prove(now time.Duration, s *server) {
-	s.odds = servedOdds
-	if s.is == Proven {
+// markProven records that a server is there.
+func (t *Table) markProven(now time.Duration, c *candidate) {
+	c.logOdds = servedLogOdds
+	if c.state == Proven {
 		return
 	}
-	s.is = Proven
+	c.state = Proven
 	t.trying--
 	t.proven++
-	t.count(s, true)
-	t.out = append(t.out, Change{s.ID, Proven, t.doubt(s)})
-	t.fill(now)
+	t.updateTallies(c, true)
+	t.changes = append(t.changes, Change{c.ID, Proven, t.probability(c)})
+	t.offerMore(now)
 }
 
-// count books what came of a server, once each way, the last word for it.
-func (t *Table) count(s *server, proven bool) {
-	if s.failed {
+// updateTallies counts a server as proven or failed. Only its latest result counts.
+func (t *Table) updateTallies(c *candidate, proven bool) {
+	if c.countedFailed {
 		t.fleet.failed--
-		t.racks[s.Rack].failed--
+		t.racks[c.Rack].failed--
 	}
-	if s.proved {
+	if c.countedProven {
 		t.fleet.proven--
-		t.racks[s.Rack].proven--
+		t.racks[c.Rack].proven--
 	}
-	s.failed, s.proved = !proven, proven
+	c.countedFailed, c.countedProven = !proven, proven
 	if proven {
 		t.fleet.proven++
-		t.racks[s.Rack].proven++
+		t.racks[c.Rack].proven++
 	} else {
 		t.fleet.failed++
-		t.racks[s.Rack].failed++
+		t.racks[c.Rack].failed++
 	}
 }
 
-// take takes a server back.
-func (t *Table) take(now time.Duration, s *server) {
+// withdraw takes a server back and schedules its retry.
+func (t *Table) withdraw(now time.Duration, c *candidate) {
 	t.trying--
-	s.is = Withdrawn
-	s.until = now + min(t.set.InitialRetryDelay<<min(s.fails, 16), t.set.MaxRetryDelay)
-	s.fails++
-	t.count(s, false)
-	t.out = append(t.out, Change{s.ID, Withdrawn, t.doubt(s)})
+	c.state = Withdrawn
+	c.retryAt = now + min(t.settings.InitialRetryDelay<<min(c.withdrawals, 16), t.settings.MaxRetryDelay)
+	c.withdrawals++
+	t.updateTallies(c, false)
+	t.changes = append(t.changes, Change{c.ID, Withdrawn, t.probability(c)})
 }
 
-// There is how many servers of the list are likely to be there.
+// EstimatedAlive returns how many servers of the list are probably there.
 func (t *Table) EstimatedAlive() int {
-	fleet := 1 / (1 + math.Exp(-(t.prior + t.fleet.odds(fleetPart))))
-	return int(math.Ceil(float64(t.proven) + (1-fleet)*float64(len(t.servers)-t.proven)))
+	goneProbability := 1 / (1 + math.Exp(-(t.priorLogOdds + t.fleet.logOdds(fleetWeight))))
+	return int(math.Ceil(float64(t.proven) + (1-goneProbability)*float64(len(t.servers)-t.proven)))
 }
 
-// want is how many servers may be offered: so many that the node's share of those that are there is among them.
-func (t *Table) want() int {
-	if t.whole {
+// maxOffered returns how many servers may be offered: enough to include the share of this node in those that are
+// there.
+func (t *Table) maxOffered() int {
+	if t.fresh {
 		return len(t.servers)
 	}
-	share := int(math.Ceil(float64(t.set.MinOffered*t.EstimatedAlive()) / float64(t.set.NodeCount)))
-	return min(len(t.servers), max(t.set.MinOffered, share))
+	share := int(math.Ceil(float64(t.settings.MinOffered*t.EstimatedAlive()) / float64(t.settings.NodeCount)))
+	return min(len(t.servers), max(t.settings.MinOffered, share))
 }
 
-// fill offers further servers: never more untried ones at once than a few, or than have proved to be there.
-func (t *Table) fill(now time.Duration) {
-	t.wake = 0 // with all places taken, the next look comes with the next that falls free
-	for t.trying+t.proven < t.want() && (t.whole || t.trying < max(t.set.MinOffered, t.proven)) {
-		s := t.next(now)
-		if s == nil {
+// offerMore offers further servers. The number of untried servers never exceeds the larger of MinOffered and the
+// number of proven ones.
+func (t *Table) offerMore(now time.Duration) {
+	t.nextRetry = 0 // if no further server may be offered, the next change offers more
+	for t.trying+t.proven < t.maxOffered() && (t.fresh || t.trying < max(t.settings.MinOffered, t.proven)) {
+		c := t.nextCandidate(now)
+		if c == nil {
 			break
 		}
-		s.is = Trying
+		c.state = Trying
 		t.trying++
-		t.out = append(t.out, Change{s.ID, Trying, t.doubt(s)})
+		t.changes = append(t.changes, Change{c.ID, Trying, t.probability(c)})
 	}
 }
 
-// next is the one to be tried now: the least doubtful of those that come next in line, and then those that
-// failed, once their time has come.
-func (t *Table) next(now time.Duration) *server {
-	if n := min(lookAhead, len(t.line)); n > 0 {
+// nextCandidate returns the server to try next: the one most likely to be there among the next in order, and after
+// those the withdrawn ones that are due.
+func (t *Table) nextCandidate(now time.Duration) *candidate {
+	if n := min(candidateWindow, len(t.waiting)); n > 0 {
 		best := 0
 		for i := 1; i < n; i++ {
-			if t.doubt(t.line[i]) < t.doubt(t.line[best]) {
+			if t.probability(t.waiting[i]) < t.probability(t.waiting[best]) {
 				best = i
 			}
 		}
-		s := t.line[best]
-		copy(t.line[1:best+1], t.line[:best])
-		t.line = t.line[1:]
-		return s
+		c := t.waiting[best]
+		copy(t.waiting[1:best+1], t.waiting[:best])
+		t.waiting = t.waiting[1:]
+		return c
 	}
-	var due *server
-	later := time.Duration(0)
-	for _, s := range t.servers {
+	var due *candidate
+	earliest := time.Duration(0)
+	for _, c := range t.servers {
 		switch {
-		case s.is != Withdrawn:
-		case s.until > now:
-			if later == 0 || s.until < later {
-				later = s.until
+		case c.state != Withdrawn:
+		case c.retryAt > now:
+			if earliest == 0 || c.retryAt < earliest {
+				earliest = c.retryAt
 			}
-		case due == nil || s.until < due.until || s.until == due.until && s.order < due.order:
-			due = s
+		case due == nil || c.retryAt < due.retryAt || c.retryAt == due.retryAt && c.order < due.order:
+			due = c
 		}
 	}
 	if due == nil {
-		t.wake = later
+		t.nextRetry = earliest
 	}
 	return due
 }
