--- a/internal/node/discovery/answer.go
+++ b/internal/node/discovery/answer.go
@@ -25,25 +25,25 @@
 func (e *PartialError) Unwrap() error { return e.Err }
 
 // read reads a list in discovery's form as it comes. Of an answer that breaks off the error is a PartialError.
-func read(r io.Reader) (*endpoints.List, error) {
-	d := decoder{json: json.NewDecoder(r)}
-	if err := d.list(); err != nil {
-		return nil, &PartialError{Unavailable: d.bad(), Err: err}
+func readList(r io.Reader) (*endpoints.List, error) {
+	d := listDecoder{json: json.NewDecoder(r)}
+	if err := d.decode(); err != nil {
+		return nil, &PartialError{Unavailable: d.unavailable(), Err: err}
 	}
-	return &d.read, nil
+	return &d.result, nil
 }
 
 // decoder reads a list entry by entry, so that no more of its text is held than one takes.
-type decoder struct {
-	json      *json.Decoder
-	read      endpoints.List
-	versioned bool // the generation has come
-	listed    bool // the instances have
+type listDecoder struct {
+	json          *json.Decoder
+	result        endpoints.List
+	hasGeneration bool // the generation has come
+	hasInstances  bool // the instances have
 }
 
 // bad lists what came of servers that drain or are gone.
-func (d *decoder) bad() (entries []endpoints.Entry) {
-	for _, e := range d.read.Entries {
+func (d *listDecoder) unavailable() (entries []endpoints.Entry) {
+	for _, e := range d.result.Entries {
 		if e.Health != decide.Healthy {
 			entries = append(entries, e)
 		}
@@ -52,8 +52,8 @@
 }
 
 // list reads the one object of an answer.
-func (d *decoder) list() error {
-	if err := d.expect('{'); err != nil {
+func (d *listDecoder) decode() error {
+	if err := d.readDelim('{'); err != nil {
 		return err
 	}
 	for d.json.More() {
@@ -61,11 +61,11 @@
 		if err != nil {
 			return fmt.Errorf("malformed list: %w", err)
 		}
-		if err := d.member(key); err != nil {
+		if err := d.readMember(key); err != nil {
 			return err
 		}
 	}
-	if err := d.expect('}'); err != nil {
+	if err := d.readDelim('}'); err != nil {
 		return err
 	}
 	switch extra, err := d.json.Token(); {
@@ -74,25 +74,25 @@
 	case !errors.Is(err, io.EOF):
 		return fmt.Errorf("malformed list: %w", err)
 	}
-	if !d.versioned || !d.listed {
+	if !d.hasGeneration || !d.hasInstances {
 		return errors.New("malformed list: no generation or no instances")
 	}
 	return nil
 }
 
 // member reads the value of a key.
-func (d *decoder) member(key json.Token) (err error) {
+func (d *listDecoder) readMember(key json.Token) (err error) {
 	switch key {
 	case "generation":
 		var generation *uint64
 		if err = d.json.Decode(&generation); generation != nil {
-			d.versioned, d.read.Generation = true, *generation
+			d.hasGeneration, d.result.Generation = true, *generation
 		}
 	case "reset":
-		err = d.json.Decode(&d.read.Whole)
+		err = d.json.Decode(&d.result.Whole)
 	case "instances":
-		d.listed = true
-		return d.instances()
+		d.hasInstances = true
+		return d.readInstances()
 	default:
 		var skipped json.RawMessage
 		err = d.json.Decode(&skipped)
@@ -104,11 +104,11 @@
 }
 
 // instances reads the servers.
-func (d *decoder) instances() error {
-	if err := d.expect('['); err != nil {
+func (d *listDecoder) readInstances() error {
+	if err := d.readDelim('['); err != nil {
 		return err
 	}
-	d.read.Entries = []endpoints.Entry{}
+	d.result.Entries = []endpoints.Entry{}
 	for d.json.More() {
 		var raw endpoints.Instance
 		if err := d.json.Decode(&raw); err != nil {
@@ -118,13 +118,13 @@
 		if err != nil {
 			return err
 		}
-		d.read.Entries = append(d.read.Entries, e)
+		d.result.Entries = append(d.result.Entries, e)
 	}
-	return d.expect(']')
+	return d.readDelim(']')
 }
 
 // expect reads a bracket.
-func (d *decoder) expect(want json.Delim) error {
+func (d *listDecoder) readDelim(want json.Delim) error {
 	got, err := d.json.Token()
 	if err != nil {
 		return fmt.Errorf("malformed list: %w", err)
--- a/internal/node/discovery/answer_test.go
+++ b/internal/node/discovery/answer_test.go
@@ -12,7 +12,7 @@
 
 // What is read as it comes must be what the whole text says, in all forms that discovery may write, and what is malformed as a
 // whole must be so here.
-func TestReadAgreesWithParse(t *testing.T) {
+func TestReadListAgreesWithParse(t *testing.T) {
 	const one = `{"instanceId":"a","hostPort":"127.0.0.1:1","zone":"a","machineType":"m","cell":1,"lifecycle":"SERVING","weight":1.5,"startedAtMs":7}`
 	for _, text := range []string{
 		ServerList(4, false, "127.0.0.1:1", "127.0.0.1:2 DRAINING", "127.0.0.1:3 DELETED"),
@@ -31,7 +31,7 @@
 		`[]`, `null`, `{}`, ``, `x`,
 	} {
 		whole, wrong := endpoints.Parse([]byte(text))
-		got, err := read(strings.NewReader(text))
+		got, err := readList(strings.NewReader(text))
 		if (err == nil) != (wrong == nil) || err == nil && !reflect.DeepEqual(got, whole) {
 			t.Errorf("%s\nread %+v, %v\nwant %+v, %v", text, got, err, whole, wrong)
 		}
@@ -42,11 +42,11 @@
 }
 
 // An answer that breaks off anywhere must never be taken for whole, and must tell each bad entry that came whole.
-func TestReadTellsWhatCame(t *testing.T) {
+func TestTruncatedListReportsUnavailableServers(t *testing.T) {
 	text := ServerList(4, true, "127.0.0.1:1 DRAINING", "127.0.0.1:2", "127.0.0.1:3 DELETED")
 	bad := 0
 	for n := range text {
-		l, err := read(strings.NewReader(text[:n]))
+		l, err := readList(strings.NewReader(text[:n]))
 		broken := (*PartialError)(nil)
 		if l != nil || !errors.As(err, &broken) {
 			t.Fatalf("%d bytes: %v, %v", n, l, err)
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -17,11 +17,11 @@
 )
 
 // place is that of the only node.
-func place() endpoints.FleetPosition { return endpoints.FleetPosition{NodeCount: 1} }
+func onlyNode() endpoints.FleetPosition { return endpoints.FleetPosition{NodeCount: 1} }
 
 // listsTo passes on what the module would be told of: lists, and nil for calls that failed. A silent long poll is none of
 // these.
-func listsTo(lists chan<- *endpoints.List) func(Update) {
+func forwardLists(lists chan<- *endpoints.List) func(Update) {
 	return func(u Update) {
 		if u.List != nil || u.Failure.Reason != endpoints.PollTimedOut {
 			lists <- u.List
@@ -30,7 +30,7 @@
 }
 
 // running keeps a watch from a generation on until stop.
-func running(t *testing.T, d *Client, since uint64) (stop func()) {
+func startWatch(t *testing.T, d *Client, since uint64) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -47,19 +47,19 @@
 // A watch that stays silent past its time is lost, and must begin anew at once from the same generation: the node would
 // else hear of nothing any more. The next poll must be one that proves itself. It is no failed call, after which the module
 // makes a pause: the poll has taken long enough.
-func TestSilentWatchBeginsAnew(t *testing.T) {
+func TestSilentWatchRestarts(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
+	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
 	losts := make(chan bool, 10)
-	watched.poll = func(_ time.Duration, lost bool) (wait, patience time.Duration) {
+	watched.pollTimes = func(_ time.Duration, lost bool) (wait, patience time.Duration) {
 		losts <- lost
 		if lost {
 			return 2 * WaitTimeout, 2 * WaitTimeout
 		}
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
-	stop := running(t, watched, 3)
+	stop := startWatch(t, watched, 3)
 	watched.SetWatch(true)
 	WaitFor(t, "the watch begins anew", func() bool { return d.Calls() == 2 })
 	if q := d.Query(1); !strings.HasPrefix(q, "since=3&") {
@@ -77,10 +77,10 @@
 // After a call that failed the next poll must be a short one: a network that swallows it too would else keep the node
 // from asking once more before what discovery knows counts as told. A call that is made anew as discovery has moved is
 // short as well, for the new address may be silent. One that was answered ends that.
-func TestPollsProveThemselvesAfterAFailure(t *testing.T) {
+func TestShortPollsAfterFailure(t *testing.T) {
 	d, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
+	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
 	waits := func(d *DiscoveryServer, call int) time.Duration {
 		t.Helper()
 		WaitFor(t, "a call comes", func() bool { return d.Calls() > call })
@@ -94,7 +94,7 @@
 		}
 		return time.Duration(ms) * time.Millisecond
 	}
-	stop := running(t, watched, 3)
+	stop := startWatch(t, watched, 3)
 	const short = 2 * time.Second
 	watched.SetWatch(true)
 	if got := waits(d, 0); got <= short {
@@ -126,12 +126,12 @@
 
 // A node that has a list and asks for the whole in doubt must not lose by that what it has: if the call fails, the next
 // one is for the changes, which costs discovery little and is answered sooner.
-func TestAWholeListInVainKeepsTheGeneration(t *testing.T) {
+func TestFailedWholeListKeepsGeneration(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
-	watched.queued = 0 // an early question does not wait for the first call to have left the queue
-	stop := running(t, watched, 7)
+	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
+	watched.queueTime = 0 // an early question does not wait for the first call to have left the queue
+	stop := startWatch(t, watched, 7)
 	watched.SetWatch(true)
 	WaitFor(t, "the watch begins", func() bool { return d.Calls() == 1 })
 	watched.RestartWatch(true)
@@ -153,11 +153,11 @@
 // the same generation, and the end of the call at the old one must not count as
 // a failed call, after which the module waits before it asks again. The old
 // address must get no further call.
-func TestWatchMovesWithDiscovery(t *testing.T) {
+func TestWatchFollowsAddressChange(t *testing.T) {
 	old, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
-	d := New(old.Listener.Addr().String(), place(), DiscardLogger(), listsTo(reports))
-	stop := running(t, d, 3)
+	d := New(old.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
+	stop := startWatch(t, d, 3)
 	d.SetWatch(true)
 	WaitFor(t, "the watch is at the old address", func() bool { return old.Calls() == 1 })
 	d.SetAddress(next.Listener.Addr().String())
@@ -198,7 +198,7 @@
 				io.WriteString(c, parts[0])
 				StreamForever(parts[1], sent)(c)
 			})
-			d := New(address, place(), DiscardLogger(), func(Update) {})
+			d := New(address, onlyNode(), DiscardLogger(), func(Update) {})
 			if l, err := d.call(t.Context(), "", WaitTimeout); err == nil {
 				t.Errorf("took %v for a list", l)
 			}
@@ -276,7 +276,7 @@
 // What discovery has written counts as told from then on. A watch that is made anew just then, as failing servers or a
 // new configuration want it, must not throw the answer away that is on its way: the new call may have to wait in turn for
 // longer than a node may go on sending. Either order is forced: half of the answer is written before, the rest after.
-func TestAnswersCrossCallsMadeAnew(t *testing.T) {
+func TestAnswersOfReplacedCalls(t *testing.T) {
 	for name, anew := range map[string]func(d *Client, next *heldServer){
 		"signs that the list is old": func(d *Client, _ *heldServer) { d.RestartWatch(false) },
 		"doubts of a list":           func(d *Client, _ *heldServer) { d.RestartWatch(true) },
@@ -285,9 +285,9 @@
 		t.Run(name, func(t *testing.T) {
 			s, next := newHeldServer(t), newHeldServer(t)
 			reports := make(chan *endpoints.List, 10)
-			d := New(s.address, place(), DiscardLogger(), listsTo(reports))
-			d.queued = 0 // an early question does not wait for the first call to have left the queue
-			stop := running(t, d, 3)
+			d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(reports))
+			d.queueTime = 0 // an early question does not wait for the first call to have left the queue
+			stop := startWatch(t, d, 3)
 			d.SetWatch(true)
 			first := s.call(t)
 			text := ServerList(4, false, "127.0.0.1:1 DRAINING")
@@ -322,13 +322,13 @@
 }
 
 // The call before must end soon after a newer one was answered, or a node would hold two at discovery for good.
-func TestOneCallIsLeftOfTwo(t *testing.T) {
+func TestPreviousCallIsCanceled(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 10)
-	d := New(s.address, place(), DiscardLogger(), listsTo(reports))
-	d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return time.Minute, 2 * WaitTimeout }
-	d.queued = 0 // as above
-	stop := running(t, d, 3)
+	d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(reports))
+	d.pollTimes = func(time.Duration, bool) (wait, patience time.Duration) { return time.Minute, 2 * WaitTimeout }
+	d.queueTime = 0 // as above
+	stop := startWatch(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
 	d.RestartWatch(false)
@@ -357,11 +357,11 @@
 // itself from the start, a call that the agent does not answer must be over within the grace of drains, and one that fails
 // must be made again at once. An agent is silent while discovery is down; that is told once, and not to the module again
 // and again for longer than it lasts.
-func TestPushedListsAreFollowed(t *testing.T) {
+func TestPushedLists(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 100)
-	d := New(s.address, endpoints.FleetPosition{NodeCount: 4, Pushed: true}, DiscardLogger(), listsTo(reports))
-	stop := running(t, d, 3)
+	d := New(s.address, endpoints.FleetPosition{NodeCount: 4, Pushed: true}, DiscardLogger(), forwardLists(reports))
+	stop := startWatch(t, d, 3)
 	for range 4 { // silent: each call ends by itself, and the next one comes
 		c := s.call(t)
 		ms, err := strconv.Atoi(strings.TrimPrefix(c.query, "since=3&timeout_ms="))
@@ -382,20 +382,20 @@
 	stop()
 	// How long a call that is not answered keeps the next one waiting: less than rule 3 gives, whatever came before.
 	for _, lost := range []bool{false, true} {
-		if wait, patience := d.poll(0, lost); wait > patience || patience+agentPause > 400*time.Millisecond {
-			t.Errorf("a poll waits %v, and is lost after %v and %v", wait, patience, agentPause)
+		if wait, patience := d.pollTimes(0, lost); wait > patience || patience+agentRetryPause > 400*time.Millisecond {
+			t.Errorf("a poll waits %v, and is lost after %v and %v", wait, patience, agentRetryPause)
 		}
 	}
 }
 
 // A watch is made anew, the new call fails, and the one before brings its answer after all: the module takes that for a watch
 // that goes on, and asks for nothing more. So it has to go on.
-func TestAnAnswerAfterAFailureGoesOn(t *testing.T) {
+func TestPreviousAnswerAfterFailureContinuesWatch(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 10)
-	d := New(s.address, place(), DiscardLogger(), listsTo(reports))
-	d.queued = 0 // as above
-	stop := running(t, d, 3)
+	d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(reports))
+	d.queueTime = 0 // as above
+	stop := startWatch(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
 	d.RestartWatch(false)
--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -15,29 +15,29 @@
 
 // A call that is out may still wait in discovery's queue: an early question must wait until it has left that, and then be
 // asked all the same.
-func TestEarlyQuestionWaitsForTheQueue(t *testing.T) {
+func TestRestartWaitsForQueueTime(t *testing.T) {
 	s := newHeldServer(t)
-	d := New(s.address, place(), DiscardLogger(), func(Update) {})
-	d.queued = 300 * time.Millisecond
-	stop := running(t, d, 3)
+	d := New(s.address, onlyNode(), DiscardLogger(), func(Update) {})
+	d.queueTime = 300 * time.Millisecond
+	stop := startWatch(t, d, 3)
 	defer stop()
 	begun := time.Now()
 	d.SetWatch(true)
 	s.call(t)
 	d.RestartWatch(false)
 	s.call(t)
-	if took := time.Since(begun); took < d.queued {
+	if took := time.Since(begun); took < d.queueTime {
 		t.Errorf("the second call came %v after the first", took)
 	}
 }
 
 // The end of the call that was in the queue answers the early question: no further call may go out for it.
-func TestAnAnswerEndsAnEarlyQuestion(t *testing.T) {
+func TestAnswerCancelsPendingRestart(t *testing.T) {
 	s := newHeldServer(t)
 	lists := make(chan *endpoints.List, 10)
-	d := New(s.address, place(), DiscardLogger(), listsTo(lists))
-	d.queued = 200 * time.Millisecond
-	stop := running(t, d, 3)
+	d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(lists))
+	d.queueTime = 200 * time.Millisecond
+	stop := startWatch(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
 	first := s.call(t)
@@ -49,20 +49,20 @@
 	select {
 	case c := <-s.calls:
 		t.Errorf("a further call %q", c.query)
-	case <-time.After(3 * d.queued):
+	case <-time.After(3 * d.queueTime):
 	}
 }
 
 // All nodes move with discovery at once: each must wait for a part of the time that the fleet needs. If the old address still
 // answers the watch must go on at once, as what changes after an answer counts as told.
-func TestMovesAreSpread(t *testing.T) {
+func TestAddressChangesAreSpread(t *testing.T) {
 	const spread = 400 * time.Millisecond
 	for _, answers := range []bool{false, true} {
 		old, next := newHeldServer(t), newHeldServer(t)
 		lists := make(chan *endpoints.List, 10)
-		d := New(old.address, place(), DiscardLogger(), listsTo(lists))
-		d.spread = func() time.Duration { return spread }
-		stop := running(t, d, 3)
+		d := New(old.address, onlyNode(), DiscardLogger(), forwardLists(lists))
+		d.moveDelay = func() time.Duration { return spread }
+		stop := startWatch(t, d, 3)
 		d.SetWatch(true)
 		first := old.call(t)
 		moved := time.Now()
@@ -84,7 +84,7 @@
 
 // An open long poll that is reset, as those of all nodes may be at once, must be followed by the next at the node's turn and not
 // at the module's bidding, and that one waits as long as any: the network has just delivered the reset.
-func TestResetPollComesBackInTurn(t *testing.T) {
+func TestPollResetWaitsForTurn(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	at := endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}
 	pause := endpoints.NewCallPacer(at).RecordReset()
 	watched := New(listener.Addr().String(), at, DiscardLogger(), func(u Update) { updates <- u })
-	stop := running(t, watched, 3)
+	stop := startWatch(t, watched, 3)
 	defer stop()
 	watched.SetWatch(true)
 	accept := func() (net.Conn, string) {
@@ -109,7 +109,7 @@
 		return c, request.URL.Query().Get("timeout_ms")
 	}
 	first, _ := accept()
-	time.Sleep(openLeast) // an open poll is one that has waited for a while: what it waits for is time itself
+	time.Sleep(minOpenTime) // an open poll is one that has waited for a while: what it waits for is time itself
 	if err := first.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
@@ -131,11 +131,11 @@
 
 // A call that discovery had no capacity for must be followed by the pace's pause, though the module asks sooner, and the node
 // must say why it failed. An answer must be followed by the next long poll at once.
-func TestOverloadedWatchPauses(t *testing.T) {
+func TestWatchPausesAfterOverload(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	updates := make(chan Update, 10)
-	watched := New(d.Listener.Addr().String(), place(), DiscardLogger(), func(u Update) { updates <- u })
-	stop := running(t, watched, 3)
+	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), func(u Update) { updates <- u })
+	stop := startWatch(t, watched, 3)
 	defer stop()
 	watched.SetWatch(true)
 	d.SendList(t, "") // 503
@@ -160,7 +160,7 @@
 // A long poll that is out for longer than discovery's queue lasts has been accepted: discovery has nothing newer, and the node
 // must hear so, as it may hear nothing else for a minute. A call for the whole list, a short poll that is late and one that has
 // ended say nothing of the kind.
-func TestOpenPollsAreAccepted(t *testing.T) {
+func TestOpenPollsAreReportedAccepted(t *testing.T) {
 	const accepted = 150 * time.Millisecond
 	for name, c := range map[string]struct {
 		wait   time.Duration
@@ -176,9 +176,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newHeldServer(t)
 			reports := make(chan Update, 10)
-			d := New(s.address, place(), DiscardLogger(), func(u Update) { reports <- u })
-			d.accepted = accepted
-			d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return c.wait, 2 * WaitTimeout }
+			d := New(s.address, onlyNode(), DiscardLogger(), func(u Update) { reports <- u })
+			d.acceptedAfter = accepted
+			d.pollTimes = func(time.Duration, bool) (wait, patience time.Duration) { return c.wait, 2 * WaitTimeout }
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -220,7 +220,7 @@
 // What discovery has begun to write counts as told, whether or not the rest comes. An answer that breaks off, stops coming or
 // can't be read further must be told as partial, with what it said of servers that drain or are gone; a poll's own time must not
 // cut one that goes on coming; and one that takes long must be told of before it is whole.
-func TestAnswersInPart(t *testing.T) {
+func TestPartialAnswers(t *testing.T) {
 	const half = `{"generation":4,"reset":false,"instances":[` +
 		`{"instanceId":"a","hostPort":"127.0.0.1:1","zone":"a","cell":1,"lifecycle":"DELETED","weight":1,"startedAtMs":0},` +
 		`{"instanceId":"b","hostPort":"127.0.0.1:2","zone":"a","cell":1,"lifecycle":"SERVING","weight":1,"startedAtMs":0},`
@@ -229,15 +229,21 @@
 		"broken off": func(t *testing.T, call heldCall) { call.write(t, "") },
 		"stopped":    func(t *testing.T, call heldCall) { <-call.done },
 		"unreadable": func(t *testing.T, call heldCall) { call.write(t, "!") },
-		"late":       func(t *testing.T, call heldCall) { time.Sleep(2 * answerGrace); call.write(t, rest); call.write(t, "") },
+		"late": func(t *testing.T, call heldCall) {
+			time.Sleep(2 * partialReportDelay)
+			call.write(t, rest)
+			call.write(t, "")
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newHeldServer(t)
 			reports := make(chan Update, 10)
-			d := New(s.address, place(), DiscardLogger(), func(u Update) { reports <- u })
-			d.poll = func(time.Duration, bool) (wait, patience time.Duration) { return answerGrace, answerGrace }
-			stop := running(t, d, 3)
+			d := New(s.address, onlyNode(), DiscardLogger(), func(u Update) { reports <- u })
+			d.pollTimes = func(time.Duration, bool) (wait, patience time.Duration) {
+				return partialReportDelay, partialReportDelay
+			}
+			stop := startWatch(t, d, 3)
 			defer stop()
 			d.SetWatch(true)
 			call := s.call(t)
@@ -262,13 +268,13 @@
 
 // In an overload a node with a short list must ask for the whole of it, as its pace has it, and leave the pace's pause after the
 // answer: that is reported, as the node hears nothing meanwhile.
-func TestOverloadedWatchAsksForTheWholeList(t *testing.T) {
+func TestOverloadedWatchFetchesWholeList(t *testing.T) {
 	s := newHeldServer(t)
 	updates := make(chan Update, 10)
 	d := New(s.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, DiscardLogger(), func(u Update) { updates <- u })
 	d.SetServerCount(3)
-	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: int(d.servers.Load())})
-	stop := running(t, d, 3)
+	d.pacer.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: int(d.serverCount.Load())})
+	stop := startWatch(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
 	call := s.call(t)
@@ -290,14 +296,14 @@
 
 // Discovery's old address may answer all nodes together once it has moved. In an overload the next call must wait for its turn all the
 // same: calls at once would time out in the new address's queue, and the nodes hear of nothing for seconds.
-func TestAnswersOfTheOldAddressDoNotEndPeriodicPauses(t *testing.T) {
+func TestOldAddressAnswersKeepPeriodicPauses(t *testing.T) {
 	const spread = 400 * time.Millisecond
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
 	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, DiscardLogger(), func(u Update) { updates <- u })
-	d.spread = func() time.Duration { return spread }
-	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
-	stop := running(t, d, 3)
+	d.moveDelay = func() time.Duration { return spread }
+	d.pacer.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
+	stop := startWatch(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
 	first := old.call(t)
@@ -316,13 +322,13 @@
 
 // While a node that asks once in a period pauses, a call of before may be all that it has out. What discovery writes on it counts as
 // told, so it must not be called off after the answer to a newer one: the next call may be 9 s away.
-func TestPeriodicPausesKeepTheCallBefore(t *testing.T) {
+func TestPeriodicPausesKeepPreviousCall(t *testing.T) {
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
 	d := New(old.address, endpoints.FleetPosition{NodeIndex: 1, NodeCount: 3}, DiscardLogger(), func(u Update) { updates <- u })
-	d.spread = func() time.Duration { return 0 }
-	d.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
-	stop := running(t, d, 3)
+	d.moveDelay = func() time.Duration { return 0 }
+	d.pacer.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: time.Second, AnsweredBefore: true, Servers: 3})
+	stop := startWatch(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
 	before := old.call(t)
@@ -333,7 +339,7 @@
 	if u := <-updates; u.List == nil || u.List.Generation != 4 {
 		t.Fatalf("reported %+v", u)
 	}
-	time.Sleep(2 * overlap) // what the fault waits for is time itself
+	time.Sleep(2 * callOverlap) // what the fault waits for is time itself
 	before.write(t, ServerList(5, true, "127.0.0.1:1 DRAINING"))
 	before.write(t, "")
 	select {
--- a/internal/node/discovery/size_test.go
+++ b/internal/node/discovery/size_test.go
@@ -11,13 +11,13 @@
 )
 
 // An answer above the bound is an error that names what was asked, where, and the bound.
-func TestTooLargeAnswerIsNamed(t *testing.T) {
+func TestOversizedAnswerError(t *testing.T) {
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		io.WriteString(w, strings.Repeat(" ", mostListSize+1))
+		io.WriteString(w, strings.Repeat(" ", maxListSize+1))
 	}))
 	defer service.Close()
 	address := service.Listener.Addr().String()
-	_, err := New(address, place(), DiscardLogger(), func(Update) {}).call(t.Context(), "?since=3", WaitTimeout)
+	_, err := New(address, onlyNode(), DiscardLogger(), func(Update) {}).call(t.Context(), "?since=3", WaitTimeout)
 	const want = "/v1/endpoints?since=3 is larger than 4194304 bytes"
 	if err == nil || !strings.Contains(err.Error(), address) || !strings.Contains(err.Error(), want) {
 		t.Errorf("%v, want %s ... %s", err, address, want)
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -13,44 +13,44 @@
 const (
 	// overlap is how long the call before goes on once a newer one has been answered: what discovery wrote on it at the
 	// same time has come by then.
-	overlap = 250 * time.Millisecond
+	callOverlap = 250 * time.Millisecond
 	// A call that is younger than this may still wait in discovery's queue: a second one beside it would only make the
 	// queue longer.
-	queued = 4 * time.Second
+	maxQueueTime = 4 * time.Second
 )
 
 // watch is a watch as RunWatch keeps it. It belongs to that goroutine.
-type watch struct {
+type watchLoop struct {
 	*Client
-	on, wanted bool
-	resting    bool    // until the pause ends no call begins
-	since      *uint64 // the generation that this node has; nil: none
-	whole      bool    // the next call is for the whole list all the same
-	lost       bool    // the last call did not get through, or discovery is new
+	active, wanted bool
+	pausing        bool    // until the pause ends no call begins
+	since          *uint64 // the generation that this node has; nil: none
+	wholeListNext  bool    // the next call is for the whole list all the same
+	unproven       bool    // the last call did not get through, or discovery is new
 
-	heard bool // discovery, since the watch began
+	everAnswered bool // discovery, since the watch began
 
-	newest *poll // nil: none is out
-	before *poll // one that was made anew: its answer may be on its way, and has counted as told since it was written
-	limit  *time.Timer
-	pause  *time.Timer // ends a pause before the next call
-	again  *time.Timer // ends the wait of an early question for the call that is out
-	kept   *time.Timer // tells that the newest call has been accepted
-	ended  chan ended
-	out    sync.WaitGroup
+	current       *pendingCall // nil: none is out
+	previous      *pendingCall // one that was made anew: its answer may be on its way, and has counted as told since it was written
+	previousTimer *time.Timer
+	pauseTimer    *time.Timer // ends a pause before the next call
+	restartTimer  *time.Timer // ends the wait of an early question for the call that is out
+	acceptedTimer *time.Timer // tells that the newest call has been accepted
+	results       chan callResult
+	calls         sync.WaitGroup
 }
 
 // poll is a call that is out.
-type poll struct {
-	whole  bool
-	since  *uint64
-	begun  time.Time
-	wait   time.Duration // for which discovery was asked to wait
-	cancel context.CancelFunc
+type pendingCall struct {
+	wholeList bool
+	since     *uint64
+	started   time.Time
+	pollWait  time.Duration // for which discovery was asked to wait
+	cancel    context.CancelFunc
 }
 
-type ended struct {
-	*poll
+type callResult struct {
+	*pendingCall
 	list *endpoints.List
 	err  error
 }
@@ -64,49 +64,49 @@
 // tried again at once.
 func (d *Client) RunWatch(ctx context.Context, since *uint64) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watch{Client: d, since: since, ended: make(chan ended), limit: time.NewTimer(0)}
-	w.pause, w.again, w.kept = stoppedTimer(), stoppedTimer(), stoppedTimer()
-	w.on, w.wanted = d.pushed, d.pushed
-	defer w.limit.Stop()
-	defer w.pause.Stop()
-	defer w.again.Stop()
-	defer w.kept.Stop()
-	defer w.out.Wait()
+	w := &watchLoop{Client: d, since: since, results: make(chan callResult), previousTimer: time.NewTimer(0)}
+	w.pauseTimer, w.restartTimer, w.acceptedTimer = stoppedTimer(), stoppedTimer(), stoppedTimer()
+	w.active, w.wanted = d.listsPushed, d.listsPushed
+	defer w.previousTimer.Stop()
+	defer w.pauseTimer.Stop()
+	defer w.restartTimer.Stop()
+	defer w.acceptedTimer.Stop()
+	defer w.calls.Wait()
 	defer cancel()
 	for {
 		at := d.service.Load()
-		if w.on && w.newest == nil {
-			w.begin(ctx, at)
+		if w.active && w.current == nil {
+			w.startCall(ctx, at)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case on := <-d.watch:
-			w.on, w.wanted = on && !w.resting, on
+		case on := <-d.watchWanted:
+			w.active, w.wanted = on && !w.pausing, on
 			if !on {
-				w.newest = w.callOff(w.newest)
-				w.before = w.callOff(w.before)
+				w.current = w.cancelCall(w.current)
+				w.previous = w.cancelCall(w.previous)
 			}
-		case whole := <-d.renew:
-			if w.newest != nil && w.newest.whole {
+		case whole := <-d.restartWatch:
+			if w.current != nil && w.current.wholeList {
 				continue // that is as much as can be asked for
 			}
-			w.whole = w.whole || whole
-			w.early()
-		case <-w.again.C:
-			w.early()
-		case <-at.left.Done():
-			w.move()
-		case e := <-w.ended:
-			w.take(e)
-		case <-w.kept.C:
-			if w.newest != nil && !w.newest.whole {
+			w.wholeListNext = w.wholeListNext || whole
+			w.restart()
+		case <-w.restartTimer.C:
+			w.restart()
+		case <-at.moved.Done():
+			w.handleMove()
+		case e := <-w.results:
+			w.handleResult(e)
+		case <-w.acceptedTimer.C:
+			if w.current != nil && !w.current.wholeList {
 				w.report(Update{PollAccepted: true})
 			}
-		case <-w.pause.C:
-			w.on, w.resting = w.wanted, false
-		case <-w.limit.C:
-			w.before = w.callOff(w.before)
+		case <-w.pauseTimer.C:
+			w.active, w.pausing = w.wanted, false
+		case <-w.previousTimer.C:
+			w.previous = w.cancelCall(w.previous)
 		}
 	}
 }
@@ -119,77 +119,81 @@
 }
 
 // begin makes the next call.
-func (w *watch) begin(ctx context.Context, at *service) {
-	if from := w.from.Swap(nil); w.since == nil {
+func (w *watchLoop) startCall(ctx context.Context, at *service) {
+	if from := w.resumeGeneration.Swap(nil); w.since == nil {
 		w.since = from
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	whole := w.whole || w.since == nil || w.pace.FetchesWholeList()
-	p := &poll{whole: whole, since: w.since, cancel: cancel, begun: time.Now()}
-	w.newest, w.whole = p, false
-	w.kept.Stop()
+	whole := w.wholeListNext || w.since == nil || w.pacer.FetchesWholeList()
+	p := &pendingCall{wholeList: whole, since: w.since, cancel: cancel, started: time.Now()}
+	w.current, w.wholeListNext = p, false
+	w.acceptedTimer.Stop()
 	var call func() (*endpoints.List, error)
 	switch {
 	case p.since == nil:
-		call = func() (*endpoints.List, error) { return w.Client.whole(ctx, w.ask(at), 0) }
-	case p.whole && w.pushed:
-		call = func() (*endpoints.List, error) { return w.Client.whole(ctx, w.ask(at), agentWhole) }
-	case p.whole:
-		call = func() (*endpoints.List, error) { return w.Client.whole(ctx, w.ask(at), wholeWait) }
+		call = func() (*endpoints.List, error) { return w.Client.fetchWholeList(ctx, w.fetchFrom(at), 0) }
+	case p.wholeList && w.listsPushed:
+		call = func() (*endpoints.List, error) {
+			return w.Client.fetchWholeList(ctx, w.fetchFrom(at), agentListTimeout)
+		}
+	case p.wholeList:
+		call = func() (*endpoints.List, error) {
+			return w.Client.fetchWholeList(ctx, w.fetchFrom(at), wholeListTimeout)
+		}
 	default:
-		wait, patience := w.poll(wallClock(), w.lost)
-		p.wait = wait
-		if !w.pushed && wait > w.accepted {
-			w.kept.Reset(w.accepted)
+		wait, patience := w.pollTimes(wallClock(), w.unproven)
+		p.pollWait = wait
+		if !w.listsPushed && wait > w.acceptedAfter {
+			w.acceptedTimer.Reset(w.acceptedAfter)
 		}
 		query := fmt.Sprintf("?since=%d&timeout_ms=%d", *p.since, wait.Milliseconds())
-		call = func() (*endpoints.List, error) { return w.ask(at)(ctx, query, patience) }
+		call = func() (*endpoints.List, error) { return w.fetchFrom(at)(ctx, query, patience) }
 	}
-	w.log.Debug("call to discovery", "whole", p.whole, "since", generation(p.since), "wait", p.wait)
-	w.out.Go(func() {
+	w.log.Debug("call to discovery", "whole", p.wholeList, "since", generationOrZero(p.since), "wait", p.pollWait)
+	w.calls.Go(func() {
 		defer cancel()
 		l, err := call()
-		w.log.Debug("call to discovery ended", "since", generation(p.since), "took", time.Since(p.begun), "err", err)
+		w.log.Debug("call to discovery ended", "since", generationOrZero(p.since), "took", time.Since(p.started), "err", err)
 		select {
-		case w.ended <- ended{p, l, err}:
+		case w.results <- callResult{p, l, err}:
 		case <-ctx.Done(): // called off
 		}
 	})
 }
 
 // early makes the next call before the one that is out has ended, once that one has left discovery's queue.
-func (w *watch) early() {
-	if w.newest == nil {
+func (w *watchLoop) restart() {
+	if w.current == nil {
 		return // the next call is as early as discovery can bear
 	}
-	if wait := w.queued - time.Since(w.newest.begun); wait > 0 && !w.pushed {
-		w.again.Reset(wait)
+	if wait := w.queueTime - time.Since(w.current.started); wait > 0 && !w.listsPushed {
+		w.restartTimer.Reset(wait)
 		return
 	}
-	w.anew()
+	w.replaceCurrent()
 }
 
 // move has the watch go on at discovery's new address. All nodes move at once, so each waits for a part of the time that a
 // fleet of this size needs; what the old address still tells counts meanwhile.
-func (w *watch) move() {
-	if w.newest != nil && w.newest.whole && w.since != nil {
-		w.whole = true
+func (w *watchLoop) handleMove() {
+	if w.current != nil && w.current.wholeList && w.since != nil {
+		w.wholeListNext = true
 	}
-	w.on, w.lost = w.wanted, true // the new address has yet to prove itself
-	w.anew()
-	if wait := w.spread(); w.since != nil && wait > 0 {
-		w.rest(wait)
+	w.active, w.unproven = w.wanted, true // the new address has yet to prove itself
+	w.replaceCurrent()
+	if wait := w.moveDelay(); w.since != nil && wait > 0 {
+		w.pauseCalls(wait)
 	}
 }
 
 // rest puts the next call off.
-func (w *watch) rest(pause time.Duration) {
-	w.on, w.resting = false, true
-	w.pause.Reset(pause)
+func (w *watchLoop) pauseCalls(pause time.Duration) {
+	w.active, w.pausing = false, true
+	w.pauseTimer.Reset(pause)
 }
 
 // callOff ends a call, if there is one; nothing that it brings is taken any more.
-func (w *watch) callOff(p *poll) *poll {
+func (w *watchLoop) cancelCall(p *pendingCall) *pendingCall {
 	if p != nil {
 		p.cancel()
 	}
@@ -197,48 +201,48 @@
 }
 
 // anew lets the next call begin beside the one that is out. Two are out at the most.
-func (w *watch) anew() {
-	if w.newest == nil {
+func (w *watchLoop) replaceCurrent() {
+	if w.current == nil {
 		return
 	}
-	w.limit.Stop() // it was for the one before
-	w.callOff(w.before)
-	w.before, w.newest = w.newest, nil
+	w.previousTimer.Stop() // it was for the one before
+	w.cancelCall(w.previous)
+	w.previous, w.current = w.current, nil
 }
 
 // take takes the end of a call.
-func (w *watch) take(e ended) {
-	switch e.poll {
-	case w.before:
-		w.before = nil
+func (w *watchLoop) handleResult(e callResult) {
+	switch e.pendingCall {
+	case w.previous:
+		w.previous = nil
 		if e.err != nil { // the newer one tells whether discovery answers
-			if f := failure(e.err, 0, 0); f.Reason == endpoints.PartialAnswer {
-				w.report(Update{Failure: f, Unavailable: partial(e.err), MoreExpected: true})
+			if f := classifyFailure(e.err, 0, 0); f.Reason == endpoints.PartialAnswer {
+				w.report(Update{Failure: f, Unavailable: unavailableOf(e.err), MoreExpected: true})
 			}
 			return
 		}
 		// The module hears that the watch goes on, whatever came of the newer one; and what changes now counts as told. In an overload
 		// all nodes may have been answered together, and calls at once would keep each other waiting for too long.
-		if !w.pace.Periodic() {
-			w.on = w.wanted
+		if !w.pacer.Periodic() {
+			w.active = w.wanted
 		}
-	case w.newest:
-		w.newest = nil
-		w.kept.Stop()
-		w.again.Stop() // whatever it was that should be asked early, it has been
+	case w.current:
+		w.current = nil
+		w.acceptedTimer.Stop()
+		w.restartTimer.Stop() // whatever it was that should be asked early, it has been
 		if e.err != nil {
-			if !w.pushed || !w.lost { // an agent is silent while discovery is down: told once
+			if !w.listsPushed || !w.unproven { // an agent is silent while discovery is down: told once
 				w.log.Warn("the watch failed", "err", e.err)
 			}
-			w.failed(e)
+			w.handleFailure(e)
 			return
 		}
-		w.lost, w.heard = false, true
-		w.answered(e)
-		if w.resting { // the call before is all that is out: what is written on it counts as told, and no other brings it
-			w.limit.Stop()
+		w.unproven, w.everAnswered = false, true
+		w.handleAnswer(e)
+		if w.pausing { // the call before is all that is out: what is written on it counts as told, and no other brings it
+			w.previousTimer.Stop()
 		} else {
-			w.limit.Reset(overlap)
+			w.previousTimer.Reset(callOverlap)
 		}
 	default:
 		return // called off as it ended
@@ -247,45 +251,45 @@
 		return // the other call has brought a newer one meanwhile
 	}
 	w.since = &e.list.Generation
-	w.report(Update{List: e.list, CallDuration: time.Since(e.begun), PollWait: e.wait, WatchPaused: w.resting})
+	w.report(Update{List: e.list, CallDuration: time.Since(e.started), PollWait: e.pollWait, WatchPaused: w.pausing})
 }
 
 // answered takes an answer to the newest call, and puts the next one off if the pace has it so.
-func (w *watch) answered(e ended) {
+func (w *watchLoop) handleAnswer(e callResult) {
 	news := w.since == nil || e.list.Generation != *w.since
-	answer := endpoints.Answer{Took: time.Since(e.begun), Whole: e.whole, Changed: news}
-	if pause := w.pace.RecordAnswer(wallClock(), answer); pause > 0 {
-		w.rest(pause)
+	answer := endpoints.Answer{Took: time.Since(e.started), Whole: e.wholeList, Changed: news}
+	if pause := w.pacer.RecordAnswer(wallClock(), answer); pause > 0 {
+		w.pauseCalls(pause)
 	}
 }
 
 // failed takes the end of the newest call, which brought no list.
-func (w *watch) failed(e ended) {
-	f := failure(e.err, time.Since(e.begun), e.wait)
-	w.lost = f.Reason == endpoints.Unreachable || f.Reason == endpoints.PartialAnswer
-	if f.Reason != endpoints.PartialAnswer && !e.whole && errors.Is(e.err, context.DeadlineExceeded) {
-		f.Reason, w.lost = endpoints.PollTimedOut, true // it took long enough: the next begins at once
+func (w *watchLoop) handleFailure(e callResult) {
+	f := classifyFailure(e.err, time.Since(e.started), e.pollWait)
+	w.unproven = f.Reason == endpoints.Unreachable || f.Reason == endpoints.PartialAnswer
+	if f.Reason != endpoints.PartialAnswer && !e.wholeList && errors.Is(e.err, context.DeadlineExceeded) {
+		f.Reason, w.unproven = endpoints.PollTimedOut, true // it took long enough: the next begins at once
 		w.report(Update{Failure: f})
 		return
 	}
-	w.on, w.resting = false, false
-	w.pause.Stop()
+	w.active, w.pausing = false, false
+	w.pauseTimer.Stop()
 	switch {
-	case w.pushed:
-		w.rest(agentPause)
+	case w.listsPushed:
+		w.pauseCalls(agentRetryPause)
 	case f.Reason == endpoints.Overloaded: // the module's own pause may end before
-		w.rest(w.pace.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: f.Took, AnsweredBefore: w.heard, Servers: int(w.servers.Load())}))
+		w.pauseCalls(w.pacer.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: f.Took, AnsweredBefore: w.everAnswered, Servers: int(w.serverCount.Load())}))
 	case f.Reason == endpoints.PollReset:
-		w.heard = true // every change would have come on it
-		if pause := w.pace.RecordReset(); pause > 0 {
-			w.rest(pause)
+		w.everAnswered = true // every change would have come on it
+		if pause := w.pacer.RecordReset(); pause > 0 {
+			w.pauseCalls(pause)
 		}
 	}
-	w.report(Update{Failure: f, Unavailable: partial(e.err)})
+	w.report(Update{Failure: f, Unavailable: unavailableOf(e.err)})
 }
 
 // generation is that of a list as logs have it; 0: none.
-func generation(since *uint64) uint64 {
+func generationOrZero(since *uint64) uint64 {
 	if since == nil {
 		return 0
 	}
--- a/internal/node/front/batches.go
+++ b/internal/node/front/batch_queue.go
@@ -1,18 +1,18 @@
 package front
 
 // batches hands events from a transport's goroutine to its owner, one batch at a time.
-type batches struct {
+type batchQueue struct {
 	out  chan []Event
 	done chan struct{}
 	stop chan struct{} // closed by Shut
 }
 
-func newBatches() batches {
-	return batches{out: make(chan []Event), done: make(chan struct{}), stop: make(chan struct{})}
+func newBatches() batchQueue {
+	return batchQueue{out: make(chan []Event), done: make(chan struct{}), stop: make(chan struct{})}
 }
 
 // deliver returns when the owner is through with a batch, or false once stopped.
-func (b *batches) deliver(batch []Event) bool {
+func (b *batchQueue) deliver(batch []Event) bool {
 	select {
 	case b.out <- batch:
 	case <-b.stop:
@@ -27,9 +27,9 @@
 }
 
 // Events and Done are Transport's.
-func (b *batches) Events() <-chan []Event { return b.out }
+func (b *batchQueue) Events() <-chan []Event { return b.out }
 
-func (b *batches) BatchDone() {
+func (b *batchQueue) BatchDone() {
 	select {
 	case b.done <- struct{}{}:
 	case <-b.stop:
--- a/internal/node/front/epoll_linux.go
+++ b/internal/node/front/epoll_linux.go
@@ -16,25 +16,25 @@
 
 	// A parked peer that has vanished is found by the system's probes: after keepIdle
 	// seconds of silence one every keepEvery, and the end after keepCount.
-	keepIdle, keepEvery, keepCount = 300, 30, 4
+	keepAliveIdleSeconds, keepAliveIntervalSeconds, keepAliveProbes = 300, 30, 4
 
-	edges = unix.EPOLLIN | unix.EPOLLRDHUP | 1<<31 // EPOLLET, which package unix has as a negative number
+	edgeTriggered = unix.EPOLLIN | unix.EPOLLRDHUP | 1<<31 // EPOLLET, which package unix has as a negative number
 )
 
 // epoll is a Transport over epoll(7), edge-triggered: a connection takes one
 // system call to enter, and none to be waited for. The epoll descriptor itself waits
 // in Go's own poller, so that no thread is spent on waiting.
-type epoll struct {
-	fd       int
-	file     *os.File // fd's
-	raw      syscall.RawConn
-	listener net.Listener
-	accepts  int // the listener's descriptor
-	listens  bool
-	batches
-	ended  sync.WaitGroup
-	events [batchSize]unix.EpollEvent
-	batch  [batchSize]Event
+type epollTransport struct {
+	fd         int
+	file       *os.File // fd's
+	raw        syscall.RawConn
+	listener   net.Listener
+	listenerFD int // the listener's descriptor
+	accepting  bool
+	batchQueue
+	running sync.WaitGroup
+	events  [batchSize]unix.EpollEvent
+	batch   [batchSize]Event
 }
 
 // NewEpoll makes a transport of a listener, which it owns from then on.
@@ -47,8 +47,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("front: the listener's descriptor: %w", err)
 	}
-	t := &epoll{listener: l, batches: newBatches()}
-	if err := raw.Control(func(fd uintptr) { t.accepts = int(fd) }); err != nil {
+	t := &epollTransport{listener: l, batchQueue: newBatches()}
+	if err := raw.Control(func(fd uintptr) { t.listenerFD = int(fd) }); err != nil {
 		return nil, fmt.Errorf("front: the listener's descriptor: %w", err)
 	}
 	if t.fd, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
@@ -63,22 +63,22 @@
 		t.file.Close()
 		return nil, fmt.Errorf("front: epoll: %w", err)
 	}
-	if err := t.control(unix.EPOLL_CTL_ADD, t.accepts, 0, listenerToken); err != nil {
+	if err := t.epollCtl(unix.EPOLL_CTL_ADD, t.listenerFD, 0, listenerToken); err != nil {
 		t.file.Close()
 		return nil, fmt.Errorf("front: epoll: %w", err)
 	}
-	t.ended.Go(t.run)
+	t.running.Go(t.run)
 	return t, nil
 }
 
-func (t *epoll) control(op, fd int, events uint32, token uint64) error {
+func (t *epollTransport) epollCtl(op, fd int, events uint32, token uint64) error {
 	return unix.EpollCtl(t.fd, op, fd, &unix.EpollEvent{
 		Events: events, Fd: int32(uint32(token)), Pad: int32(uint32(token >> 32)),
 	})
 }
 
 // run brings batches until the transport is shut.
-func (t *epoll) run() {
+func (t *epollTransport) run() {
 	defer close(t.out)
 	var n int
 	var failed error
@@ -121,8 +121,8 @@
 	}
 }
 
-func (t *epoll) SetAccepting(on bool) {
-	if t.accepts < 0 || on == t.listens {
+func (t *epollTransport) SetAccepting(on bool) {
+	if t.listenerFD < 0 || on == t.accepting {
 		return
 	}
 	events := uint32(0)
@@ -131,14 +131,14 @@
 		// could not take for want of descriptors.
 		events = unix.EPOLLIN
 	}
-	if t.control(unix.EPOLL_CTL_MOD, t.accepts, events, listenerToken) == nil {
-		t.listens = on
+	if t.epollCtl(unix.EPOLL_CTL_MOD, t.listenerFD, events, listenerToken) == nil {
+		t.accepting = on
 	}
 }
 
-func (t *epoll) Accept() (Socket, netip.Addr, error) {
-	for t.accepts >= 0 {
-		fd, from, err := unix.Accept4(t.accepts, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+func (t *epollTransport) Accept() (Socket, netip.Addr, error) {
+	for t.listenerFD >= 0 {
+		fd, from, err := unix.Accept4(t.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
 			address := addressOf(from)
@@ -167,7 +167,7 @@
 	return netip.Addr{}
 }
 
-func (t *epoll) RemoteAddr(s Socket) netip.Addr {
+func (t *epollTransport) RemoteAddr(s Socket) netip.Addr {
 	from, err := unix.Getpeername(int(s))
 	if err != nil {
 		return netip.Addr{} // its peer has left
@@ -175,16 +175,16 @@
 	return addressOf(from)
 }
 
-func (t *epoll) Register(s Socket, token uint64) error {
-	return t.control(unix.EPOLL_CTL_ADD, int(s), edges, token)
+func (t *epollTransport) Register(s Socket, token uint64) error {
+	return t.epollCtl(unix.EPOLL_CTL_ADD, int(s), edgeTriggered, token)
 }
 
-func (t *epoll) EnableKeepAlive(s Socket) {
+func (t *epollTransport) EnableKeepAlive(s Socket) {
 	for _, o := range [...][3]int{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepIdle},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, keepEvery},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepCount},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepAliveIdleSeconds},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, keepAliveIntervalSeconds},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes},
 	} {
 		if unix.SetsockoptInt(int(s), o[0], o[1], o[2]) != nil {
 			return // a unix socket: its peer can't vanish
@@ -192,31 +192,31 @@
 	}
 }
 
-func (t *epoll) Read(s Socket, p []byte) (int, error)  { return read(int(s), p) }
-func (t *epoll) Write(s Socket, p []byte) (int, error) { return write(int(s), p) }
-func (t *epoll) Peek(s Socket) error                   { return peek(int(s)) }
+func (t *epollTransport) Read(s Socket, p []byte) (int, error)  { return readFD(int(s), p) }
+func (t *epollTransport) Write(s Socket, p []byte) (int, error) { return writeFD(int(s), p) }
+func (t *epollTransport) Peek(s Socket) error                   { return peekFD(int(s)) }
 
 // WantWrite arms the socket anew, which tells of what it is ready for now too.
-func (t *epoll) NotifyWritable(s Socket, token uint64) error {
-	return t.control(unix.EPOLL_CTL_MOD, int(s), edges|unix.EPOLLOUT, token)
+func (t *epollTransport) NotifyWritable(s Socket, token uint64) error {
+	return t.epollCtl(unix.EPOLL_CTL_MOD, int(s), edgeTriggered|unix.EPOLLOUT, token)
 }
 
-func (t *epoll) CloseWrite(s Socket) { unix.Shutdown(int(s), unix.SHUT_WR) }
+func (t *epollTransport) CloseWrite(s Socket) { unix.Shutdown(int(s), unix.SHUT_WR) }
 
 // Close ends the connection; its descriptor leaves the epoll by that.
-func (t *epoll) Close(s Socket) { unix.Close(int(s)) }
+func (t *epollTransport) Close(s Socket) { unix.Close(int(s)) }
 
-func (t *epoll) CloseListener() error {
-	if t.accepts < 0 {
+func (t *epollTransport) CloseListener() error {
+	if t.listenerFD < 0 {
 		return nil
 	}
-	t.control(unix.EPOLL_CTL_DEL, t.accepts, 0, 0)
-	t.accepts = -1
+	t.epollCtl(unix.EPOLL_CTL_DEL, t.listenerFD, 0, 0)
+	t.listenerFD = -1
 	return t.listener.Close()
 }
 
-func (t *epoll) Shutdown() {
+func (t *epollTransport) Shutdown() {
 	close(t.stop)
 	t.file.Close()
-	t.ended.Wait()
+	t.running.Wait()
 }
--- a/internal/node/front/waiting.go
+++ b/internal/node/front/goroutine_transport.go
@@ -15,52 +15,52 @@
 // waiting is a Transport with a goroutine a connection, which waits for bytes without
 // a buffer. It is for systems that have no epoll, and what epoll is measured against:
 // a parked connection costs a stack more.
-type waiting struct {
+type goroutineTransport struct {
 	listener net.Listener
-	batches
+	batchQueue
 	wake    chan struct{}
 	permits chan struct{} // to accept one connection ahead
-	arrived chan arrival
-	ended   sync.WaitGroup
+	arrived chan acceptResult
+	running sync.WaitGroup
 
-	mu   sync.Mutex
-	told []Event
+	mu      sync.Mutex
+	pending []Event
 
 	// The owner's.
-	listens bool
-	granted bool // a permit is out, or what came of it waits
-	closed  bool
-	conns   []*waitingConn // by socket
-	free    []Socket
+	accepting    bool
+	permitIssued bool // a permit is out, or what came of it waits
+	closed       bool
+	conns        []*goroutineConn // by socket
+	free         []Socket
 }
 
-type arrival struct {
+type acceptResult struct {
 	conn net.Conn
 	err  error
 }
 
 // waitingConn is a connection and what its goroutine goes by.
-type waitingConn struct {
+type goroutineConn struct {
 	net.Conn
 	raw   syscall.RawConn
-	again chan struct{} // the last event has been used up: wait for the next
+	rearm chan struct{} // the last event has been used up: wait for the next
 
-	gone chan struct{}
+	closed chan struct{}
 }
 
 // NewWaiting makes a transport of a listener, which it owns from then on.
 func NewGoroutineTransport(l net.Listener) (Transport, error) {
-	t := &waiting{
-		listener: l, batches: newBatches(),
-		wake: make(chan struct{}, 1), permits: make(chan struct{}, 1), arrived: make(chan arrival, 1),
+	t := &goroutineTransport{
+		listener: l, batchQueue: newBatches(),
+		wake: make(chan struct{}, 1), permits: make(chan struct{}, 1), arrived: make(chan acceptResult, 1),
 	}
-	t.ended.Go(t.run)
-	t.ended.Go(t.accept)
+	t.running.Go(t.run)
+	t.running.Go(t.accept)
 	return t, nil
 }
 
 // accept takes one connection for each permit.
-func (t *waiting) accept() {
+func (t *goroutineTransport) accept() {
 	for {
 		select {
 		case <-t.permits:
@@ -71,15 +71,15 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		t.arrived <- arrival{c, err}
-		t.tell(Event{Token: listenerToken, Ready: Acceptable})
+		t.arrived <- acceptResult{c, err}
+		t.post(Event{Token: listenerToken, Ready: Acceptable})
 	}
 }
 
 // tell queues an event. It does not block.
-func (t *waiting) tell(e Event) {
+func (t *goroutineTransport) post(e Event) {
 	t.mu.Lock()
-	t.told = append(t.told, e)
+	t.pending = append(t.pending, e)
 	t.mu.Unlock()
 	select {
 	case t.wake <- struct{}{}:
@@ -88,7 +88,7 @@
 }
 
 // run brings batches until the transport is shut.
-func (t *waiting) run() {
+func (t *goroutineTransport) run() {
 	defer close(t.out)
 	var batch []Event
 	for {
@@ -98,7 +98,7 @@
 			return
 		}
 		t.mu.Lock()
-		batch, t.told = t.told, batch[:0]
+		batch, t.pending = t.pending, batch[:0]
 		t.mu.Unlock()
 		if len(batch) == 0 {
 			continue
@@ -109,34 +109,34 @@
 	}
 }
 
-func (t *waiting) SetAccepting(on bool) {
-	t.listens = on
+func (t *goroutineTransport) SetAccepting(on bool) {
+	t.accepting = on
 	switch {
 	case !on || t.closed:
 	case len(t.arrived) > 0:
-		t.tell(Event{Token: listenerToken, Ready: Acceptable})
-	case !t.granted:
-		t.granted = true
+		t.post(Event{Token: listenerToken, Ready: Acceptable})
+	case !t.permitIssued:
+		t.permitIssued = true
 		t.permits <- struct{}{}
 	}
 }
 
-func (t *waiting) Accept() (Socket, netip.Addr, error) {
+func (t *goroutineTransport) Accept() (Socket, netip.Addr, error) {
 	var none netip.Addr
 	select {
 	case a := <-t.arrived:
-		t.granted = false
-		t.SetAccepting(t.listens)
+		t.permitIssued = false
+		t.SetAccepting(t.accepting)
 		if a.err != nil {
 			return 0, none, fmt.Errorf("accepting: %w", a.err)
 		}
-		return t.enter(a.conn)
+		return t.addConn(a.conn)
 	default:
 		return 0, none, ErrWouldBlock
 	}
 }
 
-func (t *waiting) enter(nc net.Conn) (Socket, netip.Addr, error) {
+func (t *goroutineTransport) addConn(nc net.Conn) (Socket, netip.Addr, error) {
 	var from netip.Addr
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -146,7 +146,7 @@
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		from = a.AddrPort().Addr()
 	}
-	c := &waitingConn{Conn: nc, raw: raw, again: make(chan struct{}, 1), gone: make(chan struct{})}
+	c := &goroutineConn{Conn: nc, raw: raw, rearm: make(chan struct{}, 1), closed: make(chan struct{})}
 	if n := len(t.free); n > 0 {
 		s := t.free[n-1]
 		t.free = t.free[:n-1]
@@ -157,7 +157,7 @@
 	return Socket(len(t.conns) - 1), from, nil
 }
 
-func (t *waiting) RemoteAddr(s Socket) netip.Addr {
+func (t *goroutineTransport) RemoteAddr(s Socket) netip.Addr {
 	if a, ok := t.conns[s].RemoteAddr().(*net.TCPAddr); ok {
 		return a.AddrPort().Addr()
 	}
@@ -165,20 +165,20 @@
 }
 
 // Open starts the connection's goroutine.
-func (t *waiting) Register(s Socket, token uint64) error {
+func (t *goroutineTransport) Register(s Socket, token uint64) error {
 	c := t.conns[s]
-	t.ended.Go(func() {
+	t.running.Go(func() {
 		// Whether there is something is looked at, not waited for alone: what came
 		// between two waits makes no new event.
-		look := func(fd uintptr) bool { return peek(int(fd)) != ErrWouldBlock }
+		look := func(fd uintptr) bool { return peekFD(int(fd)) != ErrWouldBlock }
 		for {
 			if c.raw.Read(look) != nil {
 				return // closed
 			}
-			t.tell(Event{Token: token, Ready: Readable})
+			t.post(Event{Token: token, Ready: Readable})
 			select {
-			case <-c.again:
-			case <-c.gone:
+			case <-c.rearm:
+			case <-c.closed:
 				return
 			}
 		}
@@ -187,73 +187,73 @@
 }
 
 // usedUp lets the goroutine wait for the next event.
-func (c *waitingConn) usedUp() {
+func (c *goroutineConn) waitForNext() {
 	select {
-	case c.again <- struct{}{}:
+	case c.rearm <- struct{}{}:
 	default:
 	}
 }
 
-func (t *waiting) EnableKeepAlive(Socket) {} // net.Listen's own probes hold
+func (t *goroutineTransport) EnableKeepAlive(Socket) {} // net.Listen's own probes hold
 
-func (t *waiting) Read(s Socket, p []byte) (n int, err error) {
+func (t *goroutineTransport) Read(s Socket, p []byte) (n int, err error) {
 	c := t.conns[s]
-	if wrong := c.raw.Control(func(fd uintptr) { n, err = read(int(fd), p) }); wrong != nil {
+	if wrong := c.raw.Control(func(fd uintptr) { n, err = readFD(int(fd), p) }); wrong != nil {
 		return 0, wrong
 	}
 	if n < len(p) && err != io.EOF {
-		c.usedUp()
+		c.waitForNext()
 	}
 	return n, err
 }
 
-func (t *waiting) Write(s Socket, p []byte) (n int, err error) {
-	if wrong := t.conns[s].raw.Control(func(fd uintptr) { n, err = write(int(fd), p) }); wrong != nil {
+func (t *goroutineTransport) Write(s Socket, p []byte) (n int, err error) {
+	if wrong := t.conns[s].raw.Control(func(fd uintptr) { n, err = writeFD(int(fd), p) }); wrong != nil {
 		return 0, wrong
 	}
 	return n, err
 }
 
-func (t *waiting) Peek(s Socket) (err error) {
+func (t *goroutineTransport) Peek(s Socket) (err error) {
 	c := t.conns[s]
-	if wrong := c.raw.Control(func(fd uintptr) { err = peek(int(fd)) }); wrong != nil {
+	if wrong := c.raw.Control(func(fd uintptr) { err = peekFD(int(fd)) }); wrong != nil {
 		return wrong
 	}
 	if err == ErrWouldBlock {
-		c.usedUp()
+		c.waitForNext()
 	}
 	return err
 }
 
-func (t *waiting) NotifyWritable(s Socket, token uint64) error {
+func (t *goroutineTransport) NotifyWritable(s Socket, token uint64) error {
 	c := t.conns[s]
-	t.ended.Go(func() {
+	t.running.Go(func() {
 		err := c.raw.Write(func(fd uintptr) bool {
 			ready, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLOUT}}, 0)
 			return ready > 0 || err != nil && err != unix.EINTR
 		})
 		if err == nil {
-			t.tell(Event{Token: token, Ready: Writable})
+			t.post(Event{Token: token, Ready: Writable})
 		}
 	})
 	return nil
 }
 
-func (t *waiting) CloseWrite(s Socket) {
+func (t *goroutineTransport) CloseWrite(s Socket) {
 	if c, ok := t.conns[s].Conn.(interface{ CloseWrite() error }); ok {
 		c.CloseWrite()
 	}
 }
 
-func (t *waiting) Close(s Socket) {
+func (t *goroutineTransport) Close(s Socket) {
 	c := t.conns[s]
-	close(c.gone)
+	close(c.closed)
 	c.Conn.Close()
 	t.conns[s] = nil
 	t.free = append(t.free, s)
 }
 
-func (t *waiting) CloseListener() error {
+func (t *goroutineTransport) CloseListener() error {
 	if t.closed {
 		return nil
 	}
@@ -261,9 +261,9 @@
 	return t.listener.Close()
 }
 
-func (t *waiting) Shutdown() {
+func (t *goroutineTransport) Shutdown() {
 	close(t.stop)
-	t.ended.Wait()
+	t.running.Wait()
 	select {
 	case a := <-t.arrived: // accepted for nobody
 		if a.conn != nil {
--- a/internal/node/front/parse.go
+++ b/internal/node/front/head_parser.go
@@ -10,21 +10,21 @@
 )
 
 // headSlop is what a head may hold over the bound told in net/http.Server's terms.
-const headSlop = 4096
+const headSizeSlack = 4096
 
 // parser reads heads with net/http's parser. Its buffers are used again.
-type parser struct {
+type headParser struct {
 	bytes  bytes.Reader
 	reader *bufio.Reader
 }
 
 // fault is an error of the client's making, and how it is answered.
-type fault struct {
+type requestError struct {
 	status int
 	text   string
 }
 
-func (f *fault) Error() string { return f.text }
+func (f *requestError) Error() string { return f.text }
 
 // headEnd returns where a head ends that starts the data: behind its first empty
 // line, as net/textproto ends lines, by LF or CRLF. from is where to look from, which
@@ -48,7 +48,7 @@
 }
 
 // head reads a whole head, and nothing but that.
-func (p *parser) head(data []byte) (*http.Request, *fault) {
+func (p *headParser) parseHead(data []byte) (*http.Request, *requestError) {
 	if p.reader == nil {
 		p.reader = bufio.NewReader(nil)
 	}
@@ -56,25 +56,25 @@
 	p.reader.Reset(&p.bytes)
 	r, err := http.ReadRequest(p.reader)
 	if err != nil {
-		return nil, &fault{http.StatusBadRequest, "malformed request: " + firstLine(err)}
+		return nil, &requestError{http.StatusBadRequest, "malformed request: " + quoteError(err)}
 	}
 	switch {
 	case p.reader.Buffered()+p.bytes.Len() > 0: // the parser takes another end for the head's than we do
-		return nil, &fault{http.StatusBadRequest, "malformed request: its head has two ends"}
+		return nil, &requestError{http.StatusBadRequest, "malformed request: its head has two ends"}
 	case r.ProtoMajor != 1:
-		return nil, &fault{http.StatusHTTPVersionNotSupported, "unsupported protocol version"}
+		return nil, &requestError{http.StatusHTTPVersionNotSupported, "unsupported protocol version"}
 	case r.Host == "" && r.ProtoAtLeast(1, 1) && !hasHost(data):
-		return nil, &fault{http.StatusBadRequest, "missing required Host header"}
+		return nil, &requestError{http.StatusBadRequest, "missing required Host header"}
 	case !httpguts.ValidHostHeader(r.Host):
-		return nil, &fault{http.StatusBadRequest, "malformed Host header"}
+		return nil, &requestError{http.StatusBadRequest, "malformed Host header"}
 	}
 	for name, values := range r.Header {
 		if !httpguts.ValidHeaderFieldName(name) {
-			return nil, &fault{http.StatusBadRequest, "invalid header name"}
+			return nil, &requestError{http.StatusBadRequest, "invalid header name"}
 		}
 		for _, v := range values {
 			if !httpguts.ValidHeaderFieldValue(v) {
-				return nil, &fault{http.StatusBadRequest, "invalid header value"}
+				return nil, &requestError{http.StatusBadRequest, "invalid header value"}
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 
 // firstLine is an error's text as one short printable line: it may hold what the
 // client sent.
-func firstLine(err error) string { return fmt.Sprintf("%.120q", err.Error()) }
+func quoteError(err error) string { return fmt.Sprintf("%.120q", err.Error()) }
 
 // hasHost tells whether a head has a Host line, which net/http takes out.
 func hasHost(head []byte) bool {
--- a/internal/node/front/scale_test.go
+++ b/internal/node/front/load_test.go
@@ -19,20 +19,20 @@
 )
 
 // echo answers each request from another goroutine, as a node does.
-type echo struct {
+type echoHandler struct {
 	server *Server
 	queue  chan Token
 }
 
-func (e *echo) HandleRequest(t Token, r *http.Request, _ bool) (any, int, *Response) {
+func (e *echoHandler) HandleRequest(t Token, r *http.Request, _ bool) (any, int, *Response) {
 	io.Copy(io.Discard, r.Body)
 	e.queue <- t
 	return e, 0, nil
 }
 
-func (e *echo) ClientGone(any) {}
+func (e *echoHandler) ClientGone(any) {}
 
-func (e *echo) run(ctx context.Context) {
+func (e *echoHandler) run(ctx context.Context) {
 	for {
 		select {
 		case t := <-e.queue:
@@ -44,39 +44,39 @@
 }
 
 // heldClock is the time since its start, less the time for which it was held.
-type heldClock struct {
-	mu      sync.Mutex
-	start   time.Time
-	since   time.Time // when it was held; zero: it runs
-	stopped time.Duration
+type pausableClock struct {
+	mu       sync.Mutex
+	start    time.Time
+	pausedAt time.Time // when it was held; zero: it runs
+	paused   time.Duration
 }
 
-func (c *heldClock) now() time.Duration {
+func (c *pausableClock) now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.since.IsZero() {
-		return time.Since(c.start) - c.stopped
+	if c.pausedAt.IsZero() {
+		return time.Since(c.start) - c.paused
 	}
-	return c.since.Sub(c.start) - c.stopped
+	return c.pausedAt.Sub(c.start) - c.paused
 }
 
-func (c *heldClock) hold() {
+func (c *pausableClock) pause() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since = time.Now()
+	c.pausedAt = time.Now()
 }
 
-func (c *heldClock) release() {
+func (c *pausableClock) resume() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopped += time.Since(c.since)
-	c.since = time.Time{}
+	c.paused += time.Since(c.pausedAt)
+	c.pausedAt = time.Time{}
 }
 
 // crowd is a front with its worker over memory.
-type crowd struct {
-	clock  *heldClock
-	net    *memory
+type loadFixture struct {
+	clock  *pausableClock
+	net    *memoryTransport
 	server *Server
 	worker *worker.Worker
 	stop   func()
@@ -84,15 +84,15 @@
 
 // startCrowd runs a front that lets connections rest for so long. With hurried set
 // there is no budget: background work runs at once, in the front's turns.
-func startCrowd(t testing.TB, most int, rest time.Duration, hurried bool) *crowd {
+func startLoadFixture(t testing.TB, most int, rest time.Duration, hurried bool) *loadFixture {
 	t.Helper()
-	clock := &heldClock{start: time.Now()}
+	clock := &pausableClock{start: time.Now()}
 	now := clock.now
 	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: rest}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &crowd{clock: clock, net: newMemory()}
+	c := &loadFixture{clock: clock, net: newMemory()}
 	c.worker = worker.New(background.Config{}, now, slog.New(slog.DiscardHandler))
 	var expired, release *worker.Job
 	config := Config{
@@ -102,7 +102,7 @@
 	if !hurried {
 		config.Hooks = Hooks{CloseExpired: func() { expired.Wake(10 * time.Second) }, ReleaseBuffers: func() { release.Wake(0) }}
 	}
-	e := &echo{queue: make(chan Token, 1024)}
+	e := &echoHandler{queue: make(chan Token, 1024)}
 	config.Handler = e
 	c.server = New(config)
 	e.server = c.server
@@ -121,14 +121,14 @@
 	return c
 }
 
-const crowdRequest = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody"
+const loadRequest = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody"
 
 // park has n connections ask once and rest, and returns when they do.
-func (c *crowd) park(t testing.TB, n int) {
+func (c *loadFixture) park(t testing.TB, n int) {
 	t.Helper()
 	heard := make(chan struct{}, n)
 	c.net.mu.Lock()
-	c.net.heard = func(int32, []byte) { heard <- struct{}{} }
+	c.net.onWrite = func(int32, []byte) { heard <- struct{}{} }
 	c.net.conns = make([]memoryConn, 0, n+1000)
 	c.net.mu.Unlock()
 	first := int32(0)
@@ -140,7 +140,7 @@
 	}
 	go func() {
 		for i := range n {
-			c.net.send(first+int32(i), []byte(crowdRequest))
+			c.net.send(first+int32(i), []byte(loadRequest))
 		}
 	}()
 	for range n {
@@ -154,7 +154,7 @@
 
 // ask has 64 more connections send requests at a rate for so long, and returns their
 // answers' times, and how many connections were closed while each batch of events waited for the front.
-func (c *crowd) ask(rate int, length time.Duration) (h, amid *hdrhistogram.Histogram) {
+func (c *loadFixture) sendLoad(rate int, length time.Duration) (h, amid *hdrhistogram.Histogram) {
 	const clients = 64
 	type slot struct {
 		id   int32
@@ -165,7 +165,7 @@
 	slots := map[int32]*slot{}
 	free := make(chan *slot, clients)
 	c.net.mu.Lock()
-	c.net.heard = func(id int32, _ []byte) {
+	c.net.onWrite = func(id int32, _ []byte) {
 		mu.Lock()
 		defer mu.Unlock()
 		if s := slots[id]; s != nil {
@@ -173,7 +173,7 @@
 			free <- s
 		}
 	}
-	c.net.waited = func(closes int) { amid.RecordValue(int64(closes)) } // under the network's lock
+	c.net.onDelivered = func(closes int) { amid.RecordValue(int64(closes)) } // under the network's lock
 	c.net.mu.Unlock()
 	for range clients {
 		s := &slot{id: c.net.dial()}
@@ -193,13 +193,13 @@
 		mu.Lock()
 		s.sent = time.Now() // the load is open: a front that stalls does not keep it from being sent
 		mu.Unlock()
-		c.net.send(s.id, []byte(crowdRequest))
+		c.net.send(s.id, []byte(loadRequest))
 	}
 	for range clients {
 		<-free
 	}
 	c.net.mu.Lock()
-	c.net.waited = nil
+	c.net.onDelivered = nil
 	c.net.mu.Unlock()
 	mu.Lock()
 	defer mu.Unlock()
@@ -207,7 +207,7 @@
 }
 
 // closed is how many connections the front has closed.
-func (m *memory) closed() int {
+func (m *memoryTransport) closeCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.closes
@@ -223,22 +223,22 @@
 
 // A parked connection must cost less than 128 bytes of the process, no goroutine, and
 // hardly anything of live traffic's time, however many there are.
-func TestParkedByTheMillion(t *testing.T) {
+func TestParkedConnectionCost(t *testing.T) {
 	sizes, length := []int{0, 20_000}, time.Second
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		sizes, length = []int{0, 100_000, 1_000_000, 0, 100_000, 1_000_000, 0, 100_000, 1_000_000}, 6*time.Second
 	}
 	for _, n := range sizes {
-		c := startCrowd(t, n+100, time.Hour, false)
+		c := startLoadFixture(t, n+100, time.Hour, false)
 		c.net.conns = make([]memoryConn, 0, n+1000)
 		before, goroutines := heap(), runtime.NumGoroutine()
 		c.park(t, n)
 		c.net.mu.Lock()
-		c.net.heard = nil
+		c.net.onWrite = nil
 		c.net.queue = nil // the transport's own
 		c.net.mu.Unlock()
 		used := float64(heap()-min(heap(), before)) / float64(max(n, 1))
-		h, _ := c.ask(1700, length)
+		h, _ := c.sendLoad(1700, length)
 		st := c.server.Stats()
 		t.Logf("%8d parked: %5.0f B each in heap and stacks, %d more goroutines; of %d requests at 1700/s p50 %v p99 %v p99.9 %v; longest turn %v, timers due at once %d",
 			n, used, runtime.NumGoroutine()-goroutines, h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
@@ -260,15 +260,15 @@
 		n = 400_000
 	}
 	play := func(hurried bool) (amid int64, expired uint64) {
-		c := startCrowd(t, n+100, 4*time.Second, hurried)
+		c := startLoadFixture(t, n+100, 4*time.Second, hurried)
 		defer c.stop()
 		c.net.mu.Lock()
-		c.net.slow = 10 * time.Microsecond // what closing a socket takes
+		c.net.closeTime = 10 * time.Microsecond // what closing a socket takes
 		c.net.mu.Unlock()
-		c.clock.hold() // they park at one time, however long that takes
+		c.clock.pause() // they park at one time, however long that takes
 		c.park(t, n)
-		c.clock.release()
-		h, closes := c.ask(1700, 6*time.Second)
+		c.clock.resume()
+		h, closes := c.sendLoad(1700, 6*time.Second)
 		for end := time.Now().Add(30 * time.Second); c.server.Stats().Expired < uint64(n) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
--- /dev/null
+++ b/internal/node/front/memory_transport_test.go
@@ -0,0 +1,301 @@
+package front
+
+import (
+	"io"
+	"net/netip"
+	"sync"
+	"syscall"
+	"time"
+)
+
+// memory is a Transport without sockets: its connections are rows of a table, and a
+// test is every client. Events are told as epoll tells edges: once for each change.
+type memoryTransport struct {
+	mu          sync.Mutex
+	conns       []memoryConn
+	queue       []int32 // to be accepted
+	ready       []Event
+	spare       []Event
+	accepting   bool
+	wake        chan struct{}
+	out         chan []Event
+	done        chan struct{}
+	stop        chan struct{}
+	closes      int
+	closeTime   time.Duration            // a close takes this
+	onDelivered func(closes int)         // told how many connections were closed while a batch waited for the front
+	onWrite     func(id int32, p []byte) // instead of conn.got
+}
+
+type memoryConn struct {
+	unread        []byte // sent by the client, not yet read
+	written       []byte // written by the front
+	token         uint64
+	window        int // what the client's window takes; below 0: all
+	registered    bool
+	fin           bool // the client has ended its sending
+	reset         bool
+	writeClosed   bool // the front has ended its sending
+	closed        bool
+	wantsWritable bool
+}
+
+func newMemory() *memoryTransport {
+	return &memoryTransport{
+		wake: make(chan struct{}, 1), out: make(chan []Event), done: make(chan struct{}), stop: make(chan struct{}),
+	}
+}
+
+// run brings batches where a server runs; tests that take turns themselves use take.
+func (m *memoryTransport) run() {
+	defer close(m.out)
+	for {
+		batch := m.take()
+		if len(batch) == 0 {
+			select {
+			case <-m.wake:
+				continue
+			case <-m.stop:
+				return
+			}
+		}
+		before := m.closeCount()
+		select {
+		case m.out <- batch:
+		case <-m.stop:
+			return
+		}
+		m.delivered(before)
+		select {
+		case <-m.done:
+		case <-m.stop:
+			return
+		}
+	}
+}
+
+// delivered tells of a batch that the front has taken, offered after so many closes.
+func (m *memoryTransport) delivered(before int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.onDelivered != nil {
+		m.onDelivered(m.closes - before)
+	}
+}
+
+// take returns what became ready since the last time.
+func (m *memoryTransport) take() []Event {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	n := min(len(m.ready), 256)
+	batch := append(m.spare[:0], m.ready[:n]...)
+	m.spare = batch
+	m.ready = append(m.ready[:0], m.ready[n:]...)
+	if m.accepting && len(m.queue) > 0 {
+		batch = append(batch, Event{listenerToken, Acceptable})
+	}
+	return batch
+}
+
+func (m *memoryTransport) post(c *memoryConn, r Readiness) {
+	if c.registered && !c.closed {
+		m.ready = append(m.ready, Event{c.token, r})
+	}
+	m.signal()
+}
+
+func (m *memoryTransport) signal() {
+	select {
+	case m.wake <- struct{}{}:
+	default:
+	}
+}
+
+// The clients' side.
+
+func (m *memoryTransport) dial() int32 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.conns = append(m.conns, memoryConn{window: -1})
+	id := int32(len(m.conns) - 1)
+	m.queue = append(m.queue, id)
+	m.signal()
+	return id
+}
+
+func (m *memoryTransport) send(id int32, p []byte) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[id]
+	if c.fin || c.reset || c.closed {
+		return
+	}
+	c.unread = append(c.unread, p...)
+	m.post(c, Readable)
+}
+
+func (m *memoryTransport) end(id int32) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.conns[id].fin = true
+	m.post(&m.conns[id], Readable|PeerEnded)
+}
+
+func (m *memoryTransport) abort(id int32) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[id]
+	c.reset, c.unread = true, nil
+	m.post(c, Readable|ConnReset)
+}
+
+func (m *memoryTransport) window(id int32, room int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[id]
+	if c.window = room; c.wantsWritable && room != 0 {
+		c.wantsWritable = false
+		m.post(c, Writable|Readable)
+	}
+}
+
+func (m *memoryTransport) state(id int32) memoryConn {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.conns[id]
+}
+
+// The front's side.
+
+func (m *memoryTransport) Events() <-chan []Event { return m.out }
+func (m *memoryTransport) BatchDone() {
+	select {
+	case m.done <- struct{}{}:
+	case <-m.stop:
+	}
+}
+
+func (m *memoryTransport) Accept() (Socket, netip.Addr, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.queue) == 0 {
+		return 0, netip.Addr{}, ErrWouldBlock
+	}
+	id := m.queue[0]
+	m.queue = m.queue[1:]
+	return Socket(id), m.addressOf(id), nil
+}
+
+// from spreads clients over 2^16 addresses.
+func (m *memoryTransport) addressOf(id int32) netip.Addr {
+	return netip.AddrFrom4([4]byte{10, byte(id >> 16), byte(id >> 8), byte(id)})
+}
+
+func (m *memoryTransport) RemoteAddr(s Socket) netip.Addr { return m.addressOf(int32(s)) }
+
+func (m *memoryTransport) SetAccepting(on bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.accepting = on
+	m.signal()
+}
+
+func (m *memoryTransport) Register(s Socket, token uint64) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[s]
+	c.token, c.registered = token, true
+	if len(c.unread) > 0 || c.fin || c.reset {
+		m.post(c, Readable)
+	}
+	return nil
+}
+
+func (m *memoryTransport) EnableKeepAlive(Socket) {}
+
+func (m *memoryTransport) Read(s Socket, p []byte) (int, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[s]
+	switch {
+	case c.reset:
+		return 0, syscall.ECONNRESET
+	case len(c.unread) > 0:
+		n := copy(p, c.unread)
+		if c.unread = c.unread[n:]; len(c.unread) == 0 {
+			c.unread = nil
+		}
+		return n, nil
+	case c.fin:
+		return 0, io.EOF
+	}
+	return 0, ErrWouldBlock
+}
+
+func (m *memoryTransport) Write(s Socket, p []byte) (int, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[s]
+	switch {
+	case c.reset || c.writeClosed:
+		return 0, syscall.EPIPE
+	case c.window == 0:
+		return 0, ErrWouldBlock
+	case c.window > 0:
+		p = p[:min(len(p), c.window)]
+		c.window -= len(p)
+	}
+	if m.onWrite != nil {
+		m.onWrite(int32(s), p)
+	} else {
+		c.written = append(c.written, p...)
+	}
+	return len(p), nil
+}
+
+func (m *memoryTransport) Peek(s Socket) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	switch c := &m.conns[s]; {
+	case c.reset:
+		return syscall.ECONNRESET
+	case len(c.unread) > 0:
+		return nil
+	case c.fin:
+		return io.EOF
+	}
+	return ErrWouldBlock
+}
+
+func (m *memoryTransport) NotifyWritable(s Socket, _ uint64) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[s]
+	if c.wantsWritable = true; c.window != 0 {
+		c.wantsWritable = false
+		m.post(c, Writable)
+	}
+	return nil
+}
+
+func (m *memoryTransport) CloseWrite(s Socket) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.conns[s].writeClosed = true
+}
+
+func (m *memoryTransport) Close(s Socket) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	c := &m.conns[s]
+	if c.closed {
+		panic("a connection is closed twice")
+	}
+	c.closed, c.unread = true, nil
+	m.closes++
+	for begun := time.Now(); m.closeTime > 0 && time.Since(begun) < m.closeTime; {
+	}
+}
+
+func (m *memoryTransport) CloseListener() error { return nil }
+func (m *memoryTransport) Shutdown()            { close(m.stop) }
--- /dev/null
+++ b/internal/node/front/request.go
@@ -0,0 +1,418 @@
+package front
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+
+	"curlewring/internal/conns/membudget"
+)
+
+const (
+	deferredBands     = 4   // of deferred connections, by the worth of what they last asked for
+	maxReadsPerTurn   = 4   // of one connection in a row
+	maxResumesPerTurn = 64  // deferred connections taken up in one turn
+	minPooled         = 16  // works kept for the next use
+	maxPooled         = 256 // beyond, they are the collector's at once
+	openRequestBytes  = 4 << 10
+	maxPooledBuffer   = 4 << 10 // a pooled work keeps no larger buffer
+)
+
+// work is what a connection needs beyond its row while it is not parked.
+type activeState struct {
+	buf       []byte // bytes that have come and are not used up
+	scanFrom  int    // where to look on for the head's end
+	request   *http.Request
+	body      []byte // of request, as far as it has come
+	handle    any    // what the handler names the open request by
+	headOnly  bool   // a HEAD request: its answer has no body
+	unsent    []byte // what the client has yet to take
+	discarded int    // bytes dropped while lingering
+	accounted [2]int // in the ledger, for Reading and for Open
+}
+
+func (w *activeState) bytes() int { return 160 + cap(w.buf) }
+
+// worked returns the connection's work, a new one if it has none.
+func (s *Server) ensureActive(c *conn) *activeState {
+	if c.active == nil {
+		if n := len(s.pool); n > 0 {
+			c.active, s.pool = s.pool[n-1], s.pool[:n-1]
+			s.memory.Add(membudget.PooledBuffers, -c.active.bytes())
+		} else {
+			c.active = &activeState{}
+		}
+	}
+	return c.active
+}
+
+// book tells the ledger what a work takes for a use: 0 for reading, 1 for what is open.
+func (s *Server) account(w *activeState, which, bytes int) {
+	use := [...]membudget.Category{membudget.PartialRequests, membudget.OpenRequests}[which]
+	s.memory.Add(use, bytes-w.accounted[which])
+	w.accounted[which] = bytes
+}
+
+// release takes a connection's work from it.
+func (s *Server) releaseActive(c *conn) {
+	w := c.active
+	if w == nil {
+		return
+	}
+	c.active = nil
+	s.account(w, 0, 0)
+	s.account(w, 1, 0)
+	s.memory.Add(membudget.PendingAnswers, -len(w.unsent))
+	if len(s.pool) >= maxPooled || cap(w.buf) > maxPooledBuffer {
+		return
+	}
+	*w = activeState{buf: w.buf[:0]}
+	s.pool = append(s.pool, w)
+	s.memory.Add(membudget.PooledBuffers, w.bytes())
+	if len(s.pool) == minPooled+1 && s.config.Hooks.ReleaseBuffers != nil {
+		s.config.Hooks.ReleaseBuffers()
+	}
+}
+
+// drop ends a connection, whatever it is doing; its open request is the caller's.
+func (s *Server) closeConn(i int32, c *conn, why closeReason) {
+	if s.logsCloses {
+		s.config.Log.Debug("client connection closed", "connection", i, "reason", string(why))
+	}
+	s.releaseActive(c)
+	s.wheel.Cancel(i)
+	s.idleConns.Remove(i)
+	s.config.Transport.Close(c.socket)
+	s.memory.Add(membudget.ConnectionState, -parkedConnBytes)
+	s.table.release(i)
+	s.capacityFreed = true
+}
+
+// gone ends a connection whose client has left.
+func (s *Server) clientGone(i int32, c *conn) {
+	s.stats.PeerClosed++
+	if c.state == stateOpen {
+		s.config.Handler.ClientGone(c.active.handle)
+	}
+	s.closeConn(i, c, closeClientLeft)
+}
+
+// readable takes what has come on a connection, as far as its state wants it.
+func (s *Server) handleReadable(i int32, c *conn) {
+	switch c.state {
+	case stateParked:
+		if s.memory.Level() != membudget.Normal {
+			s.deferRead(i, c)
+			return
+		}
+		s.beginRequest(i, c)
+		s.readConn(i, c)
+	case stateReading:
+		if c.active == nil && s.memory.Level() != membudget.Normal {
+			s.deferRead(i, c)
+			return
+		}
+		s.readConn(i, c)
+	case stateOpen:
+		if c.peerEnded {
+			s.clientGone(i, c)
+			return
+		}
+		if c.pipelined {
+			c.readPending = true
+			return
+		}
+		// Not all transports tell of its end: it is looked for. Bytes wait for their turn, and hide it.
+		switch err := s.config.Transport.Peek(c.socket); {
+		case err == nil:
+			c.pipelined, c.readPending = true, true
+		case errors.Is(err, ErrWouldBlock):
+		default:
+			s.clientGone(i, c)
+		}
+	case stateWriting, stateDeferred:
+		c.readPending = true
+	case stateLingering:
+		s.discardInput(i, c)
+	}
+}
+
+// begin takes a connection out of its rest: its next request's bytes have come.
+func (s *Server) beginRequest(i int32, c *conn) {
+	c.state = stateReading
+	s.idleConns.RequestStarted(s.now, i)
+	s.wheel.Arm(i, s.now+RequestTimeout)
+}
+
+// postpone leaves bytes in the kernel until there is memory for them.
+func (s *Server) deferRead(i int32, c *conn) {
+	if c.state == stateParked {
+		s.beginRequest(i, c)
+	}
+	c.state = stateDeferred
+	s.stats.Deferred++
+	s.deferredConns[s.idleConns.WorthBand(i, deferredBands)].push(s.table.token(i))
+	if s.config.Hooks.EvictIdle != nil && s.memory.Level() == membudget.Full {
+		s.config.Hooks.EvictIdle()
+	}
+}
+
+// waiting tells whether a deferred connection could be taken up now.
+func (s *Server) canResume() bool {
+	if s.memory.Level() != membudget.Normal {
+		return false
+	}
+	for band := range s.deferredConns {
+		if s.deferredConns[band].len() > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// resume takes deferred connections up, those first that last asked for what is worth most.
+func (s *Server) resumeDeferred() {
+	for n := 0; n < maxResumesPerTurn && s.canResume(); n++ {
+		for band := deferredBands - 1; band >= 0; band-- {
+			if s.deferredConns[band].len() == 0 {
+				continue
+			}
+			if i, c := s.table.lookup(s.deferredConns[band].pop()); c != nil && c.state == stateDeferred {
+				c.state = stateReading
+				s.readConn(i, c)
+			}
+			break
+		}
+	}
+}
+
+// proceed goes on with the connections that have bytes of a next request, each for
+// one request or a few reads.
+func (s *Server) processRunnable() {
+	for n := min(s.runnable.len(), maxResumesPerTurn); n > 0; n-- {
+		i, c := s.table.lookup(s.runnable.pop())
+		if c == nil || c.state != stateReading {
+			continue
+		}
+		turn := c.generation
+		if w := c.active; w != nil && w.request == nil && len(w.buf) > 0 {
+			rest := w.buf
+			w.buf, w.scanFrom = nil, 0
+			s.consume(i, c, rest)
+		}
+		if c.generation == turn && c.state == stateReading && c.readPending {
+			c.readPending = false
+			s.readConn(i, c)
+		}
+		if c.generation == turn && c.state == stateReading && !c.readPending && (c.active == nil || len(c.active.buf) == 0 && c.active.request == nil) {
+			s.park(i, c) // nothing was there after all
+		}
+	}
+}
+
+// read takes bytes until a whole request has come or there are no more.
+func (s *Server) readConn(i int32, c *conn) {
+	turn := c.generation
+	for reads := 0; c.generation == turn && c.state == stateReading; reads++ {
+		if reads == maxReadsPerTurn {
+			c.readPending = true
+			s.runnable.push(s.table.token(i))
+			return
+		}
+		n, err := s.config.Transport.Read(c.socket, s.readBuffer)
+		full := n == len(s.readBuffer)
+		c.readPending = full // then there may be more, of which no event tells again
+		if n > 0 {
+			s.consume(i, c, s.readBuffer[:n])
+		}
+		switch {
+		case err == nil && full:
+			if c.generation == turn && c.state == stateReading {
+				c.readPending = false
+			}
+			continue
+		case err == nil:
+			return
+		case errors.Is(err, ErrWouldBlock):
+		case errors.Is(err, io.EOF) && c.active != nil && (len(c.active.buf) > 0 || c.active.request != nil):
+			// It ended in the midst of a request, and may still read.
+			s.stats.PeerClosed++
+			s.reject(i, c, &requestError{http.StatusBadRequest, "the request ends early"})
+		default:
+			s.clientGone(i, c)
+		}
+		return
+	}
+}
+
+// consume takes bytes of a connection that is reading. Unless a request is whole,
+// they are kept.
+func (s *Server) consume(i int32, c *conn, data []byte) {
+	w := c.active
+	if w != nil && w.request != nil {
+		n := min(len(data), cap(w.body)-len(w.body))
+		w.body = append(w.body, data[:n]...)
+		if data = data[n:]; len(w.body) == cap(w.body) {
+			s.dispatch(i, c, w.request, w.body, data)
+		}
+		return
+	}
+	look := 0
+	if w != nil && len(w.buf) > 0 {
+		w.buf = append(w.buf, data...)
+		data, look = w.buf, w.scanFrom
+	}
+	if c.lastWasPOST { // RFC 9112, 2.2: an empty line may follow an old client's POST
+		n := 0
+		for n < min(len(data), 4) && (data[n] == '\r' || data[n] == '\n') {
+			n++
+		}
+		data, look = data[n:], max(0, look-n)
+	}
+	end, next := headEnd(data, look)
+	if end == 0 {
+		if len(data) > s.config.MaxHeadSize+headSizeSlack {
+			s.reject(i, c, &requestError{http.StatusRequestHeaderFieldsTooLarge, "the head is too large"})
+			return
+		}
+		if len(data) == 0 {
+			return
+		}
+		w = s.ensureActive(c)
+		c.lastWasPOST = false
+		w.buf = append(w.buf[:0], data...)
+		w.scanFrom = next
+		s.account(w, 0, w.bytes())
+		return
+	}
+	if end > s.config.MaxHeadSize+headSizeSlack {
+		s.reject(i, c, &requestError{http.StatusRequestHeaderFieldsTooLarge, "the head is too large"})
+		return
+	}
+	r, wrong := s.parser.parseHead(data[:end])
+	if wrong != nil {
+		s.reject(i, c, wrong)
+		return
+	}
+	c.lastWasPOST = r.Method == http.MethodPost
+	s.handleHead(i, c, r, data[end:])
+}
+
+// headed takes a request whose head has come, with the bytes that follow it.
+func (s *Server) handleHead(i int32, c *conn, r *http.Request, rest []byte) {
+	length := r.ContentLength
+	if len(r.TransferEncoding) > 0 || length < 0 || length > s.config.MaxBodySize {
+		// Nobody waits for such a body: the handler turns it away by its head, and
+		// what follows on the connection is nothing that could be read.
+		r.Body = io.NopCloser(strings.NewReader(""))
+		c.readPending = true
+		s.dispatch(i, c, r, nil, rest)
+		return
+	}
+	if int64(len(rest)) >= length {
+		s.dispatch(i, c, r, rest[:length], rest[length:])
+		return
+	}
+	switch expect := r.Header.Get("Expect"); {
+	case strings.EqualFold(expect, "100-continue"):
+		if _, err := s.config.Transport.Write(c.socket, []byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+			s.clientGone(i, c)
+			return
+		}
+	case expect != "":
+		s.reject(i, c, &requestError{http.StatusExpectationFailed, "the expectation can't be met"})
+		return
+	}
+	w := s.ensureActive(c)
+	w.request = r
+	w.body = append(make([]byte, 0, length), rest...)
+	w.buf, w.scanFrom = w.buf[:0], 0
+	s.account(w, 0, w.bytes()+cap(w.body)+openRequestBytes)
+}
+
+// whole hands a request over. rest is what came behind it.
+func (s *Server) dispatch(i int32, c *conn, r *http.Request, body, rest []byte) {
+	if c.peerEnded { // nobody waits for the answer
+		s.clientGone(i, c)
+		return
+	}
+	if s.stalled && len(rest) == 0 {
+		// It came while the process stood still; who has left since then is not to be worked for.
+		if err := s.config.Transport.Peek(c.socket); err != nil && !errors.Is(err, ErrWouldBlock) {
+			s.clientGone(i, c)
+			return
+		}
+	}
+	s.stats.Requests++
+	w := s.ensureActive(c)
+	w.request, w.body = nil, nil
+	if r.Body == http.NoBody || r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
+		r.Body = http.NoBody
+	} else if len(body) > 0 {
+		r.Body = io.NopCloser(bytes.NewReader(body))
+	}
+	w.headOnly = r.Method == http.MethodHead
+	c.closeAfterResponse = r.Close || !r.ProtoAtLeast(1, 1) || c.overLimit
+	s.wheel.Cancel(i)
+	c.state = stateOpen
+	name, class, answer := s.config.Handler.HandleRequest(Token(s.table.token(i)), r, c.overLimit)
+	if class >= 0 {
+		s.idleConns.RequestReceived(i, class)
+	} else {
+		s.idleConns.UnclassifiedReceived(i)
+	}
+	// The body has been used by now, and may stand where the rest goes.
+	w.buf, w.scanFrom = append(w.buf[:0], rest...), 0
+	c.pipelined = len(rest) > 0 // bytes of the next request hide the client's end
+	s.account(w, 0, 0)
+	s.account(w, 1, openRequestBytes+len(body)+cap(w.buf))
+	if answer != nil {
+		s.sendResponse(i, c, answer)
+		return
+	}
+	w.handle = name
+}
+
+// fail answers what is no request, for the last time on its connection.
+func (s *Server) reject(i int32, c *conn, f *requestError) {
+	s.stats.Refused++
+	s.ensureActive(c)
+	c.readPending = true
+	s.idleConns.UnclassifiedReceived(i)
+	s.sendResponse(i, c, &Response{Status: f.status, Text: f.text, Close: true})
+}
+
+// late ends a request that has not come whole in time.
+func (s *Server) requestTimedOut(i int32, c *conn) {
+	token := s.table.token(i)
+	if c.active != nil && c.active.request != nil {
+		s.reject(i, c, &requestError{http.StatusRequestTimeout, "the body did not come"})
+		return
+	}
+	if s.readArrived(i, c) { // the first bytes came just now
+		if i, c = s.table.lookup(token); c != nil && c.state == stateReading && !s.wheel.Armed(i) {
+			s.wheel.Arm(i, s.now+RequestTimeout)
+		}
+		return
+	}
+	s.closeConn(i, c, closeRequestTimeout)
+}
+
+// linger drops what comes behind a last answer, so that no reset takes the answer
+// away, until the peer ends. What is more than a little stays in the kernel.
+func (s *Server) discardInput(i int32, c *conn) {
+	w := s.ensureActive(c)
+	for w.discarded < maxLingerDiscard {
+		n, err := s.config.Transport.Read(c.socket, s.readBuffer)
+		w.discarded += n
+		if errors.Is(err, ErrWouldBlock) {
+			return
+		}
+		if err != nil {
+			s.closeConn(i, c, closeLingered)
+			return
+		}
+	}
+}
--- a/internal/node/front/write.go
+++ b/internal/node/front/response.go
@@ -71,89 +71,89 @@
 }
 
 // write sends an answer, as much as the client takes now.
-func (s *Server) write(i int32, c *conn, a *Response) {
+func (s *Server) sendResponse(i int32, c *conn, a *Response) {
 	s.stats.Responses++
-	w := c.work
-	w.open = nil
-	c.closing = c.closing || a.Close || s.leaving
-	s.out = s.encode(s.out[:0], a, w.head, c.closing)
-	n, err := s.set.Transport.Write(c.socket, s.out)
+	w := c.active
+	w.handle = nil
+	c.closeAfterResponse = c.closeAfterResponse || a.Close || s.shuttingDown
+	s.writeBuffer = s.encode(s.writeBuffer[:0], a, w.headOnly, c.closeAfterResponse)
+	n, err := s.config.Transport.Write(c.socket, s.writeBuffer)
 	if err != nil && !errors.Is(err, ErrWouldBlock) {
-		s.drop(i, c, closeNotWritten)
+		s.closeConn(i, c, closeWriteFailed)
 		return
 	}
-	s.book(w, 1, cap(w.buf))
-	if n < len(s.out) {
-		w.out = append([]byte(nil), s.out[n:]...)
-		s.ledger.Add(membudget.PendingAnswers, len(w.out))
-		c.state = writing
+	s.account(w, 1, cap(w.buf))
+	if n < len(s.writeBuffer) {
+		w.unsent = append([]byte(nil), s.writeBuffer[n:]...)
+		s.memory.Add(membudget.PendingAnswers, len(w.unsent))
+		c.state = stateWriting
 		until := a.WriteDeadline
 		if until == 0 {
-			until = s.now + writeWait
+			until = s.now + defaultWriteTimeout
 		}
 		s.wheel.Arm(i, until)
-		if s.set.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
-			s.drop(i, c, closeTransport)
+		if s.config.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
+			s.closeConn(i, c, closeTransport)
 		}
 	} else {
-		s.answered(i, c)
+		s.responseSent(i, c)
 	}
-	if cap(s.out) > 2*mostScratch {
-		s.out = nil
+	if cap(s.writeBuffer) > 2*maxWriteBuffer {
+		s.writeBuffer = nil
 	}
 }
 
-const mostScratch = 64 << 10
+const maxWriteBuffer = 64 << 10
 
 // flush sends more of an answer.
-func (s *Server) flush(i int32, c *conn) {
-	w := c.work
-	for len(w.out) > 0 {
-		n, err := s.set.Transport.Write(c.socket, w.out)
-		s.ledger.Add(membudget.PendingAnswers, -n)
-		w.out = w.out[n:]
+func (s *Server) flushResponse(i int32, c *conn) {
+	w := c.active
+	for len(w.unsent) > 0 {
+		n, err := s.config.Transport.Write(c.socket, w.unsent)
+		s.memory.Add(membudget.PendingAnswers, -n)
+		w.unsent = w.unsent[n:]
 		if errors.Is(err, ErrWouldBlock) || err == nil && n == 0 {
-			if s.set.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
-				s.drop(i, c, closeTransport)
+			if s.config.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
+				s.closeConn(i, c, closeTransport)
 			}
 			return
 		}
 		if err != nil {
-			s.drop(i, c, closeNotWritten)
+			s.closeConn(i, c, closeWriteFailed)
 			return
 		}
 	}
-	w.out = nil
+	w.unsent = nil
 	s.wheel.Cancel(i)
-	s.answered(i, c)
+	s.responseSent(i, c)
 }
 
 // answered goes on after a whole answer: with what came behind its request, or to rest.
-func (s *Server) answered(i int32, c *conn) {
-	w := c.work
-	if c.closing {
-		if c.crowded && !c.unread && len(w.buf) == 0 { // its descriptor is wanted at once
-			s.drop(i, c, closeForRoom)
+func (s *Server) responseSent(i int32, c *conn) {
+	w := c.active
+	if c.closeAfterResponse {
+		if c.overLimit && !c.readPending && len(w.buf) == 0 { // its descriptor is wanted at once
+			s.closeConn(i, c, closeEvicted)
 			return
 		}
 		// A lingering close (RFC 9112, 9.6): closing over bytes unread would reset the connection, and take the answer
 		// along, and they may come right before the close.
-		s.set.Transport.CloseWrite(c.socket)
-		c.state = lingering
+		s.config.Transport.CloseWrite(c.socket)
+		c.state = stateLingering
 		w.buf, w.request, w.body = nil, nil, nil
-		s.book(w, 0, 0)
-		s.book(w, 1, 0)
-		s.hold.UnclassifiedReceived(i)
-		s.wheel.Arm(i, s.now+lingerFor)
-		s.linger(i, c)
+		s.account(w, 0, 0)
+		s.account(w, 1, 0)
+		s.idleConns.UnclassifiedReceived(i)
+		s.wheel.Arm(i, s.now+lingerTimeout)
+		s.discardInput(i, c)
 		return
 	}
-	c.piped = false
-	if len(w.buf) > 0 || c.unread {
-		c.state = reading
-		s.hold.RequestPipelined(s.now, i)
+	c.pipelined = false
+	if len(w.buf) > 0 || c.readPending {
+		c.state = stateReading
+		s.idleConns.RequestPipelined(s.now, i)
 		s.wheel.Arm(i, s.now+RequestTimeout)
-		s.again.push(s.table.token(i))
+		s.runnable.push(s.table.token(i))
 		return
 	}
 	s.park(i, c)
@@ -161,20 +161,20 @@
 
 // park lays a connection to rest.
 func (s *Server) park(i int32, c *conn) {
-	s.release(c)
-	c.state = parked
-	s.freed = true
-	if c.rules != s.rules {
-		s.sourced(i, c)
+	s.releaseActive(c)
+	c.state = stateParked
+	s.capacityFreed = true
+	if c.rulesVersion != s.rulesVersion {
+		s.assignNetwork(i, c)
 	}
-	limit, slack := s.hold.BecameIdle(s.now, i)
+	limit, slack := s.idleConns.BecameIdle(s.now, i)
 	s.wheel.ArmSpread(i, s.now+limit, slack)
-	if limit > keepFrom && !c.kept {
-		c.kept = true
-		s.set.Transport.EnableKeepAlive(c.socket)
+	if limit > minKeepAliveIdle && !c.keepAlive {
+		c.keepAlive = true
+		s.config.Transport.EnableKeepAlive(c.socket)
 	}
 }
 
 // keepFrom is how long a connection may rest before the system looks whether its peer
 // is still there: below, the rest ends soon enough by itself.
-const keepFrom = time.Minute
+const minKeepAliveIdle = time.Minute
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -18,20 +18,20 @@
 
 // Times and bounds that are the same for every node.
 const (
-	RequestTimeout = 2 * time.Second // for a whole request, from its first byte or the connection's start
-	WriteGrace     = time.Second     // after its deadline a client that does not read is cut off
-	writeWait      = 10 * time.Second
-	lingerFor      = 500 * time.Millisecond
+	RequestTimeout      = 2 * time.Second // for a whole request, from its first byte or the connection's start
+	WriteGrace          = time.Second     // after its deadline a client that does not read is cut off
+	defaultWriteTimeout = 10 * time.Second
+	lingerTimeout       = 500 * time.Millisecond
 	// A connection that has just come has its request on the way.
-	NewConnGrace = 250 * time.Millisecond
-	roomLook     = 20 * time.Millisecond // between two looks for room
-	timerTick    = 8 * time.Millisecond
-
-	mostDue       = 256 // timers handled in one turn
-	acceptAtOnce  = 64
-	answersEvery  = 16 // events between two looks for answers
-	readSize      = 8 << 10
-	mostLingering = 64 << 10 // bytes dropped of what follows a last answer
+	NewConnGrace        = 250 * time.Millisecond
+	acceptRetryInterval = 20 * time.Millisecond // between two looks for room
+	timerTick           = 8 * time.Millisecond
+
+	maxTimersPerTurn       = 256 // timers handled in one turn
+	maxAcceptsPerTurn      = 64
+	eventsPerResponseCheck = 16 // events between two looks for answers
+	readBufferSize         = 8 << 10
+	maxLingerDiscard       = 64 << 10 // bytes dropped of what follows a last answer
 )
 
 // Handler is given whole requests. The front's goroutine calls it, so it must not
@@ -78,39 +78,39 @@
 
 // Server is the front of a node.
 type Server struct {
-	set       Config
-	table     table
-	wheel     *timerwheel.Wheel
-	hold      *idleconns.Table
-	ledger    *membudget.Budget
-	scratch   []byte
-	out       []byte
-	parser    parser
-	due       []int32
-	expired   fifo        // parked connections whose time is over, by token
-	again     fifo        // connections with bytes of a next request, which take turns
-	later     [bands]fifo // deferred ones, by the worth of what they last asked for
-	pool      []*work
-	lookAt    time.Duration
-	date      dateCache
-	rules     uint8 // counts the rules that were in use
-	recheckAt int32
-	leaving   bool // no connection is kept after its answer
-	emfile    bool // told once
-	wary      bool // the process has just stood still
-	freed     bool // a connection has ended or come to rest in this turn
-	tracing   bool // each close is logged
-	seed      maphash.Seed
-	stats     Stats
-	now       time.Duration
-	steps     chan func()
-	ended     chan struct{}
-	accepted  atomic.Int64
-	openCount atomic.Int64
-
-	mu      sync.Mutex
-	answers []queued
-	answer  chan struct{}
+	config            Config
+	table             connTable
+	wheel             *timerwheel.Wheel
+	idleConns         *idleconns.Table
+	memory            *membudget.Budget
+	readBuffer        []byte
+	writeBuffer       []byte
+	parser            headParser
+	dueTimers         []int32
+	expired           tokenQueue                // parked connections whose time is over, by token
+	runnable          tokenQueue                // connections with bytes of a next request, which take turns
+	deferredConns     [deferredBands]tokenQueue // deferred ones, by the worth of what they last asked for
+	pool              []*activeState
+	acceptRetryAt     time.Duration
+	date              dateCache
+	rulesVersion      uint8 // counts the rules that were in use
+	reapplyNext       int32
+	shuttingDown      bool // no connection is kept after its answer
+	acceptErrorLogged bool // told once
+	stalled           bool // the process has just stood still
+	capacityFreed     bool // a connection has ended or come to rest in this turn
+	logsCloses        bool // each close is logged
+	seed              maphash.Seed
+	stats             Stats
+	now               time.Duration
+	tasks             chan func()
+	stopped           chan struct{}
+	lastAccept        atomic.Int64
+	openCount         atomic.Int64
+
+	mu            sync.Mutex
+	responses     []queuedResponse
+	responseReady chan struct{}
 }
 
 // Stats counts what the front has done. All but the first group only grow.
@@ -128,7 +128,7 @@
 	MaxTimersTime                                        time.Duration // of that, over due timers
 }
 
-type queued struct {
+type queuedResponse struct {
 	token Token
 	Response
 }
@@ -137,12 +137,12 @@
 func New(c Config) *Server {
 	now := c.Now()
 	return &Server{
-		set: c, wheel: timerwheel.New(timerTick, now), now: now,
-		hold:   idleconns.New(idleconns.Settings{Policy: c.EvictionPolicy, ClassWorths: c.ClassWorths, NewcomerGrace: NewConnGrace, RememberedClients: c.RememberedClients}, c.IdleRules, now),
-		ledger: membudget.New(c.MemoryBudget), scratch: make([]byte, readSize),
-		seed:    maphash.MakeSeed(),
-		tracing: c.Log != nil && c.Log.Enabled(context.Background(), slog.LevelDebug),
-		steps:   make(chan func()), ended: make(chan struct{}), answer: make(chan struct{}, 1),
+		config: c, wheel: timerwheel.New(timerTick, now), now: now,
+		idleConns: idleconns.New(idleconns.Settings{Policy: c.EvictionPolicy, ClassWorths: c.ClassWorths, NewcomerGrace: NewConnGrace, RememberedClients: c.RememberedClients}, c.IdleRules, now),
+		memory:    membudget.New(c.MemoryBudget), readBuffer: make([]byte, readBufferSize),
+		seed:       maphash.MakeSeed(),
+		logsCloses: c.Log != nil && c.Log.Enabled(context.Background(), slog.LevelDebug),
+		tasks:      make(chan func()), stopped: make(chan struct{}), responseReady: make(chan struct{}, 1),
 	}
 }
 
@@ -150,10 +150,10 @@
 // does not wait. The answer to a client that has left goes nowhere.
 func (s *Server) Respond(t Token, a Response) {
 	s.mu.Lock()
-	s.answers = append(s.answers, queued{t, a})
+	s.responses = append(s.responses, queuedResponse{t, a})
 	s.mu.Unlock()
 	select {
-	case s.answer <- struct{}{}:
+	case s.responseReady <- struct{}{}:
 	default:
 	}
 }
@@ -163,8 +163,8 @@
 func (s *Server) Do(f func()) bool {
 	done := make(chan struct{})
 	select {
-	case s.steps <- func() { f(); close(done) }:
-	case <-s.ended:
+	case s.tasks <- func() { f(); close(done) }:
+	case <-s.stopped:
 		return false
 	}
 	<-done
@@ -175,44 +175,44 @@
 func (s *Server) Stats() (st Stats) {
 	s.Do(func() {
 		st = s.stats
-		st.Open, st.Parked, st.Reading = s.table.open, s.hold.Idle(), s.hold.Incomplete()
+		st.Open, st.Parked, st.Reading = s.table.inUse, s.idleConns.Idle(), s.idleConns.Incomplete()
 		st.Busy = st.Open - st.Parked - st.Reading
-		st.Memory, st.MemoryPeak, st.PressureChanges = s.ledger.Total(), s.ledger.Peak(), s.ledger.LevelChanges()
+		st.Memory, st.MemoryPeak, st.PressureChanges = s.memory.Total(), s.memory.Peak(), s.memory.LevelChanges()
 	})
 	return st
 }
 
 // Accepted is when the last connection came, and Conns how many there are.
-func (s *Server) LastAccept() time.Duration { return time.Duration(s.accepted.Load()) }
+func (s *Server) LastAccept() time.Duration { return time.Duration(s.lastAccept.Load()) }
 func (s *Server) OpenConns() int            { return int(s.openCount.Load()) }
 
 // UseRules takes other rules for idle connections. What is parked keeps no more and no
 // less time than they give it: Recheck brings them to it by and by.
 func (s *Server) SetIdleRules(r *idleconns.Rules) {
 	s.Do(func() {
-		s.set.IdleRules = r
-		s.hold.SetRules(r)
-		s.rules++
-		s.recheckAt = 0
-		if s.set.Hooks.ReapplyRules != nil {
-			s.set.Hooks.ReapplyRules()
+		s.config.IdleRules = r
+		s.idleConns.SetRules(r)
+		s.rulesVersion++
+		s.reapplyNext = 0
+		if s.config.Hooks.ReapplyRules != nil {
+			s.config.Hooks.ReapplyRules()
 		}
 	})
 }
 
 // Recheck goes on with what UseRules has begun.
 func (s *Server) ReapplyRules(slice time.Duration) (took time.Duration, more bool) {
-	return s.step(slice, func(may func() bool) bool {
-		for ; int(s.recheckAt) < s.table.low; s.recheckAt++ {
+	return s.runStep(slice, func(may func() bool) bool {
+		for ; int(s.reapplyNext) < s.table.allocated; s.reapplyNext++ {
 			if !may() {
 				return true
 			}
-			i, c := s.recheckAt, s.table.at(s.recheckAt)
-			if c.state != parked || c.rules == s.rules {
+			i, c := s.reapplyNext, s.table.at(s.reapplyNext)
+			if c.state != stateParked || c.rulesVersion == s.rulesVersion {
 				continue
 			}
-			s.sourced(i, c)
-			since, limit, slack := s.hold.IdleTimeout(i)
+			s.assignNetwork(i, c)
+			since, limit, slack := s.idleConns.IdleTimeout(i)
 			if s.wheel.Cancel(i) { // else its time is over already
 				s.wheel.ArmSpread(i, since+limit, slack)
 			}
@@ -222,15 +222,15 @@
 }
 
 // sourced finds out anew which network a connection is from: the rules have changed.
-func (s *Server) sourced(i int32, c *conn) {
-	c.rules = s.rules
-	s.hold.SetSource(i, s.set.IdleRules.Source(s.set.Transport.RemoteAddr(c.socket)))
+func (s *Server) assignNetwork(i int32, c *conn) {
+	c.rulesVersion = s.rulesVersion
+	s.idleConns.SetSource(i, s.config.IdleRules.Source(s.config.Transport.RemoteAddr(c.socket)))
 }
 
 // Run serves until the context ends, and closes all that is left then.
 func (s *Server) Run(ctx context.Context) {
-	defer s.close()
-	t := s.set.Transport
+	defer s.closeAll()
+	t := s.config.Transport
 	t.SetAccepting(true)
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -243,169 +243,169 @@
 			if !ok {
 				return
 			}
-			s.turn(func() { s.events(batch) })
+			s.runTurn(func() { s.handleEvents(batch) })
 			t.BatchDone()
-		case <-s.answer:
-			s.turn(s.drain)
-		case f := <-s.steps:
-			s.turn(f)
+		case <-s.responseReady:
+			s.runTurn(s.writeResponses)
+		case f := <-s.tasks:
+			s.runTurn(f)
 		case <-alarm.C:
 			alarmAt = 0
-			s.turn(func() {})
+			s.runTurn(func() {})
 		}
-		if at, ok := s.next(); ok && (alarmAt == 0 || at < alarmAt) {
-			alarm.Reset(max(at-s.set.Now(), 0))
+		if at, ok := s.nextWake(); ok && (alarmAt == 0 || at < alarmAt) {
+			alarm.Reset(max(at-s.config.Now(), 0))
 			alarmAt = at
 		}
 	}
 }
 
 // turn does one piece of work and then what is due.
-func (s *Server) turn(f func()) {
-	begun := s.set.Now()
+func (s *Server) runTurn(f func()) {
+	begun := s.config.Now()
 	s.now = max(s.now, begun)
-	s.wary = s.set.Hooks.ProcessStalled != nil && s.set.Hooks.ProcessStalled()
+	s.stalled = s.config.Hooks.ProcessStalled != nil && s.config.Hooks.ProcessStalled()
 	f()
-	s.now = max(s.now, s.set.Now())
+	s.now = max(s.now, s.config.Now())
 	timers := s.now
-	s.timers()
-	if s.lookAt > 0 && (s.freed || s.now >= s.lookAt) { // somebody waits
-		s.lookAt = 0
-		s.accept()
-		if s.lookAt == 0 {
-			s.set.Transport.SetAccepting(true)
+	s.handleTimers()
+	if s.acceptRetryAt > 0 && (s.capacityFreed || s.now >= s.acceptRetryAt) { // somebody waits
+		s.acceptRetryAt = 0
+		s.acceptPending()
+		if s.acceptRetryAt == 0 {
+			s.config.Transport.SetAccepting(true)
 		}
 	}
-	s.freed = false
-	s.proceed()
-	s.resume()
-	end := s.set.Now()
+	s.capacityFreed = false
+	s.processRunnable()
+	s.resumeDeferred()
+	end := s.config.Now()
 	s.stats.MaxTurnTime = max(s.stats.MaxTurnTime, end-begun)
 	s.stats.MaxTimersTime = max(s.stats.MaxTimersTime, end-timers)
-	s.openCount.Store(int64(s.table.open))
+	s.openCount.Store(int64(s.table.inUse))
 }
 
 // next is when the goroutine has to look again without an event.
-func (s *Server) next() (time.Duration, bool) {
+func (s *Server) nextWake() (time.Duration, bool) {
 	at, ok := s.wheel.Next()
-	if s.lookAt > 0 && (!ok || s.lookAt < at) {
-		at, ok = s.lookAt, true
+	if s.acceptRetryAt > 0 && (!ok || s.acceptRetryAt < at) {
+		at, ok = s.acceptRetryAt, true
 	}
-	if s.again.len() > 0 || s.waiting() {
+	if s.runnable.len() > 0 || s.canResume() {
 		at, ok = s.now, true
 	}
 	return at, ok
 }
 
 // events handles a batch of the transport's. Answers are not kept waiting for it.
-func (s *Server) events(batch []Event) {
+func (s *Server) handleEvents(batch []Event) {
 	for n, e := range batch {
-		if n%answersEvery == answersEvery-1 {
-			s.drain()
+		if n%eventsPerResponseCheck == eventsPerResponseCheck-1 {
+			s.writeResponses()
 		}
 		if e.Token == listenerToken {
-			s.accept()
+			s.acceptPending()
 			continue
 		}
-		i, c := s.table.find(e.Token)
+		i, c := s.table.lookup(e.Token)
 		if c == nil {
 			continue // an event for a connection that has closed since
 		}
-		if e.Ready&ConnReset != 0 && (e.Ready&Readable == 0 || c.state == open) {
-			s.gone(i, c)
+		if e.Ready&ConnReset != 0 && (e.Ready&Readable == 0 || c.state == stateOpen) {
+			s.clientGone(i, c)
 			continue
 		}
-		if e.Ready&Writable != 0 && c.state == writing {
-			s.flush(i, c)
+		if e.Ready&Writable != 0 && c.state == stateWriting {
+			s.flushResponse(i, c)
 		}
-		if i, c = s.table.find(e.Token); c == nil {
+		if i, c = s.table.lookup(e.Token); c == nil {
 			continue
 		}
 		// The end may come in one event with the request before it, and behind bytes that nobody reads yet.
 		if e.Ready&PeerEnded != 0 {
-			c.left = true
+			c.peerEnded = true
 		}
 		if e.Ready&Readable != 0 {
-			s.readable(i, c)
+			s.handleReadable(i, c)
 		}
 	}
 }
 
 // drain writes the answers that have been given.
-func (s *Server) drain() {
+func (s *Server) writeResponses() {
 	for {
 		s.mu.Lock()
-		all := s.answers
-		s.answers = nil
+		all := s.responses
+		s.responses = nil
 		s.mu.Unlock()
 		if len(all) == 0 {
 			return
 		}
 		for n := range all {
-			if i, c := s.table.find(uint64(all[n].token)); c != nil && c.state == open {
-				s.write(i, c, &all[n].Response)
+			if i, c := s.table.lookup(uint64(all[n].token)); c != nil && c.state == stateOpen {
+				s.sendResponse(i, c, &all[n].Response)
 			}
 		}
 		s.mu.Lock()
-		if s.answers == nil && cap(all) <= 1024 {
+		if s.responses == nil && cap(all) <= 1024 {
 			clear(all)
-			s.answers = all[:0]
+			s.responses = all[:0]
 		}
 		s.mu.Unlock()
 	}
 }
 
 // accept takes in what waits, as far as there is room.
-func (s *Server) accept() {
-	for n := range acceptAtOnce {
-		if n > 0 && s.table.open >= s.set.MaxConns {
+func (s *Server) acceptPending() {
+	for n := range maxAcceptsPerTurn {
+		if n > 0 && s.table.inUse >= s.config.MaxConns {
 			return // nobody may wait any more: no connection is closed for that
 		}
-		if !s.room() {
-			s.set.Transport.SetAccepting(false)
-			s.lookAt = s.now + roomLook
+		if !s.makeRoom() {
+			s.config.Transport.SetAccepting(false)
+			s.acceptRetryAt = s.now + acceptRetryInterval
 			return
 		}
-		socket, from, err := s.set.Transport.Accept()
+		socket, from, err := s.config.Transport.Accept()
 		if errors.Is(err, ErrWouldBlock) {
 			return
 		}
 		if err != nil {
 			// Out of descriptors, most likely: those that are freed meanwhile count, and
 			// the rest waits in the backlog.
-			if !s.emfile {
-				s.emfile = true
-				s.set.Log.Warn("a connection can't be taken; told once", "err", err, "open", s.table.open)
+			if !s.acceptErrorLogged {
+				s.acceptErrorLogged = true
+				s.config.Log.Warn("a connection can't be taken; told once", "err", err, "open", s.table.inUse)
 			}
-			s.set.Transport.SetAccepting(false)
-			s.lookAt = s.now + roomLook
+			s.config.Transport.SetAccepting(false)
+			s.acceptRetryAt = s.now + acceptRetryInterval
 			return
 		}
-		s.enter(socket, from)
+		s.addConn(socket, from)
 	}
 }
 
 // enter books a new connection.
-func (s *Server) enter(socket Socket, from netip.Addr) {
-	crowded := s.table.open >= s.set.MaxConns
-	i, c := s.table.take()
-	c.socket, c.state, c.crowded = socket, reading, crowded
-	c.rules = s.rules
-	s.ledger.Add(membudget.ConnectionState, rowBytes)
-	s.hold.Add(s.now, i, s.set.IdleRules.Source(from), s.who(from))
+func (s *Server) addConn(socket Socket, from netip.Addr) {
+	crowded := s.table.inUse >= s.config.MaxConns
+	i, c := s.table.allocate()
+	c.socket, c.state, c.overLimit = socket, stateReading, crowded
+	c.rulesVersion = s.rulesVersion
+	s.memory.Add(membudget.ConnectionState, parkedConnBytes)
+	s.idleConns.Add(s.now, i, s.config.IdleRules.Source(from), s.clientHash(from))
 	s.wheel.Arm(i, s.now+RequestTimeout)
-	s.accepted.Store(int64(s.now))
+	s.lastAccept.Store(int64(s.now))
 	s.stats.Accepted++
-	if err := s.set.Transport.Register(socket, s.table.token(i)); err != nil {
-		s.set.Log.Warn("a connection can't be waited for", "err", err)
-		s.drop(i, c, closeTransport)
+	if err := s.config.Transport.Register(socket, s.table.token(i)); err != nil {
+		s.config.Log.Warn("a connection can't be waited for", "err", err)
+		s.closeConn(i, c, closeTransport)
 	}
 }
 
 // who is a hash of an address by a key of this process: nobody outside can pick
 // addresses that fall together. 0: no address.
-func (s *Server) who(a netip.Addr) uint32 {
-	if !a.IsValid() || s.set.EvictionPolicy != idleconns.LowestValue {
+func (s *Server) clientHash(a netip.Addr) uint32 {
+	if !a.IsValid() || s.config.EvictionPolicy != idleconns.LowestValue {
 		return 0
 	}
 	b := a.As16()
@@ -414,73 +414,73 @@
 
 // room tells whether another connection may be taken in, and closes one for it if
 // need be. With a request open on each, a few more are let in to be refused.
-func (s *Server) room() bool {
-	if s.table.open < s.set.MaxConns {
+func (s *Server) makeRoom() bool {
+	if s.table.inUse < s.config.MaxConns {
 		return true
 	}
-	if s.set.Hooks.EvictIdle != nil {
-		s.set.Hooks.EvictIdle()
+	if s.config.Hooks.EvictIdle != nil {
+		s.config.Hooks.EvictIdle()
 	}
-	switch s.oust() {
+	switch s.evictOne() {
 	case idleconns.Found:
 		return true
 	case idleconns.AllBusy:
-		return s.table.open < s.set.MaxConns+s.set.MaxRefusalConns
+		return s.table.inUse < s.config.MaxConns+s.config.MaxRefusalConns
 	}
 	return false
 }
 
 // oust closes the connection that goes first. One on which bytes have come
 // meanwhile is no longer idle: it is read instead.
-func (s *Server) oust() idleconns.VictimStatus {
+func (s *Server) evictOne() idleconns.VictimStatus {
 	for tries := 0; ; tries++ {
-		i, word := s.hold.Victim(s.now)
+		i, word := s.idleConns.Victim(s.now)
 		if word != idleconns.Found {
 			return word
 		}
 		c := s.table.at(i)
-		if tries < 4 && s.looks(i, c) {
+		if tries < 4 && s.readArrived(i, c) {
 			continue
 		}
 		s.stats.Evicted++
-		s.drop(i, c, closeForRoom)
+		s.closeConn(i, c, closeEvicted)
 		return idleconns.Found
 	}
 }
 
 // looks tells whether bytes have come on a connection that is parked, or of which none have ever been read, and
 // reads them.
-func (s *Server) looks(i int32, c *conn) bool {
-	if c.state != parked && (c.state != reading || c.work != nil) || s.set.Transport.Peek(c.socket) != nil {
+func (s *Server) readArrived(i int32, c *conn) bool {
+	if c.state != stateParked && (c.state != stateReading || c.active != nil) || s.config.Transport.Peek(c.socket) != nil {
 		return false
 	}
 	s.stats.AvertedCloses++
-	s.readable(i, c)
+	s.handleReadable(i, c)
 	return true
 }
 
 // timers handles what is due, a bounded number at a time.
-func (s *Server) timers() {
-	s.due = s.wheel.Advance(s.now, mostDue, s.due[:0])
-	s.stats.MaxTimersDue = max(s.stats.MaxTimersDue, len(s.due))
-	for _, i := range s.due {
+func (s *Server) handleTimers() {
+	s.dueTimers = s.wheel.Advance(s.now, maxTimersPerTurn, s.dueTimers[:0])
+	s.stats.MaxTimersDue = max(s.stats.MaxTimersDue, len(s.dueTimers))
+	for _, i := range s.dueTimers {
 		c := s.table.at(i)
 		switch c.state {
-		case parked:
+		case stateParked:
 			s.expired.push(s.table.token(i))
-		case reading, deferred:
+		case stateReading, stateDeferred:
 			s.stats.RequestTimeouts++
-			s.late(i, c)
-		case writing:
+			s.requestTimedOut(i, c)
+		case stateWriting:
 			s.stats.WriteTimeouts++
-			s.drop(i, c, closeNotRead)
-		case lingering:
-			s.drop(i, c, closeLingered)
+			s.closeConn(i, c, closeWriteTimeout)
+		case stateLingering:
+			s.closeConn(i, c, closeLingered)
 		}
 	}
 	if s.expired.len() > 0 {
-		if s.set.Hooks.CloseExpired != nil {
-			s.set.Hooks.CloseExpired()
+		if s.config.Hooks.CloseExpired != nil {
+			s.config.Hooks.CloseExpired()
 		} else {
 			s.closeExpired(func() bool { return true })
 		}
@@ -494,28 +494,28 @@
 		if !may() {
 			return true
 		}
-		i, c := s.table.find(s.expired.pop())
+		i, c := s.table.lookup(s.expired.pop())
 		// A request's bytes may cross the close; and one that has been in use since and
 		// is parked again has its timer armed anew.
-		if c == nil || c.state != parked || s.wheel.Armed(i) || s.looks(i, c) {
+		if c == nil || c.state != stateParked || s.wheel.Armed(i) || s.readArrived(i, c) {
 			continue
 		}
 		s.stats.Expired++
-		s.drop(i, c, closeIdle)
+		s.closeConn(i, c, closeIdle)
 	}
 	return false
 }
 
 // step runs a piece of background work on the front's goroutine. It looks at the
 // clock every few rounds.
-func (s *Server) step(slice time.Duration, f func(may func() bool) bool) (took time.Duration, more bool) {
+func (s *Server) runStep(slice time.Duration, f func(may func() bool) bool) (took time.Duration, more bool) {
 	s.Do(func() {
-		begun, rounds := s.set.Now(), 0
+		begun, rounds := s.config.Now(), 0
 		more = f(func() bool {
 			rounds++
-			return rounds%8 != 0 || s.set.Now() < begun+slice
+			return rounds%8 != 0 || s.config.Now() < begun+slice
 		})
-		s.now = max(s.now, s.set.Now())
+		s.now = max(s.now, s.config.Now())
 		took = s.now - begun
 	})
 	return took, more
@@ -523,18 +523,18 @@
 
 // CloseExpired closes idle connections whose time is over.
 func (s *Server) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
-	return s.step(slice, s.closeExpired)
+	return s.runStep(slice, s.closeExpired)
 }
 
 // MakeRoom closes idle connections until there is room for a few newcomers, so that
 // not each has to wait for a close of its own.
 func (s *Server) EvictIdle(slice time.Duration) (took time.Duration, more bool) {
-	return s.step(slice, func(may func() bool) bool {
-		for s.table.open > s.set.MaxConns-s.set.MaxConns/64 || s.ledger.Level() == membudget.Full {
+	return s.runStep(slice, func(may func() bool) bool {
+		for s.table.inUse > s.config.MaxConns-s.config.MaxConns/64 || s.memory.Level() == membudget.Full {
 			if !may() {
 				return true
 			}
-			if s.hold.Idle() == 0 || s.oust() != idleconns.Found {
+			if s.idleConns.Idle() == 0 || s.evictOne() != idleconns.Found {
 				return false
 			}
 		}
@@ -544,13 +544,13 @@
 
 // Release gives buffers back that the last while had no use for.
 func (s *Server) ReleaseBuffers(slice time.Duration) (took time.Duration, more bool) {
-	return s.step(slice, func(may func() bool) bool {
-		for len(s.pool) > leastPool {
+	return s.runStep(slice, func(may func() bool) bool {
+		for len(s.pool) > minPooled {
 			if !may() {
 				return true
 			}
 			n := len(s.pool) - 1
-			s.ledger.Add(membudget.PooledBuffers, -s.pool[n].bytes())
+			s.memory.Add(membudget.PooledBuffers, -s.pool[n].bytes())
 			s.pool[n] = nil
 			s.pool = s.pool[:n]
 		}
--- a/internal/node/front/end.go
+++ b/internal/node/front/shutdown.go
@@ -6,10 +6,10 @@
 // with their next answer.
 func (s *Server) CloseListener() (err error) {
 	s.Do(func() {
-		s.leaving = true
-		s.lookAt = 0
-		s.set.Transport.SetAccepting(false)
-		err = s.set.Transport.CloseListener()
+		s.shuttingDown = true
+		s.acceptRetryAt = 0
+		s.config.Transport.SetAccepting(false)
+		err = s.config.Transport.CloseListener()
 	})
 	return err
 }
@@ -17,36 +17,36 @@
 // CloseParked closes the connections that are parked: the node ends. None with a
 // request open or read in part is among them.
 func (s *Server) CloseParked(slice time.Duration) (took time.Duration, more bool) {
-	return s.step(slice, s.closeParked)
+	return s.runStep(slice, s.closeParked)
 }
 
 func (s *Server) closeParked(may func() bool) bool {
 	for {
-		i, ok := s.hold.IdleVictim()
+		i, ok := s.idleConns.IdleVictim()
 		if !ok {
 			return false
 		}
 		if !may() {
 			return true
 		}
-		if c := s.table.at(i); !s.looks(i, c) {
-			s.drop(i, c, closeLeaving)
+		if c := s.table.at(i); !s.readArrived(i, c) {
+			s.closeConn(i, c, closeShutdown)
 		}
 	}
 }
 
 // close ends all connections and the transport.
-func (s *Server) close() {
-	for i := range int32(s.table.low) {
-		if c := s.table.at(i); c.state != free {
-			if c.state == open {
-				s.set.Handler.ClientGone(c.work.open)
+func (s *Server) closeAll() {
+	for i := range int32(s.table.allocated) {
+		if c := s.table.at(i); c.state != stateFree {
+			if c.state == stateOpen {
+				s.config.Handler.ClientGone(c.active.handle)
 			}
-			s.drop(i, c, closeEnded)
+			s.closeConn(i, c, closeServerStopped)
 		}
 	}
 	s.openCount.Store(0)
-	s.set.Transport.CloseListener()
-	s.set.Transport.Shutdown()
-	close(s.ended)
+	s.config.Transport.CloseListener()
+	s.config.Transport.Shutdown()
+	close(s.stopped)
 }
--- a/internal/node/front/calls.go
+++ b/internal/node/front/syscalls.go
@@ -9,7 +9,7 @@
 
 // read, write and peek are one system call each on a descriptor that does not
 // block, with Transport's results.
-func read(fd int, p []byte) (int, error) {
+func readFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.Read(fd, p)
 		switch {
@@ -26,7 +26,7 @@
 	}
 }
 
-func write(fd int, p []byte) (int, error) {
+func writeFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.SendmsgN(fd, p, nil, nil, unix.MSG_NOSIGNAL)
 		switch {
@@ -41,7 +41,7 @@
 	}
 }
 
-func peek(fd int) error {
+func peekFD(fd int) error {
 	var one [1]byte
 	for {
 		n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -22,21 +22,21 @@
 )
 
 // real is a front on sockets, and the node behind it.
-type real struct {
+type socketFixture struct {
 	*Server
 	network, address string
 	mu               sync.Mutex
 	open             map[Token]string // bodies of requests that wait for their answer
 	gone             atomic.Int64
-	hold             bool // requests wait until answer
+	holdRequests     bool // requests wait until answer
 }
 
-func (s *real) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
+func (s *socketFixture) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
 	body, _ := io.ReadAll(r.Body)
 	if crowded {
 		return nil, 0, &Response{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
 	}
-	if !s.hold {
+	if !s.holdRequests {
 		return nil, 0, &Response{Status: http.StatusOK, ContentType: "text/x", Body: body}
 	}
 	s.mu.Lock()
@@ -45,7 +45,7 @@
 	return t, 0, nil
 }
 
-func (s *real) ClientGone(open any) {
+func (s *socketFixture) ClientGone(open any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, open.(Token))
@@ -53,35 +53,37 @@
 }
 
 // answer answers all that waits with this much more behind the request's body.
-func (s *real) answer(more int) {
+func (s *socketFixture) answer(more int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for t, body := range s.open {
 		delete(s.open, t)
-		s.Respond(t, Response{Status: http.StatusOK, ContentType: "text/x", Body: append([]byte(body), make([]byte, more)...), WriteDeadline: s.set.Now() + 4*time.Second})
+		s.Respond(t, Response{Status: http.StatusOK, ContentType: "text/x", Body: append([]byte(body), make([]byte, more)...), WriteDeadline: s.config.Now() + 4*time.Second})
 	}
 }
 
-func (s *real) waiting() int {
+func (s *socketFixture) openCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
 // eachTransport runs a test over every transport of real sockets.
-func eachTransport(t *testing.T, play func(t *testing.T, start func(change func(*Config), waits bool) *real)) {
+func eachTransport(t *testing.T, play func(t *testing.T, start func(change func(*Config), waits bool) *socketFixture)) {
 	kinds := map[string]func(net.Listener) (Transport, error){"system": NewTransport, "goroutines": NewGoroutineTransport}
 	for name, make := range kinds {
 		for _, network := range []string{"tcp", "unix"} {
 			t.Run(name+"/"+network, func(t *testing.T) {
 				t.Parallel()
-				play(t, func(change func(*Config), waits bool) *real { return startReal(t, make, network, change, waits) })
+				play(t, func(change func(*Config), waits bool) *socketFixture {
+					return startSocketFixture(t, make, network, change, waits)
+				})
 			})
 		}
 	}
 }
 
-func startReal(t *testing.T, transport func(net.Listener) (Transport, error), network string, change func(*Config), waits bool) *real {
+func startSocketFixture(t *testing.T, transport func(net.Listener) (Transport, error), network string, change func(*Config), waits bool) *socketFixture {
 	t.Helper()
 	address := "127.0.0.1:0"
 	if network == "unix" {
@@ -96,7 +98,7 @@
 		t.Fatal(err)
 	}
 	start := time.Now()
-	s := &real{network: network, address: l.Addr().String(), open: map[Token]string{}, hold: waits}
+	s := &socketFixture{network: network, address: l.Addr().String(), open: map[Token]string{}, holdRequests: waits}
 	config := Config{
 		Transport: tr, Handler: s, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return time.Since(start) },
 		MaxConns: 100, MaxRefusalConns: 4, MemoryBudget: 1 << 20, ClassWorths: []float64{1}, MaxHeadSize: 4 << 10, MaxBodySize: 64 << 10,
@@ -118,14 +120,14 @@
 	return s
 }
 
-type peer struct {
+type socketClient struct {
 	net.Conn
 	*bufio.Reader
 }
 
-func (p *peer) Read(b []byte) (int, error) { return p.Reader.Read(b) }
+func (p *socketClient) Read(b []byte) (int, error) { return p.Reader.Read(b) }
 
-func (s *real) dial(t *testing.T) *peer {
+func (s *socketFixture) dial(t *testing.T) *socketClient {
 	t.Helper()
 	c, err := net.Dial(s.network, s.address)
 	if err != nil {
@@ -133,14 +135,14 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(nodetest.WaitTimeout))
-	return &peer{c, bufio.NewReader(c)}
+	return &socketClient{c, bufio.NewReader(c)}
 }
 
 func post(body string) string {
 	return fmt.Sprintf("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func (p *peer) expect(t *testing.T, status int, body string) {
+func (p *socketClient) expect(t *testing.T, status int, body string) {
 	t.Helper()
 	resp, err := http.ReadResponse(p.Reader, nil)
 	if err != nil {
@@ -155,7 +157,7 @@
 // Requests in one piece, byte by byte, many in a row and with 100-continue: each gets
 // its own answer, in order.
 func TestRequestsOverSockets(t *testing.T) {
-	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
+	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(nil, false)
 		p := s.dial(t)
 		io.WriteString(p, post("one"))
@@ -186,14 +188,14 @@
 // A client that leaves, half or whole, while its request is open is told of; one that
 // has sent more is not, until its answer.
 func TestClientLeavesOverSockets(t *testing.T) {
-	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
+	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(nil, true)
 		half, whole, piped := s.dial(t), s.dial(t), s.dial(t)
-		for _, p := range []*peer{half, whole} {
+		for _, p := range []*socketClient{half, whole} {
 			io.WriteString(p, post("x"))
 		}
 		io.WriteString(piped, post("first")+post("second"))
-		nodetest.WaitFor(t, "all are open", func() bool { return s.waiting() == 3 })
+		nodetest.WaitFor(t, "all are open", func() bool { return s.openCount() == 3 })
 		half.Conn.(interface{ CloseWrite() error }).CloseWrite()
 		whole.Close()
 		nodetest.WaitFor(t, "two have left", func() bool { return s.gone.Load() == 2 })
@@ -202,7 +204,7 @@
 		}
 		s.answer(0)
 		piped.expect(t, 200, "first")
-		nodetest.WaitFor(t, "the second is open", func() bool { return s.waiting() == 1 })
+		nodetest.WaitFor(t, "the second is open", func() bool { return s.openCount() == 1 })
 		s.answer(0)
 		piped.expect(t, 200, "second")
 		if s.gone.Load() != 2 {
@@ -213,19 +215,19 @@
 
 // An answer larger than the socket's buffers goes out as its client reads; a client
 // that reads nothing is cut off, and no other waits for it.
-func TestSlowReadersOverSockets(t *testing.T) {
-	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
+func TestSlowReadersAreCutOffOverSockets(t *testing.T) {
+	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(func(c *Config) { c.MemoryBudget = 64 << 20 }, true)
 		reads, never := s.dial(t), s.dial(t)
 		const more = 12 << 20
-		for _, p := range []*peer{reads, never} {
+		for _, p := range []*socketClient{reads, never} {
 			io.WriteString(p, post("x"))
 		}
-		nodetest.WaitFor(t, "both are open", func() bool { return s.waiting() == 2 })
+		nodetest.WaitFor(t, "both are open", func() bool { return s.openCount() == 2 })
 		s.answer(more)
 		other := s.dial(t)
 		io.WriteString(other, post("y"))
-		nodetest.WaitFor(t, "the other is open", func() bool { return s.waiting() == 1 })
+		nodetest.WaitFor(t, "the other is open", func() bool { return s.openCount() == 1 })
 		s.answer(0)
 		other.expect(t, 200, "y")
 		reads.expect(t, 200, "x"+string(bytes.Repeat([]byte{0}, more)))
@@ -238,23 +240,23 @@
 
 // Over the number that there may be: idle ones make room, and with a request open on
 // each, a few more are refused and the rest waits.
-func TestRoomOverSockets(t *testing.T) {
-	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
+func TestConnectionLimitOverSockets(t *testing.T) {
+	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(func(c *Config) { c.MaxConns, c.MaxRefusalConns = 8, 2 }, true)
-		var idle []*peer
+		var idle []*socketClient
 		for range 8 {
 			p := s.dial(t)
 			io.WriteString(p, post("x"))
-			nodetest.WaitFor(t, "it is open", func() bool { return s.waiting() == 1 })
+			nodetest.WaitFor(t, "it is open", func() bool { return s.openCount() == 1 })
 			s.answer(0)
 			p.expect(t, 200, "x")
 			idle = append(idle, p)
 		}
-		var busy []*peer
+		var busy []*socketClient
 		for n := range 8 {
 			p := s.dial(t)
 			io.WriteString(p, post("x"))
-			nodetest.WaitFor(t, "it is open", func() bool { return s.waiting() == n+1 })
+			nodetest.WaitFor(t, "it is open", func() bool { return s.openCount() == n+1 })
 			busy = append(busy, p)
 		}
 		for _, p := range idle {
@@ -273,8 +275,8 @@
 }
 
 // Rules that are changed hold for what is parked already.
-func TestShorterRestOverSockets(t *testing.T) {
-	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *real) {
+func TestChangedIdleRulesOverSockets(t *testing.T) {
+	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		rules := func(d time.Duration) *idleconns.Rules {
 			r, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: d}}, 1)
 			if err != nil {
@@ -282,7 +284,7 @@
 			}
 			return r
 		}
-		var s *real
+		var s *socketFixture
 		s = start(func(c *Config) {
 			c.IdleRules = rules(time.Hour)
 			c.Hooks.ReapplyRules = func() { go s.ReapplyRules(time.Second) }
--- a/internal/node/upstream/sockets.go
+++ b/internal/node/upstream/conn_limiter.go
@@ -4,19 +4,19 @@
 
 // Sockets counts the connections to servers.
 type ConnLimiter struct {
-	most int64
+	max  int64
 	open atomic.Int64
 }
 
-func NewConnLimiter(most int) *ConnLimiter { return &ConnLimiter{most: int64(most)} }
+func NewConnLimiter(most int) *ConnLimiter { return &ConnLimiter{max: int64(most)} }
 
 // take books a connection if there is room for it.
-func (s *ConnLimiter) take() bool {
-	if s.open.Add(1) <= s.most {
+func (s *ConnLimiter) acquire() bool {
+	if s.open.Add(1) <= s.max {
 		return true
 	}
 	s.open.Add(-1)
 	return false
 }
 
-func (s *ConnLimiter) give() { s.open.Add(-1) }
+func (s *ConnLimiter) release() { s.open.Add(-1) }
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -20,16 +20,16 @@
 // it is not sent at all.
 // more are header lines of this attempt alone.
 func (u *Pool) Attempt(t *Canceler, p *Target, q *Request, more string, by, until time.Duration) Outcome {
-	c := u.get(p)
+	c := u.takeIdle(p)
 	dialled := time.Duration(0)
 	if c == nil {
 		var err error
 		begun := u.clock.Now()
-		ctx, done := t.dialing()
+		ctx, done := t.dialContext()
 		c, err = u.dial(ctx, p, until)
 		done()
 		if err != nil {
-			if t.isOff() {
+			if t.isCanceled() {
 				return Outcome{Result: decide.NotSent, ConnClosed: true}
 			}
 			return Outcome{Result: decide.ConnectFailed, ConnClosed: true}
@@ -38,7 +38,7 @@
 	}
 	o, keep := u.exchange(t, c, p, q, more, by, until)
 	o.ConnAge = u.clock.Now() - c.opened
-	if keep = keep && u.put(p, c); !keep {
+	if keep = keep && u.keepIdle(p, c); !keep {
 		u.discard(c, p.ID, CloseUnusable)
 	}
 	o.ConnClosed, o.DialTime = !keep, dialled
@@ -50,37 +50,37 @@
 func (u *Pool) exchange(t *Canceler, c *conn, p *Target, q *Request, more string, by, until time.Duration) (_ Outcome, keep bool) {
 	// The connection may have taken a while: the server may drain by now, and
 	// the request may be over.
-	if q.over() || p.Closed.Load() || !t.waitOn(c, u.clock.WallTime(until), u.clock.WallTime(min(by, until))) {
+	if q.isFinished() || p.Closed.Load() || !t.attach(c, u.clock.WallTime(until), u.clock.WallTime(min(by, until))) {
 		return Outcome{Result: decide.NotSent}, false
 	}
-	defer t.leave()
+	defer t.detach()
 
 	now := u.clock.Now()
 	left := until - now
 	if left <= 0 || now > by {
 		return Outcome{Result: decide.NotSent}, false
 	}
-	message, err := q.Encode(c.message[:0], p.Address, more, left)
+	message, err := q.Encode(c.writeBuffer[:0], p.Address, more, left)
 	if err != nil {
 		return Outcome{Result: decide.ConnectFailed}, false
 	}
-	if c.message = message; cap(message) > mostKept {
-		c.message = nil
+	if c.writeBuffer = message; cap(message) > maxKeptBuffer {
+		c.writeBuffer = nil
 	}
 	if n, _ := c.Write(message); n < len(message) { // its last byte never left, so it can't run
-		if t.isOff() || u.clock.Now() > by {
+		if t.isCanceled() || u.clock.Now() > by {
 			return Outcome{Result: decide.NotSent}, false
 		}
 		return Outcome{Result: decide.ConnectFailed}, false
 	}
-	resp, body, err := c.read(q.Method)
+	resp, body, err := c.readResponse(q.Method)
 	if err != nil {
 		switch {
-		case t.isOff():
+		case t.isCanceled():
 			return Outcome{Result: decide.Cancelled}, false
 		case isTimeout(err):
 			return Outcome{Result: decide.TimedOut}, false
-		case c.limit.N > 0 && isBreak(err):
+		case c.responseLimit.N > 0 && isConnectionError(err):
 			return Outcome{Result: decide.ConnectionLost}, false
 		}
 		return Outcome{Result: decide.Malformed}, false
@@ -89,9 +89,9 @@
 	// only an answer with nothing behind it.
 	behind := c.reader.Buffered() > 0
 	if behind {
-		u.untidy.Store(true)
+		u.sawTrailingBytes.Store(true)
 	}
-	keep = !resp.Close && !behind && t.leave()
+	keep = !resp.Close && !behind && t.detach()
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return Outcome{
@@ -140,8 +140,8 @@
 
 // read takes a whole answer off the connection. Whatever a server sends, it keeps
 // no more than mostAnswer of it.
-func (c *conn) read(method string) (*http.Response, []byte, error) {
-	c.limit.N = mostAnswer
+func (c *conn) readResponse(method string) (*http.Response, []byte, error) {
+	c.responseLimit.N = maxResponseSize
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	for err == nil && resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols { // interim
 		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -175,7 +175,7 @@
 }
 
 // isBreak tells whether the connection ended, in order or not.
-func isBreak(err error) bool {
+func isConnectionError(err error) bool {
 	var broken net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken)
 }
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	MaxBodySize = 64 << 10
-	mostAnswer  = MaxBodySize + 64<<10 // with heads, interim answers and chunks
-	mostKept    = 2 << 10              // bytes kept with a connection for its next request
+	MaxBodySize     = 64 << 10
+	maxResponseSize = MaxBodySize + 64<<10 // with heads, interim answers and chunks
+	maxKeptBuffer   = 2 << 10              // bytes kept with a connection for its next request
 )
 
 // Peer is a server as the loop knows it, for the attempts that are on their way
@@ -40,7 +40,7 @@
 	Finished            *atomic.Bool // it has its answer, or its client has left
 }
 
-func (q *Request) over() bool { return q.Finished != nil && q.Finished.Load() }
+func (q *Request) isFinished() bool { return q.Finished != nil && q.Finished.Load() }
 
 // Response is the body of a server's answer.
 type Response struct {
@@ -62,38 +62,38 @@
 // carries one request at a time. net/http's Transport is no use here: it sends
 // requests again by itself, which may let an effect happen twice.
 type Pool struct {
-	clock          clock.Clock
-	sockets        *ConnLimiter
-	connectTimeout time.Duration
-	idleFor        time.Duration // connections are closed when idle for this
-	untidy         atomic.Bool   // a server has sent more than its answer
-	onClose        func(server string, why CloseReason)
-
-	mu     sync.Mutex
-	idle   map[string][]*conn // by server; the last was used last
-	timers *timerwheel.Wheel  // when idle connections have idled for too long
-	rows   []*conn            // by timer
-	free   []int32            // timers that no connection has
-	due    []int32
+	clock            clock.Clock
+	limiter          *ConnLimiter
+	connectTimeout   time.Duration
+	idleTimeout      time.Duration // connections are closed when idle for this
+	sawTrailingBytes atomic.Bool   // a server has sent more than its answer
+	onClose          func(server string, why CloseReason)
+
+	mu         sync.Mutex
+	idle       map[string][]*conn // by server; the last was used last
+	idleTimers *timerwheel.Wheel  // when idle connections have idled for too long
+	timerConns []*conn            // by timer
+	freeTimers []int32            // timers that no connection has
+	dueTimers  []int32
 }
 
 type conn struct {
 	net.Conn
-	address   string
-	opened    time.Duration
-	server    string            // whose it is, once it has idled
-	limit     *io.LimitedReader // what the answer may still bring
-	reader    *bufio.Reader     // reads from limit
-	raw       syscall.RawConn
-	sockets   *ConnLimiter
-	idleSince time.Duration
-	timer     int32  // its row
-	message   []byte // room for the next request
+	address       string
+	opened        time.Duration
+	serverID      string            // whose it is, once it has idled
+	responseLimit *io.LimitedReader // what the answer may still bring
+	reader        *bufio.Reader     // reads from limit
+	raw           syscall.RawConn
+	limiter       *ConnLimiter
+	idleSince     time.Duration
+	timer         int32  // its row
+	writeBuffer   []byte // room for the next request
 }
 
 func (c *conn) close() {
 	c.Conn.Close()
-	c.sockets.give()
+	c.limiter.release()
 }
 
 // CloseReason is why a connection to a server is closed, as logs have it.
@@ -130,47 +130,47 @@
 // sent something behind one. It is seen by then; in use again, the connection
 // would pass it for the next request's answer. Until then no connection rests:
 // calls that follow each other closely would each need a new one.
-const settling = 5 * time.Millisecond
+const settleTime = 5 * time.Millisecond
 
 func New(clock clock.Clock, sockets *ConnLimiter, set *decide.Settings) *Pool {
 	u := &Pool{
-		clock: clock, sockets: sockets, connectTimeout: set.ConnectTimeout, idleFor: set.ConnIdleTimeout,
-		idle: map[string][]*conn{}, timers: timerwheel.New(idleTick, clock.Now()),
+		clock: clock, limiter: sockets, connectTimeout: set.ConnectTimeout, idleTimeout: set.ConnIdleTimeout,
+		idle: map[string][]*conn{}, idleTimers: timerwheel.New(idleTick, clock.Now()),
 	}
 	if u.connectTimeout <= 0 {
 		u.connectTimeout = time.Second
 	}
-	if u.idleFor <= 0 {
-		u.idleFor = 10 * time.Second
+	if u.idleTimeout <= 0 {
+		u.idleTimeout = 10 * time.Second
 	}
-	u.idleFor -= min(idleMargin, u.idleFor/10)
+	u.idleTimeout -= min(idleMargin, u.idleTimeout/10)
 	return u
 }
 
 // get returns the connection to a server that was used last and has come to
 // rest, or nil.
-func (u *Pool) get(p *Target) *conn {
+func (u *Pool) takeIdle(p *Target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for at := len(u.idle[p.ID]) - 1; at >= 0; at-- {
 		c := u.idle[p.ID][at]
 		rested := u.clock.Now() - c.idleSince
-		if u.untidy.Load() && rested < settling && c.address == p.Address {
+		if u.sawTrailingBytes.Load() && rested < settleTime && c.address == p.Address {
 			continue
 		}
 		u.idle[p.ID] = slices.Delete(u.idle[p.ID], at, at+1)
-		u.unarm(c)
+		u.cancelIdleTimer(c)
 		why := CloseExpired
 		switch {
 		case c.address != p.Address:
 			why = CloseAddressChanged
-		case rested < u.idleFor:
-			alive, more := c.look()
+		case rested < u.idleTimeout:
+			alive, more := c.probe()
 			if alive {
 				return c
 			}
 			if more {
-				u.untidy.Store(true)
+				u.sawTrailingBytes.Store(true)
 			}
 			why = CloseByServer
 		}
@@ -180,7 +180,7 @@
 }
 
 // put keeps a connection for the next request, unless its server wants none.
-func (u *Pool) put(p *Target, c *conn) bool {
+func (u *Pool) keepIdle(p *Target, c *conn) bool {
 	c.SetDeadline(time.Time{}) // once past, it would fail the look that get takes
 	c.idleSince = u.clock.Now()
 	u.mu.Lock()
@@ -189,8 +189,8 @@
 		return false
 	}
 	u.idle[p.ID] = append(u.idle[p.ID], c)
-	c.server = p.ID
-	u.arm(c)
+	c.serverID = p.ID
+	u.armIdleTimer(c)
 	return true
 }
 
@@ -199,35 +199,35 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
-		u.unarm(c)
+		u.cancelIdleTimer(c)
 		u.discard(c, id, CloseServerClosed)
 	}
 	delete(u.idle, id)
 }
 
 // arm has a connection closed once it has idled for too long. u.mu is held.
-func (u *Pool) arm(c *conn) {
-	if n := len(u.free); n > 0 {
-		c.timer, u.free = u.free[n-1], u.free[:n-1]
+func (u *Pool) armIdleTimer(c *conn) {
+	if n := len(u.freeTimers); n > 0 {
+		c.timer, u.freeTimers = u.freeTimers[n-1], u.freeTimers[:n-1]
 	} else {
-		c.timer = int32(len(u.rows))
-		u.rows = append(u.rows, nil)
+		c.timer = int32(len(u.timerConns))
+		u.timerConns = append(u.timerConns, nil)
 	}
-	u.rows[c.timer] = c
-	u.timers.Arm(c.timer, c.idleSince+u.idleFor)
+	u.timerConns[c.timer] = c
+	u.idleTimers.Arm(c.timer, c.idleSince+u.idleTimeout)
 }
 
 // unarm is arm's end: the connection is in use again or closes. u.mu is held.
-func (u *Pool) unarm(c *conn) {
-	u.timers.Cancel(c.timer)
-	u.rows[c.timer] = nil
-	u.free = append(u.free, c.timer)
+func (u *Pool) cancelIdleTimer(c *conn) {
+	u.idleTimers.Cancel(c.timer)
+	u.timerConns[c.timer] = nil
+	u.freeTimers = append(u.freeTimers, c.timer)
 }
 
 // mostIdleClosed bounds what is closed between two looks at the clock.
 const (
-	mostIdleClosed = 8
-	idleTick       = 20 * time.Millisecond
+	maxExpiredPerBatch = 8
+	idleTick           = 20 * time.Millisecond
 )
 
 // Sweep closes connections that have idled for too long, as background work.
@@ -235,21 +235,21 @@
 	begun := u.clock.Now()
 	for now := begun; now < begun+slice; now = u.clock.Now() {
 		u.mu.Lock()
-		u.due = u.timers.Advance(now, mostIdleClosed, u.due[:0])
-		for _, t := range u.due {
-			c := u.rows[t]
-			stack := u.idle[c.server]
+		u.dueTimers = u.idleTimers.Advance(now, maxExpiredPerBatch, u.dueTimers[:0])
+		for _, t := range u.dueTimers {
+			c := u.timerConns[t]
+			stack := u.idle[c.serverID]
 			if at := slices.Index(stack, c); at >= 0 {
 				if stack = slices.Delete(stack, at, at+1); len(stack) == 0 {
-					delete(u.idle, c.server)
+					delete(u.idle, c.serverID)
 				} else {
-					u.idle[c.server] = stack
+					u.idle[c.serverID] = stack
 				}
 			}
-			u.unarm(c)
-			u.discard(c, c.server, CloseExpired)
+			u.cancelIdleTimer(c)
+			u.discard(c, c.serverID, CloseExpired)
 		}
-		done := len(u.due) < mostIdleClosed
+		done := len(u.dueTimers) < maxExpiredPerBatch
 		u.mu.Unlock()
 		if done {
 			return u.clock.Now() - begun, false
@@ -264,7 +264,7 @@
 	defer u.mu.Unlock()
 	for id, stack := range u.idle {
 		for _, c := range stack {
-			u.unarm(c)
+			u.cancelIdleTimer(c)
 			u.discard(c, id, CloseShutdown)
 		}
 		delete(u.idle, id)
@@ -272,14 +272,14 @@
 }
 
 // Open is how many connections there are, idle and in use.
-func (u *Pool) OpenConns() int { return int(u.sockets.open.Load()) }
+func (u *Pool) OpenConns() int { return int(u.limiter.open.Load()) }
 
 // Alive is how many idle connections to a server have nothing to read.
 func (u *Pool) AliveIdle(id string) (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
-		if alive, _ := c.look(); alive {
+		if alive, _ := c.probe(); alive {
 			n++
 		}
 	}
@@ -287,7 +287,7 @@
 }
 
 // relieve closes the connection that has idled longest, to make room for another.
-func (u *Pool) relieve() bool {
+func (u *Pool) evictLongestIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	oldest := ""
@@ -299,7 +299,7 @@
 	if oldest == "" {
 		return false
 	}
-	u.unarm(u.idle[oldest][0])
+	u.cancelIdleTimer(u.idle[oldest][0])
 	u.discard(u.idle[oldest][0], oldest, CloseEvicted)
 	u.idle[oldest] = u.idle[oldest][1:]
 	return true
@@ -307,7 +307,7 @@
 
 // look tells whether an idle connection has nothing to read, not even its end,
 // and if not, whether something came on it.
-func (c *conn) look() (alive, more bool) {
+func (c *conn) probe() (alive, more bool) {
 	err := c.raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -319,29 +319,29 @@
 
 // dial opens a connection to a server.
 func (u *Pool) dial(ctx context.Context, p *Target, until time.Duration) (*conn, error) {
-	for !u.sockets.take() {
-		if !u.relieve() {
+	for !u.limiter.acquire() {
+		if !u.evictLongestIdle() {
 			return nil, fmt.Errorf("dialing %s: no socket left", p.ID)
 		}
 	}
 	dialer := net.Dialer{Timeout: min(u.connectTimeout, until-u.clock.Now()), KeepAlive: -1}
 	if dialer.Timeout <= 0 {
-		u.sockets.give()
+		u.limiter.release()
 		return nil, fmt.Errorf("dialing %s: no time left", p.ID)
 	}
 	nc, err := dialer.DialContext(ctx, "tcp", p.Address)
 	if err != nil {
-		u.sockets.give()
+		u.limiter.release()
 		return nil, fmt.Errorf("dialing %s: %w", p.ID, err)
 	}
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		nc.Close()
-		u.sockets.give()
+		u.limiter.release()
 		return nil, fmt.Errorf("dialing %s: %w", p.ID, err)
 	}
 	limit := &io.LimitedReader{R: nc}
 	return &conn{
-		Conn: nc, address: p.Address, opened: u.clock.Now(), limit: limit, reader: bufio.NewReader(limit), raw: raw, sockets: u.sockets,
+		Conn: nc, address: p.Address, opened: u.clock.Now(), responseLimit: limit, reader: bufio.NewReader(limit), raw: raw, limiter: u.limiter,
 	}, nil
 }
--- a/internal/node/upstream/upstream_test.go
+++ b/internal/node/upstream/upstream_test.go
@@ -21,7 +21,7 @@
 	return u.Attempt(&Canceler{}, &Target{ID: "s0", Address: address}, q, "", u.clock.Now()+WaitTimeout, u.clock.Now()+WaitTimeout)
 }
 
-func newTestUpstream() *Pool {
+func newTestPool() *Pool {
 	return New(clock.New(), NewConnLimiter(100), &decide.Settings{ConnectTimeout: WaitTimeout, ConnIdleTimeout: WaitTimeout})
 }
 
@@ -30,7 +30,7 @@
 // connection: what else comes on it would pass for the next request's answer. It
 // is known at once: closing a body reads all that it is said to hold, which kept
 // the request waiting for as long as it had time.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	for name, text := range map[string]string{
 		"noise":                "\x00\xff\x13\r\n\r\n",
 		"odd head":             "HTTP/1.1 200 OK\r\nbad header\r\n\r\n",
@@ -42,10 +42,10 @@
 		"odd chunks":           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nfine\r\n",
 		"too large":            "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537),
 		"another protocol":     "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n",
-		"a head as large as 1": "HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 2*mostAnswer),
+		"a head as large as 1": "HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 2*maxResponseSize),
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newTestUpstream()
+			u := newTestPool()
 			address := RawServer(t, func(c net.Conn) { io.WriteString(c, text) })
 			begun := u.clock.Now()
 			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.ConnClosed {
@@ -54,7 +54,7 @@
 			if took := u.clock.Now() - begun; took > WaitTimeout/2 {
 				t.Errorf("took %v", took)
 			}
-			if open := u.sockets.open.Load(); open != 0 {
+			if open := u.limiter.open.Load(); open != 0 {
 				t.Errorf("%d connections are left", open)
 			}
 		})
@@ -63,7 +63,7 @@
 
 // An answer without end must be cut off early: at full speed it would pass the
 // limit on memory within a moment.
-func TestEndlessAnswers(t *testing.T) {
+func TestEndlessResponses(t *testing.T) {
 	for name, parts := range map[string][2]string{
 		"head":    {"HTTP/1.1 200 OK\r\n", "X-More: more\r\n"},
 		"line":    {"HTTP/1.1 200 OK\r\nX-Long: ", "more"},
@@ -72,7 +72,7 @@
 		"body":    {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "more"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, sent := newTestUpstream(), make(chan int, 1)
+			u, sent := newTestPool(), make(chan int, 1)
 			address := RawServer(t, func(c net.Conn) {
 				io.WriteString(c, parts[0])
 				StreamForever(parts[1], sent)(c)
@@ -87,8 +87,8 @@
 
 // Interim answers belong to a good one, and so do odd headers that the node has
 // no use for.
-func TestGoodAnswersWithMore(t *testing.T) {
-	u := newTestUpstream()
+func TestInterimResponsesAndUnknownHeaders(t *testing.T) {
+	u := newTestPool()
 	address := RawServer(t, func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"+
 			"HTTP/1.1 200 OK\r\nX-Pressure: {{\r\nContent-Length: 4\r\n\r\nfine")
@@ -102,11 +102,11 @@
 // What comes behind an answer must not pass for the next request's, whether it
 // comes with the answer or a moment later: the connection rests before it is
 // used again, and is looked at right before.
-func TestNothingBehindAnAnswerIsServed(t *testing.T) {
+func TestTrailingBytesAreNotServed(t *testing.T) {
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 	for name, later := range map[string]bool{"at once": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
-			u, served := newTestUpstream(), make(chan struct{})
+			u, served := newTestPool(), make(chan struct{})
 			address := RawServer(t, func(c net.Conn) {
 				if !later {
 					io.WriteString(c, whole+"fine"+whole+"copy")
@@ -123,12 +123,12 @@
 			close(served)
 			if later {
 				c := u.idle["s0"][0]
-				WaitFor(t, "the copy is there", func() bool { alive, _ := c.look(); return !alive })
+				WaitFor(t, "the copy is there", func() bool { alive, _ := c.probe(); return !alive })
 			}
 			if o := testAttempt(t, u, address); o.Result != decide.Served || string(o.Response.Body) != "fine" {
 				t.Errorf("then: %v", o)
 			}
-			if !u.untidy.Load() {
+			if !u.sawTrailingBytes.Load() {
 				t.Error("it was not noticed")
 			}
 			u.CloseIdle()
@@ -139,23 +139,23 @@
 // Once a server has sent something behind an answer, a connection that has just
 // had its answer must not be used again before what may come has had a moment to
 // arrive. Where none does, that would only cost new connections.
-func TestConnectionsRest(t *testing.T) {
-	u := newTestUpstream()
+func TestConnectionsSettleBeforeReuse(t *testing.T) {
+	u := newTestPool()
 	address := RawServer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n") })
 	p := &Target{ID: "s0", Address: address}
 	testAttempt(t, u, address)
 	c := u.idle["s0"][0]
-	if got := u.get(p); got != c {
+	if got := u.takeIdle(p); got != c {
 		t.Errorf("got %v where nothing came behind an answer", got)
 	}
-	u.put(p, c)
-	u.untidy.Store(true)
+	u.keepIdle(p, c)
+	u.sawTrailingBytes.Store(true)
 	c.idleSince = u.clock.Now() + time.Hour // it never comes to rest
-	if got := u.get(p); got != nil || len(u.idle["s0"]) != 1 {
+	if got := u.takeIdle(p); got != nil || len(u.idle["s0"]) != 1 {
 		t.Errorf("got %v of %d connections", got, len(u.idle["s0"]))
 	}
-	c.idleSince = u.clock.Now() - settling
-	if got := u.get(p); got != c {
+	c.idleSince = u.clock.Now() - settleTime
+	if got := u.takeIdle(p); got != c {
 		t.Errorf("got %v once it has rested", got)
 	}
 	c.close()
@@ -163,7 +163,7 @@
 
 // Between the module's decision and the first byte a server may have drained and
 // a request may be over. The code looks again before it writes.
-func TestLooksAgainBeforeItWrites(t *testing.T) {
+func TestChecksAgainBeforeWriting(t *testing.T) {
 	s := NewServer(t, RespondWith("fine"))
 	set := &decide.Settings{ConnectTimeout: WaitTimeout, ConnIdleTimeout: WaitTimeout}
 	clock, budget := clock.New(), NewConnLimiter(1000)
@@ -203,8 +203,8 @@
 
 // The age of a connection tells for how long its server's process has lived on: it must go on from one attempt to the next, and
 // begin anew with a connection that had to be made because the one before was dead.
-func TestAgeIsTheConnections(t *testing.T) {
-	u := newTestUpstream()
+func TestConnAge(t *testing.T) {
+	u := newTestPool()
 	s := NewServer(t, RespondWith("fine"))
 	first := testAttempt(t, u, s.Addr())
 	WaitFor(t, "some time passes", func() bool { return u.clock.Now() > 20*time.Millisecond })
