--- a/internal/node/front/batch_queue.go
+++ b/internal/node/front/batch_queue.go
@@ -1,17 +1,19 @@
 package front
 
-// batches hands events from a transport's goroutine to its owner, one batch at a time.
+// batchQueue hands events from a transport's goroutine to the transport's owner, one batch at a
+// time.
 type batchQueue struct {
 	out  chan []Event
 	done chan struct{}
-	stop chan struct{} // closed by Shut
+	stop chan struct{} // closed by Shutdown
 }
 
 func newBatches() batchQueue {
 	return batchQueue{out: make(chan []Event), done: make(chan struct{}), stop: make(chan struct{})}
 }
 
-// deliver returns when the owner is through with a batch, or false once stopped.
+// deliver returns true when the owner has finished with a batch, and false once the queue is
+// stopped.
 func (b *batchQueue) deliver(batch []Event) bool {
 	select {
 	case b.out <- batch:
@@ -26,7 +28,7 @@
 	}
 }
 
-// Events and Done are Transport's.
+// Events and BatchDone implement Transport.
 func (b *batchQueue) Events() <-chan []Event { return b.out }
 
 func (b *batchQueue) BatchDone() {
--- a/internal/node/front/close_reason.go
+++ b/internal/node/front/close_reason.go
@@ -1,18 +1,18 @@
 package front
 
-// closeReason is why a client's connection is closed, as logs have it.
+// closeReason is the reason for closing a client's connection, as written to the log.
 type closeReason string
 
-// The reasons.
+// Reasons for closing a client's connection.
 const (
-	closeShutdown       closeReason = "the node ends"
-	closeServerStopped  closeReason = "the front has ended"
-	closeClientLeft     closeReason = "its client has left"
-	closeRequestTimeout closeReason = "no whole request in time"
-	closeLingered       closeReason = "its last answer was given"
-	closeTransport      closeReason = "it can't be waited for"
-	closeEvicted        closeReason = "room for others"
-	closeWriteTimeout   closeReason = "its client does not read"
-	closeWriteFailed    closeReason = "writing failed"
-	closeIdle           closeReason = "idle for too long"
+	closeShutdown       closeReason = "node is shutting down"
+	closeServerStopped  closeReason = "server has stopped"
+	closeClientLeft     closeReason = "client closed the connection"
+	closeRequestTimeout closeReason = "request timed out"
+	closeLingered       closeReason = "final response sent"
+	closeTransport      closeReason = "registration with the transport failed"
+	closeEvicted        closeReason = "evicted to make room"
+	closeWriteTimeout   closeReason = "client does not read the response"
+	closeWriteFailed    closeReason = "write failed"
+	closeIdle           closeReason = "idle timeout"
 )
--- a/internal/node/front/conn_table.go
+++ b/internal/node/front/conn_table.go
@@ -1,42 +1,43 @@
 package front
 
-// state is what a connection is doing. It is in exactly one.
+// state is the state of a connection.
 type state uint8
 
 const (
-	stateFree      state = iota // the row is nobody's
-	stateReading                // no whole request has come since the start or the last head
-	stateDeferred               // bytes wait in the kernel, for want of memory
-	stateOpen                   // a request is with the node
-	stateWriting                // its answer waits for the client to take it
-	stateParked                 // between two requests
-	stateLingering              // answered for the last time: what comes is dropped until the peer ends
+	stateFree      state = iota // the row is unused
+	stateReading                // waiting for a complete request
+	stateDeferred               // unread bytes stay in the kernel until there is memory for them
+	stateOpen                   // the handler has a request
+	stateWriting                // part of the response is unsent
+	stateParked                 // idle between two requests
+	stateLingering              // final response sent: input is discarded until the client closes
 )
 
 func (s state) String() string {
 	return [...]string{"free", "reading", "deferred", "open", "writing", "parked", "lingering"}[s]
 }
 
-// conn is a connection's row. All that a parked one needs is here.
+// conn is the table row of a connection. It holds all that a parked connection needs.
 type conn struct {
 	active             *activeState // nil while parked
 	socket             Socket
-	generation         uint32 // counts the row's connections: an event for an earlier one is dropped
-	rulesVersion       uint8  // which of the rules its source is by
+	generation         uint32 // incremented with each connection of the row, to drop events of earlier ones
+	rulesVersion       uint8  // version of the idle rules by which its network was determined
 	state              state
-	readPending        bool // an event came that was not read to its end
-	pipelined          bool // bytes wait behind the open request: a look does not show its client's end
-	peerEnded          bool // its client has ended its sending
-	overLimit          bool // it came over the budget: its requests are refused
-	lastWasPOST        bool // the last request was a POST
-	keepAlive          bool // the system looks whether its peer is still there
-	closeAfterResponse bool // it ends with the answer
+	readPending        bool // a readable event came and not all bytes were read
+	pipelined          bool // bytes follow the open request, so a peek doesn't show that the client has closed
+	peerEnded          bool // the client has closed its sending side
+	overLimit          bool // accepted above MaxConns: its requests are refused
+	lastWasPOST        bool
+	keepAlive          bool // TCP keepalive is enabled
+	closeAfterResponse bool // close the connection after the response
 }
 
-// rowBytes is what a parked connection takes: its row, its timer, and hold's entry.
+// parkedConnBytes is the memory of a parked connection: its row, its timer, and its entry in
+// idleconns.
 const parkedConnBytes = 32 + 8 + 32
 
-// Token names a connection for as long as it lives.
+// Token identifies a connection. It is never reused for another one.
 type Token uint64
 
 const (
@@ -44,17 +45,17 @@
 	chunkRows = 1 << chunkBits
 )
 
-// table holds all rows, in chunks that never move.
+// connTable holds the rows of all connections in chunks, so that a row never moves.
 type connTable struct {
 	chunks    []*[chunkRows]conn
 	free      []int32
 	inUse     int
-	allocated int // rows below were in use once
+	allocated int // rows below this index have been used
 }
 
 func (t *connTable) at(i int32) *conn { return &t.chunks[i>>chunkBits][i&(chunkRows-1)] }
 
-// take returns a free row.
+// allocate returns a free row.
 func (t *connTable) allocate() (int32, *conn) {
 	t.inUse++
 	if n := len(t.free); n > 0 {
@@ -69,7 +70,7 @@
 	return i, t.at(i)
 }
 
-// give makes a row free for another connection.
+// release makes a row available for another connection.
 func (t *connTable) release(i int32) {
 	c := t.at(i)
 	*c = conn{generation: c.generation + 1}
@@ -79,7 +80,7 @@
 
 func (t *connTable) token(i int32) uint64 { return uint64(t.at(i).generation)<<32 | uint64(uint32(i)) }
 
-// find returns the row that a token names, or nil if its connection is gone.
+// lookup returns the row of a token's connection, or nil if that connection is closed.
 func (t *connTable) lookup(token uint64) (int32, *conn) {
 	i := int32(uint32(token))
 	if i < 0 || int(i) >= t.allocated {
--- a/internal/node/front/doc.go
+++ b/internal/node/front/doc.go
@@ -1,14 +1,13 @@
-// Package front is the clients' side of a node: it takes connections in, reads
-// requests off them, hands whole ones to a Handler, and writes the answers that
-// the node gives later.
+// Package front serves a node's clients: it accepts connections, reads requests, passes complete
+// requests to a Handler, and writes the responses that the node supplies later.
 //
-// One goroutine, in Server.Run, owns all connections. A connection is a row of a
-// table and a descriptor: between two requests it is parked, with no goroutine and
-// no buffer, and costs some eighty bytes with its timer and what hold knows of it.
-// A Transport tells which sockets are ready: epoll on Linux, elsewhere a goroutine a
-// connection, and in tests memory.
+// The goroutine of Server.Run owns all connections. A connection is a table row and a descriptor.
+// Between two requests it is parked: it has no goroutine and no buffer, and takes about eighty
+// bytes including its timer and its entry in package idleconns. A Transport reports which sockets
+// are ready: epoll on Linux, one goroutine per connection elsewhere, and an in-memory transport in
+// tests.
 //
-// The package must not decide whether a request is taken in (that is decide's), nor
-// which idle connection goes first (hold's), nor when background work runs
-// (background's).
+// The package doesn't decide whether a request is admitted (package decide does), which idle
+// connection is closed first (package idleconns does), or when background work runs (package
+// background does).
 package front
--- a/internal/node/front/edge_cases_test.go
+++ b/internal/node/front/edge_cases_test.go
@@ -10,101 +10,102 @@
 	"curlewring/internal/conns/idleconns"
 )
 
-// client adds one with this stream, all of which is sent.
-func (g *harness) addClient(stream string, whole ...string) *scriptedClient {
-	c := &scriptedClient{id: g.net.dial(), stream: []byte(stream), bodies: whole}
-	g.clients = append(g.clients, c)
-	g.net.send(c.id, c.stream)
+// addClient adds a client that sends a whole stream at once.
+func (h *harness) addClient(stream string, whole ...string) *scriptedClient {
+	c := &scriptedClient{id: h.net.dial(), stream: []byte(stream), bodies: whole}
+	h.clients = append(h.clients, c)
+	h.net.send(c.id, c.stream)
 	c.sent = len(c.stream)
-	g.run()
+	h.run()
 	return c
 }
 
-// rest makes connections rest for so long.
-func (g *harness) setIdleTimeout(d time.Duration) {
+// setIdleTimeout sets the idle timeout of all connections.
+func (h *harness) setIdleTimeout(d time.Duration) {
 	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: d}}, 2)
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	g.server.config.IdleRules = rules
-	g.server.idleConns.SetRules(rules)
+	h.server.config.IdleRules = rules
+	h.server.idleConns.SetRules(rules)
 }
 
-func (g *harness) closed(c *scriptedClient) bool { return g.net.state(c.id).closed }
+func (h *harness) closed(c *scriptedClient) bool { return h.net.state(c.id).closed }
 
-// One byte after an hour, then silence: the connection rests no longer, and ends 2 s
-// after the byte, whatever time its rule would still give.
+// Guards against a client that sends a single byte after an hour of silence and then holds its
+// connection for the rest of its idle timeout: from that byte on, it has RequestTimeout to complete
+// a request.
 func TestPartialRequestTimesOut(t *testing.T) {
-	g := newHarness(t, 10, 1<<20)
-	g.setIdleTimeout(10 * time.Hour)
-	c := g.addClient(post("ab"), "ab")
-	g.answer(0, 0)
-	g.now += time.Hour
-	g.run()
-	if g.closed(c) {
-		t.Fatal("closed within its rest")
+	h := newHarness(t, 10, 1<<20)
+	h.setIdleTimeout(10 * time.Hour)
+	c := h.addClient(post("ab"), "ab")
+	h.answer(0, 0)
+	h.now += time.Hour
+	h.run()
+	if h.closed(c) {
+		t.Fatal("closed within its idle timeout")
 	}
-	g.net.send(c.id, []byte("P"))
-	g.run()
-	g.now += RequestTimeout - 50*time.Millisecond
-	g.run()
-	if g.closed(c) {
+	h.net.send(c.id, []byte("P"))
+	h.run()
+	h.now += RequestTimeout - 50*time.Millisecond
+	h.run()
+	if h.closed(c) {
 		t.Error("closed before a request could have come")
 	}
-	g.now += 100 * time.Millisecond
-	g.run()
-	if !g.closed(c) {
-		t.Error("a byte holds the connection")
+	h.now += 100 * time.Millisecond
+	h.run()
+	if !h.closed(c) {
+		t.Error("a single byte keeps the connection open")
 	}
 }
 
-// A request whose bytes have come when its connection is about to be closed, for its
-// time or for room, is served.
+// Guards against losing a request whose bytes have arrived when its connection is about to be
+// closed, because it expired or was evicted. Such a request is served.
 func TestRequestArrivingBeforeCloseIsServed(t *testing.T) {
 	for name, end := range map[string]func(*harness, *scriptedClient){
-		"expired": func(g *harness, _ *scriptedClient) {
-			g.now += 20 * time.Second
-			g.server.runTurn(func() {}) // timers, before the event is seen
+		"expired": func(h *harness, _ *scriptedClient) {
+			h.now += 20 * time.Second
+			h.server.runTurn(func() {}) // run the timers before the event is handled
 		},
-		"for room": func(g *harness, _ *scriptedClient) { g.server.runTurn(func() { g.server.evictOne() }) },
+		"evicted": func(h *harness, _ *scriptedClient) { h.server.runTurn(func() { h.server.evictOne() }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 10, 1<<20)
-			g.server.config.EvictionPolicy = idleconns.LRU
-			c := g.addClient(post("one"), "one", "two")
-			g.answer(0, 0)
-			g.net.mu.Lock() // the bytes are there, and their event is not
-			g.net.conns[c.id].unread = []byte(post("two"))
-			g.net.mu.Unlock()
-			end(g, c)
-			if g.closed(c) || len(g.open) != 1 {
-				t.Fatalf("closed %v, %d open", g.closed(c), len(g.open))
+			h := newHarness(t, 10, 1<<20)
+			h.server.config.EvictionPolicy = idleconns.LRU
+			c := h.addClient(post("one"), "one", "two")
+			h.answer(0, 0)
+			h.net.mu.Lock() // the bytes have arrived, but their event has not
+			h.net.conns[c.id].unread = []byte(post("two"))
+			h.net.mu.Unlock()
+			end(h, c)
+			if h.closed(c) || len(h.open) != 1 {
+				t.Fatalf("closed: %v, %d requests open", h.closed(c), len(h.open))
 			}
-			g.answer(0, 0)
-			if got := string(g.net.state(c.id).written); strings.Count(got, "200 OK") != 2 {
+			h.answer(0, 0)
+			if got := string(h.net.state(c.id).written); strings.Count(got, "200 OK") != 2 {
 				t.Errorf("got %q", got)
 			}
 		})
 	}
 }
 
-// Accepting fails for want of descriptors: the front says so once, goes on, and takes
-// the waiting ones when there are some again.
+// When accepting fails for lack of descriptors, the server logs it once, continues, and accepts the
+// waiting connections once descriptors are available.
 func TestAcceptRecoversFromDescriptorExhaustion(t *testing.T) {
-	g := newHarness(t, 10, 1<<20)
-	broken := &failingAccept{memoryTransport: g.net, fails: 5}
-	g.server.config.Transport = broken
-	c := g.addClient(post("x"), "x")
+	h := newHarness(t, 10, 1<<20)
+	broken := &failingAccept{memoryTransport: h.net, fails: 5}
+	h.server.config.Transport = broken
+	c := h.addClient(post("x"), "x")
 	for range 20 {
-		g.now += acceptRetryInterval
-		g.run()
+		h.now += acceptRetryInterval
+		h.run()
 	}
-	if broken.fails != 0 || len(g.open) != 1 {
-		t.Fatalf("%d failures are left, %d open", broken.fails, len(g.open))
+	if broken.fails != 0 || len(h.open) != 1 {
+		t.Fatalf("%d accept failures left, %d requests open", broken.fails, len(h.open))
 	}
-	g.answer(0, 0)
-	if len(g.net.state(c.id).written) == 0 {
-		t.Error("no answer")
+	h.answer(0, 0)
+	if len(h.net.state(c.id).written) == 0 {
+		t.Error("no response")
 	}
 }
 
@@ -121,237 +122,240 @@
 	return b.memoryTransport.Accept()
 }
 
-// All parked connections wake in one instant, and the memory for open requests is a
-// small part of what they would need: it stays within its bound, each is served in the
-// end, and those that ask for what is worth most come first.
+// Guards against running out of memory when all parked connections send a request at the same
+// instant: the memory for open requests stays within its limit, every request is eventually served,
+// and those of the highest worth are served first.
 func TestMemoryStaysBoundedWhenAllConnectionsWake(t *testing.T) {
-	const n, most = 400, 120 << 10
-	g := newHarness(t, n+10, most)
-	g.setIdleTimeout(time.Hour)
+	const n, memoryLimit = 400, 120 << 10
+	h := newHarness(t, n+10, memoryLimit)
+	h.setIdleTimeout(time.Hour)
 	var all []*scriptedClient
-	for k := range n { // bodies of odd length are of class 1, worth 12
+	for k := range n { // bodies of odd length are of class 1, with worth 12
 		body := strings.Repeat("b", 10+k%2)
-		all = append(all, g.addClient(post(body), body, body))
-		g.answer(0, 0)
+		all = append(all, h.addClient(post(body), body, body))
+		h.answer(0, 0)
 	}
 	for _, c := range all {
-		g.net.send(c.id, []byte(post(c.bodies[0])))
+		h.net.send(c.id, []byte(post(c.bodies[0])))
 	}
-	g.run()
-	if len(g.open) >= n/2 || g.server.stats.Deferred == 0 {
-		t.Fatalf("%d requests are open at once", len(g.open))
+	h.run()
+	if len(h.open) >= n/2 || h.server.stats.Deferred == 0 {
+		t.Fatalf("%d requests are open at the same time", len(h.open))
 	}
-	// What was deferred comes by worth: after the first, which came as they were read.
-	was := len(g.open)
+	// Deferred requests are served by worth, after the first ones, which were read as they arrived.
+	openBefore := len(h.open)
 	order := []int{}
-	for len(g.open) > 0 {
-		g.answer(0, 0)
-		if len(g.open) >= was {
-			order = append(order, len(g.open[len(g.open)-1].body)%2)
+	for len(h.open) > 0 {
+		h.answer(0, 0)
+		if len(h.open) >= openBefore {
+			order = append(order, len(h.open[len(h.open)-1].body)%2)
 		}
 	}
-	worthy := 0
+	highWorth := 0
 	for _, class := range order[:len(order)/2] {
-		worthy += class
+		highWorth += class
 	}
-	if worthy < len(order)/2*9/10 {
-		t.Errorf("of the first %d that were taken up, %d are of the higher worth", len(order)/2, worthy)
+	if highWorth < len(order)/2*9/10 {
+		t.Errorf("of the first %d resumed requests, %d are of the higher worth", len(order)/2, highWorth)
 	}
 	for _, c := range all {
 		if c.delivered != 2 {
-			t.Fatalf("client %d: %d of 2 requests", c.id, c.delivered)
+			t.Fatalf("client %d: %d of 2 requests were delivered", c.id, c.delivered)
 		}
 	}
-	if peak := g.server.memory.Peak(); peak > most+3*openRequestBytes {
-		t.Errorf("%d bytes at the peak, %d allowed", peak, most)
+	if peak := h.server.memory.Peak(); peak > memoryLimit+3*openRequestBytes {
+		t.Errorf("peak memory is %d bytes, want at most %d", peak, memoryLimit)
 	}
-	g.now += 2 * time.Hour
-	g.finish()
+	h.now += 2 * time.Hour
+	h.finish()
 }
 
-// The end closes what is parked by steps, and nothing that is open or read in part.
+// On shutdown parked connections are closed in time slices, while those with an open or a partly
+// read request are kept.
 func TestShutdownKeepsActiveConnections(t *testing.T) {
-	g := newHarness(t, 400, 1<<20)
-	var parkedOnes []*scriptedClient
+	h := newHarness(t, 400, 1<<20)
+	var parked []*scriptedClient
 	for range 300 {
-		parkedOnes = append(parkedOnes, g.addClient(post("x"), "x"))
-		g.answer(0, 0)
+		parked = append(parked, h.addClient(post("x"), "x"))
+		h.answer(0, 0)
 	}
-	under := g.addClient(post("y"), "y")
-	part := g.addClient(post("zz")[:30], "zz")
-	g.server.shuttingDown = true
+	busy := h.addClient(post("y"), "y")
+	partial := h.addClient(post("zz")[:30], "zz")
+	h.server.shuttingDown = true
 	steps := 0
 	for more := true; more; steps++ {
-		more = g.server.closeParked(func() func() bool {
+		more = h.server.closeParked(func() func() bool {
 			left := 50
 			return func() bool { left--; return left >= 0 }
 		}())
 	}
 	if steps < 5 {
-		t.Errorf("%d steps", steps)
+		t.Errorf("closed all in %d steps, want at least 5", steps)
 	}
-	for _, c := range parkedOnes {
-		if !g.closed(c) {
-			t.Fatal("a parked one is left")
+	for _, c := range parked {
+		if !h.closed(c) {
+			t.Fatal("a parked connection was not closed")
 		}
 	}
-	if g.closed(under) || g.closed(part) {
-		t.Fatal("one under way was closed")
+	if h.closed(busy) || h.closed(partial) {
+		t.Fatal("a connection with a request was closed")
 	}
-	g.net.send(part.id, []byte(post("zz")[30:]))
-	g.run()
-	g.answer(0, 0)
-	g.answer(0, 0)
-	for _, c := range []*scriptedClient{under, part} {
-		if got := string(g.net.state(c.id).written); !strings.Contains(got, "200 OK") || !strings.Contains(got, "Connection: close") || !g.net.state(c.id).writeClosed {
-			t.Errorf("got %q, its sending ended: %v", got, g.net.state(c.id).writeClosed)
+	h.net.send(partial.id, []byte(post("zz")[30:]))
+	h.run()
+	h.answer(0, 0)
+	h.answer(0, 0)
+	for _, c := range []*scriptedClient{busy, partial} {
+		if got := string(h.net.state(c.id).written); !strings.Contains(got, "200 OK") || !strings.Contains(got, "Connection: close") || !h.net.state(c.id).writeClosed {
+			t.Errorf("got %q, write side closed: %v", got, h.net.state(c.id).writeClosed)
 		}
 	}
-	// One is closed as its client ends, the other within half a second all the same.
-	g.net.end(under.id)
-	g.run()
-	if !g.closed(under) || g.closed(part) {
-		t.Errorf("closed: %v and %v", g.closed(under), g.closed(part))
+	// One is closed when its client closes, the other half a second later all the same.
+	h.net.end(busy.id)
+	h.run()
+	if !h.closed(busy) || h.closed(partial) {
+		t.Errorf("closed: %v and %v, want true and false", h.closed(busy), h.closed(partial))
 	}
-	g.now += lingerTimeout + 2*timerTick
-	g.run()
-	if !g.closed(part) {
-		t.Error("a client that does not end keeps its connection")
+	h.now += lingerTimeout + 2*timerTick
+	h.run()
+	if !h.closed(partial) {
+		t.Error("a client that doesn't close keeps its connection")
 	}
 }
 
-// Bytes may come between the last look at a connection and its close. A close over them is a reset, which takes an answer
-// along that the client has not read: so the close lingers, and what comes is read, dropped, and never handed on.
+// Bytes may arrive between the last look at a connection and its close. Closing then resets the
+// connection, and the client may lose a response that it has not read yet. So the close lingers:
+// the bytes are read and discarded, and never passed to the handler.
 func TestBytesAfterFinalResponseAreDiscarded(t *testing.T) {
-	for name, last := range map[string]func(g *harness, c *scriptedClient){
-		"the node ends":          func(g *harness, _ *scriptedClient) { g.server.shuttingDown = true; g.answer(0, 0) },
-		"the client asks for it": func(g *harness, _ *scriptedClient) { g.answer(0, 0) },
+	for name, last := range map[string]func(h *harness, c *scriptedClient){
+		"shutdown":          func(h *harness, _ *scriptedClient) { h.server.shuttingDown = true; h.answer(0, 0) },
+		"Connection: close": func(h *harness, _ *scriptedClient) { h.answer(0, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 10, 1<<20)
+			h := newHarness(t, 10, 1<<20)
 			text := post("one")
-			if name == "the client asks for it" {
+			if name == "Connection: close" {
 				text = strings.Replace(text, "\r\n", "\r\nConnection: close\r\n", 1)
 			}
-			c := g.addClient(text, "one")
-			last(g, c)
-			if g.closed(c) || !g.net.state(c.id).writeClosed {
-				t.Fatalf("closed at once: %v; its sending ended: %v", g.closed(c), g.net.state(c.id).writeClosed)
+			c := h.addClient(text, "one")
+			last(h, c)
+			if h.closed(c) || !h.net.state(c.id).writeClosed {
+				t.Fatalf("closed at once: %v; write side closed: %v", h.closed(c), h.net.state(c.id).writeClosed)
 			}
-			g.net.send(c.id, []byte(post("two"))) // the game fails if that is handed on
-			g.run()
-			if g.closed(c) || len(g.net.state(c.id).unread) > 0 {
-				t.Errorf("closed %v over %d bytes", g.closed(c), len(g.net.state(c.id).unread))
+			h.net.send(c.id, []byte(post("two"))) // the harness fails if this is passed to the handler
+			h.run()
+			if h.closed(c) || len(h.net.state(c.id).unread) > 0 {
+				t.Errorf("closed: %v, with %d unread bytes", h.closed(c), len(h.net.state(c.id).unread))
 			}
-			g.net.end(c.id)
-			g.run()
-			if got := string(g.net.state(c.id).written); !g.closed(c) || strings.Count(got, "200 OK") != 1 {
-				t.Errorf("closed %v, got %q", g.closed(c), got)
+			h.net.end(c.id)
+			h.run()
+			if got := string(h.net.state(c.id).written); !h.closed(c) || strings.Count(got, "200 OK") != 1 {
+				t.Errorf("closed: %v, got %q", h.closed(c), got)
 			}
 		})
 	}
 }
 
-// A client that has ended its sending has gone. Its end may come in the same event as its request, behind the start of a
-// next one, or while its request waits for memory; nothing may be done for it then.
+// A client that has closed its sending side no longer waits for a response. Its close may arrive in
+// the same event as its request, behind the start of the next request, or while the request waits
+// for memory. No work may be done for it then.
 func TestClientCloseArrivingWithRequest(t *testing.T) {
-	t.Run("in one event", func(t *testing.T) {
-		g := newHarness(t, 10, 1<<20)
-		c := &scriptedClient{id: g.net.dial(), bodies: []string{"one"}}
-		g.clients = append(g.clients, c)
-		g.run()
-		g.net.mu.Lock()
-		g.net.conns[c.id].unread, g.net.conns[c.id].fin = []byte(post("one")), true
-		g.net.post(&g.net.conns[c.id], Readable|PeerEnded)
-		g.net.mu.Unlock()
-		g.run()
-		if c.delivered != 0 || !g.closed(c) {
-			t.Errorf("%d requests are handed on, closed %v", c.delivered, g.closed(c))
+	t.Run("in the same event", func(t *testing.T) {
+		h := newHarness(t, 10, 1<<20)
+		c := &scriptedClient{id: h.net.dial(), bodies: []string{"one"}}
+		h.clients = append(h.clients, c)
+		h.run()
+		h.net.mu.Lock()
+		h.net.conns[c.id].unread, h.net.conns[c.id].fin = []byte(post("one")), true
+		h.net.post(&h.net.conns[c.id], Readable|PeerEnded)
+		h.net.mu.Unlock()
+		h.run()
+		if c.delivered != 0 || !h.closed(c) {
+			t.Errorf("%d requests delivered, closed: %v", c.delivered, h.closed(c))
 		}
 	})
-	t.Run("behind a next request", func(t *testing.T) {
-		g := newHarness(t, 10, 1<<20)
-		c := g.addClient(post("one")+post("two"), "one", "two")
-		if len(g.open) != 1 {
-			t.Fatalf("%d open", len(g.open))
+	t.Run("behind the next request", func(t *testing.T) {
+		h := newHarness(t, 10, 1<<20)
+		c := h.addClient(post("one")+post("two"), "one", "two")
+		if len(h.open) != 1 {
+			t.Fatalf("%d open", len(h.open))
 		}
-		g.net.end(c.id)
-		g.run()
-		if len(g.open) != 0 || g.gone != 1 || !g.closed(c) {
-			t.Errorf("%d open, %d told gone, closed %v", len(g.open), g.gone, g.closed(c))
+		h.net.end(c.id)
+		h.run()
+		if len(h.open) != 0 || h.gone != 1 || !h.closed(c) {
+			t.Errorf("%d requests open, %d reported as gone, closed: %v", len(h.open), h.gone, h.closed(c))
 		}
 	})
-	t.Run("behind bytes that are not read", func(t *testing.T) {
-		g := newHarness(t, 10, 1<<20)
-		c := g.addClient(post("one"), "one")
-		g.net.send(c.id, []byte("P"))
-		g.run()
-		g.net.end(c.id)
-		g.run()
-		if len(g.open) != 0 || g.gone != 1 || !g.closed(c) {
-			t.Errorf("%d open, %d told gone, closed %v", len(g.open), g.gone, g.closed(c))
+	t.Run("behind unread bytes", func(t *testing.T) {
+		h := newHarness(t, 10, 1<<20)
+		c := h.addClient(post("one"), "one")
+		h.net.send(c.id, []byte("P"))
+		h.run()
+		h.net.end(c.id)
+		h.run()
+		if len(h.open) != 0 || h.gone != 1 || !h.closed(c) {
+			t.Errorf("%d requests open, %d reported as gone, closed: %v", len(h.open), h.gone, h.closed(c))
 		}
 	})
-	t.Run("between two requests of one write", func(t *testing.T) {
-		g := newHarness(t, 10, 1<<20)
-		c := g.addClient(post("one")+post("two"), "one", "two")
-		g.net.window(c.id, 0) // the answer can't go out yet
-		g.answer(0, 0)
-		g.net.end(c.id)
-		g.run()
-		g.net.window(c.id, -1)
-		g.run()
+	t.Run("between two pipelined requests", func(t *testing.T) {
+		h := newHarness(t, 10, 1<<20)
+		c := h.addClient(post("one")+post("two"), "one", "two")
+		h.net.window(c.id, 0) // the response can't be sent yet
+		h.answer(0, 0)
+		h.net.end(c.id)
+		h.run()
+		h.net.window(c.id, -1)
+		h.run()
 		if c.delivered != 1 {
-			t.Errorf("%d requests are handed on", c.delivered)
+			t.Errorf("%d requests delivered, want 1", c.delivered)
 		}
 	})
 }
 
-// A connection on which bytes have just come is not closed for room, nor for its time, though none were read before.
+// A connection on which the first bytes have just arrived is neither evicted nor timed out.
 func TestFirstBytesArrivingBeforeCloseAreRead(t *testing.T) {
 	for name, end := range map[string]func(*harness){
-		"its time": func(g *harness) {
-			g.now += RequestTimeout + timerTick
-			g.server.runTurn(func() {})
+		"timeout": func(h *harness) {
+			h.now += RequestTimeout + timerTick
+			h.server.runTurn(func() {})
 		},
-		"for room": func(g *harness) {
-			g.now += 2 * NewConnGrace
-			g.server.runTurn(func() { g.server.evictOne() })
+		"eviction": func(h *harness) {
+			h.now += 2 * NewConnGrace
+			h.server.runTurn(func() { h.server.evictOne() })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 10, 1<<20)
-			c := &scriptedClient{id: g.net.dial(), bodies: []string{"one"}}
-			g.clients = append(g.clients, c)
-			g.run()
-			g.net.mu.Lock() // the bytes are there, and their event is not
-			g.net.conns[c.id].unread = []byte(post("one"))
-			g.net.mu.Unlock()
-			end(g)
-			if g.closed(c) || len(g.open) != 1 {
-				t.Fatalf("closed %v, %d open", g.closed(c), len(g.open))
+			h := newHarness(t, 10, 1<<20)
+			c := &scriptedClient{id: h.net.dial(), bodies: []string{"one"}}
+			h.clients = append(h.clients, c)
+			h.run()
+			h.net.mu.Lock() // the bytes have arrived, but their event has not
+			h.net.conns[c.id].unread = []byte(post("one"))
+			h.net.mu.Unlock()
+			end(h)
+			if h.closed(c) || len(h.open) != 1 {
+				t.Fatalf("closed: %v, %d requests open", h.closed(c), len(h.open))
 			}
 		})
 	}
-	g := newHarness(t, 10, 1<<20) // half a request holds it no longer than another would
-	c := g.addClient("", "one")
-	g.now += RequestTimeout - timerTick
-	g.net.mu.Lock()
-	g.net.conns[c.id].unread = []byte("PO")
-	g.net.mu.Unlock()
-	g.now += 2 * timerTick
-	g.server.runTurn(func() {})
-	if g.closed(c) {
-		t.Error("closed over its first bytes")
+	h := newHarness(t, 10, 1<<20) // half a request extends the timeout no more than other bytes do
+	c := h.addClient("", "one")
+	h.now += RequestTimeout - timerTick
+	h.net.mu.Lock()
+	h.net.conns[c.id].unread = []byte("PO")
+	h.net.mu.Unlock()
+	h.now += 2 * timerTick
+	h.server.runTurn(func() {})
+	if h.closed(c) {
+		t.Error("closed although its first bytes had arrived")
 	}
-	g.now += RequestTimeout + 2*timerTick
-	g.run()
-	if !g.closed(c) {
-		t.Error("half a request holds the connection")
+	h.now += RequestTimeout + 2*timerTick
+	h.run()
+	if !h.closed(c) {
+		t.Error("half a request keeps the connection open")
 	}
 }
 
-// Where a head ends is told by the parser's own rules, wherever the bytes are cut.
+// headEnd finds the end of a head by the rules of net/http's parser, wherever the data is split.
 func FuzzHeadEnd(f *testing.F) {
 	for _, text := range []string{"GET / HTTP/1.1\r\nHost: a\r\n\r\nrest", "a\n\nb", "\r\n\r\n", "a\r\n\rb\n\n", "\n", "x\n\r\n"} {
 		f.Add([]byte(text), 3)
@@ -372,7 +376,7 @@
 		var p headParser
 		r, wrong := p.parseHead(data[:whole])
 		if wrong != nil && strings.Contains(wrong.text, "two ends") {
-			return // answered 400: nothing hides
+			return // rejected with status 400, so no request can be smuggled
 		}
 		if wrong == nil && (r.ContentLength < 0 && len(r.TransferEncoding) == 0) {
 			t.Fatalf("%q: length %d", data, r.ContentLength)
--- a/internal/node/front/epoll_linux.go
+++ b/internal/node/front/epoll_linux.go
@@ -14,22 +14,23 @@
 const (
 	batchSize = 128
 
-	// A parked peer that has vanished is found by the system's probes: after keepIdle
-	// seconds of silence one every keepEvery, and the end after keepCount.
+	// TCP keepalive detects a parked peer that has vanished: after keepAliveIdleSeconds of silence
+	// it sends a probe every keepAliveIntervalSeconds, and after keepAliveProbes unanswered ones
+	// the connection is reset.
 	keepAliveIdleSeconds, keepAliveIntervalSeconds, keepAliveProbes = 300, 30, 4
 
-	edgeTriggered = unix.EPOLLIN | unix.EPOLLRDHUP | 1<<31 // EPOLLET, which package unix has as a negative number
+	edgeTriggered = unix.EPOLLIN | unix.EPOLLRDHUP | 1<<31 // EPOLLET, which package unix defines as a negative number
 )
 
-// epoll is a Transport over epoll(7), edge-triggered: a connection takes one
-// system call to enter, and none to be waited for. The epoll descriptor itself waits
-// in Go's own poller, so that no thread is spent on waiting.
+// epollTransport is a Transport over edge-triggered epoll(7): it takes one system call to register
+// a connection and none to wait for it. The epoll descriptor itself is registered with Go's poller,
+// so no thread blocks in epoll_wait.
 type epollTransport struct {
 	fd         int
-	file       *os.File // fd's
+	file       *os.File // owns fd
 	raw        syscall.RawConn
 	listener   net.Listener
-	listenerFD int // the listener's descriptor
+	listenerFD int // the listener's descriptor; -1 once the listener is closed
 	accepting  bool
 	batchQueue
 	running sync.WaitGroup
@@ -37,24 +38,24 @@
 	batch   [batchSize]Event
 }
 
-// NewEpoll makes a transport of a listener, which it owns from then on.
+// NewEpoll returns an epoll transport for a listener. The transport owns the listener from then on.
 func NewEpoll(l net.Listener) (Transport, error) {
 	conn, ok := l.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("front: a %T has no descriptor", l)
+		return nil, fmt.Errorf("front: listener of type %T has no descriptor", l)
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return nil, fmt.Errorf("front: the listener's descriptor: %w", err)
+		return nil, fmt.Errorf("front: getting the listener's descriptor: %w", err)
 	}
 	t := &epollTransport{listener: l, batchQueue: newBatches()}
 	if err := raw.Control(func(fd uintptr) { t.listenerFD = int(fd) }); err != nil {
-		return nil, fmt.Errorf("front: the listener's descriptor: %w", err)
+		return nil, fmt.Errorf("front: getting the listener's descriptor: %w", err)
 	}
 	if t.fd, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("front: epoll: %w", err)
 	}
-	if err := unix.SetNonblock(t.fd, true); err != nil { // os.NewFile lets such a one wait in Go's poller
+	if err := unix.SetNonblock(t.fd, true); err != nil { // lets os.NewFile use Go's poller
 		unix.Close(t.fd)
 		return nil, fmt.Errorf("front: epoll: %w", err)
 	}
@@ -77,7 +78,7 @@
 	})
 }
 
-// run brings batches until the transport is shut.
+// run delivers batches of events until the transport is shut down.
 func (t *epollTransport) run() {
 	defer close(t.out)
 	var n int
@@ -92,24 +93,24 @@
 	}
 	for {
 		if err := t.raw.Read(wait); err != nil || failed != nil {
-			return // the file is closed
+			return // the epoll file is closed
 		}
 		for i := range n {
-			e := &t.events[i]
-			event := Event{Token: uint64(uint32(e.Fd)) | uint64(uint32(e.Pad))<<32}
+			epollEvent := &t.events[i]
+			event := Event{Token: uint64(uint32(epollEvent.Fd)) | uint64(uint32(epollEvent.Pad))<<32}
 			if event.Token == listenerToken {
 				event.Ready = Acceptable
 			} else {
-				if e.Events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 {
+				if epollEvent.Events&(unix.EPOLLIN|unix.EPOLLRDHUP) != 0 {
 					event.Ready |= Readable
 				}
-				if e.Events&unix.EPOLLRDHUP != 0 {
+				if epollEvent.Events&unix.EPOLLRDHUP != 0 {
 					event.Ready |= PeerEnded
 				}
-				if e.Events&unix.EPOLLOUT != 0 {
+				if epollEvent.Events&unix.EPOLLOUT != 0 {
 					event.Ready |= Writable
 				}
-				if e.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
+				if epollEvent.Events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 {
 					event.Ready |= ConnReset
 				}
 			}
@@ -127,8 +128,8 @@
 	}
 	events := uint32(0)
 	if on {
-		// By level: what waits when it is turned on is told too, and so is what Accept
-		// could not take for want of descriptors.
+		// Level-triggered, so that connections that are already waiting are reported too, as are
+		// those that Accept couldn't take for lack of descriptors.
 		events = unix.EPOLLIN
 	}
 	if t.epollCtl(unix.EPOLL_CTL_MOD, t.listenerFD, events, listenerToken) == nil {
@@ -143,7 +144,8 @@
 		case nil:
 			address := addressOf(from)
 			if address.IsValid() {
-				// Answers are written whole; waiting for more to send with them is of no use.
+				// Responses are written in one piece, so there is nothing for Nagle's algorithm to
+				// wait for.
 				unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 			}
 			return Socket(fd), address, nil
@@ -152,7 +154,7 @@
 		case unix.EAGAIN:
 			return 0, netip.Addr{}, ErrWouldBlock
 		}
-		return 0, netip.Addr{}, fmt.Errorf("accepting: %w", err)
+		return 0, netip.Addr{}, fmt.Errorf("accepting a connection: %w", err)
 	}
 	return 0, netip.Addr{}, net.ErrClosed
 }
@@ -170,7 +172,7 @@
 func (t *epollTransport) RemoteAddr(s Socket) netip.Addr {
 	from, err := unix.Getpeername(int(s))
 	if err != nil {
-		return netip.Addr{} // its peer has left
+		return netip.Addr{} // the peer has disconnected
 	}
 	return addressOf(from)
 }
@@ -180,14 +182,14 @@
 }
 
 func (t *epollTransport) EnableKeepAlive(s Socket) {
-	for _, o := range [...][3]int{
+	for _, option := range [...][3]int{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
 		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, keepAliveIdleSeconds},
 		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, keepAliveIntervalSeconds},
 		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, keepAliveProbes},
 	} {
-		if unix.SetsockoptInt(int(s), o[0], o[1], o[2]) != nil {
-			return // a unix socket: its peer can't vanish
+		if unix.SetsockoptInt(int(s), option[0], option[1], option[2]) != nil {
+			return // unix socket: its peer can't vanish
 		}
 	}
 }
@@ -196,14 +198,15 @@
 func (t *epollTransport) Write(s Socket, p []byte) (int, error) { return writeFD(int(s), p) }
 func (t *epollTransport) Peek(s Socket) error                   { return peekFD(int(s)) }
 
-// WantWrite arms the socket anew, which tells of what it is ready for now too.
+// NotifyWritable modifies the registration, which also reports what the socket is ready for
+// already.
 func (t *epollTransport) NotifyWritable(s Socket, token uint64) error {
 	return t.epollCtl(unix.EPOLL_CTL_MOD, int(s), edgeTriggered|unix.EPOLLOUT, token)
 }
 
 func (t *epollTransport) CloseWrite(s Socket) { unix.Shutdown(int(s), unix.SHUT_WR) }
 
-// Close ends the connection; its descriptor leaves the epoll by that.
+// Close closes the connection. The kernel removes its descriptor from the epoll instance.
 func (t *epollTransport) Close(s Socket) { unix.Close(int(s)) }
 
 func (t *epollTransport) CloseListener() error {
--- a/internal/node/front/goroutine_transport.go
+++ b/internal/node/front/goroutine_transport.go
@@ -12,25 +12,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// waiting is a Transport with a goroutine a connection, which waits for bytes without
-// a buffer. It is for systems that have no epoll, and what epoll is measured against:
-// a parked connection costs a stack more.
+// goroutineTransport is a Transport with one goroutine per connection, which waits for bytes
+// without a buffer. It serves systems without epoll and is the baseline that epoll is measured
+// against: a parked connection takes a goroutine's stack more.
 type goroutineTransport struct {
 	listener net.Listener
 	batchQueue
 	wake    chan struct{}
-	permits chan struct{} // to accept one connection ahead
+	permits chan struct{} // each allows accepting one connection
 	arrived chan acceptResult
 	running sync.WaitGroup
 
 	mu      sync.Mutex
 	pending []Event
 
-	// The owner's.
+	// Only the transport's owner uses the fields below.
 	accepting    bool
-	permitIssued bool // a permit is out, or what came of it waits
+	permitIssued bool // a permit is unused, or the connection accepted with it is not taken yet
 	closed       bool
-	conns        []*goroutineConn // by socket
+	conns        []*goroutineConn // indexed by Socket
 	free         []Socket
 }
 
@@ -39,16 +39,17 @@
 	err  error
 }
 
-// waitingConn is a connection and what its goroutine goes by.
+// goroutineConn is a connection and the channels of its goroutine.
 type goroutineConn struct {
 	net.Conn
 	raw   syscall.RawConn
-	rearm chan struct{} // the last event has been used up: wait for the next
+	rearm chan struct{} // the last event was handled: wait for the next
 
 	closed chan struct{}
 }
 
-// NewWaiting makes a transport of a listener, which it owns from then on.
+// NewGoroutineTransport returns a goroutine transport for a listener. The transport owns the
+// listener from then on.
 func NewGoroutineTransport(l net.Listener) (Transport, error) {
 	t := &goroutineTransport{
 		listener: l, batchQueue: newBatches(),
@@ -59,7 +60,7 @@
 	return t, nil
 }
 
-// accept takes one connection for each permit.
+// accept accepts one connection for each permit.
 func (t *goroutineTransport) accept() {
 	for {
 		select {
@@ -76,7 +77,7 @@
 	}
 }
 
-// tell queues an event. It does not block.
+// post queues an event. It doesn't block.
 func (t *goroutineTransport) post(e Event) {
 	t.mu.Lock()
 	t.pending = append(t.pending, e)
@@ -87,7 +88,7 @@
 	}
 }
 
-// run brings batches until the transport is shut.
+// run delivers batches of events until the transport is shut down.
 func (t *goroutineTransport) run() {
 	defer close(t.out)
 	var batch []Event
@@ -122,17 +123,17 @@
 }
 
 func (t *goroutineTransport) Accept() (Socket, netip.Addr, error) {
-	var none netip.Addr
+	var noAddr netip.Addr
 	select {
 	case a := <-t.arrived:
 		t.permitIssued = false
 		t.SetAccepting(t.accepting)
 		if a.err != nil {
-			return 0, none, fmt.Errorf("accepting: %w", a.err)
+			return 0, noAddr, fmt.Errorf("accepting a connection: %w", a.err)
 		}
 		return t.addConn(a.conn)
 	default:
-		return 0, none, ErrWouldBlock
+		return 0, noAddr, ErrWouldBlock
 	}
 }
 
@@ -141,7 +142,7 @@
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		nc.Close()
-		return 0, from, fmt.Errorf("accepting: %w", err)
+		return 0, from, fmt.Errorf("accepting a connection: %w", err)
 	}
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		from = a.AddrPort().Addr()
@@ -164,16 +165,16 @@
 	return netip.Addr{}
 }
 
-// Open starts the connection's goroutine.
+// Register starts the connection's goroutine.
 func (t *goroutineTransport) Register(s Socket, token uint64) error {
 	c := t.conns[s]
 	t.running.Go(func() {
-		// Whether there is something is looked at, not waited for alone: what came
-		// between two waits makes no new event.
-		look := func(fd uintptr) bool { return peekFD(int(fd)) != ErrWouldBlock }
+		// Peek instead of waiting for readiness alone: bytes that arrive between two waits make no
+		// new event.
+		hasInput := func(fd uintptr) bool { return peekFD(int(fd)) != ErrWouldBlock }
 		for {
-			if c.raw.Read(look) != nil {
-				return // closed
+			if c.raw.Read(hasInput) != nil {
+				return // connection closed
 			}
 			t.post(Event{Token: token, Ready: Readable})
 			select {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// usedUp lets the goroutine wait for the next event.
+// waitForNext makes the goroutine wait for the next event.
 func (c *goroutineConn) waitForNext() {
 	select {
 	case c.rearm <- struct{}{}:
@@ -194,12 +195,12 @@
 	}
 }
 
-func (t *goroutineTransport) EnableKeepAlive(Socket) {} // net.Listen's own probes hold
+func (t *goroutineTransport) EnableKeepAlive(Socket) {} // net.Listen enables keepalive by default
 
 func (t *goroutineTransport) Read(s Socket, p []byte) (n int, err error) {
 	c := t.conns[s]
-	if wrong := c.raw.Control(func(fd uintptr) { n, err = readFD(int(fd), p) }); wrong != nil {
-		return 0, wrong
+	if controlErr := c.raw.Control(func(fd uintptr) { n, err = readFD(int(fd), p) }); controlErr != nil {
+		return 0, controlErr
 	}
 	if n < len(p) && err != io.EOF {
 		c.waitForNext()
@@ -208,16 +209,16 @@
 }
 
 func (t *goroutineTransport) Write(s Socket, p []byte) (n int, err error) {
-	if wrong := t.conns[s].raw.Control(func(fd uintptr) { n, err = writeFD(int(fd), p) }); wrong != nil {
-		return 0, wrong
+	if controlErr := t.conns[s].raw.Control(func(fd uintptr) { n, err = writeFD(int(fd), p) }); controlErr != nil {
+		return 0, controlErr
 	}
 	return n, err
 }
 
 func (t *goroutineTransport) Peek(s Socket) (err error) {
 	c := t.conns[s]
-	if wrong := c.raw.Control(func(fd uintptr) { err = peekFD(int(fd)) }); wrong != nil {
-		return wrong
+	if controlErr := c.raw.Control(func(fd uintptr) { err = peekFD(int(fd)) }); controlErr != nil {
+		return controlErr
 	}
 	if err == ErrWouldBlock {
 		c.waitForNext()
@@ -265,7 +266,7 @@
 	close(t.stop)
 	t.running.Wait()
 	select {
-	case a := <-t.arrived: // accepted for nobody
+	case a := <-t.arrived: // accepted but never taken
 		if a.conn != nil {
 			a.conn.Close()
 		}
--- a/internal/node/front/head_parser.go
+++ b/internal/node/front/head_parser.go
@@ -9,16 +9,17 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// headSlop is what a head may hold over the bound told in net/http.Server's terms.
+// headSizeSlack is how far a head may exceed the configured maximum. net/http.Server allows the
+// same.
 const headSizeSlack = 4096
 
-// parser reads heads with net/http's parser. Its buffers are used again.
+// headParser parses request heads with net/http's parser and reuses its buffers.
 type headParser struct {
 	bytes  bytes.Reader
 	reader *bufio.Reader
 }
 
-// fault is an error of the client's making, and how it is answered.
+// requestError is an error caused by the client, with the response status for it.
 type requestError struct {
 	status int
 	text   string
@@ -26,9 +27,9 @@
 
 func (f *requestError) Error() string { return f.text }
 
-// headEnd returns where a head ends that starts the data: behind its first empty
-// line, as net/textproto ends lines, by LF or CRLF. from is where to look from, which
-// an earlier look returned as next. end is 0 if the head has not ended yet.
+// headEnd returns the position behind the head at the start of data, that is, behind its first
+// empty line. Lines end with LF or CRLF, as in net/textproto. The search starts at from, which is
+// the next of an earlier call. If the head is incomplete, end is 0.
 func headEnd(data []byte, from int) (end, next int) {
 	for at := from; ; {
 		n := bytes.IndexByte(data[at:], '\n')
@@ -47,7 +48,7 @@
 	}
 }
 
-// head reads a whole head, and nothing but that.
+// parseHead parses data, which must be one complete head and nothing else.
 func (p *headParser) parseHead(data []byte) (*http.Request, *requestError) {
 	if p.reader == nil {
 		p.reader = bufio.NewReader(nil)
@@ -59,7 +60,7 @@
 		return nil, &requestError{http.StatusBadRequest, "malformed request: " + quoteError(err)}
 	}
 	switch {
-	case p.reader.Buffered()+p.bytes.Len() > 0: // the parser takes another end for the head's than we do
+	case p.reader.Buffered()+p.bytes.Len() > 0: // net/http found another end of the head than headEnd did
 		return nil, &requestError{http.StatusBadRequest, "malformed request: its head has two ends"}
 	case r.ProtoMajor != 1:
 		return nil, &requestError{http.StatusHTTPVersionNotSupported, "unsupported protocol version"}
@@ -81,11 +82,11 @@
 	return r, nil
 }
 
-// firstLine is an error's text as one short printable line: it may hold what the
+// quoteError returns an error's text quoted on one line and truncated, as it may contain what the
 // client sent.
 func quoteError(err error) string { return fmt.Sprintf("%.120q", err.Error()) }
 
-// hasHost tells whether a head has a Host line, which net/http takes out.
+// hasHost reports whether a head has a Host line, which net/http removes from the headers.
 func hasHost(head []byte) bool {
 	for line := range bytes.Lines(head) {
 		if len(line) > 5 && bytes.EqualFold(line[:5], []byte("host:")) {
--- a/internal/node/front/load_test.go
+++ b/internal/node/front/load_test.go
@@ -18,7 +18,7 @@
 	"curlewring/internal/sched/background"
 )
 
-// echo answers each request from another goroutine, as a node does.
+// echoHandler responds to each request from another goroutine, as a node does.
 type echoHandler struct {
 	server *Server
 	queue  chan Token
@@ -43,11 +43,11 @@
 	}
 }
 
-// heldClock is the time since its start, less the time for which it was held.
+// pausableClock is a clock that can be paused.
 type pausableClock struct {
 	mu       sync.Mutex
 	start    time.Time
-	pausedAt time.Time // when it was held; zero: it runs
+	pausedAt time.Time // when it was paused; zero: it is running
 	paused   time.Duration
 }
 
@@ -73,7 +73,7 @@
 	c.pausedAt = time.Time{}
 }
 
-// crowd is a front with its worker over memory.
+// loadFixture is a server with its background worker on a memoryTransport.
 type loadFixture struct {
 	clock  *pausableClock
 	net    *memoryTransport
@@ -82,13 +82,13 @@
 	stop   func()
 }
 
-// startCrowd runs a front that lets connections rest for so long. With hurried set
-// there is no budget: background work runs at once, in the front's turns.
-func startLoadFixture(t testing.TB, most int, rest time.Duration, hurried bool) *loadFixture {
+// startLoadFixture starts a server with an idle timeout. Without the scheduler, background work
+// runs at once in the server's turns.
+func startLoadFixture(t testing.TB, maxConns int, idleTimeout time.Duration, withoutScheduler bool) *loadFixture {
 	t.Helper()
 	clock := &pausableClock{start: time.Now()}
 	now := clock.now
-	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: rest}}, 1)
+	rules, err := idleconns.Compile([]idleconns.Rule{{Class: -1, Timeout: idleTimeout}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,10 +96,10 @@
 	c.worker = worker.New(background.Config{}, now, slog.New(slog.DiscardHandler))
 	var expired, release *worker.Job
 	config := Config{
-		Transport: c.net, Log: slog.New(slog.DiscardHandler), Now: now, MaxConns: most, MemoryBudget: 1 << 30,
+		Transport: c.net, Log: slog.New(slog.DiscardHandler), Now: now, MaxConns: maxConns, MemoryBudget: 1 << 30,
 		ClassWorths: []float64{1}, EvictionPolicy: idleconns.LowestValue, RememberedClients: 1 << 10, IdleRules: rules, MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	}
-	if !hurried {
+	if !withoutScheduler {
 		config.Hooks = Hooks{CloseExpired: func() { expired.Wake(10 * time.Second) }, ReleaseBuffers: func() { release.Wake(0) }}
 	}
 	e := &echoHandler{queue: make(chan Token, 1024)}
@@ -123,12 +123,12 @@
 
 const loadRequest = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody"
 
-// park has n connections ask once and rest, and returns when they do.
+// park opens n connections, sends one request on each, and returns when all are parked.
 func (c *loadFixture) park(t testing.TB, n int) {
 	t.Helper()
-	heard := make(chan struct{}, n)
+	responses := make(chan struct{}, n)
 	c.net.mu.Lock()
-	c.net.onWrite = func(int32, []byte) { heard <- struct{}{} }
+	c.net.onWrite = func(int32, []byte) { responses <- struct{}{} }
 	c.net.conns = make([]memoryConn, 0, n+1000)
 	c.net.mu.Unlock()
 	first := int32(0)
@@ -144,24 +144,25 @@
 		}
 	}()
 	for range n {
-		<-heard
+		<-responses
 	}
-	// On a machine so busy that this takes longer than they may idle, some have expired before the last has parked.
+	// If this takes longer than the idle timeout on a busy machine, some connections expire before
+	// the last one is parked.
 	for end := time.Now().Add(10 * time.Second); c.server.Stats().Parked < n && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// ask has 64 more connections send requests at a rate for so long, and returns their
-// answers' times, and how many connections were closed while each batch of events waited for the front.
-func (c *loadFixture) sendLoad(rate int, length time.Duration) (h, amid *hdrhistogram.Histogram) {
+// sendLoad sends requests at a rate on 64 more connections. It returns the response times, and how
+// many connections were closed while each batch of events was waiting for the server.
+func (c *loadFixture) sendLoad(rate int, length time.Duration) (latencies, closes *hdrhistogram.Histogram) {
 	const clients = 64
 	type slot struct {
 		id   int32
 		sent time.Time
 	}
 	var mu sync.Mutex
-	h, amid = hdrhistogram.New(1, int64(time.Minute), 3), hdrhistogram.New(1, 1<<30, 3)
+	latencies, closes = hdrhistogram.New(1, int64(time.Minute), 3), hdrhistogram.New(1, 1<<30, 3)
 	slots := map[int32]*slot{}
 	free := make(chan *slot, clients)
 	c.net.mu.Lock()
@@ -169,11 +170,11 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if s := slots[id]; s != nil {
-			h.RecordValue(int64(time.Since(s.sent)))
+			latencies.RecordValue(int64(time.Since(s.sent)))
 			free <- s
 		}
 	}
-	c.net.onDelivered = func(closes int) { amid.RecordValue(int64(closes)) } // under the network's lock
+	c.net.onDelivered = func(closed int) { closes.RecordValue(int64(closed)) } // called with the transport's lock held
 	c.net.mu.Unlock()
 	for range clients {
 		s := &slot{id: c.net.dial()}
@@ -191,7 +192,7 @@
 		time.Sleep(time.Until(at))
 		s := <-free
 		mu.Lock()
-		s.sent = time.Now() // the load is open: a front that stalls does not keep it from being sent
+		s.sent = time.Now() // open-loop load: a stalled server doesn't delay the sending
 		mu.Unlock()
 		c.net.send(s.id, []byte(loadRequest))
 	}
@@ -203,10 +204,10 @@
 	c.net.mu.Unlock()
 	mu.Lock()
 	defer mu.Unlock()
-	return h, amid
+	return latencies, closes
 }
 
-// closed is how many connections the front has closed.
+// closeCount returns how many connections the server has closed.
 func (m *memoryTransport) closeCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -221,8 +222,8 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// A parked connection must cost less than 128 bytes of the process, no goroutine, and
-// hardly anything of live traffic's time, however many there are.
+// A parked connection must take less than 128 bytes of memory and no goroutine, and hardly any
+// processing time of live traffic, however many are parked.
 func TestParkedConnectionCost(t *testing.T) {
 	sizes, length := []int{0, 20_000}, time.Second
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -235,44 +236,45 @@
 		c.park(t, n)
 		c.net.mu.Lock()
 		c.net.onWrite = nil
-		c.net.queue = nil // the transport's own
+		c.net.queue = nil // used by the transport only
 		c.net.mu.Unlock()
 		used := float64(heap()-min(heap(), before)) / float64(max(n, 1))
 		h, _ := c.sendLoad(1700, length)
 		st := c.server.Stats()
-		t.Logf("%8d parked: %5.0f B each in heap and stacks, %d more goroutines; of %d requests at 1700/s p50 %v p99 %v p99.9 %v; longest turn %v, timers due at once %d",
+		t.Logf("%8d parked: %5.0f B each in heap and stacks, %d more goroutines; of %d requests at 1700/s p50 %v p99 %v p99.9 %v; longest turn %v, max timers due %d",
 			n, used, runtime.NumGoroutine()-goroutines, h.TotalCount(), time.Duration(h.ValueAtQuantile(50)),
 			time.Duration(h.ValueAtQuantile(99)), time.Duration(h.ValueAtQuantile(99.9)), st.MaxTurnTime, st.MaxTimersDue)
 		if n > 0 && used > 128 || runtime.NumGoroutine() > goroutines+2 {
-			t.Errorf("%d parked: %.0f B each, %d goroutines more", n, used, runtime.NumGoroutine()-goroutines)
+			t.Errorf("%d parked: %.0f B each, %d more goroutines", n, used, runtime.NumGoroutine()-goroutines)
 		}
 		c.stop()
 	}
 }
 
-// 10,000 connections and more expire at once beside live traffic. With the scheduler taken out they are closed in one go,
-// and live traffic waits for that. What it waits for is counted, not timed: a busy machine makes all times long. And it is
-// counted from the moment when events are there for the front until it takes them: what a request waits for its clients, the
-// echo and the machine is not the front's doing.
+// Many connections expire at once beside live traffic. Without the scheduler they are closed in one
+// go, and live traffic has to wait. The test counts the closes during that wait instead of timing
+// it, because a busy machine makes all times long. It counts from the moment when events are
+// available until the server takes them: waits for the clients, the handler or the machine are not
+// the server's.
 func TestExpiryDoesNotStallLiveTraffic(t *testing.T) {
 	n := 60_000
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		n = 400_000
 	}
-	play := func(hurried bool) (amid int64, expired uint64) {
-		c := startLoadFixture(t, n+100, 4*time.Second, hurried)
+	play := func(withoutScheduler bool) (maxCloses int64, expired uint64) {
+		c := startLoadFixture(t, n+100, 4*time.Second, withoutScheduler)
 		defer c.stop()
 		c.net.mu.Lock()
-		c.net.closeTime = 10 * time.Microsecond // what closing a socket takes
+		c.net.closeTime = 10 * time.Microsecond // about the time that closing a socket takes
 		c.net.mu.Unlock()
-		c.clock.pause() // they park at one time, however long that takes
+		c.clock.pause() // all are parked at the same time, however long it takes
 		c.park(t, n)
 		c.clock.resume()
 		h, closes := c.sendLoad(1700, 6*time.Second)
 		for end := time.Now().Add(30 * time.Second); c.server.Stats().Expired < uint64(n) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		t.Logf("hurried %v: p99.9 of the answers %v, longest turn %v, closed %d; closed while events waited for the front p50 %d, p99 %d, p99.9 %d, at most %d", hurried,
+		t.Logf("without scheduler %v: p99.9 of the responses %v, longest turn %v, closed %d; closed while events were waiting p50 %d, p99 %d, p99.9 %d, at most %d", withoutScheduler,
 			time.Duration(h.ValueAtQuantile(99.9)), c.server.Stats().MaxTurnTime, c.server.Stats().Expired,
 			closes.ValueAtQuantile(50), closes.ValueAtQuantile(99), closes.ValueAtQuantile(99.9), closes.Max())
 		return closes.Max(), c.server.Stats().Expired
@@ -280,9 +282,9 @@
 	with, expired := play(false)
 	without, expiredAtOnce := play(true)
 	if with > 300 || with*4 > without {
-		t.Errorf("up to %d connections are closed while events wait for the front with the scheduler, %d without", with, without)
+		t.Errorf("up to %d connections are closed while events are waiting with the scheduler, %d without", with, without)
 	}
 	if expired < uint64(n) || expiredAtOnce < uint64(n) {
-		t.Errorf("%d and %d of %d have expired", expired, expiredAtOnce, n)
+		t.Errorf("%d and %d of %d connections expired", expired, expiredAtOnce, n)
 	}
 }
--- a/internal/node/front/memory_transport_test.go
+++ b/internal/node/front/memory_transport_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// memory is a Transport without sockets: its connections are rows of a table, and a
-// test is every client. Events are told as epoll tells edges: once for each change.
+// memoryTransport is a Transport without sockets: its connections are rows of a table, and the test
+// acts as every client. Like edge-triggered epoll, it reports one event for each change.
 type memoryTransport struct {
 	mu          sync.Mutex
 	conns       []memoryConn
-	queue       []int32 // to be accepted
+	queue       []int32 // waiting to be accepted
 	ready       []Event
 	spare       []Event
 	accepting   bool
@@ -22,20 +22,20 @@
 	done        chan struct{}
 	stop        chan struct{}
 	closes      int
-	closeTime   time.Duration            // a close takes this
-	onDelivered func(closes int)         // told how many connections were closed while a batch waited for the front
-	onWrite     func(id int32, p []byte) // instead of conn.got
+	closeTime   time.Duration            // how long a close takes
+	onDelivered func(closes int)         // called with the connections closed while a batch waited
+	onWrite     func(id int32, p []byte) // if set, receives what the server writes, in place of memoryConn.written
 }
 
 type memoryConn struct {
-	unread        []byte // sent by the client, not yet read
-	written       []byte // written by the front
+	unread        []byte // sent by the client, not yet read by the server
+	written       []byte // written by the server
 	token         uint64
-	window        int // what the client's window takes; below 0: all
+	window        int // bytes that the client's receive window takes; negative: any number
 	registered    bool
-	fin           bool // the client has ended its sending
+	fin           bool // the client has closed its sending side
 	reset         bool
-	writeClosed   bool // the front has ended its sending
+	writeClosed   bool // the server has closed its sending side
 	closed        bool
 	wantsWritable bool
 }
@@ -46,7 +46,8 @@
 	}
 }
 
-// run brings batches where a server runs; tests that take turns themselves use take.
+// run delivers batches of events to a running server. Tests that run the server's turns themselves
+// call take instead.
 func (m *memoryTransport) run() {
 	defer close(m.out)
 	for {
@@ -74,7 +75,8 @@
 	}
 }
 
-// delivered tells of a batch that the front has taken, offered after so many closes.
+// delivered reports to onDelivered a batch that the server has taken. before is the number of
+// closes when the batch was offered.
 func (m *memoryTransport) delivered(before int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +85,7 @@
 	}
 }
 
-// take returns what became ready since the last time.
+// take returns the events since the last call.
 func (m *memoryTransport) take() []Event {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +113,7 @@
 	}
 }
 
-// The clients' side.
+// Methods for the client side.
 
 func (m *memoryTransport) dial() int32 {
 	m.mu.Lock()
@@ -165,7 +167,7 @@
 	return m.conns[id]
 }
 
-// The front's side.
+// Methods for the server side, which implement Transport.
 
 func (m *memoryTransport) Events() <-chan []Event { return m.out }
 func (m *memoryTransport) BatchDone() {
@@ -186,7 +188,7 @@
 	return Socket(id), m.addressOf(id), nil
 }
 
-// from spreads clients over 2^16 addresses.
+// addressOf spreads the clients over 2^16 addresses.
 func (m *memoryTransport) addressOf(id int32) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(id >> 16), byte(id >> 8), byte(id)})
 }
@@ -289,7 +291,7 @@
 	defer m.mu.Unlock()
 	c := &m.conns[s]
 	if c.closed {
-		panic("a connection is closed twice")
+		panic("connection closed twice")
 	}
 	c.closed, c.unread = true, nil
 	m.closes++
--- a/internal/node/front/request.go
+++ b/internal/node/front/request.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	deferredBands     = 4   // of deferred connections, by the worth of what they last asked for
-	maxReadsPerTurn   = 4   // of one connection in a row
-	maxResumesPerTurn = 64  // deferred connections taken up in one turn
-	minPooled         = 16  // works kept for the next use
-	maxPooled         = 256 // beyond, they are the collector's at once
+	deferredBands     = 4   // priorities of deferred connections, by the worth of their last request
+	maxReadsPerTurn   = 4   // successive reads of one connection
+	maxResumesPerTurn = 64  // deferred connections resumed in one turn
+	minPooled         = 16  // activeStates kept for reuse
+	maxPooled         = 256 // more than these are left to the garbage collector
 	openRequestBytes  = 4 << 10
-	maxPooledBuffer   = 4 << 10 // a pooled work keeps no larger buffer
+	maxPooledBuffer   = 4 << 10 // a larger buffer is not pooled
 )
 
-// work is what a connection needs beyond its row while it is not parked.
+// activeState is what a connection needs in addition to its row while it is not parked.
 type activeState struct {
-	buf       []byte // bytes that have come and are not used up
-	scanFrom  int    // where to look on for the head's end
+	buf       []byte // received bytes that are not consumed yet
+	scanFrom  int    // where the search for the end of the head continues
 	request   *http.Request
-	body      []byte // of request, as far as it has come
-	handle    any    // what the handler names the open request by
-	headOnly  bool   // a HEAD request: its answer has no body
-	unsent    []byte // what the client has yet to take
-	discarded int    // bytes dropped while lingering
-	accounted [2]int // in the ledger, for Reading and for Open
+	body      []byte // body of request, as far as received
+	handle    any    // the handler's identifier of the open request
+	headOnly  bool   // HEAD request: the response has no body
+	unsent    []byte // part of the response that is not sent yet
+	discarded int    // bytes discarded while lingering
+	accounted [2]int // bytes accounted in the memory budget: for reading, and for the open request
 }
 
 func (w *activeState) bytes() int { return 160 + cap(w.buf) }
 
-// worked returns the connection's work, a new one if it has none.
+// ensureActive returns the connection's activeState and creates one if it has none.
 func (s *Server) ensureActive(c *conn) *activeState {
 	if c.active == nil {
 		if n := len(s.pool); n > 0 {
@@ -48,14 +48,15 @@
 	return c.active
 }
 
-// book tells the ledger what a work takes for a use: 0 for reading, 1 for what is open.
+// account records in the memory budget how many bytes an activeState takes for a use: 0 is reading,
+// 1 is the open request.
 func (s *Server) account(w *activeState, which, bytes int) {
 	use := [...]membudget.Category{membudget.PartialRequests, membudget.OpenRequests}[which]
 	s.memory.Add(use, bytes-w.accounted[which])
 	w.accounted[which] = bytes
 }
 
-// release takes a connection's work from it.
+// releaseActive removes a connection's activeState and returns it to the pool.
 func (s *Server) releaseActive(c *conn) {
 	w := c.active
 	if w == nil {
@@ -76,7 +77,8 @@
 	}
 }
 
-// drop ends a connection, whatever it is doing; its open request is the caller's.
+// closeConn closes a connection in any state. The caller has to tell the handler about an open
+// request.
 func (s *Server) closeConn(i int32, c *conn, why closeReason) {
 	if s.logsCloses {
 		s.config.Log.Debug("client connection closed", "connection", i, "reason", string(why))
@@ -90,7 +92,7 @@
 	s.capacityFreed = true
 }
 
-// gone ends a connection whose client has left.
+// clientGone closes a connection whose client has closed it.
 func (s *Server) clientGone(i int32, c *conn) {
 	s.stats.PeerClosed++
 	if c.state == stateOpen {
@@ -99,7 +101,7 @@
 	s.closeConn(i, c, closeClientLeft)
 }
 
-// readable takes what has come on a connection, as far as its state wants it.
+// handleReadable reads from a connection, or defers that, depending on its state.
 func (s *Server) handleReadable(i int32, c *conn) {
 	switch c.state {
 	case stateParked:
@@ -124,7 +126,7 @@
 			c.readPending = true
 			return
 		}
-		// Not all transports tell of its end: it is looked for. Bytes wait for their turn, and hide it.
+		// Not every transport reports that the client has closed, so peek. Unread bytes hide it.
 		switch err := s.config.Transport.Peek(c.socket); {
 		case err == nil:
 			c.pipelined, c.readPending = true, true
@@ -139,14 +141,14 @@
 	}
 }
 
-// begin takes a connection out of its rest: its next request's bytes have come.
+// beginRequest ends a connection's idle time, as bytes of its next request have arrived.
 func (s *Server) beginRequest(i int32, c *conn) {
 	c.state = stateReading
 	s.idleConns.RequestStarted(s.now, i)
 	s.wheel.Arm(i, s.now+RequestTimeout)
 }
 
-// postpone leaves bytes in the kernel until there is memory for them.
+// deferRead leaves a connection's bytes in the kernel until there is memory for them.
 func (s *Server) deferRead(i int32, c *conn) {
 	if c.state == stateParked {
 		s.beginRequest(i, c)
@@ -159,7 +161,7 @@
 	}
 }
 
-// waiting tells whether a deferred connection could be taken up now.
+// canResume reports whether a deferred connection could be resumed now.
 func (s *Server) canResume() bool {
 	if s.memory.Level() != membudget.Normal {
 		return false
@@ -172,7 +174,8 @@
 	return false
 }
 
-// resume takes deferred connections up, those first that last asked for what is worth most.
+// resumeDeferred resumes deferred connections, beginning with those whose last request had the
+// highest worth.
 func (s *Server) resumeDeferred() {
 	for n := 0; n < maxResumesPerTurn && s.canResume(); n++ {
 		for band := deferredBands - 1; band >= 0; band-- {
@@ -188,8 +191,8 @@
 	}
 }
 
-// proceed goes on with the connections that have bytes of a next request, each for
-// one request or a few reads.
+// processRunnable continues with the connections that have bytes of a next request: one request, or
+// a few reads, for each.
 func (s *Server) processRunnable() {
 	for n := min(s.runnable.len(), maxResumesPerTurn); n > 0; n-- {
 		i, c := s.table.lookup(s.runnable.pop())
@@ -207,12 +210,12 @@
 			s.readConn(i, c)
 		}
 		if c.generation == turn && c.state == stateReading && !c.readPending && (c.active == nil || len(c.active.buf) == 0 && c.active.request == nil) {
-			s.park(i, c) // nothing was there after all
+			s.park(i, c) // there were no bytes after all
 		}
 	}
 }
 
-// read takes bytes until a whole request has come or there are no more.
+// readConn reads until a complete request has come or there are no more bytes.
 func (s *Server) readConn(i int32, c *conn) {
 	turn := c.generation
 	for reads := 0; c.generation == turn && c.state == stateReading; reads++ {
@@ -223,7 +226,7 @@
 		}
 		n, err := s.config.Transport.Read(c.socket, s.readBuffer)
 		full := n == len(s.readBuffer)
-		c.readPending = full // then there may be more, of which no event tells again
+		c.readPending = full // there may be more bytes, for which no event will come
 		if n > 0 {
 			s.consume(i, c, s.readBuffer[:n])
 		}
@@ -237,7 +240,8 @@
 			return
 		case errors.Is(err, ErrWouldBlock):
 		case errors.Is(err, io.EOF) && c.active != nil && (len(c.active.buf) > 0 || c.active.request != nil):
-			// It ended in the midst of a request, and may still read.
+			// The client closed its sending side in the middle of a request, and may still read the
+			// response.
 			s.stats.PeerClosed++
 			s.reject(i, c, &requestError{http.StatusBadRequest, "the request ends early"})
 		default:
@@ -247,8 +251,8 @@
 	}
 }
 
-// consume takes bytes of a connection that is reading. Unless a request is whole,
-// they are kept.
+// consume processes received bytes of a connection in stateReading. Bytes of an incomplete request
+// are kept.
 func (s *Server) consume(i int32, c *conn, data []byte) {
 	w := c.active
 	if w != nil && w.request != nil {
@@ -264,7 +268,7 @@
 		w.buf = append(w.buf, data...)
 		data, look = w.buf, w.scanFrom
 	}
-	if c.lastWasPOST { // RFC 9112, 2.2: an empty line may follow an old client's POST
+	if c.lastWasPOST { // RFC 9112, 2.2: an old client may send an empty line after a POST
 		n := 0
 		for n < min(len(data), 4) && (data[n] == '\r' || data[n] == '\n') {
 			n++
@@ -291,21 +295,21 @@
 		s.reject(i, c, &requestError{http.StatusRequestHeaderFieldsTooLarge, "the head is too large"})
 		return
 	}
-	r, wrong := s.parser.parseHead(data[:end])
-	if wrong != nil {
-		s.reject(i, c, wrong)
+	r, requestErr := s.parser.parseHead(data[:end])
+	if requestErr != nil {
+		s.reject(i, c, requestErr)
 		return
 	}
 	c.lastWasPOST = r.Method == http.MethodPost
 	s.handleHead(i, c, r, data[end:])
 }
 
-// headed takes a request whose head has come, with the bytes that follow it.
+// handleHead handles a request whose head is complete. rest is what follows the head.
 func (s *Server) handleHead(i int32, c *conn, r *http.Request, rest []byte) {
 	length := r.ContentLength
 	if len(r.TransferEncoding) > 0 || length < 0 || length > s.config.MaxBodySize {
-		// Nobody waits for such a body: the handler turns it away by its head, and
-		// what follows on the connection is nothing that could be read.
+		// Such a body is not read. The handler refuses the request by its head, and what follows on
+		// the connection can't be parsed.
 		r.Body = io.NopCloser(strings.NewReader(""))
 		c.readPending = true
 		s.dispatch(i, c, r, nil, rest)
@@ -332,14 +336,15 @@
 	s.account(w, 0, w.bytes()+cap(w.body)+openRequestBytes)
 }
 
-// whole hands a request over. rest is what came behind it.
+// dispatch passes a complete request to the handler. rest is what follows the request.
 func (s *Server) dispatch(i int32, c *conn, r *http.Request, body, rest []byte) {
-	if c.peerEnded { // nobody waits for the answer
+	if c.peerEnded { // no one would read the response
 		s.clientGone(i, c)
 		return
 	}
 	if s.stalled && len(rest) == 0 {
-		// It came while the process stood still; who has left since then is not to be worked for.
+		// The request came while the process was stalled: do no work for a client that has left
+		// since.
 		if err := s.config.Transport.Peek(c.socket); err != nil && !errors.Is(err, ErrWouldBlock) {
 			s.clientGone(i, c)
 			return
@@ -357,25 +362,25 @@
 	c.closeAfterResponse = r.Close || !r.ProtoAtLeast(1, 1) || c.overLimit
 	s.wheel.Cancel(i)
 	c.state = stateOpen
-	name, class, answer := s.config.Handler.HandleRequest(Token(s.table.token(i)), r, c.overLimit)
+	handle, class, response := s.config.Handler.HandleRequest(Token(s.table.token(i)), r, c.overLimit)
 	if class >= 0 {
 		s.idleConns.RequestReceived(i, class)
 	} else {
 		s.idleConns.UnclassifiedReceived(i)
 	}
-	// The body has been used by now, and may stand where the rest goes.
+	// The handler has finished with the body, so rest may overwrite it.
 	w.buf, w.scanFrom = append(w.buf[:0], rest...), 0
-	c.pipelined = len(rest) > 0 // bytes of the next request hide the client's end
+	c.pipelined = len(rest) > 0 // bytes of the next request hide that the client has closed
 	s.account(w, 0, 0)
 	s.account(w, 1, openRequestBytes+len(body)+cap(w.buf))
-	if answer != nil {
-		s.sendResponse(i, c, answer)
+	if response != nil {
+		s.sendResponse(i, c, response)
 		return
 	}
-	w.handle = name
+	w.handle = handle
 }
 
-// fail answers what is no request, for the last time on its connection.
+// reject answers an invalid request and closes its connection.
 func (s *Server) reject(i int32, c *conn, f *requestError) {
 	s.stats.Refused++
 	s.ensureActive(c)
@@ -384,14 +389,14 @@
 	s.sendResponse(i, c, &Response{Status: f.status, Text: f.text, Close: true})
 }
 
-// late ends a request that has not come whole in time.
+// requestTimedOut ends a request that was not complete in time.
 func (s *Server) requestTimedOut(i int32, c *conn) {
 	token := s.table.token(i)
 	if c.active != nil && c.active.request != nil {
 		s.reject(i, c, &requestError{http.StatusRequestTimeout, "the body did not come"})
 		return
 	}
-	if s.readArrived(i, c) { // the first bytes came just now
+	if s.readArrived(i, c) { // the first bytes have just arrived
 		if i, c = s.table.lookup(token); c != nil && c.state == stateReading && !s.wheel.Armed(i) {
 			s.wheel.Arm(i, s.now+RequestTimeout)
 		}
@@ -400,8 +405,8 @@
 	s.closeConn(i, c, closeRequestTimeout)
 }
 
-// linger drops what comes behind a last answer, so that no reset takes the answer
-// away, until the peer ends. What is more than a little stays in the kernel.
+// discardInput discards what follows the final response until the client closes, so that no reset
+// destroys the response. Beyond maxLingerDiscard bytes the rest stays in the kernel.
 func (s *Server) discardInput(i int32, c *conn) {
 	w := s.ensureActive(c)
 	for w.discarded < maxLingerDiscard {
--- a/internal/node/front/response.go
+++ b/internal/node/front/response.go
@@ -9,20 +9,20 @@
 	"curlewring/internal/conns/membudget"
 )
 
-// Answer is what a client gets for a request.
+// Response is the response to a request.
 type Response struct {
 	Status        int
-	ContentType   string        // Content-Type; "": none is told
-	Body          []byte        // held until the client has taken it; not written to
-	Text          string        // in the place of Body: a line of plain text
-	RetryAfter    time.Duration // 0: no advice
-	HeaderName    string        // of one more header; "": none
-	HeaderValue   string        // its value, which has come through net/http's parser or is ours
-	Close         bool          // the connection ends with it
-	WriteDeadline time.Duration // when a client that does not read is cut off; 0: after writeWait
+	ContentType   string        // Content-Type; "": no such header
+	Body          []byte        // kept until it is sent; never modified
+	Text          string        // sent as a line of plain text instead of Body
+	RetryAfter    time.Duration // 0: no Retry-After header
+	HeaderName    string        // name of an additional header; "": none
+	HeaderValue   string        // must be a valid header value, as it is written unchecked
+	Close         bool          // close the connection after the response
+	WriteDeadline time.Duration // time by which the client must have read the response; 0: after defaultWriteTimeout
 }
 
-// dateCache is the Date header (RFC 9110, 6.6.1) of the present second.
+// dateCache caches the Date header (RFC 9110, 6.6.1) of the current second.
 type dateCache struct {
 	second int64
 	text   []byte
@@ -36,17 +36,17 @@
 	return d.text
 }
 
-// encode appends an answer as it stands on the wire.
+// encode appends the wire form of a response.
 func (s *Server) encode(to []byte, a *Response, head, closes bool) []byte {
 	to = append(to, "HTTP/1.1 "...)
 	to = strconv.AppendInt(to, int64(a.Status), 10)
 	to = append(append(append(to, ' '), http.StatusText(a.Status)...), "\r\n"...)
-	length, kind := len(a.Body), a.ContentType
+	length, contentType := len(a.Body), a.ContentType
 	if a.Text != "" {
-		length, kind = len(a.Text)+1, "text/plain"
+		length, contentType = len(a.Text)+1, "text/plain"
 	}
-	if kind != "" {
-		to = append(append(append(to, "Content-Type: "...), kind...), "\r\n"...)
+	if contentType != "" {
+		to = append(append(append(to, "Content-Type: "...), contentType...), "\r\n"...)
 	}
 	if a.RetryAfter > 0 {
 		to = append(to, "Retry-After: "...)
@@ -70,7 +70,7 @@
 	return to
 }
 
-// write sends an answer, as much as the client takes now.
+// sendResponse sends as much of a response as the client accepts now.
 func (s *Server) sendResponse(i int32, c *conn, a *Response) {
 	s.stats.Responses++
 	w := c.active
@@ -105,7 +105,7 @@
 
 const maxWriteBuffer = 64 << 10
 
-// flush sends more of an answer.
+// flushResponse sends more of a response.
 func (s *Server) flushResponse(i int32, c *conn) {
 	w := c.active
 	for len(w.unsent) > 0 {
@@ -128,16 +128,18 @@
 	s.responseSent(i, c)
 }
 
-// answered goes on after a whole answer: with what came behind its request, or to rest.
+// responseSent continues after a complete response: with bytes that followed the request, or by
+// parking or closing the connection.
 func (s *Server) responseSent(i int32, c *conn) {
 	w := c.active
 	if c.closeAfterResponse {
-		if c.overLimit && !c.readPending && len(w.buf) == 0 { // its descriptor is wanted at once
+		if c.overLimit && !c.readPending && len(w.buf) == 0 { // its descriptor is needed at once
 			s.closeConn(i, c, closeEvicted)
 			return
 		}
-		// A lingering close (RFC 9112, 9.6): closing over bytes unread would reset the connection, and take the answer
-		// along, and they may come right before the close.
+		// Lingering close (RFC 9112, 9.6): closing a socket with unread bytes resets the
+		// connection, and the client may lose the response. Such bytes may arrive right before the
+		// close.
 		s.config.Transport.CloseWrite(c.socket)
 		c.state = stateLingering
 		w.buf, w.request, w.body = nil, nil, nil
@@ -159,7 +161,7 @@
 	s.park(i, c)
 }
 
-// park lays a connection to rest.
+// park marks a connection as idle and starts its idle timer.
 func (s *Server) park(i int32, c *conn) {
 	s.releaseActive(c)
 	c.state = stateParked
@@ -175,6 +177,6 @@
 	}
 }
 
-// keepFrom is how long a connection may rest before the system looks whether its peer
-// is still there: below, the rest ends soon enough by itself.
+// minKeepAliveIdle is the idle timeout above which TCP keepalive is enabled. Below it the idle
+// timeout closes a dead connection soon enough.
 const minKeepAliveIdle = time.Minute
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -16,67 +16,67 @@
 	"curlewring/internal/sched/timerwheel"
 )
 
-// Times and bounds that are the same for every node.
+// Timeouts and limits that are the same for every node.
 const (
-	RequestTimeout      = 2 * time.Second // for a whole request, from its first byte or the connection's start
-	WriteGrace          = time.Second     // after its deadline a client that does not read is cut off
+	RequestTimeout      = 2 * time.Second // for a complete request, from its first byte or the connection's start
+	WriteGrace          = time.Second     // after its request's deadline, a client that doesn't read is cut off
 	defaultWriteTimeout = 10 * time.Second
 	lingerTimeout       = 500 * time.Millisecond
-	// A connection that has just come has its request on the way.
+	// A new connection is expected to send its first request within this time.
 	NewConnGrace        = 250 * time.Millisecond
-	acceptRetryInterval = 20 * time.Millisecond // between two looks for room
+	acceptRetryInterval = 20 * time.Millisecond // between attempts to accept while at the connection limit
 	timerTick           = 8 * time.Millisecond
 
-	maxTimersPerTurn       = 256 // timers handled in one turn
+	maxTimersPerTurn       = 256
 	maxAcceptsPerTurn      = 64
-	eventsPerResponseCheck = 16 // events between two looks for answers
+	eventsPerResponseCheck = 16 // events handled between two checks for responses
 	readBufferSize         = 8 << 10
-	maxLingerDiscard       = 64 << 10 // bytes dropped of what follows a last answer
+	maxLingerDiscard       = 64 << 10 // bytes discarded after the final response
 )
 
-// Handler is given whole requests. The front's goroutine calls it, so it must not
-// wait for that.
+// Handler handles complete requests. The server's goroutine calls it, so its methods must not
+// block.
 type Handler interface {
-	// Request takes a request, whose body is all there, and returns its answer, or what
-	// Gone names it by until Server.Answer. class is as hold's settings count them, and
-	// -1 for a request of none.
+	// HandleRequest handles a request whose body is complete. It returns either the response, or a
+	// handle that ClientGone identifies the request by until Server.Respond is called. class is the
+	// request's class in the idle rules, or -1 if the request has none.
 	HandleRequest(t Token, r *http.Request, crowded bool) (open any, class int, answer *Response)
-	// Gone tells that a client has left before its answer.
+	// ClientGone reports that the client of an open request has disconnected.
 	ClientGone(open any)
 }
 
-// Config is what a Server is made of.
+// Config configures a Server.
 type Config struct {
 	Transport         Transport
 	Handler           Handler
 	Log               *slog.Logger
 	Now               func() time.Duration
-	MaxConns          int              // connections at the most, besides Spare
-	MaxRefusalConns   int              // let in over that to be refused, while each of the others has a request open
-	MemoryBudget      int              // bytes that connections may take
-	ClassWorths       []float64        // of classes
-	EvictionPolicy    idleconns.Policy // in what order idle connections go
-	RememberedClients int              // clients whose habits are remembered beyond their connections
-	IdleRules         *idleconns.Rules // how long they may stay; nil: hold.DefaultFor
-	Hooks             Hooks            // background work; the zero value does it at once
-	MaxHeadSize       int              // bytes of a request's head
-	MaxBodySize       int64            // of its body
+	MaxConns          int              // maximum number of connections, without MaxRefusalConns
+	MaxRefusalConns   int              // connections accepted above MaxConns to be refused, if all others are busy
+	MemoryBudget      int              // bytes that all connections together may take
+	ClassWorths       []float64        // worth of a request of each class
+	EvictionPolicy    idleconns.Policy // order in which idle connections are closed
+	RememberedClients int              // clients whose past behavior is remembered after they disconnect
+	IdleRules         *idleconns.Rules // idle timeouts; nil: the defaults of package idleconns
+	Hooks             Hooks            // schedule background work; if unset, it runs at once
+	MaxHeadSize       int              // maximum size of a request's head
+	MaxBodySize       int64            // maximum size of a request's body
 }
 
-// Hooks tell that background work has come up; they must not wait. Whoever sets them
-// calls the step of the same name, until it returns false. A step works for no
-// longer than it is given, but for its last piece.
+// Hooks are called when background work is due; they must not block. Each hook has to arrange that
+// the Server method of the same name is called until it reports no more work. Such a method works
+// for about the given time slice.
 type Hooks struct {
-	CloseExpired   func() // Server.CloseExpired
-	EvictIdle      func() // Server.MakeRoom
-	ReleaseBuffers func() // Server.Release
-	ReapplyRules   func() // Server.Recheck
-	// Stood tells whether the process has stood still a moment ago: then what comes may be long old, and its client gone.
-	// It must be cheap; nil: nobody knows.
+	CloseExpired   func() // calls Server.CloseExpired
+	EvictIdle      func() // calls Server.EvictIdle
+	ReleaseBuffers func() // calls Server.ReleaseBuffers
+	ReapplyRules   func() // calls Server.ReapplyRules
+	// ProcessStalled reports whether the process was stalled just now, so that received requests
+	// may be old and their clients gone. It is called often and must be cheap. nil: unknown.
 	ProcessStalled func() bool
 }
 
-// Server is the front of a node.
+// Server accepts clients' connections and serves their requests.
 type Server struct {
 	config            Config
 	table             connTable
@@ -87,19 +87,19 @@
 	writeBuffer       []byte
 	parser            headParser
 	dueTimers         []int32
-	expired           tokenQueue                // parked connections whose time is over, by token
-	runnable          tokenQueue                // connections with bytes of a next request, which take turns
-	deferredConns     [deferredBands]tokenQueue // deferred ones, by the worth of what they last asked for
+	expired           tokenQueue                // tokens of parked connections whose idle time is over
+	runnable          tokenQueue                // connections with unprocessed bytes, served in turn
+	deferredConns     [deferredBands]tokenQueue // deferred connections by the worth of their last request
 	pool              []*activeState
 	acceptRetryAt     time.Duration
 	date              dateCache
-	rulesVersion      uint8 // counts the rules that were in use
+	rulesVersion      uint8 // incremented when the idle rules change
 	reapplyNext       int32
-	shuttingDown      bool // no connection is kept after its answer
-	acceptErrorLogged bool // told once
-	stalled           bool // the process has just stood still
-	capacityFreed     bool // a connection has ended or come to rest in this turn
-	logsCloses        bool // each close is logged
+	shuttingDown      bool // every connection closes after its next response
+	acceptErrorLogged bool // logged only once
+	stalled           bool // the process was stalled just now
+	capacityFreed     bool // a connection was closed or parked in this turn
+	logsCloses        bool // debug logging: log each close
 	seed              maphash.Seed
 	stats             Stats
 	now               time.Duration
@@ -113,19 +113,20 @@
 	responseReady chan struct{}
 }
 
-// Stats counts what the front has done. All but the first group only grow.
+// Stats holds the server's statistics. All fields but those of the first group are counters or
+// maxima.
 type Stats struct {
-	Open, Parked, Reading, Busy int // connections, by what they do
-	Memory, MemoryPeak          int // bytes by the ledger
+	Open, Parked, Reading, Busy int // connections by state
+	Memory, MemoryPeak          int // bytes by the memory budget
 	PressureChanges             int
 
 	Accepted, Requests, Responses                        uint64
 	Expired, Evicted, Refused                            uint64
 	Deferred, RequestTimeouts, WriteTimeouts, PeerClosed uint64
-	AvertedCloses                                        uint64        // closes that were called off because bytes had come
-	MaxTimersDue                                         int           // timers due at once
-	MaxTurnTime                                          time.Duration // of the goroutine over one batch
-	MaxTimersTime                                        time.Duration // of that, over due timers
+	AvertedCloses                                        uint64        // closes that were averted because bytes had arrived
+	MaxTimersDue                                         int           // timers due at the same time
+	MaxTurnTime                                          time.Duration // longest turn of the goroutine over one batch
+	MaxTimersTime                                        time.Duration // longest time in a turn for due timers
 }
 
 type queuedResponse struct {
@@ -133,7 +134,7 @@
 	Response
 }
 
-// New makes a server of a transport, which it owns from then on.
+// New returns a server for a transport, which the server owns from then on.
 func New(c Config) *Server {
 	now := c.Now()
 	return &Server{
@@ -146,8 +147,8 @@
 	}
 }
 
-// Answer gives an open request its one answer. It may be called by any goroutine, and
-// does not wait. The answer to a client that has left goes nowhere.
+// Respond sends the response to an open request. Any goroutine may call it, and it doesn't block.
+// If the client has disconnected, the response is dropped.
 func (s *Server) Respond(t Token, a Response) {
 	s.mu.Lock()
 	s.responses = append(s.responses, queuedResponse{t, a})
@@ -158,8 +159,8 @@
 	}
 }
 
-// Do runs a function on the front's goroutine and returns when it has run, or false
-// if the front has ended.
+// Do runs a function on the server's goroutine and returns when it has finished, or returns false
+// if the server has stopped.
 func (s *Server) Do(f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -171,7 +172,7 @@
 	return true
 }
 
-// Stats returns the counts as they are now; zero after the end.
+// Stats returns the current statistics, or zeros if the server has stopped.
 func (s *Server) Stats() (st Stats) {
 	s.Do(func() {
 		st = s.stats
@@ -182,12 +183,12 @@
 	return st
 }
 
-// Accepted is when the last connection came, and Conns how many there are.
+// LastAccept returns when the last connection was accepted, and OpenConns the number of
+// connections.
 func (s *Server) LastAccept() time.Duration { return time.Duration(s.lastAccept.Load()) }
 func (s *Server) OpenConns() int            { return int(s.openCount.Load()) }
 
-// UseRules takes other rules for idle connections. What is parked keeps no more and no
-// less time than they give it: Recheck brings them to it by and by.
+// SetIdleRules replaces the idle rules. ReapplyRules then applies them to parked connections.
 func (s *Server) SetIdleRules(r *idleconns.Rules) {
 	s.Do(func() {
 		s.config.IdleRules = r
@@ -200,11 +201,11 @@
 	})
 }
 
-// Recheck goes on with what UseRules has begun.
+// ReapplyRules applies the rules of SetIdleRules to parked connections.
 func (s *Server) ReapplyRules(slice time.Duration) (took time.Duration, more bool) {
-	return s.runStep(slice, func(may func() bool) bool {
+	return s.runStep(slice, func(mayContinue func() bool) bool {
 		for ; int(s.reapplyNext) < s.table.allocated; s.reapplyNext++ {
-			if !may() {
+			if !mayContinue() {
 				return true
 			}
 			i, c := s.reapplyNext, s.table.at(s.reapplyNext)
@@ -213,7 +214,7 @@
 			}
 			s.assignNetwork(i, c)
 			since, limit, slack := s.idleConns.IdleTimeout(i)
-			if s.wheel.Cancel(i) { // else its time is over already
+			if s.wheel.Cancel(i) { // otherwise the idle time is over already
 				s.wheel.ArmSpread(i, since+limit, slack)
 			}
 		}
@@ -221,13 +222,14 @@
 	})
 }
 
-// sourced finds out anew which network a connection is from: the rules have changed.
+// assignNetwork determines anew which network of the idle rules a connection is from, as the rules
+// have changed.
 func (s *Server) assignNetwork(i int32, c *conn) {
 	c.rulesVersion = s.rulesVersion
 	s.idleConns.SetSource(i, s.config.IdleRules.Source(s.config.Transport.RemoteAddr(c.socket)))
 }
 
-// Run serves until the context ends, and closes all that is left then.
+// Run serves until the context ends, and then closes all connections.
 func (s *Server) Run(ctx context.Context) {
 	defer s.closeAll()
 	t := s.config.Transport
@@ -260,7 +262,7 @@
 	}
 }
 
-// turn does one piece of work and then what is due.
+// runTurn runs a function and then everything that is due.
 func (s *Server) runTurn(f func()) {
 	begun := s.config.Now()
 	s.now = max(s.now, begun)
@@ -269,7 +271,7 @@
 	s.now = max(s.now, s.config.Now())
 	timers := s.now
 	s.handleTimers()
-	if s.acceptRetryAt > 0 && (s.capacityFreed || s.now >= s.acceptRetryAt) { // somebody waits
+	if s.acceptRetryAt > 0 && (s.capacityFreed || s.now >= s.acceptRetryAt) { // a connection is waiting to be accepted
 		s.acceptRetryAt = 0
 		s.acceptPending()
 		if s.acceptRetryAt == 0 {
@@ -285,7 +287,7 @@
 	s.openCount.Store(int64(s.table.inUse))
 }
 
-// next is when the goroutine has to look again without an event.
+// nextWake returns when the goroutine has to run without an event.
 func (s *Server) nextWake() (time.Duration, bool) {
 	at, ok := s.wheel.Next()
 	if s.acceptRetryAt > 0 && (!ok || s.acceptRetryAt < at) {
@@ -297,7 +299,7 @@
 	return at, ok
 }
 
-// events handles a batch of the transport's. Answers are not kept waiting for it.
+// handleEvents handles a batch of the transport's events, and sends waiting responses in between.
 func (s *Server) handleEvents(batch []Event) {
 	for n, e := range batch {
 		if n%eventsPerResponseCheck == eventsPerResponseCheck-1 {
@@ -309,7 +311,7 @@
 		}
 		i, c := s.table.lookup(e.Token)
 		if c == nil {
-			continue // an event for a connection that has closed since
+			continue // the connection has been closed since
 		}
 		if e.Ready&ConnReset != 0 && (e.Ready&Readable == 0 || c.state == stateOpen) {
 			s.clientGone(i, c)
@@ -321,7 +323,8 @@
 		if i, c = s.table.lookup(e.Token); c == nil {
 			continue
 		}
-		// The end may come in one event with the request before it, and behind bytes that nobody reads yet.
+		// The client's close may come in one event with the request before it, and while earlier
+		// bytes are unread.
 		if e.Ready&PeerEnded != 0 {
 			c.peerEnded = true
 		}
@@ -331,79 +334,80 @@
 	}
 }
 
-// drain writes the answers that have been given.
+// writeResponses sends the responses passed to Respond.
 func (s *Server) writeResponses() {
 	for {
 		s.mu.Lock()
-		all := s.responses
+		batch := s.responses
 		s.responses = nil
 		s.mu.Unlock()
-		if len(all) == 0 {
+		if len(batch) == 0 {
 			return
 		}
-		for n := range all {
-			if i, c := s.table.lookup(uint64(all[n].token)); c != nil && c.state == stateOpen {
-				s.sendResponse(i, c, &all[n].Response)
+		for n := range batch {
+			if i, c := s.table.lookup(uint64(batch[n].token)); c != nil && c.state == stateOpen {
+				s.sendResponse(i, c, &batch[n].Response)
 			}
 		}
 		s.mu.Lock()
-		if s.responses == nil && cap(all) <= 1024 {
-			clear(all)
-			s.responses = all[:0]
+		if s.responses == nil && cap(batch) <= 1024 {
+			clear(batch)
+			s.responses = batch[:0]
 		}
 		s.mu.Unlock()
 	}
 }
 
-// accept takes in what waits, as far as there is room.
+// acceptPending accepts waiting connections as long as there is room.
 func (s *Server) acceptPending() {
 	for n := range maxAcceptsPerTurn {
 		if n > 0 && s.table.inUse >= s.config.MaxConns {
-			return // nobody may wait any more: no connection is closed for that
+			return // perhaps none is waiting, so don't evict a connection for it
 		}
 		if !s.makeRoom() {
 			s.config.Transport.SetAccepting(false)
 			s.acceptRetryAt = s.now + acceptRetryInterval
 			return
 		}
-		socket, from, err := s.config.Transport.Accept()
+		socket, remote, err := s.config.Transport.Accept()
 		if errors.Is(err, ErrWouldBlock) {
 			return
 		}
 		if err != nil {
-			// Out of descriptors, most likely: those that are freed meanwhile count, and
-			// the rest waits in the backlog.
+			// Most likely the process is out of descriptors. Accept again when some are freed; the
+			// others wait in the backlog.
 			if !s.acceptErrorLogged {
 				s.acceptErrorLogged = true
-				s.config.Log.Warn("a connection can't be taken; told once", "err", err, "open", s.table.inUse)
+				s.config.Log.Warn("accepting a connection failed; further failures are not logged", "err", err, "open", s.table.inUse)
 			}
 			s.config.Transport.SetAccepting(false)
 			s.acceptRetryAt = s.now + acceptRetryInterval
 			return
 		}
-		s.addConn(socket, from)
+		s.addConn(socket, remote)
 	}
 }
 
-// enter books a new connection.
-func (s *Server) addConn(socket Socket, from netip.Addr) {
+// addConn adds a new connection.
+func (s *Server) addConn(socket Socket, remote netip.Addr) {
 	crowded := s.table.inUse >= s.config.MaxConns
 	i, c := s.table.allocate()
 	c.socket, c.state, c.overLimit = socket, stateReading, crowded
 	c.rulesVersion = s.rulesVersion
 	s.memory.Add(membudget.ConnectionState, parkedConnBytes)
-	s.idleConns.Add(s.now, i, s.config.IdleRules.Source(from), s.clientHash(from))
+	s.idleConns.Add(s.now, i, s.config.IdleRules.Source(remote), s.clientHash(remote))
 	s.wheel.Arm(i, s.now+RequestTimeout)
 	s.lastAccept.Store(int64(s.now))
 	s.stats.Accepted++
 	if err := s.config.Transport.Register(socket, s.table.token(i)); err != nil {
-		s.config.Log.Warn("a connection can't be waited for", "err", err)
+		s.config.Log.Warn("registering a connection with the transport failed", "err", err)
 		s.closeConn(i, c, closeTransport)
 	}
 }
 
-// who is a hash of an address by a key of this process: nobody outside can pick
-// addresses that fall together. 0: no address.
+// clientHash returns a hash of an address, keyed by a random seed so that nobody outside can choose
+// addresses that collide. It returns 0 if there is no address or the eviction policy doesn't need
+// one.
 func (s *Server) clientHash(a netip.Addr) uint32 {
 	if !a.IsValid() || s.config.EvictionPolicy != idleconns.LowestValue {
 		return 0
@@ -412,8 +416,8 @@
 	return uint32(maphash.Bytes(s.seed, b[:])) | 1
 }
 
-// room tells whether another connection may be taken in, and closes one for it if
-// need be. With a request open on each, a few more are let in to be refused.
+// makeRoom reports whether another connection may be accepted, and evicts an idle one if necessary.
+// If all connections have open requests, a few more are accepted in order to be refused.
 func (s *Server) makeRoom() bool {
 	if s.table.inUse < s.config.MaxConns {
 		return true
@@ -430,13 +434,13 @@
 	return false
 }
 
-// oust closes the connection that goes first. One on which bytes have come
-// meanwhile is no longer idle: it is read instead.
+// evictOne closes the idle connection that is first in eviction order. If bytes have arrived on it,
+// it is no longer idle and is read instead.
 func (s *Server) evictOne() idleconns.VictimStatus {
 	for tries := 0; ; tries++ {
-		i, word := s.idleConns.Victim(s.now)
-		if word != idleconns.Found {
-			return word
+		i, status := s.idleConns.Victim(s.now)
+		if status != idleconns.Found {
+			return status
 		}
 		c := s.table.at(i)
 		if tries < 4 && s.readArrived(i, c) {
@@ -448,8 +452,8 @@
 	}
 }
 
-// looks tells whether bytes have come on a connection that is parked, or of which none have ever been read, and
-// reads them.
+// readArrived reports whether bytes have arrived on a connection that is parked or has never been
+// read, and reads them.
 func (s *Server) readArrived(i int32, c *conn) bool {
 	if c.state != stateParked && (c.state != stateReading || c.active != nil) || s.config.Transport.Peek(c.socket) != nil {
 		return false
@@ -459,7 +463,7 @@
 	return true
 }
 
-// timers handles what is due, a bounded number at a time.
+// handleTimers handles due timers, up to maxTimersPerTurn.
 func (s *Server) handleTimers() {
 	s.dueTimers = s.wheel.Advance(s.now, maxTimersPerTurn, s.dueTimers[:0])
 	s.stats.MaxTimersDue = max(s.stats.MaxTimersDue, len(s.dueTimers))
@@ -487,16 +491,16 @@
 	}
 }
 
-// closeExpired closes connections whose time is over while it may, and tells whether
-// there are more.
-func (s *Server) closeExpired(may func() bool) bool {
+// closeExpired closes connections whose idle time is over as long as mayContinue allows. It reports
+// whether there are more.
+func (s *Server) closeExpired(mayContinue func() bool) bool {
 	for s.expired.len() > 0 {
-		if !may() {
+		if !mayContinue() {
 			return true
 		}
 		i, c := s.table.lookup(s.expired.pop())
-		// A request's bytes may cross the close; and one that has been in use since and
-		// is parked again has its timer armed anew.
+		// Bytes of a request may have arrived. And a connection that was used and parked again
+		// since then has a new timer.
 		if c == nil || c.state != stateParked || s.wheel.Armed(i) || s.readArrived(i, c) {
 			continue
 		}
@@ -506,9 +510,9 @@
 	return false
 }
 
-// step runs a piece of background work on the front's goroutine. It looks at the
+// runStep runs background work on the server's goroutine for about a time slice. It checks the
 // clock every few rounds.
-func (s *Server) runStep(slice time.Duration, f func(may func() bool) bool) (took time.Duration, more bool) {
+func (s *Server) runStep(slice time.Duration, f func(mayContinue func() bool) bool) (took time.Duration, more bool) {
 	s.Do(func() {
 		begun, rounds := s.config.Now(), 0
 		more = f(func() bool {
@@ -521,17 +525,17 @@
 	return took, more
 }
 
-// CloseExpired closes idle connections whose time is over.
+// CloseExpired closes connections whose idle time is over.
 func (s *Server) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
 	return s.runStep(slice, s.closeExpired)
 }
 
-// MakeRoom closes idle connections until there is room for a few newcomers, so that
-// not each has to wait for a close of its own.
+// EvictIdle closes idle connections until there is room for several new ones, so that not every
+// accept has to wait for an eviction.
 func (s *Server) EvictIdle(slice time.Duration) (took time.Duration, more bool) {
-	return s.runStep(slice, func(may func() bool) bool {
+	return s.runStep(slice, func(mayContinue func() bool) bool {
 		for s.table.inUse > s.config.MaxConns-s.config.MaxConns/64 || s.memory.Level() == membudget.Full {
-			if !may() {
+			if !mayContinue() {
 				return true
 			}
 			if s.idleConns.Idle() == 0 || s.evictOne() != idleconns.Found {
@@ -542,11 +546,11 @@
 	})
 }
 
-// Release gives buffers back that the last while had no use for.
+// ReleaseBuffers frees pooled buffers beyond the minimum.
 func (s *Server) ReleaseBuffers(slice time.Duration) (took time.Duration, more bool) {
-	return s.runStep(slice, func(may func() bool) bool {
+	return s.runStep(slice, func(mayContinue func() bool) bool {
 		for len(s.pool) > minPooled {
-			if !may() {
+			if !mayContinue() {
 				return true
 			}
 			n := len(s.pool) - 1
--- a/internal/node/front/shutdown.go
+++ b/internal/node/front/shutdown.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// CloseListener ends the taking in; those that have come are served on, and close
-// with their next answer.
+// CloseListener stops accepting connections. Open connections are served on and close with their
+// next response.
 func (s *Server) CloseListener() (err error) {
 	s.Do(func() {
 		s.shuttingDown = true
@@ -14,19 +14,19 @@
 	return err
 }
 
-// CloseParked closes the connections that are parked: the node ends. None with a
-// request open or read in part is among them.
+// CloseParked closes the parked connections when the node shuts down. Connections with an open or a
+// partly read request are kept.
 func (s *Server) CloseParked(slice time.Duration) (took time.Duration, more bool) {
 	return s.runStep(slice, s.closeParked)
 }
 
-func (s *Server) closeParked(may func() bool) bool {
+func (s *Server) closeParked(mayContinue func() bool) bool {
 	for {
 		i, ok := s.idleConns.IdleVictim()
 		if !ok {
 			return false
 		}
-		if !may() {
+		if !mayContinue() {
 			return true
 		}
 		if c := s.table.at(i); !s.readArrived(i, c) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// close ends all connections and the transport.
+// closeAll closes all connections and the transport.
 func (s *Server) closeAll() {
 	for i := range int32(s.table.allocated) {
 		if c := s.table.at(i); c.state != stateFree {
--- a/internal/node/front/simulation_test.go
+++ b/internal/node/front/simulation_test.go
@@ -17,28 +17,28 @@
 	"curlewring/internal/conns/membudget"
 )
 
-// game plays a front in one goroutine and virtual time, with a script in the place
-// of clients, node and clock, and checks what holds whatever comes.
+// harness runs a server in one goroutine and virtual time. A script stands in for the clients, the
+// handler and the clock, and the harness checks invariants after any sequence of events.
 type harness struct {
 	t       testing.TB
 	net     *memoryTransport
 	server  *Server
 	now     time.Duration
 	clients []*scriptedClient
-	open    []*openRequest // requests with the node, oldest first
+	open    []*openRequest // requests that the handler has, oldest first
 	answers int
 	gone    int
 }
 
 type scriptedClient struct {
 	id        int32
-	stream    []byte // what it sends in the end
+	stream    []byte // everything that it will send
 	sent      int
 	bodies    []string // bodies of its requests, in order
-	delivered int      // of these, how many the node has got
-	answered  []string // what the node has answered, in order
+	delivered int      // number of requests that the handler has received
+	answered  []string // bodies of the handler's responses, in order
 	ended     bool
-	malformed bool // its stream holds what is no request
+	malformed bool // its stream contains an invalid request
 }
 
 type openRequest struct {
@@ -48,89 +48,89 @@
 }
 
 func newHarness(t testing.TB, most, memoryBytes int) *harness {
-	g := &harness{t: t, net: newMemory(), now: time.Hour}
-	g.net.accepting = true
-	g.server = New(Config{
-		Transport: g.net, Handler: g, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return g.now },
+	h := &harness{t: t, net: newMemory(), now: time.Hour}
+	h.net.accepting = true
+	h.server = New(Config{
+		Transport: h.net, Handler: h, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return h.now },
 		MaxConns: most, MaxRefusalConns: 2, MemoryBudget: memoryBytes, ClassWorths: []float64{1, 12}, EvictionPolicy: idleconns.LowestValue,
 		MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	})
-	return g
+	return h
 }
 
-// Request is the node's: it may answer at once.
-func (g *harness) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
-	i, c := g.server.table.lookup(uint64(t))
+// HandleRequest implements Handler. It answers some requests at once.
+func (h *harness) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
+	i, c := h.server.table.lookup(uint64(t))
 	if c == nil || c.state != stateOpen {
-		g.t.Fatalf("a request of connection %d, which is %v", i, c)
+		h.t.Fatalf("got a request of connection %d in state %v", i, c)
 	}
-	client := g.clients[c.socket]
+	client := h.clients[c.socket]
 	body, err := io.ReadAll(r.Body)
 	if err != nil || len(r.TransferEncoding) > 0 || r.ContentLength > 1<<10 {
 		if !client.malformed {
-			g.t.Fatalf("the body of a good request can't be read: %v", err)
+			h.t.Fatalf("reading the body of a valid request: %v", err)
 		}
-		return nil, -1, &Response{Status: http.StatusBadRequest, Text: "odd", Close: true}
+		return nil, -1, &Response{Status: http.StatusBadRequest, Text: "malformed", Close: true}
 	}
 	if r.URL.Path == "/now" {
 		return nil, -1, &Response{Status: http.StatusOK, Text: "now"}
 	}
 	if client.delivered >= len(client.bodies) || client.bodies[client.delivered] != string(body) {
-		g.t.Fatalf("client %d: request %d has the body %q, sent were %q", client.id, client.delivered, body, client.bodies)
+		h.t.Fatalf("client %d: request %d has the body %q, the client sent %q", client.id, client.delivered, body, client.bodies)
 	}
 	client.delivered++
 	if crowded {
 		return nil, 0, &Response{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
 	}
-	for _, o := range g.open {
+	for _, o := range h.open {
 		if o.client == client {
-			g.t.Fatalf("client %d has two requests open on one connection", client.id)
+			h.t.Fatalf("client %d has two requests open on one connection", client.id)
 		}
 	}
 	o := &openRequest{client, t, string(body)}
-	g.open = append(g.open, o)
+	h.open = append(h.open, o)
 	return o, len(body) % 2, nil
 }
 
-func (g *harness) ClientGone(open any) {
-	for i, o := range g.open {
+func (h *harness) ClientGone(open any) {
+	for i, o := range h.open {
 		if o == open {
-			g.open = append(g.open[:i], g.open[i+1:]...)
-			g.gone++
+			h.open = append(h.open[:i], h.open[i+1:]...)
+			h.gone++
 			return
 		}
 	}
-	g.t.Fatal("a client is told gone whose request is not open")
+	h.t.Fatal("ClientGone for a request that is not open")
 }
 
-// answer answers an open request.
-func (g *harness) answer(n, size int) {
-	if len(g.open) == 0 {
+// answer responds to an open request.
+func (h *harness) answer(n, size int) {
+	if len(h.open) == 0 {
 		return
 	}
-	o := g.open[n%len(g.open)]
-	g.open = append(g.open[:n%len(g.open)], g.open[n%len(g.open)+1:]...)
+	o := h.open[n%len(h.open)]
+	h.open = append(h.open[:n%len(h.open)], h.open[n%len(h.open)+1:]...)
 	text := o.body + strings.Repeat("+", size)
 	o.client.answered = append(o.client.answered, text)
-	g.server.Respond(o.token, Response{Status: http.StatusOK, ContentType: "text/x", Body: []byte(text), WriteDeadline: g.now + time.Second})
-	g.answers++
-	g.run()
+	h.server.Respond(o.token, Response{Status: http.StatusOK, ContentType: "text/x", Body: []byte(text), WriteDeadline: h.now + time.Second})
+	h.answers++
+	h.run()
 }
 
-// turn lets the front do what it can.
-func (g *harness) run() {
+// run runs the server until there is nothing more to do.
+func (h *harness) run() {
 	for range 100 {
-		batch := g.net.take()
-		g.server.runTurn(func() { g.server.handleEvents(batch); g.server.writeResponses() })
-		if at, ok := g.server.nextWake(); len(batch) == 0 && (!ok || at > g.now) {
+		batch := h.net.take()
+		h.server.runTurn(func() { h.server.handleEvents(batch); h.server.writeResponses() })
+		if at, ok := h.server.nextWake(); len(batch) == 0 && (!ok || at > h.now) {
 			return
 		}
 	}
 }
 
-// dial opens a client with a stream of requests of its own.
-func (g *harness) dialRandom(r *rand.Rand) {
-	c := &scriptedClient{id: g.net.dial()}
+// dialRandom opens a client with a random stream of requests.
+func (h *harness) dialRandom(r *rand.Rand) {
+	c := &scriptedClient{id: h.net.dial()}
 	for n := range r.IntN(4) + 1 {
 		switch r.IntN(12) {
 		case 0:
@@ -145,101 +145,101 @@
 			}[r.IntN(6)]...)
 		}
 		if c.malformed {
-			break // what follows is not for the node
+			break // what follows must not reach the handler
 		}
 		body := fmt.Sprintf("%d/%d", c.id, n) + strings.Repeat(".", r.IntN(2)*r.IntN(900))
 		c.bodies = append(c.bodies, body)
 		c.stream = append(c.stream, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body...)
 	}
-	g.clients = append(g.clients, c)
+	h.clients = append(h.clients, c)
 }
 
-// play runs a script. Each two bytes are a step.
-func (g *harness) play(script []byte) {
+// play runs a script, in which every two bytes are a step.
+func (h *harness) play(script []byte) {
 	r := rand.New(rand.NewPCG(uint64(len(script)), 7))
 	for n := 0; n+1 < len(script) && n < 600; n += 2 {
 		what, arg := script[n]%16, int(script[n+1])
 		var c *scriptedClient
-		if len(g.clients) > 0 {
-			c = g.clients[max(0, len(g.clients)-1-arg%8)]
+		if len(h.clients) > 0 {
+			c = h.clients[max(0, len(h.clients)-1-arg%8)]
 		}
 		switch {
 		case what == 0 || c == nil:
-			if len(g.clients) < 64 {
-				g.dialRandom(r)
+			if len(h.clients) < 64 {
+				h.dialRandom(r)
 			}
-		case what <= 5 && !c.ended: // some bytes, or all
+		case what <= 5 && !c.ended: // send some of the bytes, or all
 			n := min(len(c.stream)-c.sent, [...]int{1, 7, 40, 300, 5000}[arg%5])
-			g.net.send(c.id, c.stream[c.sent:c.sent+n])
+			h.net.send(c.id, c.stream[c.sent:c.sent+n])
 			c.sent += n
 		case what == 6:
 			c.ended = true
-			g.net.end(c.id)
+			h.net.end(c.id)
 		case what == 7:
 			c.ended = true
-			g.net.abort(c.id)
+			h.net.abort(c.id)
 		case what <= 10:
-			g.answer(arg, arg%3*400)
+			h.answer(arg, arg%3*400)
 		case what == 11:
-			g.now += time.Duration(arg) * 10 * time.Millisecond
+			h.now += time.Duration(arg) * 10 * time.Millisecond
 		case what == 12:
-			g.now += time.Duration(arg) * time.Second / 4
+			h.now += time.Duration(arg) * time.Second / 4
 		case what == 13:
-			g.net.window(c.id, [...]int{0, 1, 50, -1}[arg%4])
-		case what == 14: // events lost ones' tokens, doubled, and for rows used again
-			g.net.mu.Lock()
-			token := g.net.conns[c.id].token
-			g.net.ready = append(g.net.ready, Event{token, Readable}, Event{token, Readable | Writable},
+			h.net.window(c.id, [...]int{0, 1, 50, -1}[arg%4])
+		case what == 14: // duplicate events, and events with tokens of unknown connections and reused rows
+			h.net.mu.Lock()
+			token := h.net.conns[c.id].token
+			h.net.ready = append(h.net.ready, Event{token, Readable}, Event{token, Readable | Writable},
 				Event{token + 1<<32, Readable | ConnReset}, Event{token ^ 1<<20, ConnReset})
-			g.net.mu.Unlock()
+			h.net.mu.Unlock()
 		case what == 15:
-			g.server.runTurn(func() { g.server.evictOne() })
+			h.server.runTurn(func() { h.server.evictOne() })
 		}
-		g.run()
+		h.run()
 	}
 }
 
-// finish ends everything and checks what each client got and what is left.
-func (g *harness) finish() {
-	for len(g.open) > 0 {
-		g.answer(0, 0)
+// finish ends everything and checks what each client received and that no resources are left.
+func (h *harness) finish() {
+	for len(h.open) > 0 {
+		h.answer(0, 0)
 	}
-	for _, c := range g.clients {
-		g.net.window(c.id, -1)
-		g.run()
+	for _, c := range h.clients {
+		h.net.window(c.id, -1)
+		h.run()
 	}
-	for range 64 { // longer than all that wait for room may stay, one after another
-		g.now += 3 * time.Second
-		g.run()
-		for len(g.open) > 0 {
-			g.answer(0, 0)
+	for range 64 { // longer than all connections waiting for room may stay, one after another
+		h.now += 3 * time.Second
+		h.run()
+		for len(h.open) > 0 {
+			h.answer(0, 0)
 		}
 	}
-	for _, c := range g.clients {
-		g.checkResponses(c)
+	for _, c := range h.clients {
+		h.checkResponses(c)
 	}
-	s := g.server
+	s := h.server
 	if s.table.inUse != 0 || s.wheel.Len() != 0 || s.idleConns.Idle() != 0 || s.idleConns.Incomplete() != 0 {
-		g.t.Fatalf("left over: %d connections, %d timers, %d idle, %d fresh", s.table.inUse, s.wheel.Len(), s.idleConns.Idle(), s.idleConns.Incomplete())
+		h.t.Fatalf("left over: %d connections, %d timers, %d idle, %d incomplete", s.table.inUse, s.wheel.Len(), s.idleConns.Idle(), s.idleConns.Incomplete())
 	}
-	if g.net.closes != len(g.clients) {
-		g.t.Fatalf("%d connections, %d closed", len(g.clients), g.net.closes)
+	if h.net.closes != len(h.clients) {
+		h.t.Fatalf("opened %d connections, closed %d", len(h.clients), h.net.closes)
 	}
 	if sum, pool := s.memory.Total(), s.memory.Used(membudget.PooledBuffers); sum != pool {
-		g.t.Fatalf("%d bytes booked, %d of them pooled", sum, pool)
+		h.t.Fatalf("%d bytes accounted, but %d pooled", sum, pool)
 	}
 }
 
-// read takes a client's bytes apart: whole answers in the order of its requests, each
-// the node's, with at most one for each request and the last perhaps cut.
-func (g *harness) checkResponses(c *scriptedClient) {
-	got := g.net.state(c.id).written
+// checkResponses parses the bytes that a client received: complete responses in the order of its
+// requests, at most one for each, with the handler's bodies. The last one may be truncated.
+func (h *harness) checkResponses(c *scriptedClient) {
+	got := h.net.state(c.id).written
 	reader := bufio.NewReader(bytes.NewReader(got))
 	next, closed := 0, false
 	for {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			return // nothing more, or cut
+			return // no more responses, or a truncated one
 		}
 		if resp.StatusCode == http.StatusContinue {
 			continue
@@ -249,30 +249,30 @@
 			return
 		}
 		if closed {
-			g.t.Fatalf("client %d got %q after an answer that closes", c.id, body)
+			h.t.Fatalf("client %d got %q after a response with Connection: close", c.id, body)
 		}
 		closed = resp.Close
 		if resp.Header.Get("Content-Type") != "text/x" {
-			continue // the front's own
+			continue // generated by the server itself
 		}
 		if next >= len(c.answered) || c.answered[next] != string(body) {
-			g.t.Fatalf("client %d: answer %d is %q, the node gave %q", c.id, next, body, c.answered)
+			h.t.Fatalf("client %d: response %d is %q, the handler sent %q", c.id, next, body, c.answered)
 		}
 		next++
 	}
 }
 
-// Whatever bytes, ends, expiries, answers and odd events come in whatever order: no
-// request is handed over twice or with other bytes, no answer is lost, doubled or
-// given to another, and nothing stays behind.
+// For any sequence of bytes, closes, timeouts, responses and spurious events: no request is
+// delivered twice or with other bytes, no response is lost, duplicated or sent to another client,
+// and no resources are left.
 func FuzzParkAndWake(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(script(seed), uint8(seed))
 	}
 	f.Fuzz(func(t *testing.T, script []byte, room uint8) {
-		g := newHarness(t, 2+int(room%16), 1<<20)
-		g.play(script)
-		g.finish()
+		h := newHarness(t, 2+int(room%16), 1<<20)
+		h.play(script)
+		h.finish()
 	})
 }
 
@@ -290,17 +290,17 @@
 	for seed := range uint64(3000) {
 		memoryBytes := 1 << 20
 		if seed%4 == 0 {
-			memoryBytes = 12 << 10 // short of memory for most of the time
+			memoryBytes = 12 << 10 // memory is short most of the time
 		}
-		g := newHarness(t, 2+int(seed%16), memoryBytes)
-		g.play(script(seed))
-		g.finish()
-		requests, gone = requests+g.answers, gone+g.gone
+		h := newHarness(t, 2+int(seed%16), memoryBytes)
+		h.play(script(seed))
+		h.finish()
+		requests, gone = requests+h.answers, gone+h.gone
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
 	if requests < 5000 || gone < 100 {
-		t.Errorf("only %d answers and %d clients that left: the scripts do nothing", requests, gone)
+		t.Errorf("only %d responses and %d disconnected clients: the scripts don't cover enough", requests, gone)
 	}
 }
--- a/internal/node/front/syscalls.go
+++ b/internal/node/front/syscalls.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// read, write and peek are one system call each on a descriptor that does not
-// block, with Transport's results.
+// readFD, writeFD and peekFD each make one system call on a non-blocking descriptor and return what
+// Transport specifies.
 func readFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.Read(fd, p)
@@ -17,7 +17,7 @@
 		case err == unix.EAGAIN:
 			return 0, ErrWouldBlock
 		case err != nil:
-			return 0, fmt.Errorf("reading: %w", err)
+			return 0, fmt.Errorf("reading from client socket: %w", err)
 		case n == 0 && len(p) > 0:
 			return 0, io.EOF
 		default:
@@ -34,7 +34,7 @@
 		case err == unix.EAGAIN:
 			return 0, ErrWouldBlock
 		case err != nil:
-			return 0, fmt.Errorf("writing: %w", err)
+			return 0, fmt.Errorf("writing to client socket: %w", err)
 		default:
 			return n, nil
 		}
@@ -50,7 +50,7 @@
 		case err == unix.EAGAIN:
 			return ErrWouldBlock
 		case err != nil:
-			return fmt.Errorf("looking: %w", err)
+			return fmt.Errorf("peeking at client socket: %w", err)
 		case n == 0:
 			return io.EOF
 		default:
--- a/internal/node/front/token_queue.go
+++ b/internal/node/front/token_queue.go
@@ -1,6 +1,7 @@
 package front
 
-// fifo is a queue of tokens. It takes memory for what waits, and gives it back.
+// tokenQueue is a FIFO queue of tokens. It moves its items to the front of the buffer as they are
+// removed, and frees a large buffer once it is empty.
 type tokenQueue struct {
 	items []uint64
 	head  int
--- a/internal/node/front/transport.go
+++ b/internal/node/front/transport.go
@@ -5,63 +5,64 @@
 	"net/netip"
 )
 
-// Ready is what a socket is ready for.
+// Readiness is a set of flags that say what a socket is ready for.
 type Readiness uint8
 
 const (
-	Readable   Readiness = 1 << iota // bytes or the end of the peer's sending
-	Writable                         // only after WantWrite
-	PeerEnded                        // the peer has ended its sending, whatever bytes of it are still to be read
-	ConnReset                        // reset; nothing more will come
-	Acceptable                       // connections wait to be accepted; of the listener
+	Readable   Readiness = 1 << iota // bytes have arrived, or the peer has closed its sending side
+	Writable                         // only after NotifyWritable
+	PeerEnded                        // the peer has closed its sending side; earlier bytes may still be unread
+	ConnReset                        // the connection was reset
+	Acceptable                       // connections are waiting to be accepted (listener only)
 )
 
-// Event tells that a socket became ready. An event comes once for each change: who
-// gets one reads until there is nothing left.
+// Event reports that a socket became ready. Events are edge-triggered: the receiver has to read
+// until nothing is left.
 type Event struct {
-	Token uint64 // as given to Open
+	Token uint64 // as passed to Register
 	Ready Readiness
 }
 
-// listenerToken is the token of Arrivals.
+// listenerToken is the token of Acceptable events.
 const listenerToken = ^uint64(0)
 
-// ErrAgain says that a socket has nothing for now, or takes nothing.
-var ErrWouldBlock = errors.New("front: not ready")
+// ErrWouldBlock is returned by an operation that would have to wait for the socket.
+var ErrWouldBlock = errors.New("front: operation would block")
 
-// Socket names an open connection of a Transport.
+// Socket identifies an open connection of a Transport.
 type Socket int32
 
-// Transport is a listener and its connections, none of whose calls block. All but
-// Events are called by one goroutine.
+// Transport is a listener and its connections. No method blocks. All methods but Events are called
+// by one goroutine.
 type Transport interface {
-	// Events delivers what became ready. The receiver calls Done when it is through
-	// with a batch, which is used again then.
+	// Events delivers batches of events. The receiver calls BatchDone when it has finished with a
+	// batch, whose memory is then reused.
 	Events() <-chan []Event
 	BatchDone()
-	// Accept takes a connection that waits: its socket and where it is from, which is
-	// not valid for unix sockets. ErrAgain: none waits.
+	// Accept accepts a waiting connection and returns its socket and remote address, which is
+	// invalid for unix sockets. If none is waiting, it returns ErrWouldBlock.
 	Accept() (Socket, netip.Addr, error)
-	// Listen turns Arrivals on or off. Turned on, it tells of those that wait already.
+	// SetAccepting turns Acceptable events on or off. When turned on, it also reports connections
+	// that are already waiting.
 	SetAccepting(on bool)
-	// From is the address that Accept has told of a connection.
+	// RemoteAddr returns the remote address of a connection, as returned by Accept.
 	RemoteAddr(s Socket) netip.Addr
-	// Open has a connection's events told under a token.
+	// Register makes Events report a connection's events with a token.
 	Register(s Socket, token uint64) error
-	// Keep has the system look, seldom, whether an idle peer is still there.
+	// EnableKeepAlive turns on infrequent TCP keepalive probes.
 	EnableKeepAlive(s Socket)
-	// Read and Write are one call each, and return ErrAgain instead of waiting. Read
-	// returns io.EOF at the end of the peer's sending.
+	// Read and Write make one system call each and return ErrWouldBlock instead of waiting. Read
+	// returns io.EOF once the peer has closed its sending side.
 	Read(s Socket, p []byte) (int, error)
 	Write(s Socket, p []byte) (int, error)
-	// Peek is a Read of one byte that leaves it there.
+	// Peek reads one byte without consuming it.
 	Peek(s Socket) error
-	// WantWrite has Writable told once the socket takes more.
+	// NotifyWritable requests a Writable event for when the socket accepts more bytes.
 	NotifyWritable(s Socket, token uint64) error
 	CloseWrite(s Socket)
 	Close(s Socket)
-	// CloseListener ends the listening; what waits in the backlog is reset.
+	// CloseListener closes the listener. Connections still in its backlog are reset.
 	CloseListener() error
-	// Shut ends Events; all connections have been closed by then.
+	// Shutdown closes the channel of Events. All connections must have been closed before.
 	Shutdown()
 }
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -21,14 +21,14 @@
 	"curlewring/internal/conns/idleconns"
 )
 
-// real is a front on sockets, and the node behind it.
+// socketFixture is a server on real sockets with a test handler.
 type socketFixture struct {
 	*Server
 	network, address string
 	mu               sync.Mutex
-	open             map[Token]string // bodies of requests that wait for their answer
+	open             map[Token]string // bodies of open requests
 	gone             atomic.Int64
-	holdRequests     bool // requests wait until answer
+	holdRequests     bool // requests stay open until answer is called
 }
 
 func (s *socketFixture) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
@@ -52,7 +52,7 @@
 	s.gone.Add(1)
 }
 
-// answer answers all that waits with this much more behind the request's body.
+// answer responds to all open requests with the request's body and more zero bytes.
 func (s *socketFixture) answer(more int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	return len(s.open)
 }
 
-// eachTransport runs a test over every transport of real sockets.
+// eachTransport runs a test with every transport of real sockets.
 func eachTransport(t *testing.T, play func(t *testing.T, start func(change func(*Config), waits bool) *socketFixture)) {
 	kinds := map[string]func(net.Listener) (Transport, error){"system": NewTransport, "goroutines": NewGoroutineTransport}
 	for name, make := range kinds {
@@ -146,16 +146,16 @@
 	t.Helper()
 	resp, err := http.ReadResponse(p.Reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("reading the response: %v", err)
 	}
 	got, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != status || body != "" && string(got) != body {
-		t.Fatalf("answered %s, %d bytes, %.60q (%v), want %d, %d bytes, %.60q", resp.Status, len(got), got, err, status, len(body), body)
+		t.Fatalf("got status %s, %d bytes, %.60q (%v), want %d, %d bytes, %.60q", resp.Status, len(got), got, err, status, len(body), body)
 	}
 }
 
-// Requests in one piece, byte by byte, many in a row and with 100-continue: each gets
-// its own answer, in order.
+// Requests that arrive in one piece, byte by byte, pipelined, or with 100-continue each get their
+// own response, in order.
 func TestRequestsOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(nil, false)
@@ -181,12 +181,12 @@
 		p.ReadString('\n')
 		io.WriteString(p, "body")
 		p.expect(t, 200, "body")
-		nodetest.WaitFor(t, "it is parked", func() bool { return s.Stats().Parked == 1 })
+		nodetest.WaitFor(t, "the connection is parked", func() bool { return s.Stats().Parked == 1 })
 	})
 }
 
-// A client that leaves, half or whole, while its request is open is told of; one that
-// has sent more is not, until its answer.
+// A client that closes its sending side or its connection while its request is open is reported as
+// gone. One that has sent more bytes is not, until its response was sent.
 func TestClientLeavesOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(nil, true)
@@ -195,26 +195,26 @@
 			io.WriteString(p, post("x"))
 		}
 		io.WriteString(piped, post("first")+post("second"))
-		nodetest.WaitFor(t, "all are open", func() bool { return s.openCount() == 3 })
+		nodetest.WaitFor(t, "all requests are open", func() bool { return s.openCount() == 3 })
 		half.Conn.(interface{ CloseWrite() error }).CloseWrite()
 		whole.Close()
-		nodetest.WaitFor(t, "two have left", func() bool { return s.gone.Load() == 2 })
+		nodetest.WaitFor(t, "two clients are gone", func() bool { return s.gone.Load() == 2 })
 		if rest, _ := io.ReadAll(half); len(rest) > 0 {
-			t.Errorf("the one that ended its sending got %q", rest)
+			t.Errorf("the client that closed its sending side got %q", rest)
 		}
 		s.answer(0)
 		piped.expect(t, 200, "first")
-		nodetest.WaitFor(t, "the second is open", func() bool { return s.openCount() == 1 })
+		nodetest.WaitFor(t, "the second request is open", func() bool { return s.openCount() == 1 })
 		s.answer(0)
 		piped.expect(t, 200, "second")
 		if s.gone.Load() != 2 {
-			t.Errorf("%d have left", s.gone.Load())
+			t.Errorf("%d clients are gone, want 2", s.gone.Load())
 		}
 	})
 }
 
-// An answer larger than the socket's buffers goes out as its client reads; a client
-// that reads nothing is cut off, and no other waits for it.
+// A response larger than the socket's buffers is sent as its client reads. A client that doesn't
+// read is cut off, and no other client has to wait for it.
 func TestSlowReadersAreCutOffOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(func(c *Config) { c.MemoryBudget = 64 << 20 }, true)
@@ -223,23 +223,23 @@
 		for _, p := range []*socketClient{reads, never} {
 			io.WriteString(p, post("x"))
 		}
-		nodetest.WaitFor(t, "both are open", func() bool { return s.openCount() == 2 })
+		nodetest.WaitFor(t, "both requests are open", func() bool { return s.openCount() == 2 })
 		s.answer(more)
 		other := s.dial(t)
 		io.WriteString(other, post("y"))
-		nodetest.WaitFor(t, "the other is open", func() bool { return s.openCount() == 1 })
+		nodetest.WaitFor(t, "the other request is open", func() bool { return s.openCount() == 1 })
 		s.answer(0)
 		other.expect(t, 200, "y")
 		reads.expect(t, 200, "x"+string(bytes.Repeat([]byte{0}, more)))
-		nodetest.WaitFor(t, "the one that does not read is cut off", func() bool { return s.Stats().WriteTimeouts == 1 })
+		nodetest.WaitFor(t, "the client that doesn't read is cut off", func() bool { return s.Stats().WriteTimeouts == 1 })
 		if st := s.Stats(); st.Responses != 3 || st.PeerClosed != 0 {
 			t.Errorf("%+v", st)
 		}
 	})
 }
 
-// Over the number that there may be: idle ones make room, and with a request open on
-// each, a few more are refused and the rest waits.
+// Above the connection limit, idle connections are closed for new ones. If all have open requests,
+// a few more are accepted and refused, and the others wait.
 func TestConnectionLimitOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(func(c *Config) { c.MaxConns, c.MaxRefusalConns = 8, 2 }, true)
@@ -247,7 +247,7 @@
 		for range 8 {
 			p := s.dial(t)
 			io.WriteString(p, post("x"))
-			nodetest.WaitFor(t, "it is open", func() bool { return s.openCount() == 1 })
+			nodetest.WaitFor(t, "the request is open", func() bool { return s.openCount() == 1 })
 			s.answer(0)
 			p.expect(t, 200, "x")
 			idle = append(idle, p)
@@ -256,12 +256,12 @@
 		for n := range 8 {
 			p := s.dial(t)
 			io.WriteString(p, post("x"))
-			nodetest.WaitFor(t, "it is open", func() bool { return s.openCount() == n+1 })
+			nodetest.WaitFor(t, "the request is open", func() bool { return s.openCount() == n+1 })
 			busy = append(busy, p)
 		}
 		for _, p := range idle {
 			if _, err := p.ReadByte(); err != io.EOF {
-				t.Errorf("an idle one: %v", err)
+				t.Errorf("reading from an idle connection: %v, want EOF", err)
 			}
 		}
 		over := s.dial(t)
@@ -274,7 +274,7 @@
 	})
 }
 
-// Rules that are changed hold for what is parked already.
+// Changed idle rules apply to connections that are parked already.
 func TestChangedIdleRulesOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		rules := func(d time.Duration) *idleconns.Rules {
@@ -292,11 +292,11 @@
 		p := s.dial(t)
 		io.WriteString(p, post("x"))
 		p.expect(t, 200, "x")
-		nodetest.WaitFor(t, "it is parked", func() bool { return s.Stats().Parked == 1 })
+		nodetest.WaitFor(t, "the connection is parked", func() bool { return s.Stats().Parked == 1 })
 		begun := time.Now()
 		s.SetIdleRules(rules(time.Second))
 		if _, err := p.ReadByte(); err != io.EOF || time.Since(begun) > 4*time.Second {
-			t.Errorf("ended with %v after %v", err, time.Since(begun))
+			t.Errorf("closed with %v after %v, want EOF within 4s", err, time.Since(begun))
 		}
 	})
 }
