--- a/internal/node/upstream/canceler.go
+++ b/internal/node/upstream/canceler.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Ticket calls an attempt off, whatever it is doing: it ends a dial, and the wait
-// for an answer. It stands for a context, at the price of none: the usual attempt
-// is never called off. Its zero value is ready; it is for one attempt.
+// Canceler cancels one attempt in any phase: it ends a dial, or the wait for a response. It
+// replaces a context, whose cost would be wasted on the usual attempt, which is never canceled. The
+// zero value is ready for use.
 type Canceler struct {
 	mu         sync.Mutex
 	canceled   bool
-	conn       *conn              // the attempt waits on this for its answer
-	cancelDial context.CancelFunc // or for a connection
+	conn       *conn              // the attempt is waiting for a response on this connection
+	cancelDial context.CancelFunc // the attempt is dialing
 }
 
-// Cancel calls the attempt off. Later calls do nothing.
+// Cancel cancels the attempt. Later calls have no effect.
 func (t *Canceler) Cancel() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -29,14 +29,14 @@
 	}
 }
 
-// isOff tells whether the attempt has been called off.
+// isCanceled reports whether the attempt has been canceled.
 func (t *Canceler) isCanceled() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.canceled
 }
 
-// dialing returns a context for a dial, which a call-off ends, and what ends it otherwise.
+// dialContext returns a context for a dial, which Cancel cancels, and a function that releases it.
 func (t *Canceler) dialContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.mu.Lock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// waitOn says which connection the attempt waits on until a point in time, having
-// written by another, and returns false if it has been called off.
+// attach sets the connection that the attempt is waiting on, with deadlines for the response and
+// for writing the request. It returns false if the attempt has been canceled.
 func (t *Canceler) attach(c *conn, until, written time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,8 +68,8 @@
 	return true
 }
 
-// leave ends the wait, and tells whether no call-off has begun: only then the
-// connection is as it was.
+// detach ends the wait and reports whether the attempt was not canceled. Only then is the
+// connection still usable.
 func (t *Canceler) detach() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/upstream/conn_limiter.go
+++ b/internal/node/upstream/conn_limiter.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Sockets counts the connections to servers.
+// ConnLimiter limits the number of connections to servers.
 type ConnLimiter struct {
 	max  int64
 	open atomic.Int64
@@ -10,7 +10,7 @@
 
 func NewConnLimiter(most int) *ConnLimiter { return &ConnLimiter{max: int64(most)} }
 
-// take books a connection if there is room for it.
+// acquire counts a new connection and returns true unless the limit is reached.
 func (s *ConnLimiter) acquire() bool {
 	if s.open.Add(1) <= s.max {
 		return true
--- a/internal/node/upstream/doc.go
+++ b/internal/node/upstream/doc.go
@@ -1,10 +1,10 @@
-// Package upstream makes attempts at servers.
+// Package upstream makes attempts at servers, that is, it sends requests to them.
 //
-// It keeps the connections to them, of which each carries one request at a time, and
-// tells of each attempt how it ended: whether it may have run hangs on that. Pool's
-// lock guards the idle connections; one in use belongs to its attempt. The node's
-// loop owns a Peer and says when it is closed.
+// It keeps connections to the servers, each of which carries one request at a time, and reports how
+// each attempt ended, in particular whether the request may have run. The lock of Pool guards the
+// idle connections; a connection in use belongs to its attempt. The node's loop owns each Target
+// and sets its Closed flag.
 //
-// It must not choose a server, nor try again: that is package decide's. Sweep is
-// background work, and runs when the worker says.
+// The package neither chooses a server nor retries (package decide does). Pool.CloseExpired is
+// background work, which the worker schedules.
 package upstream
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -15,60 +15,58 @@
 	"curlewring/internal/budget"
 )
 
-// Attempt sends a request to a server once and waits for the answer until a
-// point in time, or until it is called off. Unless its last byte has left by another,
-// it is not sent at all.
-// more are header lines of this attempt alone.
-func (u *Pool) Attempt(t *Canceler, p *Target, q *Request, more string, by, until time.Duration) Outcome {
+// Attempt sends a request to a server once and waits for the response until a deadline or until it
+// is canceled. Unless its last byte can be written by the time sendBy, the request isn't sent at
+// all. extraHeaders are header lines of this attempt only.
+func (u *Pool) Attempt(t *Canceler, p *Target, q *Request, extraHeaders string, sendBy, until time.Duration) Outcome {
 	c := u.takeIdle(p)
-	dialled := time.Duration(0)
+	dialTime := time.Duration(0)
 	if c == nil {
 		var err error
-		begun := u.clock.Now()
-		ctx, done := t.dialContext()
+		started := u.clock.Now()
+		ctx, release := t.dialContext()
 		c, err = u.dial(ctx, p, until)
-		done()
+		release()
 		if err != nil {
 			if t.isCanceled() {
 				return Outcome{Result: decide.NotSent, ConnClosed: true}
 			}
 			return Outcome{Result: decide.ConnectFailed, ConnClosed: true}
 		}
-		dialled = u.clock.Now() - begun
+		dialTime = u.clock.Now() - started
 	}
-	o, keep := u.exchange(t, c, p, q, more, by, until)
+	o, keep := u.exchange(t, c, p, q, extraHeaders, sendBy, until)
 	o.ConnAge = u.clock.Now() - c.opened
 	if keep = keep && u.keepIdle(p, c); !keep {
 		u.discard(c, p.ID, CloseUnusable)
 	}
-	o.ConnClosed, o.DialTime = !keep, dialled
+	o.ConnClosed, o.DialTime = !keep, dialTime
 	return o
 }
 
-// exchange makes an attempt on a connection, and tells whether the connection is
-// as it was.
-func (u *Pool) exchange(t *Canceler, c *conn, p *Target, q *Request, more string, by, until time.Duration) (_ Outcome, keep bool) {
-	// The connection may have taken a while: the server may drain by now, and
-	// the request may be over.
-	if q.isFinished() || p.Closed.Load() || !t.attach(c, u.clock.WallTime(until), u.clock.WallTime(min(by, until))) {
+// exchange makes an attempt on a connection and reports whether the connection can be reused.
+func (u *Pool) exchange(t *Canceler, c *conn, p *Target, q *Request, extraHeaders string, sendBy, until time.Duration) (_ Outcome, keep bool) {
+	// Getting the connection may have taken a while: by now the server may be draining, or the
+	// request finished.
+	if q.isFinished() || p.Closed.Load() || !t.attach(c, u.clock.WallTime(until), u.clock.WallTime(min(sendBy, until))) {
 		return Outcome{Result: decide.NotSent}, false
 	}
 	defer t.detach()
 
 	now := u.clock.Now()
 	left := until - now
-	if left <= 0 || now > by {
+	if left <= 0 || now > sendBy {
 		return Outcome{Result: decide.NotSent}, false
 	}
-	message, err := q.Encode(c.writeBuffer[:0], p.Address, more, left)
+	message, err := q.Encode(c.writeBuffer[:0], p.Address, extraHeaders, left)
 	if err != nil {
 		return Outcome{Result: decide.ConnectFailed}, false
 	}
 	if c.writeBuffer = message; cap(message) > maxKeptBuffer {
 		c.writeBuffer = nil
 	}
-	if n, _ := c.Write(message); n < len(message) { // its last byte never left, so it can't run
-		if t.isCanceled() || u.clock.Now() > by {
+	if n, _ := c.Write(message); n < len(message) { // the request is incomplete, so the server can't run it
+		if t.isCanceled() || u.clock.Now() > sendBy {
 			return Outcome{Result: decide.NotSent}, false
 		}
 		return Outcome{Result: decide.ConnectFailed}, false
@@ -85,13 +83,13 @@
 		}
 		return Outcome{Result: decide.Malformed}, false
 	}
-	// Only a call-off that has not begun leaves the connection as it was, and
-	// only an answer with nothing behind it.
-	behind := c.reader.Buffered() > 0
-	if behind {
+	// The connection can be reused only if the attempt wasn't canceled and nothing follows the
+	// response.
+	trailing := c.reader.Buffered() > 0
+	if trailing {
 		u.sawTrailingBytes.Store(true)
 	}
-	keep = !resp.Close && !behind && t.detach()
+	keep = !resp.Close && !trailing && t.detach()
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return Outcome{
@@ -105,17 +103,17 @@
 	return Outcome{Result: decide.Errored, SpentBudget: resp.Header[budget.SpentHeaderName]}, keep
 }
 
-// Encode appends the request as it goes on the wire, to be sent in one piece:
-// what it holds came through net/http's parser, and FuzzEdge reads it back.
-func (q *Request) Encode(to []byte, address, more string, left time.Duration) ([]byte, error) {
+// Encode appends the wire form of the request, which is sent in one piece. The fields came through
+// net/http's parser, and FuzzEdge checks that the result can be parsed again.
+func (q *Request) Encode(to []byte, address, extraHeaders string, left time.Duration) ([]byte, error) {
 	host := cmp.Or(q.Host, address)
 	for _, text := range [...]string{q.Method, q.URI, host, q.Txn, q.IdempotencyKey, q.ContentType} {
 		if strings.ContainsFunc(text, func(r rune) bool { return r == '\r' || r == '\n' || r == 0 }) {
-			return nil, errors.New("encoding a request: a line of it does not end where it should")
+			return nil, errors.New("encoding a request: line break or NUL in a header or the request line")
 		}
 	}
 	if strings.ContainsAny(q.URI, " \t") || strings.ContainsAny(host, " \t/") {
-		return nil, errors.New("encoding a request: white space in its first lines")
+		return nil, errors.New("encoding a request: white space in the URI or the host")
 	}
 	to = append(append(append(append(to, q.Method...), ' '), q.URI...), " HTTP/1.1\r\n"...)
 	to = appendHeader(to, "Host", host)
@@ -130,7 +128,7 @@
 	if len(q.Body) > 0 || q.Method == http.MethodPost {
 		to = append(strconv.AppendInt(append(to, "Content-Length: "...), int64(len(q.Body)), 10), "\r\n"...)
 	}
-	to = append(to, more...)
+	to = append(to, extraHeaders...)
 	return append(append(to, "\r\n"...), q.Body...), nil
 }
 
@@ -138,8 +136,8 @@
 	return append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
 }
 
-// read takes a whole answer off the connection. Whatever a server sends, it keeps
-// no more than mostAnswer of it.
+// readResponse reads a complete response. It keeps at most maxResponseSize bytes, whatever the
+// server sends.
 func (c *conn) readResponse(method string) (*http.Response, []byte, error) {
 	c.responseLimit.N = maxResponseSize
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -147,24 +145,24 @@
 		resp, err = http.ReadResponse(c.reader, &http.Request{Method: method})
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("reading the answer: %w", err)
+		return nil, nil, fmt.Errorf("reading the response: %w", err)
 	}
-	// The body is not closed: that would read all of it first, or wait for it.
+	// The body isn't closed: Close would first read all of it, or wait for it.
 	switch {
 	case resp.StatusCode == http.StatusSwitchingProtocols:
-		return nil, nil, errors.New("the answer leaves HTTP")
+		return nil, nil, errors.New("the response switches to another protocol")
 	case resp.ContentLength > MaxBodySize:
-		return nil, nil, fmt.Errorf("the answer is said to be larger than %d bytes", MaxBodySize)
+		return nil, nil, fmt.Errorf("the response declares a length above %d bytes", MaxBodySize)
 	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		// It ends where the connection does: a whole one looks like a cut one.
-		return nil, nil, errors.New("the answer does not tell its end")
+		// The body ends with the connection, so a truncated one can't be told from a complete one.
+		return nil, nil, errors.New("the response has no length")
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodySize+1))
 	if err != nil {
-		return nil, nil, fmt.Errorf("reading the answer: %w", err)
+		return nil, nil, fmt.Errorf("reading the response: %w", err)
 	}
 	if len(body) > MaxBodySize {
-		return nil, nil, fmt.Errorf("the answer is larger than %d bytes", MaxBodySize)
+		return nil, nil, fmt.Errorf("the response is larger than %d bytes", MaxBodySize)
 	}
 	return resp, body, nil
 }
@@ -174,7 +172,7 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// isBreak tells whether the connection ended, in order or not.
+// isConnectionError reports whether the connection ended, orderly or not.
 func isConnectionError(err error) bool {
 	var broken net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken)
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -19,61 +19,60 @@
 
 const (
 	MaxBodySize     = 64 << 10
-	maxResponseSize = MaxBodySize + 64<<10 // with heads, interim answers and chunks
-	maxKeptBuffer   = 2 << 10              // bytes kept with a connection for its next request
+	maxResponseSize = MaxBodySize + 64<<10 // including heads, interim responses and chunk framing
+	maxKeptBuffer   = 2 << 10              // larger write buffers are not kept with a connection
 )
 
-// Peer is a server as the loop knows it, for the attempts that are on their way
-// to it.
+// Target is a server to which attempts are being made. The node's loop owns it.
 type Target struct {
 	ID      string
-	Address string      // fixed: a server that moves gets a new peer
-	Closed  atomic.Bool // drains or is gone: nothing new may be sent
+	Address string      // never changes: a server that moves gets a new Target
+	Closed  atomic.Bool // draining or removed: nothing new may be sent
 }
 
-// Call is a request as its client sent it.
+// Request is a request as received from the client.
 type Request struct {
 	Method, URI, Host   string
-	Txn, IdempotencyKey string // X-Txn and Idempotency-Key
-	ContentType         string // Content-Type
+	Txn, IdempotencyKey string // the X-Txn and Idempotency-Key headers
+	ContentType         string
 	Body                []byte
-	Finished            *atomic.Bool // it has its answer, or its client has left
+	Finished            *atomic.Bool // it has been answered, or its client has disconnected
 }
 
 func (q *Request) isFinished() bool { return q.Finished != nil && q.Finished.Load() }
 
-// Response is the body of a server's answer.
+// Response is the body of a server's response and its type.
 type Response struct {
-	ContentType string // Content-Type
+	ContentType string
 	Body        []byte
 }
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome struct {
 	Result      decide.Result
-	Response    *Response     // served
-	ConnClosed  bool          // its connection is not kept
-	SpentBudget []string      // the answer's word of what was spent of a budget
-	ConnAge     time.Duration // of the connection on which it was made
-	DialTime    time.Duration // how long a new connection took; 0: it went out on one that was there
+	Response    *Response     // set if Result is decide.Served
+	ConnClosed  bool          // the connection is not kept
+	SpentBudget []string      // values of the response header that reports budget spent
+	ConnAge     time.Duration // age of the connection that was used
+	DialTime    time.Duration // time to open a new connection; 0: an idle one was used
 }
 
-// Pool makes attempts. It keeps connections to servers, of which each
-// carries one request at a time. net/http's Transport is no use here: it sends
-// requests again by itself, which may let an effect happen twice.
+// Pool makes attempts. It keeps connections to servers, each of which carries one request at a
+// time. It doesn't use net/http's Transport, which may send a request again by itself, so that an
+// effect could happen twice.
 type Pool struct {
 	clock            clock.Clock
 	limiter          *ConnLimiter
 	connectTimeout   time.Duration
-	idleTimeout      time.Duration // connections are closed when idle for this
-	sawTrailingBytes atomic.Bool   // a server has sent more than its answer
-	onClose          func(server string, why CloseReason)
+	idleTimeout      time.Duration // connections that are idle for longer are closed
+	sawTrailingBytes atomic.Bool   // a server has sent bytes after its response
+	onClose          func(server string, reason CloseReason)
 
 	mu         sync.Mutex
-	idle       map[string][]*conn // by server; the last was used last
-	idleTimers *timerwheel.Wheel  // when idle connections have idled for too long
-	timerConns []*conn            // by timer
-	freeTimers []int32            // timers that no connection has
+	idle       map[string][]*conn // by server ID; the most recently used is last
+	idleTimers *timerwheel.Wheel  // closing times of idle connections
+	timerConns []*conn            // idle connections by timer ID
+	freeTimers []int32            // unused timer IDs
 	dueTimers  []int32
 }
 
@@ -81,14 +80,14 @@
 	net.Conn
 	address       string
 	opened        time.Duration
-	serverID      string            // whose it is, once it has idled
-	responseLimit *io.LimitedReader // what the answer may still bring
-	reader        *bufio.Reader     // reads from limit
+	serverID      string            // set once the connection has been idle
+	responseLimit *io.LimitedReader // limits the size of the response
+	reader        *bufio.Reader     // reads from responseLimit
 	raw           syscall.RawConn
 	limiter       *ConnLimiter
 	idleSince     time.Duration
-	timer         int32  // its row
-	writeBuffer   []byte // room for the next request
+	timer         int32  // its timer ID while idle
+	writeBuffer   []byte // reused for the next request
 }
 
 func (c *conn) close() {
@@ -96,40 +95,41 @@
 	c.limiter.release()
 }
 
-// CloseReason is why a connection to a server is closed, as logs have it.
+// CloseReason is the reason for closing a connection to a server, as written to the log.
 type CloseReason string
 
-// The reasons.
+// Reasons for closing a connection to a server.
 const (
-	CloseExpired        CloseReason = "idle for too long"
-	CloseAddressChanged CloseReason = "its server has another address"
-	CloseByServer       CloseReason = "the server ended it, or sent what nobody asked for"
-	CloseUnusable       CloseReason = "its attempt left it unusable"
-	CloseServerClosed   CloseReason = "its server gets nothing new"
-	CloseEvicted        CloseReason = "room for another"
-	CloseShutdown       CloseReason = "the node ends"
+	CloseExpired        CloseReason = "idle timeout"
+	CloseAddressChanged CloseReason = "server address changed"
+	CloseByServer       CloseReason = "closed by the server, or unsolicited bytes received"
+	CloseUnusable       CloseReason = "not reusable after its attempt"
+	CloseServerClosed   CloseReason = "server is draining or removed"
+	CloseEvicted        CloseReason = "evicted to make room"
+	CloseShutdown       CloseReason = "node is shutting down"
 )
 
-// OnClose has a function called for each connection that is closed; it must not call the pool. It is set before the first
-// attempt.
-func (u *Pool) OnClose(f func(server string, why CloseReason)) { u.onClose = f }
+// OnClose sets a function that is called for each closed connection and must not call the pool. It
+// has to be set before the first attempt.
+func (u *Pool) OnClose(f func(server string, reason CloseReason)) { u.onClose = f }
 
-// discard closes a connection to a server, and tells why.
-func (u *Pool) discard(c *conn, server string, why CloseReason) {
+// discard closes a connection to a server and reports the reason.
+func (u *Pool) discard(c *conn, server string, reason CloseReason) {
 	if u.onClose != nil {
-		u.onClose(server, why)
+		u.onClose(server, reason)
 	}
 	c.close()
 }
 
-// idleMargin is how long before the server's own time a connection is closed,
-// lest a request cross the server's closing on the way.
+// idleMargin is how much sooner than the server's own idle timeout a connection is closed, so that
+// no request is sent while the server is closing it.
 const idleMargin = 250 * time.Millisecond
 
-// settling is how long a connection rests after an answer, once any server has
-// sent something behind one. It is seen by then; in use again, the connection
-// would pass it for the next request's answer. Until then no connection rests:
-// calls that follow each other closely would each need a new one.
+// settleTime is how long a connection stays unused after a response, once any server has sent bytes
+// after its response. If such bytes arrive in that time, they are noticed. On a reused connection
+// they would be taken for the response to the next request. Before any server has done so,
+// connections are reused at once, because otherwise requests in close succession would each need a
+// new connection.
 const settleTime = 5 * time.Millisecond
 
 func New(clock clock.Clock, sockets *ConnLimiter, set *decide.Settings) *Pool {
@@ -147,41 +147,41 @@
 	return u
 }
 
-// get returns the connection to a server that was used last and has come to
-// rest, or nil.
+// takeIdle removes and returns the most recently used idle connection to a server that has settled,
+// or returns nil.
 func (u *Pool) takeIdle(p *Target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for at := len(u.idle[p.ID]) - 1; at >= 0; at-- {
 		c := u.idle[p.ID][at]
-		rested := u.clock.Now() - c.idleSince
-		if u.sawTrailingBytes.Load() && rested < settleTime && c.address == p.Address {
+		idleTime := u.clock.Now() - c.idleSince
+		if u.sawTrailingBytes.Load() && idleTime < settleTime && c.address == p.Address {
 			continue
 		}
 		u.idle[p.ID] = slices.Delete(u.idle[p.ID], at, at+1)
 		u.cancelIdleTimer(c)
-		why := CloseExpired
+		reason := CloseExpired
 		switch {
 		case c.address != p.Address:
-			why = CloseAddressChanged
-		case rested < u.idleTimeout:
-			alive, more := c.probe()
+			reason = CloseAddressChanged
+		case idleTime < u.idleTimeout:
+			alive, hasData := c.probe()
 			if alive {
 				return c
 			}
-			if more {
+			if hasData {
 				u.sawTrailingBytes.Store(true)
 			}
-			why = CloseByServer
+			reason = CloseByServer
 		}
-		u.discard(c, p.ID, why)
+		u.discard(c, p.ID, reason)
 	}
 	return nil
 }
 
-// put keeps a connection for the next request, unless its server wants none.
+// keepIdle keeps a connection for the next request, unless nothing may be sent to its server.
 func (u *Pool) keepIdle(p *Target, c *conn) bool {
-	c.SetDeadline(time.Time{}) // once past, it would fail the look that get takes
+	c.SetDeadline(time.Time{}) // an expired deadline would fail the probe in takeIdle
 	c.idleSince = u.clock.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -194,7 +194,7 @@
 	return true
 }
 
-// HangUp closes the idle connections to a server.
+// CloseServer closes the idle connections to a server.
 func (u *Pool) CloseServer(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -205,7 +205,7 @@
 	delete(u.idle, id)
 }
 
-// arm has a connection closed once it has idled for too long. u.mu is held.
+// armIdleTimer sets a timer to close a connection after the idle timeout. u.mu must be held.
 func (u *Pool) armIdleTimer(c *conn) {
 	if n := len(u.freeTimers); n > 0 {
 		c.timer, u.freeTimers = u.freeTimers[n-1], u.freeTimers[:n-1]
@@ -217,20 +217,22 @@
 	u.idleTimers.Arm(c.timer, c.idleSince+u.idleTimeout)
 }
 
-// unarm is arm's end: the connection is in use again or closes. u.mu is held.
+// cancelIdleTimer cancels the timer of a connection that is used again or closed. u.mu must be
+// held.
 func (u *Pool) cancelIdleTimer(c *conn) {
 	u.idleTimers.Cancel(c.timer)
 	u.timerConns[c.timer] = nil
 	u.freeTimers = append(u.freeTimers, c.timer)
 }
 
-// mostIdleClosed bounds what is closed between two looks at the clock.
+// maxExpiredPerBatch is the maximum number of connections closed between two looks at the clock.
 const (
 	maxExpiredPerBatch = 8
 	idleTick           = 20 * time.Millisecond
 )
 
-// Sweep closes connections that have idled for too long, as background work.
+// CloseExpired closes connections whose idle timeout is over, for about a time slice. It is
+// background work.
 func (u *Pool) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
 	begun := u.clock.Now()
 	for now := begun; now < begun+slice; now = u.clock.Now() {
@@ -258,7 +260,7 @@
 	return u.clock.Now() - begun, true
 }
 
-// CloseIdle closes all idle connections: the node ends.
+// CloseIdle closes all idle connections when the node shuts down.
 func (u *Pool) CloseIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -271,10 +273,10 @@
 	}
 }
 
-// Open is how many connections there are, idle and in use.
+// OpenConns returns the number of connections, idle and in use.
 func (u *Pool) OpenConns() int { return int(u.limiter.open.Load()) }
 
-// Alive is how many idle connections to a server have nothing to read.
+// AliveIdle returns the number of idle connections to a server that have nothing to read.
 func (u *Pool) AliveIdle(id string) (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -286,7 +288,8 @@
 	return n
 }
 
-// relieve closes the connection that has idled longest, to make room for another.
+// evictLongestIdle closes the connection that has been idle longest to make room for another. It
+// returns false if there is none.
 func (u *Pool) evictLongestIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -305,23 +308,23 @@
 	return true
 }
 
-// look tells whether an idle connection has nothing to read, not even its end,
-// and if not, whether something came on it.
-func (c *conn) probe() (alive, more bool) {
+// probe reports whether an idle connection is alive, that is, has nothing to read and was not
+// closed by the server. If it isn't, hasData reports whether bytes have arrived on it.
+func (c *conn) probe() (alive, hasData bool) {
 	err := c.raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		alive, more = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK, n > 0
+		alive, hasData = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK, n > 0
 		return true
 	})
-	return err == nil && alive, more
+	return err == nil && alive, hasData
 }
 
 // dial opens a connection to a server.
 func (u *Pool) dial(ctx context.Context, p *Target, until time.Duration) (*conn, error) {
 	for !u.limiter.acquire() {
 		if !u.evictLongestIdle() {
-			return nil, fmt.Errorf("dialing %s: no socket left", p.ID)
+			return nil, fmt.Errorf("dialing %s: connection limit reached", p.ID)
 		}
 	}
 	dialer := net.Dialer{Timeout: min(u.connectTimeout, until-u.clock.Now()), KeepAlive: -1}
