--- a/internal/node/discovery/answer.go
+++ b/internal/node/discovery/answer.go
@@ -10,21 +10,22 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// PartialError is an answer that ended early, or went wrong, after its first bytes. Discovery had written it, so what it tells counts
-// as told, whether or not the rest comes.
+// PartialError reports an answer that ended early, or became invalid, after its first bytes. The
+// discovery service has written the whole answer, so all of it counts as delivered to this node,
+// even if the rest never arrives.
 type PartialError struct {
-	Unavailable []endpoints.Entry // of what came: the servers that drain or are gone
+	Unavailable []endpoints.Entry // the draining and removed servers in the part that arrived
 	Err         error
 }
 
 func (e *PartialError) Error() string {
-	return fmt.Sprintf("an answer that came in part, %d servers that drain or are gone: %v", len(e.Unavailable), e.Err)
+	return fmt.Sprintf("partial answer with %d draining or removed servers: %v", len(e.Unavailable), e.Err)
 }
 
-// Unwrap returns what ended the answer.
+// Unwrap returns the error that ended the answer.
 func (e *PartialError) Unwrap() error { return e.Err }
 
-// read reads a list in discovery's form as it comes. Of an answer that breaks off the error is a PartialError.
+// readList decodes a list while it is being received. All its errors are PartialErrors.
 func readList(r io.Reader) (*endpoints.List, error) {
 	d := listDecoder{json: json.NewDecoder(r)}
 	if err := d.decode(); err != nil {
@@ -33,15 +34,15 @@
 	return &d.result, nil
 }
 
-// decoder reads a list entry by entry, so that no more of its text is held than one takes.
+// listDecoder decodes a list entry by entry, so that it holds the text of only one entry at a time.
 type listDecoder struct {
 	json          *json.Decoder
 	result        endpoints.List
-	hasGeneration bool // the generation has come
-	hasInstances  bool // the instances have
+	hasGeneration bool // the generation was read
+	hasInstances  bool // the instances were read
 }
 
-// bad lists what came of servers that drain or are gone.
+// unavailable returns the draining and removed servers read so far.
 func (d *listDecoder) unavailable() (entries []endpoints.Entry) {
 	for _, e := range d.result.Entries {
 		if e.Health != decide.Healthy {
@@ -51,7 +52,7 @@
 	return entries
 }
 
-// list reads the one object of an answer.
+// decode reads the JSON object of an answer.
 func (d *listDecoder) decode() error {
 	if err := d.readDelim('{'); err != nil {
 		return err
@@ -70,7 +71,7 @@
 	}
 	switch extra, err := d.json.Token(); {
 	case err == nil:
-		return fmt.Errorf("malformed list: %v follows it", extra)
+		return fmt.Errorf("malformed list: unexpected %v after it", extra)
 	case !errors.Is(err, io.EOF):
 		return fmt.Errorf("malformed list: %w", err)
 	}
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// member reads the value of a key.
+// readMember reads the value of a key.
 func (d *listDecoder) readMember(key json.Token) (err error) {
 	switch key {
 	case "generation":
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// instances reads the servers.
+// readInstances reads the array of servers.
 func (d *listDecoder) readInstances() error {
 	if err := d.readDelim('['); err != nil {
 		return err
@@ -123,14 +124,14 @@
 	return d.readDelim(']')
 }
 
-// expect reads a bracket.
+// readDelim reads a delimiter.
 func (d *listDecoder) readDelim(want json.Delim) error {
 	got, err := d.json.Token()
 	if err != nil {
 		return fmt.Errorf("malformed list: %w", err)
 	}
 	if got != want {
-		return fmt.Errorf("malformed list: %v in the place of %v", got, want)
+		return fmt.Errorf("malformed list: got %v, want %v", got, want)
 	}
 	return nil
 }
--- a/internal/node/discovery/answer_test.go
+++ b/internal/node/discovery/answer_test.go
@@ -10,8 +10,8 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// What is read as it comes must be what the whole text says, in all forms that discovery may write, and what is malformed as a
-// whole must be so here.
+// Decoding a list while it is received must give the same result as parsing the complete text, for
+// all forms that discovery may write, and must fail for the same malformed texts.
 func TestReadListAgreesWithParse(t *testing.T) {
 	const one = `{"instanceId":"a","hostPort":"127.0.0.1:1","zone":"a","machineType":"m","cell":1,"lifecycle":"SERVING","weight":1.5,"startedAtMs":7}`
 	for _, text := range []string{
@@ -30,33 +30,34 @@
 		`{"generation":1,"instances":[]`,
 		`[]`, `null`, `{}`, ``, `x`,
 	} {
-		whole, wrong := endpoints.Parse([]byte(text))
+		want, wantErr := endpoints.Parse([]byte(text))
 		got, err := readList(strings.NewReader(text))
-		if (err == nil) != (wrong == nil) || err == nil && !reflect.DeepEqual(got, whole) {
-			t.Errorf("%s\nread %+v, %v\nwant %+v, %v", text, got, err, whole, wrong)
+		if (err == nil) != (wantErr == nil) || err == nil && !reflect.DeepEqual(got, want) {
+			t.Errorf("%s\ngot %+v, %v\nwant %+v, %v", text, got, err, want, wantErr)
 		}
-		if broken := (*PartialError)(nil); err != nil && !errors.As(err, &broken) {
-			t.Errorf("%s: %v is no partial answer", text, err)
+		if partial := (*PartialError)(nil); err != nil && !errors.As(err, &partial) {
+			t.Errorf("%s: %v is not a PartialError", text, err)
 		}
 	}
 }
 
-// An answer that breaks off anywhere must never be taken for whole, and must tell each bad entry that came whole.
+// An answer that is cut off anywhere must never be taken for a complete one, and must report every
+// draining or removed server that was received completely.
 func TestTruncatedListReportsUnavailableServers(t *testing.T) {
 	text := ServerList(4, true, "127.0.0.1:1 DRAINING", "127.0.0.1:2", "127.0.0.1:3 DELETED")
 	bad := 0
 	for n := range text {
 		l, err := readList(strings.NewReader(text[:n]))
-		broken := (*PartialError)(nil)
-		if l != nil || !errors.As(err, &broken) {
+		partial := (*PartialError)(nil)
+		if l != nil || !errors.As(err, &partial) {
 			t.Fatalf("%d bytes: %v, %v", n, l, err)
 		}
-		if len(broken.Unavailable) < bad || len(broken.Unavailable) > 2 {
-			t.Fatalf("%d bytes: %d bad ones after %d", n, len(broken.Unavailable), bad)
+		if len(partial.Unavailable) < bad || len(partial.Unavailable) > 2 {
+			t.Fatalf("%d bytes: %d unavailable servers, after %d with fewer bytes", n, len(partial.Unavailable), bad)
 		}
-		bad = len(broken.Unavailable)
+		bad = len(partial.Unavailable)
 	}
 	if bad != 2 {
-		t.Errorf("%d bad ones at the end, want 2", bad)
+		t.Errorf("%d unavailable servers at the end, want 2", bad)
 	}
 }
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -17,16 +17,19 @@
 )
 
 const (
-	// A call is worked through in turn; one that has had no answer by now is lost.
+	// Discovery works through calls in turn. A call without an answer after this time is considered
+	// lost.
 	callTimeout    = 5 * time.Second
 	connectTimeout = time.Second
-	// A node that has a list asks for the whole only in doubt: one that gets none in this time asks for changes.
+	// A node with a list fetches the whole list only when in doubt. If it gets none in this time,
+	// it asks for changes instead.
 	wholeListTimeout = 3 * time.Second
-	agentListTimeout = 350 * time.Millisecond // the same of an agent, which answers at once
-	agentRetryPause  = 50 * time.Millisecond  // between two calls of an agent that fail
+	agentListTimeout = 350 * time.Millisecond // the same for a local agent, which answers at once
+	agentRetryPause  = 50 * time.Millisecond  // pause after a failed call to an agent
 	minOpenTime      = 500 * time.Millisecond // a connection that ends sooner may never have reached discovery
-	// An answer that has begun counts as told. It has its own time: so long from one piece to the next, and in all. What takes
-	// longer than the grace of drains leaves room for is told as partial meanwhile.
+	// An answer counts as delivered from its first byte, so it has timeouts of its own: one between
+	// two pieces, and one for all of it. An answer that takes longer than partialReportDelay is
+	// reported as partial, because the drain grace leaves no more time than that.
 	answerStallTimeout = time.Second
 	answerTimeout      = 10 * time.Second
 	partialReportDelay = 200 * time.Millisecond
@@ -34,97 +37,99 @@
 	maxHeaderSize      = 64 << 10
 )
 
-// Discovery makes the calls for the list of servers that the module asks for.
+// Client calls the discovery service for the list of servers, as requested by the decision module.
 type Client struct {
 	service          atomic.Pointer[service]
-	resumeGeneration atomic.Pointer[uint64] // the generation that a watch which has none begins with; nil: the whole list
-	serverCount      atomic.Int64           // that the node's list has
+	resumeGeneration atomic.Pointer[uint64] // where a watch without a list starts; nil: fetch the whole list
+	serverCount      atomic.Int64           // number of servers in the node's list
 	log              *slog.Logger
-	watchWanted      chan bool                                                          // on or off, the newest counts
-	restartWatch     chan bool                                                          // the watch begins anew; true: with the whole list
-	fetchRequested   chan struct{}                                                      // one call for the whole list
-	report           func(Update)                                                       // called with what came of each call
-	listsPushed      bool                                                               // an agent has the lists, and nobody asks for the watch
-	pollTimes        func(wall time.Duration, lost bool) (wait, patience time.Duration) // PollSchedule.Wait; RunWatch's
-	pacer            *endpoints.CallPacer                                               // RunWatch's
-	acceptedAfter    time.Duration                                                      // a long poll that is out for so long is kept open; RunWatch's
-	queueTime        time.Duration                                                      // RunWatch's: a call this young may still wait in discovery's queue
-	moveDelay        func() time.Duration                                               // waits before the first call at a new address; RunWatch's
+	watchWanted      chan bool     // turns the watch on or off; the latest value counts
+	restartWatch     chan bool     // restarts the watch; true: with the whole list
+	fetchRequested   chan struct{} // requests one call for the whole list
+	report           func(Update)  // receives the result of each call
+	listsPushed      bool          // a local agent pushes the lists, and the watch runs without being requested
+
+	// The fields of this group belong to RunWatch. pollTimes is PollSchedule.NextPoll.
+	pollTimes     func(wall time.Duration, unproven bool) (wait, timeout time.Duration)
+	pacer         *endpoints.CallPacer
+	acceptedAfter time.Duration        // a long poll that is pending for longer has been accepted
+	queueTime     time.Duration        // a younger call may still be queued at discovery
+	moveDelay     func() time.Duration // delay of the first call to a new address
 
 	mu          sync.Mutex
-	listTimeout *endpoints.CallTiming // how long calls for the whole list may take
+	listTimeout *endpoints.CallTiming // timeout of calls for the whole list
 }
 
-// Update is what came of a call to discovery.
+// Update is the result of a call to discovery, or news of one that is pending.
 type Update struct {
-	List         *endpoints.List       // nil: the call failed, or is still out
-	CallDuration time.Duration         // List: the call
-	PollWait     time.Duration         // List: for which discovery was asked to wait for changes
-	WatchPaused  bool                  // List: no call follows at once, so that what changes now is heard with the next answer
-	PollAccepted bool                  // it is a long poll that discovery keeps open: it has nothing newer than this node
-	Failure      endpoints.CallFailure // why there is no list; meaningless otherwise
-	Unavailable  []endpoints.Entry     // Partial: servers that drain or are gone, by what has come
-	MoreExpected bool                  // Partial: the rest of the answer, or another call's, may still come
+	List         *endpoints.List       // nil: the call failed or is pending
+	CallDuration time.Duration         // with List: duration of the call
+	PollWait     time.Duration         // with List: time for which discovery was asked to wait for changes
+	WatchPaused  bool                  // with List: the next call is delayed, and so is news of changes
+	PollAccepted bool                  // discovery holds a long poll open, so it has no newer list than this node
+	Failure      endpoints.CallFailure // reason for the missing list; only valid without one
+	Unavailable  []endpoints.Entry     // with PartialAnswer: draining and removed servers received so far
+	MoreExpected bool                  // with PartialAnswer: the rest, or another call's answer, may still arrive
 }
 
-// service is discovery at one address.
+// service is the discovery service at one address.
 type service struct {
 	address   string
 	client    *http.Client
-	moved     context.Context // ends when discovery moves elsewhere
+	moved     context.Context // canceled when discovery moves to another address
 	markMoved context.CancelFunc
 }
 
 func newService(address string) *service {
-	left, leave := context.WithCancel(context.Background())
+	moved, markMoved := context.WithCancel(context.Background())
 	return &service{
 		address: address,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: connectTimeout}).DialContext,
 			DisableCompression:  true,
 			MaxIdleConnsPerHost: 1,
-			MaxConnsPerHost:     3, // two calls of a watch and a fetch
+			MaxConnsPerHost:     3, // two watch calls and one fetch
 
 			MaxResponseHeaderBytes: maxHeaderSize,
 		}},
-		moved: left, markMoved: leave,
+		moved: moved, markMoved: markMoved,
 	}
 }
 
-// New makes the calls of a node that stands there in its fleet.
-func New(address string, place endpoints.FleetPosition, log *slog.Logger, report func(Update)) *Client {
-	asking := endpoints.NewCallTiming(place.NodeCount, callTimeout)
-	pace := endpoints.NewCallPacer(place)
+// New returns a client for the node at a position in its fleet.
+func New(address string, position endpoints.FleetPosition, log *slog.Logger, report func(Update)) *Client {
+	listTimeout := endpoints.NewCallTiming(position.NodeCount, callTimeout)
+	pacer := endpoints.NewCallPacer(position)
 	d := &Client{
 		log:            log,
 		watchWanted:    make(chan bool, 1),
 		restartWatch:   make(chan bool, 1),
 		fetchRequested: make(chan struct{}, 1),
 		report:         report,
-		listsPushed:    place.Pushed,
-		pollTimes:      endpoints.NewPollSchedule(place).NextPoll,
-		pacer:          pace,
-		moveDelay:      func() time.Duration { return pace.SpreadDelay(asking.StartSpread()) },
+		listsPushed:    position.Pushed,
+		pollTimes:      endpoints.NewPollSchedule(position).NextPoll,
+		pacer:          pacer,
+		moveDelay:      func() time.Duration { return pacer.SpreadDelay(listTimeout.StartSpread()) },
 		queueTime:      maxQueueTime, acceptedAfter: endpoints.PollAcceptedAfter,
-		listTimeout: asking,
+		listTimeout: listTimeout,
 	}
 	d.service.Store(newService(address))
 	return d
 }
 
-// Move makes all calls at another address from now on. Those that are under way
-// at the old one are made anew, and their end is no failure; what the old address has
-// written by then still counts.
+// SetAddress sends all calls to another address from now on. Pending calls to the old address are
+// repeated at the new one, and their end is not a failure. What the old address has written by then
+// still counts as delivered.
 func (d *Client) SetAddress(address string) {
 	old := d.service.Swap(newService(address))
 	old.markMoved()
 	old.client.CloseIdleConnections()
 }
 
-// Address is where discovery is now.
+// Address returns the current address of discovery.
 func (d *Client) Address() string { return d.service.Load().address }
 
-// SetWatch turns the watch on or off. It does not block; only the loop calls it.
+// SetWatch turns the watch on or off. It doesn't block. Only the loop calls it.
 func (d *Client) SetWatch(on bool) {
 	select {
 	case <-d.watchWanted:
@@ -133,52 +138,55 @@
 	d.watchWanted <- on
 }
 
-// From has a watch that has not begun ask from a generation: this node has the list up to it.
+// ResumeFrom makes a watch that hasn't started begin at a generation up to which the node has the
+// list.
 func (d *Client) ResumeFrom(generation uint64) { d.resumeGeneration.Store(&generation) }
 
-// Servers tells how many servers the node's list has: what an answer with the whole list costs discovery.
+// SetServerCount sets the number of servers in the node's list, which determines what an answer
+// with the whole list costs discovery.
 func (d *Client) SetServerCount(n int) { d.serverCount.Store(int64(n)) }
 
-// Renew has the watch begin anew, from the newest generation: the network may have swallowed it; or with the whole
-// list. The call before goes on beside it for a while, for its answer may be on its way. It does not block; only the
-// loop calls it.
+// RestartWatch makes a new watch call, with the latest generation or for the whole list, in case
+// the network has lost the pending one. The previous call continues for a while, as its answer may
+// be on the way. It doesn't block. Only the loop calls it.
 func (d *Client) RestartWatch(whole bool) {
 	select {
-	case was := <-d.restartWatch:
-		whole = whole || was
+	case pending := <-d.restartWatch:
+		whole = whole || pending
 	default:
 	}
 	d.restartWatch <- whole
 }
 
-// whole asks for the whole list, for as long as is worth waiting for: no longer than most, unless that is 0.
-func (d *Client) fetchWholeList(ctx context.Context, ask fetchFunc, most time.Duration) (*endpoints.List, error) {
+// fetchWholeList asks for the whole list with an adaptive timeout, which maxWait limits unless it
+// is 0.
+func (d *Client) fetchWholeList(ctx context.Context, fetch fetchFunc, maxWait time.Duration) (*endpoints.List, error) {
 	d.mu.Lock()
-	wait := d.listTimeout.Timeout()
+	timeout := d.listTimeout.Timeout()
 	d.mu.Unlock()
-	if most > 0 {
-		wait = min(wait, most)
+	if maxWait > 0 {
+		timeout = min(timeout, maxWait)
 	}
-	begun := time.Now()
-	l, err := ask(ctx, "", wait)
-	took := time.Since(begun)
+	started := time.Now()
+	l, err := fetch(ctx, "", timeout)
+	took := time.Since(started)
 	if ctx.Err() == nil && !errors.Is(err, errMoved) {
 		d.mu.Lock()
-		d.listTimeout.RecordCall(took, err != nil && took >= wait)
+		d.listTimeout.RecordCall(took, err != nil && took >= timeout)
 		d.mu.Unlock()
 	}
 	return l, err
 }
 
-// AskOnce asks for the whole list. It does not block; only the loop calls it.
+// FetchList requests a call for the whole list. It doesn't block. Only the loop calls it.
 func (d *Client) FetchList() {
 	select {
 	case d.fetchRequested <- struct{}{}:
-	default: // one is waiting already
+	default: // a request is pending already
 	}
 }
 
-// RunFetches makes single calls until the context ends.
+// RunFetches makes the calls of FetchList until the context ends.
 func (d *Client) RunFetches(ctx context.Context) {
 	for {
 		select {
@@ -186,7 +194,7 @@
 			return
 		case <-d.fetchRequested:
 		}
-		begun := time.Now()
+		started := time.Now()
 		l, err := d.fetchWholeList(ctx, d.call, 0)
 		for errors.Is(err, errMoved) {
 			l, err = d.fetchWholeList(ctx, d.call, 0)
@@ -195,37 +203,40 @@
 			return
 		}
 		if err != nil {
-			d.log.Warn("asking for the list failed", "err", err)
+			d.log.Warn("fetching the server list failed", "err", err)
 		}
-		d.report(Update{List: l, CallDuration: time.Since(begun), Failure: classifyFailure(err, time.Since(begun), 0), Unavailable: unavailableOf(err)})
+		d.report(Update{List: l, CallDuration: time.Since(started), Failure: classifyFailure(err, time.Since(started), 0), Unavailable: unavailableOf(err)})
 	}
 }
 
-// begun reports an answer that has begun and takes its time: what it will tell counts as told already.
+// reportStarted reports an answer that has started and is taking long: its contents already count
+// as delivered.
 func (d *Client) reportStarted() {
 	d.report(Update{Failure: endpoints.CallFailure{Reason: endpoints.PartialAnswer}, MoreExpected: true})
 }
 
-// partial returns what came of an answer that broke off, if that is what an error says.
-func unavailableOf(err error) (bad []endpoints.Entry) {
-	var broken *PartialError
-	if errors.As(err, &broken) {
-		return broken.Unavailable
+// unavailableOf returns the draining and removed servers of a PartialError, or nil for other
+// errors.
+func unavailableOf(err error) (entries []endpoints.Entry) {
+	var partial *PartialError
+	if errors.As(err, &partial) {
+		return partial.Unavailable
 	}
 	return nil
 }
 
-// errMoved says that discovery has moved while a call was out.
-var errMoved = errors.New("discovery has moved")
+// errMoved means that discovery moved to another address during a call.
+var errMoved = errors.New("discovery moved to another address")
 
-// statusError is an answer that is no list: calls get through, and may be too many.
+// statusError is a response with another status than 200: calls reach discovery, which may be
+// overloaded.
 type statusError string
 
 func (e statusError) Error() string { return "discovery answered " + string(e) }
 
-// failure says why a call brought no list.
-func classifyFailure(err error, took, wait time.Duration) endpoints.CallFailure {
-	f := endpoints.CallFailure{Took: took, PollWait: wait}
+// classifyFailure returns why a call brought no list.
+func classifyFailure(err error, took, pollWait time.Duration) endpoints.CallFailure {
+	f := endpoints.CallFailure{Took: took, PollWait: pollWait}
 	var status statusError
 	var partial *PartialError
 	switch {
@@ -239,43 +250,45 @@
 	return f
 }
 
-// connectionEnded tells whether the other side has ended the connection under a call.
+// isConnectionEnd reports whether the peer ended the connection during a call.
 func isConnectionEnd(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// asks makes one call.
-type fetchFunc func(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error)
+// fetchFunc makes one call.
+type fetchFunc func(ctx context.Context, query string, timeout time.Duration) (*endpoints.List, error)
 
-// ask makes calls at one address.
+// fetchFrom returns a fetchFunc for one address.
 func (d *Client) fetchFrom(at *service) fetchFunc {
-	return func(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error) {
-		return at.call(ctx, query, wait, d.reportStarted)
+	return func(ctx context.Context, query string, timeout time.Duration) (*endpoints.List, error) {
+		return at.call(ctx, query, timeout, d.reportStarted)
 	}
 }
 
-// call asks discovery. One that is out while discovery moves elsewhere ends with errMoved.
-func (d *Client) call(ctx context.Context, query string, wait time.Duration) (*endpoints.List, error) {
+// call makes a call to the current address. It returns errMoved if discovery moves to another
+// address meanwhile.
+func (d *Client) call(ctx context.Context, query string, timeout time.Duration) (*endpoints.List, error) {
 	at := d.service.Load()
-	staying, cancel := context.WithCancel(ctx)
+	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(at.moved, cancel)()
-	l, err := d.fetchFrom(at)(staying, query, wait)
+	l, err := d.fetchFrom(at)(callCtx, query, timeout)
 	if err != nil && ctx.Err() == nil && at.moved.Err() != nil {
 		return nil, errMoved
 	}
 	return l, err
 }
 
-// errSlow says that a call had no answer in time, or that one stopped coming.
+// errTimeout means that no answer came in time, or that an answer stalled.
 var errTimeout = fmt.Errorf("discovery: no answer in time: %w", context.DeadlineExceeded)
 
-// call asks for a list. It waits so long for an answer to begin; begun is called if one does and takes long.
-func (s *service) call(ctx context.Context, query string, wait time.Duration, begun func()) (*endpoints.List, error) {
+// call asks for a list and waits up to timeout for the answer to start. It calls onSlow if an
+// answer has started but takes long.
+func (s *service) call(ctx context.Context, query string, timeout time.Duration, onSlow func()) (*endpoints.List, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(wait, func() { cancel(errTimeout) })
-	defer patience.Stop()
+	stallTimer := time.AfterFunc(timeout, func() { cancel(errTimeout) })
+	defer stallTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.address+"/v1/endpoints"+query, nil)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -286,21 +299,21 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeaderSize)) // else its connection is of no further use
+		io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeaderSize)) // otherwise the connection can't be reused
 		return nil, statusError(resp.Status)
 	}
-	patience.Reset(answerStallTimeout)
-	late := time.AfterFunc(partialReportDelay, begun)
-	defer late.Stop()
-	whole := time.AfterFunc(answerTimeout, func() { cancel(errTimeout) })
-	defer whole.Stop()
-	body := &progressReader{Reader: http.MaxBytesReader(nil, resp.Body, maxListSize), onProgress: func() { patience.Reset(answerStallTimeout) }}
+	stallTimer.Reset(answerStallTimeout)
+	slowTimer := time.AfterFunc(partialReportDelay, onSlow)
+	defer slowTimer.Stop()
+	answerTimer := time.AfterFunc(answerTimeout, func() { cancel(errTimeout) })
+	defer answerTimer.Stop()
+	body := &progressReader{Reader: http.MaxBytesReader(nil, resp.Body, maxListSize), onProgress: func() { stallTimer.Reset(answerStallTimeout) }}
 	l, err := readList(body)
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		return nil, fmt.Errorf("discovery: the answer of %s to /v1/endpoints%s is larger than %d bytes", s.address, query, tooLarge.Limit)
 	}
 	if err == nil && query == "" && !l.Whole {
-		err = fmt.Errorf("malformed list: asked for the whole, got changes")
+		err = fmt.Errorf("malformed list: requested the whole list, got changes")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("discovery: after %d bytes: %w", body.bytesRead, withCause(ctx, err))
@@ -308,7 +321,7 @@
 	return l, nil
 }
 
-// whyEnded adds to an error what has ended its context, if anything.
+// withCause adds the cancellation cause of a context, if any, to an error.
 func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		return errors.Join(cause, err)
@@ -316,7 +329,7 @@
 	return err
 }
 
-// progress tells of each piece of an answer that comes.
+// progressReader calls onProgress for each piece that it reads.
 type progressReader struct {
 	io.Reader
 	bytesRead  int
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -16,11 +16,11 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// place is that of the only node.
+// onlyNode is the position of a node that is alone in its fleet.
 func onlyNode() endpoints.FleetPosition { return endpoints.FleetPosition{NodeCount: 1} }
 
-// listsTo passes on what the module would be told of: lists, and nil for calls that failed. A silent long poll is none of
-// these.
+// forwardLists passes on lists, and nil for failed calls, as the decision module would receive
+// them. A long poll that timed out is neither.
 func forwardLists(lists chan<- *endpoints.List) func(Update) {
 	return func(u Update) {
 		if u.List != nil || u.Failure.Reason != endpoints.PollTimedOut {
@@ -29,7 +29,7 @@
 	}
 }
 
-// running keeps a watch from a generation on until stop.
+// startWatch runs a watch from a generation until stop is called.
 func startWatch(t *testing.T, d *Client, since uint64) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -44,53 +44,54 @@
 	}
 }
 
-// A watch that stays silent past its time is lost, and must begin anew at once from the same generation: the node would
-// else hear of nothing any more. The next poll must be one that proves itself. It is no failed call, after which the module
-// makes a pause: the poll has taken long enough.
+// A long poll without any answer is lost, and must be repeated at once from the same generation:
+// otherwise the node would receive no more changes. The next poll must be a short one. It isn't a
+// failed call, after which the decision module pauses, because the poll has waited long enough.
 func TestSilentWatchRestarts(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
 	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
-	losts := make(chan bool, 10)
-	watched.pollTimes = func(_ time.Duration, lost bool) (wait, patience time.Duration) {
-		losts <- lost
-		if lost {
+	unprovenPolls := make(chan bool, 10)
+	watched.pollTimes = func(_ time.Duration, unproven bool) (wait, timeout time.Duration) {
+		unprovenPolls <- unproven
+		if unproven {
 			return 2 * WaitTimeout, 2 * WaitTimeout
 		}
 		return 50 * time.Millisecond, 100 * time.Millisecond
 	}
 	stop := startWatch(t, watched, 3)
 	watched.SetWatch(true)
-	WaitFor(t, "the watch begins anew", func() bool { return d.Calls() == 2 })
+	WaitFor(t, "the watch restarts", func() bool { return d.Calls() == 2 })
 	if q := d.Query(1); !strings.HasPrefix(q, "since=3&") {
-		t.Errorf("asked with %q", q)
+		t.Errorf("query is %q", q)
 	}
-	if first, second := <-losts, <-losts; first || !second {
-		t.Errorf("the calls before failed: %v, %v", first, second)
+	if first, second := <-unprovenPolls, <-unprovenPolls; first || !second {
+		t.Errorf("poll was short: %v, then %v, want false, then true", first, second)
 	}
 	stop()
 	if len(reports) > 0 {
-		t.Errorf("reported %v", <-reports)
+		t.Errorf("reported %v, want nothing", <-reports)
 	}
 }
 
-// After a call that failed the next poll must be a short one: a network that swallows it too would else keep the node
-// from asking once more before what discovery knows counts as told. A call that is made anew as discovery has moved is
-// short as well, for the new address may be silent. One that was answered ends that.
+// After a failed call the next poll must be short: if the network drops it too, a long one would
+// keep the node from calling again before the grace for changes ends. The first poll after an
+// address change is short as well, as the new address may not answer. After an answer polls are
+// long again.
 func TestShortPollsAfterFailure(t *testing.T) {
 	d, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
 	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
 	waits := func(d *DiscoveryServer, call int) time.Duration {
 		t.Helper()
-		WaitFor(t, "a call comes", func() bool { return d.Calls() > call })
+		WaitFor(t, "a call arrives", func() bool { return d.Calls() > call })
 		q, err := url.ParseQuery(d.Query(call))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ms, err := strconv.Atoi(q.Get("timeout_ms"))
 		if err != nil {
-			t.Fatalf("asked %q", d.Query(call))
+			t.Fatalf("query is %q", d.Query(call))
 		}
 		return time.Duration(ms) * time.Millisecond
 	}
@@ -100,13 +101,13 @@
 	if got := waits(d, 0); got <= short {
 		t.Errorf("the first poll waits %v", got)
 	}
-	d.SendList(t, "") // it says that it can't: calls get through, and short ones would be too many
+	d.SendList(t, "") // status 503: calls get through, and short polls would be too many
 	<-reports
 	watched.SetWatch(true)
 	if got := waits(d, 1); got <= short {
-		t.Errorf("turned away, a poll waits %v", got)
+		t.Errorf("after status 503 a poll waits %v", got)
 	}
-	d.SendList(t, "{") // what can't be read may be anybody's
+	d.SendList(t, "{") // an invalid answer may come from anything
 	<-reports
 	watched.SetWatch(true)
 	if got := waits(d, 2); got > short {
@@ -124,35 +125,34 @@
 	stop()
 }
 
-// A node that has a list and asks for the whole in doubt must not lose by that what it has: if the call fails, the next
-// one is for the changes, which costs discovery little and is answered sooner.
+// When a node with a list asks for the whole list in doubt and that call fails, it must keep its
+// generation: the next call asks for changes, which costs discovery little and is answered sooner.
 func TestFailedWholeListKeepsGeneration(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
 	watched := New(d.Listener.Addr().String(), onlyNode(), DiscardLogger(), forwardLists(reports))
-	watched.queueTime = 0 // an early question does not wait for the first call to have left the queue
+	watched.queueTime = 0 // a restart doesn't wait for the pending call to leave the queue
 	stop := startWatch(t, watched, 7)
 	watched.SetWatch(true)
-	WaitFor(t, "the watch begins", func() bool { return d.Calls() == 1 })
+	WaitFor(t, "the watch starts", func() bool { return d.Calls() == 1 })
 	watched.RestartWatch(true)
-	WaitFor(t, "the whole is asked for", func() bool { return d.Calls() == 2 })
+	WaitFor(t, "the whole list is requested", func() bool { return d.Calls() == 2 })
 	if q := d.Query(1); q != "" {
-		t.Errorf("asked %q for the whole", q)
+		t.Errorf("query for the whole list is %q", q)
 	}
 	d.SendList(t, "")
 	<-reports
 	watched.SetWatch(true)
-	WaitFor(t, "the watch goes on", func() bool { return d.Calls() == 3 })
+	WaitFor(t, "the watch continues", func() bool { return d.Calls() == 3 })
 	if q := d.Query(2); !strings.HasPrefix(q, "since=7&") {
-		t.Errorf("then asked %q", q)
+		t.Errorf("next query is %q", q)
 	}
 	stop()
 }
 
-// When discovery moves, the watch must go on at the new address at once and from
-// the same generation, and the end of the call at the old one must not count as
-// a failed call, after which the module waits before it asks again. The old
-// address must get no further call.
+// When discovery moves, the watch must continue at the new address at once and from the same
+// generation. The end of the call to the old address must not count as a failed call, after which
+// the decision module waits. The old address must get no further calls.
 func TestWatchFollowsAddressChange(t *testing.T) {
 	old, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
@@ -166,9 +166,9 @@
 		t.Errorf("reported %v, want the list of the new address", l)
 	}
 	if q := next.Query(0); !strings.HasPrefix(q, "since=3&") {
-		t.Errorf("asked with %q", q)
+		t.Errorf("query is %q", q)
 	}
-	// A watch that has failed waits for the module; a move ends that wait too.
+	// A failed watch waits for the decision module; an address change ends that wait too.
 	next.SendList(t, "")
 	if l := <-reports; l != nil {
 		t.Errorf("reported %v, want a failed call", l)
@@ -177,16 +177,16 @@
 	WaitFor(t, "the watch is back", func() bool { return old.Calls() == 2 })
 	old.SendList(t, ServerList(5, false))
 	if l := <-reports; l == nil || l.Generation != 5 {
-		t.Errorf("reported %v, want the list of the address moved back to", l)
+		t.Errorf("reported %v, want the list of the first address", l)
 	}
 	if q := old.Query(1); !strings.HasPrefix(q, "since=4&") {
-		t.Errorf("asked with %q", q)
+		t.Errorf("query is %q", q)
 	}
 	stop()
 }
 
-// A list or a head without end must fail the call early: the node's memory is
-// small, and discovery may be broken like any other server.
+// An endless list or head must fail the call early: the node has little memory, and discovery may
+// be broken like any other server.
 func TestEndlessLists(t *testing.T) {
 	for name, parts := range map[string][2]string{
 		"list": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n[", "[],"},
@@ -200,15 +200,15 @@
 			})
 			d := New(address, onlyNode(), DiscardLogger(), func(Update) {})
 			if l, err := d.call(t.Context(), "", WaitTimeout); err == nil {
-				t.Errorf("took %v for a list", l)
+				t.Errorf("accepted %v as a list", l)
 			}
-			<-sent // the connection is closed while the service still writes
+			<-sent // the connection is closed while the service is still writing
 		})
 	}
 }
 
-// heldServer is a discovery whose calls the test answers byte by byte. What it is sent on a call's channel is written at
-// once; an empty text ends the call.
+// heldServer is a discovery service whose calls the test answers piece by piece. Text that is sent
+// to a call's channel is written at once; an empty text ends the call.
 type heldServer struct {
 	address string
 	calls   chan heldCall
@@ -217,16 +217,16 @@
 type heldCall struct {
 	query string
 	text  chan string
-	done  chan struct{} // closed as the call ends
+	done  chan struct{} // closed when the call ends
 }
 
-// write writes to the call, unless its caller has ended it.
+// write writes to the call, unless the client has ended it.
 func (c heldCall) write(t *testing.T, text string) {
 	t.Helper()
 	select {
 	case c.text <- text:
 	case <-c.done:
-		t.Errorf("the call %q has been given up before its answer", c.query)
+		t.Errorf("the call %q was ended before its answer", c.query)
 	}
 }
 
@@ -268,33 +268,34 @@
 	case c := <-s.calls:
 		return c
 	case <-time.After(WaitTimeout):
-		t.Fatal("no call came")
+		t.Fatal("no call arrived")
 		return heldCall{}
 	}
 }
 
-// What discovery has written counts as told from then on. A watch that is made anew just then, as failing servers or a
-// new configuration want it, must not throw the answer away that is on its way: the new call may have to wait in turn for
-// longer than a node may go on sending. Either order is forced: half of the answer is written before, the rest after.
+// What discovery has written counts as delivered from then on. A watch that is restarted at that
+// moment, because of failing servers or a new configuration, must not drop the answer that is on
+// its way: the new call may have to queue for longer than the node may go on sending. The test
+// writes half of the answer before the restart and the rest after it.
 func TestAnswersOfReplacedCalls(t *testing.T) {
-	for name, anew := range map[string]func(d *Client, next *heldServer){
-		"signs that the list is old": func(d *Client, _ *heldServer) { d.RestartWatch(false) },
-		"doubts of a list":           func(d *Client, _ *heldServer) { d.RestartWatch(true) },
-		"a new configuration":        func(d *Client, next *heldServer) { d.SetAddress(next.address) },
+	for name, restart := range map[string]func(d *Client, next *heldServer){
+		"outdated list": func(d *Client, _ *heldServer) { d.RestartWatch(false) },
+		"doubtful list": func(d *Client, _ *heldServer) { d.RestartWatch(true) },
+		"new address":   func(d *Client, next *heldServer) { d.SetAddress(next.address) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, next := newHeldServer(t), newHeldServer(t)
 			reports := make(chan *endpoints.List, 10)
 			d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(reports))
-			d.queueTime = 0 // an early question does not wait for the first call to have left the queue
+			d.queueTime = 0 // a restart doesn't wait for the pending call to leave the queue
 			stop := startWatch(t, d, 3)
 			d.SetWatch(true)
 			first := s.call(t)
 			text := ServerList(4, false, "127.0.0.1:1 DRAINING")
 			first.write(t, text[:10])
-			anew(d, next)
-			var second heldCall // it waits in turn, and is not answered at all
-			if name == "a new configuration" {
+			restart(d, next)
+			var second heldCall // queued at discovery, not answered yet
+			if name == "new address" {
 				second = next.call(t)
 			} else {
 				second = s.call(t)
@@ -304,15 +305,15 @@
 			select {
 			case l := <-reports:
 				if l == nil || l.Generation != 4 || len(l.Entries) != 1 {
-					t.Errorf("reported %v", l)
+					t.Errorf("unexpected report %v", l)
 				}
 			case <-time.After(WaitTimeout):
-				t.Error("the answer is lost")
+				t.Error("the answer was dropped")
 			}
-			// The second call was begun before that: an older list of its is no news.
+			// The second call was started before that, so an older list on it must be ignored.
 			second.write(t, ServerList(3, second.query == "", "127.0.0.1:1"))
 			second.write(t, "")
-			WaitFor(t, "the watch goes on", func() bool { return len(s.calls)+len(next.calls) > 0 })
+			WaitFor(t, "the watch continues", func() bool { return len(s.calls)+len(next.calls) > 0 })
 			if len(reports) > 0 {
 				t.Errorf("an older list was reported: %v", <-reports)
 			}
@@ -321,13 +322,14 @@
 	}
 }
 
-// The call before must end soon after a newer one was answered, or a node would hold two at discovery for good.
+// The previous call must end soon after a newer one was answered, or a node would permanently hold
+// two at discovery.
 func TestPreviousCallIsCanceled(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 10)
 	d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(reports))
-	d.pollTimes = func(time.Duration, bool) (wait, patience time.Duration) { return time.Minute, 2 * WaitTimeout }
-	d.queueTime = 0 // as above
+	d.pollTimes = func(time.Duration, bool) (wait, timeout time.Duration) { return time.Minute, 2 * WaitTimeout }
+	d.queueTime = 0 // don't wait for the queue
 	stop := startWatch(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
@@ -336,37 +338,38 @@
 	second.write(t, ServerList(4, false))
 	second.write(t, "")
 	if l := <-reports; l == nil || l.Generation != 4 {
-		t.Fatalf("reported %v", l)
+		t.Fatalf("unexpected report %v", l)
 	}
 	third := s.call(t)
 	if !strings.HasPrefix(third.query, "since=4&") {
-		t.Errorf("goes on with %q", third.query)
+		t.Errorf("next query is %q", third.query)
 	}
 	select {
 	case <-first.done:
 	case <-time.After(WaitTimeout):
-		t.Error("the first call is still out")
+		t.Error("the first call is still pending")
 	}
 	if len(s.calls) > 0 || len(reports) > 0 {
-		t.Errorf("%d more calls, %d more reports", len(s.calls), len(reports))
+		t.Errorf("%d more calls and %d more reports, want none", len(s.calls), len(reports))
 	}
 	stop()
 }
 
-// Where lists are pushed the module asks for none, and what the agent has counts as told at once: the watch must go on by
-// itself from the start, a call that the agent does not answer must be over within the grace of drains, and one that fails
-// must be made again at once. An agent is silent while discovery is down; that is told once, and not to the module again
-// and again for longer than it lasts.
+// If lists are pushed, the decision module requests none, and what the agent has counts as
+// delivered at once. The watch must run from the start without being requested, an unanswered call
+// must end within the drain grace, and a failed call must be repeated at once. While discovery is
+// down the agent doesn't answer: that is logged once, and isn't reported to the decision module for
+// longer than it lasts.
 func TestPushedLists(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 100)
 	d := New(s.address, endpoints.FleetPosition{NodeCount: 4, Pushed: true}, DiscardLogger(), forwardLists(reports))
 	stop := startWatch(t, d, 3)
-	for range 4 { // silent: each call ends by itself, and the next one comes
+	for range 4 { // unanswered calls end by themselves and are repeated
 		c := s.call(t)
 		ms, err := strconv.Atoi(strings.TrimPrefix(c.query, "since=3&timeout_ms="))
 		if err != nil || ms > 300 {
-			t.Fatalf("asked %q", c.query)
+			t.Fatalf("query is %q", c.query)
 		}
 		<-c.done
 	}
@@ -374,44 +377,46 @@
 	c.write(t, ServerList(5, false, "127.0.0.1:1 DRAINING"))
 	c.write(t, "")
 	if l := <-reports; l == nil || l.Generation != 5 {
-		t.Errorf("reported %v", l)
+		t.Errorf("unexpected report %v", l)
 	}
 	if c := s.call(t); !strings.HasPrefix(c.query, "since=5&") {
-		t.Errorf("goes on with %q", c.query)
+		t.Errorf("next query is %q", c.query)
 	}
 	stop()
-	// How long a call that is not answered keeps the next one waiting: less than rule 3 gives, whatever came before.
-	for _, lost := range []bool{false, true} {
-		if wait, patience := d.pollTimes(0, lost); wait > patience || patience+agentRetryPause > 400*time.Millisecond {
-			t.Errorf("a poll waits %v, and is lost after %v and %v", wait, patience, agentRetryPause)
+	// The time until an unanswered call is repeated must be shorter than rule 3 allows, whatever
+	// happened before.
+	for _, unproven := range []bool{false, true} {
+		if wait, timeout := d.pollTimes(0, unproven); wait > timeout || timeout+agentRetryPause > 400*time.Millisecond {
+			t.Errorf("a poll waits %v, times out after %v and is repeated after %v", wait, timeout, agentRetryPause)
 		}
 	}
 }
 
-// A watch is made anew, the new call fails, and the one before brings its answer after all: the module takes that for a watch
-// that goes on, and asks for nothing more. So it has to go on.
+// A watch is restarted, the new call fails, and the previous one is answered after all. The
+// decision module takes that for a running watch and requests nothing more, so the watch has to
+// continue.
 func TestPreviousAnswerAfterFailureContinuesWatch(t *testing.T) {
 	s := newHeldServer(t)
 	reports := make(chan *endpoints.List, 10)
 	d := New(s.address, onlyNode(), DiscardLogger(), forwardLists(reports))
-	d.queueTime = 0 // as above
+	d.queueTime = 0 // don't wait for the queue
 	stop := startWatch(t, d, 3)
 	d.SetWatch(true)
 	first := s.call(t)
 	d.RestartWatch(false)
 	second := s.call(t)
-	second.write(t, "{") // no list
+	second.write(t, "{") // not a list
 	second.write(t, "")
 	if l := <-reports; l != nil {
-		t.Errorf("reported %v", l)
+		t.Errorf("unexpected report %v", l)
 	}
 	first.write(t, ServerList(4, false))
 	first.write(t, "")
 	if l := <-reports; l == nil || l.Generation != 4 {
-		t.Errorf("reported %v", l)
+		t.Errorf("unexpected report %v", l)
 	}
 	if c := s.call(t); !strings.HasPrefix(c.query, "since=4&") {
-		t.Errorf("goes on with %q", c.query)
+		t.Errorf("next query is %q", c.query)
 	}
 	stop()
 }
--- a/internal/node/discovery/doc.go
+++ b/internal/node/discovery/doc.go
@@ -1,8 +1,9 @@
-// Package discovery asks discovery for the list of servers, and reads what it says.
+// Package discovery is the client of the discovery service: it fetches the list of servers and
+// parses it.
 //
-// Its goroutines, RunWatch and RunFetches, own the calls and nothing else; what comes
-// of them is reported to the node's loop, which owns the list.
+// Its goroutines, RunWatch and RunFetches, own the calls to the service and nothing else. Results
+// are reported to the node's loop, which owns the list.
 //
-// It must not decide when to ask again after a failure, nor what a list means: that
-// is package decide's.
+// The package doesn't decide when to call again after a failure or what a list means; package
+// decide does.
 package discovery
--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -13,8 +13,8 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// A call that is out may still wait in discovery's queue: an early question must wait until it has left that, and then be
-// asked all the same.
+// The pending call may still be queued at discovery: a restart must wait until it has left the
+// queue, and must then happen all the same.
 func TestRestartWaitsForQueueTime(t *testing.T) {
 	s := newHeldServer(t)
 	d := New(s.address, onlyNode(), DiscardLogger(), func(Update) {})
@@ -27,11 +27,11 @@
 	d.RestartWatch(false)
 	s.call(t)
 	if took := time.Since(begun); took < d.queueTime {
-		t.Errorf("the second call came %v after the first", took)
+		t.Errorf("the second call arrived %v after the first", took)
 	}
 }
 
-// The end of the call that was in the queue answers the early question: no further call may go out for it.
+// An answer to the pending call makes a waiting restart unnecessary: it must cause no further call.
 func TestAnswerCancelsPendingRestart(t *testing.T) {
 	s := newHeldServer(t)
 	lists := make(chan *endpoints.List, 10)
@@ -45,16 +45,17 @@
 	first.write(t, ServerList(4, false, "127.0.0.1:1 DRAINING"))
 	first.write(t, "")
 	<-lists
-	s.call(t) // the watch goes on
+	s.call(t) // the watch continues
 	select {
 	case c := <-s.calls:
-		t.Errorf("a further call %q", c.query)
+		t.Errorf("unexpected call %q", c.query)
 	case <-time.After(3 * d.queueTime):
 	}
 }
 
-// All nodes move with discovery at once: each must wait for a part of the time that the fleet needs. If the old address still
-// answers the watch must go on at once, as what changes after an answer counts as told.
+// All nodes move with discovery at the same time: each must delay its call by a part of the time
+// that the fleet needs. If the old address still answers, the watch must continue at once, as
+// changes after an answer count as delivered.
 func TestAddressChangesAreSpread(t *testing.T) {
 	const spread = 400 * time.Millisecond
 	for _, answers := range []bool{false, true} {
@@ -65,25 +66,26 @@
 		stop := startWatch(t, d, 3)
 		d.SetWatch(true)
 		first := old.call(t)
-		moved := time.Now()
+		movedAt := time.Now()
 		d.SetAddress(next.address)
 		if answers {
 			first.write(t, ServerList(4, false, "127.0.0.1:1 DRAINING"))
 			first.write(t, "")
 			if l := <-lists; l == nil || l.Generation != 4 {
-				t.Errorf("reported %v, want what the old address wrote", l)
+				t.Errorf("reported %v, want the list of the old address", l)
 			}
 		}
 		next.call(t)
-		if took := time.Since(moved); took < spread != answers {
-			t.Errorf("old address answers: %v; the first call at the new one came after %v", answers, took)
+		if took := time.Since(movedAt); took < spread != answers {
+			t.Errorf("old address answers: %v; the first call to the new one arrived after %v", answers, took)
 		}
 		stop()
 	}
 }
 
-// An open long poll that is reset, as those of all nodes may be at once, must be followed by the next at the node's turn and not
-// at the module's bidding, and that one waits as long as any: the network has just delivered the reset.
+// After the reset of an open long poll, which may hit all nodes at once, the next poll must start
+// at the node's turn and not when the decision module requests it. It must be as long as any other:
+// the network has just delivered the reset.
 func TestPollResetWaitsForTurn(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,28 +111,29 @@
 		return c, request.URL.Query().Get("timeout_ms")
 	}
 	first, _ := accept()
-	time.Sleep(minOpenTime) // an open poll is one that has waited for a while: what it waits for is time itself
+	time.Sleep(minOpenTime) // only a poll that has been pending for a while counts as open, so the test has to wait
 	if err := first.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Fatal(err)
 	}
 	first.Close()
 	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.PollReset {
-		t.Errorf("reported %+v", u)
+		t.Errorf("unexpected report %+v", u)
 	}
 	reset := time.Now()
 	watched.SetWatch(true)
 	second, wait := accept()
 	defer second.Close()
 	if took := time.Since(reset); took < pause*9/10 {
-		t.Errorf("asked again after %v, its turn is after %v", took, pause)
+		t.Errorf("next call after %v, its turn is after %v", took, pause)
 	}
 	if ms, err := strconv.Atoi(wait); err != nil || ms < 2000 {
 		t.Errorf("the next poll waits %q ms", wait)
 	}
 }
 
-// A call that discovery had no capacity for must be followed by the pace's pause, though the module asks sooner, and the node
-// must say why it failed. An answer must be followed by the next long poll at once.
+// After a call that discovery refused as overloaded, the pacer's pause must be kept, though the
+// decision module requests the watch sooner, and the reason must be reported. After an answer the
+// next long poll must start at once.
 func TestWatchPausesAfterOverload(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	updates := make(chan Update, 10)
@@ -140,26 +143,27 @@
 	watched.SetWatch(true)
 	d.SendList(t, "") // 503
 	if u := <-updates; u.List != nil || u.Failure.Reason != endpoints.Overloaded || u.Failure.PollWait <= 0 {
-		t.Errorf("reported %+v", u)
+		t.Errorf("unexpected report %+v", u)
 	}
 	failed := time.Now()
 	watched.SetWatch(true)
-	WaitFor(t, "the node asks again", func() bool { return d.Calls() == 2 })
+	WaitFor(t, "the node calls again", func() bool { return d.Calls() == 2 })
 	if took := time.Since(failed); took < 300*time.Millisecond {
-		t.Errorf("asked again after %v", took)
+		t.Errorf("next call after %v", took)
 	}
 	d.SendList(t, ServerList(4, false, "127.0.0.1:1 DRAINING"))
 	<-updates
 	answered := time.Now()
-	WaitFor(t, "the watch goes on", func() bool { return d.Calls() == 3 })
+	WaitFor(t, "the watch continues", func() bool { return d.Calls() == 3 })
 	if took := time.Since(answered); took > 200*time.Millisecond {
-		t.Errorf("the watch goes on after %v", took)
+		t.Errorf("the watch continues after %v", took)
 	}
 }
 
-// A long poll that is out for longer than discovery's queue lasts has been accepted: discovery has nothing newer, and the node
-// must hear so, as it may hear nothing else for a minute. A call for the whole list, a short poll that is late and one that has
-// ended say nothing of the kind.
+// A long poll that is pending for longer than calls are queued at discovery was accepted: discovery
+// has no newer list, and the node must be notified, as it may receive nothing else for a minute.
+// That doesn't hold for a call for the whole list, for a short poll that is late, or for a call
+// that has ended.
 func TestOpenPollsAreReportedAccepted(t *testing.T) {
 	const accepted = 150 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -168,17 +172,17 @@
 		answer string
 		want   int
 	}{
-		"open":          {time.Minute, false, "", 1},
-		"short":         {accepted / 2, false, "", 0},
-		"whole":         {time.Minute, true, "", 0},
-		"answered soon": {time.Minute, false, ServerList(4, false), 1}, // the next one is
+		"pending":       {time.Minute, false, "", 1},
+		"short poll":    {accepted / 2, false, "", 0},
+		"whole list":    {time.Minute, true, "", 0},
+		"answered soon": {time.Minute, false, ServerList(4, false), 1}, // the next poll is accepted
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newHeldServer(t)
 			reports := make(chan Update, 10)
 			d := New(s.address, onlyNode(), DiscardLogger(), func(u Update) { reports <- u })
 			d.acceptedAfter = accepted
-			d.pollTimes = func(time.Duration, bool) (wait, patience time.Duration) { return c.wait, 2 * WaitTimeout }
+			d.pollTimes = func(time.Duration, bool) (wait, timeout time.Duration) { return c.wait, 2 * WaitTimeout }
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -198,7 +202,7 @@
 				call.write(t, "")
 				s.call(t)
 				if u := <-reports; u.List == nil {
-					t.Fatalf("reported %+v", u)
+					t.Fatalf("unexpected report %+v", u)
 				}
 			}
 			time.Sleep(3 * accepted)
@@ -209,7 +213,7 @@
 				}
 			}
 			if got != c.want {
-				t.Errorf("accepted %d times %v after the call, want %d", got, time.Since(begun), c.want)
+				t.Errorf("reported as accepted %d times %v after the call, want %d", got, time.Since(begun), c.want)
 			}
 			cancel()
 			<-done
@@ -217,19 +221,20 @@
 	}
 }
 
-// What discovery has begun to write counts as told, whether or not the rest comes. An answer that breaks off, stops coming or
-// can't be read further must be told as partial, with what it said of servers that drain or are gone; a poll's own time must not
-// cut one that goes on coming; and one that takes long must be told of before it is whole.
+// What discovery has started to write counts as delivered, even if the rest doesn't arrive. An
+// answer that is cut off, stalls or becomes invalid must be reported as partial, with its draining
+// and removed servers. A poll's own timeout must not end an answer that is still arriving, and an
+// answer that takes long must be reported before it is complete.
 func TestPartialAnswers(t *testing.T) {
 	const half = `{"generation":4,"reset":false,"instances":[` +
 		`{"instanceId":"a","hostPort":"127.0.0.1:1","zone":"a","cell":1,"lifecycle":"DELETED","weight":1,"startedAtMs":0},` +
 		`{"instanceId":"b","hostPort":"127.0.0.1:2","zone":"a","cell":1,"lifecycle":"SERVING","weight":1,"startedAtMs":0},`
 	const rest = `{"instanceId":"c","hostPort":"127.0.0.1:3","zone":"a","cell":1,"lifecycle":"DRAINING","weight":1,"startedAtMs":0}]}`
 	for name, end := range map[string]func(t *testing.T, call heldCall){
-		"broken off": func(t *testing.T, call heldCall) { call.write(t, "") },
-		"stopped":    func(t *testing.T, call heldCall) { <-call.done },
-		"unreadable": func(t *testing.T, call heldCall) { call.write(t, "!") },
-		"late": func(t *testing.T, call heldCall) {
+		"cut off": func(t *testing.T, call heldCall) { call.write(t, "") },
+		"stalled": func(t *testing.T, call heldCall) { <-call.done },
+		"invalid": func(t *testing.T, call heldCall) { call.write(t, "!") },
+		"slow": func(t *testing.T, call heldCall) {
 			time.Sleep(2 * partialReportDelay)
 			call.write(t, rest)
 			call.write(t, "")
@@ -240,7 +245,7 @@
 			s := newHeldServer(t)
 			reports := make(chan Update, 10)
 			d := New(s.address, onlyNode(), DiscardLogger(), func(u Update) { reports <- u })
-			d.pollTimes = func(time.Duration, bool) (wait, patience time.Duration) {
+			d.pollTimes = func(time.Duration, bool) (wait, timeout time.Duration) {
 				return partialReportDelay, partialReportDelay
 			}
 			stop := startWatch(t, d, 3)
@@ -251,14 +256,14 @@
 			end(t, call)
 			for u := range reports {
 				if u.Failure.Reason == endpoints.PartialAnswer && u.MoreExpected && u.List == nil {
-					continue // it takes its time
+					continue // the report of a slow answer
 				}
-				if name == "late" {
+				if name == "slow" {
 					if u.List == nil || u.List.Generation != 4 || len(u.List.Entries) != 3 {
 						t.Errorf("reported %+v, want the list", u)
 					}
 				} else if u.Failure.Reason != endpoints.PartialAnswer || len(u.Unavailable) != 1 || u.Unavailable[0].ID != "a" {
-					t.Errorf("reported %+v, want a partial answer that says a is gone", u)
+					t.Errorf("reported %+v, want a partial answer with the removed server a", u)
 				}
 				return
 			}
@@ -266,8 +271,9 @@
 	}
 }
 
-// In an overload a node with a short list must ask for the whole of it, as its pace has it, and leave the pace's pause after the
-// answer: that is reported, as the node hears nothing meanwhile.
+// In an overload a node with a short list must ask for the whole list, as the pacer requires, and
+// pause after the answer. The pause must be reported, because the node receives no changes
+// meanwhile.
 func TestOverloadedWatchFetchesWholeList(t *testing.T) {
 	s := newHeldServer(t)
 	updates := make(chan Update, 10)
@@ -279,23 +285,24 @@
 	d.SetWatch(true)
 	call := s.call(t)
 	if call.query != "" {
-		t.Errorf("the call asks for %q", call.query)
+		t.Errorf("query is %q", call.query)
 	}
 	call.write(t, ServerList(4, true, "127.0.0.1:1 SERVING"))
 	call.write(t, "")
 	if u := <-updates; u.List == nil || !u.WatchPaused {
-		t.Errorf("reported %+v", u)
+		t.Errorf("unexpected report %+v", u)
 	}
-	d.SetWatch(true) // the module's bidding does not end the pause
+	d.SetWatch(true) // a request from the decision module doesn't end the pause
 	select {
 	case c := <-s.calls:
-		t.Errorf("a further call %q at once", c.query)
+		t.Errorf("unexpected call %q at once", c.query)
 	case <-time.After(time.Second):
 	}
 }
 
-// Discovery's old address may answer all nodes together once it has moved. In an overload the next call must wait for its turn all the
-// same: calls at once would time out in the new address's queue, and the nodes hear of nothing for seconds.
+// After an address change the old address may answer all nodes at the same time. In an overload the
+// next call must wait for its turn all the same: immediate calls would time out in the new
+// address's queue, and the nodes would receive nothing for seconds.
 func TestOldAddressAnswersKeepPeriodicPauses(t *testing.T) {
 	const spread = 400 * time.Millisecond
 	old, next := newHeldServer(t), newHeldServer(t)
@@ -307,21 +314,22 @@
 	defer stop()
 	d.SetWatch(true)
 	first := old.call(t)
-	moved := time.Now()
+	movedAt := time.Now()
 	d.SetAddress(next.address)
 	first.write(t, ServerList(4, true, "127.0.0.1:1 SERVING"))
 	first.write(t, "")
 	if u := <-updates; u.List == nil || !u.WatchPaused {
-		t.Errorf("reported %+v", u)
+		t.Errorf("unexpected report %+v", u)
 	}
 	next.call(t)
-	if took := time.Since(moved); took < spread {
-		t.Errorf("the first call at the new address came after %v", took)
+	if took := time.Since(movedAt); took < spread {
+		t.Errorf("the first call to the new address arrived after %v", took)
 	}
 }
 
-// While a node that asks once in a period pauses, a call of before may be all that it has out. What discovery writes on it counts as
-// told, so it must not be called off after the answer to a newer one: the next call may be 9 s away.
+// While a node that calls once per period pauses, the previous call may be its only pending one.
+// What discovery writes on it counts as delivered, so it must not be canceled after the answer to a
+// newer call: the next call may be 9 s away.
 func TestPeriodicPausesKeepPreviousCall(t *testing.T) {
 	old, next := newHeldServer(t), newHeldServer(t)
 	updates := make(chan Update, 10)
@@ -331,23 +339,23 @@
 	stop := startWatch(t, d, 3)
 	defer stop()
 	d.SetWatch(true)
-	before := old.call(t)
+	previous := old.call(t)
 	d.SetAddress(next.address)
 	newer := next.call(t)
 	newer.write(t, ServerList(4, true, "127.0.0.1:1 SERVING"))
 	newer.write(t, "")
 	if u := <-updates; u.List == nil || u.List.Generation != 4 {
-		t.Fatalf("reported %+v", u)
+		t.Fatalf("unexpected report %+v", u)
 	}
-	time.Sleep(2 * callOverlap) // what the fault waits for is time itself
-	before.write(t, ServerList(5, true, "127.0.0.1:1 DRAINING"))
-	before.write(t, "")
+	time.Sleep(2 * callOverlap) // the previous call used to be canceled after callOverlap, so the test has to wait
+	previous.write(t, ServerList(5, true, "127.0.0.1:1 DRAINING"))
+	previous.write(t, "")
 	select {
 	case u := <-updates:
 		if u.List == nil || u.List.Generation != 5 {
-			t.Errorf("reported %+v", u)
+			t.Errorf("unexpected report %+v", u)
 		}
 	case <-time.After(WaitTimeout):
-		t.Error("what was written on the call before is lost")
+		t.Error("the answer to the previous call was dropped")
 	}
 }
--- a/internal/node/discovery/size_test.go
+++ b/internal/node/discovery/size_test.go
@@ -10,7 +10,7 @@
 	. "curlewring/internal/node/nodetest"
 )
 
-// An answer above the bound is an error that names what was asked, where, and the bound.
+// The error for an answer above the size limit names the request, the address and the limit.
 func TestOversizedAnswerError(t *testing.T) {
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat(" ", maxListSize+1))
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// overlap is how long the call before goes on once a newer one has been answered: what discovery wrote on it at the
-	// same time has come by then.
+	// callOverlap is how long the previous call continues after a newer one was answered. What
+	// discovery has written on it at the same time arrives within that.
 	callOverlap = 250 * time.Millisecond
-	// A call that is younger than this may still wait in discovery's queue: a second one beside it would only make the
-	// queue longer.
+	// A younger call may still be queued at discovery, where a second one would only make the queue
+	// longer.
 	maxQueueTime = 4 * time.Second
 )
 
-// watch is a watch as RunWatch keeps it. It belongs to that goroutine.
+// watchLoop is the state of RunWatch, which only its goroutine uses.
 type watchLoop struct {
 	*Client
 	active, wanted bool
-	pausing        bool    // until the pause ends no call begins
-	since          *uint64 // the generation that this node has; nil: none
-	wholeListNext  bool    // the next call is for the whole list all the same
-	unproven       bool    // the last call did not get through, or discovery is new
+	pausing        bool    // no call starts before the pause ends
+	since          *uint64 // generation of this node's list; nil: it has none
+	wholeListNext  bool    // the next call asks for the whole list in any case
+	unproven       bool    // the last call didn't get through, or the address is new
 
-	everAnswered bool // discovery, since the watch began
+	everAnswered bool // discovery has answered since the watch started
 
-	current       *pendingCall // nil: none is out
-	previous      *pendingCall // one that was made anew: its answer may be on its way, and has counted as told since it was written
+	current       *pendingCall // nil: none is pending
+	previous      *pendingCall // replaced by current, but what discovery writes on it still counts as delivered
 	previousTimer *time.Timer
-	pauseTimer    *time.Timer // ends a pause before the next call
-	restartTimer  *time.Timer // ends the wait of an early question for the call that is out
-	acceptedTimer *time.Timer // tells that the newest call has been accepted
+	pauseTimer    *time.Timer // ends a pause between calls
+	restartTimer  *time.Timer // restarts the watch once the pending call has left discovery's queue
+	acceptedTimer *time.Timer // fires when the current long poll counts as accepted
 	results       chan callResult
 	calls         sync.WaitGroup
 }
 
-// poll is a call that is out.
+// pendingCall is a call without an answer so far.
 type pendingCall struct {
 	wholeList bool
 	since     *uint64
 	started   time.Time
-	pollWait  time.Duration // for which discovery was asked to wait
+	pollWait  time.Duration // how long discovery was asked to wait
 	cancel    context.CancelFunc
 }
 
@@ -55,13 +55,13 @@
 	err  error
 }
 
-// RunWatch keeps the watch, while it is wanted, until the context ends. A call
-// that fails ends the watch: the module decides when to ask again. A long poll that
-// was swallowed in silence is no such call, and is made anew at once.
-// A watch that waits for that in vain at an old address begins anew with a move.
+// RunWatch runs the watch, while it is turned on, until the context ends. A failed call ends the
+// watch, and the decision module decides when to call again. A long poll that gets no answer at all
+// isn't such a failure and is repeated at once. A watch that waits for one at an old address
+// restarts when the address changes.
 //
-// Where lists are pushed the module asks for nothing: the watch on the agent goes on by itself, and what fails is
-// tried again at once.
+// If lists are pushed, the decision module requests nothing: the watch on the local agent runs by
+// itself, and failed calls are repeated after a short pause.
 func (d *Client) RunWatch(ctx context.Context, since *uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	w := &watchLoop{Client: d, since: since, results: make(chan callResult), previousTimer: time.NewTimer(0)}
@@ -89,7 +89,7 @@
 			}
 		case whole := <-d.restartWatch:
 			if w.current != nil && w.current.wholeList {
-				continue // that is as much as can be asked for
+				continue // a call for the whole list includes everything
 			}
 			w.wholeListNext = w.wholeListNext || whole
 			w.restart()
@@ -111,17 +111,17 @@
 	}
 }
 
-// stoppedTimer returns a timer that fires once it is reset.
+// stoppedTimer returns a timer that doesn't fire before it is reset.
 func stoppedTimer() *time.Timer {
 	t := time.NewTimer(time.Hour)
 	t.Stop()
 	return t
 }
 
-// begin makes the next call.
+// startCall starts the next call.
 func (w *watchLoop) startCall(ctx context.Context, at *service) {
-	if from := w.resumeGeneration.Swap(nil); w.since == nil {
-		w.since = from
+	if resumeFrom := w.resumeGeneration.Swap(nil); w.since == nil {
+		w.since = resumeFrom
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	whole := w.wholeListNext || w.since == nil || w.pacer.FetchesWholeList()
@@ -141,30 +141,31 @@
 			return w.Client.fetchWholeList(ctx, w.fetchFrom(at), wholeListTimeout)
 		}
 	default:
-		wait, patience := w.pollTimes(wallClock(), w.unproven)
+		wait, timeout := w.pollTimes(wallClock(), w.unproven)
 		p.pollWait = wait
 		if !w.listsPushed && wait > w.acceptedAfter {
 			w.acceptedTimer.Reset(w.acceptedAfter)
 		}
 		query := fmt.Sprintf("?since=%d&timeout_ms=%d", *p.since, wait.Milliseconds())
-		call = func() (*endpoints.List, error) { return w.fetchFrom(at)(ctx, query, patience) }
+		call = func() (*endpoints.List, error) { return w.fetchFrom(at)(ctx, query, timeout) }
 	}
-	w.log.Debug("call to discovery", "whole", p.wholeList, "since", generationOrZero(p.since), "wait", p.pollWait)
+	w.log.Debug("discovery call started", "whole", p.wholeList, "since", generationOrZero(p.since), "wait", p.pollWait)
 	w.calls.Go(func() {
 		defer cancel()
 		l, err := call()
-		w.log.Debug("call to discovery ended", "since", generationOrZero(p.since), "took", time.Since(p.started), "err", err)
+		w.log.Debug("discovery call ended", "since", generationOrZero(p.since), "took", time.Since(p.started), "err", err)
 		select {
 		case w.results <- callResult{p, l, err}:
-		case <-ctx.Done(): // called off
+		case <-ctx.Done(): // canceled
 		}
 	})
 }
 
-// early makes the next call before the one that is out has ended, once that one has left discovery's queue.
+// restart starts the next call before the pending one has ended, as soon as that one has left
+// discovery's queue.
 func (w *watchLoop) restart() {
 	if w.current == nil {
-		return // the next call is as early as discovery can bear
+		return // the next call starts as early as the pacer allows
 	}
 	if wait := w.queueTime - time.Since(w.current.started); wait > 0 && !w.listsPushed {
 		w.restartTimer.Reset(wait)
@@ -173,26 +174,27 @@
 	w.replaceCurrent()
 }
 
-// move has the watch go on at discovery's new address. All nodes move at once, so each waits for a part of the time that a
-// fleet of this size needs; what the old address still tells counts meanwhile.
+// handleMove continues the watch at the new address. All nodes move at the same time, so each
+// delays its call by a part of the time that a fleet of this size needs. What the old address still
+// sends counts as delivered.
 func (w *watchLoop) handleMove() {
 	if w.current != nil && w.current.wholeList && w.since != nil {
 		w.wholeListNext = true
 	}
-	w.active, w.unproven = w.wanted, true // the new address has yet to prove itself
+	w.active, w.unproven = w.wanted, true // no call to the new address has succeeded yet
 	w.replaceCurrent()
 	if wait := w.moveDelay(); w.since != nil && wait > 0 {
 		w.pauseCalls(wait)
 	}
 }
 
-// rest puts the next call off.
+// pauseCalls delays the next call.
 func (w *watchLoop) pauseCalls(pause time.Duration) {
 	w.active, w.pausing = false, true
 	w.pauseTimer.Reset(pause)
 }
 
-// callOff ends a call, if there is one; nothing that it brings is taken any more.
+// cancelCall cancels a call, if there is one. Its result is ignored.
 func (w *watchLoop) cancelCall(p *pendingCall) *pendingCall {
 	if p != nil {
 		p.cancel()
@@ -200,75 +202,78 @@
 	return nil
 }
 
-// anew lets the next call begin beside the one that is out. Two are out at the most.
+// replaceCurrent lets the next call start beside the pending one. At most two are pending.
 func (w *watchLoop) replaceCurrent() {
 	if w.current == nil {
 		return
 	}
-	w.previousTimer.Stop() // it was for the one before
+	w.previousTimer.Stop() // it was set for the call that is canceled now
 	w.cancelCall(w.previous)
 	w.previous, w.current = w.current, nil
 }
 
-// take takes the end of a call.
+// handleResult handles the end of a call.
 func (w *watchLoop) handleResult(e callResult) {
 	switch e.pendingCall {
 	case w.previous:
 		w.previous = nil
-		if e.err != nil { // the newer one tells whether discovery answers
+		if e.err != nil { // the current call shows whether discovery answers
 			if f := classifyFailure(e.err, 0, 0); f.Reason == endpoints.PartialAnswer {
 				w.report(Update{Failure: f, Unavailable: unavailableOf(e.err), MoreExpected: true})
 			}
 			return
 		}
-		// The module hears that the watch goes on, whatever came of the newer one; and what changes now counts as told. In an overload
-		// all nodes may have been answered together, and calls at once would keep each other waiting for too long.
+		// The decision module learns that the watch continues, whatever became of the current call,
+		// and changes from now on count as delivered. In an overload all nodes may have been
+		// answered at the same time, and immediate calls would queue up behind each other for too
+		// long.
 		if !w.pacer.Periodic() {
 			w.active = w.wanted
 		}
 	case w.current:
 		w.current = nil
 		w.acceptedTimer.Stop()
-		w.restartTimer.Stop() // whatever it was that should be asked early, it has been
+		w.restartTimer.Stop() // the restart is no longer needed
 		if e.err != nil {
-			if !w.listsPushed || !w.unproven { // an agent is silent while discovery is down: told once
-				w.log.Warn("the watch failed", "err", e.err)
+			if !w.listsPushed || !w.unproven { // an agent doesn't answer while discovery is down: log it once
+				w.log.Warn("discovery watch call failed", "err", e.err)
 			}
 			w.handleFailure(e)
 			return
 		}
 		w.unproven, w.everAnswered = false, true
 		w.handleAnswer(e)
-		if w.pausing { // the call before is all that is out: what is written on it counts as told, and no other brings it
+		if w.pausing { // the previous call is the only pending one, and what is written on it counts as delivered
 			w.previousTimer.Stop()
 		} else {
 			w.previousTimer.Reset(callOverlap)
 		}
 	default:
-		return // called off as it ended
+		return // canceled while it ended
 	}
 	if e.since != w.since && w.since != nil && e.list.Generation < *w.since {
-		return // the other call has brought a newer one meanwhile
+		return // the other call has returned a newer list meanwhile
 	}
 	w.since = &e.list.Generation
 	w.report(Update{List: e.list, CallDuration: time.Since(e.started), PollWait: e.pollWait, WatchPaused: w.pausing})
 }
 
-// answered takes an answer to the newest call, and puts the next one off if the pace has it so.
+// handleAnswer handles an answer to the current call, and delays the next call as the pacer
+// requires.
 func (w *watchLoop) handleAnswer(e callResult) {
-	news := w.since == nil || e.list.Generation != *w.since
-	answer := endpoints.Answer{Took: time.Since(e.started), Whole: e.wholeList, Changed: news}
+	changed := w.since == nil || e.list.Generation != *w.since
+	answer := endpoints.Answer{Took: time.Since(e.started), Whole: e.wholeList, Changed: changed}
 	if pause := w.pacer.RecordAnswer(wallClock(), answer); pause > 0 {
 		w.pauseCalls(pause)
 	}
 }
 
-// failed takes the end of the newest call, which brought no list.
+// handleFailure handles the end of the current call without a list.
 func (w *watchLoop) handleFailure(e callResult) {
 	f := classifyFailure(e.err, time.Since(e.started), e.pollWait)
 	w.unproven = f.Reason == endpoints.Unreachable || f.Reason == endpoints.PartialAnswer
 	if f.Reason != endpoints.PartialAnswer && !e.wholeList && errors.Is(e.err, context.DeadlineExceeded) {
-		f.Reason, w.unproven = endpoints.PollTimedOut, true // it took long enough: the next begins at once
+		f.Reason, w.unproven = endpoints.PollTimedOut, true // it waited long enough: call again at once
 		w.report(Update{Failure: f})
 		return
 	}
@@ -277,10 +282,10 @@
 	switch {
 	case w.listsPushed:
 		w.pauseCalls(agentRetryPause)
-	case f.Reason == endpoints.Overloaded: // the module's own pause may end before
+	case f.Reason == endpoints.Overloaded: // the decision module may want to call sooner
 		w.pauseCalls(w.pacer.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: f.Took, AnsweredBefore: w.everAnswered, Servers: int(w.serverCount.Load())}))
 	case f.Reason == endpoints.PollReset:
-		w.everAnswered = true // every change would have come on it
+		w.everAnswered = true // all changes would have arrived on it
 		if pause := w.pacer.RecordReset(); pause > 0 {
 			w.pauseCalls(pause)
 		}
@@ -288,7 +293,7 @@
 	w.report(Update{Failure: f, Unavailable: unavailableOf(e.err)})
 }
 
-// generation is that of a list as logs have it; 0: none.
+// generationOrZero returns a generation for the log; 0: none.
 func generationOrZero(since *uint64) uint64 {
 	if since == nil {
 		return 0
@@ -296,5 +301,5 @@
 	return *since
 }
 
-// wallClock is the time by which the nodes of a fleet take turns.
+// wallClock returns the time by which the nodes of a fleet take turns.
 func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
