--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -21,12 +21,12 @@
 	d.queueTime = 300 * time.Millisecond
 	stop := startWatch(t, d, 3)
 	defer stop()
-	begun := time.Now()
+	started := time.Now()
 	d.SetWatch(true)
 	s.call(t)
 	d.RestartWatch(false)
 	s.call(t)
-	if took := time.Since(begun); took < d.queueTime {
+	if took := time.Since(started); took < d.queueTime {
 		t.Errorf("the second call arrived %v after the first", took)
 	}
 }
@@ -195,7 +195,7 @@
 				d.RunWatch(ctx, from)
 			}()
 			d.SetWatch(true)
-			begun := time.Now()
+			started := time.Now()
 			call := s.call(t)
 			if c.answer != "" {
 				call.write(t, c.answer)
@@ -213,7 +213,7 @@
 				}
 			}
 			if got != c.want {
-				t.Errorf("reported as accepted %d times %v after the call, want %d", got, time.Since(begun), c.want)
+				t.Errorf("reported as accepted %d times %v after the call, want %d", got, time.Since(started), c.want)
 			}
 			cancel()
 			<-done
--- a/internal/node/front/edge_cases_test.go
+++ b/internal/node/front/edge_cases_test.go
@@ -11,8 +11,8 @@
 )
 
 // addClient adds a client that sends a whole stream at once.
-func (h *harness) addClient(stream string, whole ...string) *scriptedClient {
-	c := &scriptedClient{id: h.net.dial(), stream: []byte(stream), bodies: whole}
+func (h *harness) addClient(stream string, bodies ...string) *scriptedClient {
+	c := &scriptedClient{id: h.net.dial(), stream: []byte(stream), bodies: bodies}
 	h.clients = append(h.clients, c)
 	h.net.send(c.id, c.stream)
 	c.sent = len(c.stream)
@@ -361,24 +361,24 @@
 		f.Add([]byte(text), 3)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
-		whole, _ := headEnd(data, 0)
+		wholeEnd, _ := headEnd(data, 0)
 		cut = min(max(cut, 0), len(data))
 		end, next := headEnd(data[:cut], 0)
 		if end == 0 {
 			end, _ = headEnd(data, next)
 		}
-		if end != whole {
-			t.Fatalf("%q cut at %d: ends at %d and %d", data, cut, end, whole)
+		if end != wholeEnd {
+			t.Fatalf("%q cut at %d: ends at %d and %d", data, cut, end, wholeEnd)
 		}
-		if whole == 0 {
+		if wholeEnd == 0 {
 			return
 		}
 		var p headParser
-		r, wrong := p.parseHead(data[:whole])
-		if wrong != nil && strings.Contains(wrong.text, "two ends") {
+		r, requestErr := p.parseHead(data[:wholeEnd])
+		if requestErr != nil && strings.Contains(requestErr.text, "two ends") {
 			return // rejected with status 400, so no request can be smuggled
 		}
-		if wrong == nil && (r.ContentLength < 0 && len(r.TransferEncoding) == 0) {
+		if requestErr == nil && (r.ContentLength < 0 && len(r.TransferEncoding) == 0) {
 			t.Fatalf("%q: length %d", data, r.ContentLength)
 		}
 	})
--- a/internal/node/front/load_test.go
+++ b/internal/node/front/load_test.go
@@ -183,10 +183,10 @@
 		mu.Unlock()
 		free <- s
 	}
-	begun := time.Now()
+	started := time.Now()
 	for n := 0; ; n++ {
-		at := begun.Add(time.Duration(n) * time.Second / time.Duration(rate))
-		if at.Sub(begun) > length {
+		at := started.Add(time.Duration(n) * time.Second / time.Duration(rate))
+		if at.Sub(started) > length {
 			break
 		}
 		time.Sleep(time.Until(at))
--- a/internal/node/front/memory_transport_test.go
+++ b/internal/node/front/memory_transport_test.go
@@ -151,11 +151,11 @@
 	m.post(c, Readable|ConnReset)
 }
 
-func (m *memoryTransport) window(id int32, room int) {
+func (m *memoryTransport) window(id int32, size int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	c := &m.conns[id]
-	if c.window = room; c.wantsWritable && room != 0 {
+	if c.window = size; c.wantsWritable && size != 0 {
 		c.wantsWritable = false
 		m.post(c, Writable|Readable)
 	}
@@ -295,7 +295,7 @@
 	}
 	c.closed, c.unread = true, nil
 	m.closes++
-	for begun := time.Now(); m.closeTime > 0 && time.Since(begun) < m.closeTime; {
+	for started := time.Now(); m.closeTime > 0 && time.Since(started) < m.closeTime; {
 	}
 }
 
--- a/internal/node/front/request.go
+++ b/internal/node/front/request.go
@@ -79,9 +79,9 @@
 
 // closeConn closes a connection in any state. The caller has to tell the handler about an open
 // request.
-func (s *Server) closeConn(i int32, c *conn, why closeReason) {
+func (s *Server) closeConn(i int32, c *conn, reason closeReason) {
 	if s.logsCloses {
-		s.config.Log.Debug("client connection closed", "connection", i, "reason", string(why))
+		s.config.Log.Debug("client connection closed", "connection", i, "reason", string(reason))
 	}
 	s.releaseActive(c)
 	s.wheel.Cancel(i)
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -202,7 +202,7 @@
 }
 
 // ReapplyRules applies the rules of SetIdleRules to parked connections.
-func (s *Server) ReapplyRules(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) ReapplyRules(slice time.Duration) (elapsed time.Duration, more bool) {
 	return s.runStep(slice, func(mayContinue func() bool) bool {
 		for ; int(s.reapplyNext) < s.table.allocated; s.reapplyNext++ {
 			if !mayContinue() {
@@ -264,8 +264,8 @@
 
 // runTurn runs a function and then everything that is due.
 func (s *Server) runTurn(f func()) {
-	begun := s.config.Now()
-	s.now = max(s.now, begun)
+	started := s.config.Now()
+	s.now = max(s.now, started)
 	s.stalled = s.config.Hooks.ProcessStalled != nil && s.config.Hooks.ProcessStalled()
 	f()
 	s.now = max(s.now, s.config.Now())
@@ -282,7 +282,7 @@
 	s.processRunnable()
 	s.resumeDeferred()
 	end := s.config.Now()
-	s.stats.MaxTurnTime = max(s.stats.MaxTurnTime, end-begun)
+	s.stats.MaxTurnTime = max(s.stats.MaxTurnTime, end-started)
 	s.stats.MaxTimersTime = max(s.stats.MaxTimersTime, end-timers)
 	s.openCount.Store(int64(s.table.inUse))
 }
@@ -512,27 +512,27 @@
 
 // runStep runs background work on the server's goroutine for about a time slice. It checks the
 // clock every few rounds.
-func (s *Server) runStep(slice time.Duration, f func(mayContinue func() bool) bool) (took time.Duration, more bool) {
+func (s *Server) runStep(slice time.Duration, f func(mayContinue func() bool) bool) (elapsed time.Duration, more bool) {
 	s.Do(func() {
-		begun, rounds := s.config.Now(), 0
+		started, rounds := s.config.Now(), 0
 		more = f(func() bool {
 			rounds++
-			return rounds%8 != 0 || s.config.Now() < begun+slice
+			return rounds%8 != 0 || s.config.Now() < started+slice
 		})
 		s.now = max(s.now, s.config.Now())
-		took = s.now - begun
+		elapsed = s.now - started
 	})
-	return took, more
+	return elapsed, more
 }
 
 // CloseExpired closes connections whose idle time is over.
-func (s *Server) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) CloseExpired(slice time.Duration) (elapsed time.Duration, more bool) {
 	return s.runStep(slice, s.closeExpired)
 }
 
 // EvictIdle closes idle connections until there is room for several new ones, so that not every
 // accept has to wait for an eviction.
-func (s *Server) EvictIdle(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) EvictIdle(slice time.Duration) (elapsed time.Duration, more bool) {
 	return s.runStep(slice, func(mayContinue func() bool) bool {
 		for s.table.inUse > s.config.MaxConns-s.config.MaxConns/64 || s.memory.Level() == membudget.Full {
 			if !mayContinue() {
@@ -547,7 +547,7 @@
 }
 
 // ReleaseBuffers frees pooled buffers beyond the minimum.
-func (s *Server) ReleaseBuffers(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) ReleaseBuffers(slice time.Duration) (elapsed time.Duration, more bool) {
 	return s.runStep(slice, func(mayContinue func() bool) bool {
 		for len(s.pool) > minPooled {
 			if !mayContinue() {
--- a/internal/node/front/shutdown.go
+++ b/internal/node/front/shutdown.go
@@ -16,7 +16,7 @@
 
 // CloseParked closes the parked connections when the node shuts down. Connections with an open or a
 // partly read request are kept.
-func (s *Server) CloseParked(slice time.Duration) (took time.Duration, more bool) {
+func (s *Server) CloseParked(slice time.Duration) (elapsed time.Duration, more bool) {
 	return s.runStep(slice, s.closeParked)
 }
 
--- a/internal/node/front/simulation_test.go
+++ b/internal/node/front/simulation_test.go
@@ -269,8 +269,8 @@
 	for seed := range uint64(8) {
 		f.Add(script(seed), uint8(seed))
 	}
-	f.Fuzz(func(t *testing.T, script []byte, room uint8) {
-		h := newHarness(t, 2+int(room%16), 1<<20)
+	f.Fuzz(func(t *testing.T, script []byte, extraConns uint8) {
+		h := newHarness(t, 2+int(extraConns%16), 1<<20)
 		h.play(script)
 		h.finish()
 	})
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -190,23 +190,23 @@
 func TestClientLeavesOverSockets(t *testing.T) {
 	eachTransport(t, func(t *testing.T, start func(func(*Config), bool) *socketFixture) {
 		s := start(nil, true)
-		half, whole, piped := s.dial(t), s.dial(t), s.dial(t)
-		for _, p := range []*socketClient{half, whole} {
+		halfClosed, closed, pipelined := s.dial(t), s.dial(t), s.dial(t)
+		for _, p := range []*socketClient{halfClosed, closed} {
 			io.WriteString(p, post("x"))
 		}
-		io.WriteString(piped, post("first")+post("second"))
+		io.WriteString(pipelined, post("first")+post("second"))
 		nodetest.WaitFor(t, "all requests are open", func() bool { return s.openCount() == 3 })
-		half.Conn.(interface{ CloseWrite() error }).CloseWrite()
-		whole.Close()
+		halfClosed.Conn.(interface{ CloseWrite() error }).CloseWrite()
+		closed.Close()
 		nodetest.WaitFor(t, "two clients are gone", func() bool { return s.gone.Load() == 2 })
-		if rest, _ := io.ReadAll(half); len(rest) > 0 {
+		if rest, _ := io.ReadAll(halfClosed); len(rest) > 0 {
 			t.Errorf("the client that closed its sending side got %q", rest)
 		}
 		s.answer(0)
-		piped.expect(t, 200, "first")
+		pipelined.expect(t, 200, "first")
 		nodetest.WaitFor(t, "the second request is open", func() bool { return s.openCount() == 1 })
 		s.answer(0)
-		piped.expect(t, 200, "second")
+		pipelined.expect(t, 200, "second")
 		if s.gone.Load() != 2 {
 			t.Errorf("%d clients are gone, want 2", s.gone.Load())
 		}
@@ -293,10 +293,10 @@
 		io.WriteString(p, post("x"))
 		p.expect(t, 200, "x")
 		nodetest.WaitFor(t, "the connection is parked", func() bool { return s.Stats().Parked == 1 })
-		begun := time.Now()
+		started := time.Now()
 		s.SetIdleRules(rules(time.Second))
-		if _, err := p.ReadByte(); err != io.EOF || time.Since(begun) > 4*time.Second {
-			t.Errorf("closed with %v after %v, want EOF within 4s", err, time.Since(begun))
+		if _, err := p.ReadByte(); err != io.EOF || time.Since(started) > 4*time.Second {
+			t.Errorf("closed with %v after %v, want EOF within 4s", err, time.Since(started))
 		}
 	})
 }
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -233,9 +233,9 @@
 
 // CloseExpired closes connections whose idle timeout is over, for about a time slice. It is
 // background work.
-func (u *Pool) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
-	begun := u.clock.Now()
-	for now := begun; now < begun+slice; now = u.clock.Now() {
+func (u *Pool) CloseExpired(slice time.Duration) (elapsed time.Duration, more bool) {
+	started := u.clock.Now()
+	for now := started; now < started+slice; now = u.clock.Now() {
 		u.mu.Lock()
 		u.dueTimers = u.idleTimers.Advance(now, maxExpiredPerBatch, u.dueTimers[:0])
 		for _, t := range u.dueTimers {
@@ -254,10 +254,10 @@
 		done := len(u.dueTimers) < maxExpiredPerBatch
 		u.mu.Unlock()
 		if done {
-			return u.clock.Now() - begun, false
+			return u.clock.Now() - started, false
 		}
 	}
-	return u.clock.Now() - begun, true
+	return u.clock.Now() - started, true
 }
 
 // CloseIdle closes all idle connections when the node shuts down.
--- a/internal/node/upstream/upstream_test.go
+++ b/internal/node/upstream/upstream_test.go
@@ -46,11 +46,11 @@
 		t.Run(name, func(t *testing.T) {
 			u := newTestPool()
 			address := RawServer(t, func(c net.Conn) { io.WriteString(c, text) })
-			begun := u.clock.Now()
+			started := u.clock.Now()
 			if o := testAttempt(t, u, address); o.Result != decide.Malformed || !o.ConnClosed {
 				t.Errorf("result %v, connection closed: %v", o.Result, o.ConnClosed)
 			}
-			if took := u.clock.Now() - begun; took > WaitTimeout/2 {
+			if took := u.clock.Now() - started; took > WaitTimeout/2 {
 				t.Errorf("took %v", took)
 			}
 			if open := u.limiter.open.Load(); open != 0 {
@@ -102,18 +102,18 @@
 // arrive with the response or a moment later: the connection settles before it is reused, and is
 // probed right before.
 func TestTrailingBytesAreNotServed(t *testing.T) {
-	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
+	const head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"
 	for name, later := range map[string]bool{"at once": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			u, served := newTestPool(), make(chan struct{})
 			address := RawServer(t, func(c net.Conn) {
 				if !later {
-					io.WriteString(c, whole+"fine"+whole+"copy")
+					io.WriteString(c, head+"fine"+head+"copy")
 					return
 				}
-				io.WriteString(c, whole+"fine")
+				io.WriteString(c, head+"fine")
 				<-served
-				io.WriteString(c, whole+"copy")
+				io.WriteString(c, head+"copy")
 			})
 			first := testAttempt(t, u, address)
 			if first.Result != decide.Served || string(first.Response.Body) != "fine" || first.ConnClosed == later {
@@ -208,14 +208,14 @@
 	s := NewServer(t, RespondWith("fine"))
 	first := testAttempt(t, u, s.Addr())
 	WaitFor(t, "20 ms have passed", func() bool { return u.clock.Now() > 20*time.Millisecond })
-	begun := u.clock.Now()
+	started := u.clock.Now()
 	second := testAttempt(t, u, s.Addr())
 	if second.ConnAge <= first.ConnAge || second.DialTime > 0 {
 		t.Errorf("connection age is %v, then %v on a reused connection", first.ConnAge, second.ConnAge)
 	}
 	s.CloseClientConnections() // as if the process had been restarted
 	WaitFor(t, "the connection is dead", func() bool { return u.AliveIdle("s0") == 0 })
-	if third := testAttempt(t, u, s.Addr()); third.Result != decide.Served || third.ConnAge > u.clock.Now()-begun {
+	if third := testAttempt(t, u, s.Addr()); third.Result != decide.Served || third.ConnAge > u.clock.Now()-started {
 		t.Errorf("after the connection died: %v, connection age %v", third.Result, third.ConnAge)
 	}
 }
