--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -40,7 +40,7 @@
 	calls         sync.WaitGroup
 }
 
-// pendingCall is a call without an answer so far.
+// pendingCall is a call to discovery.
 type pendingCall struct {
 	wholeList bool
 	since     *uint64
@@ -57,8 +57,8 @@
 
 // RunWatch runs the watch, while it is turned on, until the context ends. A failed call ends the
 // watch, and the decision module decides when to call again. A long poll that gets no answer at all
-// isn't such a failure and is repeated at once. A watch that waits for one at an old address
-// restarts when the address changes.
+// isn't such a failure and is repeated at once. A watch that is waiting for a lost poll at an old
+// address restarts when the address changes.
 //
 // If lists are pushed, the decision module requests nothing: the watch on the local agent runs by
 // itself, and failed calls are repeated after a short pause.
--- a/internal/node/front/conn_table.go
+++ b/internal/node/front/conn_table.go
@@ -37,7 +37,7 @@
 // idleconns.
 const parkedConnBytes = 32 + 8 + 32
 
-// Token identifies a connection. It is never reused for another one.
+// Token identifies an open connection.
 type Token uint64
 
 const (
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -39,10 +39,11 @@
 type Handler interface {
 	// HandleRequest handles a request whose body is complete. It returns either the response, or a
 	// handle that ClientGone identifies the request by until Server.Respond is called. class is the
-	// request's class in the idle rules, or -1 if the request has none.
-	HandleRequest(t Token, r *http.Request, crowded bool) (open any, class int, answer *Response)
+	// request's class in the idle rules, or -1 if the request has none. If overLimit is set, the
+	// connection was accepted above Config.MaxConns only to be refused.
+	HandleRequest(t Token, r *http.Request, overLimit bool) (handle any, class int, response *Response)
 	// ClientGone reports that the client of an open request has disconnected.
-	ClientGone(open any)
+	ClientGone(handle any)
 }
 
 // Config configures a Server.
@@ -67,10 +68,10 @@
 // the Server method of the same name is called until it reports no more work. Such a method works
 // for about the given time slice.
 type Hooks struct {
-	CloseExpired   func() // calls Server.CloseExpired
-	EvictIdle      func() // calls Server.EvictIdle
-	ReleaseBuffers func() // calls Server.ReleaseBuffers
-	ReapplyRules   func() // calls Server.ReapplyRules
+	CloseExpired   func() // schedules Server.CloseExpired
+	EvictIdle      func() // schedules Server.EvictIdle
+	ReleaseBuffers func() // schedules Server.ReleaseBuffers
+	ReapplyRules   func() // schedules Server.ReapplyRules
 	// ProcessStalled reports whether the process was stalled just now, so that received requests
 	// may be old and their clients gone. It is called often and must be cheap. nil: unknown.
 	ProcessStalled func() bool
@@ -96,7 +97,7 @@
 	rulesVersion      uint8 // incremented when the idle rules change
 	reapplyNext       int32
 	shuttingDown      bool // every connection closes after its next response
-	acceptErrorLogged bool // logged only once
+	acceptErrorLogged bool // an accept error was logged; later ones are not
 	stalled           bool // the process was stalled just now
 	capacityFreed     bool // a connection was closed or parked in this turn
 	logsCloses        bool // debug logging: log each close
@@ -125,7 +126,7 @@
 	Deferred, RequestTimeouts, WriteTimeouts, PeerClosed uint64
 	AvertedCloses                                        uint64        // closes that were averted because bytes had arrived
 	MaxTimersDue                                         int           // timers due at the same time
-	MaxTurnTime                                          time.Duration // longest turn of the goroutine over one batch
+	MaxTurnTime                                          time.Duration // longest turn of the server's goroutine
 	MaxTimersTime                                        time.Duration // longest time in a turn for due timers
 }
 
