--- a/internal/node/discovery/answer.go
+++ b/internal/node/discovery/answer.go
@@ -10,40 +10,41 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// PartialError is an answer that ended early, or went wrong, after its first bytes. Discovery had written it, so what it tells counts
-// as told, whether or not the rest comes.
+// PartialError reports an answer that ended early, or became invalid, after its first bytes. The
+// discovery service has written the whole answer, so all of it counts as delivered to this node,
+// even if the rest never arrives.
 type PartialError struct {
-	Unavailable []endpoints.Entry // of what came: the servers that drain or are gone
+	Unavailable []endpoints.Entry // the draining and removed servers in the part that arrived
 	Err         error
 }
 
 func (e *PartialError) Error() string {
-	return fmt.Sprintf("an answer that came in part, %d servers that drain or are gone: %v", len(e.Unavailable), e.Err)
+	return fmt.Sprintf("partial answer with %d draining or removed servers: %v", len(e.Unavailable), e.Err)
 }
 
-// Unwrap returns what ended the answer.
+// Unwrap returns the error that ended the answer.
 func (e *PartialError) Unwrap() error { return e.Err }
 
-// read reads a list in discovery's form as it comes. Of an answer that breaks off the error is a PartialError.
-func read(r io.Reader) (*endpoints.List, error) {
-	d := decoder{json: json.NewDecoder(r)}
-	if err := d.list(); err != nil {
-		return nil, &PartialError{Unavailable: d.bad(), Err: err}
+// readList decodes a list while it is being received. All its errors are PartialErrors.
+func readList(r io.Reader) (*endpoints.List, error) {
+	d := listDecoder{json: json.NewDecoder(r)}
+	if err := d.decode(); err != nil {
+		return nil, &PartialError{Unavailable: d.unavailable(), Err: err}
 	}
-	return &d.read, nil
+	return &d.result, nil
 }
 
-// decoder reads a list entry by entry, so that no more of its text is held than one takes.
-type decoder struct {
-	json      *json.Decoder
-	read      endpoints.List
-	versioned bool // the generation has come
-	listed    bool // the instances have
+// listDecoder decodes a list entry by entry, so that it holds the text of only one entry at a time.
+type listDecoder struct {
+	json          *json.Decoder
+	result        endpoints.List
+	hasGeneration bool // the generation was read
+	hasInstances  bool // the instances were read
 }
 
-// bad lists what came of servers that drain or are gone.
-func (d *decoder) bad() (entries []endpoints.Entry) {
-	for _, e := range d.read.Entries {
+// unavailable returns the draining and removed servers read so far.
+func (d *listDecoder) unavailable() (entries []endpoints.Entry) {
+	for _, e := range d.result.Entries {
 		if e.Health != decide.Healthy {
 			entries = append(entries, e)
 		}
@@ -51,9 +52,9 @@
 	return entries
 }
 
-// list reads the one object of an answer.
-func (d *decoder) list() error {
-	if err := d.expect('{'); err != nil {
+// decode reads the JSON object of an answer.
+func (d *listDecoder) decode() error {
+	if err := d.readDelim('{'); err != nil {
 		return err
 	}
 	for d.json.More() {
@@ -61,38 +62,38 @@
 		if err != nil {
 			return fmt.Errorf("malformed list: %w", err)
 		}
-		if err := d.member(key); err != nil {
+		if err := d.readMember(key); err != nil {
 			return err
 		}
 	}
-	if err := d.expect('}'); err != nil {
+	if err := d.readDelim('}'); err != nil {
 		return err
 	}
 	switch extra, err := d.json.Token(); {
 	case err == nil:
-		return fmt.Errorf("malformed list: %v follows it", extra)
+		return fmt.Errorf("malformed list: unexpected %v after it", extra)
 	case !errors.Is(err, io.EOF):
 		return fmt.Errorf("malformed list: %w", err)
 	}
-	if !d.versioned || !d.listed {
+	if !d.hasGeneration || !d.hasInstances {
 		return errors.New("malformed list: no generation or no instances")
 	}
 	return nil
 }
 
-// member reads the value of a key.
-func (d *decoder) member(key json.Token) (err error) {
+// readMember reads the value of a key.
+func (d *listDecoder) readMember(key json.Token) (err error) {
 	switch key {
 	case "generation":
 		var generation *uint64
 		if err = d.json.Decode(&generation); generation != nil {
-			d.versioned, d.read.Generation = true, *generation
+			d.hasGeneration, d.result.Generation = true, *generation
 		}
 	case "reset":
-		err = d.json.Decode(&d.read.Whole)
+		err = d.json.Decode(&d.result.Whole)
 	case "instances":
-		d.listed = true
-		return d.instances()
+		d.hasInstances = true
+		return d.readInstances()
 	default:
 		var skipped json.RawMessage
 		err = d.json.Decode(&skipped)
@@ -103,12 +104,12 @@
 	return nil
 }
 
-// instances reads the servers.
-func (d *decoder) instances() error {
-	if err := d.expect('['); err != nil {
+// readInstances reads the array of servers.
+func (d *listDecoder) readInstances() error {
+	if err := d.readDelim('['); err != nil {
 		return err
 	}
-	d.read.Entries = []endpoints.Entry{}
+	d.result.Entries = []endpoints.Entry{}
 	for d.json.More() {
 		var raw endpoints.Instance
 		if err := d.json.Decode(&raw); err != nil {
@@ -118,19 +119,19 @@
 		if err != nil {
 			return err
 		}
-		d.read.Entries = append(d.read.Entries, e)
+		d.result.Entries = append(d.result.Entries, e)
 	}
-	return d.expect(']')
+	return d.readDelim(']')
 }
 
-// expect reads a bracket.
-func (d *decoder) expect(want json.Delim) error {
+// readDelim reads a delimiter.
+func (d *listDecoder) readDelim(want json.Delim) error {
 	got, err := d.json.Token()
 	if err != nil {
 		return fmt.Errorf("malformed list: %w", err)
 	}
 	if got != want {
-		return fmt.Errorf("malformed list: %v in the place of %v", got, want)
+		return fmt.Errorf("malformed list: got %v, want %v", got, want)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/node/front/response.go
@@ -0,0 +1,182 @@
+package front
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"curlewring/internal/conns/membudget"
+)
+
+// Response is the response to a request.
+type Response struct {
+	Status        int
+	ContentType   string        // Content-Type; "": no such header
+	Body          []byte        // kept until it is sent; never modified
+	Text          string        // sent as a line of plain text instead of Body
+	RetryAfter    time.Duration // 0: no Retry-After header
+	HeaderName    string        // name of an additional header; "": none
+	HeaderValue   string        // must be a valid header value, as it is written unchecked
+	Close         bool          // close the connection after the response
+	WriteDeadline time.Duration // time by which the client must have read the response; 0: after defaultWriteTimeout
+}
+
+// dateCache caches the Date header (RFC 9110, 6.6.1) of the current second.
+type dateCache struct {
+	second int64
+	text   []byte
+}
+
+func (d *dateCache) at(now time.Duration) []byte {
+	if second := int64(now / time.Second); second != d.second || d.text == nil {
+		d.second = second
+		d.text = time.Unix(second, 0).UTC().AppendFormat(d.text[:0], http.TimeFormat)
+	}
+	return d.text
+}
+
+// encode appends the wire form of a response.
+func (s *Server) encode(to []byte, a *Response, head, closes bool) []byte {
+	to = append(to, "HTTP/1.1 "...)
+	to = strconv.AppendInt(to, int64(a.Status), 10)
+	to = append(append(append(to, ' '), http.StatusText(a.Status)...), "\r\n"...)
+	length, contentType := len(a.Body), a.ContentType
+	if a.Text != "" {
+		length, contentType = len(a.Text)+1, "text/plain"
+	}
+	if contentType != "" {
+		to = append(append(append(to, "Content-Type: "...), contentType...), "\r\n"...)
+	}
+	if a.RetryAfter > 0 {
+		to = append(to, "Retry-After: "...)
+		to = append(strconv.AppendFloat(to, a.RetryAfter.Seconds(), 'f', 3, 64), "\r\n"...)
+	}
+	if a.HeaderName != "" {
+		to = append(append(append(append(to, a.HeaderName...), ": "...), a.HeaderValue...), "\r\n"...)
+	}
+	if closes {
+		to = append(to, "Connection: close\r\n"...)
+	}
+	to = append(append(append(to, "Date: "...), s.date.at(s.now)...), "\r\n"...)
+	to = append(strconv.AppendInt(append(to, "Content-Length: "...), int64(length), 10), "\r\n\r\n"...)
+	switch {
+	case head:
+	case a.Text != "":
+		to = append(append(to, a.Text...), '\n')
+	default:
+		to = append(to, a.Body...)
+	}
+	return to
+}
+
+// sendResponse sends as much of a response as the client accepts now.
+func (s *Server) sendResponse(i int32, c *conn, a *Response) {
+	s.stats.Responses++
+	w := c.active
+	w.handle = nil
+	c.closeAfterResponse = c.closeAfterResponse || a.Close || s.shuttingDown
+	s.writeBuffer = s.encode(s.writeBuffer[:0], a, w.headOnly, c.closeAfterResponse)
+	n, err := s.config.Transport.Write(c.socket, s.writeBuffer)
+	if err != nil && !errors.Is(err, ErrWouldBlock) {
+		s.closeConn(i, c, closeWriteFailed)
+		return
+	}
+	s.account(w, 1, cap(w.buf))
+	if n < len(s.writeBuffer) {
+		w.unsent = append([]byte(nil), s.writeBuffer[n:]...)
+		s.memory.Add(membudget.PendingAnswers, len(w.unsent))
+		c.state = stateWriting
+		until := a.WriteDeadline
+		if until == 0 {
+			until = s.now + defaultWriteTimeout
+		}
+		s.wheel.Arm(i, until)
+		if s.config.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
+			s.closeConn(i, c, closeTransport)
+		}
+	} else {
+		s.responseSent(i, c)
+	}
+	if cap(s.writeBuffer) > 2*maxWriteBuffer {
+		s.writeBuffer = nil
+	}
+}
+
+const maxWriteBuffer = 64 << 10
+
+// flushResponse sends more of a response.
+func (s *Server) flushResponse(i int32, c *conn) {
+	w := c.active
+	for len(w.unsent) > 0 {
+		n, err := s.config.Transport.Write(c.socket, w.unsent)
+		s.memory.Add(membudget.PendingAnswers, -n)
+		w.unsent = w.unsent[n:]
+		if errors.Is(err, ErrWouldBlock) || err == nil && n == 0 {
+			if s.config.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
+				s.closeConn(i, c, closeTransport)
+			}
+			return
+		}
+		if err != nil {
+			s.closeConn(i, c, closeWriteFailed)
+			return
+		}
+	}
+	w.unsent = nil
+	s.wheel.Cancel(i)
+	s.responseSent(i, c)
+}
+
+// responseSent continues after a complete response: with bytes that followed the request, or by
+// parking or closing the connection.
+func (s *Server) responseSent(i int32, c *conn) {
+	w := c.active
+	if c.closeAfterResponse {
+		if c.overLimit && !c.readPending && len(w.buf) == 0 { // its descriptor is needed at once
+			s.closeConn(i, c, closeEvicted)
+			return
+		}
+		// Lingering close (RFC 9112, 9.6): closing a socket with unread bytes resets the
+		// connection, and the client may lose the response. Such bytes may arrive right before the
+		// close.
+		s.config.Transport.CloseWrite(c.socket)
+		c.state = stateLingering
+		w.buf, w.request, w.body = nil, nil, nil
+		s.account(w, 0, 0)
+		s.account(w, 1, 0)
+		s.idleConns.UnclassifiedReceived(i)
+		s.wheel.Arm(i, s.now+lingerTimeout)
+		s.discardInput(i, c)
+		return
+	}
+	c.pipelined = false
+	if len(w.buf) > 0 || c.readPending {
+		c.state = stateReading
+		s.idleConns.RequestPipelined(s.now, i)
+		s.wheel.Arm(i, s.now+RequestTimeout)
+		s.runnable.push(s.table.token(i))
+		return
+	}
+	s.park(i, c)
+}
+
+// park marks a connection as idle and starts its idle timer.
+func (s *Server) park(i int32, c *conn) {
+	s.releaseActive(c)
+	c.state = stateParked
+	s.capacityFreed = true
+	if c.rulesVersion != s.rulesVersion {
+		s.assignNetwork(i, c)
+	}
+	limit, slack := s.idleConns.BecameIdle(s.now, i)
+	s.wheel.ArmSpread(i, s.now+limit, slack)
+	if limit > minKeepAliveIdle && !c.keepAlive {
+		c.keepAlive = true
+		s.config.Transport.EnableKeepAlive(c.socket)
+	}
+}
+
+// minKeepAliveIdle is the idle timeout above which TCP keepalive is enabled. Below it the idle
+// timeout closes a dead connection soon enough.
+const minKeepAliveIdle = time.Minute
--- a/internal/node/front/calls.go
+++ b/internal/node/front/syscalls.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// read, write and peek are one system call each on a descriptor that does not
-// block, with Transport's results.
-func read(fd int, p []byte) (int, error) {
+// readFD, writeFD and peekFD each make one system call on a non-blocking descriptor and return what
+// Transport specifies.
+func readFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.Read(fd, p)
 		switch {
@@ -17,7 +17,7 @@
 		case err == unix.EAGAIN:
 			return 0, ErrWouldBlock
 		case err != nil:
-			return 0, fmt.Errorf("reading: %w", err)
+			return 0, fmt.Errorf("reading from client socket: %w", err)
 		case n == 0 && len(p) > 0:
 			return 0, io.EOF
 		default:
@@ -26,7 +26,7 @@
 	}
 }
 
-func write(fd int, p []byte) (int, error) {
+func writeFD(fd int, p []byte) (int, error) {
 	for {
 		n, err := unix.SendmsgN(fd, p, nil, nil, unix.MSG_NOSIGNAL)
 		switch {
@@ -34,14 +34,14 @@
 		case err == unix.EAGAIN:
 			return 0, ErrWouldBlock
 		case err != nil:
-			return 0, fmt.Errorf("writing: %w", err)
+			return 0, fmt.Errorf("writing to client socket: %w", err)
 		default:
 			return n, nil
 		}
 	}
 }
 
-func peek(fd int) error {
+func peekFD(fd int) error {
 	var one [1]byte
 	for {
 		n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -50,7 +50,7 @@
 		case err == unix.EAGAIN:
 			return ErrWouldBlock
 		case err != nil:
-			return fmt.Errorf("looking: %w", err)
+			return fmt.Errorf("peeking at client socket: %w", err)
 		case n == 0:
 			return io.EOF
 		default:
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -18,170 +18,170 @@
 )
 
 const (
-	MaxBodySize = 64 << 10
-	mostAnswer  = MaxBodySize + 64<<10 // with heads, interim answers and chunks
-	mostKept    = 2 << 10              // bytes kept with a connection for its next request
+	MaxBodySize     = 64 << 10
+	maxResponseSize = MaxBodySize + 64<<10 // including heads, interim responses and chunk framing
+	maxKeptBuffer   = 2 << 10              // larger write buffers are not kept with a connection
 )
 
-// Peer is a server as the loop knows it, for the attempts that are on their way
-// to it.
+// Target is a server to which attempts are being made. The node's loop owns it.
 type Target struct {
 	ID      string
-	Address string      // fixed: a server that moves gets a new peer
-	Closed  atomic.Bool // drains or is gone: nothing new may be sent
+	Address string      // never changes: a server that moves gets a new Target
+	Closed  atomic.Bool // draining or removed: nothing new may be sent
 }
 
-// Call is a request as its client sent it.
+// Request is a request as received from the client.
 type Request struct {
 	Method, URI, Host   string
-	Txn, IdempotencyKey string // X-Txn and Idempotency-Key
-	ContentType         string // Content-Type
+	Txn, IdempotencyKey string // the X-Txn and Idempotency-Key headers
+	ContentType         string
 	Body                []byte
-	Finished            *atomic.Bool // it has its answer, or its client has left
+	Finished            *atomic.Bool // it has been answered, or its client has disconnected
 }
 
-func (q *Request) over() bool { return q.Finished != nil && q.Finished.Load() }
+func (q *Request) isFinished() bool { return q.Finished != nil && q.Finished.Load() }
 
-// Response is the body of a server's answer.
+// Response is the body of a server's response and its type.
 type Response struct {
-	ContentType string // Content-Type
+	ContentType string
 	Body        []byte
 }
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome struct {
 	Result      decide.Result
-	Response    *Response     // served
-	ConnClosed  bool          // its connection is not kept
-	SpentBudget []string      // the answer's word of what was spent of a budget
-	ConnAge     time.Duration // of the connection on which it was made
-	DialTime    time.Duration // how long a new connection took; 0: it went out on one that was there
+	Response    *Response     // set if Result is decide.Served
+	ConnClosed  bool          // the connection is not kept
+	SpentBudget []string      // values of the response header that reports budget spent
+	ConnAge     time.Duration // age of the connection that was used
+	DialTime    time.Duration // time to open a new connection; 0: an idle one was used
 }
 
-// Pool makes attempts. It keeps connections to servers, of which each
-// carries one request at a time. net/http's Transport is no use here: it sends
-// requests again by itself, which may let an effect happen twice.
+// Pool makes attempts. It keeps connections to servers, each of which carries one request at a
+// time. It doesn't use net/http's Transport, which may send a request again by itself, so that an
+// effect could happen twice.
 type Pool struct {
-	clock          clock.Clock
-	sockets        *ConnLimiter
-	connectTimeout time.Duration
-	idleFor        time.Duration // connections are closed when idle for this
-	untidy         atomic.Bool   // a server has sent more than its answer
-	onClose        func(server string, why CloseReason)
-
-	mu     sync.Mutex
-	idle   map[string][]*conn // by server; the last was used last
-	timers *timerwheel.Wheel  // when idle connections have idled for too long
-	rows   []*conn            // by timer
-	free   []int32            // timers that no connection has
-	due    []int32
+	clock            clock.Clock
+	limiter          *ConnLimiter
+	connectTimeout   time.Duration
+	idleTimeout      time.Duration // connections that are idle for longer are closed
+	sawTrailingBytes atomic.Bool   // a server has sent bytes after its response
+	onClose          func(server string, reason CloseReason)
+
+	mu         sync.Mutex
+	idle       map[string][]*conn // by server ID; the most recently used is last
+	idleTimers *timerwheel.Wheel  // closing times of idle connections
+	timerConns []*conn            // idle connections by timer ID
+	freeTimers []int32            // unused timer IDs
+	dueTimers  []int32
 }
 
 type conn struct {
 	net.Conn
-	address   string
-	opened    time.Duration
-	server    string            // whose it is, once it has idled
-	limit     *io.LimitedReader // what the answer may still bring
-	reader    *bufio.Reader     // reads from limit
-	raw       syscall.RawConn
-	sockets   *ConnLimiter
-	idleSince time.Duration
-	timer     int32  // its row
-	message   []byte // room for the next request
+	address       string
+	opened        time.Duration
+	serverID      string            // set once the connection has been idle
+	responseLimit *io.LimitedReader // limits the size of the response
+	reader        *bufio.Reader     // reads from responseLimit
+	raw           syscall.RawConn
+	limiter       *ConnLimiter
+	idleSince     time.Duration
+	timer         int32  // its timer ID while idle
+	writeBuffer   []byte // reused for the next request
 }
 
 func (c *conn) close() {
 	c.Conn.Close()
-	c.sockets.give()
+	c.limiter.release()
 }
 
-// CloseReason is why a connection to a server is closed, as logs have it.
+// CloseReason is the reason for closing a connection to a server, as written to the log.
 type CloseReason string
 
-// The reasons.
+// Reasons for closing a connection to a server.
 const (
-	CloseExpired        CloseReason = "idle for too long"
-	CloseAddressChanged CloseReason = "its server has another address"
-	CloseByServer       CloseReason = "the server ended it, or sent what nobody asked for"
-	CloseUnusable       CloseReason = "its attempt left it unusable"
-	CloseServerClosed   CloseReason = "its server gets nothing new"
-	CloseEvicted        CloseReason = "room for another"
-	CloseShutdown       CloseReason = "the node ends"
+	CloseExpired        CloseReason = "idle timeout"
+	CloseAddressChanged CloseReason = "server address changed"
+	CloseByServer       CloseReason = "closed by the server, or unsolicited bytes received"
+	CloseUnusable       CloseReason = "not reusable after its attempt"
+	CloseServerClosed   CloseReason = "server is draining or removed"
+	CloseEvicted        CloseReason = "evicted to make room"
+	CloseShutdown       CloseReason = "node is shutting down"
 )
 
-// OnClose has a function called for each connection that is closed; it must not call the pool. It is set before the first
-// attempt.
-func (u *Pool) OnClose(f func(server string, why CloseReason)) { u.onClose = f }
+// OnClose sets a function that is called for each closed connection and must not call the pool. It
+// has to be set before the first attempt.
+func (u *Pool) OnClose(f func(server string, reason CloseReason)) { u.onClose = f }
 
-// discard closes a connection to a server, and tells why.
-func (u *Pool) discard(c *conn, server string, why CloseReason) {
+// discard closes a connection to a server and reports the reason.
+func (u *Pool) discard(c *conn, server string, reason CloseReason) {
 	if u.onClose != nil {
-		u.onClose(server, why)
+		u.onClose(server, reason)
 	}
 	c.close()
 }
 
-// idleMargin is how long before the server's own time a connection is closed,
-// lest a request cross the server's closing on the way.
+// idleMargin is how much sooner than the server's own idle timeout a connection is closed, so that
+// no request is sent while the server is closing it.
 const idleMargin = 250 * time.Millisecond
 
-// settling is how long a connection rests after an answer, once any server has
-// sent something behind one. It is seen by then; in use again, the connection
-// would pass it for the next request's answer. Until then no connection rests:
-// calls that follow each other closely would each need a new one.
-const settling = 5 * time.Millisecond
+// settleTime is how long a connection stays unused after a response, once any server has sent bytes
+// after its response. If such bytes arrive in that time, they are noticed. On a reused connection
+// they would be taken for the response to the next request. Before any server has done so,
+// connections are reused at once, because otherwise requests in close succession would each need a
+// new connection.
+const settleTime = 5 * time.Millisecond
 
 func New(clock clock.Clock, sockets *ConnLimiter, set *decide.Settings) *Pool {
 	u := &Pool{
-		clock: clock, sockets: sockets, connectTimeout: set.ConnectTimeout, idleFor: set.ConnIdleTimeout,
-		idle: map[string][]*conn{}, timers: timerwheel.New(idleTick, clock.Now()),
+		clock: clock, limiter: sockets, connectTimeout: set.ConnectTimeout, idleTimeout: set.ConnIdleTimeout,
+		idle: map[string][]*conn{}, idleTimers: timerwheel.New(idleTick, clock.Now()),
 	}
 	if u.connectTimeout <= 0 {
 		u.connectTimeout = time.Second
 	}
-	if u.idleFor <= 0 {
-		u.idleFor = 10 * time.Second
+	if u.idleTimeout <= 0 {
+		u.idleTimeout = 10 * time.Second
 	}
-	u.idleFor -= min(idleMargin, u.idleFor/10)
+	u.idleTimeout -= min(idleMargin, u.idleTimeout/10)
 	return u
 }
 
-// get returns the connection to a server that was used last and has come to
-// rest, or nil.
-func (u *Pool) get(p *Target) *conn {
+// takeIdle removes and returns the most recently used idle connection to a server that has settled,
+// or returns nil.
+func (u *Pool) takeIdle(p *Target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for at := len(u.idle[p.ID]) - 1; at >= 0; at-- {
 		c := u.idle[p.ID][at]
-		rested := u.clock.Now() - c.idleSince
-		if u.untidy.Load() && rested < settling && c.address == p.Address {
+		idleTime := u.clock.Now() - c.idleSince
+		if u.sawTrailingBytes.Load() && idleTime < settleTime && c.address == p.Address {
 			continue
 		}
 		u.idle[p.ID] = slices.Delete(u.idle[p.ID], at, at+1)
-		u.unarm(c)
-		why := CloseExpired
+		u.cancelIdleTimer(c)
+		reason := CloseExpired
 		switch {
 		case c.address != p.Address:
-			why = CloseAddressChanged
-		case rested < u.idleFor:
-			alive, more := c.look()
+			reason = CloseAddressChanged
+		case idleTime < u.idleTimeout:
+			alive, hasData := c.probe()
 			if alive {
 				return c
 			}
-			if more {
-				u.untidy.Store(true)
+			if hasData {
+				u.sawTrailingBytes.Store(true)
 			}
-			why = CloseByServer
+			reason = CloseByServer
 		}
-		u.discard(c, p.ID, why)
+		u.discard(c, p.ID, reason)
 	}
 	return nil
 }
 
-// put keeps a connection for the next request, unless its server wants none.
-func (u *Pool) put(p *Target, c *conn) bool {
-	c.SetDeadline(time.Time{}) // once past, it would fail the look that get takes
+// keepIdle keeps a connection for the next request, unless nothing may be sent to its server.
+func (u *Pool) keepIdle(p *Target, c *conn) bool {
+	c.SetDeadline(time.Time{}) // an expired deadline would fail the probe in takeIdle
 	c.idleSince = u.clock.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -189,105 +189,108 @@
 		return false
 	}
 	u.idle[p.ID] = append(u.idle[p.ID], c)
-	c.server = p.ID
-	u.arm(c)
+	c.serverID = p.ID
+	u.armIdleTimer(c)
 	return true
 }
 
-// HangUp closes the idle connections to a server.
+// CloseServer closes the idle connections to a server.
 func (u *Pool) CloseServer(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
-		u.unarm(c)
+		u.cancelIdleTimer(c)
 		u.discard(c, id, CloseServerClosed)
 	}
 	delete(u.idle, id)
 }
 
-// arm has a connection closed once it has idled for too long. u.mu is held.
-func (u *Pool) arm(c *conn) {
-	if n := len(u.free); n > 0 {
-		c.timer, u.free = u.free[n-1], u.free[:n-1]
+// armIdleTimer sets a timer to close a connection after the idle timeout. u.mu must be held.
+func (u *Pool) armIdleTimer(c *conn) {
+	if n := len(u.freeTimers); n > 0 {
+		c.timer, u.freeTimers = u.freeTimers[n-1], u.freeTimers[:n-1]
 	} else {
-		c.timer = int32(len(u.rows))
-		u.rows = append(u.rows, nil)
+		c.timer = int32(len(u.timerConns))
+		u.timerConns = append(u.timerConns, nil)
 	}
-	u.rows[c.timer] = c
-	u.timers.Arm(c.timer, c.idleSince+u.idleFor)
+	u.timerConns[c.timer] = c
+	u.idleTimers.Arm(c.timer, c.idleSince+u.idleTimeout)
 }
 
-// unarm is arm's end: the connection is in use again or closes. u.mu is held.
-func (u *Pool) unarm(c *conn) {
-	u.timers.Cancel(c.timer)
-	u.rows[c.timer] = nil
-	u.free = append(u.free, c.timer)
+// cancelIdleTimer cancels the timer of a connection that is used again or closed. u.mu must be
+// held.
+func (u *Pool) cancelIdleTimer(c *conn) {
+	u.idleTimers.Cancel(c.timer)
+	u.timerConns[c.timer] = nil
+	u.freeTimers = append(u.freeTimers, c.timer)
 }
 
-// mostIdleClosed bounds what is closed between two looks at the clock.
+// maxExpiredPerBatch is the maximum number of connections closed between two looks at the clock.
 const (
-	mostIdleClosed = 8
-	idleTick       = 20 * time.Millisecond
+	maxExpiredPerBatch = 8
+	idleTick           = 20 * time.Millisecond
 )
 
-// Sweep closes connections that have idled for too long, as background work.
-func (u *Pool) CloseExpired(slice time.Duration) (took time.Duration, more bool) {
-	begun := u.clock.Now()
-	for now := begun; now < begun+slice; now = u.clock.Now() {
+// CloseExpired closes connections whose idle timeout is over, for about a time slice. It is
+// background work.
+func (u *Pool) CloseExpired(slice time.Duration) (elapsed time.Duration, more bool) {
+	started := u.clock.Now()
+	for now := started; now < started+slice; now = u.clock.Now() {
 		u.mu.Lock()
-		u.due = u.timers.Advance(now, mostIdleClosed, u.due[:0])
-		for _, t := range u.due {
-			c := u.rows[t]
-			stack := u.idle[c.server]
+		u.dueTimers = u.idleTimers.Advance(now, maxExpiredPerBatch, u.dueTimers[:0])
+		for _, t := range u.dueTimers {
+			c := u.timerConns[t]
+			stack := u.idle[c.serverID]
 			if at := slices.Index(stack, c); at >= 0 {
 				if stack = slices.Delete(stack, at, at+1); len(stack) == 0 {
-					delete(u.idle, c.server)
+					delete(u.idle, c.serverID)
 				} else {
-					u.idle[c.server] = stack
+					u.idle[c.serverID] = stack
 				}
 			}
-			u.unarm(c)
-			u.discard(c, c.server, CloseExpired)
+			u.cancelIdleTimer(c)
+			u.discard(c, c.serverID, CloseExpired)
 		}
-		done := len(u.due) < mostIdleClosed
+		done := len(u.dueTimers) < maxExpiredPerBatch
 		u.mu.Unlock()
 		if done {
-			return u.clock.Now() - begun, false
+			return u.clock.Now() - started, false
 		}
 	}
-	return u.clock.Now() - begun, true
+	return u.clock.Now() - started, true
 }
 
-// CloseIdle closes all idle connections: the node ends.
+// CloseIdle closes all idle connections when the node shuts down.
 func (u *Pool) CloseIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, stack := range u.idle {
 		for _, c := range stack {
-			u.unarm(c)
+			u.cancelIdleTimer(c)
 			u.discard(c, id, CloseShutdown)
 		}
 		delete(u.idle, id)
 	}
 }
 
-// Open is how many connections there are, idle and in use.
-func (u *Pool) OpenConns() int { return int(u.sockets.open.Load()) }
+// OpenConns returns the number of connections, idle and in use.
+func (u *Pool) OpenConns() int { return int(u.limiter.open.Load()) }
 
-// Alive is how many idle connections to a server have nothing to read.
+// AliveIdle returns the number of idle connections to a server that have nothing to read.
 func (u *Pool) AliveIdle(id string) (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
-		if alive, _ := c.look(); alive {
+		if alive, _ := c.probe(); alive {
 			n++
 		}
 	}
 	return n
 }
 
-// relieve closes the connection that has idled longest, to make room for another.
-func (u *Pool) relieve() bool {
+// evictLongestIdle closes the connection that has been idle longest to make room for another. It
+// returns false if there is none.
+func (u *Pool) evictLongestIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	oldest := ""
@@ -299,49 +302,49 @@
 	if oldest == "" {
 		return false
 	}
-	u.unarm(u.idle[oldest][0])
+	u.cancelIdleTimer(u.idle[oldest][0])
 	u.discard(u.idle[oldest][0], oldest, CloseEvicted)
 	u.idle[oldest] = u.idle[oldest][1:]
 	return true
 }
 
-// look tells whether an idle connection has nothing to read, not even its end,
-// and if not, whether something came on it.
-func (c *conn) look() (alive, more bool) {
+// probe reports whether an idle connection is alive, that is, has nothing to read and was not
+// closed by the server. If it isn't, hasData reports whether bytes have arrived on it.
+func (c *conn) probe() (alive, hasData bool) {
 	err := c.raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		alive, more = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK, n > 0
+		alive, hasData = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK, n > 0
 		return true
 	})
-	return err == nil && alive, more
+	return err == nil && alive, hasData
 }
 
 // dial opens a connection to a server.
 func (u *Pool) dial(ctx context.Context, p *Target, until time.Duration) (*conn, error) {
-	for !u.sockets.take() {
-		if !u.relieve() {
-			return nil, fmt.Errorf("dialing %s: no socket left", p.ID)
+	for !u.limiter.acquire() {
+		if !u.evictLongestIdle() {
+			return nil, fmt.Errorf("dialing %s: connection limit reached", p.ID)
 		}
 	}
 	dialer := net.Dialer{Timeout: min(u.connectTimeout, until-u.clock.Now()), KeepAlive: -1}
 	if dialer.Timeout <= 0 {
-		u.sockets.give()
+		u.limiter.release()
 		return nil, fmt.Errorf("dialing %s: no time left", p.ID)
 	}
 	nc, err := dialer.DialContext(ctx, "tcp", p.Address)
 	if err != nil {
-		u.sockets.give()
+		u.limiter.release()
 		return nil, fmt.Errorf("dialing %s: %w", p.ID, err)
 	}
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		nc.Close()
-		u.sockets.give()
+		u.limiter.release()
 		return nil, fmt.Errorf("dialing %s: %w", p.ID, err)
 	}
 	limit := &io.LimitedReader{R: nc}
 	return &conn{
-		Conn: nc, address: p.Address, opened: u.clock.Now(), limit: limit, reader: bufio.NewReader(limit), raw: raw, sockets: u.sockets,
+		Conn: nc, address: p.Address, opened: u.clock.Now(), responseLimit: limit, reader: bufio.NewReader(limit), raw: raw, limiter: u.limiter,
 	}, nil
 }
