--- a/internal/fleet/membership/fuzz_test.go
+++ b/internal/fleet/membership/fuzz_test.go
@@ -37,7 +37,7 @@
 			all = append(all, Member{Name: string(rune('b' + i)), Addr: addr(uint64(i) + 1), Life: uint64(i) + 1})
 		}
 		if v, err := NewView(n.view.FleetID, 2, append(all, n.self), 10); err == nil {
-			n.install(v, "")
+			n.installView(v, "")
 		}
 		for len(data) > 0 {
 			x := next()
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -22,15 +22,15 @@
 }
 
 // The longest name and site, in bytes.
-const mostName = 64
+const maxNameBytes = 64
 
 // Check finds what no member can be.
 func (m *Member) Check() error {
 	switch {
-	case m.Name == "" || len(m.Name) > mostName:
-		return fmt.Errorf("member: a name has 1 to %d bytes, this one %d", mostName, len(m.Name))
-	case len(m.Site) > mostName:
-		return fmt.Errorf("member %q: a site has %d bytes at most, this one %d", m.Name, mostName, len(m.Site))
+	case m.Name == "" || len(m.Name) > maxNameBytes:
+		return fmt.Errorf("member: a name has 1 to %d bytes, this one %d", maxNameBytes, len(m.Name))
+	case len(m.Site) > maxNameBytes:
+		return fmt.Errorf("member %q: a site has %d bytes at most, this one %d", m.Name, maxNameBytes, len(m.Site))
 	case !m.Addr.IsValid() || m.Addr.Port() == 0:
 		return fmt.Errorf("member %q: no address", m.Name)
 	case m.Life == 0:
@@ -46,12 +46,12 @@
 	Members []Member // by name, then by life
 	Digest  uint64   // of all of the above
 
-	byLife   map[uint64]uint32
-	byName   map[string]uint32
-	rings    [][]uint32 // each an order of the members; nil: everyone watches everyone
-	watchers [][]uint32 // of each member
-	watched  [][]uint32 // by each member
-	order    []uint32   // who proposes, first to last
+	byLife        map[uint64]uint32
+	byName        map[string]uint32
+	rings         [][]uint32 // each an order of the members; nil: everyone watches everyone
+	watchers      [][]uint32 // of each member
+	watchedBy     [][]uint32 // by each member
+	proposerOrder []uint32   // who proposes, first to last
 }
 
 // NewView makes a view of members, each watched by so many others, or by all if
@@ -93,12 +93,12 @@
 		h.WriteString(m.Site)
 	}
 	v.Digest = h.Sum64()
-	v.draw(watchers)
+	v.assignWatchers(watchers)
 	return v, nil
 }
 
 // mix scatters a life's bits, differently for each ring.
-func mix(life uint64, ring int) uint64 {
+func hashLife(life uint64, ring int) uint64 {
 	x := life + uint64(ring+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -108,10 +108,10 @@
 // draw says who watches whom: on each of some rings a member is watched by the next one
 // that does not do so already. The first ring is one for each site, so that one of its own
 // site watches a member, if there is one.
-func (v *View) draw(k int) {
+func (v *View) assignWatchers(k int) {
 	n := len(v.Members)
-	v.order = v.ring(-1)
-	v.watchers, v.watched = make([][]uint32, n), make([][]uint32, n)
+	v.proposerOrder = v.ring(-1)
+	v.watchers, v.watchedBy = make([][]uint32, n), make([][]uint32, n)
 	if n-1 <= k {
 		for i := range v.watchers {
 			for j := range n {
@@ -121,8 +121,8 @@
 			}
 		}
 	} else {
-		v.rings = append(v.rings, v.order)
-		v.drawSites()
+		v.rings = append(v.rings, v.proposerOrder)
+		v.assignSiteWatchers()
 		for r := 1; r < k; r++ {
 			ring := v.ring(r)
 			v.rings = append(v.rings, ring)
@@ -138,20 +138,20 @@
 	}
 	for subject, all := range v.watchers {
 		for _, o := range all {
-			v.watched[o] = append(v.watched[o], uint32(subject))
+			v.watchedBy[o] = append(v.watchedBy[o], uint32(subject))
 		}
 	}
 }
 
-func (v *View) drawSites() {
+func (v *View) assignSiteWatchers() {
 	sites := map[string][]uint32{}
-	for _, i := range v.order {
+	for _, i := range v.proposerOrder {
 		site := v.Members[i].Site
 		sites[site] = append(sites[site], i)
 	}
-	for p, subject := range v.order {
+	for p, subject := range v.proposerOrder {
 		if len(sites[v.Members[subject].Site]) == 1 {
-			v.watchers[subject] = append(v.watchers[subject], v.order[(p+1)%len(v.order)])
+			v.watchers[subject] = append(v.watchers[subject], v.proposerOrder[(p+1)%len(v.proposerOrder)])
 		}
 	}
 	for _, own := range sites {
@@ -170,7 +170,7 @@
 	}
 	places := make([]place, len(v.Members))
 	for i := range v.Members {
-		places[i] = place{mix(v.Members[i].Life, r), uint32(i)}
+		places[i] = place{hashLife(v.Members[i].Life, r), uint32(i)}
 	}
 	slices.SortFunc(places, func(a, b place) int { return cmp.Compare(a.at, b.at) })
 	ring := make([]uint32, len(places))
@@ -183,15 +183,15 @@
 // sponsors are those who try a life that wants in, before it is let in.
 func (v *View) sponsors(life uint64) []uint32 {
 	if v.rings == nil {
-		return v.order
+		return v.proposerOrder
 	}
 	var all []uint32
 	for r, ring := range v.rings {
 		if r == 0 {
 			r = -1 // the order of those who propose
 		}
-		at := mix(life, r)
-		p, _ := slices.BinarySearchFunc(ring, at, func(i uint32, at uint64) int { return cmp.Compare(mix(v.Members[i].Life, r), at) })
+		at := hashLife(life, r)
+		p, _ := slices.BinarySearchFunc(ring, at, func(i uint32, at uint64) int { return cmp.Compare(hashLife(v.Members[i].Life, r), at) })
 		for d := range ring {
 			if o := ring[(p+d)%len(ring)]; !slices.Contains(all, o) {
 				all = append(all, o)
@@ -218,9 +218,9 @@
 func (v *View) majority() int { return len(v.Members)/2 + 1 }
 
 // Thresholds of accusations for a member with so many watchers.
-func high(watchers int) int { return (3*watchers + 3) / 4 }   // all but a few
-func low(watchers int) int  { return (3*watchers + 9) / 10 }  // below is noise
-func half(watchers int) int { return max(1, (watchers+1)/2) } // of those that see it alive
+func highWatermark(watchers int) int { return (3*watchers + 3) / 4 }   // all but a few
+func lowWatermark(watchers int) int  { return (3*watchers + 9) / 10 }  // below is noise
+func halfOf(watchers int) int        { return max(1, (watchers+1)/2) } // of those that see it alive
 
 // Proposal is a change of a view.
 type Proposal struct {
--- a/internal/fleet/membership/node_test.go
+++ b/internal/fleet/membership/node_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-func named(i int) Member {
+func testMember(i int) Member {
 	return Member{
 		Name: fmt.Sprintf("n%02d", i), Site: fmt.Sprint("s", i%3), Life: uint64(i) + 1, Incarnation: 1,
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 7000),
@@ -19,25 +19,25 @@
 }
 
 // among returns the node of one place in a view of so many.
-func among(t *testing.T, nodes, i int) *Node {
+func nodeInView(t *testing.T, nodes, i int) *Node {
 	t.Helper()
 	var all []Member
 	for k := range nodes {
-		all = append(all, named(k))
+		all = append(all, testMember(k))
 	}
 	v, err := NewView(9, 1, all, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := New(Settings{Self: named(i), Seeds: []netip.AddrPort{named(0).Addr}}, uint64(i), time.Second)
-	n.self = named(i)
-	n.install(v, "")
+	n := New(Settings{Self: testMember(i), Seeds: []netip.AddrPort{testMember(0).Addr}}, uint64(i), time.Second)
+	n.self = testMember(i)
+	n.installView(v, "")
 	n.TakeOutput()
 	return n
 }
 
 // live ticks a node for a while; those who answer do so at once.
-func live(n *Node, lasts time.Duration, answers func(m Member) bool) {
+func runFor(n *Node, lasts time.Duration, answers func(m Member) bool) {
 	for end := n.now + lasts; n.now < end; {
 		n.Tick(n.now + 100*ms)
 		sends, _ := n.TakeOutput()
@@ -53,14 +53,14 @@
 
 // Whoever was silent while this node stood still has not been silent for it.
 func TestPauseIsForgiven(t *testing.T) {
-	n := among(t, 12, 0)
-	one := n.view.Members[n.view.watched[n.at][0]].Life
-	live(n, 3*time.Second, func(m Member) bool { return m.Life == one })
+	n := nodeInView(t, 12, 0)
+	one := n.view.Members[n.view.watchedBy[n.index][0]].Life
+	runFor(n, 3*time.Second, func(m Member) bool { return m.Life == one })
 	n.Tick(n.now + 10*time.Second)
 	if n.stats.Accusations > 0 || n.stalls != 1 {
 		t.Errorf("%d accusations after a pause, %d pauses seen", n.stats.Accusations, n.stalls)
 	}
-	live(n, 5*time.Second, func(m Member) bool { return m.Life == one })
+	runFor(n, 5*time.Second, func(m Member) bool { return m.Life == one })
 	if want := len(n.edges) - 1; n.stats.Accusations != want {
 		t.Errorf("%d accusations of those who stayed silent, want %d", n.stats.Accusations, want)
 	}
@@ -68,13 +68,13 @@
 
 // Who hears nobody is itself cut off, and accuses nobody; nor as soon as one is heard again.
 func TestWhoHearsNobodyAccusesNobody(t *testing.T) {
-	n := among(t, 12, 0)
-	live(n, 20*time.Second, func(Member) bool { return false })
+	n := nodeInView(t, 12, 0)
+	runFor(n, 20*time.Second, func(Member) bool { return false })
 	if n.stats.Accusations > 0 || !n.isolated {
 		t.Errorf("%d accusations, isolated %v", n.stats.Accusations, n.isolated)
 	}
-	one := n.view.Members[n.view.watched[n.at][0]].Life
-	live(n, 2*time.Second, func(m Member) bool { return m.Life == one })
+	one := n.view.Members[n.view.watchedBy[n.index][0]].Life
+	runFor(n, 2*time.Second, func(m Member) bool { return m.Life == one })
 	if n.stats.Accusations > 0 {
 		t.Errorf("%d accusations right after", n.stats.Accusations)
 	}
@@ -82,22 +82,22 @@
 
 // An answer of a life that is not in the view, or to nothing that was asked, is no contact.
 func TestOldAnswersAreNoContact(t *testing.T) {
-	n := among(t, 5, 0)
-	live(n, 2*time.Second, func(Member) bool { return false })
+	n := nodeInView(t, 5, 0)
+	runFor(n, 2*time.Second, func(Member) bool { return false })
 	for seq := range uint64(40) {
 		n.Receive(n.now, &Message{Kind: Ack, SenderLife: 77, Seq: seq, FleetID: 9, ViewNumber: 1})
 		n.Receive(n.now, &Message{Kind: Ack, SenderLife: 2, Seq: seq + 1000, FleetID: 9, ViewNumber: 1})
 	}
 	for _, e := range n.edges {
-		if e.heard > 0 {
+		if e.lastContact > 0 {
 			t.Errorf("contact with %s", e.member.Name)
 		}
 	}
 }
 
-func accuse(n *Node, subject uint32, watchers int) {
+func accuseByFirst(n *Node, subject uint32, watchers int) {
 	for s := range uint32(watchers) {
-		n.cut.alert(n.view, Alert{Subject: subject, WatcherSlot: s, Seq: n.cut.row(subject).seqs[s] + 1, Down: true}, n.now)
+		n.detector.recordAlert(n.view, Alert{Subject: subject, WatcherSlot: s, Seq: n.detector.subject(subject).alertSeqs[s] + 1, Down: true}, n.now)
 	}
 }
 
@@ -108,10 +108,10 @@
 		out              int
 		clear            bool
 	}{{8, 0, 1, true}, {10, 2, 1, true}, {8, 3, 1, false}, {7, 0, 0, false}, {2, 2, 0, true}} {
-		n := among(t, 30, 0)
-		accuse(n, 5, x.accusers)
-		accuse(n, 17, x.beside)
-		out, clear := n.cut.verdict(n.view, n.now+time.Second)
+		n := nodeInView(t, 30, 0)
+		accuseByFirst(n, 5, x.accusers)
+		accuseByFirst(n, 17, x.beside)
+		out, clear := n.detector.removals(n.view, n.now+time.Second)
 		if len(out) != x.out || clear != x.clear {
 			t.Errorf("accused by %d and another by %d: out %v, clear %v", x.accusers, x.beside, out, clear)
 		}
@@ -120,28 +120,28 @@
 
 // Who is accused is told, says that it lives, and is not taken out while it does.
 func TestTheAccusedSpeaks(t *testing.T) {
-	n := among(t, 30, 0)
-	m := &Message{Kind: Probe, SenderLife: named(1).Life, FleetID: 9, ViewNumber: 1, Seq: 1}
+	n := nodeInView(t, 30, 0)
+	m := &Message{Kind: Probe, SenderLife: testMember(1).Life, FleetID: 9, ViewNumber: 1, Seq: 1}
 	for s := range uint32(8) {
-		m.Alerts = append(m.Alerts, Alert{Subject: n.at, WatcherSlot: s, Seq: 1, Down: true})
+		m.Alerts = append(m.Alerts, Alert{Subject: n.index, WatcherSlot: s, Seq: 1, Down: true})
 	}
 	n.Receive(n.now, m)
 	n.TakeOutput()
 	n.Tick(n.now + 100*ms)
 	sends, _ := n.TakeOutput()
 	if !slices.ContainsFunc(sends, func(s Outgoing) bool {
-		return len(s.Message.Refutations) == 1 && s.Message.Refutations[0].Member == n.at
+		return len(s.Message.Refutations) == 1 && s.Message.Refutations[0].Member == n.index
 	}) {
 		t.Error("it does not say that it lives")
 	}
-	other := among(t, 30, 3)
-	subject := other.view.watched[other.at][0]
-	accuse(other, subject, 8)
-	if out, _ := other.cut.verdict(other.view, other.now+time.Second); !slices.Equal(out, []uint32{subject}) {
+	other := nodeInView(t, 30, 3)
+	subject := other.view.watchedBy[other.index][0]
+	accuseByFirst(other, subject, 8)
+	if out, _ := other.detector.removals(other.view, other.now+time.Second); !slices.Equal(out, []uint32{subject}) {
 		t.Errorf("mute: out %v", out)
 	}
 	other.Receive(other.now, &Message{Kind: Gossip, SenderLife: 2, FleetID: 9, ViewNumber: 1, Refutations: []Refutation{{subject, 1}}})
-	if out, _ := other.cut.verdict(other.view, other.now+time.Second); len(out) > 0 {
+	if out, _ := other.detector.removals(other.view, other.now+time.Second); len(out) > 0 {
 		t.Errorf("it speaks: out %v", out)
 	}
 	told := false
@@ -159,7 +159,7 @@
 
 // A name that is taken out again and again waits, longer each time.
 func TestTakenOutAgain(t *testing.T) {
-	n := among(t, 5, 0)
+	n := nodeInView(t, 5, 0)
 	v := n.view
 	without, err := v.Next(&Proposal{ViewNumber: 1, NextNumber: 2, Remove: []uint32{4}}, 10)
 	if err != nil {
@@ -167,16 +167,16 @@
 	}
 	last := time.Duration(-1)
 	for k := range 4 {
-		n.remember(v, without)
-		r := n.removed[named(4).Name]
-		if wait := max(0, r.until-n.now); wait <= last && k > 0 {
+		n.recordRemovals(v, without)
+		r := n.removed[testMember(4).Name]
+		if wait := max(0, r.readmitAt-n.now); wait <= last && k > 0 {
 			t.Errorf("time %d: waits %v after %v", k+1, wait, last)
 		} else {
 			last = wait
 		}
 	}
 	n.view = without
-	joiner := named(4)
+	joiner := testMember(4)
 	joiner.Life = 99
 	n.Receive(n.now+time.Second, &Message{Kind: Join, SenderLife: 99, Self: &joiner})
 	if len(n.trials) > 0 {
@@ -197,9 +197,9 @@
 		size := 3 + rng.IntN(3)
 		var nodes []*Node
 		for i := range size {
-			n := among(t, size, i)
-			extra := named(20 + i) // each would have another change
-			n.vote.wish = &Proposal{ViewNumber: 1, NextNumber: 2, Add: []Member{extra}}
+			n := nodeInView(t, size, i)
+			extra := testMember(20 + i) // each would have another change
+			n.ballots.ownProposal = &Proposal{ViewNumber: 1, NextNumber: 2, Add: []Member{extra}}
 			nodes = append(nodes, n)
 		}
 		type letter struct {
@@ -211,20 +211,20 @@
 		for range 120 {
 			i := rng.IntN(size)
 			n := nodes[i]
-			switch b := &n.vote; {
+			switch b := &n.ballots; {
 			case n.view.Number == 1 && rng.IntN(6) == 0:
-				b.open(Vote{ViewNumber: 1, Ballot: ballotOf(b.cur.Ballot>>32+1, b.rank), Promises: NewBitSet(size)}, n.now)
-				n.weigh()
+				b.openBallot(Vote{ViewNumber: 1, Ballot: ballotNumber(b.current.Ballot>>32+1, b.rank), Promises: NewBitSet(size)}, n.now)
+				n.advanceBallot()
 			case len(post) > 0 && rng.IntN(2) == 0:
 				k := rng.IntN(len(post))
 				l := post[k]
 				if rng.IntN(4) > 0 { // else it comes again later
 					post = slices.Delete(post, k, k+1)
 				}
-				nodes[l.to].hearVote(l.m)
-			case n.view.Number == 1 && b.cur.Ballot != 0:
+				nodes[l.to].mergeVote(l.m)
+			case n.view.Number == 1 && b.current.Ballot != 0:
 				m := &Message{Kind: Gossip, SenderLife: n.self.Life, FleetID: 9, ViewNumber: 1}
-				m.Vote, m.Proposal = n.ballot(b.cur, b.proposals[b.cur.Value])
+				m.Vote, m.Proposal = n.voteForMessage(b.current, b.proposals[b.current.Value])
 				if to := rng.IntN(size); to != i {
 					post = append(post, letter{to, m})
 				}
--- a/internal/fleet/membership/settings.go
+++ b/internal/fleet/membership/settings.go
@@ -77,39 +77,39 @@
 
 // Bounds that hold whatever is set.
 const (
-	mostMembers  = 20_000
-	mostFounders = 16   // seeds, the first of the list, a majority of which founds the fleet
-	mostAsked    = 8    // seeds that one attempt to get in asks; the next asks others
-	mostAdds     = 1024 // in one change
-	mostPending  = 8192 // that want in
-	mostInline   = 700  // bytes of a proposal that goes along with votes
-	mostNewsKept = 8192 // items
-	attempts     = 3    // of a round of probes
+	maxMembers             = 20_000
+	maxFounders            = 16   // seeds, the first of the list, a majority of which founds the fleet
+	maxSeedsPerJoin        = 8    // seeds that one attempt to get in asks; the next asks others
+	maxAddsPerChange       = 1024 // in one change
+	maxPendingJoiners      = 8192 // that want in
+	maxInlineProposalBytes = 700  // bytes of a proposal that goes along with votes
+	maxGossipItems         = 8192 // items
+	probeAttempts          = 3    // of a round of probes
 )
 
 // Times that follow from no setting.
 const (
-	stallAfter   = 700 * time.Millisecond  // between ticks: the node stood still
-	aliveEvery   = time.Second             // an accused member speaks up so often
-	aliveFresh   = 3 * time.Second         // its word holds so long
-	wordFirst    = 700 * time.Millisecond  // an accused member may speak up before it is taken out
-	wordWithin   = 1500 * time.Millisecond // its word has come by then, also by way of one node
-	steady       = 300 * time.Millisecond  // no news for so long: propose
-	steadyMost   = 1500 * time.Millisecond
-	halfAfter    = 6 * time.Second // seen alive, accused by half for so long
-	ballotWait   = 700 * time.Millisecond
-	ballotLong   = 2500 * time.Millisecond
-	forceAfter   = time.Second // a proposer waits so long for promises that free it of what was accepted before
-	joinEvery    = 500 * time.Millisecond
-	joinMost     = 5 * time.Second
-	tryFor       = 8 * time.Second
-	foundAfter   = 1500 * time.Millisecond
-	foundSteady  = time.Second
-	seedHeard    = 1800 * time.Millisecond
-	seedEvery    = 2 * time.Second // members look for seeds that are in no view
-	pullEvery    = 500 * time.Millisecond
-	againFirst   = 5 * time.Second // a name taken out again and again waits, doubled each time
-	againMost    = 5 * time.Minute
-	againForget  = 10 * time.Minute
-	conflictWait = 10 * time.Second
+	stallThreshold         = 700 * time.Millisecond  // between ticks: the node stood still
+	refutationInterval     = time.Second             // an accused member speaks up so often
+	refutationLifetime     = 3 * time.Second         // its word holds so long
+	refutationGrace        = 700 * time.Millisecond  // an accused member may speak up before it is taken out
+	refutationDeadline     = 1500 * time.Millisecond // its word has come by then, also by way of one node
+	proposeQuietPeriod     = 300 * time.Millisecond  // no news for so long: propose
+	maxProposeDelay        = 1500 * time.Millisecond
+	halfAccusedRemoveAfter = 6 * time.Second // seen alive, accused by half for so long
+	proposerStagger        = 700 * time.Millisecond
+	ballotTimeout          = 2500 * time.Millisecond
+	forceAfter             = time.Second // a proposer waits so long for promises that free it of what was accepted before
+	joinInterval           = 500 * time.Millisecond
+	maxJoinInterval        = 5 * time.Second
+	joinTrialPeriod        = 8 * time.Second
+	foundMinUptime         = 1500 * time.Millisecond
+	foundStablePeriod      = time.Second
+	seedReportLifetime     = 1800 * time.Millisecond
+	seedProbeInterval      = 2 * time.Second // members look for seeds that are in no view
+	pullInterval           = 500 * time.Millisecond
+	readmitBackoff         = 5 * time.Second // a name taken out again and again waits, doubled each time
+	maxReadmitBackoff      = 5 * time.Minute
+	readmitBackoffReset    = 10 * time.Minute
+	nameConflictBackoff    = 10 * time.Second
 )
--- a/internal/fleet/membership/size_test.go
+++ b/internal/fleet/membership/size_test.go
@@ -7,7 +7,7 @@
 )
 
 // many are members of a fleet of the planned size.
-func many() (all []Member) {
+func manyMembers() (all []Member) {
 	for i := range 5400 {
 		all = append(all, Member{
 			Name: fmt.Sprintf("n%04d", i), Life: uint64(i) + 1, Incarnation: 1,
@@ -19,7 +19,7 @@
 
 // A node remembers of each member that was taken out that it was.
 func TestManyRemovalsAreRemembered(t *testing.T) {
-	all := many()
+	all := manyMembers()
 	before, err := NewView(9, 1, all, 10)
 	if err != nil {
 		t.Fatal(err)
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := among(t, 1, 0)
-	n.remember(before, after)
+	n := nodeInView(t, 1, 0)
+	n.recordRemovals(before, after)
 	if want := len(all) - 1; len(n.removed) != want {
 		t.Errorf("%d removals are remembered, want %d", len(n.removed), want)
 	}
@@ -37,11 +37,11 @@
 
 // All nodes of a fleet may want in at once.
 func TestManyWantIn(t *testing.T) {
-	n := among(t, 1, 0)
-	in, all := n.self.Life, many()
+	n := nodeInView(t, 1, 0)
+	in, all := n.self.Life, manyMembers()
 	for _, m := range all {
-		n.sponsor(Joiner{Member: m})
-		n.admitted(Joiner{Member: m})
+		n.startTrial(Joiner{Member: m})
+		n.recordJoinerAnswer(Joiner{Member: m})
 	}
 	want := len(all) - 1 // one has the life of the only member
 	if _, is := n.trials[in]; len(n.pending) != want || !is || len(n.trials) != len(all) {
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -44,14 +44,14 @@
 // Standing tells what the node knows.
 func (n *Node) Status(now time.Duration) Status {
 	s := Status{
-		Self: n.self, Phase: n.phase, Isolated: n.isolated, Stalls: n.stalls, Stats: n.stats, Number: n.seek.number,
-		Ballot: n.vote.cur.Ballot != 0 && now-n.vote.grown < ballotLong,
+		Self: n.self, Phase: n.phase, Isolated: n.isolated, Stalls: n.stalls, Stats: n.stats, Number: n.joining.lastViewNumber,
+		Ballot: n.ballots.current.Ballot != 0 && now-n.ballots.progressAt < ballotTimeout,
 	}
 	if n.stalls > 0 {
-		s.Stalled = now - n.stalled
+		s.Stalled = now - n.lastStall
 	}
 	for name, r := range n.removed {
-		s.Gone = append(s.Gone, RemovedMember{name, now - r.at, r.times, max(0, r.until-now)})
+		s.Gone = append(s.Gone, RemovedMember{name, now - r.removedAt, r.times, max(0, r.readmitAt-now)})
 	}
 	if n.view == nil {
 		return s
@@ -61,21 +61,21 @@
 		at := uint32(i)
 		m := MemberStatus{Member: n.view.Members[i], Watchers: len(n.view.watchers[i])}
 		if e := n.edges[at]; e != nil {
-			m.Watched, m.Reachable, m.RTT, m.Loss = true, !e.down, e.rtt, e.loss
-			if e.heard > 0 {
-				m.Heard = now - e.heard
+			m.Watched, m.Reachable, m.RTT, m.Loss = true, !e.accused, e.rtt, e.loss
+			if e.lastContact > 0 {
+				m.Heard = now - e.lastContact
 			}
 		}
-		if r := n.cut.rows[at]; r != nil {
-			for _, a := range n.against(at) {
+		if r := n.detector.subjects[at]; r != nil {
+			for _, a := range n.accusationsOf(at) {
 				m.Accusers = append(m.Accusers, n.view.Members[n.view.watchers[i][a.WatcherSlot]].Name)
 			}
-			m.Speaks = r.speaks(now)
+			m.Speaks = r.refutes(now)
 		}
-		for _, l := range n.cut.left {
+		for _, l := range n.detector.departed {
 			m.Leaving = m.Leaving || l == at
 		}
-		if !n.silent(at) {
+		if !n.isSilent(at) {
 			s.Speaking++
 		}
 		s.Members = append(s.Members, m)
