--- a/internal/fleet/membership/bits.go
+++ b/internal/fleet/membership/bitset.go
@@ -2,19 +2,19 @@
 
 import "math/bits"
 
-// Bits is a set of places in a view.
+// BitSet is a set of member indexes of a view.
 type BitSet []byte
 
-// NewBits is an empty set of places below n.
+// NewBitSet returns an empty set for the indexes 0 to n-1.
 func NewBitSet(n int) BitSet { return make(BitSet, (n+7)/8) }
 
-// Has tells whether a place is in the set.
+// Has reports whether index i is in the set.
 func (b BitSet) Has(i uint32) bool { return int(i/8) < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
-// set puts a place in.
+// set adds index i.
 func (b BitSet) set(i uint32) { b[i/8] |= 1 << (i % 8) }
 
-// count is the number of places in the set.
+// count returns the number of indexes in the set.
 func (b BitSet) count() (n int) {
 	for _, x := range b {
 		n += bits.OnesCount8(x)
@@ -22,8 +22,8 @@
 	return n
 }
 
-// merge puts in all of another set of the same length, and tells whether any was new.
-// One of another length is not of this view, and is passed over.
+// merge adds all indexes of another set and reports whether any was new. A set of another
+// length belongs to another view and is ignored.
 func (b BitSet) merge(other BitSet) bool {
 	if len(other) != len(b) {
 		return false
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -1,22 +1,24 @@
-// Package membership agrees among the nodes on who is alive.
+// Package membership maintains an agreed view of which nodes of a fleet are alive.
 //
-// A Node is one node's part. Each member is watched by several others, drawn by a seed
-// as the edges of an expander. A watcher that has no contact for a while accuses, and takes
-// that back with the next contact. Accusations spread by gossip; enough of them, from
-// different watchers, make a proposal, and a majority of the present view decides on it: so
-// views have numbers, and of each number there is one. A minority changes nothing.
+// Each node runs one Node. Every member is monitored by several watchers, assigned
+// pseudo-randomly as the edges of an expander graph. A watcher that has had no contact for a
+// while sends an alert that accuses the member, and withdraws it on the next contact. Alerts
+// spread by gossip. Enough alerts from different watchers lead to a proposal, which a majority
+// of the current view decides by Paxos. So views are numbered, there is one view per number,
+// and a minority can change nothing.
 //
-// Three things are told apart: reachable from here (this node's own edges), alive by
-// agreement (in the view), and gone (taken out, with the reason).
+// Three states of a member are kept apart: reachable from this node (this node's own
+// monitoring edges), alive by agreement (in the view), and removed (with the reason).
 //
-// It is pure: messages, ticks and time come in; messages and events go out. A Node belongs
-// to one goroutine; a View is never written to once it is made, and may be shared. Times
-// are of a clock that only grows; the wall clock plays no part.
+// The package is pure: messages, ticks and the current time are inputs, messages and events
+// are outputs. A Node belongs to one goroutine. A View is immutable and may be shared. Times
+// are readings of a monotonic clock; the wall clock is not used.
 //
-// It must not open a socket, keep a file, or know what the nodes use a view for.
+// The package must not open sockets, write files, or know what the view is used for.
 //
 // Sources: Das, Gupta, Motivala, "SWIM", 2002 (probing, gossip, refutation); Dadgar,
-// Phillips, Currey, "Lifeguard", 2017 (doubt of oneself first); Suresh and others, "Stable
-// and Consistent Membership at Scale with Rapid", 2018 (many watchers, two watermarks, views
-// by consensus with counted votes); Lamport, "Paxos Made Simple", 2001 (the decision).
+// Phillips, Currey, "Lifeguard", 2017 (local health: suspect oneself first); Suresh and
+// others, "Stable and Consistent Membership at Scale with Rapid", 2018 (many watchers, two
+// watermarks, views by consensus with counted votes); Lamport, "Paxos Made Simple", 2001
+// (the decision).
 package membership
--- a/internal/fleet/membership/fuzz_test.go
+++ b/internal/fleet/membership/fuzz_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A node takes whatever messages come, in any order, and neither panics nor grows without bound.
+// Arbitrary messages in arbitrary order must neither make a node panic nor make it send an
+// unbounded number of messages.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 200, 100, 50})
 	f.Add([]byte("a longer one, that goes through several messages of several kinds and comes to votes"))
@@ -32,11 +33,11 @@
 			now += 100 * time.Millisecond
 			n.Tick(now)
 		}
-		var all []Member
+		var members []Member
 		for i := range 4 {
-			all = append(all, Member{Name: string(rune('b' + i)), Addr: addr(uint64(i) + 1), Life: uint64(i) + 1})
+			members = append(members, Member{Name: string(rune('b' + i)), Addr: addr(uint64(i) + 1), Life: uint64(i) + 1})
 		}
-		if v, err := NewView(n.view.FleetID, 2, append(all, n.self), 10); err == nil {
+		if v, err := NewView(n.view.FleetID, 2, append(members, n.self), 10); err == nil {
 			n.installView(v, "")
 		}
 		for len(data) > 0 {
@@ -46,11 +47,11 @@
 				m.FleetID, m.ViewNumber = n.view.FleetID, n.view.Number
 			}
 			if x>>31&1 == 1 {
-				s := member()
-				s.Life = max(1, m.SenderLife)
-				m.Self = &s
-				h := member()
-				m.NameHolder = &h
+				self := member()
+				self.Life = max(1, m.SenderLife)
+				m.Self = &self
+				holder := member()
+				m.NameHolder = &holder
 			}
 			y := next()
 			m.Alerts = []Alert{{uint32(y % 8), uint32(y >> 8 % 6), uint32(y >> 16 % 9), y>>24&1 == 1}}
@@ -71,9 +72,9 @@
 				now += time.Duration(x>>33%2000) * time.Millisecond
 				n.Tick(now)
 			}
-			sends, _ := n.TakeOutput()
-			if len(sends) > 2000 {
-				t.Fatalf("%d messages for one", len(sends))
+			outgoing, _ := n.TakeOutput()
+			if len(outgoing) > 2000 {
+				t.Fatalf("%d outgoing messages for one received message", len(outgoing))
 			}
 			n.Status(now)
 		}
--- a/internal/fleet/membership/join.go
+++ b/internal/fleet/membership/join.go
@@ -8,112 +8,115 @@
 	"time"
 )
 
-// seeking is what a node outside of any view knows.
+// joinState is the state of a node that is not in a view.
 type joinState struct {
-	lastViewNumber   uint64           // of the last view that it, or a seed that it heard, was in
-	knownAddrs       []netip.AddrPort // who may be in one
-	nextJoin         time.Duration    // when it asks next
-	interval         time.Duration
-	viewSeenAt       time.Duration // when it last heard of a view; 0: never
-	foundableSince   time.Duration // since when all is there to found the fleet
-	seedReports      map[int]seedReport
-	pausedUntil      time.Duration // it gives way to one of its name until then
+	lastViewNumber   uint64             // highest view number known to this node or the seeds it heard from
+	knownAddrs       []netip.AddrPort   // nodes that may be in a view
+	nextJoin         time.Duration      // time of the next join attempt
+	interval         time.Duration      // between join attempts, with backoff
+	viewSeenAt       time.Duration      // when it last learned of a view; 0 if never
+	foundableSince   time.Duration      // time since which the conditions to found the fleet hold; 0 if they don't
+	seedReports      map[int]seedReport // by index of the founder
+	pausedUntil      time.Duration      // set while another process has this node's name
 	conflictReported bool
 }
 
-// seedWord is what another seed without a view said last.
+// seedReport is the content of the last Join received from another founder that has no view.
 type seedReport struct {
 	receivedAt time.Duration
 	lowestSeed uint32
 }
 
+// reset starts joining anew, with the first attempt at a random time.
 func (s *joinState) reset(n *Node) {
 	s.interval = joinInterval
 	s.nextJoin = n.now + time.Duration(n.rng.Float64()*float64(joinInterval))
 	s.viewSeenAt, s.foundableSince, s.seedReports = 0, 0, map[int]seedReport{}
 }
 
-// tick asks to be let in, and founds the fleet where that is this node's to do.
+// tick sends join requests when they are due, or founds the fleet if that is up to this node.
 func (s *joinState) tick(n *Node) {
 	if n.now < s.pausedUntil {
 		return
 	}
-	mine := slices.Index(n.settings.founders(), n.self.Addr)
-	low := s.lowestSeed(n, mine)
-	if mine >= 0 && s.tryFound(n, mine, low) {
+	ownIndex := slices.Index(n.settings.founders(), n.self.Addr)
+	lowest := s.lowestSeed(n, ownIndex)
+	if ownIndex >= 0 && s.tryFound(n, ownIndex, lowest) {
 		return
 	}
 	if n.now < s.nextJoin {
 		return
 	}
-	to := s.pickSeeds(n, mine >= 0)
+	to := s.pickSeeds(n, ownIndex >= 0)
 	for range min(2, len(s.knownAddrs)) {
-		if at := s.knownAddrs[n.rng.IntN(len(s.knownAddrs))]; at != n.self.Addr && !slices.Contains(to, at) {
-			to = append(to, at)
+		if addr := s.knownAddrs[n.rng.IntN(len(s.knownAddrs))]; addr != n.self.Addr && !slices.Contains(to, addr) {
+			to = append(to, addr)
 		}
 	}
-	for _, at := range to {
-		n.send(at, &Message{Kind: Join, LowestSeed: low})
+	for _, addr := range to {
+		n.send(addr, &Message{Kind: Join, LowestSeed: lowest})
 	}
-	if mine < 0 || s.viewSeenAt > 0 {
+	if ownIndex < 0 || s.viewSeenAt > 0 {
 		s.interval = min(s.interval*3/2, maxJoinInterval)
 	}
 	s.nextJoin = n.now + time.Duration((0.75+n.rng.Float64()/2)*float64(s.interval))
 }
 
-// ask draws which seeds this attempt asks. The founders ask each other, or they would not hear each other within the time
-// that a word counts; where there are further seeds, they ask one of those too, and the others ask as many of both.
+// pickSeeds returns random seeds for a join attempt. A founder contacts mostly other founders, since
+// they must hear from each other within seedReportLifetime, and at most one further seed. Other
+// nodes contact as many further seeds as founders.
 func (s *joinState) pickSeeds(n *Node, founder bool) []netip.AddrPort {
-	first, rest := n.settings.founders(), n.settings.Seeds[len(n.settings.founders()):]
-	fromRest := min(maxSeedsPerJoin/2, len(rest))
+	founders, others := n.settings.founders(), n.settings.Seeds[len(n.settings.founders()):]
+	fromOthers := min(maxSeedsPerJoin/2, len(others))
 	if founder {
-		fromRest = min(1, len(rest))
+		fromOthers = min(1, len(others))
 	}
-	to := n.appendRandomSeeds(nil, first, maxSeedsPerJoin-fromRest)
-	return n.appendRandomSeeds(to, rest, fromRest)
+	to := n.appendRandomSeeds(nil, founders, maxSeedsPerJoin-fromOthers)
+	return n.appendRandomSeeds(to, others, fromOthers)
 }
 
-// someSeeds appends up to most of the seeds, drawn, without this node.
-func (n *Node) appendRandomSeeds(to, seeds []netip.AddrPort, most int) []netip.AddrPort {
+// appendRandomSeeds appends up to limit random seeds other than this node.
+func (n *Node) appendRandomSeeds(to, seeds []netip.AddrPort, limit int) []netip.AddrPort {
 	for _, i := range n.rng.Perm(len(seeds)) {
-		if most == 0 {
+		if limit == 0 {
 			break
 		}
 		if seeds[i] != n.self.Addr {
 			to = append(to, seeds[i])
-			most--
+			limit--
 		}
 	}
 	return to
 }
 
-// founders are the seeds that found the fleet. They are few however long the list is: each must hear a majority of them
-// within seedHeard.
+// founders returns the seeds that may found the fleet. Their number is bounded, since each must hear
+// from a majority of them within seedReportLifetime.
 func (s *Settings) founders() []netip.AddrPort { return s.Seeds[:min(len(s.Seeds), maxFounders)] }
 
-// low is the first of the founders, from 1, that this one hears to be without a view; itself if it is one.
-func (s *joinState) lowestSeed(n *Node, mine int) uint32 {
+// lowestSeed returns the position, from 1, of the first founder without a view that this node has
+// heard from recently; itself if it comes first, and 0 if there is none.
+func (s *joinState) lowestSeed(n *Node, ownIndex int) uint32 {
 	for i := range n.settings.founders() {
-		if i == mine {
+		if i == ownIndex {
 			return uint32(i) + 1
 		}
-		if w, ok := s.seedReports[i]; ok && n.now-w.receivedAt < seedReportLifetime {
+		if report, ok := s.seedReports[i]; ok && n.now-report.receivedAt < seedReportLifetime {
 			return uint32(i) + 1
 		}
 	}
 	return 0
 }
 
-// found founds the fleet: where a majority of the founders, for a while, hear each other without a view, and hold this
-// one for the first.
-func (s *joinState) tryFound(n *Node, mine int, low uint32) bool {
-	agree := 1
-	for i, w := range s.seedReports {
-		if i != mine && n.now-w.receivedAt < seedReportLifetime && w.lowestSeed == uint32(mine)+1 {
-			agree++
+// tryFound founds the fleet if, for foundStablePeriod, a majority of the founders have no view and
+// report this node as the first founder they hear from.
+func (s *joinState) tryFound(n *Node, ownIndex int, lowest uint32) bool {
+	agreeing := 1
+	for i, report := range s.seedReports {
+		if i != ownIndex && n.now-report.receivedAt < seedReportLifetime && report.lowestSeed == uint32(ownIndex)+1 {
+			agreeing++
 		}
 	}
-	if low != uint32(mine)+1 || agree < len(n.settings.founders())/2+1 || n.now-n.started < foundMinUptime || s.viewSeenAt > 0 && n.now-s.viewSeenAt < 2*maxJoinInterval {
+	if lowest != uint32(ownIndex)+1 || agreeing < len(n.settings.founders())/2+1 || n.now-n.started < foundMinUptime || s.viewSeenAt > 0 && n.now-s.viewSeenAt < 2*maxJoinInterval {
 		s.foundableSince = 0
 		return false
 	}
@@ -132,7 +135,7 @@
 	return true
 }
 
-// meet takes a view that this node is not in: there is a fleet, and here are some of it.
+// noteView records a view without this node: the fleet exists, and its members can be asked.
 func (s *joinState) noteView(n *Node, v *View) {
 	s.lastViewNumber = max(s.lastViewNumber, v.Number)
 	s.knownAddrs = n.randomAddrs(v, 8)
@@ -142,48 +145,48 @@
 	s.viewSeenAt = n.now
 }
 
-// asked takes the wish of one that wants in.
+// handleJoin handles a join request: it asks the sponsors to probe the joiner.
 func (n *Node) handleJoin(m *Message) {
-	who := m.Self
-	if who == nil || who.Life != m.SenderLife || who.Check() != nil {
+	joiner := m.Self
+	if joiner == nil || joiner.Life != m.SenderLife || joiner.Check() != nil {
 		return
 	}
 	if n.view == nil {
-		if i := slices.Index(n.settings.founders(), who.Addr); i >= 0 && n.phase == Seeking {
+		if i := slices.Index(n.settings.founders(), joiner.Addr); i >= 0 && n.phase == Seeking {
 			n.joining.seedReports[i] = seedReport{n.now, m.LowestSeed}
 			n.joining.lastViewNumber = max(n.joining.lastViewNumber, m.ViewNumber)
 		}
 		return
 	}
 	self := n.self
-	if i, ok := n.view.IndexOfName(who.Name); ok {
+	if i, ok := n.view.IndexOfName(joiner.Name); ok {
 		holder := n.view.Members[i]
-		if holder.Life == who.Life { // it is in, and does not know
-			n.send(who.Addr, &Message{Kind: Gossip, Self: &self})
+		if holder.Life == joiner.Life { // it is a member and does not know yet: it requests the view on any message
+			n.send(joiner.Addr, &Message{Kind: Gossip, Self: &self})
 			return
 		}
-		if holder.Addr != who.Addr {
+		if holder.Addr != joiner.Addr {
 			if !n.isSilent(i) {
-				n.send(who.Addr, &Message{Kind: NameTaken, NameHolder: &holder, Self: &self})
+				n.send(joiner.Addr, &Message{Kind: NameTaken, NameHolder: &holder, Self: &self})
 			}
 			return
 		}
 		n.recordDeparture(Departure{Member: i, Ended: true})
 	}
-	if r := n.removed[who.Name]; r != nil && n.now < r.readmitAt {
+	if removal := n.removed[joiner.Name]; removal != nil && n.now < removal.readmitAt {
 		return
 	}
-	for s, sponsor := range n.view.sponsors(who.Life) {
-		c := Joiner{*who, uint32(s), m.ViewNumber}
+	for slot, sponsor := range n.view.sponsors(joiner.Life) {
+		candidate := Joiner{*joiner, uint32(slot), m.ViewNumber}
 		if sponsor == n.index {
-			n.startTrial(c)
+			n.startTrial(candidate)
 		} else {
-			n.send(n.view.Members[sponsor].Addr, &Message{Kind: ProbeJoiner, Joiners: []Joiner{c}})
+			n.send(n.view.Members[sponsor].Addr, &Message{Kind: ProbeJoiner, Joiners: []Joiner{candidate}})
 		}
 	}
 }
 
-// trial is a life that this node tries before it is let in.
+// joinTrial is a joining life that this node probes as one of its sponsors.
 type joinTrial struct {
 	Joiner
 	endsAt, nextProbe time.Duration
@@ -192,32 +195,34 @@
 	answered          bool
 }
 
+// handleProbeJoiner starts probing a joiner if this node is its sponsor.
 func (n *Node) handleProbeJoiner(m *Message) {
 	if n.view == nil || m.FleetID != n.view.FleetID || len(m.Joiners) != 1 {
 		return
 	}
-	c := m.Joiners[0]
-	if c.Member.Check() != nil {
+	joiner := m.Joiners[0]
+	if joiner.Member.Check() != nil {
 		return
 	}
-	if all := n.view.sponsors(c.Member.Life); int(c.SponsorSlot) < len(all) && all[c.SponsorSlot] == n.index {
-		n.startTrial(c)
+	if sponsors := n.view.sponsors(joiner.Member.Life); int(joiner.SponsorSlot) < len(sponsors) && sponsors[joiner.SponsorSlot] == n.index {
+		n.startTrial(joiner)
 	}
 }
 
-func (n *Node) startTrial(c Joiner) {
-	t := n.trials[c.Member.Life]
-	if t == nil {
+// startTrial starts probing a joiner, or extends the trial in progress.
+func (n *Node) startTrial(joiner Joiner) {
+	trial := n.trials[joiner.Member.Life]
+	if trial == nil {
 		if len(n.trials) >= maxPendingJoiners {
 			return
 		}
-		t = &joinTrial{Joiner: c, nextProbe: n.now}
-		n.trials[c.Member.Life] = t
+		trial = &joinTrial{Joiner: joiner, nextProbe: n.now}
+		n.trials[joiner.Member.Life] = trial
 	}
-	t.SponsorSlot, t.LastViewNumber, t.endsAt = c.SponsorSlot, c.LastViewNumber, n.now+joinTrialPeriod
+	trial.SponsorSlot, trial.LastViewNumber, trial.endsAt = joiner.SponsorSlot, joiner.LastViewNumber, n.now+joinTrialPeriod
 }
 
-// try probes the lives that this node is a sponsor of, in the order of their lives.
+// probeJoiners sends the probes that are due to joiners, in ascending order of their lives.
 func (n *Node) probeJoiners() {
 	if len(n.trials) == 0 {
 		return
@@ -228,145 +233,149 @@
 	}
 	slices.Sort(lives)
 	for _, life := range lives {
-		t := n.trials[life]
-		if _, in := n.view.IndexOfLife(life); in || n.now >= t.endsAt {
+		trial := n.trials[life]
+		if _, in := n.view.IndexOfLife(life); in || n.now >= trial.endsAt {
 			delete(n.trials, life)
 			continue
 		}
-		if n.now < t.nextProbe {
+		if n.now < trial.nextProbe {
 			continue
 		}
-		t.nextProbe = n.now + n.settings.ProbeRetryInterval
-		if t.answered {
-			t.nextProbe = n.now + n.settings.ProbeInterval
+		trial.nextProbe = n.now + n.settings.ProbeRetryInterval
+		if trial.answered {
+			trial.nextProbe = n.now + n.settings.ProbeInterval
 		}
 		n.seq++
-		t.seqs[t.probesSent%len(t.seqs)] = n.seq
-		t.probesSent++
+		trial.seqs[trial.probesSent%len(trial.seqs)] = n.seq
+		trial.probesSent++
 		self := n.self
-		n.send(t.Member.Addr, &Message{Kind: Probe, Seq: n.seq, Self: &self})
+		n.send(trial.Member.Addr, &Message{Kind: Probe, Seq: n.seq, Self: &self})
 	}
 }
 
-// tried takes an answer of a life that this node is a sponsor of, and tells those who propose.
-func (n *Node) handleTrialAck(t *joinTrial, seq uint64) {
-	if n.view == nil || !slices.Contains(t.seqs[:], seq) || seq == 0 {
+// handleTrialAck handles a joiner's answer to a probe and reports it to the proposers.
+func (n *Node) handleTrialAck(trial *joinTrial, seq uint64) {
+	if n.view == nil || !slices.Contains(trial.seqs[:], seq) || seq == 0 {
 		return
 	}
-	t.answered = true
-	c := []Joiner{t.Joiner}
+	trial.answered = true
+	joiners := []Joiner{trial.Joiner}
 	for _, i := range n.proposers(3) {
 		if i == n.index {
-			n.recordJoinerAnswer(c[0])
+			n.recordJoinerAnswer(joiners[0])
 		} else {
-			n.send(n.view.Members[i].Addr, &Message{Kind: JoinerAnswered, Joiners: c})
+			n.send(n.view.Members[i].Addr, &Message{Kind: JoinerAnswered, Joiners: joiners})
 		}
 	}
 }
 
-// pending is a life that wants in, and which sponsors have had an answer of it.
+// pendingJoiner is a joining life and the sponsors that it has answered.
 type pendingJoiner struct {
 	member         Member
-	answeredSlots  uint16
-	answeredAt     time.Duration
-	lastViewNumber uint64 // of the last view that it knew of
+	answeredSlots  uint16        // bit set of sponsor slots
+	answeredAt     time.Duration // last answer
+	lastViewNumber uint64        // highest view number that it knew
 }
 
+// handleJoinerAnswered records the reports of sponsors.
 func (n *Node) handleJoinerAnswered(m *Message) {
 	if n.view == nil || m.FleetID != n.view.FleetID || m.ViewNumber != n.view.Number {
 		return
 	}
-	for _, c := range m.Joiners {
-		if c.Member.Check() == nil && c.SponsorSlot < 16 {
-			n.recordJoinerAnswer(c)
+	for _, joiner := range m.Joiners {
+		if joiner.Member.Check() == nil && joiner.SponsorSlot < 16 {
+			n.recordJoinerAnswer(joiner)
 		}
 	}
 }
 
-func (n *Node) recordJoinerAnswer(c Joiner) {
-	if _, in := n.view.IndexOfLife(c.Member.Life); in {
+// recordJoinerAnswer records that a joiner answered one of its sponsors.
+func (n *Node) recordJoinerAnswer(joiner Joiner) {
+	if _, in := n.view.IndexOfLife(joiner.Member.Life); in {
 		return
 	}
-	p := n.pending[c.Member.Life]
+	p := n.pending[joiner.Member.Life]
 	if p == nil {
 		if len(n.pending) >= maxPendingJoiners {
 			return
 		}
-		p = &pendingJoiner{member: c.Member}
-		n.pending[c.Member.Life] = p
+		p = &pendingJoiner{member: joiner.Member}
+		n.pending[joiner.Member.Life] = p
 	}
-	p.answeredAt, p.lastViewNumber = n.now, max(p.lastViewNumber, c.LastViewNumber)
-	if p.answeredSlots&(1<<c.SponsorSlot) == 0 {
-		p.answeredSlots |= 1 << c.SponsorSlot
+	p.answeredAt, p.lastViewNumber = n.now, max(p.lastViewNumber, joiner.LastViewNumber)
+	if p.answeredSlots&(1<<joiner.SponsorSlot) == 0 {
+		p.answeredSlots |= 1 << joiner.SponsorSlot
 		n.detector.changedAt = n.now
 	}
 }
 
-// sortPending keeps of those that want in what holds for a new view too.
+// prunePending drops the joiners that are members of the new view or were not yet ready for
+// admission. The others stay ready although their sponsors may have changed.
 func (n *Node) prunePending(v *View) {
 	for life, p := range n.pending {
 		if _, in := v.IndexOfLife(life); in {
 			delete(n.pending, life)
 		} else if bits.OnesCount16(p.answeredSlots) < highWatermark(len(v.sponsors(life))) {
-			delete(n.pending, life) // its sponsors are others now
+			delete(n.pending, life) // it has other sponsors in the new view and must answer them
 		} else {
 			p.answeredSlots = 1<<len(v.sponsors(life)) - 1
 		}
 	}
 }
 
-// ready are those that may come in, whom of the view they replace, and the latest view that any of them knew of.
-func (n *Node) readyJoiners(out []uint32) (adds []Member, replaced []uint32, number uint64) {
+// readyJoiners returns the joiners to admit along with the given removals, the members that they
+// replace, and the highest view number that any of them knew.
+func (n *Node) readyJoiners(removed []uint32) (adds []Member, replaced []uint32, maxViewNumber uint64) {
 	if len(n.pending) == 0 {
 		return nil, nil, 0
 	}
-	names := map[string]bool{}
-	all := make([]*pendingJoiner, 0, len(n.pending))
+	usedNames := map[string]bool{}
+	candidates := make([]*pendingJoiner, 0, len(n.pending))
 	for life, p := range n.pending {
 		if n.now-p.answeredAt > joinTrialPeriod {
 			delete(n.pending, life)
 			continue
 		}
-		all = append(all, p)
+		candidates = append(candidates, p)
 	}
-	slices.SortFunc(all, func(a, b *pendingJoiner) int {
+	slices.SortFunc(candidates, func(a, b *pendingJoiner) int {
 		return cmp.Or(-cmp.Compare(a.member.Incarnation, b.member.Incarnation), cmp.Compare(a.member.Life, b.member.Life))
 	})
-	var at map[netip.AddrPort]uint32
-	for _, p := range all {
+	var indexOfAddr map[netip.AddrPort]uint32
+	for _, p := range candidates {
 		m := p.member
-		if names[m.Name] || len(adds) >= maxAddsPerChange || len(n.view.Members)+len(adds) >= maxMembers ||
+		if usedNames[m.Name] || len(adds) >= maxAddsPerChange || len(n.view.Members)+len(adds) >= maxMembers ||
 			bits.OnesCount16(p.answeredSlots) < highWatermark(len(n.view.sponsors(m.Life))) {
 			continue
 		}
 		if i, ok := n.view.IndexOfName(m.Name); ok {
 			holder := &n.view.Members[i]
-			if _, goes := slices.BinarySearch(out, i); holder.Addr != m.Addr && !goes {
+			if _, isRemoved := slices.BinarySearch(removed, i); holder.Addr != m.Addr && !isRemoved {
 				continue
 			}
 			m.Incarnation = max(m.Incarnation, holder.Incarnation+1)
 		}
-		if at == nil {
-			at = make(map[netip.AddrPort]uint32, len(n.view.Members))
+		if indexOfAddr == nil {
+			indexOfAddr = make(map[netip.AddrPort]uint32, len(n.view.Members))
 			for i := range n.view.Members {
-				at[n.view.Members[i].Addr] = uint32(i)
+				indexOfAddr[n.view.Members[i].Addr] = uint32(i)
 			}
 		}
-		if i, ok := at[m.Addr]; ok { // whoever had this address is no more
+		if i, ok := indexOfAddr[m.Addr]; ok { // the previous user of this address has ended
 			replaced = append(replaced, i)
 		}
-		if r := n.removed[m.Name]; r != nil {
-			m.Incarnation = max(m.Incarnation, r.incarnation+1)
+		if removal := n.removed[m.Name]; removal != nil {
+			m.Incarnation = max(m.Incarnation, removal.incarnation+1)
 		}
-		names[m.Name] = true
+		usedNames[m.Name] = true
 		adds = append(adds, m)
-		number = max(number, p.lastViewNumber)
+		maxViewNumber = max(maxViewNumber, p.lastViewNumber)
 	}
 	slices.SortFunc(adds, func(a, b Member) int { return cmp.Compare(a.Life, b.Life) })
-	return adds, replaced, number
+	return adds, replaced, maxViewNumber
 }
 
-// taken gives way to one that has this node's name.
+// handleNameTaken pauses joining because another process has this node's name.
 func (n *Node) handleNameTaken(m *Message) {
 	if n.phase != Seeking || m.NameHolder == nil || m.NameHolder.Name != n.self.Name || m.NameHolder.Life == n.self.Life {
 		return
@@ -374,62 +383,63 @@
 	n.joining.pausedUntil, n.joining.foundableSince = n.now+nameConflictBackoff, 0
 	if !n.joining.conflictReported {
 		n.joining.conflictReported = true
-		n.emit(Event{Kind: NameConflict, Member: *m.NameHolder, Detail: "another process has this name, and was first"})
+		n.emit(Event{Kind: NameConflict, Member: *m.NameHolder, Detail: "another process already uses this name"})
 	}
 }
 
-// removal is what is remembered of a name that was taken out for its silence.
+// removalRecord is the record of a name that was removed because it was silent.
 type removalRecord struct {
 	removedAt, readmitAt time.Duration
-	times                int
+	times                int // removals without a break of readmitBackoffReset
 	incarnation          uint64
 }
 
-// mostRemoved is how many such names a node remembers.
+// maxRemovedNames bounds the removal records of a node.
 const maxRemovedNames = 8192
 
-// remember books who was taken out. A name that is taken out again and again waits longer each time, so that a node
-// that half of the others can't use does not come and go.
-func (n *Node) recordRemovals(old, v *View) {
-	if old == nil || old.FleetID != v.FleetID {
+// recordRemovals records the members of the old view that the new one lacks, without those that
+// left. A name that is removed repeatedly waits longer each time before it is admitted again, so
+// that a node that half of the others can't reach does not flap.
+func (n *Node) recordRemovals(oldView, newView *View) {
+	if oldView == nil || oldView.FleetID != newView.FleetID {
 		return
 	}
-	for i := range old.Members {
-		m := &old.Members[i]
-		if _, still := v.byName[m.Name]; still || slices.Contains(n.detector.departed, uint32(i)) {
+	for i := range oldView.Members {
+		m := &oldView.Members[i]
+		if _, still := newView.byName[m.Name]; still || slices.Contains(n.detector.departed, uint32(i)) {
 			continue
 		}
-		r := n.removed[m.Name]
-		if r == nil {
+		record := n.removed[m.Name]
+		if record == nil {
 			if len(n.removed) >= maxRemovedNames {
 				n.forgetOldestRemoval()
 			}
-			r = &removalRecord{}
-			n.removed[m.Name] = r
+			record = &removalRecord{}
+			n.removed[m.Name] = record
 		}
-		if n.now-r.removedAt > readmitBackoffReset {
-			r.times = 0
+		if n.now-record.removedAt > readmitBackoffReset {
+			record.times = 0
 		}
-		r.removedAt, r.incarnation = n.now, m.Incarnation
-		if r.times++; r.times > 1 {
-			r.readmitAt = n.now + min(readmitBackoff<<min(r.times-2, 8), maxReadmitBackoff)
+		record.removedAt, record.incarnation = n.now, m.Incarnation
+		if record.times++; record.times > 1 {
+			record.readmitAt = n.now + min(readmitBackoff<<min(record.times-2, 8), maxReadmitBackoff)
 		}
 	}
 }
 
-// forget drops the removal that is longest ago.
+// forgetOldestRemoval drops the oldest removal record.
 func (n *Node) forgetOldestRemoval() {
 	oldest := ""
-	for name, r := range n.removed {
-		if o := n.removed[oldest]; o == nil || r.removedAt < o.removedAt || r.removedAt == o.removedAt && name < oldest {
+	for name, record := range n.removed {
+		if current := n.removed[oldest]; current == nil || record.removedAt < current.removedAt || record.removedAt == current.removedAt && name < oldest {
 			oldest = name
 		}
 	}
 	delete(n.removed, oldest)
 }
 
-// lookForSeeds has the first few look whether seeds that are in no view are there: they may be about to found
-// another fleet, or have done so.
+// probeAbsentSeeds probes seeds that are not in the view, if this node is one of the first
+// proposers: such seeds may be about to found another fleet, or have done so.
 func (n *Node) probeAbsentSeeds() {
 	if n.now < n.nextSeedProbe {
 		return
@@ -439,26 +449,27 @@
 		return
 	}
 	n.seedProbes++
-	first := n.settings.founders()
-	n.probeIfAbsent(first[n.seedProbes%len(first)])
-	if rest := n.settings.Seeds[len(first):]; len(rest) > 0 {
-		n.probeIfAbsent(rest[n.seedProbes%len(rest)])
+	founders := n.settings.founders()
+	n.probeIfAbsent(founders[n.seedProbes%len(founders)])
+	if others := n.settings.Seeds[len(founders):]; len(others) > 0 {
+		n.probeIfAbsent(others[n.seedProbes%len(others)])
 	}
 }
 
-// lookFor probes a seed that is not in the view.
-func (n *Node) probeIfAbsent(at netip.AddrPort) {
-	if at == n.self.Addr || slices.ContainsFunc(n.view.Members, func(m Member) bool { return m.Addr == at }) {
+// probeIfAbsent probes a seed unless it is in the view.
+func (n *Node) probeIfAbsent(addr netip.AddrPort) {
+	if addr == n.self.Addr || slices.ContainsFunc(n.view.Members, func(m Member) bool { return m.Addr == addr }) {
 		return
 	}
 	self := n.self
-	n.send(at, &Message{Kind: Probe, Self: &self})
+	n.send(addr, &Message{Kind: Probe, Self: &self})
 }
 
-// foreign settles with another fleet of the same name: the one with the later view holds.
+// handleForeignFleet resolves a conflict with another fleet of the same name: the fleet with the
+// higher view number wins, and on a tie the one with the higher ID.
 func (n *Node) handleForeignFleet(m *Message) {
 	if m.ViewNumber < n.view.Number || m.ViewNumber == n.view.Number && m.FleetID < n.view.FleetID {
-		if m.Kind == Probe { // so that it learns of this one
+		if m.Kind == Probe { // lets the prober learn of this fleet
 			self := n.self
 			if to, ok := n.replyAddr(m); ok {
 				n.send(to, &Message{Kind: Ack, Seq: m.Seq, Self: &self})
@@ -470,7 +481,7 @@
 	if !ok {
 		return
 	}
-	n.emit(Event{Kind: ForeignFleet, Detail: "another fleet of this name has a later view"})
+	n.emit(Event{Kind: ForeignFleet, Detail: "another fleet of the same name has a later view"})
 	n.startNewLife()
 	n.joining.knownAddrs = []netip.AddrPort{to}
 	n.joining.nextJoin, n.joining.viewSeenAt = n.now, n.now
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -11,54 +11,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is one life of one node.
+// Member is one life of a node. A life begins when the node's process starts, and again when
+// the node finds that it was removed from the view.
 type Member struct {
 	Name string
 	Site string
-	Addr netip.AddrPort // where others send to it
-	Life uint64         // drawn at each start, never 0: two processes of one name differ in it
-	// Incarnation counts the lives of the name, from 1.
+	Addr netip.AddrPort // address that other nodes send to
+	Life uint64         // random per life, never 0; distinguishes two processes of one name
+	// Incarnation counts the lives of a name, from 1.
 	Incarnation uint64
 }
 
-// The longest name and site, in bytes.
+// maxNameBytes bounds the names of nodes and sites.
 const maxNameBytes = 64
 
-// Check finds what no member can be.
+// Check returns an error if the member is invalid.
 func (m *Member) Check() error {
 	switch {
 	case m.Name == "" || len(m.Name) > maxNameBytes:
-		return fmt.Errorf("member: a name has 1 to %d bytes, this one %d", maxNameBytes, len(m.Name))
+		return fmt.Errorf("member: name must have 1 to %d bytes, has %d", maxNameBytes, len(m.Name))
 	case len(m.Site) > maxNameBytes:
-		return fmt.Errorf("member %q: a site has %d bytes at most, this one %d", m.Name, maxNameBytes, len(m.Site))
+		return fmt.Errorf("member %q: site must have at most %d bytes, has %d", m.Name, maxNameBytes, len(m.Site))
 	case !m.Addr.IsValid() || m.Addr.Port() == 0:
-		return fmt.Errorf("member %q: no address", m.Name)
+		return fmt.Errorf("member %q: address is missing or has no port", m.Name)
 	case m.Life == 0:
-		return fmt.Errorf("member %q: no life", m.Name)
+		return fmt.Errorf("member %q: life is 0", m.Name)
 	}
 	return nil
 }
 
-// View is who is alive by agreement. It is never written to once it is made.
+// View is the agreed set of live members. It is immutable.
 type View struct {
-	FleetID uint64   // drawn when the fleet was founded, never 0
-	Number  uint64   // grows by one with each change
-	Members []Member // by name, then by life
-	Digest  uint64   // of all of the above
+	FleetID uint64   // random, assigned when the fleet was founded, never 0
+	Number  uint64   // grows with each change
+	Members []Member // sorted by name, then by life
+	Digest  uint64   // hash of the fields above
 
 	byLife        map[uint64]uint32
 	byName        map[string]uint32
-	rings         [][]uint32 // each an order of the members; nil: everyone watches everyone
-	watchers      [][]uint32 // of each member
-	watchedBy     [][]uint32 // by each member
-	proposerOrder []uint32   // who proposes, first to last
+	rings         [][]uint32 // pseudo-random orders of the members; nil if all members watch each other
+	watchers      [][]uint32 // watchers of each member
+	watchedBy     [][]uint32 // members watched by each member
+	proposerOrder []uint32   // order in which members may propose
 }
 
-// NewView makes a view of members, each watched by so many others, or by all if
-// there are no more. It sorts the members.
+// NewView returns a view of the given members, each with the given number of watchers, or
+// fewer if there are not enough members. It sorts members in place.
 func NewView(root, number uint64, members []Member, watchers int) (*View, error) {
 	if len(members) == 0 {
-		return nil, fmt.Errorf("view %d: nobody is in it", number)
+		return nil, fmt.Errorf("view %d: no members", number)
 	}
 	v := &View{FleetID: root, Number: number, Members: members}
 	slices.SortFunc(v.Members, func(a, b Member) int {
@@ -67,27 +68,27 @@
 	n := len(members)
 	v.byLife, v.byName = make(map[uint64]uint32, n), make(map[string]uint32, n)
 	h := xxhash.New()
-	var word [8]byte
-	put := func(x uint64) {
-		binary.LittleEndian.PutUint64(word[:], x)
-		h.Write(word[:])
+	var buf [8]byte
+	writeUint := func(x uint64) {
+		binary.LittleEndian.PutUint64(buf[:], x)
+		h.Write(buf[:])
 	}
-	put(root)
-	put(number)
+	writeUint(root)
+	writeUint(number)
 	for i := range v.Members {
 		m := &v.Members[i]
 		if err := m.Check(); err != nil {
 			return nil, fmt.Errorf("view %d: %w", number, err)
 		}
-		if _, twice := v.byName[m.Name]; twice {
-			return nil, fmt.Errorf("view %d: two members are named %q", number, m.Name)
+		if _, duplicate := v.byName[m.Name]; duplicate {
+			return nil, fmt.Errorf("view %d: more than one member has the name %q", number, m.Name)
 		}
-		if _, twice := v.byLife[m.Life]; twice {
-			return nil, fmt.Errorf("view %d: two members have one life, the second is %q", number, m.Name)
+		if _, duplicate := v.byLife[m.Life]; duplicate {
+			return nil, fmt.Errorf("view %d: member %q has the life of another member", number, m.Name)
 		}
 		v.byLife[m.Life], v.byName[m.Name] = uint32(i), uint32(i)
-		put(m.Life)
-		put(m.Incarnation)
+		writeUint(m.Life)
+		writeUint(m.Incarnation)
 		h.WriteString(m.Name)
 		h.WriteString(m.Addr.String())
 		h.WriteString(m.Site)
@@ -97,7 +98,7 @@
 	return v, nil
 }
 
-// mix scatters a life's bits, differently for each ring.
+// hashLife hashes a life with a different function for each ring (the splitmix64 finalizer).
 func hashLife(life uint64, ring int) uint64 {
 	x := life + uint64(ring+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -105,9 +106,9 @@
 	return x ^ x>>31
 }
 
-// draw says who watches whom: on each of some rings a member is watched by the next one
-// that does not do so already. The first ring is one for each site, so that one of its own
-// site watches a member, if there is one.
+// assignWatchers determines who watches whom. On each of k rings a member is watched by the
+// next one that does not watch it already. The first ring is replaced by one ring per site, so
+// that each member has a watcher at its own site, if that site has another member.
 func (v *View) assignWatchers(k int) {
 	n := len(v.Members)
 	v.proposerOrder = v.ring(-1)
@@ -126,151 +127,157 @@
 		for r := 1; r < k; r++ {
 			ring := v.ring(r)
 			v.rings = append(v.rings, ring)
-			for p, subject := range ring {
-				for d := 1; ; d++ {
-					if o := ring[(p+d)%n]; !slices.Contains(v.watchers[subject], o) {
-						v.watchers[subject] = append(v.watchers[subject], o)
+			for position, subject := range ring {
+				for distance := 1; ; distance++ {
+					if watcher := ring[(position+distance)%n]; !slices.Contains(v.watchers[subject], watcher) {
+						v.watchers[subject] = append(v.watchers[subject], watcher)
 						break
 					}
 				}
 			}
 		}
 	}
-	for subject, all := range v.watchers {
-		for _, o := range all {
-			v.watchedBy[o] = append(v.watchedBy[o], uint32(subject))
+	for subject, watchers := range v.watchers {
+		for _, watcher := range watchers {
+			v.watchedBy[watcher] = append(v.watchedBy[watcher], uint32(subject))
 		}
 	}
 }
 
+// assignSiteWatchers makes each member the watcher of the one before it on its site's ring. A
+// member alone at its site is watched by the next one of the whole fleet.
 func (v *View) assignSiteWatchers() {
 	sites := map[string][]uint32{}
 	for _, i := range v.proposerOrder {
 		site := v.Members[i].Site
 		sites[site] = append(sites[site], i)
 	}
-	for p, subject := range v.proposerOrder {
+	for position, subject := range v.proposerOrder {
 		if len(sites[v.Members[subject].Site]) == 1 {
-			v.watchers[subject] = append(v.watchers[subject], v.proposerOrder[(p+1)%len(v.proposerOrder)])
+			v.watchers[subject] = append(v.watchers[subject], v.proposerOrder[(position+1)%len(v.proposerOrder)])
 		}
 	}
-	for _, own := range sites {
-		for p, subject := range own {
-			if len(own) > 1 {
-				v.watchers[subject] = append(v.watchers[subject], own[(p+1)%len(own)])
+	for _, siteMembers := range sites {
+		for position, subject := range siteMembers {
+			if len(siteMembers) > 1 {
+				v.watchers[subject] = append(v.watchers[subject], siteMembers[(position+1)%len(siteMembers)])
 			}
 		}
 	}
 }
 
+// ring returns the members in the pseudo-random order of ring r.
 func (v *View) ring(r int) []uint32 {
-	type place struct {
+	type ringEntry struct {
 		at uint64
 		i  uint32
 	}
-	places := make([]place, len(v.Members))
+	entries := make([]ringEntry, len(v.Members))
 	for i := range v.Members {
-		places[i] = place{hashLife(v.Members[i].Life, r), uint32(i)}
+		entries[i] = ringEntry{hashLife(v.Members[i].Life, r), uint32(i)}
 	}
-	slices.SortFunc(places, func(a, b place) int { return cmp.Compare(a.at, b.at) })
-	ring := make([]uint32, len(places))
-	for i, p := range places {
-		ring[i] = p.i
+	slices.SortFunc(entries, func(a, b ringEntry) int { return cmp.Compare(a.at, b.at) })
+	ring := make([]uint32, len(entries))
+	for i, entry := range entries {
+		ring[i] = entry.i
 	}
 	return ring
 }
 
-// sponsors are those who try a life that wants in, before it is let in.
+// sponsors returns the members that probe a joining life before it is admitted: its successors
+// on the rings, or all members of a small view.
 func (v *View) sponsors(life uint64) []uint32 {
 	if v.rings == nil {
 		return v.proposerOrder
 	}
-	var all []uint32
+	var sponsors []uint32
 	for r, ring := range v.rings {
 		if r == 0 {
-			r = -1 // the order of those who propose
+			r = -1 // the first ring is proposerOrder
 		}
-		at := hashLife(life, r)
-		p, _ := slices.BinarySearchFunc(ring, at, func(i uint32, at uint64) int { return cmp.Compare(hashLife(v.Members[i].Life, r), at) })
-		for d := range ring {
-			if o := ring[(p+d)%len(ring)]; !slices.Contains(all, o) {
-				all = append(all, o)
+		target := hashLife(life, r)
+		start, _ := slices.BinarySearchFunc(ring, target, func(i uint32, target uint64) int { return cmp.Compare(hashLife(v.Members[i].Life, r), target) })
+		for distance := range ring {
+			if sponsor := ring[(start+distance)%len(ring)]; !slices.Contains(sponsors, sponsor) {
+				sponsors = append(sponsors, sponsor)
 				break
 			}
 		}
 	}
-	return all
+	return sponsors
 }
 
-// Index is the place of a life among the members; false if it is none.
+// IndexOfLife returns the index of the member with the given life, and whether there is one.
 func (v *View) IndexOfLife(life uint64) (uint32, bool) {
 	i, ok := v.byLife[life]
 	return i, ok
 }
 
-// Named is the place of the member of a name; false if there is none.
+// IndexOfName returns the index of the member with the given name, and whether there is one.
 func (v *View) IndexOfName(name string) (uint32, bool) {
 	i, ok := v.byName[name]
 	return i, ok
 }
 
-// majority is the number of votes that decide.
+// majority returns the number of votes needed for a decision.
 func (v *View) majority() int { return len(v.Members)/2 + 1 }
 
-// Thresholds of accusations for a member with so many watchers.
-func highWatermark(watchers int) int { return (3*watchers + 3) / 4 }   // all but a few
-func lowWatermark(watchers int) int  { return (3*watchers + 9) / 10 }  // below is noise
-func halfOf(watchers int) int        { return max(1, (watchers+1)/2) } // of those that see it alive
+// Thresholds of accusations for a member with the given number of watchers. A member is
+// removed at the high watermark; below the low watermark accusations are noise; halfOf applies
+// to members that refute.
+func highWatermark(watchers int) int { return (3*watchers + 3) / 4 }
+func lowWatermark(watchers int) int  { return (3*watchers + 9) / 10 }
+func halfOf(watchers int) int        { return max(1, (watchers+1)/2) }
 
-// Proposal is a change of a view.
+// Proposal is a change to a view.
 type Proposal struct {
-	ViewNumber uint64   // the number of the view that it changes
-	NextNumber uint64   // of the view that it makes: the next, or beyond all that those who come in have known
-	Remove     []uint32 // places in that view, ascending
-	Add        []Member // by life
+	ViewNumber uint64   // the view that it changes
+	NextNumber uint64   // the resulting view: the next number, above all view numbers known to the joiners
+	Remove     []uint32 // member indexes of the changed view, ascending
+	Add        []Member // sorted by life
 }
 
-// Hash names a proposal; never 0.
+// Hash returns the identifier of a proposal; never 0.
 func (p *Proposal) Hash() uint64 {
 	h := xxhash.New()
-	var word [8]byte
-	put := func(x uint64) {
-		binary.LittleEndian.PutUint64(word[:], x)
-		h.Write(word[:])
+	var buf [8]byte
+	writeUint := func(x uint64) {
+		binary.LittleEndian.PutUint64(buf[:], x)
+		h.Write(buf[:])
 	}
-	put(p.ViewNumber)
-	put(p.NextNumber)
-	put(uint64(len(p.Remove)))
+	writeUint(p.ViewNumber)
+	writeUint(p.NextNumber)
+	writeUint(uint64(len(p.Remove)))
 	for _, i := range p.Remove {
-		put(uint64(i))
+		writeUint(uint64(i))
 	}
 	for i := range p.Add {
-		put(p.Add[i].Life)
-		put(p.Add[i].Incarnation)
+		writeUint(p.Add[i].Life)
+		writeUint(p.Add[i].Incarnation)
 		h.WriteString(p.Add[i].Name + "\x00" + p.Add[i].Site + "\x00" + p.Add[i].Addr.String())
 	}
 	return max(1, h.Sum64())
 }
 
-// Next is the view that a proposal makes of this one.
+// Next returns the view that results from applying a proposal to this one.
 func (v *View) Next(p *Proposal, watchers int) (*View, error) {
 	if p.ViewNumber != v.Number || p.NextNumber <= v.Number {
-		return nil, fmt.Errorf("a proposal of view %d for view %d came to view %d", p.NextNumber, p.ViewNumber, v.Number)
+		return nil, fmt.Errorf("proposal of view %d from view %d can't be applied to view %d", p.NextNumber, p.ViewNumber, v.Number)
 	}
 	members := make([]Member, 0, len(v.Members)+len(p.Add))
-	at := 0
+	nextRemoved := 0
 	for i := range v.Members {
-		if at < len(p.Remove) && p.Remove[at] == uint32(i) {
-			at++
+		if nextRemoved < len(p.Remove) && p.Remove[nextRemoved] == uint32(i) {
+			nextRemoved++
 			continue
 		}
 		members = append(members, v.Members[i])
 	}
-	if at < len(p.Remove) {
-		return nil, fmt.Errorf("a proposal for view %d takes out place %d of %d, or one twice", p.ViewNumber, p.Remove[at], len(v.Members))
+	if nextRemoved < len(p.Remove) {
+		return nil, fmt.Errorf("proposal for view %d: removed index %d is out of range (%d members) or not ascending", p.ViewNumber, p.Remove[nextRemoved], len(v.Members))
 	}
 	return NewView(v.FleetID, p.NextNumber, append(members, p.Add...), watchers)
 }
 
-// Watchers are the places of those who watch a member.
+// WatchersOf returns the indexes of the watchers of a member.
 func (v *View) WatchersOf(i uint32) []uint32 { return v.watchers[i] }
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Phase is where a node stands.
+// Phase is the state of a node's membership.
 type Phase uint8
 
-// The phases.
+// The phases, in their usual order.
 const (
-	Seeking Phase = 1 + iota // it wants in
-	Serving                  // it is in a view
-	Leaving                  // it has said that it goes
-	Gone                     // it has gone
+	Seeking Phase = 1 + iota // not in a view; tries to join or to found the fleet
+	Serving                  // member of a view
+	Leaving                  // has announced its departure
+	Gone                     // has left
 )
 
-// Node is one node's part in the membership.
+// Node is one node's instance of the membership protocol.
 type Node struct {
 	settings     Settings
 	rng          *rand.Rand
 	now          time.Duration
 	phase        Phase
 	self         Member
-	view         *View // nil while seeking
-	previousView *View // the one before this life; nil: none
-	index        uint32
+	view         *View  // nil while not in a view
+	previousView *View  // last view of the previous life; nil if there was none
+	index        uint32 // of this node in view
 
 	outgoing []Outgoing
 	events   []Event
@@ -37,32 +37,32 @@
 	started   time.Duration // of this life
 	lastTick  time.Duration
 	stalls    int
-	lastStall time.Duration // when it last stood still
-	isolated  bool
-	edges     map[uint32]*edge // by the place of the watched
-	seq       uint64
+	lastStall time.Duration    // end of the last pause of this process
+	isolated  bool             // no contact with any watched member
+	edges     map[uint32]*edge // by index of the watched member
+	seq       uint64           // of the last probe
 
 	detector cutDetector
 	ballots  paxosState
 	queue    gossipQueue
-	lastPull time.Duration
+	lastPull time.Duration // last request for a view
 
 	joining       joinState
-	trials        map[uint64]*joinTrial     // lives that this node tries, as a sponsor
-	pending       map[uint64]*pendingJoiner // lives that want in, as one who proposes
-	removed       map[string]*removalRecord // names taken out of late
+	trials        map[uint64]*joinTrial     // lives that this node probes as a sponsor
+	pending       map[uint64]*pendingJoiner // lives that may be proposed for admission
+	removed       map[string]*removalRecord // names removed recently
 	nextSeedProbe time.Duration
 	seedProbes    int
 	leaveDeadline time.Duration
 	stats         Stats
 }
 
-// Stats counts what a node has done.
+// Stats counts messages and events of a node. Its fields are JSON keys.
 type Stats struct {
 	Sent, Received, Stale, Views, Accusations int
 }
 
-// New returns a node that starts now and wants in.
+// New returns a node that starts at time now and tries to join.
 func New(set Settings, seed uint64, now time.Duration) *Node {
 	n := &Node{settings: set.Default(), rng: rand.New(rand.NewPCG(seed, 0x51f15e)), now: now, lastTick: now}
 	n.self = n.settings.Self
@@ -74,7 +74,7 @@
 	return n
 }
 
-// reborn begins a new life outside of any view.
+// startNewLife begins a new life outside of any view.
 func (n *Node) startNewLife() {
 	if n.view != nil {
 		n.joining.lastViewNumber = max(n.joining.lastViewNumber, n.view.Number)
@@ -91,31 +91,33 @@
 	n.emit(Event{Kind: NewIncarnation, Member: n.self})
 }
 
-func (n *Node) randomAddrs(v *View, most int) []netip.AddrPort {
-	var all []netip.AddrPort
-	for range most {
+// randomAddrs returns the addresses of up to limit random members of v, other than this node.
+func (n *Node) randomAddrs(v *View, limit int) []netip.AddrPort {
+	var addrs []netip.AddrPort
+	for range limit {
 		if m := &v.Members[n.rng.IntN(len(v.Members))]; m.Life != n.self.Life {
-			all = append(all, m.Addr)
+			addrs = append(addrs, m.Addr)
 		}
 	}
-	return all
+	return addrs
 }
 
 func (n *Node) emit(e Event) { n.events = append(n.events, e) }
 
-// send puts a message out, with the sender's place in the world, and such news as there is room for.
+// send queues a message for a datagram and fills in the sender.
 func (n *Node) send(to netip.AddrPort, m *Message) {
 	n.setSender(m)
 	n.stats.Sent++
 	n.outgoing = append(n.outgoing, Outgoing{To: to, Message: m})
 }
 
-// stream puts a message out that may be long.
+// stream queues a message that may be too long for a datagram.
 func (n *Node) stream(to netip.AddrPort, m *Message) {
 	n.setSender(m)
 	n.outgoing = append(n.outgoing, Outgoing{To: to, Message: m, Stream: true})
 }
 
+// setSender fills in the fields that identify the sender and its view.
 func (n *Node) setSender(m *Message) {
 	m.SenderLife = n.self.Life
 	if n.view != nil {
@@ -127,27 +129,28 @@
 	}
 }
 
-// Take hands over what came of the calls since the last one: messages to send, and events. Both
-// are the caller's until its next call of the node.
+// TakeOutput returns the messages to send and the events that have accumulated since the last
+// call. Both are valid until the next call of a method of the node.
 func (n *Node) TakeOutput() ([]Outgoing, []Event) {
-	sends, events := n.outgoing, n.events
+	outgoing, events := n.outgoing, n.events
 	n.outgoing, n.events = nil, nil
-	return sends, events
+	return outgoing, events
 }
 
-// View is the present view; nil while the node is in none.
+// View returns the current view; nil while the node is not in one.
 func (n *Node) View() *View { return n.view }
 
-// Self is this life.
+// Self returns this node's current life.
 func (n *Node) Self() Member { return n.self }
 
-// Phase is where the node stands.
+// Phase returns the node's phase.
 func (n *Node) Phase() Phase { return n.phase }
 
-// Stats counts what the node has done.
+// Stats returns the counters.
 func (n *Node) Stats() Stats { return n.stats }
 
-// Tick is to be called every Settings.Round; a later call tells that the node stood still.
+// Tick must be called every Settings.GossipInterval. A long gap between calls is taken as a pause
+// of this process.
 func (n *Node) Tick(now time.Duration) {
 	gap := now - n.lastTick
 	n.now, n.lastTick = now, now
@@ -165,7 +168,7 @@
 		n.probeWatched()
 		n.probeJoiners()
 		n.refuteAccusations()
-		if n.propose(); n.view == nil { // decided, and without this life
+		if n.propose(); n.view == nil { // a view without this life was decided
 			return
 		}
 		n.gossip()
@@ -176,14 +179,15 @@
 	}
 }
 
-// abandon leaves a view that can never change again: so many of its lives have ended that no majority is left.
-// The seeds found the fleet anew, with a higher number.
+// abandonView leaves a view in which so many lives have ended that no majority is left, so that it
+// can never change again. The seeds then found the fleet again, with a higher view number.
 func (n *Node) abandonView() {
-	n.emit(Event{Kind: Evicted, View: n.view, Detail: fmt.Sprintf("%d of %d lives of this view have ended: it can't decide any more", len(n.detector.ended), len(n.view.Members))})
+	n.emit(Event{Kind: Evicted, View: n.view, Detail: fmt.Sprintf("%d of %d lives of this view have ended: no majority is left", len(n.detector.ended), len(n.view.Members))})
 	n.startNewLife()
 }
 
-// stall forgives what the node slept through: whoever was silent meanwhile has not been silent for it.
+// handleStall restarts all timers after a pause of this process: members were not silent while this
+// node could not hear them.
 func (n *Node) handleStall(gap time.Duration) {
 	n.stalls++
 	n.lastStall = n.now
@@ -200,7 +204,7 @@
 	}
 }
 
-// Receive takes a message.
+// Receive handles a message from another node.
 func (n *Node) Receive(now time.Duration, m *Message) {
 	n.now = now
 	n.stats.Received++
@@ -211,10 +215,10 @@
 		n.handleForeignFleet(m)
 		return
 	}
-	same := n.view != nil && m.ViewNumber == n.view.Number
+	sameView := n.view != nil && m.ViewNumber == n.view.Number
 	if m.Vote != nil && m.FleetID != 0 {
 		n.mergeVote(m)
-		if !same && n.view != nil && n.ballots.decidedVote != nil && m.Vote.ViewNumber == n.ballots.decidedVote.ViewNumber && m.ViewNumber < n.view.Number {
+		if !sameView && n.view != nil && n.ballots.decidedVote != nil && m.Vote.ViewNumber == n.ballots.decidedVote.ViewNumber && m.ViewNumber < n.view.Number {
 			n.sendDecision(m)
 		}
 	}
@@ -239,14 +243,15 @@
 	case State:
 		n.handleState(m)
 	}
-	if same && n.view != nil && m.FleetID == n.view.FleetID && m.ViewNumber == n.view.Number {
+	if sameView && n.view != nil && m.FleetID == n.view.FleetID && m.ViewNumber == n.view.Number {
 		n.mergeNews(m)
 	} else if m.FleetID != 0 && n.view != nil {
 		n.stats.Stale++
 	}
 }
 
-// addressOf is where the sender of a message is reached: as a member, or as it says itself.
+// replyAddr returns the address of a message's sender: from the view, from the message itself, or
+// from the previous view.
 func (n *Node) replyAddr(m *Message) (netip.AddrPort, bool) {
 	if n.view != nil {
 		if i, ok := n.view.IndexOfLife(m.SenderLife); ok {
@@ -264,7 +269,7 @@
 	return netip.AddrPort{}, false
 }
 
-// behind asks for the view of one that has a later one.
+// requestView asks the sender of a message, which has a newer view, for that view.
 func (n *Node) requestView(m *Message) {
 	to, ok := n.replyAddr(m)
 	if !ok || m.Kind == State || n.lastPull != 0 && n.now-n.lastPull < pullInterval {
@@ -275,17 +280,17 @@
 	n.stream(to, &Message{Kind: StateRequest, Self: &self})
 }
 
-// catchUp tells one that still votes on what is decided how it was.
+// sendDecision sends the decided vote to a member that still votes on the previous view.
 func (n *Node) sendDecision(m *Message) {
 	if to, ok := n.replyAddr(m); ok {
-		c := &Message{Kind: Gossip}
-		if c.Vote, c.Proposal = n.voteForMessage(*n.ballots.decidedVote, n.ballots.decidedProposal); c.Proposal != nil {
-			n.send(to, c)
+		reply := &Message{Kind: Gossip}
+		if reply.Vote, reply.Proposal = n.voteForMessage(*n.ballots.decidedVote, n.ballots.decidedProposal); reply.Proposal != nil {
+			n.send(to, reply)
 		}
 	}
 }
 
-// give hands out the view, or a proposal.
+// handleStateRequest sends the view or the requested proposal.
 func (n *Node) handleStateRequest(m *Message) {
 	to, ok := n.replyAddr(m)
 	if !ok || n.view == nil {
@@ -300,7 +305,7 @@
 	n.stream(to, &Message{Kind: State, View: n.view})
 }
 
-// state takes what was pulled.
+// handleState handles a view or proposal that this node requested.
 func (n *Node) handleState(m *Message) {
 	if p := m.Proposal; p != nil && n.view != nil && p.ViewNumber == n.view.Number && p.Hash() == m.WantedHash {
 		n.ballots.addProposal(p)
@@ -321,10 +326,11 @@
 	n.installView(v, "")
 }
 
-// install begins a view.
+// installView replaces the current view by v. If v lacks this life, the node has left or begins a
+// new life. why describes the change for the event.
 func (n *Node) installView(v *View, why string) {
 	old := n.view
-	at, in := v.IndexOfLife(n.self.Life)
+	index, in := v.IndexOfLife(n.self.Life)
 	if !in {
 		if n.phase == Leaving {
 			n.phase, n.view = Gone, nil
@@ -337,33 +343,33 @@
 		return
 	}
 	n.recordRemovals(old, v)
-	edges := n.edges
-	n.view, n.index = v, at
-	n.self = v.Members[at]
+	previousEdges := n.edges
+	n.view, n.index = v, index
+	n.self = v.Members[index]
 	if n.phase == Seeking {
 		n.phase = Serving
 	}
-	n.edges = make(map[uint32]*edge, len(v.watchedBy[at]))
-	for _, subject := range v.watchedBy[at] {
+	n.edges = make(map[uint32]*edge, len(v.watchedBy[index]))
+	for _, subject := range v.watchedBy[index] {
 		e := n.newEdge(v.Members[subject])
-		for _, kept := range edges {
-			if kept.member.Life == e.member.Life {
-				*e = *kept
+		for _, previous := range previousEdges {
+			if previous.member.Life == e.member.Life {
+				*e = *previous
 				e.member, e.hasView = v.Members[subject], false
 				break
 			}
 		}
-		e.subject, e.slot = subject, slotOf(v.watchers[subject], at)
+		e.subject, e.slot = subject, slotOf(v.watchers[subject], index)
 		n.edges[subject] = e
 	}
 	n.detector = cutDetector{}
-	n.ballots.reset(v, at)
+	n.ballots.reset(v, index)
 	n.queue.clear()
 	n.prunePending(v)
 	n.stats.Views++
 	n.emit(Event{Kind: ViewChanged, View: v, Detail: why})
 	for subject, e := range n.edges {
-		if e.accused { // as seen from here it is so in this view too
+		if e.accused { // still silent, so it is accused in the new view as well
 			n.publishAlert(subject, e)
 		}
 	}
@@ -372,20 +378,22 @@
 	}
 }
 
-func slotOf(watchers []uint32, at uint32) uint32 {
-	for i, w := range watchers {
-		if w == at {
+// slotOf returns the position of a member among the watchers of another.
+func slotOf(watchers []uint32, member uint32) uint32 {
+	for i, watcher := range watchers {
+		if watcher == member {
 			return uint32(i)
 		}
 	}
 	return math.MaxUint32
 }
 
-// copies is how often an item of news is passed on.
+// copiesPerItem returns how often a node sends each gossip item; it grows with the logarithm of the
+// number of members.
 func (n *Node) copiesPerItem() int { return 3 + bits.Len(uint(len(n.view.Members))) }
 
-// Leave tells the others that this node goes, and that nobody need miss it. The node is gone with the view
-// that lacks it, or after patience.
+// Leave announces the departure of this node, so that it is removed without accusations. The node
+// is Gone once a view without it is in effect, or after patience.
 func (n *Node) Leave(now, patience time.Duration) {
 	n.now = now
 	if n.phase != Serving || len(n.view.Members) == 1 {
@@ -400,6 +408,7 @@
 	}
 }
 
+// finishLeaving ends the membership of this node.
 func (n *Node) finishLeaving() {
 	n.phase, n.view = Gone, nil
 	n.emit(Event{Kind: Left})
--- a/internal/fleet/membership/node_test.go
+++ b/internal/fleet/membership/node_test.go
@@ -11,6 +11,7 @@
 
 const ms = time.Millisecond
 
+// testMember returns member i of a test fleet with three sites.
 func testMember(i int) Member {
 	return Member{
 		Name: fmt.Sprintf("n%02d", i), Site: fmt.Sprint("s", i%3), Life: uint64(i) + 1, Incarnation: 1,
@@ -18,14 +19,14 @@
 	}
 }
 
-// among returns the node of one place in a view of so many.
-func nodeInView(t *testing.T, nodes, i int) *Node {
+// nodeInView returns the node with index i in a view with the given number of members.
+func nodeInView(t *testing.T, size, i int) *Node {
 	t.Helper()
-	var all []Member
-	for k := range nodes {
-		all = append(all, testMember(k))
+	var members []Member
+	for k := range size {
+		members = append(members, testMember(k))
 	}
-	v, err := NewView(9, 1, all, 10)
+	v, err := NewView(9, 1, members, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,52 +37,54 @@
 	return n
 }
 
-// live ticks a node for a while; those who answer do so at once.
-func runFor(n *Node, lasts time.Duration, answers func(m Member) bool) {
-	for end := n.now + lasts; n.now < end; {
+// runFor ticks a node for a duration. Members for which answers returns true answer probes at once.
+func runFor(n *Node, duration time.Duration, answers func(m Member) bool) {
+	for end := n.now + duration; n.now < end; {
 		n.Tick(n.now + 100*ms)
 		sends, _ := n.TakeOutput()
-		for _, s := range sends {
+		for _, out := range sends {
 			for _, m := range n.view.Members {
-				if s.Message.Kind == Probe && m.Addr == s.To && answers(m) {
-					n.Receive(n.now, &Message{Kind: Ack, SenderLife: m.Life, Seq: s.Message.Seq, FleetID: 9, ViewNumber: 1})
+				if out.Message.Kind == Probe && m.Addr == out.To && answers(m) {
+					n.Receive(n.now, &Message{Kind: Ack, SenderLife: m.Life, Seq: out.Message.Seq, FleetID: 9, ViewNumber: 1})
 				}
 			}
 		}
 	}
 }
 
-// Whoever was silent while this node stood still has not been silent for it.
-func TestPauseIsForgiven(t *testing.T) {
+// A pause of this process must not count as silence of the watched members.
+func TestPauseCausesNoAccusations(t *testing.T) {
 	n := nodeInView(t, 12, 0)
 	one := n.view.Members[n.view.watchedBy[n.index][0]].Life
 	runFor(n, 3*time.Second, func(m Member) bool { return m.Life == one })
 	n.Tick(n.now + 10*time.Second)
 	if n.stats.Accusations > 0 || n.stalls != 1 {
-		t.Errorf("%d accusations after a pause, %d pauses seen", n.stats.Accusations, n.stalls)
+		t.Errorf("after a pause: %d accusations, want 0; %d stalls, want 1", n.stats.Accusations, n.stalls)
 	}
 	runFor(n, 5*time.Second, func(m Member) bool { return m.Life == one })
 	if want := len(n.edges) - 1; n.stats.Accusations != want {
-		t.Errorf("%d accusations of those who stayed silent, want %d", n.stats.Accusations, want)
+		t.Errorf("%d accusations of members that stayed silent, want %d", n.stats.Accusations, want)
 	}
 }
 
-// Who hears nobody is itself cut off, and accuses nobody; nor as soon as one is heard again.
-func TestWhoHearsNobodyAccusesNobody(t *testing.T) {
+// A node without any contact is isolated itself: it must accuse nobody, also right after contact
+// with one member is restored.
+func TestIsolatedNodeAccusesNobody(t *testing.T) {
 	n := nodeInView(t, 12, 0)
 	runFor(n, 20*time.Second, func(Member) bool { return false })
 	if n.stats.Accusations > 0 || !n.isolated {
-		t.Errorf("%d accusations, isolated %v", n.stats.Accusations, n.isolated)
+		t.Errorf("%d accusations, want 0; isolated is %v, want true", n.stats.Accusations, n.isolated)
 	}
 	one := n.view.Members[n.view.watchedBy[n.index][0]].Life
 	runFor(n, 2*time.Second, func(m Member) bool { return m.Life == one })
 	if n.stats.Accusations > 0 {
-		t.Errorf("%d accusations right after", n.stats.Accusations)
+		t.Errorf("%d accusations right after contact is restored, want 0", n.stats.Accusations)
 	}
 }
 
-// An answer of a life that is not in the view, or to nothing that was asked, is no contact.
-func TestOldAnswersAreNoContact(t *testing.T) {
+// An answer from a life that is not in the view, or with an unknown sequence number, must not count
+// as contact.
+func TestUnexpectedAcksAreNoContact(t *testing.T) {
 	n := nodeInView(t, 5, 0)
 	runFor(n, 2*time.Second, func(Member) bool { return false })
 	for seq := range uint64(40) {
@@ -90,40 +93,43 @@
 	}
 	for _, e := range n.edges {
 		if e.lastContact > 0 {
-			t.Errorf("contact with %s", e.member.Name)
+			t.Errorf("contact with %s is recorded", e.member.Name)
 		}
 	}
 }
 
+// accuseByFirst records accusations of a member by the first of its watchers.
 func accuseByFirst(n *Node, subject uint32, watchers int) {
-	for s := range uint32(watchers) {
-		n.detector.recordAlert(n.view, Alert{Subject: subject, WatcherSlot: s, Seq: n.detector.subject(subject).alertSeqs[s] + 1, Down: true}, n.now)
+	for slot := range uint32(watchers) {
+		n.detector.recordAlert(n.view, Alert{Subject: subject, WatcherSlot: slot, Seq: n.detector.subject(subject).alertSeqs[slot] + 1, Down: true}, n.now)
 	}
 }
 
-// Two watermarks: below the low one is noise, above the high one a member goes, and between them all wait.
+// Accusations below the low watermark are noise, a member at the high watermark is removed, and a
+// member between the two delays all removals.
 func TestWatermarks(t *testing.T) {
-	for _, x := range []struct {
-		accusers, beside int
-		out              int
-		clear            bool
+	for _, test := range []struct {
+		accusers, accusersOfOther int
+		removed                   int
+		clear                     bool
 	}{{8, 0, 1, true}, {10, 2, 1, true}, {8, 3, 1, false}, {7, 0, 0, false}, {2, 2, 0, true}} {
 		n := nodeInView(t, 30, 0)
-		accuseByFirst(n, 5, x.accusers)
-		accuseByFirst(n, 17, x.beside)
-		out, clear := n.detector.removals(n.view, n.now+time.Second)
-		if len(out) != x.out || clear != x.clear {
-			t.Errorf("accused by %d and another by %d: out %v, clear %v", x.accusers, x.beside, out, clear)
+		accuseByFirst(n, 5, test.accusers)
+		accuseByFirst(n, 17, test.accusersOfOther)
+		removed, clear := n.detector.removals(n.view, n.now+time.Second)
+		if len(removed) != test.removed || clear != test.clear {
+			t.Errorf("one member accused by %d and another by %d: removed %v, clear %v", test.accusers, test.accusersOfOther, removed, clear)
 		}
 	}
 }
 
-// Who is accused is told, says that it lives, and is not taken out while it does.
-func TestTheAccusedSpeaks(t *testing.T) {
+// An accused member is informed of the accusations, sends refutations, and is not removed while
+// they arrive.
+func TestAccusedMemberRefutes(t *testing.T) {
 	n := nodeInView(t, 30, 0)
 	m := &Message{Kind: Probe, SenderLife: testMember(1).Life, FleetID: 9, ViewNumber: 1, Seq: 1}
-	for s := range uint32(8) {
-		m.Alerts = append(m.Alerts, Alert{Subject: n.index, WatcherSlot: s, Seq: 1, Down: true})
+	for slot := range uint32(8) {
+		m.Alerts = append(m.Alerts, Alert{Subject: n.index, WatcherSlot: slot, Seq: 1, Down: true})
 	}
 	n.Receive(n.now, m)
 	n.TakeOutput()
@@ -132,47 +138,47 @@
 	if !slices.ContainsFunc(sends, func(s Outgoing) bool {
 		return len(s.Message.Refutations) == 1 && s.Message.Refutations[0].Member == n.index
 	}) {
-		t.Error("it does not say that it lives")
+		t.Error("the accused node sends no refutation")
 	}
 	other := nodeInView(t, 30, 3)
 	subject := other.view.watchedBy[other.index][0]
 	accuseByFirst(other, subject, 8)
 	if out, _ := other.detector.removals(other.view, other.now+time.Second); !slices.Equal(out, []uint32{subject}) {
-		t.Errorf("mute: out %v", out)
+		t.Errorf("without a refutation: removed %v", out)
 	}
 	other.Receive(other.now, &Message{Kind: Gossip, SenderLife: 2, FleetID: 9, ViewNumber: 1, Refutations: []Refutation{{subject, 1}}})
 	if out, _ := other.detector.removals(other.view, other.now+time.Second); len(out) > 0 {
-		t.Errorf("it speaks: out %v", out)
+		t.Errorf("with a refutation: removed %v, want none", out)
 	}
-	told := false
+	informed := false
 	for range 15 {
 		other.Tick(other.now + 100*ms)
 		sends, _ = other.TakeOutput()
 		for _, s := range sends {
-			told = told || s.Message.Kind == Probe && s.To == other.view.Members[subject].Addr && len(s.Message.Alerts) >= 7
+			informed = informed || s.Message.Kind == Probe && s.To == other.view.Members[subject].Addr && len(s.Message.Alerts) >= 7
 		}
 	}
-	if !told {
-		t.Error("nobody tells the accused")
+	if !informed {
+		t.Error("no probe informs the accused member of the accusations")
 	}
 }
 
-// A name that is taken out again and again waits, longer each time.
-func TestTakenOutAgain(t *testing.T) {
+// A name that is removed repeatedly must wait longer each time before it is admitted again.
+func TestReadmitBackoffGrows(t *testing.T) {
 	n := nodeInView(t, 5, 0)
 	v := n.view
 	without, err := v.Next(&Proposal{ViewNumber: 1, NextNumber: 2, Remove: []uint32{4}}, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	last := time.Duration(-1)
+	lastWait := time.Duration(-1)
 	for k := range 4 {
 		n.recordRemovals(v, without)
-		r := n.removed[testMember(4).Name]
-		if wait := max(0, r.readmitAt-n.now); wait <= last && k > 0 {
-			t.Errorf("time %d: waits %v after %v", k+1, wait, last)
+		removal := n.removed[testMember(4).Name]
+		if wait := max(0, removal.readmitAt-n.now); wait <= lastWait && k > 0 {
+			t.Errorf("removal %d: wait %v is not longer than the previous %v", k+1, wait, lastWait)
 		} else {
-			last = wait
+			lastWait = wait
 		}
 	}
 	n.view = without
@@ -180,17 +186,17 @@
 	joiner.Life = 99
 	n.Receive(n.now+time.Second, &Message{Kind: Join, SenderLife: 99, Self: &joiner})
 	if len(n.trials) > 0 {
-		t.Error("it is tried while it must wait")
+		t.Error("the joiner is probed before its wait is over")
 	}
-	n.Receive(n.now+last+time.Second, &Message{Kind: Join, SenderLife: 99, Self: &joiner})
+	n.Receive(n.now+lastWait+time.Second, &Message{Kind: Join, SenderLife: 99, Self: &joiner})
 	if len(n.trials) == 0 {
-		t.Error("it is not tried once it has waited")
+		t.Error("the joiner is not probed after its wait")
 	}
 }
 
-// Whatever ballots are opened by whom, and whatever of the votes is lost, late or doubled, no two nodes make different
-// views of one number.
-func TestOneDecision(t *testing.T) {
+// Whichever nodes open ballots, and whichever votes are lost, delayed or duplicated, no two nodes may
+// install different views with the same number.
+func TestOneViewPerNumber(t *testing.T) {
 	decided := 0
 	for seed := range uint64(4000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -198,15 +204,15 @@
 		var nodes []*Node
 		for i := range size {
 			n := nodeInView(t, size, i)
-			extra := testMember(20 + i) // each would have another change
+			extra := testMember(20 + i) // each node proposes a different joiner
 			n.ballots.ownProposal = &Proposal{ViewNumber: 1, NextNumber: 2, Add: []Member{extra}}
 			nodes = append(nodes, n)
 		}
-		type letter struct {
+		type delivery struct {
 			to int
 			m  *Message
 		}
-		var post []letter
+		var inFlight []delivery
 		digest := uint64(0)
 		for range 120 {
 			i := rng.IntN(size)
@@ -215,18 +221,18 @@
 			case n.view.Number == 1 && rng.IntN(6) == 0:
 				b.openBallot(Vote{ViewNumber: 1, Ballot: ballotNumber(b.current.Ballot>>32+1, b.rank), Promises: NewBitSet(size)}, n.now)
 				n.advanceBallot()
-			case len(post) > 0 && rng.IntN(2) == 0:
-				k := rng.IntN(len(post))
-				l := post[k]
-				if rng.IntN(4) > 0 { // else it comes again later
-					post = slices.Delete(post, k, k+1)
+			case len(inFlight) > 0 && rng.IntN(2) == 0:
+				pick := rng.IntN(len(inFlight))
+				d := inFlight[pick]
+				if rng.IntN(4) > 0 { // otherwise it is delivered again later
+					inFlight = slices.Delete(inFlight, pick, pick+1)
 				}
-				nodes[l.to].mergeVote(l.m)
+				nodes[d.to].mergeVote(d.m)
 			case n.view.Number == 1 && b.current.Ballot != 0:
 				m := &Message{Kind: Gossip, SenderLife: n.self.Life, FleetID: 9, ViewNumber: 1}
 				m.Vote, m.Proposal = n.voteForMessage(b.current, b.proposals[b.current.Value])
 				if to := rng.IntN(size); to != i {
-					post = append(post, letter{to, m})
+					inFlight = append(inFlight, delivery{to, m})
 				}
 			}
 			for _, n := range nodes {
@@ -236,13 +242,13 @@
 						digest = n.view.Digest
 					}
 					if digest != n.view.Digest {
-						t.Fatalf("seed %d: two views of one number", seed)
+						t.Fatalf("seed %d: two views have the same number", seed)
 					}
 				}
 			}
 		}
 	}
 	if decided == 0 {
-		t.Error("nothing was ever decided: the test shows nothing")
+		t.Error("no run decided anything, so nothing was tested")
 	}
 }
--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// edge is this node's watch of one member.
+// edge is the state of monitoring one member that this node watches.
 type edge struct {
 	member             Member
-	subject            uint32 // its place in the view
-	slot               uint32 // which of its watchers this node is
-	startedAt          time.Duration
-	lastContact        time.Duration // the last contact; 0: none
-	nextRound          time.Duration // when the next round of probes begins
-	attemptsMade       int           // in this round
-	nextAttempt        time.Duration // when the next attempt is due
-	outstanding        [8]sentProbe  // attempts without an answer, the oldest overwritten
+	subject            uint32        // the member's index in the view
+	slot               uint32        // this node's position among the member's watchers
+	startedAt          time.Duration // silence is measured from the later of this and lastContact
+	lastContact        time.Duration // 0 if there was none
+	nextRound          time.Duration // start of the next probe round
+	attemptsMade       int           // in the current round
+	nextAttempt        time.Duration // earliest time of the next attempt of the round
+	outstanding        [8]sentProbe  // ring buffer of unanswered probes
 	probesSent         int
-	probesSinceContact int // attempts since the last contact
+	probesSinceContact int
 	accused            bool
-	alertSeq           uint32 // of what this node says of it
+	alertSeq           uint32 // Seq of the last alert about it
 
-	startedRounds, lostRounds int // rounds of probes, and those with no answer
-	loss                      float64
-	rtt                       time.Duration
-	roundAnswered             bool // this round was
-	hasView                   bool // it has this view
+	startedRounds, lostRounds int           // probe rounds, and those without an answer
+	loss                      float64       // moving average of the share of lost rounds
+	rtt                       time.Duration // moving average; 0 before the first answer
+	roundAnswered             bool          // the current round was answered
+	hasView                   bool          // the member has the current view
 }
 
+// sentProbe is a probe that has not been answered.
 type sentProbe struct {
 	seq uint64
 	at  time.Duration
 }
 
+// newEdge returns an edge to m whose first round starts at a random time within a probe interval.
 func (n *Node) newEdge(m Member) *edge {
 	return &edge{member: m, startedAt: n.now, nextRound: n.now + time.Duration(n.rng.Float64()*float64(n.settings.ProbeInterval))}
 }
 
-// probe sends what is due and judges who is silent.
+// probeWatched sends the probes that are due and accuses watched members that are silent.
 func (n *Node) probeWatched() {
 	contact := false
 	for _, subject := range n.view.watchedBy[n.index] {
@@ -45,11 +47,12 @@
 		n.probeEdge(e)
 		contact = contact || e.lastContact > 0 && n.now-e.lastContact < 2*n.settings.ProbeInterval || e.lastContact == 0 && n.now-e.startedAt < 2*n.settings.ProbeInterval
 	}
-	// Who hears nobody at all is itself cut off: it accuses nobody, and afterwards starts to count anew.
-	if alone := !contact && len(n.edges) > 1; alone != n.isolated {
-		n.isolated = alone
+	// A node without contact to any watched member is isolated itself. It accuses nobody, and
+	// measures silence anew from its next contact.
+	if isolated := !contact && len(n.edges) > 1; isolated != n.isolated {
+		n.isolated = isolated
 		for _, e := range n.edges {
-			if !alone {
+			if !isolated {
 				e.startedAt = n.now
 			}
 		}
@@ -59,24 +62,25 @@
 	}
 	for _, subject := range n.view.watchedBy[n.index] {
 		e := n.edges[subject]
-		if silent := n.now - max(e.lastContact, e.startedAt); !e.accused && silent >= n.settings.AccuseAfter && e.probesSinceContact >= 2*probeAttempts {
+		if silence := n.now - max(e.lastContact, e.startedAt); !e.accused && silence >= n.settings.AccuseAfter && e.probesSinceContact >= 2*probeAttempts {
 			e.accused = true
 			n.stats.Accusations++
 			n.publishAlert(subject, e)
-			n.emit(Event{Kind: Accused, Member: e.member, Detail: fmt.Sprintf("no contact for %v, %d probes", silent.Round(time.Millisecond), e.probesSinceContact)})
+			n.emit(Event{Kind: Accused, Member: e.member, Detail: fmt.Sprintf("no contact for %v, %d probes unanswered", silence.Round(time.Millisecond), e.probesSinceContact)})
 		}
 	}
 }
 
+// probeEdge starts a probe round or sends the next attempt of the current one, whichever is due.
 func (n *Node) probeEdge(e *edge) {
 	if n.now >= e.nextRound {
 		if e.startedRounds > 0 {
-			x := 0.0
+			lost := 0.0
 			if !e.roundAnswered {
-				x = 1
+				lost = 1
 				e.lostRounds++
 			}
-			e.loss += (x - e.loss) / 16
+			e.loss += (lost - e.loss) / 16
 		}
 		e.startedRounds++
 		e.nextRound += n.settings.ProbeInterval
@@ -93,8 +97,8 @@
 		e.outstanding[e.probesSent%len(e.outstanding)] = sentProbe{n.seq, n.now}
 		e.probesSent++
 		m := &Message{Kind: Probe, Seq: n.seq, Alerts: n.accusationsOf(e.subject)}
-		// It may be in a view that this node is not in any more; or not have this one yet, and then may not know this node,
-		// or, if it has just been let in, nobody.
+		// The member may have a newer view without this node. Or it may not have the current view
+		// yet: then it may not know this node or, if it has just been admitted, any member.
 		if e.accused || !e.hasView || n.isolated || n.phase == Leaving {
 			self := n.self
 			m.Self = &self
@@ -103,7 +107,7 @@
 	}
 }
 
-// accuse makes news of what this node holds of one that it watches.
+// publishAlert queues an alert with this node's current opinion of a member that it watches.
 func (n *Node) publishAlert(subject uint32, e *edge) {
 	e.alertSeq++
 	a := Alert{Subject: subject, WatcherSlot: e.slot, Seq: e.alertSeq, Down: e.accused}
@@ -112,21 +116,22 @@
 	}
 }
 
-// against is what is held against a member, for itself to hear: it may not have heard it from others.
-func (n *Node) accusationsOf(i uint32) (all []Alert) {
-	r := n.detector.subjects[i]
-	if r == nil || r.accusers == 0 {
+// accusationsOf returns the known accusations of a member. They are also sent to the member
+// itself, which may not have received them from others.
+func (n *Node) accusationsOf(i uint32) (alerts []Alert) {
+	state := n.detector.subjects[i]
+	if state == nil || state.accusers == 0 {
 		return nil
 	}
-	for s := range uint32(len(n.view.watchers[i])) {
-		if r.accusers&(1<<s) != 0 {
-			all = append(all, Alert{i, s, r.alertSeqs[s], true})
+	for slot := range uint32(len(n.view.watchers[i])) {
+		if state.accusers&(1<<slot) != 0 {
+			alerts = append(alerts, Alert{i, slot, state.alertSeqs[slot], true})
 		}
 	}
-	return all
+	return alerts
 }
 
-// answer answers a probe, whoever sent it: the sender learns of this life and its view.
+// handleProbe answers a probe from any sender, which so learns of this life and its view.
 func (n *Node) handleProbe(m *Message) {
 	to, ok := n.replyAddr(m)
 	if !ok {
@@ -138,8 +143,8 @@
 			ack.Alerts = n.accusationsOf(i)
 		}
 		n.refuteAccusations()
-		if r := n.detector.subjects[n.index]; r != nil && r.refutes(n.now) {
-			ack.Refutations = []Refutation{{n.index, r.refutationSeq}}
+		if state := n.detector.subjects[n.index]; state != nil && state.refutes(n.now) {
+			ack.Refutations = []Refutation{{n.index, state.refutationSeq}}
 		}
 	}
 	if m.Self != nil {
@@ -149,7 +154,8 @@
 	n.send(to, ack)
 }
 
-// acked takes a contact. An answer of another life, or to nothing that was asked, is none.
+// handleAck records contact with a member. An answer from another life, or to no outstanding
+// probe, is not a contact.
 func (n *Node) handleAck(m *Message) {
 	if t := n.trials[m.SenderLife]; t != nil {
 		n.handleTrialAck(t, m.Seq)
@@ -163,19 +169,19 @@
 		return
 	}
 	for k := range e.outstanding {
-		if o := &e.outstanding[k]; o.seq == m.Seq && o.seq != 0 {
-			if rtt := n.now - o.at; e.rtt == 0 {
+		if probe := &e.outstanding[k]; probe.seq == m.Seq && probe.seq != 0 {
+			if rtt := n.now - probe.at; e.rtt == 0 {
 				e.rtt = rtt
 			} else {
 				e.rtt += (rtt - e.rtt) / 8
 			}
-			*o = sentProbe{}
+			*probe = sentProbe{}
 			e.lastContact, e.probesSinceContact, e.roundAnswered = n.now, 0, true
 			e.hasView = m.FleetID == n.view.FleetID && m.ViewNumber >= n.view.Number
 			if e.accused {
 				e.accused = false
 				n.publishAlert(i, e)
-				n.emit(Event{Kind: Accused, Member: e.member, Detail: "contact again"})
+				n.emit(Event{Kind: Accused, Member: e.member, Detail: "contact restored"})
 			}
 			return
 		}
--- a/internal/fleet/membership/settings.go
+++ b/internal/fleet/membership/settings.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// Settings are what a node goes by. Zero values become the defaults of Default.
+// Settings configures a node. Default replaces zero values.
 type Settings struct {
-	Self  Member           // Life and Incarnation are drawn
-	Seeds []netip.AddrPort // the same at all nodes; the first of them found the fleet
-	// Of an earlier life of this node: nothing, or what it kept.
-	Incarnation    uint64           // of that life
-	LastViewNumber uint64           // of the last view that it was in
-	KnownAddrs     []netip.AddrPort // some members of it
+	Self  Member           // Life and Incarnation are assigned by New
+	Seeds []netip.AddrPort // the same list at all nodes; the first ones found the fleet
+	// State kept from an earlier run of this node; zero if there is none.
+	Incarnation    uint64           // of the earlier run
+	LastViewNumber uint64           // number of the last view that contained the node
+	KnownAddrs     []netip.AddrPort // addresses of some members of that view
 
-	WatchersPerMember  int           // of each member
-	ProbeInterval      time.Duration // between two rounds of probes of one watched member
-	ProbeRetryInterval time.Duration // between the attempts of a round; there are three
-	AccuseAfter        time.Duration // without contact, after which a watcher accuses
-	GossipInterval     time.Duration // between two rounds of gossip, and two ticks
-	Fanout             int           // receivers of a round
-	MaxNewsBytes       int           // bytes of news in a datagram
-	NewsBytesPerSecond int           // bytes of news a second, in the long run
+	WatchersPerMember  int           // watchers of each member
+	ProbeInterval      time.Duration // between two probe rounds of one watched member
+	ProbeRetryInterval time.Duration // between the attempts of one probe round
+	AccuseAfter        time.Duration // a watcher accuses a member after this time without contact
+	GossipInterval     time.Duration // between two gossip rounds, and between two ticks
+	Fanout             int           // receivers per gossip round
+	MaxNewsBytes       int           // gossip items per datagram, in bytes
+	NewsBytesPerSecond int           // long-term limit on gossip items sent
 
-	// Next makes a view of a view and a proposal. It may hand out one view to many nodes; nil:
-	// View.Next.
+	// NextView applies a proposal to a view. It may return one view to many nodes, as simulations
+	// do. nil stands for View.Next.
 	NextView func(*View, *Proposal) (*View, error)
 }
 
-// Default fills in what is not set.
+// Default returns the settings with defaults in place of unset values.
 func (s Settings) Default() Settings {
-	or := func(x *int, d int) {
-		if *x <= 0 {
-			*x = d
+	defaultInt := func(value *int, fallback int) {
+		if *value <= 0 {
+			*value = fallback
 		}
 	}
-	dur := func(x *time.Duration, d time.Duration) {
-		if *x <= 0 {
-			*x = d
+	defaultDuration := func(value *time.Duration, fallback time.Duration) {
+		if *value <= 0 {
+			*value = fallback
 		}
 	}
-	or(&s.WatchersPerMember, 10)
-	or(&s.Fanout, 3)
-	or(&s.MaxNewsBytes, 1100)
-	or(&s.NewsBytesPerSecond, 32<<10)
-	dur(&s.ProbeInterval, time.Second)
-	dur(&s.ProbeRetryInterval, 300*time.Millisecond)
-	dur(&s.AccuseAfter, 3600*time.Millisecond)
-	dur(&s.GossipInterval, 100*time.Millisecond)
+	defaultInt(&s.WatchersPerMember, 10)
+	defaultInt(&s.Fanout, 3)
+	defaultInt(&s.MaxNewsBytes, 1100)
+	defaultInt(&s.NewsBytesPerSecond, 32<<10)
+	defaultDuration(&s.ProbeInterval, time.Second)
+	defaultDuration(&s.ProbeRetryInterval, 300*time.Millisecond)
+	defaultDuration(&s.AccuseAfter, 3600*time.Millisecond)
+	defaultDuration(&s.GossipInterval, 100*time.Millisecond)
 	if len(s.Seeds) == 0 {
 		s.Seeds = []netip.AddrPort{s.Self.Addr}
 	}
 	if s.NextView == nil {
-		k := s.WatchersPerMember
-		s.NextView = func(v *View, p *Proposal) (*View, error) { return v.Next(p, k) }
+		watchers := s.WatchersPerMember
+		s.NextView = func(v *View, p *Proposal) (*View, error) { return v.Next(p, watchers) }
 	}
 	return s
 }
 
-// Check finds settings that can't work.
+// Check returns an error for settings that can't work.
 func (s *Settings) Check() error {
 	self := s.Self
 	self.Life = 1
@@ -67,49 +67,49 @@
 		return err
 	}
 	if s.WatchersPerMember > 16 {
-		return fmt.Errorf("watchers: at most 16, not %d", s.WatchersPerMember)
+		return fmt.Errorf("WatchersPerMember: %d is above the maximum of 16", s.WatchersPerMember)
 	}
 	if s.AccuseAfter < 2*s.ProbeInterval {
-		return fmt.Errorf("silence: at least two periods of %v, not %v", s.ProbeInterval, s.AccuseAfter)
+		return fmt.Errorf("AccuseAfter: must be at least two probe intervals of %v, is %v", s.ProbeInterval, s.AccuseAfter)
 	}
 	return nil
 }
 
-// Bounds that hold whatever is set.
+// Limits that are not configurable.
 const (
 	maxMembers             = 20_000
-	maxFounders            = 16   // seeds, the first of the list, a majority of which founds the fleet
-	maxSeedsPerJoin        = 8    // seeds that one attempt to get in asks; the next asks others
-	maxAddsPerChange       = 1024 // in one change
-	maxPendingJoiners      = 8192 // that want in
-	maxInlineProposalBytes = 700  // bytes of a proposal that goes along with votes
-	maxGossipItems         = 8192 // items
-	probeAttempts          = 3    // of a round of probes
+	maxFounders            = 16   // first seeds of the list, a majority of which founds the fleet
+	maxSeedsPerJoin        = 8    // seeds contacted by one join attempt; the next attempt picks others
+	maxAddsPerChange       = 1024 // joiners in one view change
+	maxPendingJoiners      = 8192 // known joiners that are not admitted yet
+	maxInlineProposalBytes = 700  // a larger proposal is not sent along with votes
+	maxGossipItems         = 8192 // queued for gossip
+	probeAttempts          = 3    // per probe round
 )
 
-// Times that follow from no setting.
+// Times that are not configurable.
 const (
-	stallThreshold         = 700 * time.Millisecond  // between ticks: the node stood still
-	refutationInterval     = time.Second             // an accused member speaks up so often
-	refutationLifetime     = 3 * time.Second         // its word holds so long
-	refutationGrace        = 700 * time.Millisecond  // an accused member may speak up before it is taken out
-	refutationDeadline     = 1500 * time.Millisecond // its word has come by then, also by way of one node
-	proposeQuietPeriod     = 300 * time.Millisecond  // no news for so long: propose
-	maxProposeDelay        = 1500 * time.Millisecond
-	halfAccusedRemoveAfter = 6 * time.Second // seen alive, accused by half for so long
-	proposerStagger        = 700 * time.Millisecond
-	ballotTimeout          = 2500 * time.Millisecond
-	forceAfter             = time.Second // a proposer waits so long for promises that free it of what was accepted before
-	joinInterval           = 500 * time.Millisecond
+	stallThreshold         = 700 * time.Millisecond  // a longer gap between ticks counts as a pause of this process
+	refutationInterval     = time.Second             // between two refutations by an accused member
+	refutationLifetime     = 3 * time.Second         // a refutation is valid for this time
+	refutationGrace        = 700 * time.Millisecond  // time for an accused member to refute before it may be removed
+	refutationDeadline     = 1500 * time.Millisecond // a refutation arrives within this time, also through one relay
+	proposeQuietPeriod     = 300 * time.Millisecond  // without new alerts before a proposal is made
+	maxProposeDelay        = 1500 * time.Millisecond // propose by then even if alerts keep arriving
+	halfAccusedRemoveAfter = 6 * time.Second         // half of the watchers accuse a member that refutes
+	proposerStagger        = 700 * time.Millisecond  // between the turns of two proposers
+	ballotTimeout          = 2500 * time.Millisecond // an open ballot may be superseded after this time
+	forceAfter             = time.Second             // wait for promises that rule out an earlier decision before adopting its value
+	joinInterval           = 500 * time.Millisecond  // between join attempts, at first
 	maxJoinInterval        = 5 * time.Second
-	joinTrialPeriod        = 8 * time.Second
-	foundMinUptime         = 1500 * time.Millisecond
-	foundStablePeriod      = time.Second
+	joinTrialPeriod        = 8 * time.Second         // a sponsor probes a joiner for this time after its last request
+	foundMinUptime         = 1500 * time.Millisecond // uptime before a seed may found a fleet
+	foundStablePeriod      = time.Second             // the conditions to found a fleet must have held this long
 	seedReportLifetime     = 1800 * time.Millisecond
-	seedProbeInterval      = 2 * time.Second // members look for seeds that are in no view
-	pullInterval           = 500 * time.Millisecond
-	readmitBackoff         = 5 * time.Second // a name taken out again and again waits, doubled each time
+	seedProbeInterval      = 2 * time.Second        // between probes of seeds that are not in the view
+	pullInterval           = 500 * time.Millisecond // between requests for a view or a proposal
+	readmitBackoff         = 5 * time.Second        // wait after a repeated removal, doubled each time
 	maxReadmitBackoff      = 5 * time.Minute
-	readmitBackoffReset    = 10 * time.Minute
-	nameConflictBackoff    = 10 * time.Second
+	readmitBackoffReset    = 10 * time.Minute // without a removal, after which the backoff starts over
+	nameConflictBackoff    = 10 * time.Second // a node whose name is taken waits this long
 )
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Standing is what a node knows of all, for operators.
+// Status is a node's knowledge of the fleet, for operators. Its fields are JSON keys.
 type Status struct {
 	Self     Member
 	Phase    Phase
 	Root     uint64
 	Number   uint64
-	Majority int           // votes that decide
-	Speaking int           // members not taken to be silent
-	Isolated bool          // this node hears none of those that it watches
-	Stalls   int           // times that it stood still
-	Stalled  time.Duration // the last of these, ago; 0: never
-	Ballot   bool          // a change is being voted on
+	Majority int           // number of votes needed for a decision
+	Speaking int           // members that are not accused, or refute
+	Isolated bool          // this node has no contact with any member that it watches
+	Stalls   int           // number of pauses of this process
+	Stalled  time.Duration // time since the last pause; 0 if there was none
+	Ballot   bool          // a ballot is in progress
 	Members  []MemberStatus
-	Gone     []RemovedMember // of late, for their silence
+	Gone     []RemovedMember // removed recently because they were silent
 	Stats    Stats
 }
 
-// Seen is a member as a node sees it.
+// MemberStatus is a member as this node sees it. Its fields are JSON keys.
 type MemberStatus struct {
 	Member
-	Watched   bool // by this node; what follows holds then
+	Watched   bool // by this node; Reachable, Heard, RTT and Loss are set only then
 	Reachable bool
-	Heard     time.Duration // the last contact, ago; 0: none yet
+	Heard     time.Duration // time since the last contact; 0 if there was none
 	RTT       time.Duration
-	Loss      float64  // of late, of rounds of probes
-	Accusers  []string // who has no contact with it
+	Loss      float64  // recent share of probe rounds without an answer
+	Accusers  []string // names of the watchers that accuse it
 	Watchers  int
-	Speaks    bool // it has lately said that it lives
+	Speaks    bool // it has sent a refutation recently
 	Leaving   bool
 }
 
-// Removed is a name that was taken out.
+// RemovedMember is a name that was removed because it was silent. Its fields are JSON keys.
 type RemovedMember struct {
 	Name  string
 	Ago   time.Duration
 	Times int
-	Wait  time.Duration // before it is let in again
+	Wait  time.Duration // remaining time before it is admitted again
 }
 
-// Standing tells what the node knows.
+// Status returns what the node knows at time now.
 func (n *Node) Status(now time.Duration) Status {
 	s := Status{
 		Self: n.self, Phase: n.phase, Isolated: n.isolated, Stalls: n.stalls, Stats: n.stats, Number: n.joining.lastViewNumber,
