--- a/internal/fleet/allowance/message.go
+++ b/internal/fleet/allowance/message.go
@@ -47,10 +47,10 @@
 
 // Bounds of messages.
 const (
-	MaxClaimItems = 24 // servers of one claim: a datagram holds them
-	mostID        = 128
-	mostRate      = 1e6
-	mostWant      = 64
+	MaxClaimItems  = 24 // servers of one claim: a datagram holds them
+	maxIDBytes     = 128
+	maxRate        = 1e6
+	maxWantedSends = 64
 )
 
 // Check finds what no honest node claims.
@@ -64,10 +64,10 @@
 	for i := range c.Items {
 		it := &c.Items[i]
 		switch {
-		case it.ID == "" || len(it.ID) > mostID:
-			return fmt.Errorf("a claim for a server whose id has %d bytes, 1 to %d are allowed", len(it.ID), mostID)
-		case math.IsNaN(it.Rate) || it.Rate < 0 || it.Rate > mostRate:
-			return fmt.Errorf("a claim lends %v sends a second, 0 to %v are allowed", it.Rate, float64(mostRate))
+		case it.ID == "" || len(it.ID) > maxIDBytes:
+			return fmt.Errorf("a claim for a server whose id has %d bytes, 1 to %d are allowed", len(it.ID), maxIDBytes)
+		case math.IsNaN(it.Rate) || it.Rate < 0 || it.Rate > maxRate:
+			return fmt.Errorf("a claim lends %v sends a second, 0 to %v are allowed", it.Rate, float64(maxRate))
 		case min(it.Used, it.Unused, it.Wanted, it.Answered) < 0:
 			return fmt.Errorf("a claim with a number below 0: used %d, back %d, wanted %d, answered %d", it.Used, it.Unused, it.Wanted, it.Answered)
 		}
@@ -106,9 +106,9 @@
 }
 
 // term is how long a dealer counts a loan from the stamp that it came with.
-func (s *Settings) term() time.Duration { return s.Window + s.SendLifetime + s.RenewalSlack }
+func (s *Settings) loanTerm() time.Duration { return s.Window + s.SendLifetime + s.RenewalSlack }
 
 // held is how long a node counts it, from when it sent the claim: longer than term by any clock.
-func (s *Settings) held() time.Duration {
-	return s.term() + time.Duration(2*s.ClockDrift*float64(s.term())) + time.Millisecond
+func (s *Settings) lenderTerm() time.Duration {
+	return s.loanTerm() + time.Duration(2*s.ClockDrift*float64(s.loanTerm())) + time.Millisecond
 }
--- a/internal/fleet/allowance/sim_test.go
+++ b/internal/fleet/allowance/sim_test.go
@@ -15,67 +15,67 @@
 
 // world plays nodes with clocks of their own, a network that loses, doubles, delays and cuts, and an onlooker who
 // knows all of it.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	set     Settings
-	now     time.Duration // true time
-	events  timeline.Events
-	nodes   []*process
-	servers []Server
-	bad     bool // the weather: messages are lost, doubled, late
-	sides   int  // 0: nobody is cut off; else nodes below it are from the others
-	wrong   []string
-	sent    map[Server][]sending
-	served  int // dealt sends that were used
-	asks    int
+type simulation struct {
+	t          *testing.T
+	rng        *rand.Rand
+	set        Settings
+	now        time.Duration // true time
+	events     timeline.Events
+	nodes      []*process
+	servers    []Server
+	lossy      bool // the weather: messages are lost, doubled, late
+	partition  int  // 0: nobody is cut off; else nodes below it are from the others
+	violations []string
+	sent       map[Server][]sentRequest
+	served     int // dealt sends that were used
+	claims     int
 }
 
-type sending struct {
-	at     time.Duration
-	dealer *process // nil: of the node's own part
-	life   int      // of the dealer's process
+type sentRequest struct {
+	at        time.Duration
+	allocator *process // nil: of the node's own part
+	life      int      // of the dealer's process
 }
 
 // process is one node: the parts, a dealer, and what stands for the module.
 type process struct {
-	w      *world
-	index  int
-	life   int // of the process
-	member uint64
-	skew   float64
-	offset time.Duration
-	holder *Lender
-	dealer *Allocator
-	still  bool
-	queue  []func()
-	view   []Member
-	rows   map[Server]*row
-	former []uint64 // holders of its last lives
+	sim           *simulation
+	index         int
+	life          int // of the process
+	member        uint64
+	skew          float64
+	offset        time.Duration
+	lender        *Lender
+	allocator     *Allocator
+	paused        bool
+	deferred      []func()
+	view          []Member
+	states        map[Server]*moduleState
+	formerLenders []uint64 // holders of its last lives
 }
 
 // row is a cold server as a module keeps it; see decide/pool.go.
-type row struct {
-	rate, calls float64
-	lent, until time.Duration
-	dealt, used int
-	from        *process
-	fromLife    int
-	tokens      float64
-	filled      time.Duration
-	short       bool
-	answered    int
+type moduleState struct {
+	rate, requestRate     float64
+	lentUntil, validUntil time.Duration
+	granted, used         int
+	from                  *process
+	fromLife              int
+	tokens                float64
+	refilledAt            time.Duration
+	starved               bool
+	answered              int
 }
 
-func (w *world) after(d time.Duration, do func()) { w.events.At(w.now+d, do) }
+func (w *simulation) after(d time.Duration, do func()) { w.events.At(w.now+d, do) }
 
-func newWorld(t *testing.T, seed uint64, nodes, servers int, rate float64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 11)), set: Settings{}.Default(), sent: map[Server][]sending{}}
+func newSimulation(t *testing.T, seed uint64, nodes, servers int, rate float64) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 11)), set: Settings{}.Default(), sent: map[Server][]sentRequest{}}
 	for i := range servers {
 		w.servers = append(w.servers, Server{fmt.Sprintf("server-%d", i), time.Duration(i+1) * time.Hour})
 	}
 	for i := range nodes {
-		p := &process{w: w, index: i, skew: 1 + w.set.ClockDrift/2*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(1000 * time.Hour)))}
+		p := &process{sim: w, index: i, skew: 1 + w.set.ClockDrift/2*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(1000 * time.Hour)))}
 		w.nodes = append(w.nodes, p)
 		p.start(rate)
 	}
@@ -85,7 +85,7 @@
 	return w
 }
 
-func (w *world) members() (all []Member) {
+func (w *simulation) members() (all []Member) {
 	for _, p := range w.nodes {
 		all = append(all, Member{p.member, fmt.Sprint("s", p.index%2)})
 	}
@@ -94,21 +94,21 @@
 
 // clock is what this process's clock shows.
 func (p *process) clock() time.Duration {
-	return p.offset + time.Duration(float64(p.w.now)*p.skew)
+	return p.offset + time.Duration(float64(p.sim.now)*p.skew)
 }
 
 func (p *process) start(rate float64) {
 	p.life++
 	p.member = uint64(p.index+1)<<32 | uint64(p.life)
-	if p.holder != nil {
-		p.former = append(p.former, p.holder.id)
+	if p.lender != nil {
+		p.formerLenders = append(p.formerLenders, p.lender.id)
 	}
-	p.holder = NewLender(Settings{}, p.w.rng.Uint64(), p.clock())
-	p.dealer = NewAllocator(Settings{})
-	p.rows = map[Server]*row{}
-	p.still, p.queue = false, nil
-	for _, b := range p.w.servers {
-		p.rows[b] = &row{rate: rate * (0.5 + p.w.rng.Float64()), calls: 2, filled: p.clock()}
+	p.lender = NewLender(Settings{}, p.sim.rng.Uint64(), p.clock())
+	p.allocator = NewAllocator(Settings{})
+	p.states = map[Server]*moduleState{}
+	p.paused, p.deferred = false, nil
+	for _, b := range p.sim.servers {
+		p.states[b] = &moduleState{rate: rate * (0.5 + p.sim.rng.Float64()), requestRate: 2, refilledAt: p.clock()}
 	}
 	life := p.life
 	p.tick() // before it takes a request: its last life may have lent what it would use
@@ -118,17 +118,17 @@
 			return
 		}
 		p.run(life, p.tick)
-		p.w.after(time.Duration((0.8+0.4*p.w.rng.Float64())*float64(100*time.Millisecond)), tick)
+		p.sim.after(time.Duration((0.8+0.4*p.sim.rng.Float64())*float64(100*time.Millisecond)), tick)
 	}
 	send = func() {
 		if p.life != life {
 			return
 		}
 		p.run(life, p.request)
-		p.w.after(time.Duration(p.w.rng.ExpFloat64()/3*float64(time.Second)), send)
+		p.sim.after(time.Duration(p.sim.rng.ExpFloat64()/3*float64(time.Second)), send)
 	}
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(100*time.Millisecond))), tick)
-	p.w.after(time.Duration(p.w.rng.Int64N(int64(time.Second))), send)
+	p.sim.after(time.Duration(p.sim.rng.Int64N(int64(100*time.Millisecond))), tick)
+	p.sim.after(time.Duration(p.sim.rng.Int64N(int64(time.Second))), send)
 }
 
 // run does something at a process, once it does not stand still.
@@ -136,8 +136,8 @@
 	if p.life != life {
 		return
 	}
-	if p.still {
-		p.queue = append(p.queue, func() { p.run(life, do) })
+	if p.paused {
+		p.deferred = append(p.deferred, func() { p.run(life, do) })
 		return
 	}
 	do()
@@ -146,119 +146,119 @@
 func (p *process) tick() {
 	now := p.clock()
 	var colds []decide.ColdServer
-	for _, b := range p.w.servers {
-		r := p.rows[b]
+	for _, b := range p.sim.servers {
+		r := p.states[b]
 		colds = append(colds, decide.ColdServer{
-			Server: b.ID, Started: b.Started, Zone: "s0", SendRate: r.rate, MeanSendRate: r.calls, GrantsUsed: r.used, GrantsHeld: r.held(now), Starved: r.short, Answered: r.answered,
+			Server: b.ID, Started: b.Started, Zone: "s0", SendRate: r.rate, MeanSendRate: r.requestRate, GrantsUsed: r.used, GrantsHeld: r.held(now), Starved: r.starved, Answered: r.answered,
 		})
-		r.short = false
+		r.starved = false
 	}
-	outs, deals := p.holder.Tick(now, p.view, colds)
-	p.take(deals, nil, 0)
-	for _, b := range p.w.servers {
-		p.onlooker(b)
+	outs, deals := p.lender.Tick(now, p.view, colds)
+	p.applyGrants(deals, nil, 0)
+	for _, b := range p.sim.servers {
+		p.checkPartHolders(b)
 	}
 	for _, o := range outs {
-		p.w.asks++
+		p.sim.claims++
 		claim := o.Claim
 		claim.Items = slices.Clone(claim.Items)
-		p.w.carry(p, o.To, func(d *process) {
-			g, ok := d.dealer.HandleClaim(d.clock(), &claim)
+		p.sim.deliver(p, o.To, func(d *process) {
+			g, ok := d.allocator.HandleClaim(d.clock(), &claim)
 			if !ok {
 				return
 			}
 			from, dealerLife := d.member, d.life
-			p.w.carry(d, p.member, func(p *process) {
-				p.take(p.holder.HandleGrant(p.clock(), from, &g), d, dealerLife)
+			p.sim.deliver(d, p.member, func(p *process) {
+				p.applyGrants(p.lender.HandleGrant(p.clock(), from, &g), d, dealerLife)
 			})
 		})
 	}
 }
 
-func (p *process) take(deals []decide.Grant, from *process, life int) {
+func (p *process) applyGrants(deals []decide.Grant, from *process, life int) {
 	now := p.clock()
 	for _, d := range deals {
-		r := p.rows[Server{d.Server, d.Started}]
+		r := p.states[Server{d.Server, d.Started}]
 		had := r.held(now)
-		if now >= r.lent && d.LentUntil > now {
+		if now >= r.lentUntil && d.LentUntil > now {
 			r.tokens = 0
 		}
-		r.lent = max(r.lent, d.LentUntil)
+		r.lentUntil = max(r.lentUntil, d.LentUntil)
 		if d.Sends == 0 || now >= d.ValidUntil {
 			continue
 		}
 		r.from, r.fromLife = from, life
-		if r.dealt = had + d.Sends; had == 0 {
-			r.until = d.ValidUntil
+		if r.granted = had + d.Sends; had == 0 {
+			r.validUntil = d.ValidUntil
 		} else {
-			r.until = min(r.until, d.ValidUntil)
+			r.validUntil = min(r.validUntil, d.ValidUntil)
 		}
 	}
 }
 
-func (r *row) held(now time.Duration) int {
-	if now >= r.until || now >= r.lent {
-		r.dealt = 0
+func (r *moduleState) held(now time.Duration) int {
+	if now >= r.validUntil || now >= r.lentUntil {
+		r.granted = 0
 	}
-	return r.dealt
+	return r.granted
 }
 
 // request sends to some server, if that may be.
 func (p *process) request() {
 	now := p.clock()
-	b := p.w.servers[p.w.rng.IntN(len(p.w.servers))]
-	r := p.rows[b]
-	p.onlooker(b)
-	if now < r.lent {
-		r.tokens, r.filled = 0, now
+	b := p.sim.servers[p.sim.rng.IntN(len(p.sim.servers))]
+	r := p.states[b]
+	p.checkPartHolders(b)
+	if now < r.lentUntil {
+		r.tokens, r.refilledAt = 0, now
 		if r.held(now) == 0 {
-			r.short = true
+			r.starved = true
 			return
 		}
-		r.dealt--
+		r.granted--
 		r.used++
-		p.w.served++
+		p.sim.served++
 		life := p.life
-		p.w.after(100*time.Millisecond, func() { p.run(life, func() { r.answered++ }) })
-		p.w.sent[b] = append(p.w.sent[b], sending{p.w.now, r.from, r.fromLife})
+		p.sim.after(100*time.Millisecond, func() { p.run(life, func() { r.answered++ }) })
+		p.sim.sent[b] = append(p.sim.sent[b], sentRequest{p.sim.now, r.from, r.fromLife})
 		return
 	}
-	r.tokens = min(r.tokens+r.rate*(now-r.filled).Seconds(), 1)
-	r.filled = now
+	r.tokens = min(r.tokens+r.rate*(now-r.refilledAt).Seconds(), 1)
+	r.refilledAt = now
 	if r.tokens < 1 {
 		return
 	}
 	r.tokens--
-	p.w.sent[b] = append(p.w.sent[b], sending{p.w.now, nil, 0})
+	p.sim.sent[b] = append(p.sim.sent[b], sentRequest{p.sim.now, nil, 0})
 }
 
 // onlooker looks whether a part that its node may use is counted as lent by anyone, or any by two.
-func (p *process) onlooker(b Server) {
+func (p *process) checkPartHolders(b Server) {
 	counted := 0
-	if p.clock() >= p.rows[b].lent {
+	if p.clock() >= p.states[b].lentUntil {
 		counted = 1
 	}
-	for _, q := range p.w.nodes {
-		pl := q.dealer.pools[b]
+	for _, q := range p.sim.nodes {
+		pl := q.allocator.pools[b]
 		if pl == nil {
 			continue
 		}
 		for _, l := range pl.loans {
-			if l.until <= q.clock() || l.holder != p.holder.id && !slices.Contains(p.former, l.holder) {
+			if l.endsAt <= q.clock() || l.lender != p.lender.id && !slices.Contains(p.formerLenders, l.lender) {
 				continue
 			}
 			if counted++; counted > 1 {
-				p.w.wrong = append(p.w.wrong, fmt.Sprintf("%v: node %d's part, lent for %v more by its own clock, is counted by %d, by node %d for %v more",
-					p.w.now, p.index, p.rows[b].lent-p.clock(), counted, q.index, l.until-q.clock()))
+				p.sim.violations = append(p.sim.violations, fmt.Sprintf("%v: node %d's part, lent for %v more by its own clock, is counted by %d, by node %d for %v more",
+					p.sim.now, p.index, p.states[b].lentUntil-p.clock(), counted, q.index, l.endsAt-q.clock()))
 			}
 		}
 	}
 }
 
 // carry brings a message from a process to a member, as the weather has it.
-func (w *world) carry(from *process, to uint64, do func(*process)) {
+func (w *simulation) deliver(from *process, to uint64, do func(*process)) {
 	copies := 1
-	if w.bad {
+	if w.lossy {
 		switch x := w.rng.Float64(); {
 		case x < 0.2:
 			copies = 0
@@ -268,12 +268,12 @@
 	}
 	for range copies {
 		wait := time.Duration(w.rng.Int64N(int64(3 * time.Millisecond)))
-		if w.bad && w.rng.IntN(4) == 0 {
+		if w.lossy && w.rng.IntN(4) == 0 {
 			wait = time.Duration(w.rng.Int64N(int64(4 * time.Second)))
 		}
 		w.after(wait, func() {
 			for _, q := range w.nodes {
-				if q.member != to || w.sides > 0 && (q.index < w.sides) != (from.index < w.sides) && q != from {
+				if q.member != to || w.partition > 0 && (q.index < w.partition) != (from.index < w.partition) && q != from {
 					continue
 				}
 				q.run(q.life, func() { do(q) })
@@ -282,35 +282,35 @@
 	}
 }
 
-func (w *world) run(until time.Duration) { w.events.Run(until, &w.now) }
+func (w *simulation) run(until time.Duration) { w.events.Run(until, &w.now) }
 
 // trouble draws something that happens to the nodes.
-func (w *world) trouble(rate float64) {
+func (w *simulation) injectFault(rate float64) {
 	p := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(8) {
 	case 0:
-		w.bad = !w.bad
+		w.lossy = !w.lossy
 	case 1:
-		w.sides = w.rng.IntN(len(w.nodes))
+		w.partition = w.rng.IntN(len(w.nodes))
 	case 2:
-		w.sides = 0
+		w.partition = 0
 	case 3:
 		p.start(rate)
 	case 4, 5:
-		if p.still {
+		if p.paused {
 			break
 		}
-		p.still = true
+		p.paused = true
 		life := p.life
 		w.after(time.Duration(w.rng.Int64N(int64(6*time.Second))), func() {
 			if p.life != life {
 				return
 			}
-			p.still = false
-			for _, do := range p.queue {
+			p.paused = false
+			for _, do := range p.deferred {
 				do()
 			}
-			p.queue = nil
+			p.deferred = nil
 		})
 	default: // it believes something else of the members, and not all of it is right
 		all := w.members()
@@ -333,15 +333,15 @@
 	for seed := range schedules(t) {
 		rng := rand.New(rand.NewPCG(uint64(seed), 5))
 		rate := []float64{0.02, 0.1, 0.4, 1.5}[rng.IntN(4)]
-		w := newWorld(t, uint64(seed), 3+rng.IntN(8), 1+rng.IntN(3), rate)
+		w := newSimulation(t, uint64(seed), 3+rng.IntN(8), 1+rng.IntN(3), rate)
 		for w.now < 60*time.Second {
 			w.run(w.now + time.Duration(rng.Int64N(int64(2*time.Second))))
-			w.trouble(rate)
+			w.injectFault(rate)
 		}
-		if len(w.wrong) > 0 {
-			t.Fatalf("seed %d: %d times, first: %s", seed, len(w.wrong), w.wrong[0])
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %d times, first: %s", seed, len(w.violations), w.violations[0])
 		}
-		served, asks = served+w.served, asks+w.asks
+		served, asks = served+w.served, asks+w.claims
 	}
 	t.Logf("%d dealt sends used, %d claims", served, asks)
 	if served < 10*schedules(t) {
@@ -353,10 +353,10 @@
 // death the nodes have another within a loan's time.
 func TestTheWholeSumIsSent(t *testing.T) {
 	for _, rate := range []float64{0.05, 0.25} {
-		w := newWorld(t, 9, 12, 1, rate)
+		w := newSimulation(t, 9, 12, 1, rate)
 		sum := 0.0
 		for _, p := range w.nodes {
-			sum += p.rows[w.servers[0]].rate
+			sum += p.states[w.servers[0]].rate
 		}
 		w.run(10 * time.Second)
 		before := len(w.sent[w.servers[0]])
@@ -366,29 +366,29 @@
 		if got < 0.6*sum || got > sum+0.1 {
 			t.Errorf("rate %v: %.2f sends a second of %.2f", rate, got, sum)
 		}
-		dealer := w.nodes[0].holder.parts[w.servers[0]].to
+		dealer := w.nodes[0].lender.parts[w.servers[0]].allocator
 		if dealer == 0 {
 			t.Fatal("nothing is lent")
 		}
 		for _, p := range w.nodes {
 			if p.member == dealer { // nobody is told: it only falls silent
 				p.life++
-				p.still = true
+				p.paused = true
 			}
 		}
 		at := w.now
 		w.run(at + 8*time.Second)
 		n := 0
 		for _, s := range w.sent[w.servers[0]] {
-			if s.at > at+5*time.Second && s.dealer != nil {
+			if s.at > at+5*time.Second && s.allocator != nil {
 				n++
 			}
 		}
 		if n == 0 {
 			t.Error("5 s after a dealer's death nothing is dealt")
 		}
-		if len(w.wrong) > 0 {
-			t.Error(w.wrong[0])
+		if len(w.violations) > 0 {
+			t.Error(w.violations[0])
 		}
 	}
 }
@@ -496,7 +496,7 @@
 		}
 		all := dealt[0] + dealt[1] + dealt[2]
 		t.Logf("answers %v: %d dealt in 10 s", answers, all)
-		if answers && all < 50 || !answers && all > 11*first {
+		if answers && all < 50 || !answers && all > 11*initialSends {
 			t.Errorf("answers %v: %d dealt in 10 s", answers, all)
 		}
 	}
@@ -505,11 +505,11 @@
 // A loan that ends before what is dealt on it would have left the window counts no more.
 func TestLoanOutlastsWhatIsDealt(t *testing.T) {
 	d := NewAllocator(Settings{})
-	set := d.set
+	set := d.settings
 	for i, x := range []struct {
 		age  time.Duration
 		want bool
-	}{{0, true}, {set.RenewalSlack, true}, {set.RenewalSlack + 1, false}, {set.term() - 1, false}, {time.Hour, false}} {
+	}{{0, true}, {set.RenewalSlack, true}, {set.RenewalSlack + 1, false}, {set.loanTerm() - 1, false}, {time.Hour, false}} {
 		now := time.Duration(i+10) * time.Hour
 		server := Server{"b", time.Duration(i)}
 		lend := func(at time.Duration, seq uint64) Grant {
@@ -527,7 +527,7 @@
 func TestGoodFromBeforeTheAsking(t *testing.T) {
 	now := time.Hour
 	h := NewLender(Settings{}, 1, now)
-	now += h.set.held()
+	now += h.settings.lenderTerm()
 	members := []Member{{7, "s"}}
 	cold := []decide.ColdServer{{Server: "b", Zone: "s", Started: 1, SendRate: 5, MeanSendRate: 5}}
 	step := func(g Grant, after time.Duration) (Claim, []decide.Grant) {
@@ -548,7 +548,7 @@
 	if c.Stamp != 1 || len(c.Items) != 1 || c.Items[0].Rate != 5 || c.Items[0].Wanted == 0 {
 		t.Errorf("%+v", c)
 	}
-	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.set.SendLifetime {
+	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.settings.SendLifetime {
 		t.Errorf("asked at %v: %+v", asked, deals)
 	}
 	// Three of five never came here; of the two one was used, the other is held.
@@ -570,14 +570,14 @@
 func TestDealerForgets(t *testing.T) {
 	d := NewAllocator(Settings{})
 	now := time.Hour
-	for i := range mostPools + 1000 {
+	for i := range maxPools + 1000 {
 		c := &Claim{Lender: uint64(1 + i%500), Seq: uint64(1 + i/500), Stamp: stampOf(now), Items: []ClaimItem{{Server: Server{fmt.Sprint("b", i), 1}, Rate: 1, Wanted: 1}}}
 		if _, ok := d.HandleClaim(now, c); !ok {
 			t.Fatal("not answered")
 		}
 	}
-	if d.Pools() != mostPools {
-		t.Errorf("%d pools, at most %d", d.Pools(), mostPools)
+	if d.Pools() != maxPools {
+		t.Errorf("%d pools, at most %d", d.Pools(), maxPools)
 	}
 	now += time.Minute
 	d.HandleClaim(now, &Claim{Lender: 1, Seq: 1000})
--- a/internal/fleet/wire/allowance.go
+++ b/internal/fleet/wire/allowance.go
@@ -26,7 +26,7 @@
 	var part []byte
 	for i := range c.Items {
 		it := &c.Items[i]
-		part = server(part[:0], it.Server)
+		part = appendServer(part[:0], it.Server)
 		part = protofields.AppendFixed(part, 3, math.Float64bits(it.Rate))
 		part = protofields.AppendUint(part, 4, uint64(it.Used))
 		part = protofields.AppendUint(part, 5, uint64(it.Unused))
@@ -43,7 +43,7 @@
 	to = protofields.AppendUint(to, 2, g.Stamp)
 	var part []byte
 	for i := range g.Items {
-		part = server(part[:0], g.Items[i].Server)
+		part = appendServer(part[:0], g.Items[i].Server)
 		part = protofields.AppendUint(part, 3, uint64(g.Items[i].Sends))
 		part = protofields.AppendUint(part, 4, uint64(g.Items[i].TotalSends))
 		to = protofields.AppendBytes(to, 3, part)
@@ -51,7 +51,7 @@
 	return to
 }
 
-func server(to []byte, b allowance.Server) []byte {
+func appendServer(to []byte, b allowance.Server) []byte {
 	return protofields.AppendUint(protofields.AppendBytes(to, 1, []byte(b.ID)), 2, protowire.EncodeZigZag(int64(b.Started)))
 }
 
@@ -69,7 +69,7 @@
 			c.Stamp = f.Uint
 		case !f.IsUint && f.Number == 4:
 			if len(c.Items) == allowance.MaxClaimItems {
-				return fault(Malformed, "a claim for more than %d servers", allowance.MaxClaimItems)
+				return newError(Malformed, "a claim for more than %d servers", allowance.MaxClaimItems)
 			}
 			var it allowance.ClaimItem
 			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
@@ -77,13 +77,13 @@
 				case f.IsUint && f.Number == 3:
 					it.Rate = math.Float64frombits(f.Uint)
 				case f.IsUint && f.Number == 4:
-					it.Used, err = count(f.Uint)
+					it.Used, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 5:
-					it.Unused, err = count(f.Uint)
+					it.Unused, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 6:
-					it.Wanted, err = count(f.Uint)
+					it.Wanted, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 7:
-					it.Answered, err = count(f.Uint)
+					it.Answered, err = parseCount(f.Uint)
 				default:
 					readServer(&it.Server, f)
 				}
@@ -97,7 +97,7 @@
 		return nil
 	})
 	if err == nil && c.Check() != nil {
-		err = fault(Malformed, "%v", c.Check())
+		err = newError(Malformed, "%v", c.Check())
 	}
 	if err != nil {
 		return nil, err
@@ -117,15 +117,15 @@
 			g.Stamp = f.Uint
 		case !f.IsUint && f.Number == 3:
 			if len(g.Items) == allowance.MaxClaimItems {
-				return fault(Malformed, "a grant for more than %d servers", allowance.MaxClaimItems)
+				return newError(Malformed, "a grant for more than %d servers", allowance.MaxClaimItems)
 			}
 			var x allowance.Allotment
 			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsUint && f.Number == 3:
-					x.Sends, err = count(f.Uint)
+					x.Sends, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 4:
-					x.TotalSends, err = count(f.Uint)
+					x.TotalSends, err = parseCount(f.Uint)
 				default:
 					readServer(&x.Server, f)
 				}
@@ -154,9 +154,9 @@
 }
 
 // count takes a number of 31 bits.
-func count(x uint64) (int, error) {
+func parseCount(x uint64) (int, error) {
 	if x > math.MaxInt32 {
-		return 0, fault(Malformed, "%d is no count", x)
+		return 0, newError(Malformed, "%d is no count", x)
 	}
 	return int(x), nil
 }
--- a/internal/fleet/wire/allowance_test.go
+++ b/internal/fleet/wire/allowance_test.go
@@ -11,22 +11,22 @@
 	"curlewring/internal/fleet/membership"
 )
 
-func drawnServer(rng *rand.Rand) allowance.Server {
+func randomServer(rng *rand.Rand) allowance.Server {
 	return allowance.Server{ID: strings.Repeat("x", 1+rng.IntN(40)), Started: time.Duration(rng.Int64() - rng.Int64())}
 }
 
-func drawnClaim(rng *rand.Rand) *allowance.Claim {
+func randomClaim(rng *rand.Rand) *allowance.Claim {
 	c := &allowance.Claim{Lender: 1 + rng.Uint64N(1<<62), Seq: 1 + rng.Uint64N(1000), Stamp: rng.Uint64() * rng.Uint64N(2)}
 	for range rng.IntN(allowance.MaxClaimItems + 1) {
-		c.Items = append(c.Items, allowance.ClaimItem{Server: drawnServer(rng), Rate: 100 * rng.Float64(), Used: rng.IntN(9), Unused: rng.IntN(9), Wanted: rng.IntN(3), Answered: rng.IntN(5)})
+		c.Items = append(c.Items, allowance.ClaimItem{Server: randomServer(rng), Rate: 100 * rng.Float64(), Used: rng.IntN(9), Unused: rng.IntN(9), Wanted: rng.IntN(3), Answered: rng.IntN(5)})
 	}
 	return c
 }
 
-func drawnGrant(rng *rand.Rand) *allowance.Grant {
+func randomGrant(rng *rand.Rand) *allowance.Grant {
 	g := &allowance.Grant{Seq: rng.Uint64N(1000), Stamp: rng.Uint64()}
 	for range rng.IntN(allowance.MaxClaimItems + 1) {
-		g.Items = append(g.Items, allowance.Allotment{Server: drawnServer(rng), Sends: rng.IntN(4), TotalSends: rng.IntN(100)})
+		g.Items = append(g.Items, allowance.Allotment{Server: randomServer(rng), Sends: rng.IntN(4), TotalSends: rng.IntN(100)})
 	}
 	return g
 }
@@ -34,7 +34,7 @@
 func TestClaimsAndGrantsComeBack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 2000 {
-		c, g := drawnClaim(rng), drawnGrant(rng)
+		c, g := randomClaim(rng), randomGrant(rng)
 		if got, err := ParseClaim(AppendClaim(nil, c)); err != nil || !reflect.DeepEqual(c, got) {
 			t.Fatalf("sent %+v\n got %+v, %v", c, got, err)
 		}
@@ -52,8 +52,8 @@
 func FuzzClaim(f *testing.F) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	for range 20 {
-		f.Add(AppendClaim(nil, drawnClaim(rng)))
-		f.Add(AppendGrant(nil, drawnGrant(rng)))
+		f.Add(AppendClaim(nil, randomClaim(rng)))
+		f.Add(AppendGrant(nil, randomGrant(rng)))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if g, err := ParseGrant(body); err == nil {
--- a/internal/fleet/wire/list.go
+++ b/internal/fleet/wire/list.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	mostListName = 256       // bytes of a discovery's address
-	mostListAge  = time.Hour // an older list is of no use to a node that has none at all
+	maxNameBytes = 256       // bytes of a discovery's address
+	maxListAge   = time.Hour // an older list is of no use to a node that has none at all
 )
 
 // ParseList reads the body of a message about lists.
@@ -42,24 +42,24 @@
 		switch {
 		case f.IsUint && f.Number == 1:
 			if f.Uint < uint64(bootstrap.ListQuery) || f.Uint > uint64(bootstrap.ListReply) {
-				return fault(Malformed, "kind %d", f.Uint)
+				return newError(Malformed, "kind %d", f.Uint)
 			}
 			m.Kind = bootstrap.Kind(f.Uint)
 		case !f.IsUint && f.Number == 2:
-			if len(f.Bytes) > mostListName {
-				return fault(Malformed, "a name of %d bytes", len(f.Bytes))
+			if len(f.Bytes) > maxNameBytes {
+				return newError(Malformed, "a name of %d bytes", len(f.Bytes))
 			}
 			m.From = string(f.Bytes)
 		case f.IsUint && f.Number == 3:
 			m.List.Generation = f.Uint
 		case !f.IsUint && f.Number == 4:
-			if len(f.Bytes) > mostListName {
-				return fault(Malformed, "an address of %d bytes", len(f.Bytes))
+			if len(f.Bytes) > maxNameBytes {
+				return newError(Malformed, "an address of %d bytes", len(f.Bytes))
 			}
 			m.List.Discovery = string(f.Bytes)
 		case f.IsUint && f.Number == 5:
-			if f.Uint > uint64(mostListAge) {
-				return fault(Malformed, "a list of %d ns", f.Uint)
+			if f.Uint > uint64(maxListAge) {
+				return newError(Malformed, "a list of %d ns", f.Uint)
 			}
 			m.List.Age = time.Duration(f.Uint)
 		case !f.IsUint && f.Number == 6:
@@ -67,14 +67,14 @@
 		case !f.IsUint && f.Number == 7:
 			at, err := netip.ParseAddrPort(string(f.Bytes))
 			if err != nil {
-				return fault(Malformed, "an address: %v", err)
+				return newError(Malformed, "an address: %v", err)
 			}
 			m.Addr = at
 		}
 		return nil
 	})
 	if err == nil && (m.Kind == 0 || m.From == "" || m.Kind == bootstrap.ListReply && len(m.Body) == 0) {
-		err = fault(Malformed, "a message about lists that lacks what it is for")
+		err = newError(Malformed, "a message about lists that lacks what it is for")
 	}
 	if err != nil {
 		return nil, err
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -46,7 +46,7 @@
 
 func (e *Error) Error() string { return e.Text }
 
-func fault(f Fault, format string, args ...any) error {
+func newError(f Fault, format string, args ...any) error {
 	return &Error{f, fmt.Sprintf(format, args...)}
 }
 
@@ -58,21 +58,21 @@
 // The numbers of fields. They are never used anew for something else.
 const (
 	fieldKind = 1 + iota
-	fieldRoot
-	fieldNumber
-	fieldLife
+	fieldFleetID
+	fieldViewNumber
+	fieldSenderLife
 	fieldSelf
 	fieldSeq
 	fieldAlert
-	fieldAlive
-	fieldLeaving
+	fieldRefutation
+	fieldDepartures
 	fieldVote
-	fieldJoin
-	fieldHolder
-	fieldLow
-	fieldWant
+	fieldJoiner
+	fieldNameHolder
+	fieldLowestSeed
+	fieldWantedHash
 	fieldView
-	fieldChange
+	fieldProposal
 	fieldTopic
 	fieldBody
 )
@@ -84,10 +84,10 @@
 	to = binary.BigEndian.AppendUint32(to, fleet)
 	to = append(to, 0, 0, 0, 0)
 	to = protofields.AppendUint(to, fieldKind, uint64(m.Kind))
-	to = protofields.AppendFixed(to, fieldRoot, m.FleetID)
-	to = protofields.AppendUint(to, fieldNumber, m.ViewNumber)
-	to = protofields.AppendFixed(to, fieldLife, m.SenderLife)
-	to = member(to, fieldSelf, m.Self)
+	to = protofields.AppendFixed(to, fieldFleetID, m.FleetID)
+	to = protofields.AppendUint(to, fieldViewNumber, m.ViewNumber)
+	to = protofields.AppendFixed(to, fieldSenderLife, m.SenderLife)
+	to = appendMember(to, fieldSelf, m.Self)
 	to = protofields.AppendUint(to, fieldSeq, m.Seq)
 	var part []byte
 	for _, a := range m.Alerts {
@@ -103,7 +103,7 @@
 	for _, a := range m.Refutations {
 		part = protowire.AppendVarint(part[:0], uint64(a.Member))
 		part = protowire.AppendVarint(part, uint64(a.Seq))
-		to = protofields.AppendBytes(to, fieldAlive, part)
+		to = protofields.AppendBytes(to, fieldRefutation, part)
 	}
 	leaving := make([]uint32, 0, len(m.Departures))
 	for _, l := range m.Departures {
@@ -113,30 +113,30 @@
 		}
 		leaving = append(leaving, x)
 	}
-	to = packed(to, fieldLeaving, leaving)
+	to = appendPacked(to, fieldDepartures, leaving)
 	if m.Vote != nil {
 		to = protofields.AppendBytes(to, fieldVote, appendVote(nil, m.Vote))
 	}
 	for i := range m.Joiners {
-		part = member(part[:0], 1, &m.Joiners[i].Member)
-		to = protofields.AppendBytes(to, fieldJoin, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joiners[i].SponsorSlot)), 3, m.Joiners[i].LastViewNumber))
+		part = appendMember(part[:0], 1, &m.Joiners[i].Member)
+		to = protofields.AppendBytes(to, fieldJoiner, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joiners[i].SponsorSlot)), 3, m.Joiners[i].LastViewNumber))
 	}
-	to = member(to, fieldHolder, m.NameHolder)
-	to = protofields.AppendUint(to, fieldLow, uint64(m.LowestSeed))
-	to = protofields.AppendFixed(to, fieldWant, m.WantedHash)
+	to = appendMember(to, fieldNameHolder, m.NameHolder)
+	to = protofields.AppendUint(to, fieldLowestSeed, uint64(m.LowestSeed))
+	to = protofields.AppendFixed(to, fieldWantedHash, m.WantedHash)
 	if v := m.View; v != nil {
 		part = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.FleetID), 2, v.Number)
 		for i := range v.Members {
-			part = member(part, 3, &v.Members[i])
+			part = appendMember(part, 3, &v.Members[i])
 		}
 		to = protofields.AppendBytes(to, fieldView, part)
 	}
 	if p := m.Proposal; p != nil {
-		part = packed(protofields.AppendUint(protofields.AppendUint(nil, 1, p.ViewNumber), 4, p.NextNumber), 2, p.Remove)
+		part = appendPacked(protofields.AppendUint(protofields.AppendUint(nil, 1, p.ViewNumber), 4, p.NextNumber), 2, p.Remove)
 		for i := range p.Add {
-			part = member(part, 3, &p.Add[i])
+			part = appendMember(part, 3, &p.Add[i])
 		}
-		to = protofields.AppendBytes(to, fieldChange, part)
+		to = protofields.AppendBytes(to, fieldProposal, part)
 	}
 	to = protofields.AppendUint(to, fieldTopic, uint64(m.Topic))
 	if len(m.Body) > 0 {
@@ -152,7 +152,7 @@
 	return crc32.Update(crc32.Checksum(b[:8], table), table, b[HeaderSize:])
 }
 
-func packed(to []byte, field protowire.Number, all []uint32) []byte {
+func appendPacked(to []byte, field protowire.Number, all []uint32) []byte {
 	if len(all) == 0 {
 		return to
 	}
@@ -163,7 +163,7 @@
 	return protofields.AppendBytes(to, field, part)
 }
 
-func member(to []byte, field protowire.Number, m *membership.Member) []byte {
+func appendMember(to []byte, field protowire.Number, m *membership.Member) []byte {
 	if m == nil {
 		return to
 	}
@@ -204,26 +204,26 @@
 func Parse(b []byte, fleet uint32, watchers int) (*membership.Message, error) {
 	switch {
 	case len(b) < HeaderSize:
-		return nil, fault(TooShort, "%d bytes are no message", len(b))
+		return nil, newError(TooShort, "%d bytes are no message", len(b))
 	case b[0] != 0xC1 || b[1] != 0x7E:
-		return nil, fault(BadMagic, "no message begins with %x", b[:2])
+		return nil, newError(BadMagic, "no message begins with %x", b[:2])
 	case b[2] != Version:
-		return nil, fault(OtherVersion, "version %d is not read here, %d is", b[2], Version)
+		return nil, newError(OtherVersion, "version %d is not read here, %d is", b[2], Version)
 	case binary.BigEndian.Uint32(b[4:]) != fleet:
-		return nil, fault(OtherFleet, "it is for another fleet")
+		return nil, newError(OtherFleet, "it is for another fleet")
 	case binary.BigEndian.Uint32(b[8:]) != checksum(b):
-		return nil, fault(BadChecksum, "the checksum of %d bytes is off", len(b))
+		return nil, newError(BadChecksum, "the checksum of %d bytes is off", len(b))
 	}
 	m := &membership.Message{}
 	r := reader{watchers: watchers}
-	if err := r.fields(b[HeaderSize:], func(f protofields.Field) error { return r.message(m, f) }); err != nil {
+	if err := r.fields(b[HeaderSize:], func(f protofields.Field) error { return r.parseField(m, f) }); err != nil {
 		return nil, err
 	}
 	if m.Kind < membership.Probe || m.Kind > membership.Payload {
-		return nil, fault(Malformed, "kind %d", m.Kind)
+		return nil, newError(Malformed, "kind %d", m.Kind)
 	}
 	if m.SenderLife == 0 {
-		return nil, fault(Malformed, "no sender")
+		return nil, newError(Malformed, "no sender")
 	}
 	return m, nil
 }
@@ -234,60 +234,60 @@
 func (r *reader) fields(b []byte, each func(protofields.Field) error) error {
 	err := protofields.ForEach(b, each)
 	if bad := (*protofields.Error)(nil); errors.As(err, &bad) {
-		return fault(Malformed, "%s", bad.Text)
+		return newError(Malformed, "%s", bad.Text)
 	}
 	return err
 }
 
 // small takes a number of 32 bits.
-func small(x uint64) (uint32, error) {
+func parseUint32(x uint64) (uint32, error) {
 	if x > 1<<32-1 {
-		return 0, fault(Malformed, "%d has more than 32 bits", x)
+		return 0, newError(Malformed, "%d has more than 32 bits", x)
 	}
 	return uint32(x), nil
 }
 
-func (r *reader) message(m *membership.Message, f protofields.Field) (err error) {
+func (r *reader) parseField(m *membership.Message, f protofields.Field) (err error) {
 	if f.IsUint {
 		switch f.Number {
 		case fieldKind:
 			m.Kind = membership.Kind(min(f.Uint, 255))
-		case fieldRoot:
+		case fieldFleetID:
 			m.FleetID = f.Uint
-		case fieldNumber:
+		case fieldViewNumber:
 			m.ViewNumber = f.Uint
-		case fieldLife:
+		case fieldSenderLife:
 			m.SenderLife = f.Uint
 		case fieldSeq:
 			m.Seq = f.Uint
-		case fieldLow:
-			m.LowestSeed, err = small(f.Uint)
-		case fieldWant:
+		case fieldLowestSeed:
+			m.LowestSeed, err = parseUint32(f.Uint)
+		case fieldWantedHash:
 			m.WantedHash = f.Uint
 		case fieldTopic:
-			m.Topic, err = small(f.Uint)
+			m.Topic, err = parseUint32(f.Uint)
 		}
 		return err
 	}
 	switch f.Number {
 	case fieldSelf:
 		m.Self, err = r.member(f.Bytes)
-	case fieldHolder:
+	case fieldNameHolder:
 		m.NameHolder, err = r.member(f.Bytes)
 	case fieldAlert:
-		x, err := numbers(f.Bytes, 3, 3)
+		x, err := parseUint32List(f.Bytes, 3, 3)
 		if err != nil {
 			return err
 		}
 		m.Alerts = append(m.Alerts, membership.Alert{Subject: x[0], WatcherSlot: x[1] >> 1, Down: x[1]&1 == 1, Seq: x[2]})
-	case fieldAlive:
-		x, err := numbers(f.Bytes, 2, 2)
+	case fieldRefutation:
+		x, err := parseUint32List(f.Bytes, 2, 2)
 		if err != nil {
 			return err
 		}
 		m.Refutations = append(m.Refutations, membership.Refutation{Member: x[0], Seq: x[1]})
-	case fieldLeaving:
-		x, err := numbers(f.Bytes, 0, len(f.Bytes))
+	case fieldDepartures:
+		x, err := parseUint32List(f.Bytes, 0, len(f.Bytes))
 		if err != nil {
 			return err
 		}
@@ -296,7 +296,7 @@
 		}
 	case fieldVote:
 		m.Vote, err = r.vote(f.Bytes)
-	case fieldJoin:
+	case fieldJoiner:
 		c := membership.Joiner{}
 		err = r.fields(f.Bytes, func(f protofields.Field) error {
 			switch {
@@ -308,7 +308,7 @@
 				return err
 			case f.Number == 2 && f.IsUint:
 				var err error
-				c.SponsorSlot, err = small(f.Uint)
+				c.SponsorSlot, err = parseUint32(f.Uint)
 				return err
 			case f.Number == 3 && f.IsUint:
 				c.LastViewNumber = f.Uint
@@ -316,13 +316,13 @@
 			return nil
 		})
 		if err == nil && c.Member.Check() != nil {
-			return fault(Malformed, "a candidate that is nobody")
+			return newError(Malformed, "a candidate that is nobody")
 		}
 		m.Joiners = append(m.Joiners, c)
 	case fieldView:
 		m.View, err = r.view(f.Bytes)
-	case fieldChange:
-		m.Proposal, err = r.change(f.Bytes)
+	case fieldProposal:
+		m.Proposal, err = r.proposal(f.Bytes)
 	case fieldBody:
 		m.Body = append([]byte(nil), f.Bytes...)
 	}
@@ -330,17 +330,17 @@
 }
 
 // numbers reads varints of 32 bits that fill some bytes.
-func numbers(b []byte, least, most int) ([]uint32, error) {
+func parseUint32List(b []byte, least, most int) ([]uint32, error) {
 	var all []uint32
 	for len(b) > 0 {
 		x, n := protowire.ConsumeVarint(b)
 		if n < 0 || x > 1<<32-1 || len(all) == most {
-			return nil, fault(Malformed, "no list of %d to %d numbers of 32 bits", least, most)
+			return nil, newError(Malformed, "no list of %d to %d numbers of 32 bits", least, most)
 		}
 		all, b = append(all, uint32(x)), b[n:]
 	}
 	if len(all) < least {
-		return nil, fault(Malformed, "no list of %d to %d numbers of 32 bits", least, most)
+		return nil, newError(Malformed, "no list of %d to %d numbers of 32 bits", least, most)
 	}
 	return all, nil
 }
@@ -355,11 +355,11 @@
 			m.Site = string(f.Bytes)
 		case f.Number == 3 && !f.IsUint:
 			if len(f.Bytes) > 64 { // a zone of any length may be behind an address
-				return fault(Malformed, "an address of %d bytes", len(f.Bytes))
+				return newError(Malformed, "an address of %d bytes", len(f.Bytes))
 			}
 			var a netip.AddrPort
 			if err := a.UnmarshalBinary(f.Bytes); err != nil {
-				return fault(Malformed, "an address: %v", err)
+				return newError(Malformed, "an address: %v", err)
 			}
 			m.Addr = a
 		case f.Number == 4 && f.IsUint:
@@ -373,7 +373,7 @@
 		return nil, err
 	}
 	if err := m.Check(); err != nil {
-		return nil, fault(Malformed, "%v", err)
+		return nil, newError(Malformed, "%v", err)
 	}
 	return m, nil
 }
@@ -429,12 +429,12 @@
 	}
 	v, err := membership.NewView(root, num, members, r.watchers)
 	if err != nil {
-		return nil, fault(Malformed, "%v", err)
+		return nil, newError(Malformed, "%v", err)
 	}
 	return v, nil
 }
 
-func (r *reader) change(b []byte) (*membership.Proposal, error) {
+func (r *reader) proposal(b []byte) (*membership.Proposal, error) {
 	p := &membership.Proposal{}
 	err := r.fields(b, func(f protofields.Field) (err error) {
 		switch {
@@ -443,7 +443,7 @@
 		case f.IsUint && f.Number == 4:
 			p.NextNumber = f.Uint
 		case !f.IsUint && f.Number == 2:
-			p.Remove, err = numbers(f.Bytes, 0, len(f.Bytes))
+			p.Remove, err = parseUint32List(f.Bytes, 0, len(f.Bytes))
 		case !f.IsUint && f.Number == 3:
 			m, err := r.member(f.Bytes)
 			if err == nil {
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -16,7 +16,7 @@
 	"curlewring/internal/fleet/membership"
 )
 
-func someone(rng *rand.Rand) *membership.Member {
+func randomMember(rng *rand.Rand) *membership.Member {
 	return &membership.Member{
 		Name: fmt.Sprintf("node-%d", rng.IntN(1e6)), Site: []string{"", "basel", "genf"}[rng.IntN(3)],
 		Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(rng.IntN(256)), 0, 1}), uint16(1+rng.IntN(65535))),
@@ -25,7 +25,7 @@
 }
 
 // drawn is a message with some of everything.
-func drawn(rng *rand.Rand) *membership.Message {
+func randomMessage(rng *rand.Rand) *membership.Message {
 	m := &membership.Message{
 		Kind: membership.Kind(1 + rng.IntN(int(membership.Payload))), FleetID: rng.Uint64(), ViewNumber: rng.Uint64N(1000), SenderLife: 1 + rng.Uint64N(1<<50),
 		Seq: rng.Uint64N(1 << 40), LowestSeed: uint32(rng.IntN(4)), WantedHash: rng.Uint64N(2) * rng.Uint64(),
@@ -34,7 +34,7 @@
 		m.Topic, m.Body = rng.Uint32(), []byte{byte(rng.IntN(256)), 2, 3}
 	}
 	if rng.IntN(2) == 0 {
-		m.Self, m.NameHolder = someone(rng), someone(rng)
+		m.Self, m.NameHolder = randomMember(rng), randomMember(rng)
 	}
 	for range rng.IntN(20) {
 		m.Alerts = append(m.Alerts, membership.Alert{Subject: rng.Uint32N(10000), WatcherSlot: rng.Uint32N(16), Seq: rng.Uint32(), Down: rng.IntN(2) == 0})
@@ -46,15 +46,15 @@
 			ViewNumber: rng.Uint64(), Ballot: rng.Uint64(), Promises: membership.BitSet{1, byte(rng.IntN(256))}, AcceptedBallot: rng.Uint64(), AcceptedValue: rng.Uint64(),
 			Value: rng.Uint64(), Forced: rng.IntN(2) == 0, Accepts: membership.BitSet{7}, PromisersWithValue: membership.BitSet{byte(1 + rng.IntN(255))},
 		}
-		m.Proposal = &membership.Proposal{ViewNumber: rng.Uint64(), NextNumber: rng.Uint64(), Remove: []uint32{1, 5, 70000}, Add: []membership.Member{*someone(rng)}}
+		m.Proposal = &membership.Proposal{ViewNumber: rng.Uint64(), NextNumber: rng.Uint64(), Remove: []uint32{1, 5, 70000}, Add: []membership.Member{*randomMember(rng)}}
 	}
 	for range rng.IntN(3) {
-		m.Joiners = append(m.Joiners, membership.Joiner{Member: *someone(rng), SponsorSlot: rng.Uint32N(16), LastViewNumber: rng.Uint64N(9)})
+		m.Joiners = append(m.Joiners, membership.Joiner{Member: *randomMember(rng), SponsorSlot: rng.Uint32N(16), LastViewNumber: rng.Uint64N(9)})
 	}
 	if rng.IntN(3) == 0 {
 		var all []membership.Member
 		for i := range 1 + rng.IntN(30) {
-			x := someone(rng)
+			x := randomMember(rng)
 			x.Name = fmt.Sprintf("%s-%d", x.Name, i)
 			all = append(all, *x)
 		}
@@ -66,7 +66,7 @@
 func TestMessagesComeBack(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		m := drawn(rng)
+		m := randomMessage(rng)
 		got, err := Parse(Append(nil, 7, m), 7, 10)
 		if err != nil {
 			t.Fatalf("%+v: %v", m, err)
@@ -146,8 +146,8 @@
 		return append(all, Append(nil, 7, &membership.Message{Kind: membership.Gossip, SenderLife: 1})[HeaderSize:]...)
 	}
 	for name, b := range map[string][]byte{
-		"alerts": seal(many(fieldAlert, []byte{1, 1, 1})), "alive": seal(many(fieldAlive, []byte{1, 1})), "joins": seal(many(fieldJoin, nil)),
-		"votes": seal(many(fieldVote, []byte{0x1a, 1, 1})), "leaving": seal(many(fieldLeaving, make([]byte, 1000))),
+		"alerts": seal(many(fieldAlert, []byte{1, 1, 1})), "alive": seal(many(fieldRefutation, []byte{1, 1})), "joins": seal(many(fieldJoiner, nil)),
+		"votes": seal(many(fieldVote, []byte{0x1a, 1, 1})), "leaving": seal(many(fieldDepartures, make([]byte, 1000))),
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
@@ -163,7 +163,7 @@
 func FuzzParse(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 30 {
-		f.Add(Append(nil, 7, drawn(rng))[HeaderSize:])
+		f.Add(Append(nil, 7, randomMessage(rng))[HeaderSize:])
 	}
 	f.Fuzz(func(t *testing.T, fields []byte) {
 		m, err := Parse(seal(fields), 7, 10)
