--- a/internal/fleet/allowance/allocator.go
+++ b/internal/fleet/allowance/allocator.go
@@ -8,234 +8,241 @@
 	"time"
 )
 
-// Dealer deals what was lent to it.
+// Allocator grants sends to cold servers from the parts that lenders lent to it.
 type Allocator struct {
 	settings  Settings
 	pools     map[Server]*pool
-	lastSeqs  map[uint64]uint64 // the last claim of each holder
+	lastSeqs  map[uint64]uint64 // Seq of the last claim of each lender
 	lastSweep time.Duration
 }
 
-// pool is what is lent for one life of a server.
+// pool holds the loans for one life of a server.
 type pool struct {
-	loans       []*loan // by holder
-	tokens      float64 // sends that may be dealt, as of ...
+	loans       []*loan // sorted by lender
+	tokens      float64 // token bucket of sends, as of refilledAt
 	refilledAt  time.Duration
-	usedAt      []time.Duration // when sends were told to be used, within the last window; ascending
-	answeredAt  []time.Duration // when the server was told to have answered, of late; ascending
-	outstanding int             // dealt, and neither used nor back
+	usedAt      []time.Duration // when sends were reported as used, within the last window; ascending
+	answeredAt  []time.Duration // when answers of the server were reported recently; ascending
+	outstanding int             // sends that are granted and neither used nor returned
 }
 
-// loan is one node's part.
+// loan is the part that one node lent.
 type loan struct {
 	lender           uint64
-	rate             float64
-	endsAt           time.Duration // by the dealer's clock; what is dealt on it must be used and out of the window by then
-	allotted         int
-	resolved         int             // of these, used, back, or no good any more
-	reportedUsed     int             // sends that the node last told to be used
-	reportedAnswered int             // requests that it last told to be answered; -1: it has told nothing yet
-	expiries         []time.Duration // when each of the others is no good any more; ascending
+	rate             float64         // sends per second
+	endsAt           time.Duration   // by the allocator's clock; by then granted sends must have left the window
+	allotted         int             // sends granted on the loan
+	resolved         int             // those of allotted that were used, returned or have expired
+	reportedUsed     int             // used sends by the lender's last report
+	reportedAnswered int             // answered requests by the lender's last report; -1 if there was none
+	expiries         []time.Duration // expiry times of the outstanding sends; ascending
 }
 
-// Bounds of a dealer's memory.
+// Limits on an allocator's memory.
 const (
 	maxPools        = 8192
-	maxLoansPerPool = 20_000 // of one pool
+	maxLoansPerPool = 20_000
 	maxLenders      = 40_000
 )
 
-// NewDealer returns a dealer that holds nothing.
+// NewAllocator returns an allocator without loans.
 func NewAllocator(set Settings) *Allocator {
 	return &Allocator{settings: set.Default(), pools: map[Server]*pool{}, lastSeqs: map[uint64]uint64{}}
 }
 
-// Pools is the number of servers that something is lent for.
-func (d *Allocator) Pools() int { return len(d.pools) }
+// Pools returns the number of servers with a pool.
+func (a *Allocator) Pools() int { return len(a.pools) }
 
-// Claim takes a claim, and answers it; false if it is none to answer.
-func (d *Allocator) HandleClaim(now time.Duration, c *Claim) (Grant, bool) {
-	if c.Check() != nil || c.Seq <= d.lastSeqs[c.Lender] {
-		return Grant{}, false // late, or doubled: the holder has gone on
+// HandleClaim records the loans of a claim and returns the grant to answer with. It returns false if
+// the claim must not be answered.
+func (a *Allocator) HandleClaim(now time.Duration, c *Claim) (Grant, bool) {
+	if c.Check() != nil || c.Seq <= a.lastSeqs[c.Lender] {
+		return Grant{}, false // invalid, out of order or duplicated
 	}
-	if d.sweep(now); d.lastSeqs[c.Lender] == 0 && len(d.lastSeqs) >= maxLenders {
+	if a.sweep(now); a.lastSeqs[c.Lender] == 0 && len(a.lastSeqs) >= maxLenders {
 		return Grant{}, false
 	}
-	d.lastSeqs[c.Lender] = c.Seq
-	g := Grant{Seq: c.Seq, Stamp: stampOf(now)}
-	if c.Stamp == 0 || c.Stamp > g.Stamp { // the second is of a life of this member that counted otherwise
-		return g, true
+	a.lastSeqs[c.Lender] = c.Seq
+	grant := Grant{Seq: c.Seq, Stamp: stampOf(now)}
+	// A stamp from the future is from an earlier life of this member, with another clock.
+	if c.Stamp == 0 || c.Stamp > grant.Stamp {
+		return grant, true
 	}
 	since := time.Duration(c.Stamp - 1)
 	for i := range c.Items {
-		if n, total := d.recordLoan(now, since, c.Lender, &c.Items[i]); n > 0 {
-			g.Items = append(g.Items, Allotment{c.Items[i].Server, n, total})
+		if sends, total := a.recordLoan(now, since, c.Lender, &c.Items[i]); sends > 0 {
+			grant.Items = append(grant.Items, Allotment{c.Items[i].Server, sends, total})
 		}
 	}
-	return g, true
+	return grant, true
 }
 
-// stampOf is a time as a stamp, which is never 0.
+// stampOf returns a time as a stamp, which is never 0.
 func stampOf(now time.Duration) uint64 { return uint64(max(0, now)) + 1 }
 
-// lend books a part and deals on it: so many sends now, and so many on this loan in all.
-func (d *Allocator) recordLoan(now, since time.Duration, holder uint64, it *ClaimItem) (n, total int) {
-	p := d.pools[it.Server]
+// recordLoan records a loan for one server and grants sends on it. It returns the number of sends
+// granted now and on this loan in total.
+func (a *Allocator) recordLoan(now, since time.Duration, lender uint64, item *ClaimItem) (sends, total int) {
+	p := a.pools[item.Server]
 	if p == nil {
-		if len(d.pools) >= maxPools {
+		if len(a.pools) >= maxPools {
 			return 0, 0
 		}
 		p = &pool{refilledAt: now}
-		d.pools[it.Server] = p
+		a.pools[item.Server] = p
 	}
-	d.advance(p, now)
-	at, found := slices.BinarySearchFunc(p.loans, holder, func(l *loan, h uint64) int { return cmp.Compare(l.lender, h) })
+	a.advance(p, now)
+	index, found := slices.BinarySearchFunc(p.loans, lender, func(l *loan, h uint64) int { return cmp.Compare(l.lender, h) })
 	if !found {
 		if len(p.loans) >= maxLoansPerPool {
 			return 0, 0
 		}
-		p.loans = slices.Insert(p.loans, at, &loan{lender: holder, reportedAnswered: -1})
+		p.loans = slices.Insert(p.loans, index, &loan{lender: lender, reportedAnswered: -1})
 	}
-	l := p.loans[at]
-	l.applyReport(p, now, it)
-	l.rate, l.endsAt = it.Rate, since+d.settings.loanTerm()
-	if n = min(it.Wanted, maxWantedSends, d.available(p, now)); n <= 0 || !d.covers(l, now) {
+	l := p.loans[index]
+	l.applyReport(p, now, item)
+	l.rate, l.endsAt = item.Rate, since+a.settings.loanTerm()
+	if sends = min(item.Wanted, maxWantedSends, a.available(p, now)); sends <= 0 || !a.covers(l, now) {
 		return 0, 0
 	}
-	p.tokens -= float64(n)
-	p.outstanding += n
-	l.allotted += n
-	for range n {
-		l.expiries = append(l.expiries, now+d.settings.SendLifetime)
+	p.tokens -= float64(sends)
+	p.outstanding += sends
+	l.allotted += sends
+	for range sends {
+		l.expiries = append(l.expiries, now+a.settings.SendLifetime)
 	}
-	return n, l.allotted
+	return sends, l.allotted
 }
 
-// told books what a node says became of its sends. It tells totals: what a lost claim told, the next tells too.
-// Where it is not clear which were used, more are taken to be so.
-func (l *loan) applyReport(p *pool, now time.Duration, it *ClaimItem) {
-	n := min(max(it.Used+it.Unused-l.resolved, 0), len(l.expiries))
-	used := min(max(it.Used-l.reportedUsed, 0), n)
-	l.reportedUsed = max(l.reportedUsed, it.Used)
-	if l.reportedAnswered >= 0 { // what came before the loan tells nothing of now
-		for range min(it.Answered-l.reportedAnswered, maxWantedSends) {
+// applyReport records how many of a lender's sends were used and returned. Claims report totals, so
+// the next one makes up for a lost one. If it is unclear which sends were used, the larger number
+// is assumed.
+func (l *loan) applyReport(p *pool, now time.Duration, item *ClaimItem) {
+	newlyResolved := min(max(item.Used+item.Unused-l.resolved, 0), len(l.expiries))
+	newlyUsed := min(max(item.Used-l.reportedUsed, 0), newlyResolved)
+	l.reportedUsed = max(l.reportedUsed, item.Used)
+	if l.reportedAnswered >= 0 { // answers from before the loan say nothing about the present
+		for range min(item.Answered-l.reportedAnswered, maxWantedSends) {
 			p.answeredAt = append(p.answeredAt, now)
 		}
 	}
-	l.reportedAnswered = max(l.reportedAnswered, it.Answered)
-	l.resolved += n
-	for range used { // now at the latest
+	l.reportedAnswered = max(l.reportedAnswered, item.Answered)
+	l.resolved += newlyResolved
+	for range newlyUsed { // the exact times are unknown: assume the latest possible one
 		p.usedAt = append(p.usedAt, now)
 	}
-	// Which of them it was nobody knows: the oldest go, so that none that is out is forgotten too early.
-	l.expiries = l.expiries[n:]
-	p.outstanding -= n
+	// It is unknown which sends these were. Dropping the oldest expiries keeps the outstanding sends
+	// counted for long enough.
+	l.expiries = l.expiries[newlyResolved:]
+	p.outstanding -= newlyResolved
 }
 
-// covers tells whether a loan lasts until what is dealt now has left the window.
-func (d *Allocator) covers(l *loan, now time.Duration) bool {
-	return l.endsAt >= now+d.settings.SendLifetime+d.settings.Window
+// covers reports whether a loan lasts until a send granted now has left the window.
+func (a *Allocator) covers(l *loan, now time.Duration) bool {
+	return l.endsAt >= now+a.settings.SendLifetime+a.settings.Window
 }
 
-// settle brings a pool to a time: what is no good any more was used at the latest then, and loans end.
-func (d *Allocator) advance(p *pool, now time.Duration) {
+// advance updates a pool to time now. Sends that have expired are counted as used at their expiry,
+// and ended loans are dropped.
+func (a *Allocator) advance(p *pool, now time.Duration) {
 	rate := 0.0
 	for _, l := range p.loans {
-		n := 0
-		for n < len(l.expiries) && l.expiries[n] <= now {
-			p.usedAt = append(p.usedAt, l.expiries[n])
-			n++
+		expired := 0
+		for expired < len(l.expiries) && l.expiries[expired] <= now {
+			p.usedAt = append(p.usedAt, l.expiries[expired])
+			expired++
 		}
-		l.expiries = l.expiries[n:]
-		l.resolved += n
-		p.outstanding -= n
-		if d.covers(l, now) {
+		l.expiries = l.expiries[expired:]
+		l.resolved += expired
+		p.outstanding -= expired
+		if a.covers(l, now) {
 			rate += l.rate
 		}
 	}
 	p.loans = slices.DeleteFunc(p.loans, func(l *loan) bool { return l.endsAt < now && len(l.expiries) == 0 })
 	slices.Sort(p.usedAt)
-	n, _ := slices.BinarySearch(p.usedAt, now-d.settings.Window)
-	p.usedAt = p.usedAt[n:]
-	n, _ = slices.BinarySearch(p.answeredAt, now-answerWindows*d.settings.Window-d.settings.ClaimInterval)
-	p.answeredAt = p.answeredAt[n:]
-	p.tokens = min(p.tokens+rate*(now-p.refilledAt).Seconds(), max(1, rate*d.settings.Window.Seconds()))
+	outdated, _ := slices.BinarySearch(p.usedAt, now-a.settings.Window)
+	p.usedAt = p.usedAt[outdated:]
+	outdated, _ = slices.BinarySearch(p.answeredAt, now-answerWindows*a.settings.Window-a.settings.ClaimInterval)
+	p.answeredAt = p.answeredAt[outdated:]
+	p.tokens = min(p.tokens+rate*(now-p.refilledAt).Seconds(), max(1, rate*a.settings.Window.Seconds()))
 	p.refilledAt = now
 }
 
-// rate is the sum of what is lent for longer than it takes to use it.
-func (d *Allocator) lentRate(p *pool, now time.Duration) (sum float64) {
+// lentRate returns the summed rate of the loans that last long enough to grant sends on them.
+func (a *Allocator) lentRate(p *pool, now time.Duration) (sum float64) {
 	for _, l := range p.loans {
-		if d.covers(l, now) {
+		if a.covers(l, now) {
 			sum += l.rate
 		}
 	}
 	return sum
 }
 
-// What a server may get before it has answered anybody, and for each answer of the last two windows: nobody knows what
-// this one can do, but what it has answered to all of them together, it could. A server of a sixth of the others' size is
-// found out so within a window.
+// Limits on the sends per window by the answers of a server, whose capacity is unknown: it gets
+// initialSends before its first answer, and sendsPerAnswer for each answer to any node within the
+// last answerWindows windows. This detects a server of a sixth of the others' size within a window.
 const (
 	initialSends   = 2
 	sendsPerAnswer = 1.0
-	answerWindows  = 2 // windows
+	answerWindows  = 2 // window lengths
 )
 
-// free is how many sends may be dealt now: within the rate, and no more in the window, with those that are out, than
-// the parts allow and the server has shown that it can answer. Parts that sum up to less than one send still allow one,
-// as often as the rate has it.
-func (d *Allocator) available(p *pool, now time.Duration) int {
-	most := int(math.Ceil(d.lentRate(p, now)*d.settings.Window.Seconds() - 1e-9))
-	most = min(most, initialSends+int(sendsPerAnswer*float64(len(p.answeredAt))))
-	return min(int(p.tokens+1e-9), max(1, most)-p.outstanding-len(p.usedAt))
+// available returns how many sends may be granted now. They must fit the rate, and the sends of the
+// window including the outstanding ones must not exceed what the parts and the server's answers
+// allow. Parts that add up to less than one send per window still allow one, as often as the rate
+// permits.
+func (a *Allocator) available(p *pool, now time.Duration) int {
+	maxPerWindow := int(math.Ceil(a.lentRate(p, now)*a.settings.Window.Seconds() - 1e-9))
+	maxPerWindow = min(maxPerWindow, initialSends+int(sendsPerAnswer*float64(len(p.answeredAt))))
+	return min(int(p.tokens+1e-9), max(1, maxPerWindow)-p.outstanding-len(p.usedAt))
 }
 
-// sweep forgets servers that nothing is lent for, and lives that are not heard of any more.
-func (d *Allocator) sweep(now time.Duration) {
-	if now-d.lastSweep < d.settings.loanTerm() {
+// sweep drops pools without loans, and lenders without loans if there are many lenders.
+func (a *Allocator) sweep(now time.Duration) {
+	if now-a.lastSweep < a.settings.loanTerm() {
 		return
 	}
-	d.lastSweep = now
-	busy := map[uint64]bool{}
-	for server, p := range d.pools {
-		if d.advance(p, now); len(p.loans) == 0 && len(p.usedAt) == 0 {
-			delete(d.pools, server)
+	a.lastSweep = now
+	withLoans := map[uint64]bool{}
+	for server, p := range a.pools {
+		if a.advance(p, now); len(p.loans) == 0 && len(p.usedAt) == 0 {
+			delete(a.pools, server)
 		}
 		for _, l := range p.loans {
-			busy[l.lender] = true
+			withLoans[l.lender] = true
 		}
 	}
-	if len(d.lastSeqs) < maxLenders/2 {
+	if len(a.lastSeqs) < maxLenders/2 {
 		return
 	}
-	for holder := range d.lastSeqs { // its old claims would lend by stamps that are older than any loan
-		if !busy[holder] {
-			delete(d.lastSeqs, holder)
+	for lender := range a.lastSeqs { // an old claim that arrives late carries a stamp too old to lend anything
+		if !withLoans[lender] {
+			delete(a.lastSeqs, lender)
 		}
 	}
 }
 
-// Standing is a pool as operators see it.
+// PoolStatus describes a pool for operators. Its fields are JSON keys.
 type PoolStatus struct {
 	Server
 	Lenders int
-	Rate    float64 // sends a second, of what is lent
-	Out     int     // dealt, and not yet told of
-	Used    int     // within the last window
+	Rate    float64 // sends per second, of all loans
+	Out     int     // sends granted and not reported yet
+	Used    int     // sends used within the last window
 }
 
-// Standings are all pools, by server.
-func (d *Allocator) PoolStatuses(now time.Duration) []PoolStatus {
-	var all []PoolStatus
-	for server, p := range d.pools {
-		d.advance(p, now)
+// PoolStatuses returns the status of all pools with loans, sorted by server.
+func (a *Allocator) PoolStatuses(now time.Duration) []PoolStatus {
+	var statuses []PoolStatus
+	for server, p := range a.pools {
+		a.advance(p, now)
 		if len(p.loans) > 0 {
-			all = append(all, PoolStatus{server, len(p.loans), d.lentRate(p, now), p.outstanding, len(p.usedAt)})
+			statuses = append(statuses, PoolStatus{server, len(p.loans), a.lentRate(p, now), p.outstanding, len(p.usedAt)})
 		}
 	}
-	slices.SortFunc(all, func(a, b PoolStatus) int {
+	slices.SortFunc(statuses, func(a, b PoolStatus) int {
 		return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.Started, b.Started))
 	})
-	return all
+	return statuses
 }
--- a/internal/fleet/allowance/doc.go
+++ b/internal/fleet/allowance/doc.go
@@ -1,19 +1,21 @@
-// Package allowance pools what the nodes of a fleet may send to cold servers.
+// Package allowance pools the send budgets that the nodes of a fleet have for cold servers.
 //
-// Each node has a part of a cold server's budget, by its own module. A Holder lends
-// that part to a Dealer at one of the members, for a time, and gets whole sends dealt
-// in return; a Dealer deals no more in a server's window than the parts that it holds add
-// up to. A part is with its node or with one dealer, never with both: that, and no view of
-// the fleet, is what keeps the sum, in splits and pauses too.
+// Each node's decision module has a share, called a part, of a cold server's budget. A Lender
+// lends the part for a limited time to an Allocator at one of the members, and receives grants of
+// whole sends in return. An Allocator never grants more sends per window of a server than the
+// parts lent to it add up to. At any time a part is either with its node or with one allocator,
+// never with both. This alone preserves the total during partitions and pauses; it does not
+// depend on an agreed view of the fleet.
 //
-// A Holder belongs to the goroutine that owns the node's module, a Dealer to the one that
-// owns the membership. Both are pure: messages and times come in, messages and figures for
-// the module go out. Times are of a clock that only grows; those of two nodes are never
-// compared.
+// A Lender belongs to the goroutine that owns the node's decision module, an Allocator to the one
+// that owns the membership. Both are pure: messages and times are inputs, messages and grants for
+// the decision module are outputs. Times are readings of a monotonic clock, and times of two
+// nodes are never compared.
 //
-// It must not choose a server or admit a request, and needs no agreement on who is alive.
+// The package must not choose servers or admit requests, and needs no agreement on which nodes
+// are alive.
 //
 // Sources: Barbara, Garcia-Molina, "The Demarcation Protocol", 1992, and O'Neil, "The Escrow
 // Transactional Method", 1986 (a bound on a sum kept by its parts); Thaler, Ravishankar,
-// "A Name-Based Mapping Scheme for Rendezvous", 1996 (the choice of a dealer).
+// "A Name-Based Mapping Scheme for Rendezvous", 1996 (the choice of an allocator).
 package allowance
--- a/internal/fleet/allowance/lender.go
+++ b/internal/fleet/allowance/lender.go
@@ -12,228 +12,231 @@
 	"curlewring/decide"
 )
 
-// Member is one that may deal.
+// Member is a member of the fleet that may act as an allocator.
 type Member struct {
 	Life uint64
 	Site string
 }
 
-// Out is a claim on its way to a member.
+// Outgoing is a claim to be sent to a member.
 type Outgoing struct {
-	To    uint64 // its life
+	To    uint64 // the member's life
 	Claim Claim
 }
 
-// Holder lends this node's parts and keeps what is dealt to it.
+// Lender lends this node's parts to allocators and receives their grants.
 type Lender struct {
 	settings      Settings
 	rng           *rand.Rand
-	quietUntil    time.Duration // until then the last life's parts may still be lent
+	quietUntil    time.Duration // until then parts lent by an earlier life may still be with an allocator
 	parts         map[Server]*part
 	allocators    map[uint64]*allocatorState
-	members       []Member // as Tick was told last, by life
+	members       []Member // of the last Tick
 	id            uint64
 	seq           uint64
-	grants        []decide.Grant
-	pendingClaims []pendingClaim // claims that may be answered yet, by Seq
+	grants        []decide.Grant // returned by the current call
+	pendingClaims []pendingClaim // claims that may still be answered, by seq
 }
 
+// pendingClaim is a claim that has been sent and not answered.
 type pendingClaim struct {
 	seq    uint64
 	sentAt time.Duration
 	to     uint64
 }
 
-// part is this node's part of one cold server.
+// part is this node's part of the budget of one cold server.
 type part struct {
 	cold           decide.ColdServer
-	allocator      uint64        // the dealer that it is lent to; 0: to none
-	lentUntil      time.Duration // until then
-	lastGrantsUsed int           // cold.Used as it was last
-	used           int           // sends on the loan
-	granted        int           // sends of the loan that came here
-	lost           int           // and those that did not
-	wanted         int
-	listed         bool
+	allocator      uint64        // life of the allocator that it is lent to; 0 if none
+	lentUntil      time.Duration // end of the loan
+	lastGrantsUsed int           // cold.GrantsUsed at the previous Tick
+	used           int           // granted sends that were used on the loan
+	granted        int           // sends of the loan that arrived here
+	lost           int           // sends of the loan whose grant was lost
+	wanted         int           // sends to ask for in the next claim
+	listed         bool          // the decision module listed the server at the last Tick
 }
 
-// dealer is one as this node knows it.
+// allocatorState is what this node knows about an allocator.
 type allocatorState struct {
-	stamp        uint64
-	nextClaim    time.Duration // when the next claim is due
-	waitingSince time.Duration // since when a claim is unanswered; 0: none is
-	lastGrantSeq uint64        // of the last grant taken
-	avoidUntil   time.Duration // passed over until then
+	stamp        uint64        // highest stamp of its grants; 0 if none is known
+	nextClaim    time.Duration // earliest time of the next claim
+	waitingSince time.Duration // time since which claims are unanswered; 0 if none is
+	lastGrantSeq uint64        // Seq of the last accepted grant
+	avoidUntil   time.Duration // not used until then
 }
 
-// NewHolder returns the holder of a life that starts now.
+// NewLender returns the lender of a life that starts at time now.
 func NewLender(set Settings, seed uint64, now time.Duration) *Lender {
-	h := &Lender{settings: set.Default(), rng: rand.New(rand.NewPCG(seed, 0xc01d)), parts: map[Server]*part{}, allocators: map[uint64]*allocatorState{}}
-	h.quietUntil = now + h.settings.lenderTerm()
-	h.id = h.rng.Uint64() | 1
-	return h
+	l := &Lender{settings: set.Default(), rng: rand.New(rand.NewPCG(seed, 0xc01d)), parts: map[Server]*part{}, allocators: map[uint64]*allocatorState{}}
+	l.quietUntil = now + l.settings.lenderTerm()
+	l.id = l.rng.Uint64() | 1
+	return l
 }
 
-// Tick takes what the module says of cold servers, and who is a member; nobody, where that is not known. It
-// returns claims to send, and what the module is to know. Both are good until the next call.
-func (h *Lender) Tick(now time.Duration, members []Member, colds []decide.ColdServer) ([]Outgoing, []decide.Grant) {
-	h.grants = h.grants[:0]
-	h.members = members
-	for _, p := range h.parts {
+// Tick takes the members, none if they are unknown, and the cold servers as reported by the decision
+// module. It returns claims to send and grants for the module. Both are valid until the next call.
+func (l *Lender) Tick(now time.Duration, members []Member, colds []decide.ColdServer) ([]Outgoing, []decide.Grant) {
+	l.grants = l.grants[:0]
+	l.members = members
+	for _, p := range l.parts {
 		p.listed = false
 	}
 	for i := range colds {
 		server := Server{colds[i].Server, colds[i].Started}
-		p := h.parts[server]
+		p := l.parts[server]
 		if p == nil {
 			p = &part{}
-			h.parts[server] = p
-			// Its part is about to be lent: what this node sent meanwhile by itself nobody would count.
-			if p.lentUntil = now + h.settings.SilentAfter/2; len(members) < 2 {
+			l.parts[server] = p
+			// The part is about to be lent. The module must not use it until then, since nobody would
+			// count those sends.
+			if p.lentUntil = now + l.settings.SilentAfter/2; len(members) < 2 {
 				p.lentUntil = now
 			}
-			if p.lentUntil = max(p.lentUntil, h.quietUntil); now < p.lentUntil {
-				h.grants = append(h.grants, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lentUntil})
+			if p.lentUntil = max(p.lentUntil, l.quietUntil); now < p.lentUntil {
+				l.grants = append(l.grants, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lentUntil})
 			}
 		}
-		more := colds[i].GrantsUsed - p.lastGrantsUsed
-		if more < 0 { // the module had forgotten the server, and counts anew
-			more = colds[i].GrantsUsed
+		newlyUsed := colds[i].GrantsUsed - p.lastGrantsUsed
+		if newlyUsed < 0 { // the module dropped the server and counts from zero again
+			newlyUsed = colds[i].GrantsUsed
 		}
-		p.used += more
+		p.used += newlyUsed
 		p.cold, p.lastGrantsUsed, p.listed = colds[i], colds[i].GrantsUsed, true
 	}
-	for server, p := range h.parts {
+	for server, p := range l.parts {
 		if !p.listed && now >= p.lentUntil {
-			delete(h.parts, server)
+			delete(l.parts, server)
 		}
 	}
-	h.planWantedSends(colds)
-	return h.makeClaims(now), h.grants
+	l.planWantedSends(colds)
+	return l.makeClaims(now), l.grants
 }
 
-// claims lends and asks, once a while with each dealer.
-func (h *Lender) makeClaims(now time.Duration) []Outgoing {
-	h.checkAllocators(now)
-	h.pendingClaims = slices.DeleteFunc(h.pendingClaims, func(a pendingClaim) bool { return now-a.sentAt >= h.settings.SilentAfter })
-	byDealer := map[uint64][]Server{}
-	for server, p := range h.parts {
+// makeClaims returns the claims that are due: each lends parts to one allocator and asks for sends.
+func (l *Lender) makeClaims(now time.Duration) []Outgoing {
+	l.checkAllocators(now)
+	l.pendingClaims = slices.DeleteFunc(l.pendingClaims, func(pending pendingClaim) bool { return now-pending.sentAt >= l.settings.SilentAfter })
+	byAllocator := map[uint64][]Server{}
+	for server, p := range l.parts {
 		if !p.listed {
 			continue
 		}
-		if now >= p.lentUntil && p.allocator != 0 { // the loan is over, with all that was dealt on it
+		if now >= p.lentUntil && p.allocator != 0 { // the loan has ended, and claims grants on it have expired
 			p.allocator = 0
 		}
 		to := p.allocator
 		if to == 0 {
-			to = h.chooseAllocator(now, server, p.cold.Zone)
+			to = l.chooseAllocator(now, server, p.cold.Zone)
 		}
-		if to != 0 && h.isMember(to) {
-			byDealer[to] = append(byDealer[to], server)
+		if to != 0 && l.isMember(to) {
+			byAllocator[to] = append(byAllocator[to], server)
 		}
 	}
-	var all []Outgoing
-	for _, to := range slices.Sorted(maps.Keys(byDealer)) {
-		servers, d := byDealer[to], h.allocators[to]
-		if d == nil {
-			d = &allocatorState{nextClaim: now}
-			h.allocators[to] = d
+	var claims []Outgoing
+	for _, to := range slices.Sorted(maps.Keys(byAllocator)) {
+		servers, state := byAllocator[to], l.allocators[to]
+		if state == nil {
+			state = &allocatorState{nextClaim: now}
+			l.allocators[to] = state
 		}
-		if now < d.nextClaim || now < d.avoidUntil {
+		if now < state.nextClaim || now < state.avoidUntil {
 			continue
 		}
-		d.nextClaim = now + time.Duration((0.75+h.rng.Float64()/2)*float64(h.settings.ClaimInterval))
-		if d.waitingSince == 0 {
-			d.waitingSince = now
+		state.nextClaim = now + time.Duration((0.75+l.rng.Float64()/2)*float64(l.settings.ClaimInterval))
+		if state.waitingSince == 0 {
+			state.waitingSince = now
 		}
 		slices.SortFunc(servers, func(a, b Server) int { return cmp.Or(strings.Compare(a.ID, b.ID), cmp.Compare(a.Started, b.Started)) })
-		for part := range slices.Chunk(servers, MaxClaimItems) {
-			all = append(all, Outgoing{to, h.newClaim(now, to, d, part)})
+		for chunk := range slices.Chunk(servers, MaxClaimItems) {
+			claims = append(claims, Outgoing{to, l.newClaim(now, to, state, chunk)})
 		}
 	}
-	return all
+	return claims
 }
 
-// claim makes one claim. Without a stamp it lends nothing, and only asks for one.
-func (h *Lender) newClaim(now time.Duration, to uint64, d *allocatorState, servers []Server) Claim {
-	h.seq++
-	h.pendingClaims = append(h.pendingClaims, pendingClaim{h.seq, now, to})
-	c := Claim{Lender: h.id, Seq: h.seq, Stamp: d.stamp}
-	if d.stamp == 0 || now < h.quietUntil { // what the last life lent is not to be lent again
-		return c
+// newClaim returns a claim for some servers. While the allocator's stamp is unknown the claim lends
+// nothing and only asks for a stamp.
+func (l *Lender) newClaim(now time.Duration, to uint64, state *allocatorState, servers []Server) Claim {
+	l.seq++
+	l.pendingClaims = append(l.pendingClaims, pendingClaim{l.seq, now, to})
+	claim := Claim{Lender: l.id, Seq: l.seq, Stamp: state.stamp}
+	if state.stamp == 0 || now < l.quietUntil { // an earlier life may still have lent the same parts
+		return claim
 	}
 	for _, server := range servers {
-		p := h.parts[server]
+		p := l.parts[server]
 		if p.allocator == 0 {
 			p.allocator, p.used, p.granted, p.lost = to, 0, 0, 0
 		}
-		p.lentUntil = now + h.settings.lenderTerm()
-		h.grants = append(h.grants, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lentUntil})
-		c.Items = append(c.Items, ClaimItem{
+		p.lentUntil = now + l.settings.lenderTerm()
+		l.grants = append(l.grants, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lentUntil})
+		claim.Items = append(claim.Items, ClaimItem{
 			Server: server, Rate: min(p.cold.SendRate, maxRate), Wanted: p.wanted, Answered: p.cold.Answered,
 			Used: p.used, Unused: max(0, p.granted+p.lost-p.used-p.cold.GrantsHeld),
 		})
 	}
-	return c
+	return claim
 }
 
-// share says how many sends to ask for: as many as this node is likely to use before they are no good any more, of those
-// servers first that it was short of, and in an order that is drawn anew each time.
-func (h *Lender) planWantedSends(colds []decide.ColdServer) {
-	soon, held := 0.0, 0
+// planWantedSends determines how many sends to ask for: as many as this node is likely to use before
+// they expire, first from the servers that had too few sends, otherwise in random order.
+func (l *Lender) planWantedSends(colds []decide.ColdServer) {
+	expectedSends, held := 0.0, 0
 	for i := range colds {
-		soon += colds[i].MeanSendRate * (h.settings.SendLifetime + h.settings.ClaimInterval).Seconds()
+		expectedSends += colds[i].MeanSendRate * (l.settings.SendLifetime + l.settings.ClaimInterval).Seconds()
 		held += colds[i].GrantsHeld
 	}
-	left := int(math.Ceil(soon)) - held
-	order := h.rng.Perm(len(colds))
-	for _, short := range [...]bool{true, false} {
+	left := int(math.Ceil(expectedSends)) - held
+	order := l.rng.Perm(len(colds))
+	for _, starved := range [...]bool{true, false} {
 		for _, i := range order {
-			c := &colds[i]
-			p := h.parts[Server{c.Server, c.Started}]
-			if c.Starved != short {
+			server := &colds[i]
+			p := l.parts[Server{server.Server, server.Started}]
+			if server.Starved != starved {
 				continue
 			}
 			p.wanted = 0
-			if left > 0 && c.GrantsHeld == 0 {
-				p.wanted = min(left, max(1, int(c.MeanSendRate*(h.settings.SendLifetime+h.settings.ClaimInterval).Seconds())))
+			if left > 0 && server.GrantsHeld == 0 {
+				p.wanted = min(left, max(1, int(server.MeanSendRate*(l.settings.SendLifetime+l.settings.ClaimInterval).Seconds())))
 				left -= p.wanted
 			}
 		}
 	}
 }
 
-// look finds dealers that do not answer, and forgets those that are members no more.
-func (h *Lender) checkAllocators(now time.Duration) {
-	for life, d := range h.allocators {
+// checkAllocators avoids allocators that do not answer and drops those that are no longer members.
+func (l *Lender) checkAllocators(now time.Duration) {
+	for life, state := range l.allocators {
 		switch {
-		case d.waitingSince > 0 && now-d.waitingSince >= h.settings.SilentAfter:
-			*d = allocatorState{avoidUntil: now + h.settings.AvoidFor, lastGrantSeq: d.lastGrantSeq}
-		case !h.isMember(life) && now >= d.avoidUntil: // what it holds is over by itself
-			delete(h.allocators, life)
+		case state.waitingSince > 0 && now-state.waitingSince >= l.settings.SilentAfter:
+			*state = allocatorState{avoidUntil: now + l.settings.AvoidFor, lastGrantSeq: state.lastGrantSeq}
+		case !l.isMember(life) && now >= state.avoidUntil: // loans to it end by time
+			delete(l.allocators, life)
 		}
 	}
 }
 
-// there tells whether a life is a member.
-func (h *Lender) isMember(life uint64) bool {
-	return slices.ContainsFunc(h.members, func(m Member) bool { return m.Life == life })
+// isMember reports whether a life is a member.
+func (l *Lender) isMember(life uint64) bool {
+	return slices.ContainsFunc(l.members, func(m Member) bool { return m.Life == life })
 }
 
-// choose is the dealer for a server: of the members of its own site, or of all where there are none, the one that
-// hashing sets highest for this server and that answers.
-func (h *Lender) chooseAllocator(now time.Duration, server Server, site string) (best uint64) {
-	most := uint64(0)
-	for _, own := range [...]bool{true, false} {
-		for _, m := range h.members {
-			if own && m.Site != site {
+// chooseAllocator returns the allocator for a server: the member with the highest hash that is not
+// avoided, at the server's site if there is one, otherwise anywhere; 0 if there is none.
+func (l *Lender) chooseAllocator(now time.Duration, server Server, site string) (best uint64) {
+	highest := uint64(0)
+	for _, sameSite := range [...]bool{true, false} {
+		for _, m := range l.members {
+			if sameSite && m.Site != site {
 				continue
 			}
-			if d := h.allocators[m.Life]; d != nil && now < d.avoidUntil {
+			if state := l.allocators[m.Life]; state != nil && now < state.avoidUntil {
 				continue
 			}
-			if at := rendezvousHash(server, m.Life); best == 0 || at > most {
-				best, most = m.Life, at
+			if weight := rendezvousHash(server, m.Life); best == 0 || weight > highest {
+				best, highest = m.Life, weight
 			}
 		}
 		if best != 0 {
@@ -243,7 +246,7 @@
 	return best
 }
 
-// rank sets a member for a server (rendezvous hashing).
+// rendezvousHash returns the weight of a member for a server (rendezvous hashing).
 func rendezvousHash(server Server, life uint64) uint64 {
 	x := life ^ uint64(server.Started)*0x9e3779b97f4a7c15
 	for i := range len(server.ID) {
@@ -254,36 +257,37 @@
 	return x ^ x>>31
 }
 
-// Grant takes an answer of a member, and returns what the module is to know; what comes too late is no good to it. One
-// that comes after a later one was taken counts as lost; its sends are told to be back.
-func (h *Lender) HandleGrant(now time.Duration, from uint64, g *Grant) []decide.Grant {
-	h.grants = h.grants[:0]
-	i, open := slices.BinarySearchFunc(h.pendingClaims, g.Seq, func(a pendingClaim, seq uint64) int { return cmp.Compare(a.seq, seq) })
-	d := h.allocators[from]
-	if d == nil || !open || h.pendingClaims[i].to != from || g.Seq <= d.lastGrantSeq || now < d.avoidUntil {
+// HandleGrant handles a member's answer to a claim and returns the grants for the decision module,
+// which ignores those that are too late. A grant that arrives after a later one counts as lost: its
+// sends are reported as unused.
+func (l *Lender) HandleGrant(now time.Duration, from uint64, g *Grant) []decide.Grant {
+	l.grants = l.grants[:0]
+	i, isPending := slices.BinarySearchFunc(l.pendingClaims, g.Seq, func(pending pendingClaim, seq uint64) int { return cmp.Compare(pending.seq, seq) })
+	state := l.allocators[from]
+	if state == nil || !isPending || l.pendingClaims[i].to != from || g.Seq <= state.lastGrantSeq || now < state.avoidUntil {
 		return nil
 	}
-	a := h.pendingClaims[i]
-	if d.stamp == 0 {
-		d.nextClaim = now // nothing was lent without it
+	pending := l.pendingClaims[i]
+	if state.stamp == 0 {
+		state.nextClaim = now // the first answer only brought a stamp: claim again at once
 	}
-	d.lastGrantSeq, d.stamp, d.waitingSince = g.Seq, max(d.stamp, g.Stamp), 0
-	until := a.sentAt + h.settings.SendLifetime
-	for _, x := range g.Items {
-		p := h.parts[x.Server]
-		if p == nil || p.allocator != from || x.Sends <= 0 || x.TotalSends < p.granted+p.lost+x.Sends {
+	state.lastGrantSeq, state.stamp, state.waitingSince = g.Seq, max(state.stamp, g.Stamp), 0
+	validUntil := pending.sentAt + l.settings.SendLifetime
+	for _, allotment := range g.Items {
+		p := l.parts[allotment.Server]
+		if p == nil || p.allocator != from || allotment.Sends <= 0 || allotment.TotalSends < p.granted+p.lost+allotment.Sends {
 			continue
 		}
-		p.lost = x.TotalSends - p.granted - x.Sends
-		p.granted += x.Sends
-		h.grants = append(h.grants, decide.Grant{Server: x.ID, Started: x.Started, LentUntil: p.lentUntil, Sends: x.Sends, ValidUntil: until})
+		p.lost = allotment.TotalSends - p.granted - allotment.Sends
+		p.granted += allotment.Sends
+		l.grants = append(l.grants, decide.Grant{Server: allotment.ID, Started: allotment.Started, LentUntil: p.lentUntil, Sends: allotment.Sends, ValidUntil: validUntil})
 	}
-	return h.grants
+	return l.grants
 }
 
-// Lent is the number of servers of which this node's part is lent now.
-func (h *Lender) LentServers(now time.Duration) (n int) {
-	for _, p := range h.parts {
+// LentServers returns the number of servers for which this node's part is currently lent.
+func (l *Lender) LentServers(now time.Duration) (n int) {
+	for _, p := range l.parts {
 		if now < p.lentUntil {
 			n++
 		}
--- a/internal/fleet/allowance/message.go
+++ b/internal/fleet/allowance/message.go
@@ -10,83 +10,83 @@
 // Server is one life of a server.
 type Server struct {
 	ID      string
-	Started time.Duration // as the list of servers tells it
+	Started time.Duration // start time in the list of servers
 }
 
-// Claim lends parts to a dealer, and asks for sends.
+// Claim lends parts to an allocator and asks for sends.
 type Claim struct {
-	Lender uint64 // drawn at the start of its process, never 0: it outlives lives as a member
+	Lender uint64 // random per start of the process, never 0; unlike a member's life it survives removal from a view
 	Seq    uint64 // grows with each claim
-	Stamp  uint64 // the dealer's last, of its present life; 0: none is known, and nothing is lent
+	Stamp  uint64 // last stamp of the allocator in its current life; 0 if unknown, then the claim lends nothing
 	Items  []ClaimItem
 }
 
-// Item is one server of a claim.
+// ClaimItem is the part of a claim for one server.
 type ClaimItem struct {
 	Server
-	Rate     float64 // sends a second: the part that is lent
-	Used     int     // of all that this dealer has dealt, sent
-	Unused   int     // ... and given up unused
+	Rate     float64 // the part that is lent, in sends per second
+	Used     int     // granted sends on this loan that were used
+	Unused   int     // granted sends on this loan that will not be used
 	Wanted   int     // sends wanted now
-	Answered int     // requests that the server has answered this node since it started
+	Answered int     // requests from this node that the server has answered since its start
 }
 
 // Grant answers a claim.
 type Grant struct {
 	Seq   uint64 // of the claim
-	Stamp uint64 // to come back with the next claim
+	Stamp uint64 // to be returned in the next claim
 	Items []Allotment
 }
 
-// Dealt is what a grant deals for one server.
+// Allotment is the part of a grant for one server.
 type Allotment struct {
 	Server
 	Sends      int
-	TotalSends int // that this dealer has dealt to this life on the loan: what is missing of it was lost on the way
+	TotalSends int // sends granted on the loan so far; those that did not arrive were lost
 }
 
-// Bounds of messages.
+// Limits on messages.
 const (
-	MaxClaimItems  = 24 // servers of one claim: a datagram holds them
+	MaxClaimItems  = 24 // servers per claim, so that it fits a datagram
 	maxIDBytes     = 128
 	maxRate        = 1e6
 	maxWantedSends = 64
 )
 
-// Check finds what no honest node claims.
+// Check returns an error for a claim that no correct node sends.
 func (c *Claim) Check() error {
 	if c.Lender == 0 || c.Seq == 0 {
-		return errors.New("a claim of nobody, or without a number")
+		return errors.New("claim: lender or sequence number is 0")
 	}
 	if len(c.Items) > MaxClaimItems {
-		return fmt.Errorf("a claim for %d servers, at most %d", len(c.Items), MaxClaimItems)
+		return fmt.Errorf("claim: %d servers, the maximum is %d", len(c.Items), MaxClaimItems)
 	}
 	for i := range c.Items {
-		it := &c.Items[i]
+		item := &c.Items[i]
 		switch {
-		case it.ID == "" || len(it.ID) > maxIDBytes:
-			return fmt.Errorf("a claim for a server whose id has %d bytes, 1 to %d are allowed", len(it.ID), maxIDBytes)
-		case math.IsNaN(it.Rate) || it.Rate < 0 || it.Rate > maxRate:
-			return fmt.Errorf("a claim lends %v sends a second, 0 to %v are allowed", it.Rate, float64(maxRate))
-		case min(it.Used, it.Unused, it.Wanted, it.Answered) < 0:
-			return fmt.Errorf("a claim with a number below 0: used %d, back %d, wanted %d, answered %d", it.Used, it.Unused, it.Wanted, it.Answered)
+		case item.ID == "" || len(item.ID) > maxIDBytes:
+			return fmt.Errorf("claim: server id has %d bytes, must have 1 to %d", len(item.ID), maxIDBytes)
+		case math.IsNaN(item.Rate) || item.Rate < 0 || item.Rate > maxRate:
+			return fmt.Errorf("claim: rate of %v sends per second, must be 0 to %v", item.Rate, float64(maxRate))
+		case min(item.Used, item.Unused, item.Wanted, item.Answered) < 0:
+			return fmt.Errorf("claim: negative number: used %d, unused %d, wanted %d, answered %d", item.Used, item.Unused, item.Wanted, item.Answered)
 		}
 	}
 	return nil
 }
 
-// Settings are what holders and dealers go by. All nodes of a fleet must have the same.
+// Settings configures lenders and allocators. They must be the same at all nodes of a fleet.
 type Settings struct {
-	Window        time.Duration // of the rule on cold servers
-	SendLifetime  time.Duration // a dealt send may be used so long, from before it was asked for
-	RenewalSlack  time.Duration // what is left of a loan when it is renewed in time
-	ClaimInterval time.Duration // between two claims to one dealer
-	SilentAfter   time.Duration // without an answer, after which a dealer is passed over ...
-	AvoidFor      time.Duration // ... for so long
-	ClockDrift    float64       // by which two clocks may differ, as a part
+	Window        time.Duration // period over which sends to a cold server are limited
+	SendLifetime  time.Duration // a granted send expires this long after the claim was sent
+	RenewalSlack  time.Duration // remaining time of a loan when it is renewed in time
+	ClaimInterval time.Duration // between two claims to one allocator
+	SilentAfter   time.Duration // an allocator without an answer for this time is avoided
+	AvoidFor      time.Duration // how long it is avoided
+	ClockDrift    float64       // maximum relative difference between the speeds of two clocks
 }
 
-// Default fills in what is not set.
+// Default returns the settings with defaults in place of unset values.
 func (s Settings) Default() Settings {
 	for _, x := range []struct {
 		at *time.Duration
@@ -105,10 +105,11 @@
 	return s
 }
 
-// term is how long a dealer counts a loan from the stamp that it came with.
+// loanTerm returns the length of a loan at the allocator, from the stamp of the claim.
 func (s *Settings) loanTerm() time.Duration { return s.Window + s.SendLifetime + s.RenewalSlack }
 
-// held is how long a node counts it, from when it sent the claim: longer than term by any clock.
+// lenderTerm returns the length of a loan at the lender, from the sending of the claim. It exceeds
+// loanTerm whatever the clocks' drift.
 func (s *Settings) lenderTerm() time.Duration {
 	return s.loanTerm() + time.Duration(2*s.ClockDrift*float64(s.loanTerm())) + time.Millisecond
 }
--- a/internal/fleet/allowance/sim_test.go
+++ b/internal/fleet/allowance/sim_test.go
@@ -13,35 +13,36 @@
 	"curlewring/internal/rig/timeline"
 )
 
-// world plays nodes with clocks of their own, a network that loses, doubles, delays and cuts, and an onlooker who
-// knows all of it.
+// simulation runs nodes with clocks of different speeds on a network that loses, duplicates and
+// delays messages and may be partitioned. It checks invariants with knowledge of all nodes.
 type simulation struct {
 	t          *testing.T
 	rng        *rand.Rand
 	set        Settings
-	now        time.Duration // true time
+	now        time.Duration // simulated true time
 	events     timeline.Events
 	nodes      []*process
 	servers    []Server
-	lossy      bool // the weather: messages are lost, doubled, late
-	partition  int  // 0: nobody is cut off; else nodes below it are from the others
+	lossy      bool // messages are lost, duplicated or delayed
+	partition  int  // 0: none; otherwise nodes with a lower index can't reach the others
 	violations []string
 	sent       map[Server][]sentRequest
-	served     int // dealt sends that were used
+	served     int // granted sends that were used
 	claims     int
 }
 
+// sentRequest is a request sent to a cold server.
 type sentRequest struct {
 	at        time.Duration
-	allocator *process // nil: of the node's own part
-	life      int      // of the dealer's process
+	allocator *process // that granted the send; nil if the node used its own part
+	life      int      // of the allocator's process
 }
 
-// process is one node: the parts, a dealer, and what stands for the module.
+// process is one node: a lender, an allocator, and a model of the decision module.
 type process struct {
 	sim           *simulation
 	index         int
-	life          int // of the process
+	life          int // number of starts
 	member        uint64
 	skew          float64
 	offset        time.Duration
@@ -51,10 +52,10 @@
 	deferred      []func()
 	view          []Member
 	states        map[Server]*moduleState
-	formerLenders []uint64 // holders of its last lives
+	formerLenders []uint64 // IDs of the lenders of its earlier lives
 }
 
-// row is a cold server as a module keeps it; see decide/pool.go.
+// moduleState models the state of one cold server in the decision module of package decide.
 type moduleState struct {
 	rate, requestRate     float64
 	lentUntil, validUntil time.Duration
@@ -67,36 +68,38 @@
 	answered              int
 }
 
-func (w *simulation) after(d time.Duration, do func()) { w.events.At(w.now+d, do) }
+func (s *simulation) after(d time.Duration, do func()) { s.events.At(s.now+d, do) }
 
 func newSimulation(t *testing.T, seed uint64, nodes, servers int, rate float64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 11)), set: Settings{}.Default(), sent: map[Server][]sentRequest{}}
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 11)), set: Settings{}.Default(), sent: map[Server][]sentRequest{}}
 	for i := range servers {
-		w.servers = append(w.servers, Server{fmt.Sprintf("server-%d", i), time.Duration(i+1) * time.Hour})
+		s.servers = append(s.servers, Server{fmt.Sprintf("server-%d", i), time.Duration(i+1) * time.Hour})
 	}
 	for i := range nodes {
-		p := &process{sim: w, index: i, skew: 1 + w.set.ClockDrift/2*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.Int64N(int64(1000 * time.Hour)))}
-		w.nodes = append(w.nodes, p)
+		p := &process{sim: s, index: i, skew: 1 + s.set.ClockDrift/2*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(1000 * time.Hour)))}
+		s.nodes = append(s.nodes, p)
 		p.start(rate)
 	}
-	for _, p := range w.nodes {
-		p.view = w.members()
+	for _, p := range s.nodes {
+		p.view = s.members()
 	}
-	return w
+	return s
 }
 
-func (w *simulation) members() (all []Member) {
-	for _, p := range w.nodes {
+// members returns the members of the fleet, which belong to two sites in turn.
+func (s *simulation) members() (all []Member) {
+	for _, p := range s.nodes {
 		all = append(all, Member{p.member, fmt.Sprint("s", p.index%2)})
 	}
 	return all
 }
 
-// clock is what this process's clock shows.
+// clock returns the reading of this process's clock.
 func (p *process) clock() time.Duration {
 	return p.offset + time.Duration(float64(p.sim.now)*p.skew)
 }
 
+// start begins a new life of the process, with lender, allocator and module state anew.
 func (p *process) start(rate float64) {
 	p.life++
 	p.member = uint64(p.index+1)<<32 | uint64(p.life)
@@ -107,11 +110,11 @@
 	p.allocator = NewAllocator(Settings{})
 	p.states = map[Server]*moduleState{}
 	p.paused, p.deferred = false, nil
-	for _, b := range p.sim.servers {
-		p.states[b] = &moduleState{rate: rate * (0.5 + p.sim.rng.Float64()), requestRate: 2, refilledAt: p.clock()}
+	for _, server := range p.sim.servers {
+		p.states[server] = &moduleState{rate: rate * (0.5 + p.sim.rng.Float64()), requestRate: 2, refilledAt: p.clock()}
 	}
 	life := p.life
-	p.tick() // before it takes a request: its last life may have lent what it would use
+	p.tick() // before the first request: its earlier life may have lent the parts
 	var tick, send func()
 	tick = func() {
 		if p.life != life {
@@ -131,7 +134,7 @@
 	p.sim.after(time.Duration(p.sim.rng.Int64N(int64(time.Second))), send)
 }
 
-// run does something at a process, once it does not stand still.
+// run calls do for a life of the process; while the process is paused it is deferred.
 func (p *process) run(life int, do func()) {
 	if p.life != life {
 		return
@@ -143,59 +146,62 @@
 	do()
 }
 
+// tick runs the lender and delivers its claims.
 func (p *process) tick() {
 	now := p.clock()
 	var colds []decide.ColdServer
-	for _, b := range p.sim.servers {
-		r := p.states[b]
+	for _, server := range p.sim.servers {
+		state := p.states[server]
 		colds = append(colds, decide.ColdServer{
-			Server: b.ID, Started: b.Started, Zone: "s0", SendRate: r.rate, MeanSendRate: r.requestRate, GrantsUsed: r.used, GrantsHeld: r.held(now), Starved: r.starved, Answered: r.answered,
+			Server: server.ID, Started: server.Started, Zone: "s0", SendRate: state.rate, MeanSendRate: state.requestRate, GrantsUsed: state.used, GrantsHeld: state.held(now), Starved: state.starved, Answered: state.answered,
 		})
-		r.starved = false
+		state.starved = false
 	}
-	outs, deals := p.lender.Tick(now, p.view, colds)
-	p.applyGrants(deals, nil, 0)
-	for _, b := range p.sim.servers {
-		p.checkPartHolders(b)
+	claims, grants := p.lender.Tick(now, p.view, colds)
+	p.applyGrants(grants, nil, 0)
+	for _, server := range p.sim.servers {
+		p.checkPartHolders(server)
 	}
-	for _, o := range outs {
+	for _, out := range claims {
 		p.sim.claims++
-		claim := o.Claim
+		claim := out.Claim
 		claim.Items = slices.Clone(claim.Items)
-		p.sim.deliver(p, o.To, func(d *process) {
-			g, ok := d.allocator.HandleClaim(d.clock(), &claim)
+		p.sim.deliver(p, out.To, func(allocator *process) {
+			grant, ok := allocator.allocator.HandleClaim(allocator.clock(), &claim)
 			if !ok {
 				return
 			}
-			from, dealerLife := d.member, d.life
-			p.sim.deliver(d, p.member, func(p *process) {
-				p.applyGrants(p.lender.HandleGrant(p.clock(), from, &g), d, dealerLife)
+			from, life := allocator.member, allocator.life
+			p.sim.deliver(allocator, p.member, func(p *process) {
+				p.applyGrants(p.lender.HandleGrant(p.clock(), from, &grant), allocator, life)
 			})
 		})
 	}
 }
 
-func (p *process) applyGrants(deals []decide.Grant, from *process, life int) {
+// applyGrants updates the module state with the grants of an allocator; from is nil for loans alone.
+func (p *process) applyGrants(grants []decide.Grant, from *process, life int) {
 	now := p.clock()
-	for _, d := range deals {
-		r := p.states[Server{d.Server, d.Started}]
-		had := r.held(now)
-		if now >= r.lentUntil && d.LentUntil > now {
-			r.tokens = 0
+	for _, grant := range grants {
+		state := p.states[Server{grant.Server, grant.Started}]
+		held := state.held(now)
+		if now >= state.lentUntil && grant.LentUntil > now {
+			state.tokens = 0
 		}
-		r.lentUntil = max(r.lentUntil, d.LentUntil)
-		if d.Sends == 0 || now >= d.ValidUntil {
+		state.lentUntil = max(state.lentUntil, grant.LentUntil)
+		if grant.Sends == 0 || now >= grant.ValidUntil {
 			continue
 		}
-		r.from, r.fromLife = from, life
-		if r.granted = had + d.Sends; had == 0 {
-			r.validUntil = d.ValidUntil
+		state.from, state.fromLife = from, life
+		if state.granted = held + grant.Sends; held == 0 {
+			state.validUntil = grant.ValidUntil
 		} else {
-			r.validUntil = min(r.validUntil, d.ValidUntil)
+			state.validUntil = min(state.validUntil, grant.ValidUntil)
 		}
 	}
 }
 
+// held returns the number of granted sends that have not expired.
 func (r *moduleState) held(now time.Duration) int {
 	if now >= r.validUntil || now >= r.lentUntil {
 		r.granted = 0
@@ -203,97 +209,98 @@
 	return r.granted
 }
 
-// request sends to some server, if that may be.
+// request sends to a random server if a granted send or the node's own part permits it.
 func (p *process) request() {
 	now := p.clock()
-	b := p.sim.servers[p.sim.rng.IntN(len(p.sim.servers))]
-	r := p.states[b]
-	p.checkPartHolders(b)
-	if now < r.lentUntil {
-		r.tokens, r.refilledAt = 0, now
-		if r.held(now) == 0 {
-			r.starved = true
+	server := p.sim.servers[p.sim.rng.IntN(len(p.sim.servers))]
+	state := p.states[server]
+	p.checkPartHolders(server)
+	if now < state.lentUntil {
+		state.tokens, state.refilledAt = 0, now
+		if state.held(now) == 0 {
+			state.starved = true
 			return
 		}
-		r.granted--
-		r.used++
+		state.granted--
+		state.used++
 		p.sim.served++
 		life := p.life
-		p.sim.after(100*time.Millisecond, func() { p.run(life, func() { r.answered++ }) })
-		p.sim.sent[b] = append(p.sim.sent[b], sentRequest{p.sim.now, r.from, r.fromLife})
+		p.sim.after(100*time.Millisecond, func() { p.run(life, func() { state.answered++ }) })
+		p.sim.sent[server] = append(p.sim.sent[server], sentRequest{p.sim.now, state.from, state.fromLife})
 		return
 	}
-	r.tokens = min(r.tokens+r.rate*(now-r.refilledAt).Seconds(), 1)
-	r.refilledAt = now
-	if r.tokens < 1 {
+	state.tokens = min(state.tokens+state.rate*(now-state.refilledAt).Seconds(), 1)
+	state.refilledAt = now
+	if state.tokens < 1 {
 		return
 	}
-	r.tokens--
-	p.sim.sent[b] = append(p.sim.sent[b], sentRequest{p.sim.now, nil, 0})
+	state.tokens--
+	p.sim.sent[server] = append(p.sim.sent[server], sentRequest{p.sim.now, nil, 0})
 }
 
-// onlooker looks whether a part that its node may use is counted as lent by anyone, or any by two.
-func (p *process) checkPartHolders(b Server) {
+// checkPartHolders records a violation if a node's part of a server is counted more than once: by the
+// node itself or as a loan by any allocator.
+func (p *process) checkPartHolders(server Server) {
 	counted := 0
-	if p.clock() >= p.states[b].lentUntil {
+	if p.clock() >= p.states[server].lentUntil {
 		counted = 1
 	}
-	for _, q := range p.sim.nodes {
-		pl := q.allocator.pools[b]
-		if pl == nil {
+	for _, other := range p.sim.nodes {
+		pool := other.allocator.pools[server]
+		if pool == nil {
 			continue
 		}
-		for _, l := range pl.loans {
-			if l.endsAt <= q.clock() || l.lender != p.lender.id && !slices.Contains(p.formerLenders, l.lender) {
+		for _, loan := range pool.loans {
+			if loan.endsAt <= other.clock() || loan.lender != p.lender.id && !slices.Contains(p.formerLenders, loan.lender) {
 				continue
 			}
 			if counted++; counted > 1 {
-				p.sim.violations = append(p.sim.violations, fmt.Sprintf("%v: node %d's part, lent for %v more by its own clock, is counted by %d, by node %d for %v more",
-					p.sim.now, p.index, p.states[b].lentUntil-p.clock(), counted, q.index, l.endsAt-q.clock()))
+				p.sim.violations = append(p.sim.violations, fmt.Sprintf("%v: part of node %d, lent for another %v by its own clock, is counted %d times, by node %d for another %v",
+					p.sim.now, p.index, p.states[server].lentUntil-p.clock(), counted, other.index, loan.endsAt-other.clock()))
 			}
 		}
 	}
 }
 
-// carry brings a message from a process to a member, as the weather has it.
-func (w *simulation) deliver(from *process, to uint64, do func(*process)) {
+// deliver transports a message to a member, with the faults of the network.
+func (s *simulation) deliver(from *process, to uint64, do func(*process)) {
 	copies := 1
-	if w.lossy {
-		switch x := w.rng.Float64(); {
-		case x < 0.2:
+	if s.lossy {
+		switch draw := s.rng.Float64(); {
+		case draw < 0.2:
 			copies = 0
-		case x < 0.35:
+		case draw < 0.35:
 			copies = 2
 		}
 	}
 	for range copies {
-		wait := time.Duration(w.rng.Int64N(int64(3 * time.Millisecond)))
-		if w.lossy && w.rng.IntN(4) == 0 {
-			wait = time.Duration(w.rng.Int64N(int64(4 * time.Second)))
+		delay := time.Duration(s.rng.Int64N(int64(3 * time.Millisecond)))
+		if s.lossy && s.rng.IntN(4) == 0 {
+			delay = time.Duration(s.rng.Int64N(int64(4 * time.Second)))
 		}
-		w.after(wait, func() {
-			for _, q := range w.nodes {
-				if q.member != to || w.partition > 0 && (q.index < w.partition) != (from.index < w.partition) && q != from {
+		s.after(delay, func() {
+			for _, receiver := range s.nodes {
+				if receiver.member != to || s.partition > 0 && (receiver.index < s.partition) != (from.index < s.partition) && receiver != from {
 					continue
 				}
-				q.run(q.life, func() { do(q) })
+				receiver.run(receiver.life, func() { do(receiver) })
 			}
 		})
 	}
 }
 
-func (w *simulation) run(until time.Duration) { w.events.Run(until, &w.now) }
+func (s *simulation) run(until time.Duration) { s.events.Run(until, &s.now) }
 
-// trouble draws something that happens to the nodes.
-func (w *simulation) injectFault(rate float64) {
-	p := w.nodes[w.rng.IntN(len(w.nodes))]
-	switch w.rng.IntN(8) {
+// injectFault changes the network or a random node in a random way.
+func (s *simulation) injectFault(rate float64) {
+	p := s.nodes[s.rng.IntN(len(s.nodes))]
+	switch s.rng.IntN(8) {
 	case 0:
-		w.lossy = !w.lossy
+		s.lossy = !s.lossy
 	case 1:
-		w.partition = w.rng.IntN(len(w.nodes))
+		s.partition = s.rng.IntN(len(s.nodes))
 	case 2:
-		w.partition = 0
+		s.partition = 0
 	case 3:
 		p.start(rate)
 	case 4, 5:
@@ -302,7 +309,7 @@
 		}
 		p.paused = true
 		life := p.life
-		w.after(time.Duration(w.rng.Int64N(int64(6*time.Second))), func() {
+		s.after(time.Duration(s.rng.Int64N(int64(6*time.Second))), func() {
 			if p.life != life {
 				return
 			}
@@ -312,13 +319,14 @@
 			}
 			p.deferred = nil
 		})
-	default: // it believes something else of the members, and not all of it is right
-		all := w.members()
-		w.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		p.view = all[:w.rng.IntN(len(all)+1)]
+	default: // the node's view of the members becomes wrong
+		members := s.members()
+		s.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		p.view = members[:s.rng.IntN(len(members)+1)]
 	}
 }
 
+// schedules returns the number of simulated runs.
 func schedules(t *testing.T) int {
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		return 3000
@@ -326,94 +334,95 @@
 	return 150
 }
 
-// Whatever is lost, doubled, late, cut, paused or started anew, and whatever a node believes of the members: a part
-// is with its node or with one dealer, never with both.
-func TestAPartIsInOnePlace(t *testing.T) {
-	served, asks := 0, 0
+// A part must be with its node or with one allocator, never both, whatever messages are lost,
+// duplicated or delayed, whichever nodes are partitioned, paused or restarted, and whatever view of
+// the members each node has.
+func TestPartHasOneHolder(t *testing.T) {
+	served, claims := 0, 0
 	for seed := range schedules(t) {
 		rng := rand.New(rand.NewPCG(uint64(seed), 5))
 		rate := []float64{0.02, 0.1, 0.4, 1.5}[rng.IntN(4)]
-		w := newSimulation(t, uint64(seed), 3+rng.IntN(8), 1+rng.IntN(3), rate)
-		for w.now < 60*time.Second {
-			w.run(w.now + time.Duration(rng.Int64N(int64(2*time.Second))))
-			w.injectFault(rate)
+		s := newSimulation(t, uint64(seed), 3+rng.IntN(8), 1+rng.IntN(3), rate)
+		for s.now < 60*time.Second {
+			s.run(s.now + time.Duration(rng.Int64N(int64(2*time.Second))))
+			s.injectFault(rate)
 		}
-		if len(w.violations) > 0 {
-			t.Fatalf("seed %d: %d times, first: %s", seed, len(w.violations), w.violations[0])
+		if len(s.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, first: %s", seed, len(s.violations), s.violations[0])
 		}
-		served, asks = served+w.served, asks+w.claims
+		served, claims = served+s.served, claims+s.claims
 	}
-	t.Logf("%d dealt sends used, %d claims", served, asks)
+	t.Logf("%d granted sends used, %d claims", served, claims)
 	if served < 10*schedules(t) {
-		t.Errorf("only %d dealt sends were used", served)
+		t.Errorf("only %d granted sends were used", served)
 	}
 }
 
-// With nothing wrong, all that is lent is of use: nearly the whole sum is sent, in whole requests, and after a dealer's
-// death the nodes have another within a loan's time.
-func TestTheWholeSumIsSent(t *testing.T) {
+// Without faults, most of the summed rate of the parts is used, in whole requests. After the death
+// of an allocator the nodes use another one within the length of a loan.
+func TestSummedRateIsUsed(t *testing.T) {
 	for _, rate := range []float64{0.05, 0.25} {
-		w := newSimulation(t, 9, 12, 1, rate)
+		s := newSimulation(t, 9, 12, 1, rate)
 		sum := 0.0
-		for _, p := range w.nodes {
-			sum += p.states[w.servers[0]].rate
+		for _, p := range s.nodes {
+			sum += p.states[s.servers[0]].rate
 		}
-		w.run(10 * time.Second)
-		before := len(w.sent[w.servers[0]])
-		w.run(70 * time.Second)
-		got := float64(len(w.sent[w.servers[0]])-before) / 60
-		t.Logf("%.2f sends a second of %.2f that may be", got, sum)
+		s.run(10 * time.Second)
+		before := len(s.sent[s.servers[0]])
+		s.run(70 * time.Second)
+		got := float64(len(s.sent[s.servers[0]])-before) / 60
+		t.Logf("%.2f sends per second of %.2f allowed", got, sum)
 		if got < 0.6*sum || got > sum+0.1 {
-			t.Errorf("rate %v: %.2f sends a second of %.2f", rate, got, sum)
+			t.Errorf("rate %v: %.2f sends per second of %.2f allowed", rate, got, sum)
 		}
-		dealer := w.nodes[0].lender.parts[w.servers[0]].allocator
-		if dealer == 0 {
-			t.Fatal("nothing is lent")
+		allocator := s.nodes[0].lender.parts[s.servers[0]].allocator
+		if allocator == 0 {
+			t.Fatal("no part is lent")
 		}
-		for _, p := range w.nodes {
-			if p.member == dealer { // nobody is told: it only falls silent
+		for _, p := range s.nodes {
+			if p.member == allocator { // it stops without notice
 				p.life++
 				p.paused = true
 			}
 		}
-		at := w.now
-		w.run(at + 8*time.Second)
-		n := 0
-		for _, s := range w.sent[w.servers[0]] {
-			if s.at > at+5*time.Second && s.allocator != nil {
-				n++
+		diedAt := s.now
+		s.run(diedAt + 8*time.Second)
+		granted := 0
+		for _, request := range s.sent[s.servers[0]] {
+			if request.at > diedAt+5*time.Second && request.allocator != nil {
+				granted++
 			}
 		}
-		if n == 0 {
-			t.Error("5 s after a dealer's death nothing is dealt")
+		if granted == 0 {
+			t.Error("no sends are granted 5 s after the death of the allocator")
 		}
-		if len(w.violations) > 0 {
-			t.Error(w.violations[0])
+		if len(s.violations) > 0 {
+			t.Error(s.violations[0])
 		}
 	}
 }
 
-// Whatever becomes of what it deals, and whatever it is told of that or not: within no window is more used than the parts
-// allow, rounded up to whole sends.
-func TestDealerKeepsToTheWindow(t *testing.T) {
+// In no window may more sends be used than the parts allow, rounded up to whole sends, whenever sends
+// are used and however incomplete the lenders' reports are.
+func TestAllocatorLimitsSendsPerWindow(t *testing.T) {
 	for seed := range schedules(t) {
 		rng := rand.New(rand.NewPCG(uint64(seed), 17))
-		set := Settings{}.Default()
-		holders, rate := 1+rng.IntN(20), []float64{0.03, 0.2, 1.1, 3}[rng.IntN(4)]
-		late, silent := rng.Float64(), rng.Float64()/2 // how often sends wait for their last moment, and claims tell nothing
-		type holder struct {
+		settings := Settings{}.Default()
+		lenderCount, rate := 1+rng.IntN(20), []float64{0.03, 0.2, 1.1, 3}[rng.IntN(4)]
+		late, silent := rng.Float64(), rng.Float64()/2 // probabilities: last-moment sends, empty reports
+		type lender struct {
 			seq, stamp uint64
 			used, back int
 			next       time.Duration
-			out        []time.Duration // when each is used; negative: it comes back then
+			out        []time.Duration // when each send is used; if negative, when item is returned
 		}
-		all := make([]holder, holders)
+		lenders := make([]lender, lenderCount)
 		d := NewAllocator(Settings{})
 		var uses []time.Duration
-		dealt := 0
+		granted := 0
 		for now := time.Hour; now < time.Hour+90*time.Second; now += 5 * time.Millisecond {
-			for i := range all {
-				h := &all[i]
+			for i := range lenders {
+				h := &lenders[i]
 				h.out = slices.DeleteFunc(h.out, func(at time.Duration) bool {
 					switch {
 					case at >= 0 && at <= now:
@@ -431,13 +440,13 @@
 				}
 				h.next = now + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
 				h.seq++
-				it := ClaimItem{Server: Server{"b", 1}, Rate: rate / float64(holders), Wanted: 1 + rng.IntN(4), Used: h.used, Unused: h.back, Answered: h.used}
+				item := ClaimItem{Server: Server{"b", 1}, Rate: rate / float64(lenderCount), Wanted: 1 + rng.IntN(4), Used: h.used, Unused: h.back, Answered: h.used}
 				if rng.Float64() < silent {
-					it.Used, it.Unused = 0, 0
+					item.Used, item.Unused = 0, 0
 				}
-				g, ok := d.HandleClaim(now, &Claim{Lender: uint64(i + 1), Seq: h.seq, Stamp: h.stamp, Items: []ClaimItem{it}})
+				g, ok := d.HandleClaim(now, &Claim{Lender: uint64(i + 1), Seq: h.seq, Stamp: h.stamp, Items: []ClaimItem{item}})
 				if !ok {
-					t.Fatal("not answered")
+					t.Fatal("the claim was not answered")
 				}
 				h.stamp = g.Stamp
 				if rng.Float64() < silent/2 { // the grant is lost
@@ -447,12 +456,12 @@
 					continue
 				}
 				for _, x := range g.Items {
-					dealt += x.Sends
+					granted += x.Sends
 					for range x.Sends {
-						wait := time.Duration(rng.Int64N(int64(set.SendLifetime)))
+						wait := time.Duration(rng.Int64N(int64(settings.SendLifetime)))
 						switch {
 						case rng.Float64() < late:
-							wait = set.SendLifetime - 1
+							wait = settings.SendLifetime - 1
 						case rng.IntN(3) == 0:
 							wait = -wait - 2*now
 						}
@@ -462,48 +471,49 @@
 			}
 		}
 		slices.Sort(uses)
-		bound := max(1, int(math.Ceil(rate*set.Window.Seconds()-1e-6)))
+		bound := max(1, int(math.Ceil(rate*settings.Window.Seconds()-1e-6)))
 		for i := range uses {
-			if j := i + bound; j < len(uses) && uses[j]-uses[i] < set.Window {
-				t.Fatalf("seed %d: rate %v of %d holders: more than %d used within %v", seed, rate, holders, bound, uses[j]-uses[i])
+			if j := i + bound; j < len(uses) && uses[j]-uses[i] < settings.Window {
+				t.Fatalf("seed %d: rate %v, %d lenders: more than %d sends used within %v", seed, rate, lenderCount, bound, uses[j]-uses[i])
 			}
 		}
-		if most := int(rate*90) + bound; dealt > most || dealt < most/8 {
-			t.Fatalf("seed %d: rate %v: %d dealt in 90 s, at most %d", seed, rate, dealt, most)
+		if maxGranted := int(rate*90) + bound; granted > maxGranted || granted < maxGranted/8 {
+			t.Fatalf("seed %d: rate %v: %d sends granted in 90 s, allowed are %d", seed, rate, granted, maxGranted)
 		}
 	}
 }
 
-// What a server answers to all nodes together tells what it may get: one that answers little, whatever its parts sum up to.
-func TestSlowServersGetLittle(t *testing.T) {
+// The sends to a server are limited by its answers to all nodes together: a server that does not
+// answer gets few, whatever the summed rate of its parts.
+func TestAnswersLimitSends(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		d := NewAllocator(Settings{})
-		now, stamp, dealt, answered := time.Hour, uint64(0), [3]int{}, 0
+		now, stamp, granted, answered := time.Hour, uint64(0), [3]int{}, 0
 		for seq := uint64(1); seq < 200; seq++ {
 			now += 50 * time.Millisecond
 			for h := range uint64(3) {
 				g, _ := d.HandleClaim(now, &Claim{Lender: h + 1, Seq: seq, Stamp: stamp, Items: []ClaimItem{{
-					Server: Server{"b", 1}, Rate: 5, Wanted: 1, Used: dealt[h], Answered: answered,
+					Server: Server{"b", 1}, Rate: 5, Wanted: 1, Used: granted[h], Answered: answered,
 				}}})
 				stamp = g.Stamp
 				for _, x := range g.Items {
-					dealt[h] += x.Sends
+					granted[h] += x.Sends
 				}
-				if answers && h == 0 { // to the first alone: it is the sum that counts
-					answered = dealt[0]
+				if answers && h == 0 { // only reported by the first lender: the sum counts
+					answered = granted[0]
 				}
 			}
 		}
-		all := dealt[0] + dealt[1] + dealt[2]
-		t.Logf("answers %v: %d dealt in 10 s", answers, all)
-		if answers && all < 50 || !answers && all > 11*initialSends {
-			t.Errorf("answers %v: %d dealt in 10 s", answers, all)
+		total := granted[0] + granted[1] + granted[2]
+		t.Logf("answers %v: %d sends granted in 10 s", answers, total)
+		if answers && total < 50 || !answers && total > 11*initialSends {
+			t.Errorf("answers %v: %d sends granted in 10 s", answers, total)
 		}
 	}
 }
 
-// A loan that ends before what is dealt on it would have left the window counts no more.
-func TestLoanOutlastsWhatIsDealt(t *testing.T) {
+// A loan that would end before a send granted now has left the window must not be used for grants.
+func TestLoanOutlastsGrantedSends(t *testing.T) {
 	d := NewAllocator(Settings{})
 	set := d.settings
 	for i, x := range []struct {
@@ -518,13 +528,14 @@
 		}
 		lend(now-x.age, 1)
 		if g := lend(now, 2); (len(g.Items) > 0) != (x.want && x.age > 0) && x.age > 0 {
-			t.Errorf("a loan by a stamp of %v ago: %+v", x.age, g.Items)
+			t.Errorf("loan with a stamp of %v ago: granted %+v", x.age, g.Items)
 		}
 	}
 }
 
-// A send is good from before it was asked for, for as long as that took on the way.
-func TestGoodFromBeforeTheAsking(t *testing.T) {
+// The lifetime of a granted send starts when its claim is sent, so time on the way counts. Lost sends
+// are reported as unused, and unexpected answers are ignored.
+func TestSendLifetimeStartsAtClaim(t *testing.T) {
 	now := time.Hour
 	h := NewLender(Settings{}, 1, now)
 	now += h.settings.lenderTerm()
@@ -540,7 +551,7 @@
 		return out[0].Claim, slices.Clone(h.HandleGrant(now, 7, &g))
 	}
 	if c, _ := step(Grant{Stamp: 1}, 0); len(c.Items) != 0 || c.Stamp != 0 {
-		t.Errorf("a first claim lends: %+v", c)
+		t.Errorf("the first claim lends: %+v", c)
 	}
 	now += time.Second
 	asked := now
@@ -549,42 +560,42 @@
 		t.Errorf("%+v", c)
 	}
 	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.settings.SendLifetime {
-		t.Errorf("asked at %v: %+v", asked, deals)
+		t.Errorf("claim sent at %v: grants %+v", asked, deals)
 	}
-	// Three of five never came here; of the two one was used, the other is held.
+	// Three of five sends were lost; of the other two one was used, the other is still held.
 	cold[0].GrantsUsed, cold[0].GrantsHeld = 1, 1
 	now += time.Second
 	if c, _ = step(Grant{Stamp: 3}, 0); c.Items[0].Used != 1 || c.Items[0].Unused != 3 {
 		t.Errorf("%+v", c)
 	}
-	// Another's answer, one to nothing that was asked, and one that comes again are none.
+	// An answer from another member and a repeated answer must be ignored.
 	if d := h.HandleGrant(now, 8, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
-		t.Error("taken from another")
+		t.Error("a grant of another member was accepted")
 	}
 	if d := h.HandleGrant(now, 7, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
-		t.Error("taken twice")
+		t.Error("a grant was accepted twice")
 	}
 }
 
-// A dealer's memory goes with what is lent.
-func TestDealerForgets(t *testing.T) {
+// An allocator's memory is bounded, and pools without loans are dropped.
+func TestAllocatorDropsUnusedPools(t *testing.T) {
 	d := NewAllocator(Settings{})
 	now := time.Hour
 	for i := range maxPools + 1000 {
 		c := &Claim{Lender: uint64(1 + i%500), Seq: uint64(1 + i/500), Stamp: stampOf(now), Items: []ClaimItem{{Server: Server{fmt.Sprint("b", i), 1}, Rate: 1, Wanted: 1}}}
 		if _, ok := d.HandleClaim(now, c); !ok {
-			t.Fatal("not answered")
+			t.Fatal("the claim was not answered")
 		}
 	}
 	if d.Pools() != maxPools {
-		t.Errorf("%d pools, at most %d", d.Pools(), maxPools)
+		t.Errorf("%d pools, want the maximum of %d", d.Pools(), maxPools)
 	}
 	now += time.Minute
 	d.HandleClaim(now, &Claim{Lender: 1, Seq: 1000})
 	if d.Pools() != 0 {
-		t.Errorf("%d pools after a minute", d.Pools())
+		t.Errorf("%d pools after a minute, want 0", d.Pools())
 	}
-	if all := d.PoolStatuses(now); len(all) != 0 {
-		t.Errorf("%+v", all)
+	if statuses := d.PoolStatuses(now); len(statuses) != 0 {
+		t.Errorf("%+v", statuses)
 	}
 }
