--- a/internal/fleet/protofields/form.go
+++ b/internal/fleet/protofields/protofields.go
@@ -1,10 +1,11 @@
-// Package protofields writes and reads fields in the form of protocol buffers: messages between nodes, entries
-// of the agreed log and rows on disk are made of them. A reader passes over fields that it does not know,
-// so that a version before and one after live in one fleet.
+// Package protofields encodes and decodes fields in the wire format of protocol buffers. Messages
+// between nodes, entries of the replicated log and rows on disk consist of such fields. A reader
+// ignores unknown fields, so that two successive versions can run in one fleet.
 //
-// It is pure, and must not know what the fields mean. What it returns of bytes refers to what it was given.
+// The package is pure and must not know what the fields mean. Decoded bytes alias the input.
 //
-// Source: Protocol Buffers, "Encoding" (the wire form), by google.golang.org/protobuf/encoding/protowire.
+// Source: Protocol Buffers, "Encoding", as implemented by
+// google.golang.org/protobuf/encoding/protowire.
 package protofields
 
 import (
@@ -13,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Field is one field: a number, or bytes.
+// Field is one decoded field: an unsigned integer or bytes.
 type Field struct {
 	Number protowire.Number
 	IsUint bool
@@ -21,15 +22,15 @@
 	Bytes  []byte
 }
 
-// Error says why bytes are no fields.
+// Error reports malformed input.
 type Error struct{ Text string }
 
 func (e *Error) Error() string { return e.Text }
 
-// Wrong makes an Error.
+// Errorf returns an Error with a formatted text.
 func Errorf(format string, args ...any) error { return &Error{fmt.Sprintf(format, args...)} }
 
-// Number appends a number; 0 is left out.
+// AppendUint appends an integer as a varint; 0 is omitted.
 func AppendUint(to []byte, field protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return to
@@ -37,7 +38,7 @@
 	return protowire.AppendVarint(protowire.AppendTag(to, field, protowire.VarintType), x)
 }
 
-// Fixed appends a number that is mostly large; 0 is left out.
+// AppendFixed appends an integer in 8 bytes, for values that are mostly large; 0 is omitted.
 func AppendFixed(to []byte, field protowire.Number, x uint64) []byte {
 	if x == 0 {
 		return to
@@ -45,12 +46,12 @@
 	return protowire.AppendFixed64(protowire.AppendTag(to, field, protowire.Fixed64Type), x)
 }
 
-// Bytes appends bytes, also none.
+// AppendBytes appends bytes, also if there are none.
 func AppendBytes(to []byte, field protowire.Number, b []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(to, field, protowire.BytesType), b)
 }
 
-// Text appends a text; an empty one is left out.
+// AppendString appends a string; an empty one is omitted.
 func AppendString(to []byte, field protowire.Number, s string) []byte {
 	if s == "" {
 		return to
@@ -58,7 +59,7 @@
 	return protowire.AppendString(protowire.AppendTag(to, field, protowire.BytesType), s)
 }
 
-// Flag appends a flag; false is left out.
+// AppendBool appends a boolean; false is omitted.
 func AppendBool(to []byte, field protowire.Number, on bool) []byte {
 	if !on {
 		return to
@@ -66,16 +67,17 @@
 	return AppendUint(to, field, 1)
 }
 
-// Each hands out each field of some bytes. Those of types that are not used here are passed over.
+// ForEach calls each for every field of b, until it returns an error. Fields of unsupported types
+// are skipped.
 func ForEach(b []byte, each func(Field) error) error {
 	for len(b) > 0 {
-		num, typ, n := protowire.ConsumeTag(b)
+		number, wireType, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			return Errorf("a field has no number")
+			return Errorf("invalid field tag")
 		}
 		b = b[n:]
-		f := Field{Number: num}
-		switch typ {
+		f := Field{Number: number}
+		switch wireType {
 		case protowire.VarintType:
 			f.Uint, n = protowire.ConsumeVarint(b)
 			f.IsUint = true
@@ -85,11 +87,11 @@
 		case protowire.BytesType:
 			f.Bytes, n = protowire.ConsumeBytes(b)
 		default:
-			n = protowire.ConsumeFieldValue(num, typ, b)
+			n = protowire.ConsumeFieldValue(number, wireType, b)
 			f.Number = 0
 		}
 		if n < 0 {
-			return Errorf("field %d is cut off", num)
+			return Errorf("field %d is truncated", number)
 		}
 		b = b[n:]
 		if f.Number == 0 {
--- a/internal/fleet/wire/allowance.go
+++ b/internal/fleet/wire/allowance.go
@@ -10,52 +10,53 @@
 	"curlewring/internal/fleet/protofields"
 )
 
-// The topics of carried messages. They are never used anew for something else.
+// The topics of Payload messages. A number is never reused for another topic.
 const (
-	TopicClaim uint32 = 1 + iota // of package allowance
-	TopicGrant
-	TopicLease // of package council
-	TopicList  // of package record
+	TopicClaim uint32 = 1 + iota // a claim of package allowance
+	TopicGrant                   // a grant of package allowance
+	TopicLease                   // a message of package leaselog
+	TopicList                    // a message of package bootstrap
 )
 
-// AppendClaim appends the body of a claim.
+// AppendClaim appends a claim as the body of a message.
 func AppendClaim(to []byte, c *allowance.Claim) []byte {
 	to = protofields.AppendFixed(to, 1, c.Lender)
 	to = protofields.AppendUint(to, 2, c.Seq)
 	to = protofields.AppendUint(to, 3, c.Stamp)
-	var part []byte
+	var itemFields []byte
 	for i := range c.Items {
-		it := &c.Items[i]
-		part = appendServer(part[:0], it.Server)
-		part = protofields.AppendFixed(part, 3, math.Float64bits(it.Rate))
-		part = protofields.AppendUint(part, 4, uint64(it.Used))
-		part = protofields.AppendUint(part, 5, uint64(it.Unused))
-		part = protofields.AppendUint(part, 6, uint64(it.Wanted))
-		part = protofields.AppendUint(part, 7, uint64(it.Answered))
-		to = protofields.AppendBytes(to, 4, part)
+		item := &c.Items[i]
+		itemFields = appendServer(itemFields[:0], item.Server)
+		itemFields = protofields.AppendFixed(itemFields, 3, math.Float64bits(item.Rate))
+		itemFields = protofields.AppendUint(itemFields, 4, uint64(item.Used))
+		itemFields = protofields.AppendUint(itemFields, 5, uint64(item.Unused))
+		itemFields = protofields.AppendUint(itemFields, 6, uint64(item.Wanted))
+		itemFields = protofields.AppendUint(itemFields, 7, uint64(item.Answered))
+		to = protofields.AppendBytes(to, 4, itemFields)
 	}
 	return to
 }
 
-// AppendGrant appends the body of a grant.
+// AppendGrant appends a grant as the body of a message.
 func AppendGrant(to []byte, g *allowance.Grant) []byte {
 	to = protofields.AppendUint(to, 1, g.Seq)
 	to = protofields.AppendUint(to, 2, g.Stamp)
-	var part []byte
+	var itemFields []byte
 	for i := range g.Items {
-		part = appendServer(part[:0], g.Items[i].Server)
-		part = protofields.AppendUint(part, 3, uint64(g.Items[i].Sends))
-		part = protofields.AppendUint(part, 4, uint64(g.Items[i].TotalSends))
-		to = protofields.AppendBytes(to, 3, part)
+		itemFields = appendServer(itemFields[:0], g.Items[i].Server)
+		itemFields = protofields.AppendUint(itemFields, 3, uint64(g.Items[i].Sends))
+		itemFields = protofields.AppendUint(itemFields, 4, uint64(g.Items[i].TotalSends))
+		to = protofields.AppendBytes(to, 3, itemFields)
 	}
 	return to
 }
 
+// appendServer appends the fields that identify a life of a server.
 func appendServer(to []byte, b allowance.Server) []byte {
 	return protofields.AppendUint(protofields.AppendBytes(to, 1, []byte(b.ID)), 2, protowire.EncodeZigZag(int64(b.Started)))
 }
 
-// ParseClaim reads the body of a claim.
+// ParseClaim parses the body of a claim.
 func ParseClaim(b []byte) (*allowance.Claim, error) {
 	c := &allowance.Claim{}
 	var r reader
@@ -69,30 +70,30 @@
 			c.Stamp = f.Uint
 		case !f.IsUint && f.Number == 4:
 			if len(c.Items) == allowance.MaxClaimItems {
-				return newError(Malformed, "a claim for more than %d servers", allowance.MaxClaimItems)
+				return newError(Malformed, "claim: more than %d servers", allowance.MaxClaimItems)
 			}
-			var it allowance.ClaimItem
+			var item allowance.ClaimItem
 			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsUint && f.Number == 3:
-					it.Rate = math.Float64frombits(f.Uint)
+					item.Rate = math.Float64frombits(f.Uint)
 				case f.IsUint && f.Number == 4:
-					it.Used, err = parseCount(f.Uint)
+					item.Used, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 5:
-					it.Unused, err = parseCount(f.Uint)
+					item.Unused, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 6:
-					it.Wanted, err = parseCount(f.Uint)
+					item.Wanted, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 7:
-					it.Answered, err = parseCount(f.Uint)
+					item.Answered, err = parseCount(f.Uint)
 				default:
-					readServer(&it.Server, f)
+					readServer(&item.Server, f)
 				}
 				return err
 			})
 			if err != nil {
 				return err
 			}
-			c.Items = append(c.Items, it)
+			c.Items = append(c.Items, item)
 		}
 		return nil
 	})
@@ -105,7 +106,7 @@
 	return c, nil
 }
 
-// ParseGrant reads the body of a grant.
+// ParseGrant parses the body of a grant.
 func ParseGrant(b []byte) (*allowance.Grant, error) {
 	g := &allowance.Grant{}
 	var r reader
@@ -117,24 +118,24 @@
 			g.Stamp = f.Uint
 		case !f.IsUint && f.Number == 3:
 			if len(g.Items) == allowance.MaxClaimItems {
-				return newError(Malformed, "a grant for more than %d servers", allowance.MaxClaimItems)
+				return newError(Malformed, "grant: more than %d servers", allowance.MaxClaimItems)
 			}
-			var x allowance.Allotment
+			var allotment allowance.Allotment
 			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsUint && f.Number == 3:
-					x.Sends, err = parseCount(f.Uint)
+					allotment.Sends, err = parseCount(f.Uint)
 				case f.IsUint && f.Number == 4:
-					x.TotalSends, err = parseCount(f.Uint)
+					allotment.TotalSends, err = parseCount(f.Uint)
 				default:
-					readServer(&x.Server, f)
+					readServer(&allotment.Server, f)
 				}
 				return err
 			})
 			if err != nil {
 				return err
 			}
-			g.Items = append(g.Items, x)
+			g.Items = append(g.Items, allotment)
 		}
 		return nil
 	})
@@ -144,6 +145,7 @@
 	return g, nil
 }
 
+// readServer stores a field appended by appendServer.
 func readServer(b *allowance.Server, f protofields.Field) {
 	switch {
 	case !f.IsUint && f.Number == 1:
@@ -153,10 +155,10 @@
 	}
 }
 
-// count takes a number of 31 bits.
+// parseCount converts a count, which must fit 31 bits.
 func parseCount(x uint64) (int, error) {
 	if x > math.MaxInt32 {
-		return 0, newError(Malformed, "%d is no count", x)
+		return 0, newError(Malformed, "count %d is out of range", x)
 	}
 	return int(x), nil
 }
--- a/internal/fleet/wire/allowance_test.go
+++ b/internal/fleet/wire/allowance_test.go
@@ -31,7 +31,9 @@
 	return g
 }
 
-func TestClaimsAndGrantsComeBack(t *testing.T) {
+// Claims and grants must survive encoding and parsing unchanged, and the largest claim must fit a
+// datagram with ids of realistic length.
+func TestClaimAndGrantRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range 2000 {
 		c, g := randomClaim(rng), randomGrant(rng)
@@ -41,14 +43,15 @@
 		if got, err := ParseGrant(AppendGrant(nil, g)); err != nil || !reflect.DeepEqual(g, got) {
 			t.Fatalf("sent %+v\n got %+v, %v", g, got, err)
 		}
-		whole := Append(nil, 7, &membership.Message{Kind: membership.Payload, SenderLife: 1, Topic: TopicClaim, Body: AppendClaim(nil, c)})
-		if len(whole) > MaxDatagram+allowance.MaxClaimItems*32 { // ids of 40 bytes; those of the platform have 8 to 20
-			t.Fatalf("a claim takes %d bytes", len(whole))
+		message := Append(nil, 7, &membership.Message{Kind: membership.Payload, SenderLife: 1, Topic: TopicClaim, Body: AppendClaim(nil, c)})
+		if len(message) > MaxDatagram+allowance.MaxClaimItems*32 { // ids of up to 40 bytes here; real ones have 8 to 20
+			t.Fatalf("claim of %d bytes", len(message))
 		}
 	}
 }
 
-// FuzzClaim: what comes never makes the reader or a dealer panic, and what it reads it writes again as it was.
+// FuzzClaim checks that arbitrary input does not make the parser, a lender or an allocator panic, and
+// that what was parsed is the same after encoding and parsing again.
 func FuzzClaim(f *testing.F) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	for range 20 {
@@ -72,7 +75,7 @@
 		d := allowance.NewAllocator(allowance.Settings{})
 		first, ok := d.HandleClaim(time.Hour, c)
 		if !ok {
-			t.Fatal("a first claim was not answered")
+			t.Fatal("the first claim was not answered")
 		}
 		c.Seq, c.Stamp = c.Seq+1, first.Stamp
 		d.HandleClaim(time.Hour+time.Second, c)
--- a/internal/fleet/wire/doc.go
+++ b/internal/fleet/wire/doc.go
@@ -1,12 +1,12 @@
-// Package wire is the form of the messages between nodes: fields of the protocol
-// buffers' wire format behind a head of magic, version, fleet and checksum.
+// Package wire defines the encoding of messages between nodes: a header with magic bytes, version,
+// fleet and checksum, followed by fields in the wire format of protocol buffers.
 //
-// Its job is to read whatever comes and to allocate no more than what came warrants: a
-// message is decoded only if all of it makes sense, and each element of a list takes at
-// least two bytes of it. A message of another version or fleet is told apart from noise, and
-// is passed over. Fields that are not known are passed over too.
+// Parsing accepts arbitrary input and allocates memory in proportion to its size: a message is
+// returned only if all of it is valid, and each element of a list takes at least two bytes. A
+// message of another version or fleet is distinguished from unrelated data, and rejected. Unknown
+// fields are ignored.
 //
-// It is pure, and keeps nothing. It must not judge what a message says.
+// The package is pure and keeps no state. It must not interpret the contents of a message.
 //
 // Source: Protocol Buffers, "Encoding".
 package wire
--- a/internal/fleet/wire/list.go
+++ b/internal/fleet/wire/list.go
@@ -8,13 +8,13 @@
 	"curlewring/internal/fleet/protofields"
 )
 
-// ListMessage is a message about lists of servers, with its sender's address.
+// ListMessage is a message about server lists, with its sender's address.
 type ListMessage struct {
 	bootstrap.Message
 	Addr netip.AddrPort
 }
 
-// AppendList appends the body of a message about lists.
+// AppendList appends a message about server lists as the body of a message.
 func AppendList(to []byte, m *ListMessage) []byte {
 	to = protofields.AppendString(protofields.AppendUint(to, 1, uint64(m.Kind)), 2, m.From)
 	to = protofields.AppendUint(to, 3, m.List.Generation)
@@ -30,11 +30,11 @@
 }
 
 const (
-	maxNameBytes = 256       // bytes of a discovery's address
-	maxListAge   = time.Hour // an older list is of no use to a node that has none at all
+	maxNameBytes = 256       // of a node name or an address of discovery, in bytes
+	maxListAge   = time.Hour // an older list is useless even to a node without a list
 )
 
-// ParseList reads the body of a message about lists.
+// ParseList parses the body of a message about server lists.
 func ParseList(b []byte) (*ListMessage, error) {
 	m := &ListMessage{}
 	var r reader
@@ -42,39 +42,39 @@
 		switch {
 		case f.IsUint && f.Number == 1:
 			if f.Uint < uint64(bootstrap.ListQuery) || f.Uint > uint64(bootstrap.ListReply) {
-				return newError(Malformed, "kind %d", f.Uint)
+				return newError(Malformed, "list message: unknown kind %d", f.Uint)
 			}
 			m.Kind = bootstrap.Kind(f.Uint)
 		case !f.IsUint && f.Number == 2:
 			if len(f.Bytes) > maxNameBytes {
-				return newError(Malformed, "a name of %d bytes", len(f.Bytes))
+				return newError(Malformed, "list message: node name has %d bytes", len(f.Bytes))
 			}
 			m.From = string(f.Bytes)
 		case f.IsUint && f.Number == 3:
 			m.List.Generation = f.Uint
 		case !f.IsUint && f.Number == 4:
 			if len(f.Bytes) > maxNameBytes {
-				return newError(Malformed, "an address of %d bytes", len(f.Bytes))
+				return newError(Malformed, "list message: address of discovery has %d bytes", len(f.Bytes))
 			}
 			m.List.Discovery = string(f.Bytes)
 		case f.IsUint && f.Number == 5:
 			if f.Uint > uint64(maxListAge) {
-				return newError(Malformed, "a list of %d ns", f.Uint)
+				return newError(Malformed, "list message: list age of %d ns", f.Uint)
 			}
 			m.List.Age = time.Duration(f.Uint)
 		case !f.IsUint && f.Number == 6:
 			m.Body = append([]byte(nil), f.Bytes...)
 		case !f.IsUint && f.Number == 7:
-			at, err := netip.ParseAddrPort(string(f.Bytes))
+			addr, err := netip.ParseAddrPort(string(f.Bytes))
 			if err != nil {
-				return newError(Malformed, "an address: %v", err)
+				return newError(Malformed, "list message: sender address: %v", err)
 			}
-			m.Addr = at
+			m.Addr = addr
 		}
 		return nil
 	})
 	if err == nil && (m.Kind == 0 || m.From == "" || m.Kind == bootstrap.ListReply && len(m.Body) == 0) {
-		err = newError(Malformed, "a message about lists that lacks what it is for")
+		err = newError(Malformed, "list message: kind, sender or list is missing")
 	}
 	if err != nil {
 		return nil, err
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -13,32 +13,32 @@
 	"curlewring/internal/fleet/protofields"
 )
 
-// Version is that of the form. A reader passes over others.
+// Version is the version of the encoding. Messages of other versions are rejected.
 const Version = 1
 
-// Head is the number of bytes ahead of the fields: magic, version, fleet, checksum.
+// HeaderSize is the number of bytes before the fields: magic, version, fleet, checksum.
 const HeaderSize = 12
 
-// MostDatagram is the largest datagram that is sent, in bytes.
+// MaxDatagram is the size of the largest datagram that is sent, in bytes.
 const MaxDatagram = 1400
 
-// MostStream is the longest message of a stream, in bytes.
+// MaxStreamMessage is the size of the largest message on a stream, in bytes.
 const MaxStreamMessage = 2 << 20
 
-// Fault says why a message was passed over.
+// Fault is the reason why a message was rejected.
 type Fault uint8
 
-// The faults.
+// The reasons why a message is rejected.
 const (
 	TooShort Fault = 1 + iota
-	BadMagic       // no magic
+	BadMagic       // the magic bytes are wrong
 	OtherVersion
 	OtherFleet
-	BadChecksum // the checksum is off
-	Malformed   // the fields make no sense
+	BadChecksum // the checksum is wrong
+	Malformed   // the fields are invalid
 )
 
-// Error is a message that was passed over.
+// Error reports a rejected message.
 type Error struct {
 	Fault Fault
 	Text  string
@@ -46,16 +46,17 @@
 
 func (e *Error) Error() string { return e.Text }
 
+// newError returns an Error with a formatted text.
 func newError(f Fault, format string, args ...any) error {
 	return &Error{f, fmt.Sprintf(format, args...)}
 }
 
-// Fleet is the number of a fleet's name.
+// FleetNumber returns the number that stands for a fleet's name in the header.
 func FleetNumber(name string) uint32 {
 	return crc32.Checksum([]byte(name), crc32.MakeTable(crc32.Castagnoli))
 }
 
-// The numbers of fields. They are never used anew for something else.
+// Field numbers. A number is never reused for another field.
 const (
 	fieldKind = 1 + iota
 	fieldFleetID
@@ -77,7 +78,7 @@
 	fieldBody
 )
 
-// Append appends a message for a fleet.
+// Append appends an encoded message for the given fleet.
 func Append(to []byte, fleet uint32, m *membership.Message) []byte {
 	start := len(to)
 	to = append(to, 0xC1, 0x7E, Version, 0)
@@ -89,54 +90,54 @@
 	to = protofields.AppendFixed(to, fieldSenderLife, m.SenderLife)
 	to = appendMember(to, fieldSelf, m.Self)
 	to = protofields.AppendUint(to, fieldSeq, m.Seq)
-	var part []byte
+	var sub []byte
 	for _, a := range m.Alerts {
 		down := uint64(0)
 		if a.Down {
 			down = 1
 		}
-		part = protowire.AppendVarint(part[:0], uint64(a.Subject))
-		part = protowire.AppendVarint(part, uint64(a.WatcherSlot)<<1|down)
-		part = protowire.AppendVarint(part, uint64(a.Seq))
-		to = protofields.AppendBytes(to, fieldAlert, part)
+		sub = protowire.AppendVarint(sub[:0], uint64(a.Subject))
+		sub = protowire.AppendVarint(sub, uint64(a.WatcherSlot)<<1|down)
+		sub = protowire.AppendVarint(sub, uint64(a.Seq))
+		to = protofields.AppendBytes(to, fieldAlert, sub)
 	}
 	for _, a := range m.Refutations {
-		part = protowire.AppendVarint(part[:0], uint64(a.Member))
-		part = protowire.AppendVarint(part, uint64(a.Seq))
-		to = protofields.AppendBytes(to, fieldRefutation, part)
-	}
-	leaving := make([]uint32, 0, len(m.Departures))
-	for _, l := range m.Departures {
-		x := l.Member << 1
-		if l.Ended {
-			x |= 1
+		sub = protowire.AppendVarint(sub[:0], uint64(a.Member))
+		sub = protowire.AppendVarint(sub, uint64(a.Seq))
+		to = protofields.AppendBytes(to, fieldRefutation, sub)
+	}
+	departures := make([]uint32, 0, len(m.Departures))
+	for _, d := range m.Departures {
+		packed := d.Member << 1
+		if d.Ended {
+			packed |= 1
 		}
-		leaving = append(leaving, x)
+		departures = append(departures, packed)
 	}
-	to = appendPacked(to, fieldDepartures, leaving)
+	to = appendPacked(to, fieldDepartures, departures)
 	if m.Vote != nil {
 		to = protofields.AppendBytes(to, fieldVote, appendVote(nil, m.Vote))
 	}
 	for i := range m.Joiners {
-		part = appendMember(part[:0], 1, &m.Joiners[i].Member)
-		to = protofields.AppendBytes(to, fieldJoiner, protofields.AppendUint(protofields.AppendUint(part, 2, uint64(m.Joiners[i].SponsorSlot)), 3, m.Joiners[i].LastViewNumber))
+		sub = appendMember(sub[:0], 1, &m.Joiners[i].Member)
+		to = protofields.AppendBytes(to, fieldJoiner, protofields.AppendUint(protofields.AppendUint(sub, 2, uint64(m.Joiners[i].SponsorSlot)), 3, m.Joiners[i].LastViewNumber))
 	}
 	to = appendMember(to, fieldNameHolder, m.NameHolder)
 	to = protofields.AppendUint(to, fieldLowestSeed, uint64(m.LowestSeed))
 	to = protofields.AppendFixed(to, fieldWantedHash, m.WantedHash)
 	if v := m.View; v != nil {
-		part = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.FleetID), 2, v.Number)
+		sub = protofields.AppendUint(protofields.AppendFixed(nil, 1, v.FleetID), 2, v.Number)
 		for i := range v.Members {
-			part = appendMember(part, 3, &v.Members[i])
+			sub = appendMember(sub, 3, &v.Members[i])
 		}
-		to = protofields.AppendBytes(to, fieldView, part)
+		to = protofields.AppendBytes(to, fieldView, sub)
 	}
 	if p := m.Proposal; p != nil {
-		part = appendPacked(protofields.AppendUint(protofields.AppendUint(nil, 1, p.ViewNumber), 4, p.NextNumber), 2, p.Remove)
+		sub = appendPacked(protofields.AppendUint(protofields.AppendUint(nil, 1, p.ViewNumber), 4, p.NextNumber), 2, p.Remove)
 		for i := range p.Add {
-			part = appendMember(part, 3, &p.Add[i])
+			sub = appendMember(sub, 3, &p.Add[i])
 		}
-		to = protofields.AppendBytes(to, fieldProposal, part)
+		to = protofields.AppendBytes(to, fieldProposal, sub)
 	}
 	to = protofields.AppendUint(to, fieldTopic, uint64(m.Topic))
 	if len(m.Body) > 0 {
@@ -146,40 +147,42 @@
 	return to
 }
 
-// checksum is over all but itself.
+// checksum returns the checksum of a message without the checksum field.
 func checksum(b []byte) uint32 {
 	table := crc32.MakeTable(crc32.Castagnoli)
 	return crc32.Update(crc32.Checksum(b[:8], table), table, b[HeaderSize:])
 }
 
-func appendPacked(to []byte, field protowire.Number, all []uint32) []byte {
-	if len(all) == 0 {
+// appendPacked appends a list of integers as packed varints; an empty one is omitted.
+func appendPacked(to []byte, field protowire.Number, values []uint32) []byte {
+	if len(values) == 0 {
 		return to
 	}
-	var part []byte
-	for _, x := range all {
-		part = protowire.AppendVarint(part, uint64(x))
+	var packed []byte
+	for _, x := range values {
+		packed = protowire.AppendVarint(packed, uint64(x))
 	}
-	return protofields.AppendBytes(to, field, part)
+	return protofields.AppendBytes(to, field, packed)
 }
 
+// appendMember appends a member; nil is omitted.
 func appendMember(to []byte, field protowire.Number, m *membership.Member) []byte {
 	if m == nil {
 		return to
 	}
-	var part []byte
+	var fields []byte
 	if m.Name != "" {
-		part = protofields.AppendBytes(part, 1, []byte(m.Name))
+		fields = protofields.AppendBytes(fields, 1, []byte(m.Name))
 	}
 	if m.Site != "" {
-		part = protofields.AppendBytes(part, 2, []byte(m.Site))
+		fields = protofields.AppendBytes(fields, 2, []byte(m.Site))
 	}
 	if m.Addr.IsValid() {
-		addr, _ := m.Addr.MarshalBinary() // it never fails
-		part = protofields.AppendBytes(part, 3, addr)
+		addr, _ := m.Addr.MarshalBinary() // never fails
+		fields = protofields.AppendBytes(fields, 3, addr)
 	}
-	part = protofields.AppendUint(protofields.AppendFixed(part, 4, m.Life), 5, m.Incarnation)
-	return protofields.AppendBytes(to, field, part)
+	fields = protofields.AppendUint(protofields.AppendFixed(fields, 4, m.Life), 5, m.Incarnation)
+	return protofields.AppendBytes(to, field, fields)
 }
 
 func appendVote(to []byte, v *membership.Vote) []byte {
@@ -200,19 +203,20 @@
 	return to
 }
 
-// Parse reads a message of a fleet. Nothing of it refers to the bytes.
+// Parse parses a message of the given fleet. watchers is the number of watchers per member of a
+// parsed view. The result does not alias b.
 func Parse(b []byte, fleet uint32, watchers int) (*membership.Message, error) {
 	switch {
 	case len(b) < HeaderSize:
-		return nil, newError(TooShort, "%d bytes are no message", len(b))
+		return nil, newError(TooShort, "message of %d bytes is shorter than the header", len(b))
 	case b[0] != 0xC1 || b[1] != 0x7E:
-		return nil, newError(BadMagic, "no message begins with %x", b[:2])
+		return nil, newError(BadMagic, "message begins with %x, not with the magic bytes", b[:2])
 	case b[2] != Version:
-		return nil, newError(OtherVersion, "version %d is not read here, %d is", b[2], Version)
+		return nil, newError(OtherVersion, "unsupported version %d, want %d", b[2], Version)
 	case binary.BigEndian.Uint32(b[4:]) != fleet:
-		return nil, newError(OtherFleet, "it is for another fleet")
+		return nil, newError(OtherFleet, "message is for another fleet")
 	case binary.BigEndian.Uint32(b[8:]) != checksum(b):
-		return nil, newError(BadChecksum, "the checksum of %d bytes is off", len(b))
+		return nil, newError(BadChecksum, "wrong checksum of a message of %d bytes", len(b))
 	}
 	m := &membership.Message{}
 	r := reader{watchers: watchers}
@@ -220,33 +224,35 @@
 		return nil, err
 	}
 	if m.Kind < membership.Probe || m.Kind > membership.Payload {
-		return nil, newError(Malformed, "kind %d", m.Kind)
+		return nil, newError(Malformed, "unknown message kind %d", m.Kind)
 	}
 	if m.SenderLife == 0 {
-		return nil, newError(Malformed, "no sender")
+		return nil, newError(Malformed, "sender is missing")
 	}
 	return m, nil
 }
 
+// reader parses fields into the types of package membership.
 type reader struct{ watchers int }
 
-// fields hands out each field of some bytes.
+// fields calls each for every field of b and converts errors.
 func (r *reader) fields(b []byte, each func(protofields.Field) error) error {
 	err := protofields.ForEach(b, each)
-	if bad := (*protofields.Error)(nil); errors.As(err, &bad) {
-		return newError(Malformed, "%s", bad.Text)
+	if malformed := (*protofields.Error)(nil); errors.As(err, &malformed) {
+		return newError(Malformed, "%s", malformed.Text)
 	}
 	return err
 }
 
-// small takes a number of 32 bits.
+// parseUint32 converts an integer, which must fit 32 bits.
 func parseUint32(x uint64) (uint32, error) {
 	if x > 1<<32-1 {
-		return 0, newError(Malformed, "%d has more than 32 bits", x)
+		return 0, newError(Malformed, "%d exceeds 32 bits", x)
 	}
 	return uint32(x), nil
 }
 
+// parseField stores one field of a message.
 func (r *reader) parseField(m *membership.Message, f protofields.Field) (err error) {
 	if f.IsUint {
 		switch f.Number {
@@ -297,28 +303,28 @@
 	case fieldVote:
 		m.Vote, err = r.vote(f.Bytes)
 	case fieldJoiner:
-		c := membership.Joiner{}
+		joiner := membership.Joiner{}
 		err = r.fields(f.Bytes, func(f protofields.Field) error {
 			switch {
 			case f.Number == 1 && !f.IsUint:
 				x, err := r.member(f.Bytes)
 				if err == nil {
-					c.Member = *x
+					joiner.Member = *x
 				}
 				return err
 			case f.Number == 2 && f.IsUint:
 				var err error
-				c.SponsorSlot, err = parseUint32(f.Uint)
+				joiner.SponsorSlot, err = parseUint32(f.Uint)
 				return err
 			case f.Number == 3 && f.IsUint:
-				c.LastViewNumber = f.Uint
+				joiner.LastViewNumber = f.Uint
 			}
 			return nil
 		})
-		if err == nil && c.Member.Check() != nil {
-			return newError(Malformed, "a candidate that is nobody")
+		if err == nil && joiner.Member.Check() != nil {
+			return newError(Malformed, "joiner: invalid member")
 		}
-		m.Joiners = append(m.Joiners, c)
+		m.Joiners = append(m.Joiners, joiner)
 	case fieldView:
 		m.View, err = r.view(f.Bytes)
 	case fieldProposal:
@@ -329,20 +335,20 @@
 	return err
 }
 
-// numbers reads varints of 32 bits that fill some bytes.
-func parseUint32List(b []byte, least, most int) ([]uint32, error) {
-	var all []uint32
+// parseUint32List parses packed 32-bit varints, of which there must be minCount to maxCount.
+func parseUint32List(b []byte, minCount, maxCount int) ([]uint32, error) {
+	var values []uint32
 	for len(b) > 0 {
 		x, n := protowire.ConsumeVarint(b)
-		if n < 0 || x > 1<<32-1 || len(all) == most {
-			return nil, newError(Malformed, "no list of %d to %d numbers of 32 bits", least, most)
+		if n < 0 || x > 1<<32-1 || len(values) == maxCount {
+			return nil, newError(Malformed, "not a list of %d to %d 32-bit integers", minCount, maxCount)
 		}
-		all, b = append(all, uint32(x)), b[n:]
+		values, b = append(values, uint32(x)), b[n:]
 	}
-	if len(all) < least {
-		return nil, newError(Malformed, "no list of %d to %d numbers of 32 bits", least, most)
+	if len(values) < minCount {
+		return nil, newError(Malformed, "not a list of %d to %d 32-bit integers", minCount, maxCount)
 	}
-	return all, nil
+	return values, nil
 }
 
 func (r *reader) member(b []byte) (*membership.Member, error) {
@@ -354,12 +360,12 @@
 		case f.Number == 2 && !f.IsUint:
 			m.Site = string(f.Bytes)
 		case f.Number == 3 && !f.IsUint:
-			if len(f.Bytes) > 64 { // a zone of any length may be behind an address
-				return newError(Malformed, "an address of %d bytes", len(f.Bytes))
+			if len(f.Bytes) > 64 { // an IPv6 zone may make an address arbitrarily long
+				return newError(Malformed, "member: address of %d bytes", len(f.Bytes))
 			}
 			var a netip.AddrPort
 			if err := a.UnmarshalBinary(f.Bytes); err != nil {
-				return newError(Malformed, "an address: %v", err)
+				return newError(Malformed, "member: address: %v", err)
 			}
 			m.Addr = a
 		case f.Number == 4 && f.IsUint:
@@ -407,14 +413,14 @@
 }
 
 func (r *reader) view(b []byte) (*membership.View, error) {
-	root, num := uint64(0), uint64(0)
+	fleetID, number := uint64(0), uint64(0)
 	var members []membership.Member
 	err := r.fields(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
-			root = f.Uint
+			fleetID = f.Uint
 		case f.IsUint && f.Number == 2:
-			num = f.Uint
+			number = f.Uint
 		case !f.IsUint && f.Number == 3:
 			m, err := r.member(f.Bytes)
 			if err == nil {
@@ -427,7 +433,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v, err := membership.NewView(root, num, members, r.watchers)
+	v, err := membership.NewView(fleetID, number, members, r.watchers)
 	if err != nil {
 		return nil, newError(Malformed, "%v", err)
 	}
--- a/internal/fleet/wire/wire_test.go
+++ b/internal/fleet/wire/wire_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// drawn is a message with some of everything.
+// randomMessage returns a message in which any field may be set.
 func randomMessage(rng *rand.Rand) *membership.Message {
 	m := &membership.Message{
 		Kind: membership.Kind(1 + rng.IntN(int(membership.Payload))), FleetID: rng.Uint64(), ViewNumber: rng.Uint64N(1000), SenderLife: 1 + rng.Uint64N(1<<50),
@@ -52,18 +52,19 @@
 		m.Joiners = append(m.Joiners, membership.Joiner{Member: *randomMember(rng), SponsorSlot: rng.Uint32N(16), LastViewNumber: rng.Uint64N(9)})
 	}
 	if rng.IntN(3) == 0 {
-		var all []membership.Member
+		var members []membership.Member
 		for i := range 1 + rng.IntN(30) {
-			x := randomMember(rng)
-			x.Name = fmt.Sprintf("%s-%d", x.Name, i)
-			all = append(all, *x)
+			member := randomMember(rng)
+			member.Name = fmt.Sprintf("%s-%d", member.Name, i)
+			members = append(members, *member)
 		}
-		m.View, _ = membership.NewView(1+rng.Uint64N(1e9), 1+rng.Uint64N(1e9), all, 10)
+		m.View, _ = membership.NewView(1+rng.Uint64N(1e9), 1+rng.Uint64N(1e9), members, 10)
 	}
 	return m
 }
 
-func TestMessagesComeBack(t *testing.T) {
+// Messages must survive encoding and parsing unchanged.
+func TestMessageRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		m := randomMessage(rng)
@@ -72,7 +73,7 @@
 			t.Fatalf("%+v: %v", m, err)
 		}
 		if (m.View == nil) != (got.View == nil) || m.View != nil && m.View.Digest != got.View.Digest {
-			t.Fatalf("another view came back")
+			t.Fatalf("the view changed")
 		}
 		m.View, got.View = nil, nil
 		if !reflect.DeepEqual(m, got) {
@@ -81,8 +82,8 @@
 	}
 }
 
-// What is none of this fleet's is told apart, and each is passed over.
-func TestPassedOver(t *testing.T) {
+// Input that is not a valid message of this fleet is rejected with the right fault.
+func TestRejectedMessages(t *testing.T) {
 	m := &membership.Message{Kind: membership.Probe, SenderLife: 3, Seq: 4}
 	good := Append(nil, 7, m)
 	change := func(at int, to byte) []byte {
@@ -90,32 +91,32 @@
 		b[at] = to
 		return b
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		b    []byte
 		want Fault
 	}{
-		"nothing": {nil, TooShort}, "a head cut off": {good[:HeaderSize-1], TooShort}, "text": {[]byte("GET / HTTP/1.1\r\n"), BadMagic},
-		"the next version": {change(2, Version+1), OtherVersion}, "another fleet": {Append(nil, 8, m), OtherFleet},
-		"a byte changed": {change(len(good)-1, good[len(good)-1]^1), BadChecksum}, "cut off": {good[:len(good)-1], BadChecksum},
-		"no sender":                  {Append(nil, 7, &membership.Message{Kind: membership.Probe}), Malformed},
-		"no kind":                    {Append(nil, 7, &membership.Message{SenderLife: 1}), Malformed},
-		"a kind of the next version": {Append(nil, 7, &membership.Message{Kind: membership.Payload + 1, SenderLife: 1}), Malformed},
+		"empty": {nil, TooShort}, "truncated header": {good[:HeaderSize-1], TooShort}, "text": {[]byte("GET / HTTP/1.1\r\n"), BadMagic},
+		"next version": {change(2, Version+1), OtherVersion}, "other fleet": {Append(nil, 8, m), OtherFleet},
+		"changed byte": {change(len(good)-1, good[len(good)-1]^1), BadChecksum}, "truncated": {good[:len(good)-1], BadChecksum},
+		"no sender":                {Append(nil, 7, &membership.Message{Kind: membership.Probe}), Malformed},
+		"no kind":                  {Append(nil, 7, &membership.Message{SenderLife: 1}), Malformed},
+		"kind of the next version": {Append(nil, 7, &membership.Message{Kind: membership.Payload + 1, SenderLife: 1}), Malformed},
 	} {
-		_, err := Parse(x.b, 7, 10)
-		var bad *Error
-		if !errors.As(err, &bad) || bad.Fault != x.want {
-			t.Errorf("%s: %v, want fault %d", name, err, x.want)
+		_, err := Parse(test.b, 7, 10)
+		var wireErr *Error
+		if !errors.As(err, &wireErr) || wireErr.Fault != test.want {
+			t.Errorf("%s: %v, want fault %d", name, err, test.want)
 		}
 	}
-	// Every single byte changed is found.
+	// A change of any single byte is detected.
 	for i := range good {
 		if _, err := Parse(change(i, good[i]^0x10), 7, 10); err == nil {
-			t.Errorf("byte %d changed: not found", i)
+			t.Errorf("change of byte %d is not detected", i)
 		}
 	}
 }
 
-// seal gives fields a head that is right.
+// seal returns a message with the given fields and a valid header.
 func seal(fields []byte) []byte {
 	b := Append(nil, 7, &membership.Message{})[:HeaderSize]
 	b = append(b, fields...)
@@ -124,7 +125,7 @@
 	return b
 }
 
-// Fields that a later writer of this version adds are passed over.
+// Fields added by a later writer of the same version are ignored.
 func TestUnknownFields(t *testing.T) {
 	fields := Append(nil, 7, &membership.Message{Kind: membership.Ack, SenderLife: 3, Seq: 9})[HeaderSize:]
 	fields = protowire.AppendVarint(protowire.AppendTag(fields, 99, protowire.VarintType), 5)
@@ -136,18 +137,18 @@
 	}
 }
 
-// A datagram of the largest size makes the reader allocate no more than it warrants, whatever it says.
-func TestAllocationIsWarranted(t *testing.T) {
-	many := func(field protowire.Number, part []byte) []byte {
-		var all []byte
-		for len(all) < MaxDatagram-HeaderSize-16 {
-			all = protowire.AppendBytes(protowire.AppendTag(all, field, protowire.BytesType), part)
+// Parsing a datagram of maximum size must not allocate out of proportion, whatever its contents.
+func TestAllocationIsBounded(t *testing.T) {
+	repeated := func(field protowire.Number, content []byte) []byte {
+		var fields []byte
+		for len(fields) < MaxDatagram-HeaderSize-16 {
+			fields = protowire.AppendBytes(protowire.AppendTag(fields, field, protowire.BytesType), content)
 		}
-		return append(all, Append(nil, 7, &membership.Message{Kind: membership.Gossip, SenderLife: 1})[HeaderSize:]...)
+		return append(fields, Append(nil, 7, &membership.Message{Kind: membership.Gossip, SenderLife: 1})[HeaderSize:]...)
 	}
 	for name, b := range map[string][]byte{
-		"alerts": seal(many(fieldAlert, []byte{1, 1, 1})), "alive": seal(many(fieldRefutation, []byte{1, 1})), "joins": seal(many(fieldJoiner, nil)),
-		"votes": seal(many(fieldVote, []byte{0x1a, 1, 1})), "leaving": seal(many(fieldDepartures, make([]byte, 1000))),
+		"alerts": seal(repeated(fieldAlert, []byte{1, 1, 1})), "refutations": seal(repeated(fieldRefutation, []byte{1, 1})), "joiners": seal(repeated(fieldJoiner, nil)),
+		"votes": seal(repeated(fieldVote, []byte{0x1a, 1, 1})), "departures": seal(repeated(fieldDepartures, make([]byte, 1000))),
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
@@ -159,7 +160,8 @@
 	}
 }
 
-// FuzzParse: what comes never makes the reader panic, and what it reads it writes again as it was.
+// FuzzParse checks that arbitrary fields do not make the parser panic, and that what was parsed is the
+// same after encoding and parsing again.
 func FuzzParse(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 30 {
@@ -172,10 +174,10 @@
 		}
 		again, err := Parse(Append(nil, 7, m), 7, 10)
 		if err != nil {
-			t.Fatalf("what was read can't be written: %v", err)
+			t.Fatalf("a parsed message can't be parsed after encoding: %v", err)
 		}
 		if m.View != nil && m.View.Digest != again.View.Digest {
-			t.Fatal("another view came back")
+			t.Fatal("the view changed")
 		}
 		m.View, again.View = nil, nil
 		if !reflect.DeepEqual(m, again) {
@@ -184,7 +186,7 @@
 	})
 }
 
-// A message about lists may be anything.
+// FuzzParseList does the same for messages about server lists.
 func FuzzParseList(f *testing.F) {
 	f.Add(AppendList(nil, &ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListReply, From: "n", List: bootstrap.List{Generation: 4, Discovery: "d", Age: time.Second}, Body: []byte("{}")}, Addr: netip.MustParseAddrPort("127.0.0.1:1")}))
 	f.Fuzz(func(t *testing.T, b []byte) {
