--- a/internal/fleet/membership/probe.go
+++ b/internal/fleet/membership/probe.go
@@ -5,97 +5,101 @@
 	"time"
 )
 
-// edge is this node's watch of one member.
+// edge is the state of monitoring one member that this node watches.
 type edge struct {
-	member  Member
-	subject uint32 // its place in the view
-	slot    uint32 // which of its watchers this node is
-	begun   time.Duration
-	heard   time.Duration // the last contact; 0: none
-	round   time.Duration // when the next round of probes begins
-	tries   int           // in this round
-	next    time.Duration // when the next attempt is due
-	open    [8]sent       // attempts without an answer, the oldest overwritten
-	opens   int
-	since   int // attempts since the last contact
-	down    bool
-	seq     uint32 // of what this node says of it
+	member             Member
+	subject            uint32        // the member's index in the view
+	slot               uint32        // this node's position among the member's watchers
+	startedAt          time.Duration // silence is measured from the later of this and lastContact
+	lastContact        time.Duration // 0 if there was none
+	nextRound          time.Duration // start of the next probe round
+	attemptsMade       int           // in the current round
+	nextAttempt        time.Duration // earliest time of the next attempt of the round
+	outstanding        [8]sentProbe  // ring buffer of unanswered probes
+	probesSent         int
+	probesSinceContact int
+	accused            bool
+	alertSeq           uint32 // Seq of the last alert about it
 
-	rounds, lost int // rounds of probes, and those with no answer
-	loss         float64
-	rtt          time.Duration
-	answered     bool // this round was
-	knows        bool // it has this view
+	startedRounds, lostRounds int           // probe rounds, and those without an answer
+	loss                      float64       // moving average of the share of lost rounds
+	rtt                       time.Duration // moving average; 0 before the first answer
+	roundAnswered             bool          // the current round was answered
+	hasView                   bool          // the member has the current view
 }
 
-type sent struct {
+// sentProbe is a probe that has not been answered.
+type sentProbe struct {
 	seq uint64
 	at  time.Duration
 }
 
-func (n *Node) edge(m Member) *edge {
-	return &edge{member: m, begun: n.now, round: n.now + time.Duration(n.rng.Float64()*float64(n.set.ProbeInterval))}
+// newEdge returns an edge to m whose first round starts at a random time within a probe interval.
+func (n *Node) newEdge(m Member) *edge {
+	return &edge{member: m, startedAt: n.now, nextRound: n.now + time.Duration(n.rng.Float64()*float64(n.settings.ProbeInterval))}
 }
 
-// probe sends what is due and judges who is silent.
-func (n *Node) probe() {
+// probeWatched sends the probes that are due and accuses watched members that are silent.
+func (n *Node) probeWatched() {
 	contact := false
-	for _, subject := range n.view.watched[n.at] {
+	for _, subject := range n.view.watchedBy[n.index] {
 		e := n.edges[subject]
-		n.probeOne(e)
-		contact = contact || e.heard > 0 && n.now-e.heard < 2*n.set.ProbeInterval || e.heard == 0 && n.now-e.begun < 2*n.set.ProbeInterval
+		n.probeEdge(e)
+		contact = contact || e.lastContact > 0 && n.now-e.lastContact < 2*n.settings.ProbeInterval || e.lastContact == 0 && n.now-e.startedAt < 2*n.settings.ProbeInterval
 	}
-	// Who hears nobody at all is itself cut off: it accuses nobody, and afterwards starts to count anew.
-	if alone := !contact && len(n.edges) > 1; alone != n.isolated {
-		n.isolated = alone
+	// A node without contact to any watched member is isolated itself. It accuses nobody, and
+	// measures silence anew from its next contact.
+	if isolated := !contact && len(n.edges) > 1; isolated != n.isolated {
+		n.isolated = isolated
 		for _, e := range n.edges {
-			if !alone {
-				e.begun = n.now
+			if !isolated {
+				e.startedAt = n.now
 			}
 		}
 	}
 	if n.isolated {
 		return
 	}
-	for _, subject := range n.view.watched[n.at] {
+	for _, subject := range n.view.watchedBy[n.index] {
 		e := n.edges[subject]
-		if silent := n.now - max(e.heard, e.begun); !e.down && silent >= n.set.AccuseAfter && e.since >= 2*attempts {
-			e.down = true
+		if silence := n.now - max(e.lastContact, e.startedAt); !e.accused && silence >= n.settings.AccuseAfter && e.probesSinceContact >= 2*probeAttempts {
+			e.accused = true
 			n.stats.Accusations++
-			n.accuse(subject, e)
-			n.event(Event{Kind: Accused, Member: e.member, Detail: fmt.Sprintf("no contact for %v, %d probes", silent.Round(time.Millisecond), e.since)})
+			n.publishAlert(subject, e)
+			n.emit(Event{Kind: Accused, Member: e.member, Detail: fmt.Sprintf("no contact for %v, %d probes unanswered", silence.Round(time.Millisecond), e.probesSinceContact)})
 		}
 	}
 }
 
-func (n *Node) probeOne(e *edge) {
-	if n.now >= e.round {
-		if e.rounds > 0 {
-			x := 0.0
-			if !e.answered {
-				x = 1
-				e.lost++
+// probeEdge starts a probe round or sends the next attempt of the current one, whichever is due.
+func (n *Node) probeEdge(e *edge) {
+	if n.now >= e.nextRound {
+		if e.startedRounds > 0 {
+			lost := 0.0
+			if !e.roundAnswered {
+				lost = 1
+				e.lostRounds++
 			}
-			e.loss += (x - e.loss) / 16
+			e.loss += (lost - e.loss) / 16
 		}
-		e.rounds++
-		e.round += n.set.ProbeInterval
-		if e.round <= n.now {
-			e.round = n.now + n.set.ProbeInterval
+		e.startedRounds++
+		e.nextRound += n.settings.ProbeInterval
+		if e.nextRound <= n.now {
+			e.nextRound = n.now + n.settings.ProbeInterval
 		}
-		e.tries, e.next, e.answered = 0, n.now, false
+		e.attemptsMade, e.nextAttempt, e.roundAnswered = 0, n.now, false
 	}
-	if e.tries < attempts && !e.answered && n.now >= e.next {
-		e.tries++
-		e.next = n.now + n.set.ProbeRetryInterval
-		e.since++
+	if e.attemptsMade < probeAttempts && !e.roundAnswered && n.now >= e.nextAttempt {
+		e.attemptsMade++
+		e.nextAttempt = n.now + n.settings.ProbeRetryInterval
+		e.probesSinceContact++
 		n.seq++
-		e.open[e.opens%len(e.open)] = sent{n.seq, n.now}
-		e.opens++
-		m := &Message{Kind: Probe, Seq: n.seq, Alerts: n.against(e.subject)}
-		// It may be in a view that this node is not in any more; or not have this one yet, and then may not know this node,
-		// or, if it has just been let in, nobody.
-		if e.down || !e.knows || n.isolated || n.phase == Leaving {
+		e.outstanding[e.probesSent%len(e.outstanding)] = sentProbe{n.seq, n.now}
+		e.probesSent++
+		m := &Message{Kind: Probe, Seq: n.seq, Alerts: n.accusationsOf(e.subject)}
+		// The member may have a newer view without this node. Or it may not have the current view
+		// yet: then it may not know this node or, if it has just been admitted, any member.
+		if e.accused || !e.hasView || n.isolated || n.phase == Leaving {
 			self := n.self
 			m.Self = &self
 		}
@@ -103,43 +107,44 @@
 	}
 }
 
-// accuse makes news of what this node holds of one that it watches.
-func (n *Node) accuse(subject uint32, e *edge) {
-	e.seq++
-	a := Alert{Subject: subject, WatcherSlot: e.slot, Seq: e.seq, Down: e.down}
-	if n.cut.alert(n.view, a, n.now) {
-		n.news.add(newsItem{alert: true, subject: subject, slot: e.slot}, n.copies())
+// publishAlert queues an alert with this node's current opinion of a member that it watches.
+func (n *Node) publishAlert(subject uint32, e *edge) {
+	e.alertSeq++
+	a := Alert{Subject: subject, WatcherSlot: e.slot, Seq: e.alertSeq, Down: e.accused}
+	if n.detector.recordAlert(n.view, a, n.now) {
+		n.queue.add(gossipItem{alert: true, subject: subject, slot: e.slot}, n.copiesPerItem())
 	}
 }
 
-// against is what is held against a member, for itself to hear: it may not have heard it from others.
-func (n *Node) against(i uint32) (all []Alert) {
-	r := n.cut.rows[i]
-	if r == nil || r.down == 0 {
+// accusationsOf returns the known accusations of a member. They are also sent to the member
+// itself, which may not have received them from others.
+func (n *Node) accusationsOf(i uint32) (alerts []Alert) {
+	state := n.detector.subjects[i]
+	if state == nil || state.accusers == 0 {
 		return nil
 	}
-	for s := range uint32(len(n.view.watchers[i])) {
-		if r.down&(1<<s) != 0 {
-			all = append(all, Alert{i, s, r.seqs[s], true})
+	for slot := range uint32(len(n.view.watchers[i])) {
+		if state.accusers&(1<<slot) != 0 {
+			alerts = append(alerts, Alert{i, slot, state.alertSeqs[slot], true})
 		}
 	}
-	return all
+	return alerts
 }
 
-// answer answers a probe, whoever sent it: the sender learns of this life and its view.
-func (n *Node) answer(m *Message) {
-	to, ok := n.addressOf(m)
+// handleProbe answers a probe from any sender, which so learns of this life and its view.
+func (n *Node) handleProbe(m *Message) {
+	to, ok := n.replyAddr(m)
 	if !ok {
 		return
 	}
 	ack := &Message{Kind: Ack, Seq: m.Seq}
 	if n.view != nil {
 		if i, in := n.view.IndexOfLife(m.SenderLife); in {
-			ack.Alerts = n.against(i)
+			ack.Alerts = n.accusationsOf(i)
 		}
-		n.defend()
-		if r := n.cut.rows[n.at]; r != nil && r.speaks(n.now) {
-			ack.Refutations = []Refutation{{n.at, r.aliveSeq}}
+		n.refuteAccusations()
+		if state := n.detector.subjects[n.index]; state != nil && state.refutes(n.now) {
+			ack.Refutations = []Refutation{{n.index, state.refutationSeq}}
 		}
 	}
 	if m.Self != nil {
@@ -149,10 +154,11 @@
 	n.send(to, ack)
 }
 
-// acked takes a contact. An answer of another life, or to nothing that was asked, is none.
-func (n *Node) acked(m *Message) {
+// handleAck records contact with a member. An answer from another life, or to no outstanding
+// probe, is not a contact.
+func (n *Node) handleAck(m *Message) {
 	if t := n.trials[m.SenderLife]; t != nil {
-		n.tried(t, m.Seq)
+		n.handleTrialAck(t, m.Seq)
 	}
 	if n.view == nil {
 		return
@@ -162,20 +168,20 @@
 	if !ok || e == nil {
 		return
 	}
-	for k := range e.open {
-		if o := &e.open[k]; o.seq == m.Seq && o.seq != 0 {
-			if rtt := n.now - o.at; e.rtt == 0 {
+	for k := range e.outstanding {
+		if probe := &e.outstanding[k]; probe.seq == m.Seq && probe.seq != 0 {
+			if rtt := n.now - probe.at; e.rtt == 0 {
 				e.rtt = rtt
 			} else {
 				e.rtt += (rtt - e.rtt) / 8
 			}
-			*o = sent{}
-			e.heard, e.since, e.answered = n.now, 0, true
-			e.knows = m.FleetID == n.view.FleetID && m.ViewNumber >= n.view.Number
-			if e.down {
-				e.down = false
-				n.accuse(i, e)
-				n.event(Event{Kind: Accused, Member: e.member, Detail: "contact again"})
+			*probe = sentProbe{}
+			e.lastContact, e.probesSinceContact, e.roundAnswered = n.now, 0, true
+			e.hasView = m.FleetID == n.view.FleetID && m.ViewNumber >= n.view.Number
+			if e.accused {
+				e.accused = false
+				n.publishAlert(i, e)
+				n.emit(Event{Kind: Accused, Member: e.member, Detail: "contact restored"})
 			}
 			return
 		}
