--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -14,21 +14,21 @@
 )
 
 // mostLedger is how many attempts of tiers above a node keeps accounts of.
-const mostLedger = 8192
+const maxLedgerEntries = 8192
 
 // budgets reads, keeps and writes the budgets that requests share with other
 // tiers. Nil: they are off, and cost nothing. What a client's goroutine uses is
 // fixed or atomic; ledger and graphs belong to the loop.
 type budgets struct {
-	name    string // this node's on paths
-	leaf    bool   // its servers are the last tier
-	classes []string
-	set     *decide.Settings
-	log     *slog.Logger
-	ledger  *budget.Ledger
-	next    uint64 // attempts' ids
+	name          string // this node's on paths
+	leaf          bool   // its servers are the last tier
+	classes       []string
+	settings      *decide.Settings
+	log           *slog.Logger
+	ledger        *budget.Ledger
+	nextAttemptID uint64 // attempts' ids
 
-	odd, lies, loops atomic.Int64 // headers that were none, said too much, or told of a loop
+	malformed, excessive, loops atomic.Int64 // headers that were none, said too much, or told of a loop
 }
 
 func newBudgets(c *Config, log *slog.Logger) *budgets {
@@ -36,22 +36,22 @@
 		return nil
 	}
 	return &budgets{
-		name: budget.NodeName(c.Name), leaf: c.Settings.Tiers > 1 && c.Settings.Tier == c.Settings.Tiers-1, classes: c.Classes, set: &c.Settings, log: log, ledger: budget.NewLedger(mostLedger),
+		name: budget.NodeName(c.Name), leaf: c.Settings.Tiers > 1 && c.Settings.Tier == c.Settings.Tiers-1, classes: c.Classes, settings: &c.Settings, log: log, ledger: budget.NewLedger(maxLedgerEntries),
 	}
 }
 
 // graph is the budget of one request.
-type graph struct {
-	grant   budget.Budget // as the ledger gave it
-	account budget.Account
-	baggage string // the request's, which travels on
-	since   time.Duration
-	closed  bool
-	word    budget.RetryAdvice // what the last attempt's error said
+type requestBudget struct {
+	grant       budget.Budget // as the ledger gave it
+	account     budget.Account
+	baggage     string // the request's, which travels on
+	openedAt    time.Duration
+	closed      bool
+	retryAdvice budget.RetryAdvice // what the last attempt's error said
 }
 
 // once counts something rare, and logs it when it is seen for the first time.
-func (b *budgets) once(n *atomic.Int64, text string, args ...any) {
+func (b *budgets) logFirst(n *atomic.Int64, text string, args ...any) {
 	if n.Add(1) == 1 {
 		b.log.Warn(text+"; further ones are counted", args...)
 	}
@@ -59,24 +59,24 @@
 
 // read finds a request's budget, cut to what is true. loop is not empty if the
 // request has been here before.
-func (b *budgets) read(r *http.Request, class int, left time.Duration) (g *graph, loop string) {
+func (b *budgets) read(r *http.Request, class int, left time.Duration) (g *requestBudget, loop string) {
 	own, baggage := r.Header[budget.HeaderName], r.Header[budget.BaggageHeaderName]
 	given, err := budget.FromHeaders(own, baggage)
 	if err != nil {
-		b.once(&b.odd, "a request's budget is odd, and not taken", "err", err)
+		b.logFirst(&b.malformed, "a request's budget is odd, and not taken", "err", err)
 	}
 	truth := budget.LocalLimits{
-		TimeLeft: left, ExtraAttempts: max(0, b.set.MaxAttempts-1), Worth: b.set.Classes[class].Worth, Class: b.classes[class],
+		TimeLeft: left, ExtraAttempts: max(0, b.settings.MaxAttempts-1), Worth: b.settings.Classes[class].Worth, Class: b.classes[class],
 	}
 	grant, lies := budget.Clamp(given, truth)
 	if lies != 0 {
-		b.once(&b.lies, "a request's budget says more than is true, and is cut", "budget", given.Encode())
+		b.logFirst(&b.excessive, "a request's budget says more than is true, and is cut", "budget", given.Encode())
 	}
 	if round, crossed := grant.FindLoop(b.name); crossed {
-		b.once(&b.loops, "a request has come round in a loop", "loop", strings.Join(round, " -> "))
+		b.logFirst(&b.loops, "a request has come round in a loop", "loop", strings.Join(round, " -> "))
 		return nil, strings.Join(round, " -> ")
 	}
-	g = &graph{grant: grant}
+	g = &requestBudget{grant: grant}
 	if len(baggage) == 1 {
 		g.baggage = baggage[0]
 	}
@@ -84,24 +84,24 @@
 }
 
 // open begins a request's account. The loop calls it.
-func (b *budgets) open(now time.Duration, p *pending) {
-	if p.graph == nil {
+func (b *budgets) open(now time.Duration, p *pendingRequest) {
+	if p.budget == nil {
 		return
 	}
-	p.graph.grant = b.ledger.BeginCall(now, p.graph.grant)
-	p.graph.account = budget.OpenAccount(p.graph.grant, answerMargin)
-	p.graph.since = now
-	p.request.Budgeted, p.request.ExtraAttempts = true, p.graph.grant.ExtraAttempts
+	p.budget.grant = b.ledger.BeginCall(now, p.budget.grant)
+	p.budget.account = budget.OpenAccount(p.budget.grant, answerMargin)
+	p.budget.openedAt = now
+	p.request.Budgeted, p.request.ExtraAttempts = true, p.budget.grant.ExtraAttempts
 }
 
 // send takes an attempt out of a request's account, and returns the headers that
 // travel with it.
-func (b *budgets) send(now time.Duration, g *graph) string {
+func (b *budgets) beginAttempt(now time.Duration, g *requestBudget) string {
 	if g == nil {
 		return ""
 	}
-	b.next++
-	down, ok := g.account.BeginAttempt(b.name, b.name[:min(len(b.name), 15)]+"."+strconv.FormatUint(b.next, 36), now-g.since)
+	b.nextAttemptID++
+	down, ok := g.account.BeginAttempt(b.name, b.name[:min(len(b.name), 15)]+"."+strconv.FormatUint(b.nextAttemptID, 36), now-g.openedAt)
 	if b.leaf {
 		g.account.RevokeGrant()
 		down.ExtraAttempts = 0
@@ -118,18 +118,18 @@
 
 // back books an attempt's end, and returns what the tiers below have spent of
 // the budget with it.
-func (b *budgets) back(g *graph, o *upstream.Outcome) (below int) {
+func (b *budgets) endAttempt(g *requestBudget, o *upstream.Outcome) (below int) {
 	if g == nil {
 		return 0
 	}
 	before := g.account.SpentBelow()
 	spent, word, err := budget.ParseSpent(o.SpentBudget)
 	if err != nil {
-		b.once(&b.odd, "an answer's word of what was spent is odd, and not taken", "err", err)
+		b.logFirst(&b.malformed, "an answer's word of what was spent is odd, and not taken", "err", err)
 	}
 	ran := o.Result != decide.Rejected && o.Result != decide.ConnectFailed && o.Result != decide.NotSent
 	g.account.EndAttempt(spent, ran)
-	g.word = word
+	g.retryAdvice = word
 	below = g.account.SpentBelow() - before
 	if !word.RetryUseful() { // another attempt would end as this one
 		below = max(below, g.account.Remaining())
@@ -138,7 +138,7 @@
 }
 
 // close ends a request's account, and returns the header of its answer.
-func (b *budgets) close(g *graph, e ending, ran bool) string {
+func (b *budgets) close(g *requestBudget, e answerStatus, ran bool) string {
 	if g == nil || g.closed {
 		return ""
 	}
@@ -149,7 +149,7 @@
 	case e == served:
 	case e == refused && !ran:
 		word = budget.Overloaded
-	case g.word == budget.Loop:
+	case g.retryAdvice == budget.Loop:
 		word = budget.Loop
 	case g.account.Remaining() == 0 && g.grant.ExtraAttempts > 0:
 		word = budget.OutOfBudget
--- a/internal/node/budgets_test.go
+++ b/internal/node/budgets_test.go
@@ -12,7 +12,7 @@
 )
 
 // withBudgets is a node that shares budgets, before servers that answer so.
-func withBudgets(t *testing.T, on bool, handler http.HandlerFunc) (*testNode, []*Server) {
+func startWithBudgets(t *testing.T, on bool, handler http.HandlerFunc) (*testNode, []*Server) {
 	t.Helper()
 	var addrs []string
 	var servers []*Server
@@ -28,7 +28,7 @@
 }
 
 // seen are the budgets of all attempts at servers.
-func seen(servers []*Server) (all []*budget.Budget, lines []string) {
+func sentBudgets(servers []*Server) (all []*budget.Budget, lines []string) {
 	for _, s := range servers {
 		s.Mu.Lock()
 		for _, r := range s.Requests {
@@ -42,7 +42,7 @@
 	return all, lines
 }
 
-func attempts(servers []*Server) (n int) {
+func totalAttempts(servers []*Server) (n int) {
 	for _, s := range servers {
 		n += s.RequestCount()
 	}
@@ -73,7 +73,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			n, servers := withBudgets(t, x.on, func(w http.ResponseWriter, _ *http.Request) {
+			n, servers := startWithBudgets(t, x.on, func(w http.ResponseWriter, _ *http.Request) {
 				if x.says != "" {
 					w.Header().Set(budget.SpentHeaderName, x.says)
 				}
@@ -88,8 +88,8 @@
 			if resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusTooManyRequests {
 				t.Errorf("answered %s", resp.Status)
 			}
-			all, lines := seen(servers)
-			if got := attempts(servers); got != x.attempts {
+			all, lines := sentBudgets(servers)
+			if got := totalAttempts(servers); got != x.attempts {
 				t.Errorf("%d attempts, want %d; %q", got, x.attempts, lines)
 			}
 			said := resp.Header.Get(budget.SpentHeaderName)
@@ -117,7 +117,7 @@
 func TestLoopIsAnsweredWithinOneHop(t *testing.T) {
 	t.Parallel()
 	var reached atomic.Int64
-	n, servers := withBudgets(t, true, func(w http.ResponseWriter, _ *http.Request) {
+	n, servers := startWithBudgets(t, true, func(w http.ResponseWriter, _ *http.Request) {
 		reached.Add(1)
 		w.Write([]byte("fine"))
 	})
@@ -137,7 +137,7 @@
 		// One of two was granted to the server, which gave no word of it.
 		t.Errorf("answered %s %q %q", resp.Status, body, resp.Header)
 	}
-	all, lines := seen(servers)
+	all, lines := sentBudgets(servers)
 	if len(all) != 1 || fmt.Sprint(all[0].Path) != fmt.Sprint([]string{"a", "b", name}) || all[0].TimeLeft > 9*1e9 {
 		t.Errorf("sent %q", lines)
 	}
@@ -157,7 +157,7 @@
 // Several calls of one attempt above share what it was granted.
 func TestCallsOfOneAttemptShare(t *testing.T) {
 	t.Parallel()
-	n, servers := withBudgets(t, true, func(w http.ResponseWriter, _ *http.Request) {
+	n, servers := startWithBudgets(t, true, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(budget.SpentHeaderName, "1;s=0")
 		w.WriteHeader(http.StatusInternalServerError)
 	})
@@ -165,7 +165,7 @@
 	for i, want := range []int{3, 1, 1} {
 		r := request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;i=7f;p=a")
 		resp, _ := exchange(t, r)
-		got := attempts(servers) - total
+		got := totalAttempts(servers) - total
 		total += got
 		if got != want {
 			t.Errorf("call %d: %d attempts, want %d", i, got, want)
@@ -187,8 +187,8 @@
 	n := startNode(t, c)
 	servers := []*Server{s, other}
 	resp, _ := exchange(t, request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;p=a"))
-	all, lines := seen(servers)
-	if got := attempts(servers); got != 3 || len(all) != 3 || all[0].ExtraAttempts != 0 {
+	all, lines := sentBudgets(servers)
+	if got := totalAttempts(servers); got != 3 || len(all) != 3 || all[0].ExtraAttempts != 0 {
 		t.Errorf("%d attempts, want 3; %q", got, lines)
 	}
 	if spent, _, _ := budget.ParseSpent(resp.Header.Values(budget.SpentHeaderName)); spent != 2 {
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	mostHeader    = 16 << 10
-	mostRemaining = 10 * time.Minute // longer waits are taken for nonsense
+	maxHeaderBytes = 16 << 10
+	maxRemaining   = 10 * time.Minute // longer waits are taken for nonsense
 )
 
 // callers turns clients' requests into the loop's, and its answers into theirs.
-type callers struct {
-	clock   clock.Clock
-	loop    *loop
-	classes map[string]int
-	tenants map[string]int
-	effects []decide.Idempotency
-	budgets *budgets        // nil: off
-	waits   []time.Duration // how long clients wait at the most, by class
-	front   *front.Server
-	leaving atomic.Bool // a planned end has begun: no longer ready
+type requestHandler struct {
+	clock        clock.Clock
+	loop         *loop
+	classes      map[string]int
+	tenants      map[string]int
+	idempotency  []decide.Idempotency
+	budgets      *budgets        // nil: off
+	maxWaits     []time.Duration // how long clients wait at the most, by class
+	front        *front.Server
+	shuttingDown atomic.Bool // a planned end has begun: no longer ready
 
-	mu   sync.Mutex
-	open map[string]bool // the ids of requests that have no answer yet
+	mu       sync.Mutex
+	openTxns map[string]bool // the ids of requests that have no answer yet
 }
 
-func newCallers(c *Config, clock clock.Clock, loop *loop) *callers {
-	s := &callers{
+func newRequestHandler(c *Config, clock clock.Clock, loop *loop) *requestHandler {
+	s := &requestHandler{
 		clock: clock, loop: loop, classes: map[string]int{}, tenants: map[string]int{},
-		open: map[string]bool{},
+		openTxns: map[string]bool{},
 	}
 	for i, name := range c.Classes {
 		s.classes[name] = i
-		s.effects = append(s.effects, c.Settings.Classes[i].Idempotency)
-		s.waits = append(s.waits, c.Settings.Classes[i].Deadline)
+		s.idempotency = append(s.idempotency, c.Settings.Classes[i].Idempotency)
+		s.maxWaits = append(s.maxWaits, c.Settings.Classes[i].Deadline)
 	}
 	for i, name := range c.Tenants {
 		s.tenants[name] = i
@@ -55,13 +55,13 @@
 
 // single are the headers that a request must not repeat: which one counts would
 // be for each to guess.
-var single = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
+var singleValueHeaders = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
 
 // Request takes one request; it is front.Handler's.
-func (s *callers) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
+func (s *requestHandler) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
 	now := s.clock.Now()
 	if r.URL.Path == "/ready" {
-		if s.loop.ready.Load() && !s.leaving.Load() {
+		if s.loop.ready.Load() && !s.shuttingDown.Load() {
 			return nil, -1, &front.Response{Status: http.StatusOK, Text: "ready"}
 		}
 		return nil, -1, &front.Response{Status: http.StatusServiceUnavailable, Text: "not ready"}
@@ -70,14 +70,14 @@
 	spent := ""
 	if p != nil && s.budgets != nil {
 		g, loop := s.budgets.read(r, p.request.Class, p.deadline-now)
-		if p.graph = g; g == nil {
+		if p.budget = g; g == nil {
 			spent = budget.EncodeSpent(0, budget.Loop)
 			p, status, why = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
 		} else {
 			p.deadline = min(p.deadline, now+g.grant.TimeLeft)
 		}
 	}
-	if p != nil && !s.begin(p.call.Txn) {
+	if p != nil && !s.reserveTxn(p.upstreamRequest.Txn) {
 		p, status, why = nil, http.StatusConflict, "another request with this X-Txn is open"
 	}
 	if p == nil {
@@ -90,48 +90,48 @@
 		return nil, -1, a
 	}
 	if crowded {
-		s.end(p.call.Txn)
+		s.releaseTxn(p.upstreamRequest.Txn)
 		return nil, p.request.Class, &front.Response{Status: http.StatusTooManyRequests, Text: "too many connections", Close: true}
 	}
-	p.token, p.came = t, now
-	s.loop.post(arrived{p})
+	p.token, p.arrivedAt = t, now
+	s.loop.post(requestArrived{p})
 	return p, p.request.Class, nil
 }
 
 // Gone takes back what a client asked that has left; it is front.Handler's.
-func (s *callers) ClientGone(open any) {
-	p := open.(*pending)
-	p.over.Store(true) // from this moment, however long the loop's turn may take
-	s.end(p.txn)
-	s.loop.post(departed{p})
+func (s *requestHandler) ClientGone(open any) {
+	p := open.(*pendingRequest)
+	p.finished.Store(true) // from this moment, however long the loop's turn may take
+	s.releaseTxn(p.txn)
+	s.loop.post(clientDisconnected{p})
 }
 
 // begin books a request's id, unless it is another open request's: servers drop
 // repeats by it and tell attempts apart, so answers might go to the wrong client.
-func (s *callers) begin(txn string) bool {
+func (s *requestHandler) reserveTxn(txn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open[txn] {
+	if s.openTxns[txn] {
 		return false
 	}
-	s.open[txn] = true
+	s.openTxns[txn] = true
 	return true
 }
 
-func (s *callers) end(txn string) {
+func (s *requestHandler) releaseTxn(txn string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, txn)
+	delete(s.openTxns, txn)
 }
 
 // answer passes the final answer on. It does not wait.
-func (s *callers) answer(p *pending, a answer) {
-	s.end(p.txn)
+func (s *requestHandler) respond(p *pendingRequest, a answer) {
+	s.releaseTxn(p.txn)
 	to := front.Response{HeaderName: budget.SpentHeaderName, HeaderValue: a.spent, WriteDeadline: p.deadline + front.WriteGrace}
 	if a.spent == "" {
 		to.HeaderName = ""
 	}
-	switch a.ending {
+	switch a.answerStatus {
 	case served:
 		to.Status, to.ContentType, to.Body = http.StatusOK, a.response.ContentType, a.response.Body
 	case refused:
@@ -146,7 +146,7 @@
 
 // parse reads a request, or says what is wrong with it. None of the codes it
 // returns is a refusal: trying such a request again is of no use.
-func (s *callers) parse(_ http.ResponseWriter, r *http.Request, now time.Duration) (*pending, int, string) {
+func (s *requestHandler) parse(_ http.ResponseWriter, r *http.Request, now time.Duration) (*pendingRequest, int, string) {
 	// Of a request with both lengths net/http hides one, and a server or proxy that
 	// goes by the other finds a second request inside the body. Chunks are of no
 	// use here: no client needs them.
@@ -156,7 +156,7 @@
 	if !r.ProtoAtLeast(1, 1) { // there net/http drops Transfer-Encoding unseen
 		return nil, http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed"
 	}
-	for _, name := range single {
+	for _, name := range singleValueHeaders {
 		if len(r.Header.Values(name)) > 1 {
 			return nil, http.StatusBadRequest, name + " stands there twice"
 		}
@@ -170,7 +170,7 @@
 		return nil, http.StatusBadRequest, "X-Lane and the path differ"
 	}
 	key := r.Header.Get("Idempotency-Key")
-	switch effect := s.effects[class]; {
+	switch effect := s.idempotency[class]; {
 	case effect == decide.Idempotent && r.Method != http.MethodGet,
 		effect != decide.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, "the class does not go with the method"
@@ -183,13 +183,13 @@
 	}
 	ms, err := strconv.ParseUint(r.Header.Get("X-Remaining-Ms"), 10, 32)
 	wait := time.Duration(ms) * time.Millisecond
-	if err != nil || wait > mostRemaining {
+	if err != nil || wait > maxRemaining {
 		return nil, http.StatusBadRequest, "X-Remaining-Ms is missing or odd"
 	}
-	if longest := s.waits[class]; longest > 0 { // nobody waits for longer
+	if longest := s.maxWaits[class]; longest > 0 { // nobody waits for longer
 		wait = min(wait, longest)
 	}
-	p := &pending{
+	p := &pendingRequest{
 		path:     r.URL.Path,
 		txn:      txn,
 		deadline: now + wait,
@@ -201,29 +201,29 @@
 	if text := r.Header.Get("X-Estimate"); text != "" {
 		us, err := strconv.ParseUint(text, 10, 32)
 		work := time.Duration(us) * time.Microsecond
-		if err != nil || work > mostRemaining {
+		if err != nil || work > maxRemaining {
 			return nil, http.StatusBadRequest, "X-Estimate is odd"
 		}
 		p.request.Work = work
 	}
-	p.call = &upstream.Request{
+	p.upstreamRequest = &upstream.Request{
 		Method: r.Method, URI: r.RequestURI, Host: r.Host, Txn: txn, IdempotencyKey: key, ContentType: r.Header.Get("Content-Type"),
-		Finished: &p.over,
+		Finished: &p.finished,
 	}
-	if !strings.HasPrefix(p.call.URI, "/") || strings.HasPrefix(p.call.URI, "//") {
+	if !strings.HasPrefix(p.upstreamRequest.URI, "/") || strings.HasPrefix(p.upstreamRequest.URI, "//") {
 		return nil, http.StatusBadRequest, "the target is no path"
 	}
 	if r.Body == http.NoBody {
 		return p, 0, ""
 	}
-	if s.effects[class] == decide.Idempotent {
+	if s.idempotency[class] == decide.Idempotent {
 		return nil, http.StatusBadRequest, "the class takes no body"
 	}
 	if r.ContentLength > upstream.MaxBodySize {
 		return nil, http.StatusRequestEntityTooLarge, "the body is too large"
 	}
-	p.call.Body = make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(r.Body, p.call.Body); err != nil {
+	p.upstreamRequest.Body = make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(r.Body, p.upstreamRequest.Body); err != nil {
 		return nil, http.StatusRequestTimeout, "the body did not come"
 	}
 	// A request begins with its last byte.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	leastSockets  = 64 // file descriptors below which a node can't work
-	leastMemoryMB = 32
+	minSockets  = 64 // file descriptors below which a node can't work
+	minMemoryMB = 32
 )
 
 // Config is what a node is told at its start.
@@ -42,7 +42,7 @@
 	Leases        *leases.Settings  // how it takes part in the fleet's leases; nil: not at all
 	Sidecar       *Sidecar          // the one application that it serves; nil: it serves many clients
 	Routes        *routes.Table     // the operators' timing rules; nil: none
-	operator      *operator         // what Routes came from
+	operatorRules *operatorFile     // what Routes came from
 }
 
 // Sidecar is what a node is told of the application that it stands beside.
@@ -54,7 +54,7 @@
 
 // mostSocket is what a unix socket's address holds (sys/un.h: sun_path, 108
 // bytes with the end's zero).
-const mostSocket = 107
+const maxSocketPath = 107
 
 // check finds what a sidecar cannot do: it must listen where only its own host reaches it.
 func (s *Sidecar) check(listen string) error {
@@ -63,8 +63,8 @@
 		if err != nil || !at.Addr().Unmap().IsLoopback() {
 			return fmt.Errorf("listen: %q is no loopback address, and a sidecar serves its own host alone", listen)
 		}
-	} else if !filepath.IsAbs(s.Socket) || len(s.Socket) > mostSocket {
-		return fmt.Errorf("sidecar: the socket %q is no absolute path of at most %d bytes", s.Socket, mostSocket)
+	} else if !filepath.IsAbs(s.Socket) || len(s.Socket) > maxSocketPath {
+		return fmt.Errorf("sidecar: the socket %q is no absolute path of at most %d bytes", s.Socket, maxSocketPath)
 	} else if listen != "" {
 		return errors.New("sidecar: both a socket and an address to listen on")
 	}
@@ -122,11 +122,11 @@
 	if _, _, err := net.SplitHostPort(raw.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if raw.Limits.Sockets < leastSockets {
-		return nil, fmt.Errorf("limits: %d sockets, at least %d are needed", raw.Limits.Sockets, leastSockets)
+	if raw.Limits.Sockets < minSockets {
+		return nil, fmt.Errorf("limits: %d sockets, at least %d are needed", raw.Limits.Sockets, minSockets)
 	}
-	if raw.Limits.MemoryMB < leastMemoryMB {
-		return nil, fmt.Errorf("limits: %d MB of memory, at least %d are needed", raw.Limits.MemoryMB, leastMemoryMB)
+	if raw.Limits.MemoryMB < minMemoryMB {
+		return nil, fmt.Errorf("limits: %d MB of memory, at least %d are needed", raw.Limits.MemoryMB, minMemoryMB)
 	}
 	if raw.Settings == nil {
 		return nil, errors.New("no settings")
@@ -168,6 +168,6 @@
 func (c *Config) sameService(other *Config) bool {
 	a, b := *c, *other
 	a.Discovery, a.Seed, a.KnownServers = b.Discovery, b.Seed, b.KnownServers
-	a.Routes, a.operator = b.Routes, b.operator
+	a.Routes, a.operatorRules = b.Routes, b.operatorRules
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -14,9 +14,9 @@
 func (n *testNode) hold(t *testing.T) (release func()) {
 	t.Helper()
 	held, free := make(chan struct{}), make(chan struct{})
-	go n.loop.post(stepped{
+	go n.loop.post(backgroundStep{
 		step: func(time.Duration) (time.Duration, bool) { close(held); <-free; return 0, false },
-		done: make(chan result, 1),
+		done: make(chan stepResult, 1),
 	})
 	select {
 	case <-held:
@@ -31,7 +31,7 @@
 func TestClientsThatLeaveABusyLoop(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	if _, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 		t.Fatalf("answered %q", body)
 	}
--- a/internal/node/disk/folder.go
+++ b/internal/node/disk/folder.go
@@ -13,7 +13,7 @@
 
 // lockName is the file by whose lock a folder has one owner (flock(2): it ends with its
 // process, however that ends).
-const lockName = "LOCK"
+const lockFileName = "LOCK"
 
 // Folder is a store.FS.
 type Folder struct {
@@ -31,7 +31,7 @@
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("the store's folder: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("the store's folder: %w", err)
 	}
@@ -56,7 +56,7 @@
 	return f.lock.Close()
 }
 
-func (f *Folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
 // List returns the names of regular files.
 func (f *Folder) List() ([]string, error) {
@@ -75,7 +75,7 @@
 
 // Read returns a file's bytes, which must be no more than most.
 func (f *Folder) Read(name string, most int) ([]byte, error) {
-	file, err := os.Open(f.at(name))
+	file, err := os.Open(f.filePath(name))
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 
 // Create makes an empty file.
 func (f *Folder) Create(name string) (store.File, error) {
-	file, err := os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(f.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil { // no nil *os.File in the interface
 		return nil, err
 	}
@@ -100,10 +100,10 @@
 }
 
 // Rename puts a file in another's place.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+func (f *Folder) Rename(from, to string) error { return os.Rename(f.filePath(from), f.filePath(to)) }
 
 // Remove removes a file.
-func (f *Folder) Remove(name string) error { return os.Remove(f.at(name)) }
+func (f *Folder) Remove(name string) error { return os.Remove(f.filePath(name)) }
 
 // SyncDir makes names safe that were created, changed or removed.
 func (f *Folder) SyncDir() error {
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -34,7 +34,7 @@
 		f.Fatal(err)
 	}
 	clock := clock.New()
-	s := newCallers(config, clock, nil)
+	s := newRequestHandler(config, clock, nil)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
@@ -48,14 +48,14 @@
 			}
 			return
 		}
-		if p.request.Class < 0 || p.request.Class >= len(s.effects) || len(p.call.Body) > upstream.MaxBodySize ||
-			p.deadline > clock.Now()+s.waits[p.request.Class] || p.request.Work < 0 {
+		if p.request.Class < 0 || p.request.Class >= len(s.idempotency) || len(p.upstreamRequest.Body) > upstream.MaxBodySize ||
+			p.deadline > clock.Now()+s.maxWaits[p.request.Class] || p.request.Work < 0 {
 			t.Fatalf("let through %+v", p.request)
 		}
 		if first, _, _ := strings.Cut(strings.TrimPrefix(p.path, "/"), "/"); s.classes[first] != p.request.Class {
 			t.Fatalf("path %q is of class %d", p.path, p.request.Class)
 		}
-		message, err := p.call.Encode(nil, "127.0.0.1:1", "", time.Second)
+		message, err := p.upstreamRequest.Encode(nil, "127.0.0.1:1", "", time.Second)
 		if err != nil {
 			return // what can't be written is not sent
 		}
@@ -65,13 +65,13 @@
 			t.Fatalf("a server can't read %q: %v", message, err)
 		}
 		body, err := io.ReadAll(sent.Body)
-		if err != nil || !bytes.Equal(body, p.call.Body) {
-			t.Fatalf("a server reads the body %q (%v), %q came", body, err, p.call.Body)
+		if err != nil || !bytes.Equal(body, p.upstreamRequest.Body) {
+			t.Fatalf("a server reads the body %q (%v), %q came", body, err, p.upstreamRequest.Body)
 		}
 		if rest, _ := io.ReadAll(wire); len(rest) > 0 {
 			t.Fatalf("%q follows the request", rest)
 		}
-		if sent.Method != r.Method || sent.RequestURI != r.RequestURI || sent.Header.Get("X-Txn") != p.call.Txn ||
+		if sent.Method != r.Method || sent.RequestURI != r.RequestURI || sent.Header.Get("X-Txn") != p.upstreamRequest.Txn ||
 			len(sent.Header.Values("X-Txn")) != 1 || len(sent.TransferEncoding) > 0 {
 			t.Fatalf("%q became %q", text, message)
 		}
--- a/internal/node/fakes_test.go
+++ b/internal/node/fakes_test.go
@@ -48,19 +48,19 @@
 }
 
 // clients is how many connections of clients it takes.
-func (n *testNode) clients() int {
-	clients, _ := split(n.config.Sockets)
+func (n *testNode) maxClients() int {
+	clients, _ := splitSockets(n.config.Sockets)
 	return clients
 }
 
 // startNode runs a node that knows these servers from its last life.
 func startNode(t *testing.T, c *Config) *testNode {
 	t.Helper()
-	return startLogging(t, c, DiscardLogger())
+	return startNodeWithLog(t, c, DiscardLogger())
 }
 
 // startLogging does so with a log.
-func startLogging(t *testing.T, c *Config, log *slog.Logger) *testNode {
+func startNodeWithLog(t *testing.T, c *Config, log *slog.Logger) *testNode {
 	t.Helper()
 	n, err := New(c, log)
 	if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // withServers runs a node that knows the servers, with discovery down.
-func withServers(t *testing.T, servers ...*Server) *testNode {
+func startWithServers(t *testing.T, servers ...*Server) *testNode {
 	t.Helper()
 	var addrs []string
 	for _, s := range servers {
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -29,7 +29,7 @@
 	return b.String()
 }
 
-func oneOf(id int, address, lifecycle string) string {
+func listEntry(id int, address, lifecycle string) string {
 	return fmt.Sprintf(`{"instanceId":"s%d","hostPort":%q,"zone":"a","cell":%d,"lifecycle":%q,"weight":1,"startedAtMs":0}`,
 		id, address, id, lifecycle)
 }
@@ -45,7 +45,7 @@
 		t.Fatalf("answered %q", body)
 	}
 	const many = 3000
-	d.SendList(t, longListOf(2, true, many, 1, "DRAINING", oneOf(0, s.Addr(), "DRAINING")+","+oneOf(1, other.Addr(), "SERVING")))
+	d.SendList(t, longListOf(2, true, many, 1, "DRAINING", listEntry(0, s.Addr(), "DRAINING")+","+listEntry(1, other.Addr(), "SERVING")))
 	WaitFor(t, "the idle connection is closed", func() bool { _, ended := s.Connections(); return ended == 1 })
 	before := s.RequestCount()
 	// The other is known once its entry has been taken in.
@@ -53,11 +53,11 @@
 		resp, body := exchange(t, request(t, n.url, "/look/1", "", "X-Remaining-Ms", "2000"))
 		return resp.StatusCode == http.StatusOK && body == "fine"
 	})
-	WaitFor(t, "all are known", func() bool { return n.peers() == many+2 })
+	WaitFor(t, "all are known", func() bool { return n.serverCount() == many+2 })
 	// A whole list that names only one, and short ones behind long ones in their order.
-	d.SendList(t, longListOf(3, true, 500, 1, "DRAINING", oneOf(1, other.Addr(), "SERVING")))
+	d.SendList(t, longListOf(3, true, 500, 1, "DRAINING", listEntry(1, other.Addr(), "SERVING")))
 	d.SendList(t, ServerList(4, false, s.Addr()+" DRAINING"))
-	WaitFor(t, "what is not named is gone", func() bool { return n.peers() == 502 })
+	WaitFor(t, "what is not named is gone", func() bool { return n.serverCount() == 502 })
 	if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 		t.Errorf("answered %s %q", resp.Status, body)
 	}
@@ -67,9 +67,9 @@
 }
 
 // peers is how many servers the loop knows.
-func (n *testNode) peers() (count int) {
-	step := n.loop.step(func(time.Duration) (time.Duration, bool) {
-		count = len(n.loop.peers)
+func (n *testNode) serverCount() (count int) {
+	step := n.loop.backgroundStep(func(time.Duration) (time.Duration, bool) {
+		count = len(n.loop.servers)
 		return 0, false
 	})
 	step(0)
@@ -84,9 +84,9 @@
 		d := NewDiscoveryServer(t)
 		n := startNode(t, testConfig(t, d.Listener.Addr().String(), ServerList(1, true, s.Addr()), 1024))
 		var soon, later bool
-		n.loop.step(func(time.Duration) (time.Duration, bool) {
+		n.loop.backgroundStep(func(time.Duration) (time.Duration, bool) {
 			now := n.loop.now
-			n.loop.listed(&discovery.Update{List: &endpoints.List{Generation: 2}, WatchPaused: unwatched})
+			n.loop.handleList(&discovery.Update{List: &endpoints.List{Generation: 2}, WatchPaused: unwatched})
 			soon, later = n.loop.balancer.Unconfirmed(now+5*time.Second), n.loop.balancer.Unconfirmed(now+7*time.Second)
 			return 0, false
 		})(0)
@@ -109,20 +109,20 @@
 			t.Fatal(err)
 		}
 		var between, most atomic.Int64
-		lag := n.loop.lag
-		n.loop.lag = func(now, long time.Duration) { // in the loop, with each request that comes
-			if n.loop.coming.Len() > 0 {
+		lag := n.loop.reportLag
+		n.loop.reportLag = func(now, long time.Duration) { // in the loop, with each request that comes
+			if n.loop.queuedChanges.Len() > 0 {
 				between.Add(1)
 			}
 			most.Store(max(most.Load(), int64(long)))
 			lag(now, long)
 		}
 		if !steps {
-			n.loop.longList = 1 << 30
+			n.loop.maxListAtOnce = 1 << 30
 		}
 		tn := runNode(t, n)
-		d.SendList(t, longListOf(2, true, 8_000, 1, "DRAINING", oneOf(0, s.Addr(), "SERVING")))
-		WaitFor(t, "all are known", func() bool { return tn.peers() == 8_001 })
+		d.SendList(t, longListOf(2, true, 8_000, 1, "DRAINING", listEntry(0, s.Addr(), "SERVING")))
+		WaitFor(t, "all are known", func() bool { return tn.serverCount() == 8_001 })
 		stop := make(chan struct{})
 		done := make(chan struct{})
 		go func() {
@@ -168,9 +168,9 @@
 
 // generation is that of the last list that was taken in whole.
 func (n *testNode) generation() (g int) {
-	step := n.loop.step(func(time.Duration) (time.Duration, bool) {
-		if n.loop.coming.Len() == 0 {
-			g = int(n.loop.told)
+	step := n.loop.backgroundStep(func(time.Duration) (time.Duration, bool) {
+		if n.loop.queuedChanges.Len() == 0 {
+			g = int(n.loop.lastGeneration)
 		}
 		return 0, false
 	})
@@ -182,7 +182,7 @@
 // later one for what is parked already.
 func TestIdleRules(t *testing.T) {
 	box := NewServer(t, RespondWith("fine"))
-	s := newSetup(t, "[[idle]]\nfor = \"1h\"\n", box)
+	s := newNodeFiles(t, "[[idle]]\nfor = \"1h\"\n", box)
 	n := s.start()
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
@@ -210,7 +210,7 @@
 		}
 	})
 	const many = 2000
-	set := newSetup(t, "[[idle]]\nfor = \"1h\"\n")
+	set := newNodeFiles(t, "[[idle]]\nfor = \"1h\"\n")
 	set.write(set.Config, configText(DeadAddress(t), ServerList(1, true, s.Addr()), 2*many+400))
 	n := set.start()
 	var parked []*rawConn
@@ -249,7 +249,7 @@
 	for s.RequestCount() == 0 {
 		exchange(t, request(t, n.url, "/look/1", ""))
 	}
-	whole := longListOf(2, false, 1, 1, "DRAINING", oneOf(0, s.Addr(), "DRAINING"))
+	whole := longListOf(2, false, 1, 1, "DRAINING", listEntry(0, s.Addr(), "DRAINING"))
 	d.SendList(t, whole[:len(whole)-20])
 	WaitFor(t, "the idle connection is closed", func() bool { _, ended := s.Connections(); return ended > 0 })
 	before := s.RequestCount()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,39 +31,39 @@
 	// After the word to end, new connections go on coming for up to 0.4 s, and
 	// clients go on using those that they have: where there is no other node near,
 	// they have nowhere else to go. What comes last still has time for its answer.
-	stayFor  = 1500 * time.Millisecond
-	quietFor = 200 * time.Millisecond
+	minShutdownWait = 1500 * time.Millisecond
+	quietPeriod     = 200 * time.Millisecond
 	// The kill comes no sooner than the longest deadline, of which this is the
 	// most, and 0.7 s more.
-	longestWait = 3 * time.Second
-	lastMargin  = 300 * time.Millisecond
+	maxShutdownWait   = 3 * time.Second
+	finalAnswerMargin = 300 * time.Millisecond
 	// Between two looks whether there is a server to send to, at the start, and whether
 	// clients are left, at the end.
-	readyLook = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 
-	expireWithin    = 2 * time.Second // an expired connection is closed so soon
-	roomWithin      = time.Second
-	idleWithin      = time.Second
-	listWithin      = 250 * time.Millisecond // rule 3 gives 500 ms, and what drains is stopped at once
-	frontMemoryPart = 4                      // of the node's memory, for clients' connections
+	closeExpiredWithin      = 2 * time.Second // an expired connection is closed so soon
+	evictIdleWithin         = time.Second
+	closeUpstreamIdleWithin = time.Second
+	applyListWithin         = 250 * time.Millisecond // rule 3 gives 500 ms, and what drains is stopped at once
+	clientMemoryDivisor     = 4                      // of the node's memory, for clients' connections
 )
 
 // Node is one real node.
 type Node struct {
-	config   *Config
-	log      *slog.Logger
-	clock    clock.Clock
-	upstream *upstream.Pool
-	loop     *loop
-	callers  *callers
-	front    *front.Server
-	worker   *worker.Worker
-	keeper   *persist.Writer  // nil: nothing is kept over restarts
-	members  *members.Members // nil: this node knows nothing of the others
-	leases   *leases.Leases   // nil: it takes no part in the fleet's leases
-	address  net.Addr
-	jobs     jobs
-	stop     context.CancelFunc // ends the loop, its attempts and discovery
+	config      *Config
+	log         *slog.Logger
+	clock       clock.Clock
+	upstream    *upstream.Pool
+	loop        *loop
+	handler     *requestHandler
+	front       *front.Server
+	worker      *worker.Worker
+	stateWriter *persist.Writer  // nil: nothing is kept over restarts
+	members     *members.Members // nil: this node knows nothing of the others
+	leases      *leases.Leases   // nil: it takes no part in the fleet's leases
+	address     net.Addr
+	jobs        jobs
+	stop        context.CancelFunc // ends the loop, its attempts and discovery
 
 	// Reload's own.
 	reloads, badReloads int
@@ -72,29 +72,29 @@
 
 // jobs are the node's kinds of background work.
 type jobs struct {
-	expired, room, release, recheck, closing, idle, list, attempts, keep, served *worker.Job
+	closeExpired, evictIdle, releaseBuffers, reapplyRules, closeParked, closeUpstreamIdle, applyList, expireLedger, writeState, recordServed *worker.Job
 }
 
 // New makes a node and binds its address.
 func New(c *Config, log *slog.Logger) (*Node, error) {
 	n := &Node{config: c, log: log, clock: clock.New()}
-	clients, attempts := split(c.Sockets)
+	clients, attempts := splitSockets(c.Sockets)
 	n.worker = worker.New(background.Config{}, n.clock.Now, log)
 	n.upstream = upstream.New(n.clock, upstream.NewConnLimiter(attempts), &c.Settings)
 	inner, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
-	n.loop.lag = n.worker.ReportLag
-	n.upstream.OnClose(n.loop.trace.closes())
+	n.loop.reportLag = n.worker.ReportLag
+	n.upstream.OnClose(n.loop.trace.closeLogger())
 	place := endpoints.FleetPosition{
 		NodeIndex: c.Settings.Node, NodeCount: c.Settings.Nodes, Tier: c.Settings.Tier, ListObligation: c.Settings.ResubscribeWithin,
 		Pushed: !c.Settings.MustSubscribe, Seed: c.Seed,
 	}
 	n.loop.discovery = discovery.New(c.Discovery, place, log, func(u discovery.Update) { n.loop.post(u) })
 	n.loop.budgets = newBudgets(c, log)
-	n.callers = newCallers(c, n.clock, n.loop)
-	n.callers.budgets = n.loop.budgets
-	n.loop.answer = n.callers.answer
+	n.handler = newRequestHandler(c, n.clock, n.loop)
+	n.handler.budgets = n.loop.budgets
+	n.loop.respond = n.handler.respond
 	l, err := listen(c)
 	if err != nil {
 		return nil, fmt.Errorf("listening: %w", err)
@@ -119,32 +119,32 @@
 		stood = func() bool { return n.members.RecentlyPaused() }
 	}
 	n.front = front.New(front.Config{
-		Transport: transport, Handler: n.callers, Log: log, Now: n.clock.Now,
-		MaxConns: clients, MaxRefusalConns: spareSockets, MemoryBudget: c.MemoryMB << 20 / frontMemoryPart,
-		ClassWorths: worths, MaxHeadSize: mostHeader, MaxBodySize: upstream.MaxBodySize,
+		Transport: transport, Handler: n.handler, Log: log, Now: n.clock.Now,
+		MaxConns: clients, MaxRefusalConns: refusalSockets, MemoryBudget: c.MemoryMB << 20 / clientMemoryDivisor,
+		ClassWorths: worths, MaxHeadSize: maxHeaderBytes, MaxBodySize: upstream.MaxBodySize,
 		EvictionPolicy: policy, RememberedClients: habits, IdleRules: c.Routes.Idle(),
 		Hooks: front.Hooks{
-			CloseExpired:   func() { n.jobs.expired.Wake(expireWithin) },
-			EvictIdle:      func() { n.jobs.room.Wake(roomWithin) },
-			ReleaseBuffers: func() { n.jobs.release.Wake(0) },
-			ReapplyRules:   func() { n.jobs.recheck.Wake(0) },
+			CloseExpired:   func() { n.jobs.closeExpired.Wake(closeExpiredWithin) },
+			EvictIdle:      func() { n.jobs.evictIdle.Wake(evictIdleWithin) },
+			ReleaseBuffers: func() { n.jobs.releaseBuffers.Wake(0) },
+			ReapplyRules:   func() { n.jobs.reapplyRules.Wake(0) },
 			ProcessStalled: stood,
 		},
 	})
-	n.callers.front = n.front
+	n.handler.front = n.front
 	n.idleRules = c.Routes.Idle() != nil
 	n.jobs = jobs{
-		expired: n.worker.Add("closing what has idled too long", background.Reclaim, n.front.CloseExpired),
-		room:    n.worker.Add("closing for newcomers", background.Reclaim, n.front.EvictIdle),
-		release: n.worker.Add("giving buffers back", background.Optional, n.front.ReleaseBuffers),
-		recheck: n.worker.Add("bringing idle connections to new rules", background.Cleanup, n.front.ReapplyRules),
-		closing: n.worker.Add("closing what is parked at the end", background.Obligation, n.front.CloseParked),
-		list:    n.worker.Add("taking in a list", background.Obligation, n.loop.step(n.loop.takeIn)),
-		idle:    n.worker.Add("closing idle connections to servers", background.Reclaim, n.upstream.CloseExpired),
+		closeExpired:      n.worker.Add("closing what has idled too long", background.Reclaim, n.front.CloseExpired),
+		evictIdle:         n.worker.Add("closing for newcomers", background.Reclaim, n.front.EvictIdle),
+		releaseBuffers:    n.worker.Add("giving buffers back", background.Optional, n.front.ReleaseBuffers),
+		reapplyRules:      n.worker.Add("bringing idle connections to new rules", background.Cleanup, n.front.ReapplyRules),
+		closeParked:       n.worker.Add("closing what is parked at the end", background.Obligation, n.front.CloseParked),
+		applyList:         n.worker.Add("taking in a list", background.Obligation, n.loop.backgroundStep(n.loop.applyQueuedChanges)),
+		closeUpstreamIdle: n.worker.Add("closing idle connections to servers", background.Reclaim, n.upstream.CloseExpired),
 	}
-	n.loop.entries = func() { n.jobs.list.Wake(listWithin) }
+	n.loop.scheduleApplyList = func() { n.jobs.applyList.Wake(applyListWithin) }
 	if n.loop.budgets != nil {
-		n.jobs.attempts = n.worker.Add("forgetting old attempts of budgets", background.Cleanup, n.loop.step(n.loop.forgetOld))
+		n.jobs.expireLedger = n.worker.Add("forgetting old attempts of budgets", background.Cleanup, n.loop.backgroundStep(n.loop.expireLedger))
 	}
 	if c.Members != nil {
 		set := *c.Members
@@ -154,8 +154,8 @@
 			return nil, err
 		}
 		if !set.UnpooledBudgets {
-			n.loop.pool = newPool(n.members, c, n.clock.Now())
-			n.members.OnGrant(func(from uint64, g *allowance.Grant) { n.loop.post(granted{from, g}) })
+			n.loop.pool = newColdServerPool(n.members, c, n.clock.Now())
+			n.members.OnGrant(func(from uint64, g *allowance.Grant) { n.loop.post(grantReceived{from, g}) })
 		}
 	}
 	if c.Leases != nil {
@@ -164,28 +164,28 @@
 			return nil, err
 		}
 	}
-	n.remember()
-	if c.Leases != nil && c.Leases.ShareLists && n.loop.past != nil {
-		ask, hand, list := n.loop.recordLoop()
-		n.loop.record = bootstrap.New(bootstrap.Settings{
-			Name: c.Name, Site: c.Settings.Zone, Seeds: c.Members.Seeds, HasList: len(n.loop.past.known.Servers) > 0,
+	n.openState()
+	if c.Leases != nil && c.Leases.ShareLists && n.loop.saved != nil {
+		ask, hand, list := n.loop.bootstrapHooks()
+		n.loop.bootstrap = bootstrap.New(bootstrap.Settings{
+			Name: c.Name, Site: c.Settings.Zone, Seeds: c.Members.Seeds, HasList: len(n.loop.saved.restored.Servers) > 0,
 		}, n.members, n.leases, bootstrap.Hooks{AllowDiscovery: ask, DeliverList: hand, CurrentList: list}, log)
 	}
 	sweeps := 0
-	n.loop.tidy = func() {
-		n.jobs.idle.Wake(idleWithin)
-		if n.jobs.attempts != nil {
-			n.jobs.attempts.Wake(0)
+	n.loop.onSweep = func() {
+		n.jobs.closeUpstreamIdle.Wake(closeUpstreamIdleWithin)
+		if n.jobs.expireLedger != nil {
+			n.jobs.expireLedger.Wake(0)
 		}
-		if sweeps++; n.jobs.served != nil && sweeps%rememberEvery == 0 {
-			n.jobs.served.Wake(0)
+		if sweeps++; n.jobs.recordServed != nil && sweeps%recordServedEvery == 0 {
+			n.jobs.recordServed.Wake(0)
 		}
 	}
 	return n, nil
 }
 
 // remember opens what the node keeps over its restarts. Whatever is wrong with it, the node starts.
-func (n *Node) remember() {
+func (n *Node) openState() {
 	state := n.config.State
 	set := persist.Settings{Folder: state.Folder, MaxMB: state.MaxMB}
 	var k *persist.Writer
@@ -202,23 +202,23 @@
 			return
 		}
 	}
-	n.keeper = k
-	n.loop.past = newPast(k, known, n.config, n.clock.WallTime(n.clock.Now()))
-	n.jobs.keep = n.worker.Add("writing what is remembered", background.Cleanup, k.Step)
-	n.jobs.served = n.worker.Add("noting who has served", background.Optional, n.loop.step(n.loop.noteServed))
-	k.SetWake(n.jobs.keep.Wake)
+	n.stateWriter = k
+	n.loop.saved = newSavedState(k, known, n.config, n.clock.WallTime(n.clock.Now()))
+	n.jobs.writeState = n.worker.Add("writing what is remembered", background.Cleanup, k.Step)
+	n.jobs.recordServed = n.worker.Add("noting who has served", background.Optional, n.loop.backgroundStep(n.loop.recordServedServers))
+	k.SetWake(n.jobs.writeState.Wake)
 }
 
 // leavePatience is how long the node's end waits for the other members' word.
-const leavePatience = 2 * time.Second
+const leaveTimeout = 2 * time.Second
 
 // keeperPatience is how long the node's end waits for the disk.
-const keeperPatience = 500 * time.Millisecond
+const stateWriterTimeout = 500 * time.Millisecond
 
 // WaitReady waits until the node serves and has a server to send to, or the
 // context ends.
 func (n *Node) WaitReady(ctx context.Context) error {
-	look := time.NewTicker(readyLook)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	for !n.loop.ready.Load() {
 		select {
@@ -259,12 +259,12 @@
 	}
 	// The next start would go by the new settings, and these are checked; the rows
 	// are used with the settings that run.
-	table, err := c.operator.check(n.config)
+	table, err := c.operatorRules.check(n.config)
 	if err != nil {
 		return fmt.Errorf("with the settings that run: %w", err)
 	}
 	done := make(chan struct{})
-	n.loop.post(reloaded{table, c.Discovery, done})
+	n.loop.post(configReloaded{table, c.Discovery, done})
 	select {
 	case <-done:
 	case <-n.loop.ctx.Done():
@@ -287,12 +287,12 @@
 	defer parts.Wait()
 	defer n.stop()
 	parts.Go(func() { n.loop.run(n.config.KnownServers) })
-	since := n.loop.past.since(n.config.KnownServers)
-	if n.keeper != nil {
-		go n.keeper.Run(inner)
+	since := n.loop.saved.watchFrom(n.config.KnownServers)
+	if n.stateWriter != nil {
+		go n.stateWriter.Run(inner)
 		defer func() {
 			n.stop()
-			if err := n.keeper.Wait(keeperPatience); err != nil {
+			if err := n.stateWriter.Wait(stateWriterTimeout); err != nil {
 				n.log.Warn("ending", "err", err)
 			}
 		}()
@@ -307,8 +307,8 @@
 	if n.leases != nil {
 		parts.Go(func() { n.leases.Run(inner) })
 	}
-	if n.loop.record != nil {
-		parts.Go(func() { n.loop.record.Run(inner) })
+	if n.loop.bootstrap != nil {
+		parts.Go(func() { n.loop.bootstrap.Run(inner) })
 	}
 	broke := make(chan struct{})
 	parts.Go(func() {
@@ -320,35 +320,35 @@
 		return errors.New("serving: the listener has ended")
 	case <-ctx.Done():
 	}
-	err := n.leave()
+	err := n.shutDown()
 	n.upstream.CloseIdle()
 	return err
 }
 
 // leave ends the service in order. Closing the listener at once would reset the
 // connections that wait in its backlog.
-func (n *Node) leave() error {
+func (n *Node) shutDown() error {
 	begun := n.clock.Now()
 	n.log.Info("ending")
-	n.callers.leaving.Store(true)
+	n.handler.shuttingDown.Store(true)
 	if n.members != nil { // the others need not find out by themselves
 		var parts sync.WaitGroup
 		defer parts.Wait()
 		parts.Go(func() {
 			if n.leases != nil { // while the others still know where this node is
-				n.leases.Leave(leavePatience / 2)
+				n.leases.Leave(leaveTimeout / 2)
 			}
-			n.members.Leave(leavePatience)
+			n.members.Leave(leaveTimeout)
 		})
 	}
 	longest := time.Duration(0)
 	for _, c := range n.config.Settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	last := begun + min(longest, longestWait) + lastMargin
+	last := begun + min(longest, maxShutdownWait) + finalAnswerMargin
 	for {
 		now := n.clock.Now()
-		quietAt := max(begun+stayFor, n.front.LastAccept()+quietFor)
+		quietAt := max(begun+minShutdownWait, n.front.LastAccept()+quietPeriod)
 		if now >= min(quietAt, last) {
 			break
 		}
@@ -359,19 +359,19 @@
 	if err := n.front.CloseListener(); err != nil {
 		return fmt.Errorf("ending: %w", err)
 	}
-	n.jobs.closing.Wake((last - n.clock.Now()) / 2)
-	if n.emptied(last) {
+	n.jobs.closeParked.Wake((last - n.clock.Now()) / 2)
+	if n.waitForClients(last) {
 		return nil
 	}
 	// What is left has no time: it gets its answer from the loop, and a moment to leave.
-	n.loop.post(closing{})
-	n.emptied(n.clock.Now() + lastMargin/2)
+	n.loop.post(shutdownRequested{})
+	n.waitForClients(n.clock.Now() + finalAnswerMargin/2)
 	return nil
 }
 
 // emptied waits until no client is connected, and tells whether that was in time.
-func (n *Node) emptied(last time.Duration) bool {
-	look := time.NewTicker(readyLook)
+func (n *Node) waitForClients(last time.Duration) bool {
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	for n.front.OpenConns() > 0 {
 		if n.clock.Now() >= last {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,7 +23,7 @@
 		w.Header().Set("Content-Type", "application/x-unit")
 		io.WriteString(w, "state\x00\xff")
 	})
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	const path = "/note/a%2Fb//c%20d;x?q=%41&&r=1+2"
 	r := request(t, n.url, "/note/x", "body\x00\xff", "Content-Type", "text/odd",
 		"X-Txn", "9b1f03aa5c7e2d41")
@@ -65,7 +65,7 @@
 				io.WriteString(w, "warm")
 			}
 			s, other := NewServer(t, handler), NewServer(t, handler) // in cells of their own
-			n := withServers(t, s, other)
+			n := startWithServers(t, s, other)
 			for tries := 0; s.RequestCount() == 0 || other.RequestCount() == 0; tries++ {
 				if resp, body := exchange(t, request(t, n.url, "/"+class+"/1", "x")); body != "warm" || tries > 200 {
 					t.Fatalf("warming up: %s %q after %d", resp.Status, body, tries)
@@ -166,7 +166,7 @@
 // and the attempt must be called off, for its server's sake.
 func TestAnswersInTime(t *testing.T) {
 	s := NewServer(t, Hang)
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	begun := time.Now()
 	resp, _ := exchange(t, request(t, n.url, "/act/1", "x", "X-Remaining-Ms", "700"))
 	if took := time.Since(begun); resp.StatusCode < 500 || resp.StatusCode == 503 || took < 500*time.Millisecond {
@@ -186,7 +186,7 @@
 func TestClientGone(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, Hang)
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
 	WaitFor(t, "the attempt is out", func() bool { return s.RequestCount() == 1 })
@@ -202,7 +202,7 @@
 func TestClientEndsItsSending(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, Hang)
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
 	WaitFor(t, "the attempt is out", func() bool { return s.RequestCount() == 1 })
@@ -218,7 +218,7 @@
 func TestConnectionsAreReused(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	for range 20 {
 		if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
 			t.Fatalf("answered %s %q", resp.Status, body)
@@ -233,7 +233,7 @@
 // idle connection before its next use failed, and a good connection was closed.
 func TestDeadlineEndsWithItsAttempt(t *testing.T) {
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	exchange(t, request(t, n.url, "/look/1", "", "X-Remaining-Ms", "1000"))
 	time.Sleep(1100 * time.Millisecond) // until the deadline has surely passed
 	if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
@@ -249,7 +249,7 @@
 func TestConnectionClosedWhileIdle(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	for i := range 5 {
 		if resp, body := exchange(t, request(t, n.url, "/act/1", "x")); body != "fine" {
 			t.Fatalf("request %d: answered %s %q", i, resp.Status, body)
@@ -264,7 +264,7 @@
 // The node must start from its last list alone while discovery is down.
 func TestReady(t *testing.T) {
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	get := func(n *testNode) int {
 		resp, err := http.Get(n.url + "/ready")
 		if err != nil {
@@ -292,7 +292,7 @@
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	const head = " HTTP/1.1\r\nHost: app.svc\r\n"
 	const common = "X-Txn: 1\r\nX-Remaining-Ms: 15000\r\n"
 	for name, text := range map[string]string{
@@ -352,7 +352,7 @@
 		<-release
 		io.WriteString(w, "fine")
 	})
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	first, second := dialRaw(t, n), dialRaw(t, n)
 	text := rawLook()
 	first.send(t, text)
@@ -366,9 +366,9 @@
 		t.Errorf("the first got %s", resp.Status)
 	}
 	WaitFor(t, "the id is free", func() bool {
-		n.callers.mu.Lock()
-		defer n.callers.mu.Unlock()
-		return len(n.callers.open) == 0
+		n.handler.mu.Lock()
+		defer n.handler.mu.Unlock()
+		return len(n.handler.openTxns) == 0
 	})
 	if s.RequestCount() != 1 {
 		t.Errorf("%d attempts", s.RequestCount())
@@ -387,7 +387,7 @@
 		}
 		io.WriteString(w, "fine")
 	})
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	slow := dialRaw(t, n)
 	slow.send(t, strings.Replace(rawLook(), "/look/1", "/look/slow", 1))
 	WaitFor(t, "the slow request is out", func() bool { return s.RequestCount() == 1 })
@@ -397,7 +397,7 @@
 		t.Fatalf("before the end: %s, close %v", resp.Status, resp.Close)
 	}
 	n.cancel()
-	WaitFor(t, "the end has begun", n.callers.leaving.Load)
+	WaitFor(t, "the end has begun", n.handler.shuttingDown.Load)
 	late := dialRaw(t, n)
 	for name, c := range map[string]*rawConn{"a newcomer": late, "a kept connection": kept} {
 		c.send(t, rawLook())
@@ -424,7 +424,7 @@
 // fails it in the module's place, and calls its attempt off.
 func TestPlannedEndFailsWhatIsLeft(t *testing.T) {
 	s := NewServer(t, Hang)
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	c := dialRaw(t, n)
 	c.send(t, rawLook())
 	WaitFor(t, "the attempt is out", func() bool { return s.RequestCount() == 1 })
@@ -443,8 +443,8 @@
 func TestNothingBeginsOnceClosed(t *testing.T) {
 	t.Parallel()
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
-	n.loop.post(closing{})
+	n := startWithServers(t, s)
+	n.loop.post(shutdownRequested{})
 	if resp, _ := exchange(t, request(t, n.url, "/look/1", "")); resp.StatusCode != 502 {
 		t.Errorf("answered %s", resp.Status)
 	}
@@ -457,8 +457,8 @@
 // attempts made for them.
 func TestSilentClientsStarveNobody(t *testing.T) {
 	s := NewServer(t, RespondWith("fine"))
-	n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), leastSockets))
-	for range 3 * n.clients() {
+	n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), minSockets))
+	for range 3 * n.maxClients() {
 		dialRaw(t, n)
 	}
 	if resp, body := exchange(t, request(t, n.url, "/look/1", "")); body != "fine" {
@@ -475,10 +475,10 @@
 		<-release
 		io.WriteString(w, "fine")
 	})
-	n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), leastSockets))
+	n := startNode(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), minSockets))
 	defer close(release)
 	all := func() int { return n.front.Stats().Busy }
-	for i := range n.clients() {
+	for i := range n.maxClients() {
 		dialRaw(t, n).send(t, rawLook())
 		WaitFor(t, "its request is open", func() bool { return all() == i+1 })
 	}
@@ -493,7 +493,7 @@
 // than a moment: 3 s are owed, whatever time its request would leave.
 func TestHalfRequestsEnd(t *testing.T) {
 	s := NewServer(t, RespondWith("fine"))
-	n := withServers(t, s)
+	n := startWithServers(t, s)
 	for name, text := range map[string]string{
 		"nothing":     "",
 		"half a head": "POST /act/1 HTTP/1.1\r\nHost: app.svc\r\n",
@@ -518,7 +518,7 @@
 // the memory, and the client waits meanwhile.
 func TestDeclaredLength(t *testing.T) {
 	t.Parallel()
-	n := withServers(t, NewServer(t, RespondWith("fine")))
+	n := startWithServers(t, NewServer(t, RespondWith("fine")))
 	c := dialRaw(t, n)
 	c.send(t, "POST /act/1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: 1\r\nX-Remaining-Ms: 15000\r\nContent-Length: 60000000\r\n\r\n")
 	if resp := c.receive(t); resp.StatusCode != 413 || !resp.Close {
@@ -559,7 +559,7 @@
 			io.WriteString(w, r.URL.Path)
 		}
 	}
-	n := withServers(t, NewServer(t, odd), NewServer(t, odd), NewServer(t, RespondWith("")))
+	n := startWithServers(t, NewServer(t, odd), NewServer(t, odd), NewServer(t, RespondWith("")))
 	var clients sync.WaitGroup
 	var answered atomic.Int64
 	for i := range 8 {
@@ -591,8 +591,8 @@
 		t.Errorf("ended with %v", err)
 	}
 	left := n.front.OpenConns() + n.upstream.OpenConns()
-	if len(n.loop.pending) != 0 || len(n.callers.open) != 0 || left != 0 {
-		t.Errorf("left over: %d requests, %d ids, %d sockets", len(n.loop.pending), len(n.callers.open), left)
+	if len(n.loop.pending) != 0 || len(n.handler.openTxns) != 0 || left != 0 {
+		t.Errorf("left over: %d requests, %d ids, %d sockets", len(n.loop.pending), len(n.handler.openTxns), left)
 	}
 }
 
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -37,8 +37,8 @@
 	Mu       sync.Mutex // guards what follows
 	Requests []*http.Request
 	Bodies   []string
-	conns    int
-	ended    int
+	opened   int
+	closed   int
 }
 
 func NewServer(t *testing.T, handler http.HandlerFunc) *Server {
@@ -56,9 +56,9 @@
 		defer s.Mu.Unlock()
 		switch state {
 		case http.StateNew:
-			s.conns++
+			s.opened++
 		case http.StateClosed, http.StateHijacked:
-			s.ended++
+			s.closed++
 		}
 	}
 	s.Start()
@@ -81,7 +81,7 @@
 func (s *Server) Connections() (came, ended int) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	return s.conns, s.ended
+	return s.opened, s.closed
 }
 
 func RespondWith(text string) http.HandlerFunc {
@@ -103,21 +103,21 @@
 // DiscoveryServer answers watches as the test says, one answer a call.
 type DiscoveryServer struct {
 	*httptest.Server
-	answers chan string // a list, or "" for a call that fails
-	mu      sync.Mutex
-	queries []string
+	responses chan string // a list, or "" for a call that fails
+	mu        sync.Mutex
+	queries   []string
 }
 
 func NewDiscoveryServer(t *testing.T) *DiscoveryServer {
 	t.Helper()
-	d := &DiscoveryServer{answers: make(chan string)}
+	d := &DiscoveryServer{responses: make(chan string)}
 	end := make(chan struct{})
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.queries = append(d.queries, r.URL.RawQuery)
 		d.mu.Unlock()
 		select {
-		case a := <-d.answers:
+		case a := <-d.responses:
 			if a == "" {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
@@ -138,7 +138,7 @@
 func (d *DiscoveryServer) SendList(t *testing.T, list string) {
 	t.Helper()
 	select {
-	case d.answers <- list:
+	case d.responses <- list:
 	case <-time.After(WaitTimeout):
 		t.Fatal("the node did not ask discovery")
 	}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -24,13 +24,13 @@
 }
 
 // mostTold is how many findings a log line holds.
-const mostTold = 8
+const maxLoggedFindings = 8
 
 // Error tells all findings, or the first and how many more, on one line.
 func (f *Findings) Error() string {
 	var lines []string
 	for i := range f.All {
-		if i == mostTold {
+		if i == maxLoggedFindings {
 			lines = append(lines, fmt.Sprintf("and %d more", len(f.All)-i))
 			break
 		}
@@ -45,7 +45,7 @@
 	c, err := ReadConfig(f.Config)
 	if err == nil && f.Local != "" {
 		var own LocalSettings
-		own, err = readOwn(f.Local)
+		own, err = readLocalSettings(f.Local)
 		c.State, c.Members, c.Leases = own.State, own.Members, own.Leases
 		if c.Leases != nil {
 			c.Leases.Name, c.Leases.Site = c.Name, c.Settings.Zone
@@ -62,9 +62,9 @@
 		return nil, &Findings{f.Operator, []routes.Finding{{Code: routes.Unreadable, Text: err.Error()}}}
 	}
 	file, findings := routes.Parse(text)
-	c.operator = &operator{file: file, name: f.Operator}
+	c.operatorRules = &operatorFile{file: file, name: f.Operator}
 	var more *Findings
-	if c.Routes, err = c.operator.check(c); errors.As(err, &more) {
+	if c.Routes, err = c.operatorRules.check(c); errors.As(err, &more) {
 		findings = append(findings, more.All...)
 	}
 	if len(findings) > 0 {
@@ -75,14 +75,14 @@
 }
 
 // operator is the operators' file as it was read.
-type operator struct {
+type operatorFile struct {
 	file *routes.File
 	name string
 }
 
 // check checks the file against a configuration, which need not be the one that
 // it came with.
-func (o *operator) check(c *Config) (*routes.Table, error) {
+func (o *operatorFile) check(c *Config) (*routes.Table, error) {
 	if o == nil {
 		return nil, nil
 	}
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -18,15 +18,15 @@
 )
 
 // setup is a node's files in a folder of the test's.
-type setup struct {
+type nodeFiles struct {
 	t *testing.T
 	Files
 }
 
-func newSetup(t *testing.T, operator string, servers ...*Server) *setup {
+func newNodeFiles(t *testing.T, operator string, servers ...*Server) *nodeFiles {
 	t.Helper()
 	dir := t.TempDir()
-	s := &setup{t, Files{Config: filepath.Join(dir, "config.json"), Operator: filepath.Join(dir, "operator.toml")}}
+	s := &nodeFiles{t, Files{Config: filepath.Join(dir, "config.json"), Operator: filepath.Join(dir, "operator.toml")}}
 	var addrs []string
 	for _, server := range servers {
 		addrs = append(addrs, server.Addr())
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *setup) write(path, text string) {
+func (s *nodeFiles) write(path, text string) {
 	s.t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -47,7 +47,7 @@
 }
 
 // start runs a node by the files.
-func (s *setup) start() *testNode {
+func (s *nodeFiles) start() *testNode {
 	s.t.Helper()
 	c, err := s.Read()
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // lasting tells how long each attempt was to last, as the server was told.
-func lasting(s *Server) []int {
+func attemptTimeouts(s *Server) []int {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	var all []int
@@ -79,18 +79,18 @@
 // often as the route says, and the server be told how long the node waits.
 func TestRouteOnTheSockets(t *testing.T) {
 	a, b := NewServer(t, Hang), NewServer(t, Hang)
-	n := newSetup(t, route("look", `attempt_timeout = "120ms"`, "attempts = 2")+
+	n := newNodeFiles(t, route("look", `attempt_timeout = "120ms"`, "attempts = 2")+
 		route("look", `path = "/look/patient"`, "attempts = 1", `attempt_timeout = "200ms"`), a, b).start()
 	resp, _ := exchange(t, request(t, n.url, "/look/1", ""))
 	if resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("answered %s", resp.Status)
 	}
-	got := append(lasting(a), lasting(b)...)
+	got := append(attemptTimeouts(a), attemptTimeouts(b)...)
 	if len(got) != 2 || slices.Max(got) > 120 || slices.Min(got) < 1 {
 		t.Errorf("attempts of %v ms, want 2 of up to 120", got)
 	}
 	exchange(t, request(t, n.url, "/look/patient/7", ""))
-	if got = append(lasting(a), lasting(b)...); len(got) != 3 || slices.Max(got) <= 120 || slices.Max(got) > 200 {
+	if got = append(attemptTimeouts(a), attemptTimeouts(b)...); len(got) != 3 || slices.Max(got) <= 120 || slices.Max(got) > 200 {
 		t.Errorf("attempts of %v ms, want one more of up to 200", got)
 	}
 }
@@ -99,7 +99,7 @@
 // under; the next one has the new ones.
 func TestReloadSparesWhatIsUnderWay(t *testing.T) {
 	a, b := NewServer(t, Hang), NewServer(t, Hang)
-	s := newSetup(t, route("look", `attempt_timeout = "400ms"`, "attempts = 3"), a, b)
+	s := newNodeFiles(t, route("look", `attempt_timeout = "400ms"`, "attempts = 3"), a, b)
 	n := s.start()
 	var done sync.WaitGroup
 	done.Go(func() { exchange(t, request(t, n.url, "/look/1", "")) })
@@ -109,12 +109,12 @@
 		t.Fatal(err)
 	}
 	done.Wait()
-	got := append(lasting(a), lasting(b)...)
+	got := append(attemptTimeouts(a), attemptTimeouts(b)...)
 	if len(got) != 3 || slices.Min(got) <= 50 {
 		t.Errorf("attempts of %v ms, want 3 of up to 400", got)
 	}
 	exchange(t, request(t, n.url, "/look/2", ""))
-	if got = append(lasting(a), lasting(b)...); len(got) != 4 || slices.Min(got) > 50 {
+	if got = append(attemptTimeouts(a), attemptTimeouts(b)...); len(got) != 4 || slices.Min(got) > 50 {
 		t.Errorf("attempts of %v ms, want one more of up to 50", got)
 	}
 }
@@ -125,7 +125,7 @@
 	good := route("look", `attempt_timeout = "100ms"`, "attempts = 1")
 	loose := route("look", `attempt_timeout = "3s"`, "attempts = 1") // must never apply
 	a := NewServer(t, Hang)
-	s := newSetup(t, good, a)
+	s := newNodeFiles(t, good, a)
 	c, err := s.Read()
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 		}
 	}
 	exchange(t, request(t, n.url, "/look/1", ""))
-	if got := lasting(a); len(got) != 1 || got[0] > 100 {
+	if got := attemptTimeouts(a); len(got) != 1 || got[0] > 100 {
 		t.Errorf("attempts of %v ms, want one of up to 100: a bad file was applied", got)
 	}
 	s.write(s.Operator, route("look", `attempt_timeout = "60ms"`, "attempts = 1"))
@@ -178,14 +178,14 @@
 		t.Fatal(err)
 	}
 	exchange(t, request(t, n.url, "/look/2", ""))
-	if got := lasting(a); len(got) != 2 || got[1] > 60 {
+	if got := attemptTimeouts(a); len(got) != 2 || got[1] > 60 {
 		t.Errorf("attempts of %v ms, want a second of up to 60", got)
 	}
 }
 
 // A node must not start with a file that breaks a rule.
 func TestBadOperatorFileEndsTheStart(t *testing.T) {
-	s := newSetup(t, route("act", `retry_on = ["reset"]`))
+	s := newNodeFiles(t, route("act", `retry_on = ["reset"]`))
 	_, err := s.Read()
 	findings, ok := err.(*Findings)
 	if !ok || len(findings.All) != 1 || findings.All[0].Code != routes.RetryUnsafe {
@@ -195,7 +195,7 @@
 
 // A log line stays a line of bearable length, however many faults there are.
 func TestManyFindingsOnOneLine(t *testing.T) {
-	s := newSetup(t, strings.Repeat(route("nowhere", "attempts = 2"), 500))
+	s := newNodeFiles(t, strings.Repeat(route("nowhere", "attempts = 2"), 500))
 	_, err := s.Read()
 	if err == nil || strings.Contains(err.Error(), "\n") || len(err.Error()) > 4096 || !strings.Contains(err.Error(), "more") {
 		t.Errorf("got %d bytes: %.200s", len(err.Error()), err)
--- a/internal/node/own.go
+++ b/internal/node/own.go
@@ -31,16 +31,16 @@
 }
 
 const (
-	leastStateMB, usualStateMB, mostStateMB = 1, 16, 64
+	minStateMB, defaultStateMB, maxStateMB = 1, 16, 64
 )
 
 // readOwn reads the node's own settings. The error names file, line, key, value and bound of each fault.
-func readOwn(path string) (LocalSettings, error) {
+func readLocalSettings(path string) (LocalSettings, error) {
 	text, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
 		return LocalSettings{}, fmt.Errorf("the node's own settings: %w", err)
 	}
-	s, faults := parseOwn(text)
+	s, faults := parseLocalSettings(text)
 	if len(faults) > 0 {
 		return LocalSettings{}, errors.New(path + ":" + strings.Join(faults, "; "+path+":"))
 	}
@@ -48,20 +48,20 @@
 }
 
 // ownReader reads the tables of a node's own settings.
-type ownReader struct{ faults []string }
+type localSettingsReader struct{ faults []string }
 
-func (r *ownReader) fault(v document.Value, key, format string, args ...any) {
+func (r *localSettingsReader) fault(v document.Value, key, format string, args ...any) {
 	r.faults = append(r.faults, fmt.Sprintf("%d: %s = %s: ", v.Line, key, v.Text)+fmt.Sprintf(format, args...))
 }
 
-func (r *ownReader) missing(v document.Value, key string) {
+func (r *localSettingsReader) missing(v document.Value, key string) {
 	r.faults = append(r.faults, fmt.Sprintf("%d: %s: it is missing", max(1, v.Line), key))
 }
 
 // parseOwn reads them from the text. Faults begin with their line.
-func parseOwn(text []byte) (LocalSettings, []string) {
+func parseLocalSettings(text []byte) (LocalSettings, []string) {
 	top, wrong := document.Parse(text)
-	r := &ownReader{}
+	r := &localSettingsReader{}
 	for _, f := range wrong {
 		r.faults = append(r.faults, fmt.Sprintf("%d: %s: %s", f.Line, cmp.Or(f.Key, "form"), f.Text))
 	}
@@ -77,7 +77,7 @@
 		case ok && key == "leases":
 			own.Leases = r.leases(t)
 		case ok && key == "trial":
-			own.FaultFolder = r.trial(v, t, os.Getenv(trialEnv) == trialSays)
+			own.FaultFolder = r.trial(v, t, os.Getenv(faultInjectionEnv) == faultInjectionValue)
 		default:
 			r.fault(v, key, "there are only the tables [state], [members] and [leases]")
 		}
@@ -100,8 +100,8 @@
 	return own, nil
 }
 
-func (r *ownReader) state(v document.Value, t *document.Table) State {
-	s := State{MaxMB: usualStateMB}
+func (r *localSettingsReader) state(v document.Value, t *document.Table) State {
+	s := State{MaxMB: defaultStateMB}
 	for _, key := range t.KeyOrder {
 		v := t.Values[key]
 		switch key {
@@ -113,8 +113,8 @@
 			s.Folder = folder
 		case "most_mb":
 			n, ok := v.V.(int64)
-			if !ok || n < leastStateMB || n > mostStateMB {
-				r.fault(v, "state.most_mb", "want a whole number from %d to %d", leastStateMB, mostStateMB)
+			if !ok || n < minStateMB || n > maxStateMB {
+				r.fault(v, "state.most_mb", "want a whole number from %d to %d", minStateMB, maxStateMB)
 			}
 			s.MaxMB = int(n)
 		default:
--- a/internal/node/ownleases.go
+++ b/internal/node/ownleases.go
@@ -8,16 +8,16 @@
 	"curlewring/internal/operators/document"
 )
 
-const leastReplaceAfter, mostReplaceAfter = 10 * time.Second, 24 * time.Hour
+const minReplaceAfter, maxReplaceAfter = 10 * time.Second, 24 * time.Hour
 
 // leases reads how a node takes part in the fleet's leases.
-func (r *ownReader) leases(t *document.Table) *leases.Settings {
+func (r *localSettingsReader) leases(t *document.Table) *leases.Settings {
 	s := &leases.Settings{}
 	for _, key := range t.KeyOrder {
 		v := t.Values[key]
 		switch key {
 		case "replace_after":
-			s.ReplaceAfter = r.duration(v, "leases."+key, leastReplaceAfter, mostReplaceAfter)
+			s.ReplaceAfter = r.duration(v, "leases."+key, minReplaceAfter, maxReplaceAfter)
 		case "record":
 			on, ok := v.V.(bool)
 			if !ok {
@@ -32,7 +32,7 @@
 }
 
 // duration reads a time span as text.
-func (r *ownReader) duration(v document.Value, key string, least, most time.Duration) time.Duration {
+func (r *localSettingsReader) duration(v document.Value, key string, least, most time.Duration) time.Duration {
 	text, ok := v.V.(string)
 	d, err := time.ParseDuration(text)
 	if !ok || err != nil || d < least || d > most {
@@ -43,12 +43,12 @@
 }
 
 // trialEnv must be set where a node is to fail on purpose.
-const trialEnv, trialSays = "CURLEWRING_TRIAL", "yes"
+const faultInjectionEnv, faultInjectionValue = "CURLEWRING_TRIAL", "yes"
 
 // trial reads how a node is to fail on purpose.
-func (r *ownReader) trial(v document.Value, t *document.Table, allowed bool) (folder string) {
+func (r *localSettingsReader) trial(v document.Value, t *document.Table, allowed bool) (folder string) {
 	if !allowed {
-		r.fault(v, "trial", "it makes a node fail on purpose, and is read in trials alone, with %s=%s", trialEnv, trialSays)
+		r.fault(v, "trial", "it makes a node fail on purpose, and is read in trials alone, with %s=%s", faultInjectionEnv, faultInjectionValue)
 	}
 	for _, key := range t.KeyOrder {
 		v := t.Values[key]
--- a/internal/node/ownmembers.go
+++ b/internal/node/ownmembers.go
@@ -8,10 +8,10 @@
 	"curlewring/internal/operators/document"
 )
 
-const mostSeeds, mostVia, mostFleetName = 6000, 6000, 64
+const maxSeeds, maxVia, maxFleetName = 6000, 6000, 64
 
 // members reads how a node takes part in the membership of its fleet.
-func (r *ownReader) members(v document.Value, t *document.Table) *members.Settings {
+func (r *localSettingsReader) members(v document.Value, t *document.Table) *members.Settings {
 	s := &members.Settings{}
 	for _, key := range t.KeyOrder {
 		v := t.Values[key]
@@ -19,8 +19,8 @@
 		switch key {
 		case "fleet":
 			fleet, ok := v.V.(string)
-			if !ok || fleet == "" || len(fleet) > mostFleetName {
-				r.fault(v, name, "want a text of 1 to %d bytes", mostFleetName)
+			if !ok || fleet == "" || len(fleet) > maxFleetName {
+				r.fault(v, name, "want a text of 1 to %d bytes", maxFleetName)
 			}
 			s.Fleet = fleet
 		case "listen":
@@ -54,7 +54,7 @@
 
 // address reads an address with its port. One that listens may leave the host out: it is loopback then, as what comes
 // is not authenticated.
-func (r *ownReader) address(v document.Value, key string, listens bool) netip.AddrPort {
+func (r *localSettingsReader) address(v document.Value, key string, listens bool) netip.AddrPort {
 	text, ok := v.V.(string)
 	if listens && strings.HasPrefix(text, ":") {
 		text = "127.0.0.1" + text
@@ -71,10 +71,10 @@
 	return at
 }
 
-func (r *ownReader) seeds(v document.Value, key string) (seeds []netip.AddrPort) {
+func (r *localSettingsReader) seeds(v document.Value, key string) (seeds []netip.AddrPort) {
 	all, ok := v.V.([]document.Value)
-	if !ok || len(all) == 0 || len(all) > mostSeeds {
-		r.fault(v, key, "want a list of 1 to %d addresses", mostSeeds)
+	if !ok || len(all) == 0 || len(all) > maxSeeds {
+		r.fault(v, key, "want a list of 1 to %d addresses", maxSeeds)
 		return nil
 	}
 	had := map[netip.AddrPort]bool{}
@@ -89,10 +89,10 @@
 	return seeds
 }
 
-func (r *ownReader) via(v document.Value, key string) map[netip.AddrPort]netip.AddrPort {
+func (r *localSettingsReader) via(v document.Value, key string) map[netip.AddrPort]netip.AddrPort {
 	t, ok := v.V.(*document.Table)
-	if !ok || len(t.KeyOrder) > mostVia {
-		r.fault(v, key, "want a table of at most %d addresses", mostVia)
+	if !ok || len(t.KeyOrder) > maxVia {
+		r.fault(v, key, "want a table of at most %d addresses", maxVia)
 		return nil
 	}
 	via := map[netip.AddrPort]netip.AddrPort{}
--- a/internal/node/ownmembers_test.go
+++ b/internal/node/ownmembers_test.go
@@ -24,7 +24,7 @@
 		good + "port = 3\n":                                                                       "4: members.port = 3: there are fleet, listen",
 		good + "[members.via]\nx = \"127.0.0.3:2\"\n":                                             `5: members.via.x = "127.0.0.3:2": the key is no address`,
 	} {
-		own, faults := parseOwn([]byte(text))
+		own, faults := parseLocalSettings([]byte(text))
 		if got := strings.Join(faults, "; "); want == "" && got != "" || !strings.HasPrefix(got, want) {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
@@ -48,7 +48,7 @@
 		"[members]\nfleet = \"x\"\nlisten = \"127.0.0.1:7946\"\n[leases]\n": "4: leases = : they need [state] and [members]",
 		good + "[trial]\nfolder = \"/y\"\n":                                 "7: trial = : it makes a node fail on purpose, and is read in trials alone, with CURLEWRING_TRIAL=yes",
 	} {
-		own, faults := parseOwn([]byte(text))
+		own, faults := parseLocalSettings([]byte(text))
 		if got := strings.Join(faults, "; "); want == "" && got != "" || !strings.HasPrefix(got, want) {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
@@ -57,7 +57,7 @@
 		}
 	}
 	t.Setenv("CURLEWRING_TRIAL", "yes")
-	if own, faults := parseOwn([]byte(good + "[trial]\nfolder = \"/y\"\n")); len(faults) > 0 || own.FaultFolder != "/y" || own.Leases.WrapFS == nil {
+	if own, faults := parseLocalSettings([]byte(good + "[trial]\nfolder = \"/y\"\n")); len(faults) > 0 || own.FaultFolder != "/y" || own.Leases.WrapFS == nil {
 		t.Errorf("%v, %+v", faults, own)
 	}
 }
--- a/internal/node/past_test.go
+++ b/internal/node/past_test.go
@@ -23,7 +23,7 @@
 )
 
 // life writes a folder as a node leaves it that last heard from discovery so long ago.
-func life(t *testing.T, age time.Duration, servers ...serverdb.Server) (folder string) {
+func writeSavedState(t *testing.T, age time.Duration, servers ...serverdb.Server) (folder string) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "state")
 	then := time.Now().Add(-age)
@@ -37,12 +37,12 @@
 	return folder
 }
 
-func remembered(id, address string, state serverdb.State) serverdb.Server {
+func savedServer(id, address string, state serverdb.State) serverdb.Server {
 	return serverdb.Server{ID: id, Address: address, Zone: "a", Weight: 1, State: state}
 }
 
 // withPast runs a node on what is left of its last life.
-func withPast(t *testing.T, discovery, folder string) *testNode {
+func startWithState(t *testing.T, discovery, folder string) *testNode {
 	t.Helper()
 	c := testConfig(t, discovery, "null", 1024)
 	c.State = State{Folder: folder, MaxMB: 16}
@@ -56,11 +56,11 @@
 	a, drained, gone := NewServer(t, RespondWith("fine")), NewServer(t, RespondWith("drained")), NewServer(t, RespondWith("gone"))
 	d := NewDiscoveryServer(t)
 	folder := filepath.Join(t.TempDir(), "state")
-	n := withPast(t, d.Listener.Addr().String(), folder)
+	n := startWithState(t, d.Listener.Addr().String(), folder)
 	d.SendList(t, ServerList(3, true, a.Addr(), drained.Addr(), gone.Addr()))
 	d.SendList(t, ServerList(4, false, a.Addr(), drained.Addr()+" DRAINING", gone.Addr()+" DELETED"))
 	WaitFor(t, "it is written", func() bool {
-		stats, _ := n.keeper.Stats()
+		stats, _ := n.stateWriter.Stats()
 		return stats.Commits > 0
 	})
 	n.cancel()
@@ -87,8 +87,8 @@
 	t.Parallel()
 	a := NewServer(t, RespondWith("fine"))
 	d := NewDiscoveryServer(t)
-	folder := life(t, time.Minute, remembered("s0", a.Addr(), serverdb.Serving))
-	n := withPast(t, d.Listener.Addr().String(), folder)
+	folder := writeSavedState(t, time.Minute, savedServer("s0", a.Addr(), serverdb.Serving))
+	n := startWithState(t, d.Listener.Addr().String(), folder)
 	WaitFor(t, "it asks", func() bool { return d.Calls() > 0 })
 	if q := d.Query(0); !strings.HasPrefix(q, "since=7&") {
 		t.Errorf("asked with %q", q)
@@ -101,7 +101,7 @@
 	s.Close(time.Hour)
 	f.Close()
 	d = NewDiscoveryServer(t)
-	withPast(t, d.Listener.Addr().String(), folder)
+	startWithState(t, d.Listener.Addr().String(), folder)
 	WaitFor(t, "it asks", func() bool { return d.Calls() > 0 })
 	if q := d.Query(0); q != "" {
 		t.Errorf("with a row missing, asked with %q", q)
@@ -120,16 +120,16 @@
 				fmt.Fprint(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 			})
 			mine := NewServer(t, RespondWith("fine"))
-			servers := []serverdb.Server{remembered("mine", mine.Addr(), serverdb.Serving)}
+			servers := []serverdb.Server{savedServer("mine", mine.Addr(), serverdb.Serving)}
 			for i := range 6 {
 				if age < time.Hour { // the control: others answer at all the other addresses
-					servers = append(servers, remembered(fmt.Sprint("foreign", i), foreign, serverdb.Serving))
+					servers = append(servers, savedServer(fmt.Sprint("foreign", i), foreign, serverdb.Serving))
 					continue
 				}
-				servers = append(servers, remembered(fmt.Sprint("dead", i), DeadAddress(t), serverdb.Serving))
+				servers = append(servers, savedServer(fmt.Sprint("dead", i), DeadAddress(t), serverdb.Serving))
 			}
-			servers = append(servers, remembered("foreign", foreign, serverdb.Serving))
-			n := withPast(t, DeadAddress(t), life(t, age, servers...))
+			servers = append(servers, savedServer("foreign", foreign, serverdb.Serving))
+			n := startWithState(t, DeadAddress(t), writeSavedState(t, age, servers...))
 			var all sync.WaitGroup
 			var wrong atomic.Int32
 			for range 20 {
@@ -165,8 +165,8 @@
 	t.Parallel()
 	old, proven, fresh := NewServer(t, RespondWith("old")), NewServer(t, RespondWith("proven")), NewServer(t, RespondWith("fresh"))
 	d := NewDiscoveryServer(t)
-	n := withPast(t, d.Listener.Addr().String(), life(t, 7*24*time.Hour,
-		remembered("s0", proven.Addr(), serverdb.Serving), remembered("old", old.Addr(), serverdb.Serving)))
+	n := startWithState(t, d.Listener.Addr().String(), writeSavedState(t, 7*24*time.Hour,
+		savedServer("s0", proven.Addr(), serverdb.Serving), savedServer("old", old.Addr(), serverdb.Serving)))
 	WaitFor(t, "both have answered", func() bool {
 		exchange(t, request(t, n.url, "/look/1", ""))
 		return proven.RequestCount() > 0 && old.RequestCount() > 0
@@ -194,10 +194,10 @@
 // slowDisk is a folder whose syncs take their time, or that has no room.
 type slowDisk struct {
 	store.FS
-	wait  chan struct{} // a sync waits for its end; nil: for takes
-	takes time.Duration
-	syncs atomic.Int32
-	full  atomic.Bool
+	release  chan struct{} // a sync waits for its end; nil: for takes
+	syncTime time.Duration
+	syncs    atomic.Int32
+	full     atomic.Bool
 }
 
 type slowFile struct {
@@ -215,10 +215,10 @@
 
 func (f *slowFile) Sync() error {
 	f.d.syncs.Add(1)
-	if f.d.wait == nil {
-		time.Sleep(f.d.takes)
+	if f.d.release == nil {
+		time.Sleep(f.d.syncTime)
 	} else {
-		<-f.d.wait
+		<-f.d.release
 	}
 	return f.File.Sync()
 }
@@ -233,7 +233,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow := &slowDisk{FS: f, wait: make(chan struct{})}
+	slow := &slowDisk{FS: f, release: make(chan struct{})}
 	c := testConfig(t, d.Listener.Addr().String(), "null", 1024)
 	c.State = State{MaxMB: 16, fs: slow}
 	n := startNode(t, c)
@@ -248,7 +248,7 @@
 	}
 	// A list that must be taken in by steps shows that the scheduler goes on.
 	d.SendList(t, longListOf(60, false, 1000, 1, "DRAINING", ""))
-	WaitFor(t, "the long list is taken in", func() bool { return n.peers() >= 1001 })
+	WaitFor(t, "the long list is taken in", func() bool { return n.serverCount() >= 1001 })
 	begun := time.Now()
 	n.cancel()
 	select {
@@ -262,8 +262,8 @@
 	if syncs := slow.syncs.Load(); syncs != 1 {
 		t.Errorf("%d syncs", syncs)
 	}
-	close(slow.wait)
-	WaitFor(t, "the keeper ends", func() bool { return n.keeper.Wait(time.Millisecond) == nil })
+	close(slow.release)
+	WaitFor(t, "the keeper ends", func() bool { return n.stateWriter.Wait(time.Millisecond) == nil })
 	f.Close()
 }
 
@@ -275,21 +275,21 @@
 	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	held := life(t, time.Minute)
+	held := writeSavedState(t, time.Minute)
 	owner, err := disk.Open(held)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer owner.Close()
-	damaged := life(t, time.Minute, remembered("s0", a.Addr(), serverdb.Serving))
+	damaged := writeSavedState(t, time.Minute, savedServer("s0", a.Addr(), serverdb.Serving))
 	paths, _ := filepath.Glob(filepath.Join(damaged, "journal-*"))
 	for _, p := range paths {
 		if err := os.WriteFile(p, []byte("this is no journal"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	full := &slowDisk{wait: make(chan struct{})}
-	close(full.wait)
+	full := &slowDisk{release: make(chan struct{})}
+	close(full.release)
 	full.full.Store(true)
 	empty, err := disk.Open(filepath.Join(t.TempDir(), "s"))
 	if err != nil {
@@ -377,7 +377,7 @@
 		"x = 1\n":                                "1: x = 1: there are only the tables [state], [members] and [leases]",
 		"[state\n":                               "1: form: ",
 	} {
-		_, faults := parseOwn([]byte(text))
+		_, faults := parseLocalSettings([]byte(text))
 		if got := strings.Join(faults, "; "); want == "" && got != "" || !strings.HasPrefix(got, want) {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
--- a/internal/node/persist/keeper.go
+++ b/internal/node/persist/writer.go
@@ -29,23 +29,23 @@
 
 // Keeper is the way to what is remembered. Note, Confirm and Step do not wait, and any goroutine may call them.
 type Writer struct {
-	log    *slog.Logger
-	clock  clock.Clock
-	folder io.Closer // nil: it is not the keeper's
-	store  *store.Store
-	memory *serverdb.DB
-
-	grants chan struct{}
-	ended  chan struct{}
-
-	mu    sync.Mutex // guards what follows; never held while the disk is waited for
-	notes map[string]serverdb.Observation
-	list  *serverdb.List
-	asked bool // a step is wanted already
-	wake  func(within time.Duration)
-	took  time.Duration // of steps since the last grant, not counting the disk
-	stats store.Stats
-	lost  int
+	log      *slog.Logger
+	clock    clock.Clock
+	folder   io.Closer // nil: it is not the keeper's
+	store    *store.Store
+	database *serverdb.DB
+
+	steps chan struct{}
+	done  chan struct{}
+
+	mu             sync.Mutex // guards what follows; never held while the disk is waited for
+	pendingServers map[string]serverdb.Observation
+	pendingList    *serverdb.List
+	stepRequested  bool // a step is wanted already
+	wake           func(within time.Duration)
+	stepTime       time.Duration // of steps since the last grant, not counting the disk
+	stats          store.Stats
+	lostRows       int
 }
 
 // Open reads what there is. An error says why nothing can be kept; the node starts all the same.
@@ -70,9 +70,9 @@
 		log.Warn("rows of the store make no sense and are left out", "rows", len(notes), "first", notes[0])
 	}
 	k := &Writer{
-		log: log, clock: c, store: s, memory: m,
-		grants: make(chan struct{}, 1), ended: make(chan struct{}),
-		notes: map[string]serverdb.Observation{}, wake: func(time.Duration) {},
+		log: log, clock: c, store: s, database: m,
+		steps: make(chan struct{}, 1), done: make(chan struct{}),
+		pendingServers: map[string]serverdb.Observation{}, wake: func(time.Duration) {},
 	}
 	return k, Restored{Node: node, Servers: m.Servers(), List: m.List()}
 }
@@ -83,7 +83,7 @@
 // Note takes what was seen of a server. Two of one server are merged; word of its end stays.
 func (k *Writer) RecordServer(n serverdb.Observation) {
 	k.mu.Lock()
-	old, ok := k.notes[n.ID]
+	old, ok := k.pendingServers[n.ID]
 	switch {
 	case !ok:
 	case n.FromDiscovery:
@@ -94,31 +94,31 @@
 		old.LastServed = n.LastServed
 		n = old
 	}
-	k.notes[n.ID] = n
-	k.want(urgency(&n))
+	k.pendingServers[n.ID] = n
+	k.requestStep(writeDeadline(&n))
 }
 
 // urgency is how soon a note should be written: what was told drained or gone at once.
-func urgency(n *serverdb.Observation) time.Duration {
+func writeDeadline(n *serverdb.Observation) time.Duration {
 	if n.FromDiscovery && n.State != serverdb.Serving {
-		return urgentWithin
+		return urgentWriteDelay
 	}
 	return 0
 }
 
-const urgentWithin = 20 * time.Millisecond
+const urgentWriteDelay = 20 * time.Millisecond
 
 // Confirm takes word that discovery has answered.
 func (k *Writer) ConfirmList(l serverdb.List) {
 	k.mu.Lock()
-	k.list = &l
-	k.want(0)
+	k.pendingList = &l
+	k.requestStep(0)
 }
 
 // want asks for a step, and gives the lock back.
-func (k *Writer) want(within time.Duration) {
-	asked := k.asked
-	k.asked = true
+func (k *Writer) requestStep(within time.Duration) {
+	asked := k.stepRequested
+	k.stepRequested = true
 	k.mu.Unlock()
 	if !asked || within > 0 {
 		k.wake(within)
@@ -129,12 +129,12 @@
 // of a core.
 func (k *Writer) Step(time.Duration) (took time.Duration, more bool) {
 	select {
-	case k.grants <- struct{}{}:
+	case k.steps <- struct{}{}:
 	default:
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	took, k.took = k.took, 0
+	took, k.stepTime = k.stepTime, 0
 	return took, false
 }
 
@@ -142,12 +142,12 @@
 func (k *Writer) Stats() (store.Stats, int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.stats, k.lost
+	return k.stats, k.lostRows
 }
 
 // Run works until the context ends, and then writes what is left.
 func (k *Writer) Run(ctx context.Context) {
-	defer close(k.ended)
+	defer close(k.done)
 	if k.folder != nil {
 		defer k.folder.Close()
 	}
@@ -156,7 +156,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			k.take()
+			k.recordPending()
 			if err := k.store.Close(k.clock.Now()); err != nil {
 				k.log.Warn("what the node remembers was not written at its end", "err", err)
 			}
@@ -164,16 +164,16 @@
 		case <-alarm.C:
 			k.wake(0)
 			continue
-		case <-k.grants:
+		case <-k.steps:
 		}
-		alarm.Reset(k.work())
+		alarm.Reset(k.runStep())
 	}
 }
 
 // work does a step, and returns how long to wait for the next.
-func (k *Writer) work() time.Duration {
+func (k *Writer) runStep() time.Duration {
 	begun := k.clock.Now()
-	more := k.take()
+	more := k.recordPending()
 	busy := k.clock.Now() - begun
 	if err := k.store.Commit(k.clock.Now()); err != nil {
 		k.log.Warn("the node goes on without remembering, and tries again", "err", err)
@@ -186,8 +186,8 @@
 		more = more || again
 	}
 	k.mu.Lock()
-	k.took += busy
-	k.stats, k.lost = k.store.Stats(), k.memory.DroppedRows()
+	k.stepTime += busy
+	k.stats, k.lostRows = k.store.Stats(), k.database.DroppedRows()
 	k.mu.Unlock()
 	now := k.clock.Now()
 	wait := time.Hour
@@ -195,37 +195,37 @@
 		wait = max(at-now, time.Millisecond)
 	}
 	if more {
-		wait = min(wait, catchUp)
+		wait = min(wait, catchUpInterval)
 	}
 	return wait
 }
 
 // catchUp is the wait for the next step where there is more to do than one may.
-const catchUp = 50 * time.Millisecond
+const catchUpInterval = 50 * time.Millisecond
 
 // take hands the memory what was told, and tells whether it has more to write.
-func (k *Writer) take() (more bool) {
+func (k *Writer) recordPending() (more bool) {
 	k.mu.Lock()
-	notes := make([]serverdb.Observation, 0, len(k.notes))
-	for _, n := range k.notes {
+	notes := make([]serverdb.Observation, 0, len(k.pendingServers))
+	for _, n := range k.pendingServers {
 		notes = append(notes, n)
 	}
-	clear(k.notes)
-	list := k.list
-	k.list, k.asked = nil, false
+	clear(k.pendingServers)
+	list := k.pendingList
+	k.pendingList, k.stepRequested = nil, false
 	k.mu.Unlock()
 	now := k.clock.Now()
-	k.memory.Record(now, notes)
+	k.database.Record(now, notes)
 	if list != nil {
-		k.memory.RecordConfirmation(now, *list)
+		k.database.RecordConfirmation(now, *list)
 	}
-	return k.memory.WritePending(now)
+	return k.database.WritePending(now)
 }
 
 // Wait waits for the end of Run, no longer than that.
 func (k *Writer) Wait(patience time.Duration) error {
 	select {
-	case <-k.ended:
+	case <-k.done:
 		return nil
 	case <-time.After(patience):
 		return fmt.Errorf("the disk has let the node's memory wait for %v at its end", patience)
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -9,10 +9,10 @@
 )
 
 // poolEvery is how often the module is asked for cold servers.
-const poolEvery = 100 * time.Millisecond
+const poolTickInterval = 100 * time.Millisecond
 
 // granted is an answer of a dealer.
-type granted struct {
+type grantReceived struct {
 	from uint64
 	*allowance.Grant
 }
@@ -24,20 +24,20 @@
 }
 
 // pool is this node's part in the budgets of cold servers that the nodes pool. It belongs to the loop.
-type pool struct {
-	fleet   fleet
-	holder  *allowance.Lender
-	view    *membership.View // that members are of
-	members []allowance.Member
-	colds   []decide.ColdServer
+type coldServerPool struct {
+	fleet       fleet
+	lender      *allowance.Lender
+	view        *membership.View // that members are of
+	members     []allowance.Member
+	coldServers []decide.ColdServer
 }
 
-func newPool(f fleet, c *Config, now time.Duration) *pool {
-	return &pool{fleet: f, holder: allowance.NewLender(allowance.Settings{Window: c.Settings.CollapseWindow}, c.Seed^uint64(now), now)}
+func newColdServerPool(f fleet, c *Config, now time.Duration) *coldServerPool {
+	return &coldServerPool{fleet: f, lender: allowance.NewLender(allowance.Settings{Window: c.Settings.CollapseWindow}, c.Seed^uint64(now), now)}
 }
 
 // known are the members of the present view; nobody, where there is none.
-func (p *pool) known() []allowance.Member {
+func (p *coldServerPool) currentMembers() []allowance.Member {
 	v := p.fleet.View()
 	if v == p.view {
 		return p.members
@@ -52,28 +52,28 @@
 }
 
 // lend looks after cold servers again and again.
-func (l *loop) lend() {
-	l.claim()
-	l.after(poolEvery, timer{do: l.lend})
+func (l *loop) schedulePoolTick() {
+	l.claimAllowances()
+	l.after(poolTickInterval, timer{run: l.schedulePoolTick})
 }
 
 // claim lends this node's parts of cold servers, and asks for sends.
-func (l *loop) claim() {
+func (l *loop) claimAllowances() {
 	p := l.pool
-	p.colds = l.balancer.ColdServers(l.now, p.colds[:0])
-	if len(p.colds) == 0 && p.holder.LentServers(l.now) == 0 {
+	p.coldServers = l.balancer.ColdServers(l.now, p.coldServers[:0])
+	if len(p.coldServers) == 0 && p.lender.LentServers(l.now) == 0 {
 		return
 	}
-	outs, deals := p.holder.Tick(l.now, p.known(), p.colds)
-	l.pooled(deals)
+	outs, deals := p.lender.Tick(l.now, p.currentMembers(), p.coldServers)
+	l.applyGrants(deals)
 	for i := range outs {
 		p.fleet.SendClaim(outs[i].To, outs[i].Claim)
 	}
 }
 
 // pooled tells the module what the nodes have settled.
-func (l *loop) pooled(deals []decide.Grant) {
+func (l *loop) applyGrants(deals []decide.Grant) {
 	if len(deals) > 0 {
-		l.carryOut(l.balancer.HandleGrants(l.now, deals, l.actions[:0]))
+		l.execute(l.balancer.HandleGrants(l.now, deals, l.actions[:0]))
 	}
 }
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -44,7 +44,7 @@
 	return all
 }
 
-func textOf(t *testing.T, l *endpoints.List) []byte {
+func encodeList(t *testing.T, l *endpoints.List) []byte {
 	t.Helper()
 	text, err := l.Encode()
 	if err != nil {
@@ -56,9 +56,9 @@
 // waitForAll waits until the loop has all servers, and can send to each.
 func (n *testNode) waitForAll(t *testing.T) {
 	t.Helper()
-	WaitFor(t, "the node has all servers", func() bool { return n.peers() == plannedSize })
+	WaitFor(t, "the node has all servers", func() bool { return n.serverCount() == plannedSize })
 	sendable := 0
-	n.loop.step(func(time.Duration) (time.Duration, bool) {
+	n.loop.backgroundStep(func(time.Duration) (time.Duration, bool) {
 		sendable = n.loop.sendable
 		return 0, false
 	})(0)
@@ -70,7 +70,7 @@
 // A configuration's known list holds all servers that are planned.
 func TestPlannedServersInTheConfiguration(t *testing.T) {
 	d := NewDiscoveryServer(t)
-	c := testConfig(t, d.Listener.Addr().String(), string(textOf(t, plannedServers(16))), 1024)
+	c := testConfig(t, d.Listener.Addr().String(), string(encodeList(t, plannedServers(16))), 1024)
 	startNode(t, c).waitForAll(t)
 }
 
@@ -85,7 +85,7 @@
 		"long names, indented": {253, "    "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := textOf(t, plannedServers(x.idLength))
+			text := encodeList(t, plannedServers(x.idLength))
 			if x.indent != "" {
 				var indented bytes.Buffer
 				if err := json.Indent(&indented, text, "", x.indent); err != nil {
@@ -107,17 +107,17 @@
 	all := plannedServers(64)
 	servers := make([]serverdb.Server, len(all.Entries))
 	for i := range all.Entries {
-		servers[i] = row(&all.Entries[i], time.Time{})
+		servers[i] = toRow(&all.Entries[i], time.Time{})
 	}
 	d := NewDiscoveryServer(t)
 	c := testConfig(t, d.Listener.Addr().String(), "null", 1024)
-	c.State = State{Folder: life(t, 0, servers...), MaxMB: leastStateMB}
+	c.State = State{Folder: writeSavedState(t, 0, servers...), MaxMB: minStateMB}
 	startNode(t, c).waitForAll(t)
 }
 
 // A list that a node hands on to another holds them: it goes as one message of a stream.
 func TestPlannedServersHandedOn(t *testing.T) {
-	list := textOf(t, plannedServers(64))
+	list := encodeList(t, plannedServers(64))
 	body := wire.AppendList(nil, &wire.ListMessage{Message: fleetrecord.Message{
 		Kind: fleetrecord.ListReply, From: "n0", List: fleetrecord.List{Generation: 1, Discovery: "127.0.0.1:1"}, Body: list,
 	}})
@@ -173,16 +173,16 @@
 		}
 		return "[members]\nfleet = \"x\"\nlisten = \":7946\"\nseeds = [" + seeds.String() + "]\n[members.via]\n" + via.String()
 	}
-	own, faults := parseOwn([]byte(settings(plannedSize)))
+	own, faults := parseLocalSettings([]byte(settings(plannedSize)))
 	if len(faults) > 0 || len(own.Members.Seeds) != plannedSize || len(own.Members.RouteVia) != plannedSize {
 		t.Errorf("%v, %+v", faults, own.Members)
 	}
-	_, faults = parseOwn([]byte(settings(mostSeeds + 1)))
+	_, faults = parseLocalSettings([]byte(settings(maxSeeds + 1)))
 	for _, want := range []string{
-		`4: members.seeds = `, fmt.Sprintf("want a list of 1 to %d addresses", mostSeeds), fmt.Sprintf("more than %d keys in one table", mostVia),
+		`4: members.seeds = `, fmt.Sprintf("want a list of 1 to %d addresses", maxSeeds), fmt.Sprintf("more than %d keys in one table", maxVia),
 	} {
 		if !slices.ContainsFunc(faults, func(f string) bool { return strings.Contains(f, want) }) {
-			t.Errorf("%d seeds: %q tells nothing of %q", mostSeeds+1, faults, want)
+			t.Errorf("%d seeds: %q tells nothing of %q", maxSeeds+1, faults, want)
 		}
 	}
 }
--- a/internal/node/slowdisk_test.go
+++ b/internal/node/slowdisk_test.go
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.State = State{MaxMB: 16, fs: &slowDisk{FS: f, takes: takes}}
+			c.State = State{MaxMB: 16, fs: &slowDisk{FS: f, syncTime: takes}}
 		}
 		n := startNode(t, c)
 		d.SendList(t, ServerList(1, true, a.Addr()))
@@ -74,7 +74,7 @@
 		n.cancel()
 		<-n.ended
 		if remember {
-			WaitFor(t, "the keeper ends", func() bool { return n.keeper.Wait(time.Millisecond) == nil })
+			WaitFor(t, "the keeper ends", func() bool { return n.stateWriter.Wait(time.Millisecond) == nil })
 		}
 		slices.Sort(took)
 		return took[len(took)*99/100]
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -22,39 +22,39 @@
 	return &trace{log}
 }
 
-func (t *trace) arrived(p *pending) {
+func (t *trace) requestArrived(p *pendingRequest) {
 	if t != nil {
 		t.log.Debug("request", "txn", p.txn, "class", p.request.Class, "wait", p.request.TTL)
 	}
 }
 
-func (t *trace) sent(p *pending, a *attempt, version uint64, unconfirmed bool) {
+func (t *trace) attemptSent(p *pendingRequest, a *attempt, version uint64, unconfirmed bool) {
 	if t != nil {
 		t.log.Debug("attempt", "txn", p.txn, "number", a.number, "server", a.server, "version", version, "unconfirmed", unconfirmed)
 	}
 }
 
-func (t *trace) ended(e *ended) {
+func (t *trace) attemptEnded(e *attemptEnded) {
 	if t != nil {
 		t.log.Debug("outcome", "txn", e.attempt.pending.txn, "number", e.number, "server", e.server, "result", e.Result.String(),
 			"took", e.elapsed, "dial", e.DialTime, "closed", e.ConnClosed)
 	}
 }
 
-func (t *trace) answered(p *pending, end ending, why decide.Reason) {
+func (t *trace) answered(p *pendingRequest, end answerStatus, why decide.Reason) {
 	if t != nil {
 		names := [...]string{served: "served", refused: "refused", failed: "failed", overdue: "overdue"}
 		t.log.Debug("answer", "txn", p.txn, "ending", names[end], "reason", why.String(), "attempts", len(p.attempts))
 	}
 }
 
-func (t *trace) listed(l *endpoints.List, changes int) {
+func (t *trace) listReceived(l *endpoints.List, changes int) {
 	if t != nil {
 		t.log.Debug("list", "version", l.Generation, "whole", l.Whole, "entries", len(l.Entries), "changes", changes)
 	}
 }
 
-func (t *trace) unlisted(f endpoints.CallFailure, version uint64, confirmed time.Duration) {
+func (t *trace) noList(f endpoints.CallFailure, version uint64, confirmed time.Duration) {
 	if t != nil {
 		t.log.Debug("no list", "reason", f.Reason.String(), "took", f.Took, "wait", f.PollWait, "version", version,
 			"confirmed_for", confirmed)
@@ -62,7 +62,7 @@
 }
 
 // closes returns what logs why connections to servers are closed; nil if nobody wants to know.
-func (t *trace) closes() func(server string, why upstream.CloseReason) {
+func (t *trace) closeLogger() func(server string, why upstream.CloseReason) {
 	if t == nil {
 		return nil
 	}
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -20,7 +20,7 @@
 			})
 			var lines lockedBuffer
 			log := slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: level}))
-			n := startLogging(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), 1024), log)
+			n := startNodeWithLog(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), 1024), log)
 			resp, _ := exchange(t, request(t, n.url, "/act/1", "x", "X-Txn", "feedbeef"))
 			if resp.StatusCode != http.StatusTooManyRequests {
 				t.Fatalf("answered %s", resp.Status)
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -25,11 +25,11 @@
 	log  *slog.Logger
 	wake chan struct{}
 
-	mu    sync.Mutex
-	core  *background.Scheduler
-	steps []Step
-	names []string
-	told  []bool // that it overran
+	mu            sync.Mutex
+	scheduler     *background.Scheduler
+	steps         []Step
+	names         []string
+	overrunLogged []bool // that it overran
 }
 
 // Job is a kind of work.
@@ -40,15 +40,15 @@
 
 // New makes a worker without jobs.
 func New(set background.Config, now func() time.Duration, log *slog.Logger) *Worker {
-	return &Worker{now: now, log: log, wake: make(chan struct{}, 1), core: background.New(set, now())}
+	return &Worker{now: now, log: log, wake: make(chan struct{}, 1), scheduler: background.New(set, now())}
 }
 
 // Add enters a job, before Run.
 func (w *Worker) Add(name string, p background.Priority, step Step) *Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.steps, w.names, w.told = append(w.steps, step), append(w.names, name), append(w.told, false)
-	return &Job{w, w.core.Add(name, p)}
+	w.steps, w.names, w.overrunLogged = append(w.steps, step), append(w.names, name), append(w.overrunLogged, false)
+	return &Job{w, w.scheduler.Add(name, p)}
 }
 
 // Wake tells that a job has work, to be through within so long; 0: whenever. It does
@@ -61,7 +61,7 @@
 	if within > 0 {
 		deadline = now + within
 	}
-	w.core.Wake(now, j.id, deadline)
+	w.scheduler.Wake(now, j.id, deadline)
 	w.mu.Unlock()
 	select {
 	case w.wake <- struct{}{}:
@@ -73,21 +73,21 @@
 func (j *Job) Cancel() {
 	j.worker.mu.Lock()
 	defer j.worker.mu.Unlock()
-	j.worker.core.Cancel(j.id)
+	j.worker.scheduler.Cancel(j.id)
 }
 
 // Lag tells how long live traffic has waited just now.
 func (w *Worker) ReportLag(now, lag time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.core.RecordLag(now, lag)
+	w.scheduler.RecordLag(now, lag)
 }
 
 // Reports are what the jobs have done.
 func (w *Worker) Reports() []background.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.core.Reports()
+	return w.scheduler.Reports()
 }
 
 // Run runs steps until the context ends.
@@ -96,7 +96,7 @@
 	defer pause.Stop()
 	for {
 		w.mu.Lock()
-		g, wait, ok := w.core.Next(w.now())
+		g, wait, ok := w.scheduler.Next(w.now())
 		var step Step
 		if ok {
 			step = w.steps[g.Job]
@@ -105,9 +105,9 @@
 		if ok {
 			took, more := step(g.Slice)
 			w.mu.Lock()
-			overran := w.core.Done(w.now(), g, took, more) && !w.told[g.Job]
+			overran := w.scheduler.Done(w.now(), g, took, more) && !w.overrunLogged[g.Job]
 			if overran {
-				w.told[g.Job] = true
+				w.overrunLogged[g.Job] = true
 			}
 			w.mu.Unlock()
 			if overran {
