--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -18,23 +18,24 @@
 
 const (
 	maxHeaderBytes = 16 << 10
-	maxRemaining   = 10 * time.Minute // longer waits are taken for nonsense
+	maxRemaining   = 10 * time.Minute // larger times in headers are rejected as invalid
 )
 
-// callers turns clients' requests into the loop's, and its answers into theirs.
+// requestHandler is the front.Handler of the node. It validates clients' requests, passes them
+// to the loop, and turns the loop's answers into responses.
 type requestHandler struct {
 	clock        clock.Clock
 	loop         *loop
 	classes      map[string]int
 	tenants      map[string]int
 	idempotency  []decide.Idempotency
-	budgets      *budgets        // nil: off
-	maxWaits     []time.Duration // how long clients wait at the most, by class
+	budgets      *budgets        // nil: budgets are off
+	maxWaits     []time.Duration // longest time that a client waits, by class
 	front        *front.Server
-	shuttingDown atomic.Bool // a planned end has begun: no longer ready
+	shuttingDown atomic.Bool // shutdown has begun: /ready answers 503
 
 	mu       sync.Mutex
-	openTxns map[string]bool // the ids of requests that have no answer yet
+	openTxns map[string]bool // X-Txn values of the requests that have no answer yet
 }
 
 func newRequestHandler(c *Config, clock clock.Clock, loop *loop) *requestHandler {
@@ -53,11 +54,11 @@
 	return s
 }
 
-// single are the headers that a request must not repeat: which one counts would
-// be for each to guess.
+// singleValueHeaders are the headers that a request must not repeat: node and server might
+// each use another of the values.
 var singleValueHeaders = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
 
-// Request takes one request; it is front.Handler's.
+// HandleRequest handles one request. It implements front.Handler.
 func (s *requestHandler) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
 	now := s.clock.Now()
 	if r.URL.Path == "/ready" {
@@ -66,24 +67,24 @@
 		}
 		return nil, -1, &front.Response{Status: http.StatusServiceUnavailable, Text: "not ready"}
 	}
-	p, status, why := s.parse(nil, r, now)
+	p, status, problem := s.parse(nil, r, now)
 	spent := ""
 	if p != nil && s.budgets != nil {
 		g, loop := s.budgets.read(r, p.request.Class, p.deadline-now)
 		if p.budget = g; g == nil {
 			spent = budget.EncodeSpent(0, budget.Loop)
-			p, status, why = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
+			p, status, problem = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
 		} else {
 			p.deadline = min(p.deadline, now+g.grant.TimeLeft)
 		}
 	}
 	if p != nil && !s.reserveTxn(p.upstreamRequest.Txn) {
-		p, status, why = nil, http.StatusConflict, "another request with this X-Txn is open"
+		p, status, problem = nil, http.StatusConflict, "another request with this X-Txn is open"
 	}
 	if p == nil {
-		// What follows on the connection of a client that makes such errors may be
-		// no request at all: part of this one's body, say.
-		a := &front.Response{Status: status, Text: why, Close: true}
+		// The connection is closed: after such an error, what follows on it may be no request
+		// but, for instance, the rest of this one's body.
+		a := &front.Response{Status: status, Text: problem, Close: true}
 		if spent != "" {
 			a.HeaderName, a.HeaderValue = budget.SpentHeaderName, spent
 		}
@@ -98,16 +99,18 @@
 	return p, p.request.Class, nil
 }
 
-// Gone takes back what a client asked that has left; it is front.Handler's.
+// ClientGone abandons the request of a client that has disconnected. It implements
+// front.Handler.
 func (s *requestHandler) ClientGone(open any) {
 	p := open.(*pendingRequest)
-	p.finished.Store(true) // from this moment, however long the loop's turn may take
+	p.finished.Store(true) // at once, before the loop gets to clientDisconnected
 	s.releaseTxn(p.txn)
 	s.loop.post(clientDisconnected{p})
 }
 
-// begin books a request's id, unless it is another open request's: servers drop
-// repeats by it and tell attempts apart, so answers might go to the wrong client.
+// reserveTxn reserves a request's X-Txn. It returns false if another open request has it:
+// servers use it to tell attempts apart and to drop duplicates, so answers might reach the
+// wrong client.
 func (s *requestHandler) reserveTxn(txn string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +127,7 @@
 	delete(s.openTxns, txn)
 }
 
-// answer passes the final answer on. It does not wait.
+// respond delivers the final answer to the client's connection. It does not block.
 func (s *requestHandler) respond(p *pendingRequest, a answer) {
 	s.releaseTxn(p.txn)
 	to := front.Response{HeaderName: budget.SpentHeaderName, HeaderValue: a.spent, WriteDeadline: p.deadline + front.WriteGrace}
@@ -144,16 +147,16 @@
 	s.front.Respond(p.token, to)
 }
 
-// parse reads a request, or says what is wrong with it. None of the codes it
-// returns is a refusal: trying such a request again is of no use.
+// parse reads a request. For an invalid one it returns the status and text of the answer.
+// None of these statuses is a refusal, as a retry of such a request is of no use.
 func (s *requestHandler) parse(_ http.ResponseWriter, r *http.Request, now time.Duration) (*pendingRequest, int, string) {
-	// Of a request with both lengths net/http hides one, and a server or proxy that
-	// goes by the other finds a second request inside the body. Chunks are of no
-	// use here: no client needs them.
+	// For a request with both Transfer-Encoding and Content-Length, net/http drops one, and a
+	// server or proxy that uses the other finds a second request inside the body (request
+	// smuggling). Chunked bodies are rejected altogether: no client needs them.
 	if len(r.TransferEncoding) > 0 {
 		return nil, http.StatusLengthRequired, "Transfer-Encoding is not taken"
 	}
-	if !r.ProtoAtLeast(1, 1) { // there net/http drops Transfer-Encoding unseen
+	if !r.ProtoAtLeast(1, 1) { // net/http silently drops Transfer-Encoding there
 		return nil, http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed"
 	}
 	for _, name := range singleValueHeaders {
@@ -186,7 +189,7 @@
 	if err != nil || wait > maxRemaining {
 		return nil, http.StatusBadRequest, "X-Remaining-Ms is missing or odd"
 	}
-	if longest := s.maxWaits[class]; longest > 0 { // nobody waits for longer
+	if longest := s.maxWaits[class]; longest > 0 { // no client waits longer than its class's deadline
 		wait = min(wait, longest)
 	}
 	p := &pendingRequest{
@@ -226,7 +229,7 @@
 	if _, err := io.ReadFull(r.Body, p.upstreamRequest.Body); err != nil {
 		return nil, http.StatusRequestTimeout, "the body did not come"
 	}
-	// A request begins with its last byte.
+	// The client's time counts from the last byte of its request.
 	p.deadline += s.clock.Now() - now
 	return p, 0, ""
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -20,50 +20,51 @@
 )
 
 const (
-	// The module is told of a little less time than the client has, so that the
-	// last byte of its answer is out in time; what it still holds then is failed
-	// by the loop.
+	// answerMargin is taken off a request's TTL before the balancer sees it, so that the
+	// last byte of the response is written before the client's deadline.
 	answerMargin = 10 * time.Millisecond
-	safetyMargin = 5 * time.Millisecond
-	sweepEvery   = time.Second
+	// safetyMargin before the deadline, the loop itself fails a request that the balancer
+	// has not answered.
+	safetyMargin  = 5 * time.Millisecond
+	sweepInterval = time.Second
 )
 
-// ending is how a request ended.
+// answerStatus is the kind of final answer that a request got.
 type answerStatus int
 
 const (
 	served  answerStatus = iota
-	refused              // trying again is harmless
+	refused              // a retry is safe
 	failed
-	overdue // failed by the loop: the module had no answer in time
+	overdue // failed by the loop, as the balancer had no answer in time
 )
 
-// answer is the final answer to a request.
+// answer is the final answer to a request, as handed to requestHandler.respond.
 type answer struct {
 	answerStatus
-	response   *upstream.Response // served
-	retryAfter time.Duration      // refused; 0: no advice
-	spent      string             // header of a budget; "": none
+	response   *upstream.Response // set for served
+	retryAfter time.Duration      // set for refused; 0: none
+	spent      string             // value of the spent-budget header; "": none
 }
 
-// pending is a request that has no final answer yet, or attempts still out.
+// pendingRequest is a request without a final answer, or with attempts still in flight.
 type pendingRequest struct {
 	upstreamRequest *upstream.Request
-	path            string // decoded
+	path            string // percent-decoded
 	request         decide.Request
-	deadline        time.Duration // the client waits no longer
-	token           front.Token   // the connection that its answer goes to
-	txn             string        // its X-Txn, which is no longer open once it is answered
-	arrivedAt       time.Duration // on the clock, whole
+	deadline        time.Duration // when the client stops waiting
+	token           front.Token   // identifies the client connection to answer on
+	txn             string        // X-Txn header; reserved until the request is answered
+	arrivedAt       time.Duration // when the whole request had been read
 	answered        bool
-	finished        atomic.Bool // it is answered, or its client has left: nothing goes out for it any more
+	finished        atomic.Bool // answered, or its client disconnected: no further attempt is sent
 	attempts        []*attempt
-	openAttempts    int            // attempts without an outcome
-	budget          *requestBudget // its budget; nil: none
-	mayHaveRun      bool           // an attempt may have run; told where there is a budget
+	openAttempts    int            // attempts in flight
+	budget          *requestBudget // nil: budgets are off
+	mayHaveRun      bool           // an attempt may have been executed; maintained only with budgets
 }
 
-// attempt is one send of a request.
+// attempt is one try of a request at one server.
 type attempt struct {
 	pending *pendingRequest
 	number  int
@@ -71,7 +72,7 @@
 	upstream.Canceler
 }
 
-// Events of the loop, besides timers.
+// Events that the loop handles, besides timers and discovery.Update.
 type (
 	requestArrived     struct{ *pendingRequest }
 	clientDisconnected struct{ *pendingRequest }
@@ -80,9 +81,9 @@
 		upstream.Outcome
 		elapsed time.Duration
 	}
-	shutdownRequested struct{} // the node ends: fail what is left
+	shutdownRequested struct{} // fail every request that is still pending
 
-	// stepped is a piece of background work on what the loop owns.
+	// backgroundStep is a slice of background work on state that the loop owns.
 	backgroundStep struct {
 		step  func(slice time.Duration) (took time.Duration, more bool)
 		slice time.Duration
@@ -91,27 +92,27 @@
 
 	configReloaded struct {
 		routes    *routes.Table
-		discovery string        // its address
-		done      chan struct{} // closed once both are in use
+		discovery string        // address
+		done      chan struct{} // closed once both are applied
 	}
 )
 
-// result is what a step of background work says of itself.
+// stepResult is the outcome of one step of background work.
 type stepResult struct {
 	took time.Duration
 	more bool
 }
 
-// peer is a server as the loop knows it.
+// knownServer is a server of the current list.
 type knownServer struct {
 	upstream.Target
-	sendable     bool          // among those that may get something new
-	lastServed   time.Duration // when it served last, where the node remembers ...
-	lastRecorded time.Duration // ... and up to when that was told
+	sendable     bool          // may receive new attempts
+	lastServed   time.Duration // last served answer; maintained only when state is saved
+	lastRecorded time.Duration // value of lastServed that was saved last
 }
 
-// loop is the sole owner of the module. It takes events in, carries out the
-// actions that come of them, and never waits for a socket.
+// loop owns the decide.Balancer. It handles events one at a time on a single goroutine,
+// executes the actions that the balancer returns, and never blocks on a socket.
 type loop struct {
 	clock             clock.Clock
 	settings          *decide.Settings
@@ -119,48 +120,48 @@
 	upstream          *upstream.Pool
 	discovery         *discovery.Client
 	log               *slog.Logger
-	trace             *trace                        // nil: off
-	budgets           *budgets                      // nil: off
-	initialRoutes     *routes.Table                 // those of the start
-	respond           func(*pendingRequest, answer) // passes a final answer on; does not wait
-	scheduleApplyList func()                        // a long list is to be taken in, by takeIn
-	maxListAtOnce     int                           // entries of a list up to which it is taken in at once
-	onSweep           func()                        // called every sweepEvery: what is old may go
-	reportLag         func(now, lag time.Duration)  // told how long requests wait for the loop
-
-	view         *endpoints.View              // what to believe of discovery
-	staleness    *endpoints.StalenessDetector // when to ask it early
-	confirmation *endpoints.Confirmation      // until when its list is as good as confirmed
-	callTiming   *endpoints.CallTiming        // when to ask it first
-	saved        *savedState                  // what is left of the last life; nil: nothing
-	bootstrap    *bootstrap.Runner            // how a node without a list comes by one; nil: it asks discovery
-	pool         *coldServerPool              // cold servers' budgets, pooled with other nodes'; nil: this node goes by itself
-
-	ctx    context.Context // its end ends the loop and all attempts
+	trace             *trace                        // nil: debug logging is off
+	budgets           *budgets                      // nil: budgets are off
+	initialRoutes     *routes.Table                 // route table of the configuration at startup
+	respond           func(*pendingRequest, answer) // delivers a final answer; must not block
+	scheduleApplyList func()                        // wakes the job that runs applyQueuedChanges
+	maxListAtOnce     int                           // longer lists are applied in steps
+	onSweep           func()                        // called every sweepInterval to expire old state
+	reportLag         func(now, lag time.Duration)  // reports how long a request waited for the loop
+
+	view         *endpoints.View              // reconciles the lists that discovery sends
+	staleness    *endpoints.StalenessDetector // decides when to refetch the list early
+	confirmation *endpoints.Confirmation      // tracks until when the list counts as confirmed
+	callTiming   *endpoints.CallTiming        // spreads the nodes' first calls to discovery
+	saved        *savedState                  // state kept over restarts; nil: none
+	bootstrap    *bootstrap.Runner            // gets a first list from other nodes; nil: only from discovery
+	pool         *coldServerPool              // cold-server budgets shared with other nodes; nil: not shared
+
+	ctx    context.Context // cancellation stops the loop and all attempts
 	events chan any
-	ready  atomic.Bool // there is a server to send to
+	ready  atomic.Bool // at least one server may receive attempts
 
-	// What follows belongs to the goroutine in run.
-	mayAskDiscovery bool // discovery may be asked; of use with a record
-	watchDeferred   bool // for that
+	// The fields below belong to the goroutine in run.
+	mayAskDiscovery bool // bootstrap has allowed a call to discovery
+	watchDeferred   bool // startWatch was called before mayAskDiscovery
 	now             time.Duration
 	runningAttempts sync.WaitGroup
-	shuttingDown    bool // the node ends: nothing new is begun
+	shuttingDown    bool // new requests are failed at once
 	nextID          uint64
 	routes          *routes.Table
 	pending         map[uint64]*pendingRequest
 	servers         map[string]*knownServer
 	startTimes      map[string]time.Duration
-	sendable        int                   // peers that may get something new
-	queuedChanges   endpoints.ChangeQueue // of long lists, still to be taken in
-	lastGeneration  uint64                // generation of the last list that came
-	watchRequested  bool                  // the watch was wanted before
-	releaseAt       time.Duration         // when the view is looked at again; 0: never
-	retryAt         time.Duration         // when servers of the past that failed are; 0: never
+	sendable        int                   // servers that may receive new attempts
+	queuedChanges   endpoints.ChangeQueue // changes of long lists that are not applied yet
+	lastGeneration  uint64                // generation of the last list from discovery
+	watchRequested  bool                  // startWatch has begun a first watch
+	releaseAt       time.Duration         // when the view releases held-back changes; 0: never
+	retryAt         time.Duration         // when failed servers of a stale list are retried; 0: never
 	timers          timers
 	actions         []decide.Action
 	rng             *rand.Rand
-	unsent          []attemptEnded // outcomes of sends that could not be made
+	unsent          []attemptEnded // outcomes of attempts that could not be sent
 }
 
 func newLoop(ctx context.Context, c *Config, clock clock.Clock, up *upstream.Pool, log *slog.Logger) *loop {
@@ -181,7 +182,7 @@
 	}
 }
 
-// post hands an event to the loop. It returns without doing so once the loop has ended.
+// post sends an event to the loop. It drops the event once the loop has stopped.
 func (l *loop) post(event any) {
 	select {
 	case l.events <- event:
@@ -189,18 +190,18 @@
 	}
 }
 
-// run handles events until the context ends, and then waits for the attempts it started.
+// run handles events until the context is cancelled, then waits for the attempts in flight.
 func (l *loop) run(known *endpoints.List) {
 	defer l.runningAttempts.Wait()
 	l.now = l.clock.Now()
 	l.setRoutes(l.initialRoutes)
 	l.loadInitialList(known)
-	l.after(sweepEvery, timer{sweep: true})
+	l.after(sweepInterval, timer{sweep: true})
 	if l.pool != nil {
 		l.schedulePoolTick()
 	}
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	nextTimer := time.NewTimer(0)
+	defer nextTimer.Stop()
 	for {
 		select {
 		case <-l.ctx.Done():
@@ -209,19 +210,19 @@
 		case e := <-l.events:
 			l.now = l.clock.Now()
 			l.handle(e)
-		case <-alarm.C:
+		case <-nextTimer.C:
 		}
 		l.now = l.clock.Now()
 		for len(l.timers) > 0 && l.timers[0].at <= l.now {
 			l.fire(heap.Pop(&l.timers).(timer))
 		}
 		if len(l.timers) > 0 {
-			alarm.Reset(l.timers[0].at - l.clock.Now())
+			nextTimer.Reset(l.timers[0].at - l.clock.Now())
 		}
 	}
 }
 
-// callOff ends all attempts: the loop has ended.
+// cancelAttempts cancels all attempts in flight when the loop stops.
 func (l *loop) cancelAttempts() {
 	for _, p := range l.pending {
 		for _, t := range p.attempts {
@@ -230,7 +231,7 @@
 	}
 }
 
-// handle takes one event.
+// handle dispatches one event.
 func (l *loop) handle(e any) {
 	switch e := e.(type) {
 	case requestArrived:
@@ -248,8 +249,8 @@
 		l.handleOutcome(e)
 	case configReloaded:
 		l.setRoutes(e.routes)
-		if was := l.discovery.Address(); e.discovery != was {
-			l.log.Info("discovery moves", "from", was, "to", e.discovery)
+		if old := l.discovery.Address(); e.discovery != old {
+			l.log.Info("discovery moves", "from", old, "to", e.discovery)
 			l.discovery.SetAddress(e.discovery)
 			l.handleDiscoveryMove()
 			if l.saved != nil {
@@ -259,7 +260,7 @@
 		close(e.done)
 	case shutdownRequested:
 		l.shuttingDown = true
-		for _, p := range l.pending { // in any order: nothing follows from one to the next
+		for _, p := range l.pending { // the order does not matter: requests are independent
 			l.failOverdue(p)
 		}
 	case discovery.Update:
@@ -289,8 +290,8 @@
 	}
 }
 
-// route takes the operators' rules, and gives the module their bounds: rows and
-// table always change together.
+// setRoutes installs the operators' route table and passes its policies to the balancer, so
+// that the route numbers of both always match.
 func (l *loop) setRoutes(t *routes.Table) {
 	l.routes = t
 	var bounds []decide.RoutePolicy
@@ -300,7 +301,7 @@
 	l.execute(l.balancer.SetRoutePolicies(l.now, bounds, l.actions[:0]))
 }
 
-// arrive gives a request to the module.
+// startRequest passes a new request to the balancer.
 func (l *loop) startRequest(p *pendingRequest) {
 	if l.shuttingDown {
 		p.answered = true
@@ -312,7 +313,7 @@
 		l.respond(p, answer{answerStatus: refused})
 		return
 	}
-	if p.finished.Load() { // its client has left while it waited for the loop, and departed follows
+	if p.finished.Load() { // the client left while the request was queued; clientDisconnected follows
 		p.answered = true
 		return
 	}
@@ -331,8 +332,7 @@
 	}
 }
 
-// leave tells the module that a request is over, whatever it holds, and calls
-// its attempts off.
+// abandon tells the balancer that a request has ended, and cancels its attempts.
 func (l *loop) abandon(p *pendingRequest) {
 	l.execute(l.balancer.HandleDisconnect(l.now, decide.Disconnect{Request: p.request.ID}, l.actions[:0]))
 	for _, t := range p.attempts {
@@ -341,7 +341,7 @@
 	l.dropIfDone(p)
 }
 
-// expire fails a request in the module's place.
+// failOverdue fails a request that the balancer has not answered.
 func (l *loop) failOverdue(p *pendingRequest) {
 	if !p.answered {
 		l.finish(p, answer{answerStatus: overdue}, decide.DeadlineExceeded)
@@ -349,12 +349,12 @@
 	}
 }
 
-// finish gives a request its final answer, unless it has one.
-func (l *loop) finish(p *pendingRequest, a answer, why decide.Reason) {
+// finish delivers the final answer to a request, unless it has been answered.
+func (l *loop) finish(p *pendingRequest, a answer, reason decide.Reason) {
 	if p == nil || p.answered {
 		return
 	}
-	l.trace.answered(p, a.answerStatus, why)
+	l.trace.answered(p, a.answerStatus, reason)
 	l.markAnswered(p)
 	if l.budgets != nil {
 		a.spent = l.budgets.close(p.budget, a.answerStatus, p.mayHaveRun)
@@ -363,14 +363,14 @@
 	l.dropIfDone(p)
 }
 
-// conclude marks a request as over: no attempt that has not begun goes out for it.
+// markAnswered marks a request as answered: no attempt that is not yet on the wire is sent.
 func (l *loop) markAnswered(p *pendingRequest) {
 	p.answered = true
 	p.finished.Store(true)
 }
 
-// forget drops a request that is answered and has nothing out. Its timer may be
-// set for seconds yet, and must not hold its body for so long.
+// dropIfDone removes a request that is answered and has no attempts in flight. Its timer may
+// keep the request alive for seconds, so the body is released here.
 func (l *loop) dropIfDone(p *pendingRequest) {
 	if p.answered && p.openAttempts == 0 {
 		delete(l.pending, p.request.ID)
@@ -378,14 +378,14 @@
 	}
 }
 
-// end takes the outcome of an attempt.
+// handleOutcome processes the outcome of an attempt.
 func (l *loop) handleOutcome(e attemptEnded) {
 	l.trace.attemptEnded(&e)
 	p := e.attempt.pending
 	p.openAttempts--
-	below := 0
+	spentBelow := 0
 	if l.budgets != nil {
-		below = l.budgets.endAttempt(p.budget, &e.Outcome)
+		spentBelow = l.budgets.endAttempt(p.budget, &e.Outcome)
 		p.mayHaveRun = p.mayHaveRun || e.Result != decide.Rejected && e.Result != decide.ConnectFailed && e.Result != decide.NotSent
 	}
 	if e.Result == decide.Served {
@@ -395,12 +395,12 @@
 	l.dropIfDone(p)
 	l.execute(l.balancer.HandleOutcome(l.now, decide.Outcome{
 		Request: p.request.ID, Attempt: e.number, Server: e.server, Result: e.Result,
-		Elapsed: e.elapsed, ConnAge: e.ConnAge, DialTime: e.DialTime, Final: final, ConnClosed: e.ConnClosed, Spent: below,
+		Elapsed: e.elapsed, ConnAge: e.ConnAge, DialTime: e.DialTime, Final: final, ConnClosed: e.ConnClosed, Spent: spentBelow,
 	}, l.actions[:0]))
 	l.recordResult(e.server, e.Result, e.elapsed-e.DialTime)
 }
 
-// carryOut does what the module wants done.
+// execute carries out the balancer's actions.
 func (l *loop) execute(actions []decide.Action) {
 	for i := range actions {
 		a := &actions[i]
@@ -429,21 +429,21 @@
 		case decide.Log:
 			l.log.Info("module", "text", a.Text)
 		default:
-			l.log.Warn("the module wants what this node can't do", "action", a.Kind)
+			l.log.Warn("the balancer returned an action of an unknown kind", "action", a.Kind)
 		}
 	}
 	l.actions = actions
-	for len(l.unsent) > 0 { // told only now: the module's handlers do not nest
+	for len(l.unsent) > 0 { // deferred until now because the balancer's handlers do not nest
 		e := l.unsent[0]
 		l.unsent = l.unsent[1:]
 		l.handleOutcome(e)
 	}
 }
 
-// send starts an attempt.
+// send starts an attempt on a goroutine of its own.
 func (l *loop) send(p *pendingRequest, a *decide.Action) {
 	if p == nil {
-		l.log.Warn("the module sends for a request that is over", "request", a.Request)
+		l.log.Warn("the balancer sent an attempt for a request that has ended", "request", a.Request)
 		return
 	}
 	t := &attempt{pending: p, number: len(p.attempts), server: a.Server}
@@ -455,28 +455,28 @@
 		return
 	}
 	l.trace.attemptSent(p, t, l.lastGeneration, l.balancer.Unconfirmed(l.now))
-	sent, call, more := l.now, p.upstreamRequest, ""
+	sent, call, budgetHeaders := l.now, p.upstreamRequest, ""
 	if l.budgets != nil {
-		more = l.budgets.beginAttempt(l.now, p.budget)
+		budgetHeaders = l.budgets.beginAttempt(l.now, p.budget)
 	}
 	until := min(sent+a.Wait, p.deadline-safetyMargin)
-	by := until
+	sendBy := until
 	if a.SendWithin > 0 {
-		by = sent + a.SendWithin
+		sendBy = sent + a.SendWithin
 	}
 	l.runningAttempts.Go(func() {
-		o := l.upstream.Attempt(&t.Canceler, &server.Target, call, more, by, until)
+		o := l.upstream.Attempt(&t.Canceler, &server.Target, call, budgetHeaders, sendBy, until)
 		l.post(attemptEnded{attempt: t, Outcome: o, elapsed: l.clock.Now() - sent})
 	})
 }
 
-// timer is something to do later: one of the module's, a request's end, or a sweep.
+// timer is a scheduled call: one of the balancer's, a request's deadline, a sweep or run.
 type timer struct {
 	at      time.Duration
 	token   uint64
 	overdue *pendingRequest
 	sweep   bool
-	run     func() // something rare
+	run     func() // called when nothing else is set
 }
 
 func (l *loop) after(wait time.Duration, t timer) { l.at(l.now+max(0, wait), t) }
@@ -486,7 +486,7 @@
 	heap.Push(&l.timers, t)
 }
 
-// due handles a timer.
+// fire handles a timer that has expired.
 func (l *loop) fire(t timer) {
 	switch {
 	case t.run != nil:
@@ -496,10 +496,10 @@
 			l.updateAnswerRate()
 		}
 		l.onSweep()
-		l.after(sweepEvery, t)
+		l.after(sweepInterval, t)
 	case t.overdue != nil:
 		if p := t.overdue; !p.answered {
-			l.log.Warn("a request was overdue", "class", p.request.Class, "attempts", len(p.attempts), "out", p.openAttempts)
+			l.log.Warn("the balancer did not answer a request in time", "class", p.request.Class, "attempts", len(p.attempts), "out", p.openAttempts)
 			l.failOverdue(p)
 		}
 	default:
@@ -507,7 +507,7 @@
 	}
 }
 
-// timers is a heap, the earliest first.
+// timers is a min-heap by expiry time.
 type timers []timer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,5 @@
-// Package node puts the decisions of package decide on real sockets: it takes
-// requests from clients, makes attempts at servers, follows discovery, and
-// leaves every choice to the module.
+// Package node runs a load-balancing node. It accepts requests from clients, sends attempts
+// to servers and follows discovery; every load-balancing decision is left to package decide.
 package node
 
 import (
@@ -28,27 +27,26 @@
 )
 
 const (
-	// After the word to end, new connections go on coming for up to 0.4 s, and
-	// clients go on using those that they have: where there is no other node near,
-	// they have nowhere else to go. What comes last still has time for its answer.
+	// After SIGTERM, new connections keep arriving for up to 0.4 s, and clients keep using
+	// their open ones: without another node nearby they have nowhere else to go. The last
+	// requests to arrive still have time to be answered.
 	minShutdownWait = 1500 * time.Millisecond
 	quietPeriod     = 200 * time.Millisecond
-	// The kill comes no sooner than the longest deadline, of which this is the
-	// most, and 0.7 s more.
+	// The process is killed no sooner than 0.7 s after the longest deadline, which is at
+	// most maxShutdownWait.
 	maxShutdownWait   = 3 * time.Second
 	finalAnswerMargin = 300 * time.Millisecond
-	// Between two looks whether there is a server to send to, at the start, and whether
-	// clients are left, at the end.
+	// pollInterval is how often WaitReady and waitForClients check their condition.
 	pollInterval = 5 * time.Millisecond
 
-	closeExpiredWithin      = 2 * time.Second // an expired connection is closed so soon
+	closeExpiredWithin      = 2 * time.Second // an expired client connection is closed within this time
 	evictIdleWithin         = time.Second
 	closeUpstreamIdleWithin = time.Second
-	applyListWithin         = 250 * time.Millisecond // rule 3 gives 500 ms, and what drains is stopped at once
-	clientMemoryDivisor     = 4                      // of the node's memory, for clients' connections
+	applyListWithin         = 250 * time.Millisecond // rule 3 allows 500 ms; draining servers are stopped at once
+	clientMemoryDivisor     = 4                      // share of the node's memory for client connections
 )
 
-// Node is one real node.
+// Node is a running load-balancing node.
 type Node struct {
 	config      *Config
 	log         *slog.Logger
@@ -58,24 +56,24 @@
 	handler     *requestHandler
 	front       *front.Server
 	worker      *worker.Worker
-	stateWriter *persist.Writer  // nil: nothing is kept over restarts
-	members     *members.Members // nil: this node knows nothing of the others
-	leases      *leases.Leases   // nil: it takes no part in the fleet's leases
+	stateWriter *persist.Writer  // nil: no state is kept over restarts
+	members     *members.Members // nil: it takes no part in the membership
+	leases      *leases.Leases   // nil: it takes no part in the leases
 	address     net.Addr
 	jobs        jobs
-	stop        context.CancelFunc // ends the loop, its attempts and discovery
+	stop        context.CancelFunc // stops the loop, its attempts and discovery
 
-	// Reload's own.
+	// Used by Reload only.
 	reloads, badReloads int
-	idleRules           bool // the operators' rules for idle connections are in use
+	idleRules           bool // the operators' idle rules are in use
 }
 
-// jobs are the node's kinds of background work.
+// jobs are the node's background jobs.
 type jobs struct {
 	closeExpired, evictIdle, releaseBuffers, reapplyRules, closeParked, closeUpstreamIdle, applyList, expireLedger, writeState, recordServed *worker.Job
 }
 
-// New makes a node and binds its address.
+// New creates a node and binds its listening address.
 func New(c *Config, log *slog.Logger) (*Node, error) {
 	n := &Node{config: c, log: log, clock: clock.New()}
 	clients, attempts := splitSockets(c.Sockets)
@@ -86,11 +84,11 @@
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
 	n.loop.reportLag = n.worker.ReportLag
 	n.upstream.OnClose(n.loop.trace.closeLogger())
-	place := endpoints.FleetPosition{
+	position := endpoints.FleetPosition{
 		NodeIndex: c.Settings.Node, NodeCount: c.Settings.Nodes, Tier: c.Settings.Tier, ListObligation: c.Settings.ResubscribeWithin,
 		Pushed: !c.Settings.MustSubscribe, Seed: c.Seed,
 	}
-	n.loop.discovery = discovery.New(c.Discovery, place, log, func(u discovery.Update) { n.loop.post(u) })
+	n.loop.discovery = discovery.New(c.Discovery, position, log, func(u discovery.Update) { n.loop.post(u) })
 	n.loop.budgets = newBudgets(c, log)
 	n.handler = newRequestHandler(c, n.clock, n.loop)
 	n.handler.budgets = n.loop.budgets
@@ -109,26 +107,26 @@
 	for i := range worths {
 		worths[i] = c.Settings.Classes[i].Worth
 	}
-	// Without rules of the operators' all stays as the platform knows it.
-	policy, habits := idleconns.LRU, 0
+	// Without idle rules of the operators, eviction stays LRU, as the platform expects it.
+	policy, rememberedClients := idleconns.LRU, 0
 	if c.Routes.Idle() != nil {
-		policy, habits = idleconns.LowestValue, clients
+		policy, rememberedClients = idleconns.LowestValue, clients
 	}
-	var stood func() bool
-	if c.Members != nil { // opened below, before the front runs
-		stood = func() bool { return n.members.RecentlyPaused() }
+	var processStalled func() bool
+	if c.Members != nil { // n.members is opened below, before the front runs
+		processStalled = func() bool { return n.members.RecentlyPaused() }
 	}
 	n.front = front.New(front.Config{
 		Transport: transport, Handler: n.handler, Log: log, Now: n.clock.Now,
 		MaxConns: clients, MaxRefusalConns: refusalSockets, MemoryBudget: c.MemoryMB << 20 / clientMemoryDivisor,
 		ClassWorths: worths, MaxHeadSize: maxHeaderBytes, MaxBodySize: upstream.MaxBodySize,
-		EvictionPolicy: policy, RememberedClients: habits, IdleRules: c.Routes.Idle(),
+		EvictionPolicy: policy, RememberedClients: rememberedClients, IdleRules: c.Routes.Idle(),
 		Hooks: front.Hooks{
 			CloseExpired:   func() { n.jobs.closeExpired.Wake(closeExpiredWithin) },
 			EvictIdle:      func() { n.jobs.evictIdle.Wake(evictIdleWithin) },
 			ReleaseBuffers: func() { n.jobs.releaseBuffers.Wake(0) },
 			ReapplyRules:   func() { n.jobs.reapplyRules.Wake(0) },
-			ProcessStalled: stood,
+			ProcessStalled: processStalled,
 		},
 	})
 	n.handler.front = n.front
@@ -166,10 +164,12 @@
 	}
 	n.openState()
 	if c.Leases != nil && c.Leases.ShareLists && n.loop.saved != nil {
-		ask, hand, list := n.loop.bootstrapHooks()
+		allowDiscovery, deliverList, currentList := n.loop.bootstrapHooks()
 		n.loop.bootstrap = bootstrap.New(bootstrap.Settings{
 			Name: c.Name, Site: c.Settings.Zone, Seeds: c.Members.Seeds, HasList: len(n.loop.saved.restored.Servers) > 0,
-		}, n.members, n.leases, bootstrap.Hooks{AllowDiscovery: ask, DeliverList: hand, CurrentList: list}, log)
+		}, n.members, n.leases, bootstrap.Hooks{
+			AllowDiscovery: allowDiscovery, DeliverList: deliverList, CurrentList: currentList,
+		}, log)
 	}
 	sweeps := 0
 	n.loop.onSweep = func() {
@@ -184,66 +184,65 @@
 	return n, nil
 }
 
-// remember opens what the node keeps over its restarts. Whatever is wrong with it, the node starts.
+// openState opens the state that the node keeps over restarts. The node starts without it if
+// it can't be opened.
 func (n *Node) openState() {
 	state := n.config.State
 	set := persist.Settings{Folder: state.Folder, MaxMB: state.MaxMB}
-	var k *persist.Writer
-	var known persist.Restored
+	var writer *persist.Writer
+	var restored persist.Restored
 	switch {
 	case state.fs != nil:
-		k, known = persist.New(state.fs, set, n.config.Name, n.clock, n.log)
+		writer, restored = persist.New(state.fs, set, n.config.Name, n.clock, n.log)
 	case state.Folder == "":
 		return
 	default:
 		var err error
-		if k, known, err = persist.Open(set, n.config.Name, n.clock, n.log); err != nil {
-			n.log.Warn("the node starts without remembering", "err", err)
+		if writer, restored, err = persist.Open(set, n.config.Name, n.clock, n.log); err != nil {
+			n.log.Warn("starting without saved state", "err", err)
 			return
 		}
 	}
-	n.stateWriter = k
-	n.loop.saved = newSavedState(k, known, n.config, n.clock.WallTime(n.clock.Now()))
-	n.jobs.writeState = n.worker.Add("writing what is remembered", background.Cleanup, k.Step)
+	n.stateWriter = writer
+	n.loop.saved = newSavedState(writer, restored, n.config, n.clock.WallTime(n.clock.Now()))
+	n.jobs.writeState = n.worker.Add("writing what is remembered", background.Cleanup, writer.Step)
 	n.jobs.recordServed = n.worker.Add("noting who has served", background.Optional, n.loop.backgroundStep(n.loop.recordServedServers))
-	k.SetWake(n.jobs.writeState.Wake)
+	writer.SetWake(n.jobs.writeState.Wake)
 }
 
-// leavePatience is how long the node's end waits for the other members' word.
+// leaveTimeout is how long shutdown waits until the other members acknowledge the leave.
 const leaveTimeout = 2 * time.Second
 
-// keeperPatience is how long the node's end waits for the disk.
+// stateWriterTimeout is how long shutdown waits for the disk.
 const stateWriterTimeout = 500 * time.Millisecond
 
-// WaitReady waits until the node serves and has a server to send to, or the
-// context ends.
+// WaitReady waits until the node serves and has a server to send to, or until the context
+// is cancelled.
 func (n *Node) WaitReady(ctx context.Context) error {
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for !n.loop.ready.Load() {
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.loop.ctx.Done():
-			return errors.New("the node has ended")
+			return errors.New("the node has stopped")
 		}
 	}
 	return nil
 }
 
-// Address is where clients connect.
+// Address returns the address that clients connect to.
 func (n *Node) Address() net.Addr { return n.address }
 
-// Reload reads both files again and goes by them as far as a running node can:
-// it moves to the discovery that the configuration names, and takes the
-// operators' rules for requests that come from now on. All else takes a restart.
-// It is all or nothing: with an error, everything runs on as it was. Calls must
-// not overlap.
+// Reload reads the files again and applies what a running node can change: the address of
+// discovery, and the operators' rules for requests that arrive from now on. Other changes
+// need a restart. On an error nothing is changed. Calls must not overlap.
 func (n *Node) Reload(f Files) error {
 	if err := n.reload(f); err != nil {
 		n.badReloads++
-		n.log.Error("the new configuration is bad; the old one stays", "err", err,
+		n.log.Error("the new configuration is invalid; the old one stays", "err", err,
 			"reloads", n.reloads, "bad", n.badReloads)
 		return err
 	}
@@ -257,30 +256,31 @@
 	if err != nil {
 		return err
 	}
-	// The next start would go by the new settings, and these are checked; the rows
-	// are used with the settings that run.
+	// Read checked the rules against the new settings, which the next start will use. They
+	// are checked again against the current settings, which they are used with until then.
 	table, err := c.operatorRules.check(n.config)
 	if err != nil {
-		return fmt.Errorf("with the settings that run: %w", err)
+		return fmt.Errorf("checking the operators' rules against the running settings: %w", err)
 	}
 	done := make(chan struct{})
 	n.loop.post(configReloaded{table, c.Discovery, done})
 	select {
 	case <-done:
 	case <-n.loop.ctx.Done():
-		return errors.New("the node has ended")
+		return errors.New("the node has stopped")
 	}
 	if idle := table.Idle(); idle != nil || n.idleRules {
 		n.front.SetIdleRules(idle)
 		n.idleRules = idle != nil
 	}
 	if !n.config.sameService(c) {
-		n.log.Warn("the new configuration changes more than discovery and routes, which takes a restart")
+		n.log.Warn("the new configuration changes more than discovery and routes; the rest needs a restart")
 	}
 	return nil
 }
 
-// Run serves until the context ends, and then until what has come is answered.
+// Run serves until the context is cancelled, and then until the requests that have arrived
+// are answered.
 func (n *Node) Run(ctx context.Context) error {
 	inner := n.loop.ctx
 	var parts sync.WaitGroup
@@ -293,7 +293,7 @@
 		defer func() {
 			n.stop()
 			if err := n.stateWriter.Wait(stateWriterTimeout); err != nil {
-				n.log.Warn("ending", "err", err)
+				n.log.Warn("shutting down", "err", err)
 			}
 		}()
 	}
@@ -310,14 +310,14 @@
 	if n.loop.bootstrap != nil {
 		parts.Go(func() { n.loop.bootstrap.Run(inner) })
 	}
-	broke := make(chan struct{})
+	frontStopped := make(chan struct{})
 	parts.Go(func() {
-		defer close(broke)
+		defer close(frontStopped)
 		n.front.Run(inner)
 	})
 	select {
-	case <-broke:
-		return errors.New("serving: the listener has ended")
+	case <-frontStopped:
+		return errors.New("serving: the listener has been closed")
 	case <-ctx.Done():
 	}
 	err := n.shutDown()
@@ -325,59 +325,60 @@
 	return err
 }
 
-// leave ends the service in order. Closing the listener at once would reset the
-// connections that wait in its backlog.
+// shutDown stops serving in order. Closing the listener at once would reset the connections
+// that wait in its backlog.
 func (n *Node) shutDown() error {
 	begun := n.clock.Now()
-	n.log.Info("ending")
+	n.log.Info("shutting down")
 	n.handler.shuttingDown.Store(true)
-	if n.members != nil { // the others need not find out by themselves
+	if n.members != nil { // spares the other members from detecting the departure
 		var parts sync.WaitGroup
 		defer parts.Wait()
 		parts.Go(func() {
-			if n.leases != nil { // while the others still know where this node is
+			if n.leases != nil { // before Leave, while the other members still know this node's address
 				n.leases.Leave(leaveTimeout / 2)
 			}
 			n.members.Leave(leaveTimeout)
 		})
 	}
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, c := range n.config.Settings.Classes {
-		longest = max(longest, c.Deadline)
+		longestDeadline = max(longestDeadline, c.Deadline)
 	}
-	last := begun + min(longest, maxShutdownWait) + finalAnswerMargin
+	lastAnswer := begun + min(longestDeadline, maxShutdownWait) + finalAnswerMargin
 	for {
 		now := n.clock.Now()
 		quietAt := max(begun+minShutdownWait, n.front.LastAccept()+quietPeriod)
-		if now >= min(quietAt, last) {
+		if now >= min(quietAt, lastAnswer) {
 			break
 		}
-		time.Sleep(min(quietAt, last) - now)
+		time.Sleep(min(quietAt, lastAnswer) - now)
 	}
-	// Parked connections close now, as fast as that harms no request, and those in use
-	// with their answer.
+	// Idle connections are closed now, at a pace that delays no request; connections in use
+	// are closed with their answer.
 	if err := n.front.CloseListener(); err != nil {
-		return fmt.Errorf("ending: %w", err)
+		return fmt.Errorf("closing the listener: %w", err)
 	}
-	n.jobs.closeParked.Wake((last - n.clock.Now()) / 2)
-	if n.waitForClients(last) {
+	n.jobs.closeParked.Wake((lastAnswer - n.clock.Now()) / 2)
+	if n.waitForClients(lastAnswer) {
 		return nil
 	}
-	// What is left has no time: it gets its answer from the loop, and a moment to leave.
+	// The loop fails the requests that are left; their clients get a moment to disconnect.
 	n.loop.post(shutdownRequested{})
 	n.waitForClients(n.clock.Now() + finalAnswerMargin/2)
 	return nil
 }
 
-// emptied waits until no client is connected, and tells whether that was in time.
-func (n *Node) waitForClients(last time.Duration) bool {
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
+// waitForClients waits until no client is connected. It returns false if some are still
+// connected at the deadline.
+func (n *Node) waitForClients(deadline time.Duration) bool {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for n.front.OpenConns() > 0 {
-		if n.clock.Now() >= last {
+		if n.clock.Now() >= deadline {
 			return false
 		}
-		<-look.C
+		<-ticker.C
 	}
 	return true
 }
