--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -39,19 +39,19 @@
 }
 
 func newRequestHandler(c *Config, clock clock.Clock, loop *loop) *requestHandler {
-	s := &requestHandler{
+	h := &requestHandler{
 		clock: clock, loop: loop, classes: map[string]int{}, tenants: map[string]int{},
 		openTxns: map[string]bool{},
 	}
 	for i, name := range c.Classes {
-		s.classes[name] = i
-		s.idempotency = append(s.idempotency, c.Settings.Classes[i].Idempotency)
-		s.maxWaits = append(s.maxWaits, c.Settings.Classes[i].Deadline)
+		h.classes[name] = i
+		h.idempotency = append(h.idempotency, c.Settings.Classes[i].Idempotency)
+		h.maxWaits = append(h.maxWaits, c.Settings.Classes[i].Deadline)
 	}
 	for i, name := range c.Tenants {
-		s.tenants[name] = i
+		h.tenants[name] = i
 	}
-	return s
+	return h
 }
 
 // singleValueHeaders are the headers that a request must not repeat: node and server might
@@ -59,18 +59,18 @@
 var singleValueHeaders = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
 
 // HandleRequest handles one request. It implements front.Handler.
-func (s *requestHandler) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
-	now := s.clock.Now()
+func (h *requestHandler) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
+	now := h.clock.Now()
 	if r.URL.Path == "/ready" {
-		if s.loop.ready.Load() && !s.shuttingDown.Load() {
+		if h.loop.ready.Load() && !h.shuttingDown.Load() {
 			return nil, -1, &front.Response{Status: http.StatusOK, Text: "ready"}
 		}
 		return nil, -1, &front.Response{Status: http.StatusServiceUnavailable, Text: "not ready"}
 	}
-	p, status, problem := s.parse(nil, r, now)
+	p, status, problem := h.parse(nil, r, now)
 	spent := ""
-	if p != nil && s.budgets != nil {
-		g, loop := s.budgets.read(r, p.request.Class, p.deadline-now)
+	if p != nil && h.budgets != nil {
+		g, loop := h.budgets.read(r, p.request.Class, p.deadline-now)
 		if p.budget = g; g == nil {
 			spent = budget.EncodeSpent(0, budget.Loop)
 			p, status, problem = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
@@ -78,7 +78,7 @@
 			p.deadline = min(p.deadline, now+g.grant.TimeLeft)
 		}
 	}
-	if p != nil && !s.reserveTxn(p.upstreamRequest.Txn) {
+	if p != nil && !h.reserveTxn(p.upstreamRequest.Txn) {
 		p, status, problem = nil, http.StatusConflict, "another request with this X-Txn is open"
 	}
 	if p == nil {
@@ -91,45 +91,45 @@
 		return nil, -1, a
 	}
 	if crowded {
-		s.releaseTxn(p.upstreamRequest.Txn)
+		h.releaseTxn(p.upstreamRequest.Txn)
 		return nil, p.request.Class, &front.Response{Status: http.StatusTooManyRequests, Text: "too many connections", Close: true}
 	}
 	p.token, p.arrivedAt = t, now
-	s.loop.post(requestArrived{p})
+	h.loop.post(requestArrived{p})
 	return p, p.request.Class, nil
 }
 
 // ClientGone abandons the request of a client that has disconnected. It implements
 // front.Handler.
-func (s *requestHandler) ClientGone(open any) {
+func (h *requestHandler) ClientGone(open any) {
 	p := open.(*pendingRequest)
 	p.finished.Store(true) // at once, before the loop gets to clientDisconnected
-	s.releaseTxn(p.txn)
-	s.loop.post(clientDisconnected{p})
+	h.releaseTxn(p.txn)
+	h.loop.post(clientDisconnected{p})
 }
 
 // reserveTxn reserves a request's X-Txn. It returns false if another open request has it:
 // servers use it to tell attempts apart and to drop duplicates, so answers might reach the
 // wrong client.
-func (s *requestHandler) reserveTxn(txn string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.openTxns[txn] {
+func (h *requestHandler) reserveTxn(txn string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.openTxns[txn] {
 		return false
 	}
-	s.openTxns[txn] = true
+	h.openTxns[txn] = true
 	return true
 }
 
-func (s *requestHandler) releaseTxn(txn string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.openTxns, txn)
+func (h *requestHandler) releaseTxn(txn string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.openTxns, txn)
 }
 
 // respond delivers the final answer to the client's connection. It does not block.
-func (s *requestHandler) respond(p *pendingRequest, a answer) {
-	s.releaseTxn(p.txn)
+func (h *requestHandler) respond(p *pendingRequest, a answer) {
+	h.releaseTxn(p.txn)
 	to := front.Response{HeaderName: budget.SpentHeaderName, HeaderValue: a.spent, WriteDeadline: p.deadline + front.WriteGrace}
 	if a.spent == "" {
 		to.HeaderName = ""
@@ -144,12 +144,12 @@
 	case overdue:
 		to.Status, to.Text = http.StatusGatewayTimeout, "no answer in time"
 	}
-	s.front.Respond(p.token, to)
+	h.front.Respond(p.token, to)
 }
 
 // parse reads a request. For an invalid one it returns the status and text of the answer.
 // None of these statuses is a refusal, as a retry of such a request is of no use.
-func (s *requestHandler) parse(_ http.ResponseWriter, r *http.Request, now time.Duration) (*pendingRequest, int, string) {
+func (h *requestHandler) parse(_ http.ResponseWriter, r *http.Request, now time.Duration) (*pendingRequest, int, string) {
 	// For a request with both Transfer-Encoding and Content-Length, net/http drops one, and a
 	// server or proxy that uses the other finds a second request inside the body (request
 	// smuggling). Chunked bodies are rejected altogether: no client needs them.
@@ -165,7 +165,7 @@
 		}
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	class, ok := s.classes[first]
+	class, ok := h.classes[first]
 	if !ok {
 		return nil, http.StatusNotFound, "no such class of requests"
 	}
@@ -173,7 +173,7 @@
 		return nil, http.StatusBadRequest, "X-Lane and the path differ"
 	}
 	key := r.Header.Get("Idempotency-Key")
-	switch effect := s.idempotency[class]; {
+	switch effect := h.idempotency[class]; {
 	case effect == decide.Idempotent && r.Method != http.MethodGet,
 		effect != decide.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, "the class does not go with the method"
@@ -189,7 +189,7 @@
 	if err != nil || wait > maxRemaining {
 		return nil, http.StatusBadRequest, "X-Remaining-Ms is missing or odd"
 	}
-	if longest := s.maxWaits[class]; longest > 0 { // no client waits longer than its class's deadline
+	if longest := h.maxWaits[class]; longest > 0 { // no client waits longer than its class's deadline
 		wait = min(wait, longest)
 	}
 	p := &pendingRequest{
@@ -198,7 +198,7 @@
 		deadline: now + wait,
 		request:  decide.Request{Class: class, Tenant: -1, IsRetry: r.Header.Get("X-Resent") == "1"},
 	}
-	if tenant, ok := s.tenants[r.Header.Get("X-Org")]; ok {
+	if tenant, ok := h.tenants[r.Header.Get("X-Org")]; ok {
 		p.request.Tenant = tenant
 	}
 	if text := r.Header.Get("X-Estimate"); text != "" {
@@ -219,7 +219,7 @@
 	if r.Body == http.NoBody {
 		return p, 0, ""
 	}
-	if s.idempotency[class] == decide.Idempotent {
+	if h.idempotency[class] == decide.Idempotent {
 		return nil, http.StatusBadRequest, "the class takes no body"
 	}
 	if r.ContentLength > upstream.MaxBodySize {
@@ -230,6 +230,6 @@
 		return nil, http.StatusRequestTimeout, "the body did not come"
 	}
 	// The client's time counts from the last byte of its request.
-	p.deadline += s.clock.Now() - now
+	p.deadline += h.clock.Now() - now
 	return p, 0, ""
 }
--- a/internal/node/handed.go
+++ b/internal/node/handed.go
@@ -10,29 +10,31 @@
 	"curlewring/internal/servers/serverdb"
 )
 
-// Events of the loop that have to do with lists of other nodes.
+// Events of the loop about lists that nodes hand to each other.
 type (
-	discoveryAllowed struct{} // discovery may be asked
-	listHandedOver   struct { // a list of another node's
+	discoveryAllowed struct{} // bootstrap allows a call to discovery
+	listHandedOver   struct { // a list from another node
 		list  *endpoints.List
 		about bootstrap.List
 	}
-	listRequested struct{ reply chan<- *endpoints.List } // room for one
+	listRequested struct{ reply chan<- *endpoints.List } // buffered for one reply
 )
 
-// recordLoop is what the record of lists needs of the loop.
-func (l *loop) bootstrapHooks() (ask func(), hand func([]byte, bootstrap.List), list func(context.Context) []byte) {
-	ask = func() { l.post(discoveryAllowed{}) }
-	hand = func(text []byte, about bootstrap.List) {
+// bootstrapHooks returns the functions through which bootstrap uses the loop.
+func (l *loop) bootstrapHooks() (
+	allowDiscovery func(), deliverList func([]byte, bootstrap.List), currentList func(context.Context) []byte,
+) {
+	allowDiscovery = func() { l.post(discoveryAllowed{}) }
+	deliverList = func(text []byte, about bootstrap.List) {
 		m, err := endpoints.Parse(text)
 		if err != nil || !m.Whole || m.Generation != about.Generation {
-			l.log.Warn("a list that another node handed on makes no sense", "err", err)
+			l.log.Warn("ignoring an invalid list from another node", "err", err)
 			l.bootstrap.ListRejected()
 			return
 		}
 		l.post(listHandedOver{m, about})
 	}
-	list = func(ctx context.Context) []byte {
+	currentList = func(ctx context.Context) []byte {
 		reply := make(chan *endpoints.List, 1)
 		l.post(listRequested{reply})
 		select {
@@ -42,7 +44,7 @@
 			}
 			text, err := m.Encode()
 			if err != nil {
-				l.log.Error("the list can't be written for another node", "err", err)
+				l.log.Error("encoding the list for another node", "err", err)
 				return nil
 			}
 			return text
@@ -50,32 +52,32 @@
 			return nil
 		}
 	}
-	return ask, hand, list
+	return allowDiscovery, deliverList, currentList
 }
 
-// handed begins with a list of another node's, as with an old one of this node's own: it is doubted by its age, until
-// discovery has spoken to this node itself.
+// adoptHandedList starts from a list of another node, like from an old list of this node's
+// own: depending on its age it counts as stale until discovery has sent this node a list.
 func (l *loop) adoptHandedList(h listHandedOver) {
 	p := l.saved
 	if l.lastGeneration > 0 || len(p.restored.Servers) > 0 || len(h.list.Entries) == 0 {
-		return // discovery has spoken, or there is a list of this node's own
+		return // there is a list from discovery or of this node's own
 	}
 	wall := l.clock.WallTime(l.now)
-	known := persist.Restored{Node: p.restored.Node, List: serverdb.List{
+	restored := persist.Restored{Node: p.restored.Node, List: serverdb.List{
 		Generation: h.list.Generation, Discovery: h.about.Discovery, Confirmed: wall.Add(-h.about.Age), ServingCount: len(h.list.Entries), Consistent: true,
 	}}
 	for i := range h.list.Entries {
-		known.Servers = append(known.Servers, toRow(&h.list.Entries[i], wall))
+		restored.Servers = append(restored.Servers, toRow(&h.list.Entries[i], wall))
 	}
-	p.restored, p.fromOtherNode = known, true
-	l.log.Info("another node has handed its list on", "servers", len(known.Servers), "generation", h.list.Generation, "age", h.about.Age.Round(time.Millisecond).String())
-	if h.about.Discovery == l.discovery.Address() { // else its generations may be others
+	p.restored, p.fromOtherNode = restored, true
+	l.log.Info("starting with the list of another node", "servers", len(restored.Servers), "generation", h.list.Generation, "age", h.about.Age.Round(time.Millisecond).String())
+	if h.about.Discovery == l.discovery.Address() { // otherwise the generations are not comparable
 		l.discovery.ResumeFrom(h.list.Generation)
 	}
 	l.loadSavedState()
 }
 
-// present is the list as discovery told it, or another node; nil: there is none.
+// currentList returns the last list from discovery or another node; nil if there is none.
 func (l *loop) currentList() *endpoints.List {
 	if l.lastGeneration == 0 && !l.saved.fromOtherNode {
 		return nil
--- a/internal/node/listen.go
+++ b/internal/node/listen.go
@@ -11,7 +11,7 @@
 	"curlewring/internal/node/front"
 )
 
-// listen binds the address, or the unix socket, that clients connect to.
+// listen binds the address or unix socket that clients connect to.
 func listen(c *Config) (net.Listener, error) {
 	if c.Sidecar != nil && c.Sidecar.Socket != "" {
 		return listenUnix(c.Sidecar.Socket)
@@ -30,14 +30,13 @@
 	return l, nil
 }
 
-// unixListener is a listener whose path is its own as long as it holds the lock
-// beside it.
+// unixListener owns its socket path as long as it holds the lock file next to it.
 type unixListener struct {
 	*net.UnixListener
 	lock *os.File
 }
 
-// Close ends the listening, removes the socket, and gives the path free.
+// Close closes the listener, removes the socket, and releases the lock.
 func (l *unixListener) Close() error {
 	err := l.UnixListener.Close()
 	if err2 := l.lock.Close(); err == nil {
@@ -46,9 +45,9 @@
 	return err
 }
 
-// listenUnix binds a unix socket. What a process left there that died is
-// replaced; of two that want one path, the lock lets one have it (flock(2): it
-// ends with its process, however that ends).
+// listenUnix binds a unix socket and replaces one that a dead process left behind. A lock
+// file keeps two processes from using one path (flock(2): the kernel releases the lock when
+// its process ends).
 func listenUnix(path string) (net.Listener, error) {
 	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -64,7 +63,7 @@
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode().Type() != fs.ModeSocket {
 			lock.Close()
-			return nil, fmt.Errorf("%s is there and is no socket", path)
+			return nil, fmt.Errorf("%s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			lock.Close()
@@ -79,8 +78,8 @@
 	return &unixListener{l, lock}, nil
 }
 
-// newTransport makes the way in which the front waits for its connections. The
-// portable one is for systems without epoll, and for measuring against it.
+// newTransport creates the front's transport. The portable one, a goroutine per connection,
+// is for systems without epoll and for comparisons.
 func newTransport(l net.Listener) (front.Transport, error) {
 	if os.Getenv("CURLEWRING_FRONT") == "goroutines" {
 		return front.NewGoroutineTransport(l)
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -9,14 +9,12 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// Lists of more entries than this are taken in by steps: the module's part of an
-// entry costs up to 5 us.
 const (
-	longListEntries = 256
-	listStepEntries = 32 // entries between two looks at the clock
+	longListEntries = 256 // longer lists are applied in steps: the balancer takes up to 5 us an entry
+	listStepEntries = 32  // entries between two checks of the slice's end
 )
 
-// begin takes the list that the node starts with: the configuration's, or what is left of its last life.
+// loadInitialList starts with the saved list or, without saved state, with the configuration's.
 func (l *loop) loadInitialList(known *endpoints.List) {
 	if l.saved != nil {
 		l.loadSavedState()
@@ -32,12 +30,12 @@
 	if !l.settings.MustSubscribe {
 		return
 	}
-	if until := l.confirmation.Restore(len(stored.Entries)); until > 0 { // the list is as old as the last life
+	if until := l.confirmation.Restore(len(stored.Entries)); until > 0 { // the list is from before the restart
 		l.setConfirmedUntil(until)
 	}
 }
 
-// accepted takes word that discovery keeps a long poll open: it has nothing newer.
+// handleOpenPoll handles that discovery keeps a long poll open: it has nothing newer.
 func (l *loop) handleOpenPoll() {
 	asOf, until := l.confirmation.RecordOpenPoll(l.now)
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
@@ -45,14 +43,15 @@
 	}, l.actions[:0]))
 }
 
-// unconfirm tells the module from when on changes that this node lacks may count as told.
-func (l *loop) setConfirmedUntil(from time.Duration) {
+// setConfirmedUntil tells the balancer until when the list counts as confirmed. Afterwards,
+// servers may have changed without this node's knowledge.
+func (l *loop) setConfirmedUntil(until time.Duration) {
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
-		Kind: decide.ListRestored, ConfirmedUntil: from, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
+		Kind: decide.ListRestored, ConfirmedUntil: until, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
 	}, l.actions[:0]))
 }
 
-// listed takes a list that discovery has told.
+// handleList handles a list from discovery.
 func (l *loop) handleList(answer *discovery.Update) {
 	m := answer.List
 	l.lastGeneration = m.Generation
@@ -73,7 +72,7 @@
 	}
 	if l.bootstrap != nil {
 		l.bootstrap.ListReceived(m.Generation, l.discovery.Address())
-		if l.saved.fromOtherNode { // what was handed on is discovery's word by now
+		if l.saved.fromOtherNode { // discovery has now confirmed the other node's list
 			l.saved.fromOtherNode = false
 			l.saveList(m, l.view.LatestList().Entries)
 		}
@@ -90,19 +89,20 @@
 	l.scheduleRelease()
 }
 
-// unlisted takes a call to discovery that brought no list, or not yet.
+// handleNoList handles a call to discovery that returned no list, or none yet.
 func (l *loop) handleNoList(u *discovery.Update) {
 	f := u.Failure
 	m := decide.ListUpdate{
 		Kind: decide.ListFailed, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
 	}
 	switch {
-	case f.Reason == endpoints.PollTimedOut, u.MoreExpected: // the watch goes on by itself
+	case f.Reason == endpoints.PollTimedOut, u.MoreExpected: // the watch continues
 		m.Kind = decide.ListRestored
 	default:
 		l.staleness.RecordFetch(l.now, false)
 	}
-	// An agent that is silent has learnt nothing either; one that has begun to answer has.
+	// With pushed lists, an agent that does not answer has nothing new either; a partial
+	// answer shows that it has.
 	if l.settings.MustSubscribe || f.Reason == endpoints.PartialAnswer {
 		m.ConfirmedUntil = l.confirmation.RecordFailure(l.now, f)
 	}
@@ -114,14 +114,14 @@
 	l.execute(l.balancer.HandleList(l.now, m, l.actions[:0]))
 }
 
-// moved takes a move of discovery to another address.
+// handleDiscoveryMove handles a change of discovery's address.
 func (l *loop) handleDiscoveryMove() {
 	if l.settings.MustSubscribe {
 		l.setConfirmedUntil(l.confirmation.RecordMove(l.now))
 	}
 }
 
-// later passes on what the view lets wait, once it is time.
+// scheduleRelease sets a timer for the changes that the view holds back.
 func (l *loop) scheduleRelease() {
 	at, ok := l.view.NextRelease()
 	if !ok || l.releaseAt > l.now && l.releaseAt <= at {
@@ -138,20 +138,21 @@
 	}})
 }
 
-// mostStrange is how many odd things of one list are logged.
+// maxLoggedAnomalies bounds the log lines about one list.
 const maxLoggedAnomalies = 4
 
-func (l *loop) logAnomalies(odd []endpoints.Anomaly) {
-	for i, o := range odd {
+func (l *loop) logAnomalies(anomalies []endpoints.Anomaly) {
+	for i, a := range anomalies {
 		if i == maxLoggedAnomalies {
-			l.log.Warn("the list is odd in more places", "more", len(odd)-i)
+			l.log.Warn("the list is odd in more places", "more", len(anomalies)-i)
 			return
 		}
-		l.log.Warn("the list is odd", "what", o.String())
+		l.log.Warn("the list is odd", "what", a.String())
 	}
 }
 
-// watch turns the watch on. A starting node that has a list leaves the turn to those that have none.
+// startWatch starts the watch of discovery, once bootstrap allows it: a starting node with a
+// list lets nodes without one go first.
 func (l *loop) startWatch() {
 	if l.bootstrap != nil && !l.mayAskDiscovery {
 		l.watchDeferred = true
@@ -173,7 +174,7 @@
 	l.after(wait, timer{run: func() { l.discovery.SetWatch(true) }})
 }
 
-// weigh looks at how an attempt ended for signs that the list is old.
+// recordResult checks the result of an attempt for signs that the list is stale.
 func (l *loop) recordResult(server string, r decide.Result, took time.Duration) {
 	switch r {
 	case decide.ConnectFailed, decide.Rejected:
@@ -193,8 +194,8 @@
 	}
 }
 
-// changed carries out changes of the list. What is drained or gone gets nothing new from this moment; the rest of
-// many is background work with a deadline.
+// applyChanges applies changes of the list. Draining and removed servers receive no new
+// attempts from now on; the rest of a long list is applied as background work with a deadline.
 func (l *loop) applyChanges(entries []endpoints.Entry, change decide.ListKind) {
 	if len(entries) <= l.maxListAtOnce && l.queuedChanges.Len() == 0 {
 		l.updateServers(&endpoints.List{Entries: entries}, change)
@@ -209,12 +210,12 @@
 	}
 	l.ready.Store(l.sendable > 0)
 	l.queuedChanges.Add(entries)
-	// The module hears at once whether discovery answers.
+	// The balancer learns at once whether discovery answers.
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{Kind: change, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate()}, l.actions[:0]))
 	l.scheduleApplyList()
 }
 
-// takeIn takes entries of long lists in, as background work.
+// applyQueuedChanges applies queued entries of long lists, as background work.
 func (l *loop) applyQueuedChanges(slice time.Duration) (took time.Duration, more bool) {
 	begun := l.clock.Now()
 	for l.queuedChanges.Len() > 0 {
@@ -226,7 +227,8 @@
 	return l.clock.Now() - begun, l.queuedChanges.Len() > 0
 }
 
-// members takes a list of servers and tells the module.
+// updateServers updates the known servers and passes them to the balancer. A list of kind
+// ListStored replaces all servers.
 func (l *loop) updateServers(m *endpoints.List, change decide.ListKind) {
 	if change == decide.ListStored {
 		named := make(map[string]bool, len(m.Entries))
@@ -243,7 +245,7 @@
 		e := &m.Entries[i]
 		p := l.servers[e.ID]
 		if p != nil && (e.Health == decide.Removed || e.Address != p.Address || e.Started > l.startTimes[e.ID]) {
-			// What is on its way to the old process or address is for it alone.
+			// Attempts in flight to the old process or address must not reach the new one.
 			l.removeServer(p)
 			p = nil
 		}
@@ -260,28 +262,29 @@
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
 		Kind: change, Servers: m.Servers(), FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
 	}, l.actions[:0]))
-	if l.pool != nil { // before the next request: a new cold server is not this node's alone
+	if l.pool != nil { // before the next request: the budget of a new cold server is shared
 		l.claimAllowances()
 	}
 }
 
-// allow says whether a server may get anything new. One that may not has its idle
-// connections closed.
-func (l *loop) setSendable(p *knownServer, open bool) {
-	if open != p.sendable {
-		p.sendable = open
-		if open {
+// setSendable sets whether a server may receive new attempts. If not, its idle connections
+// are closed.
+func (l *loop) setSendable(p *knownServer, sendable bool) {
+	if sendable != p.sendable {
+		p.sendable = sendable
+		if sendable {
 			l.sendable++
 		} else {
 			l.sendable--
 		}
 	}
-	if p.Closed.Store(!open); !open {
+	if p.Closed.Store(!sendable); !sendable {
 		l.upstream.CloseServer(p.ID)
 	}
 }
 
-// remove stops all that is on its way to a server and closes its idle connections.
+// removeServer forgets a server: attempts that are not yet on the wire are not sent, and its
+// idle connections are closed.
 func (l *loop) removeServer(p *knownServer) {
 	l.setSendable(p, false)
 	delete(l.servers, p.ID)
--- a/internal/node/past.go
+++ b/internal/node/past.go
@@ -11,33 +11,34 @@
 	"curlewring/internal/servers/stalelist"
 )
 
-// past is what a node has of its last life, and what it keeps for the next. It belongs to the loop, but for the
-// keeper.
+// savedState is what the node restored at its start and what it saves for its next start. It
+// belongs to the loop, except for the writer, which has its own goroutine.
 type savedState struct {
 	writer            *persist.Writer
 	restored          persist.Restored
-	staleList         *stalelist.Table // nil: discovery has spoken, or the list is young and trusted as it is
-	staleEntries      map[string]endpoints.Entry
-	answersPerSecond  float64 // a second, averaged
-	servedSinceSweep  float64 // since the last sweep
-	meanAnswerSeconds float64 // s; mean time of an answer
-	answerSamples     float64 // answers that it is the mean of, up to tookMemory
-	discoveryAddress  string  // of discovery
-	fromOtherNode     bool    // the list is another node's
+	staleList         *stalelist.Table           // nil once discovery has sent a list
+	staleEntries      map[string]endpoints.Entry // the servers of staleList, by id
+	answersPerSecond  float64                    // moving average
+	servedSinceSweep  float64                    // since the last sweep
+	meanAnswerSeconds float64                    // mean time to an answer
+	answerSamples     float64                    // answers in that mean, at most maxAnswerSamples
+	discoveryAddress  string                     // written with each saved list
+	fromOtherNode     bool                       // the restored list came from another node
 }
 
 const (
-	minPriorRate       = 1e-3 // answers a second of a server, where the last life has measured none
-	maxAnswerSamples   = 255  // answers over which the time of one is averaged
-	rateSweeps         = 60   // sweeps over which answers a second are averaged
-	recordServedEvery  = 30   // sweeps between two looks at which servers have served
+	minPriorRate       = 1e-3 // answers per second and server, where no rate was saved
+	maxAnswerSamples   = 255  // answers over which meanAnswerSeconds is averaged
+	rateSweeps         = 60   // sweeps over which answersPerSecond is averaged
+	recordServedEvery  = 30   // sweeps between two runs of recordServedServers
 	maxRecordedPerStep = 256
 )
 
-// doubts tells whether discovery has not spoken since the start.
+// unconfirmed reports whether discovery has sent no list since the start.
 func (p *savedState) unconfirmed() bool { return p != nil && p.staleList != nil }
 
-// rate is what each server answered each node a second in the last life, as long as that is all there is to go by.
+// priorRate returns the saved rate of answers per second, server and node, as long as the
+// list is stale; 0 otherwise.
 func (p *savedState) priorRate() float64 {
 	if !p.unconfirmed() || p.staleList.Fresh() {
 		return 0
@@ -45,7 +46,8 @@
 	return max(p.restored.List.ServerRate, minPriorRate)
 }
 
-// there is how many servers there are likely to be, as long as not all are offered.
+// estimatedFleetSize returns how many servers of a stale list are probably alive, as long as
+// not all of them are offered to the balancer; 0 otherwise.
 func (p *savedState) estimatedFleetSize() int {
 	if !p.unconfirmed() || p.staleList.Fresh() {
 		return 0
@@ -53,7 +55,8 @@
 	return p.staleList.EstimatedAlive()
 }
 
-// since is the generation that the first watch may ask from; nil: it must ask for the whole list.
+// watchFrom returns the generation that the first watch may start from; nil: it must request
+// the whole list.
 func (p *savedState) watchFrom(known *endpoints.List) *uint64 {
 	var since *uint64
 	if known != nil {
@@ -68,10 +71,10 @@
 	if since != nil && *since > p.restored.List.Generation {
 		return since
 	}
-	return nil // rows of some generation, nobody knows which
+	return nil // the generation of the saved rows is unknown
 }
 
-// entry is a server in the list's form.
+// toEntry converts a saved server to a list entry.
 func toEntry(s *serverdb.Server) endpoints.Entry {
 	health := [...]decide.Health{serverdb.Serving: decide.Healthy, serverdb.Draining: decide.Draining, serverdb.Gone: decide.Removed}
 	return endpoints.Entry{
@@ -82,7 +85,7 @@
 	}
 }
 
-// row is an entry as the memory keeps it.
+// toRow converts a list entry to the form that is saved.
 func toRow(e *endpoints.Entry, wall time.Time) serverdb.Server {
 	state := [...]serverdb.State{decide.Healthy: serverdb.Serving, decide.Draining: serverdb.Draining, decide.Removed: serverdb.Gone}
 	return serverdb.Server{
@@ -91,20 +94,20 @@
 	}
 }
 
-// newPast merges what the keeper found with the configuration's list.
-func newSavedState(k *persist.Writer, known persist.Restored, c *Config, wall time.Time) *savedState {
-	p := &savedState{writer: k, restored: known, staleEntries: map[string]endpoints.Entry{}, discoveryAddress: c.Discovery}
+// newSavedState merges the restored servers with the configuration's list.
+func newSavedState(w *persist.Writer, restored persist.Restored, c *Config, wall time.Time) *savedState {
+	p := &savedState{writer: w, restored: restored, staleEntries: map[string]endpoints.Entry{}, discoveryAddress: c.Discovery}
 	if c.KnownServers != nil {
-		brought := make([]serverdb.Server, len(c.KnownServers.Entries))
+		configured := make([]serverdb.Server, len(c.KnownServers.Entries))
 		for i := range c.KnownServers.Entries {
-			brought[i] = toRow(&c.KnownServers.Entries[i], wall)
+			configured[i] = toRow(&c.KnownServers.Entries[i], wall)
 		}
-		p.restored.Servers = serverdb.Merge(p.restored.Servers, brought)
+		p.restored.Servers = serverdb.Merge(p.restored.Servers, configured)
 	}
 	return p
 }
 
-// recall begins with what is left of the last life.
+// loadSavedState starts with the restored list.
 func (l *loop) loadSavedState() {
 	p := l.saved
 	all := &endpoints.List{Generation: p.restored.List.Generation, Whole: true}
@@ -120,85 +123,85 @@
 	l.view.Restore(all)
 	age, known := p.restored.List.Age(l.clock.WallTime(l.now))
 	if !known && len(p.restored.Servers) > 0 && p.restored.List.Confirmed.IsZero() {
-		age, known = 0, true // the configuration's list alone: the platform's word, as without a memory
+		age, known = 0, true // the configuration's list alone is trusted, as without saved state
 	}
 	p.staleList = stalelist.New(stalelist.Settings{NodeName: p.restored.Node, NodeCount: l.settings.Nodes}, age, known, serving)
 	if len(serving) > 0 {
-		l.log.Info("the node remembers", "servers", len(serving), "age", age.Round(time.Second).String(), "age known", known,
+		l.log.Info("starting with the saved list", "servers", len(serving), "age", age.Round(time.Second).String(), "age known", known,
 			"generation", p.restored.List.Generation, "complete", p.restored.List.Consistent, "trusted", p.staleList.Fresh())
 	}
 	l.updateServers(&endpoints.List{Entries: l.offeredEntries(p.staleList.OfferFirst(l.now))}, decide.ListStored)
 	l.scheduleRetry()
 }
 
-// offered are offers in the list's form.
-func (l *loop) offeredEntries(offers []stalelist.Change) []endpoints.Entry {
+// offeredEntries converts the changes of a stale list to list entries.
+func (l *loop) offeredEntries(changes []stalelist.Change) []endpoints.Entry {
 	p := l.saved
-	entries := make([]endpoints.Entry, 0, len(offers))
-	for _, o := range offers {
-		e := p.staleEntries[o.ID]
+	entries := make([]endpoints.Entry, 0, len(changes))
+	for _, c := range changes {
+		e := p.staleEntries[c.ID]
 		switch {
-		case o.State == stalelist.Withdrawn:
+		case c.State == stalelist.Withdrawn:
 			e.Health = decide.Removed
 		case p.staleList.Fresh():
 		default:
-			// Nobody knows when what answers there started: as far as this node knows, just now. Once it is proven
-			// it keeps the start that it was offered with.
-			if o.State == stalelist.Trying {
+			// When the process at this address started is unknown: it counts as started now. Once
+			// verified, it keeps the start time that it was offered with.
+			if c.State == stalelist.Trying {
 				e.Started = l.now
-				p.staleEntries[o.ID] = e
+				p.staleEntries[c.ID] = e
 			}
-			e.Unverified = o.State == stalelist.Trying
+			e.Unverified = c.State == stalelist.Trying
 		}
 		entries = append(entries, e)
 	}
 	return entries
 }
 
-// tried takes how an attempt ended, for the doubt and for the memory.
+// recordSavedResult records the result of an attempt for the saved state and the stale list.
 func (l *loop) recordSavedResult(server string, r decide.Result, took time.Duration) {
 	p := l.saved
 	if r == decide.Served {
 		p.servedSinceSweep++
 		p.meanAnswerSeconds += (max(took, time.Microsecond).Seconds() - p.meanAnswerSeconds) / (p.answerSamples + 1)
 		p.answerSamples = min(p.answerSamples+1, maxAnswerSamples)
-		if x := l.servers[server]; x != nil {
-			x.lastServed = l.now
+		if s := l.servers[server]; s != nil {
+			s.lastServed = l.now
 		}
 	}
 	if p.staleList == nil {
 		return
 	}
-	if offers := p.staleList.RecordResult(l.now, server, r); len(offers) > 0 {
-		l.updateServers(&endpoints.List{Entries: l.offeredEntries(offers)}, decide.ListRestored)
+	if changes := p.staleList.RecordResult(l.now, server, r); len(changes) > 0 {
+		l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListRestored)
 	}
 	l.scheduleRetry()
 }
 
-// retry tries again what failed, once it is time.
+// scheduleRetry sets a timer for the next retry of failed servers of the stale list.
 func (l *loop) scheduleRetry() {
 	at, ok := l.saved.staleList.NextRetry()
 	if !ok || l.retryAt > l.now && l.retryAt <= at {
 		return
 	}
-	l.retryAt = max(at, l.now+time.Millisecond) // whatever is due by now has had its turn
+	l.retryAt = max(at, l.now+time.Millisecond) // what is due now has just been handled
 	l.at(l.retryAt, timer{run: func() {
 		l.retryAt = 0
 		if !l.saved.unconfirmed() {
 			return
 		}
-		if offers := l.saved.staleList.OfferDue(l.now); len(offers) > 0 {
-			l.updateServers(&endpoints.List{Entries: l.offeredEntries(offers)}, decide.ListRestored)
+		if changes := l.saved.staleList.OfferDue(l.now); len(changes) > 0 {
+			l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListRestored)
 		}
 		l.scheduleRetry()
 	}})
 }
 
-// confirmed ends the doubt: discovery has spoken. All that it has not taken back is as it says; what was tried and is
-// not named gets nothing more.
+// endStaleList discards the stale list once discovery has sent a list. It returns all entries
+// of the current view, and a removal for each known server that the view does not name.
 func (l *loop) endStaleList() []endpoints.Entry {
 	trying, proven, rest := l.saved.staleList.Counts()
-	l.log.Info("discovery has spoken", "tried", trying, "proven", proven, "not tried", rest, "serving", l.view.Serving())
+	l.log.Info("discovery has confirmed the list", "tried", trying, "proven", proven, "not tried", rest, "serving", l.view.Serving())
 	l.saved.staleList, l.saved.staleEntries = nil, nil
 	all := l.view.Published()
 	named := make(map[string]bool, len(all))
@@ -213,7 +216,7 @@
 	return all
 }
 
-// remember tells the keeper of a list, and of what changed with it.
+// saveList passes a list and its changes to the writer.
 func (l *loop) saveList(m *endpoints.List, changes []endpoints.Entry) {
 	p := l.saved
 	if p == nil || p.writer == nil {
@@ -230,8 +233,9 @@
 	}
 }
 
-// perServer is what each server surely answers a second, as this node's part among all: what it did answer, were all
-// nodes to use all alike, or what it can as it answers one request after another.
+// measuredServerRate returns a lower bound of the answers per second of one server to one
+// node: the measured rate, assuming that all nodes use all servers alike, or the rate at
+// which a server answers requests one after another, divided among the nodes.
 func (l *loop) measuredServerRate() float64 {
 	p, rate := l.saved, 0.0
 	if n := l.view.Serving(); n > 0 {
@@ -243,22 +247,24 @@
 	return rate
 }
 
-// average is called with each sweep: it follows the answers a second, and has what served remembered.
+// updateAnswerRate updates the moving average of answers per second. It is called with each
+// sweep.
 func (l *loop) updateAnswerRate() {
 	p := l.saved
 	p.answersPerSecond += (p.servedSinceSweep - p.answersPerSecond) / rateSweeps
 	p.servedSinceSweep = 0
 }
 
-// noteServed tells the keeper which servers have served of late, as background work.
+// recordServedServers passes the servers that have served recently to the writer, as
+// background work.
 func (l *loop) recordServedServers(slice time.Duration) (took time.Duration, more bool) {
 	begun := l.clock.Now()
-	noted := 0
-	for _, x := range l.servers { // in any order: what is left comes with the next look
-		if x.lastServed > x.lastRecorded+recordServedInterval {
-			x.lastRecorded = x.lastServed
-			l.saved.writer.RecordServer(serverdb.Observation{Server: serverdb.Server{ID: x.ID, LastServed: l.clock.WallTime(x.lastServed)}})
-			if noted++; noted == maxRecordedPerStep || l.clock.Now() > begun+slice {
+	recorded := 0
+	for _, s := range l.servers { // in any order: the rest is recorded by the next run
+		if s.lastServed > s.lastRecorded+recordServedInterval {
+			s.lastRecorded = s.lastServed
+			l.saved.writer.RecordServer(serverdb.Observation{Server: serverdb.Server{ID: s.ID, LastServed: l.clock.WallTime(s.lastServed)}})
+			if recorded++; recorded == maxRecordedPerStep || l.clock.Now() > begun+slice {
 				break
 			}
 		}
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -8,26 +8,27 @@
 	"curlewring/internal/fleet/membership"
 )
 
-// poolEvery is how often the module is asked for cold servers.
+// poolTickInterval is how often the balancer is asked for its cold servers.
 const poolTickInterval = 100 * time.Millisecond
 
-// granted is an answer of a dealer.
+// grantReceived is the answer to a claim.
 type grantReceived struct {
 	from uint64
 	*allowance.Grant
 }
 
-// fleet is what the pool needs of the membership: who is there, and a way to them.
+// fleet is the part of the membership that the pool uses.
 type fleet interface {
 	View() *membership.View
 	SendClaim(to uint64, c allowance.Claim)
 }
 
-// pool is this node's part in the budgets of cold servers that the nodes pool. It belongs to the loop.
+// coldServerPool shares the budgets of cold servers with the other nodes. It belongs to the
+// loop.
 type coldServerPool struct {
 	fleet       fleet
 	lender      *allowance.Lender
-	view        *membership.View // that members are of
+	view        *membership.View // the view that members was built from
 	members     []allowance.Member
 	coldServers []decide.ColdServer
 }
@@ -36,7 +37,7 @@
 	return &coldServerPool{fleet: f, lender: allowance.NewLender(allowance.Settings{Window: c.Settings.CollapseWindow}, c.Seed^uint64(now), now)}
 }
 
-// known are the members of the present view; nobody, where there is none.
+// currentMembers returns the members of the current view; none without a view.
 func (p *coldServerPool) currentMembers() []allowance.Member {
 	v := p.fleet.View()
 	if v == p.view {
@@ -51,29 +52,30 @@
 	return p.members
 }
 
-// lend looks after cold servers again and again.
+// schedulePoolTick calls claimAllowances now and then every poolTickInterval.
 func (l *loop) schedulePoolTick() {
 	l.claimAllowances()
 	l.after(poolTickInterval, timer{run: l.schedulePoolTick})
 }
 
-// claim lends this node's parts of cold servers, and asks for sends.
+// claimAllowances lends this node's shares of cold servers' budgets, and claims sends from
+// other nodes.
 func (l *loop) claimAllowances() {
 	p := l.pool
 	p.coldServers = l.balancer.ColdServers(l.now, p.coldServers[:0])
 	if len(p.coldServers) == 0 && p.lender.LentServers(l.now) == 0 {
 		return
 	}
-	outs, deals := p.lender.Tick(l.now, p.currentMembers(), p.coldServers)
-	l.applyGrants(deals)
-	for i := range outs {
-		p.fleet.SendClaim(outs[i].To, outs[i].Claim)
+	claims, grants := p.lender.Tick(l.now, p.currentMembers(), p.coldServers)
+	l.applyGrants(grants)
+	for i := range claims {
+		p.fleet.SendClaim(claims[i].To, claims[i].Claim)
 	}
 }
 
-// pooled tells the module what the nodes have settled.
-func (l *loop) applyGrants(deals []decide.Grant) {
-	if len(deals) > 0 {
-		l.execute(l.balancer.HandleGrants(l.now, deals, l.actions[:0]))
+// applyGrants passes grants of sends to cold servers to the balancer.
+func (l *loop) applyGrants(grants []decide.Grant) {
+	if len(grants) > 0 {
+		l.execute(l.balancer.HandleGrants(l.now, grants, l.actions[:0]))
 	}
 }
--- a/internal/node/steps.go
+++ b/internal/node/steps.go
@@ -6,17 +6,18 @@
 	"curlewring/internal/node/worker"
 )
 
-// forgetOld drops what is no longer needed of other tiers' attempts, as background work.
+// expireLedger drops expired ledger entries of other tiers' attempts, as background work.
 func (l *loop) expireLedger(slice time.Duration) (took time.Duration, more bool) {
 	begun := l.clock.Now()
 	l.budgets.ledger.Expire(l.now, maxExpiredPerStep)
 	return l.clock.Now() - begun, false
 }
 
-// mostForgotten bounds a step of forgetOld.
+// maxExpiredPerStep bounds the entries that one step of expireLedger drops.
 const maxExpiredPerStep = 512
 
-// step makes a piece of background work of what runs on the loop's goroutine.
+// backgroundStep turns a function into a step of background work that runs on the loop's
+// goroutine.
 func (l *loop) backgroundStep(f func(time.Duration) (time.Duration, bool)) worker.Step {
 	done := make(chan stepResult, 1)
 	return func(slice time.Duration) (time.Duration, bool) {
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -10,11 +10,11 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// trace logs what the loop does, at the debug level: each request by the id that its client gave it, its attempts, and what
-// the node believes of its list of servers. Its methods do nothing on a nil trace.
+// trace logs the loop's work at debug level: requests by their X-Txn, their attempts, and the
+// state of the server list. Its methods do nothing on a nil trace.
 type trace struct{ log *slog.Logger }
 
-// newTrace returns nil unless debug lines are wanted.
+// newTrace returns nil unless debug logging is enabled.
 func newTrace(log *slog.Logger) *trace {
 	if log == nil || !log.Enabled(context.Background(), slog.LevelDebug) {
 		return nil
@@ -41,10 +41,10 @@
 	}
 }
 
-func (t *trace) answered(p *pendingRequest, end answerStatus, why decide.Reason) {
+func (t *trace) answered(p *pendingRequest, status answerStatus, reason decide.Reason) {
 	if t != nil {
 		names := [...]string{served: "served", refused: "refused", failed: "failed", overdue: "overdue"}
-		t.log.Debug("answer", "txn", p.txn, "ending", names[end], "reason", why.String(), "attempts", len(p.attempts))
+		t.log.Debug("answer", "txn", p.txn, "ending", names[status], "reason", reason.String(), "attempts", len(p.attempts))
 	}
 }
 
@@ -61,12 +61,13 @@
 	}
 }
 
-// closes returns what logs why connections to servers are closed; nil if nobody wants to know.
-func (t *trace) closeLogger() func(server string, why upstream.CloseReason) {
+// closeLogger returns a function that logs why a connection to a server was closed; nil on a
+// nil trace.
+func (t *trace) closeLogger() func(server string, reason upstream.CloseReason) {
 	if t == nil {
 		return nil
 	}
-	return func(server string, why upstream.CloseReason) {
-		t.log.Debug("server connection closed", "server", server, "reason", string(why))
+	return func(server string, reason upstream.CloseReason) {
+		t.log.Debug("server connection closed", "server", server, "reason", string(reason))
 	}
 }
