--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -13,22 +13,22 @@
 	"curlewring/internal/node/upstream"
 )
 
-// mostLedger is how many attempts of tiers above a node keeps accounts of.
+// maxLedgerEntries is how many attempts of the tiers above the ledger keeps.
 const maxLedgerEntries = 8192
 
-// budgets reads, keeps and writes the budgets that requests share with other
-// tiers. Nil: they are off, and cost nothing. What a client's goroutine uses is
-// fixed or atomic; ledger and graphs belong to the loop.
+// budgets reads, tracks and writes the retry budgets that requests share with other tiers. It
+// is nil where budgets are off. The fields that clients' goroutines use are constant or
+// atomic; the ledger and each requestBudget belong to the loop.
 type budgets struct {
-	name          string // this node's on paths
-	leaf          bool   // its servers are the last tier
+	name          string // this node's name in the paths of budgets
+	leaf          bool   // the servers behind this node are the last tier
 	classes       []string
 	settings      *decide.Settings
 	log           *slog.Logger
 	ledger        *budget.Ledger
-	nextAttemptID uint64 // attempts' ids
+	nextAttemptID uint64
 
-	malformed, excessive, loops atomic.Int64 // headers that were none, said too much, or told of a loop
+	malformed, excessive, loops atomic.Int64 // headers that could not be read, claimed too much, or showed a loop
 }
 
 func newBudgets(c *Config, log *slog.Logger) *budgets {
@@ -36,45 +36,46 @@
 		return nil
 	}
 	return &budgets{
-		name: budget.NodeName(c.Name), leaf: c.Settings.Tiers > 1 && c.Settings.Tier == c.Settings.Tiers-1, classes: c.Classes, settings: &c.Settings, log: log, ledger: budget.NewLedger(maxLedgerEntries),
+		name: budget.NodeName(c.Name), leaf: c.Settings.Tiers > 1 && c.Settings.Tier == c.Settings.Tiers-1,
+		classes: c.Classes, settings: &c.Settings, log: log, ledger: budget.NewLedger(maxLedgerEntries),
 	}
 }
 
-// graph is the budget of one request.
+// requestBudget is the budget of one request.
 type requestBudget struct {
-	grant       budget.Budget // as the ledger gave it
+	grant       budget.Budget // as granted by the ledger
 	account     budget.Account
-	baggage     string // the request's, which travels on
+	baggage     string // the request's baggage header, passed on to the server
 	openedAt    time.Duration
 	closed      bool
-	retryAdvice budget.RetryAdvice // what the last attempt's error said
+	retryAdvice budget.RetryAdvice // from the answer to the last attempt
 }
 
-// once counts something rare, and logs it when it is seen for the first time.
+// logFirst counts a rare event, and logs its first occurrence.
 func (b *budgets) logFirst(n *atomic.Int64, text string, args ...any) {
 	if n.Add(1) == 1 {
 		b.log.Warn(text+"; further ones are counted", args...)
 	}
 }
 
-// read finds a request's budget, cut to what is true. loop is not empty if the
-// request has been here before.
+// read returns a request's budget, clamped to this node's limits. If the request has crossed
+// this node before, it returns nil and the loop.
 func (b *budgets) read(r *http.Request, class int, left time.Duration) (g *requestBudget, loop string) {
-	own, baggage := r.Header[budget.HeaderName], r.Header[budget.BaggageHeaderName]
-	given, err := budget.FromHeaders(own, baggage)
+	values, baggage := r.Header[budget.HeaderName], r.Header[budget.BaggageHeaderName]
+	given, err := budget.FromHeaders(values, baggage)
 	if err != nil {
-		b.logFirst(&b.malformed, "a request's budget is odd, and not taken", "err", err)
+		b.logFirst(&b.malformed, "ignoring a request's malformed budget", "err", err)
 	}
-	truth := budget.LocalLimits{
+	limits := budget.LocalLimits{
 		TimeLeft: left, ExtraAttempts: max(0, b.settings.MaxAttempts-1), Worth: b.settings.Classes[class].Worth, Class: b.classes[class],
 	}
-	grant, lies := budget.Clamp(given, truth)
-	if lies != 0 {
-		b.logFirst(&b.excessive, "a request's budget says more than is true, and is cut", "budget", given.Encode())
+	grant, excess := budget.Clamp(given, limits)
+	if excess != 0 {
+		b.logFirst(&b.excessive, "clamping a request's budget that exceeds the limits of its class", "budget", given.Encode())
 	}
-	if round, crossed := grant.FindLoop(b.name); crossed {
-		b.logFirst(&b.loops, "a request has come round in a loop", "loop", strings.Join(round, " -> "))
-		return nil, strings.Join(round, " -> ")
+	if cycle, crossed := grant.FindLoop(b.name); crossed {
+		b.logFirst(&b.loops, "rejecting a request that has come round in a loop", "loop", strings.Join(cycle, " -> "))
+		return nil, strings.Join(cycle, " -> ")
 	}
 	g = &requestBudget{grant: grant}
 	if len(baggage) == 1 {
@@ -83,7 +84,7 @@
 	return g, ""
 }
 
-// open begins a request's account. The loop calls it.
+// open opens a request's account. Only the loop calls it.
 func (b *budgets) open(now time.Duration, p *pendingRequest) {
 	if p.budget == nil {
 		return
@@ -94,8 +95,8 @@
 	p.request.Budgeted, p.request.ExtraAttempts = true, p.budget.grant.ExtraAttempts
 }
 
-// send takes an attempt out of a request's account, and returns the headers that
-// travel with it.
+// beginAttempt charges an attempt to a request's account, and returns the header lines to
+// send with it.
 func (b *budgets) beginAttempt(now time.Duration, g *requestBudget) string {
 	if g == nil {
 		return ""
@@ -106,7 +107,7 @@
 		g.account.RevokeGrant()
 		down.ExtraAttempts = 0
 	}
-	if !ok { // the module has made sure that there is one; without, the tier below goes by its own
+	if !ok { // the balancer has checked the account; without a header, the tier below uses its own limits
 		return ""
 	}
 	lines := budget.HeaderName + ": " + down.Encode() + "\r\n"
@@ -116,47 +117,47 @@
 	return lines
 }
 
-// back books an attempt's end, and returns what the tiers below have spent of
-// the budget with it.
+// endAttempt settles an attempt, and returns how many attempts of the budget the tiers below
+// have spent with it.
 func (b *budgets) endAttempt(g *requestBudget, o *upstream.Outcome) (below int) {
 	if g == nil {
 		return 0
 	}
 	before := g.account.SpentBelow()
-	spent, word, err := budget.ParseSpent(o.SpentBudget)
+	spent, advice, err := budget.ParseSpent(o.SpentBudget)
 	if err != nil {
-		b.logFirst(&b.malformed, "an answer's word of what was spent is odd, and not taken", "err", err)
+		b.logFirst(&b.malformed, "ignoring the malformed spent budget of an answer", "err", err)
 	}
 	ran := o.Result != decide.Rejected && o.Result != decide.ConnectFailed && o.Result != decide.NotSent
 	g.account.EndAttempt(spent, ran)
-	g.retryAdvice = word
+	g.retryAdvice = advice
 	below = g.account.SpentBelow() - before
-	if !word.RetryUseful() { // another attempt would end as this one
+	if !advice.RetryUseful() { // another attempt would have the same result
 		below = max(below, g.account.Remaining())
 	}
 	return below
 }
 
-// close ends a request's account, and returns the header of its answer.
+// close closes a request's account, and returns the value of its answer's spent-budget header.
 func (b *budgets) close(g *requestBudget, e answerStatus, ran bool) string {
 	if g == nil || g.closed {
 		return ""
 	}
 	g.closed = true
-	all := b.ledger.EndCall(g.grant, g.account.Committed())
-	word := budget.RetryAdvice("")
+	totalSpent := b.ledger.EndCall(g.grant, g.account.Committed())
+	advice := budget.RetryAdvice("")
 	switch {
 	case e == served:
 	case e == refused && !ran:
-		word = budget.Overloaded
+		advice = budget.Overloaded
 	case g.retryAdvice == budget.Loop:
-		word = budget.Loop
+		advice = budget.Loop
 	case g.account.Remaining() == 0 && g.grant.ExtraAttempts > 0:
-		word = budget.OutOfBudget
+		advice = budget.OutOfBudget
 	case ran:
-		word = budget.MayHaveRun
+		advice = budget.MayHaveRun
 	default:
-		word = budget.HasNotRun
+		advice = budget.HasNotRun
 	}
-	return budget.EncodeSpent(all, word)
+	return budget.EncodeSpent(totalSpent, advice)
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,53 +20,54 @@
 )
 
 const (
-	minSockets  = 64 // file descriptors below which a node can't work
+	minSockets  = 64 // file descriptors that a node needs at least
 	minMemoryMB = 32
 )
 
-// Config is what a node is told at its start.
+// Config is the complete configuration of a node.
 type Config struct {
 	Name          string
-	Listen        string // address for clients; "": Sidecar.Socket
-	Discovery     string // address of discovery
+	Listen        string // host:port for clients; "": Sidecar.Socket is used
+	Discovery     string // host:port of discovery
 	Seed          uint64
 	MemoryMB      int
 	Sockets       int
-	KnownServers  *endpoints.List // the servers as the node last had them; nil: none
+	KnownServers  *endpoints.List // last known servers, used until discovery answers; nil: none
 	Classes       []string
 	Tenants       []string
 	Settings      decide.Settings
-	SharedBudgets bool              // requests share a budget of further attempts with other tiers
-	State         State             // what it keeps over restarts
-	Members       *members.Settings // how it takes part in the membership of the nodes; nil: not at all
-	Leases        *leases.Settings  // how it takes part in the fleet's leases; nil: not at all
-	Sidecar       *Sidecar          // the one application that it serves; nil: it serves many clients
+	SharedBudgets bool              // requests share a retry budget with other tiers
+	State         State             // where state is kept over restarts
+	Members       *members.Settings // membership of the fleet; nil: not a member
+	Leases        *leases.Settings  // leases of the fleet; nil: not used
+	Sidecar       *Sidecar          // set if the node serves one application on its host; nil: many clients
 	Routes        *routes.Table     // the operators' timing rules; nil: none
-	operatorRules *operatorFile     // what Routes came from
+	operatorRules *operatorFile     // source of Routes; nil: none
 }
 
-// Sidecar is what a node is told of the application that it stands beside.
+// Sidecar configures a node that runs beside one application.
 type Sidecar struct {
 	Application string   `json:"application"`
-	Socket      string   `json:"socket"`  // unix socket for it, in the place of an address; "": none
-	Command     []string `json:"command"` // what starts it; none: it is started by others
+	Socket      string   `json:"socket"`  // unix socket to listen on instead of an address; "": none
+	Command     []string `json:"command"` // starts the application; empty: it is started elsewhere
 }
 
-// mostSocket is what a unix socket's address holds (sys/un.h: sun_path, 108
-// bytes with the end's zero).
+// maxSocketPath is the longest path of a unix socket (sys/un.h: sun_path has 108 bytes, with
+// the terminating zero).
 const maxSocketPath = 107
 
-// check finds what a sidecar cannot do: it must listen where only its own host reaches it.
+// check validates the sidecar settings. A sidecar must listen where only its own host can
+// reach it.
 func (s *Sidecar) check(listen string) error {
 	if s.Socket == "" {
 		at, err := netip.ParseAddrPort(listen)
 		if err != nil || !at.Addr().Unmap().IsLoopback() {
-			return fmt.Errorf("listen: %q is no loopback address, and a sidecar serves its own host alone", listen)
+			return fmt.Errorf("listen: %q is not a loopback address; a sidecar serves only its own host", listen)
 		}
 	} else if !filepath.IsAbs(s.Socket) || len(s.Socket) > maxSocketPath {
-		return fmt.Errorf("sidecar: the socket %q is no absolute path of at most %d bytes", s.Socket, maxSocketPath)
+		return fmt.Errorf("sidecar: the socket %q is not an absolute path of at most %d bytes", s.Socket, maxSocketPath)
 	} else if listen != "" {
-		return errors.New("sidecar: both a socket and an address to listen on")
+		return errors.New("sidecar: both a socket and an address to listen on are set")
 	}
 	if len(s.Command) > 0 && s.Command[0] == "" {
 		return errors.New("sidecar: the command is empty")
@@ -77,7 +78,7 @@
 // ReadConfig reads and checks a configuration file.
 func ReadConfig(path string) (*Config, error) {
 	if path == "" {
-		return nil, errors.New("LB_CONFIG names no file")
+		return nil, errors.New("LB_CONFIG is not set to a file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,7 +111,7 @@
 		return nil, err
 	}
 	if raw.Schema < 0 || raw.Schema > settings.Schema+1 {
-		return nil, fmt.Errorf("schema: %d is more than one step from %d, which this program writes", raw.Schema, settings.Schema)
+		return nil, fmt.Errorf("schema: %d is more than one step from %d, the version that this program writes", raw.Schema, settings.Schema)
 	}
 	if raw.Sidecar != nil {
 		if err := raw.Sidecar.check(raw.Listen); err != nil {
@@ -129,7 +130,7 @@
 		return nil, fmt.Errorf("limits: %d MB of memory, at least %d are needed", raw.Limits.MemoryMB, minMemoryMB)
 	}
 	if raw.Settings == nil {
-		return nil, errors.New("no settings")
+		return nil, errors.New("settings: missing")
 	}
 	set, err := raw.Settings.Translate()
 	if err == nil {
@@ -146,7 +147,7 @@
 		SharedBudgets: raw.Budgets,
 	}
 	if c.SharedBudgets && set.MayHedge {
-		return nil, errors.New("budgets: they do not go with second_copies: what two copies spend below is not told apart")
+		return nil, errors.New("budgets: can't be combined with second_copies, as the spending of two copies can't be told apart")
 	}
 	for _, class := range raw.Settings.Categories {
 		c.Classes = append(c.Classes, class.Name)
@@ -162,9 +163,8 @@
 	return c, nil
 }
 
-// sameService tells whether two configurations differ in no more than what each
-// start brings (seed, known list), the address of discovery, and the operators'
-// rules.
+// sameService reports whether two configurations differ only in what changes with each start
+// (seed, known list) and in what Reload applies (discovery's address, operators' rules).
 func (c *Config) sameService(other *Config) bool {
 	a, b := *c, *other
 	a.Discovery, a.Seed, a.KnownServers = b.Discovery, b.Seed, b.KnownServers
--- a/internal/node/own.go
+++ b/internal/node/local_settings.go
@@ -15,26 +15,28 @@
 	"curlewring/internal/store"
 )
 
-// Own is a node's own settings.
+// LocalSettings are the settings that differ between nodes and are not part of the
+// platform's configuration.
 type LocalSettings struct {
 	State       State
-	Members     *members.Settings // nil: this node knows nothing of the others
-	Leases      *leases.Settings  // nil: it takes no part in the fleet's leases
-	FaultFolder string            // the folder that says how this node fails on purpose; "": it does not
+	Members     *members.Settings // nil: the node takes no part in the membership
+	Leases      *leases.Settings  // nil: the node takes no part in the leases
+	FaultFolder string            // directory with files that inject faults, for tests; "": none
 }
 
-// State says what a node keeps over its restarts.
+// State says where a node keeps state over restarts.
 type State struct {
-	Folder string   // "": nothing
-	MaxMB  int      // of rows
-	fs     store.FS // in the place of the folder, for tests; nil: none
+	Folder string   // "": no state is kept
+	MaxMB  int      // limit for the rows of the store
+	fs     store.FS // replaces Folder in tests; nil: not replaced
 }
 
 const (
 	minStateMB, defaultStateMB, maxStateMB = 1, 16, 64
 )
 
-// readOwn reads the node's own settings. The error names file, line, key, value and bound of each fault.
+// readLocalSettings reads a node's local settings. The error names the file, line, key, value
+// and bound of each fault.
 func readLocalSettings(path string) (LocalSettings, error) {
 	text, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
@@ -47,7 +49,7 @@
 	return s, nil
 }
 
-// ownReader reads the tables of a node's own settings.
+// localSettingsReader reads the tables of the local settings and collects their faults.
 type localSettingsReader struct{ faults []string }
 
 func (r *localSettingsReader) fault(v document.Value, key, format string, args ...any) {
@@ -58,46 +60,46 @@
 	r.faults = append(r.faults, fmt.Sprintf("%d: %s: it is missing", max(1, v.Line), key))
 }
 
-// parseOwn reads them from the text. Faults begin with their line.
+// parseLocalSettings reads local settings from TOML text. Each fault begins with its line.
 func parseLocalSettings(text []byte) (LocalSettings, []string) {
-	top, wrong := document.Parse(text)
+	top, syntaxFaults := document.Parse(text)
 	r := &localSettingsReader{}
-	for _, f := range wrong {
+	for _, f := range syntaxFaults {
 		r.faults = append(r.faults, fmt.Sprintf("%d: %s: %s", f.Line, cmp.Or(f.Key, "form"), f.Text))
 	}
-	var own LocalSettings
+	var local LocalSettings
 	for _, key := range top.KeyOrder {
 		v := top.Values[key]
 		t, ok := v.V.(*document.Table)
 		switch {
 		case ok && key == "state":
-			own.State = r.state(v, t)
+			local.State = r.state(v, t)
 		case ok && key == "members":
-			own.Members = r.members(v, t)
+			local.Members = r.members(v, t)
 		case ok && key == "leases":
-			own.Leases = r.leases(t)
+			local.Leases = r.leases(t)
 		case ok && key == "trial":
-			own.FaultFolder = r.trial(v, t, os.Getenv(faultInjectionEnv) == faultInjectionValue)
+			local.FaultFolder = r.trial(v, t, os.Getenv(faultInjectionEnv) == faultInjectionValue)
 		default:
-			r.fault(v, key, "there are only the tables [state], [members] and [leases]")
+			r.fault(v, key, "unknown table; known are [state], [members] and [leases]")
 		}
 	}
-	if v, ok := top.Values["leases"]; ok && (own.Members == nil || own.State.Folder == "") {
-		r.fault(v, "leases", "they need [state] and [members]")
+	if v, ok := top.Values["leases"]; ok && (local.Members == nil || local.State.Folder == "") {
+		r.fault(v, "leases", "it needs the tables [state] and [members]")
 	}
 	if len(r.faults) > 0 {
 		return LocalSettings{}, r.faults
 	}
-	if own.Members != nil {
-		own.Members.Folder = own.State.Folder
+	if local.Members != nil {
+		local.Members.Folder = local.State.Folder
 	}
-	if own.Leases != nil {
-		own.Leases.Folder = own.State.Folder
-		if own.FaultFolder != "" {
-			own.Leases.WrapFS = func(fs store.FS) store.FS { return disk.WithFaults(fs, own.FaultFolder) }
+	if local.Leases != nil {
+		local.Leases.Folder = local.State.Folder
+		if local.FaultFolder != "" {
+			local.Leases.WrapFS = func(fs store.FS) store.FS { return disk.WithFaults(fs, local.FaultFolder) }
 		}
 	}
-	return own, nil
+	return local, nil
 }
 
 func (r *localSettingsReader) state(v document.Value, t *document.Table) State {
@@ -118,7 +120,7 @@
 			}
 			s.MaxMB = int(n)
 		default:
-			r.fault(v, "state."+key, "there are folder and most_mb")
+			r.fault(v, "state."+key, "unknown key; known are folder and most_mb")
 		}
 	}
 	if _, ok := t.Values["folder"]; !ok {
--- a/internal/node/ownleases.go
+++ b/internal/node/local_settings_leases.go
@@ -10,7 +10,7 @@
 
 const minReplaceAfter, maxReplaceAfter = 10 * time.Second, 24 * time.Hour
 
-// leases reads how a node takes part in the fleet's leases.
+// leases reads the table [leases].
 func (r *localSettingsReader) leases(t *document.Table) *leases.Settings {
 	s := &leases.Settings{}
 	for _, key := range t.KeyOrder {
@@ -25,13 +25,13 @@
 			}
 			s.ShareLists = on
 		default:
-			r.fault(v, "leases."+key, "there are replace_after and record")
+			r.fault(v, "leases."+key, "unknown key; known are replace_after and record")
 		}
 	}
 	return s
 }
 
-// duration reads a time span as text.
+// duration reads a duration within bounds.
 func (r *localSettingsReader) duration(v document.Value, key string, least, most time.Duration) time.Duration {
 	text, ok := v.V.(string)
 	d, err := time.ParseDuration(text)
@@ -42,20 +42,20 @@
 	return d
 }
 
-// trialEnv must be set where a node is to fail on purpose.
+// faultInjectionEnv must be set to faultInjectionValue for the table [trial] to be accepted.
 const faultInjectionEnv, faultInjectionValue = "CURLEWRING_TRIAL", "yes"
 
-// trial reads how a node is to fail on purpose.
+// trial reads the table [trial], which has a node fail on purpose in tests.
 func (r *localSettingsReader) trial(v document.Value, t *document.Table, allowed bool) (folder string) {
 	if !allowed {
-		r.fault(v, "trial", "it makes a node fail on purpose, and is read in trials alone, with %s=%s", faultInjectionEnv, faultInjectionValue)
+		r.fault(v, "trial", "it injects faults, which is allowed only with %s=%s", faultInjectionEnv, faultInjectionValue)
 	}
 	for _, key := range t.KeyOrder {
 		v := t.Values[key]
 		folder, _ = v.V.(string)
 		switch {
 		case key != "folder":
-			r.fault(v, "trial."+key, "there is folder")
+			r.fault(v, "trial."+key, "unknown key; known is folder")
 		case !filepath.IsAbs(folder):
 			r.fault(v, "trial.folder", "want an absolute path as text")
 		}
--- a/internal/node/ownmembers.go
+++ b/internal/node/local_settings_members.go
@@ -10,7 +10,7 @@
 
 const maxSeeds, maxVia, maxFleetName = 6000, 6000, 64
 
-// members reads how a node takes part in the membership of its fleet.
+// members reads the table [members].
 func (r *localSettingsReader) members(v document.Value, t *document.Table) *members.Settings {
 	s := &members.Settings{}
 	for _, key := range t.KeyOrder {
@@ -38,7 +38,7 @@
 			}
 			s.UnpooledBudgets = !pool
 		default:
-			r.fault(v, name, "there are fleet, listen, advertise, seeds, via and pool")
+			r.fault(v, name, "unknown key; known are fleet, listen, advertise, seeds, via and pool")
 		}
 	}
 	for _, key := range []string{"fleet", "listen"} {
@@ -47,13 +47,13 @@
 		}
 	}
 	if s.Listen.IsValid() && s.Listen.Addr().IsUnspecified() && !s.Advertise.IsValid() {
-		r.fault(t.Values["listen"], "members.listen", "with no address of its own, advertise must say where others send to")
+		r.fault(t.Values["listen"], "members.listen", "an unspecified address needs advertise, the address that others send to")
 	}
 	return s
 }
 
-// address reads an address with its port. One that listens may leave the host out: it is loopback then, as what comes
-// is not authenticated.
+// address reads an IP address with a port. A listening address may omit the host; it is loopback
+// then, as messages are not authenticated.
 func (r *localSettingsReader) address(v document.Value, key string, listens bool) netip.AddrPort {
 	text, ok := v.V.(string)
 	if listens && strings.HasPrefix(text, ":") {
@@ -66,7 +66,7 @@
 	case at.Port() == 0 && !listens:
 		r.fault(v, key, "want a port from 1 to 65535")
 	case at.Addr().IsUnspecified() && !listens:
-		r.fault(v, key, "nobody can send to an address that is none")
+		r.fault(v, key, "it is unspecified, so nothing can be sent to it")
 	}
 	return at
 }
@@ -77,13 +77,13 @@
 		r.fault(v, key, "want a list of 1 to %d addresses", maxSeeds)
 		return nil
 	}
-	had := map[netip.AddrPort]bool{}
+	seen := map[netip.AddrPort]bool{}
 	for _, one := range all {
 		at := r.address(one, key, false)
-		if had[at] && at.IsValid() {
-			r.fault(one, key, "it stands there twice")
+		if seen[at] && at.IsValid() {
+			r.fault(one, key, "duplicate address")
 		}
-		had[at] = true
+		seen[at] = true
 		seeds = append(seeds, at)
 	}
 	return seeds
@@ -100,7 +100,7 @@
 		one := t.Values[from]
 		at, err := netip.ParseAddrPort(from)
 		if err != nil || at.Port() == 0 {
-			r.fault(one, key+"."+from, "the key is no address with its port")
+			r.fault(one, key+"."+from, "the key is not an address and a port")
 		}
 		via[at] = r.address(one, key+"."+from, false)
 	}
--- a/internal/node/operator.go
+++ b/internal/node/operator.go
@@ -10,23 +10,23 @@
 	"curlewring/internal/operators/routes"
 )
 
-// Files are the files that a node goes by.
+// Files are the configuration files of a node.
 type Files struct {
 	Config   string // the platform's configuration
 	Operator string // the operators' timing rules; "": none
 	Local    string // the node's own settings; "": none
 }
 
-// Findings are the faults of the operators' file.
+// Findings is the error that lists the faults of the operators' file.
 type Findings struct {
 	File string
 	All  []routes.Finding
 }
 
-// mostTold is how many findings a log line holds.
+// maxLoggedFindings bounds the findings on one log line.
 const maxLoggedFindings = 8
 
-// Error tells all findings, or the first and how many more, on one line.
+// Error returns the findings on one line: all, or the first ones and how many more there are.
 func (f *Findings) Error() string {
 	var lines []string
 	for i := range f.All {
@@ -39,14 +39,13 @@
 	return strings.Join(lines, "; ")
 }
 
-// Read reads and checks both files. The error is *Findings where the operators'
-// file is at fault.
+// Read reads and checks the files. The error is a *Findings if the operators' file has faults.
 func (f Files) Read() (*Config, error) {
 	c, err := ReadConfig(f.Config)
 	if err == nil && f.Local != "" {
-		var own LocalSettings
-		own, err = readLocalSettings(f.Local)
-		c.State, c.Members, c.Leases = own.State, own.Members, own.Leases
+		var local LocalSettings
+		local, err = readLocalSettings(f.Local)
+		c.State, c.Members, c.Leases = local.State, local.Members, local.Leases
 		if c.Leases != nil {
 			c.Leases.Name, c.Leases.Site = c.Name, c.Settings.Zone
 		}
@@ -63,9 +62,9 @@
 	}
 	file, findings := routes.Parse(text)
 	c.operatorRules = &operatorFile{file: file, name: f.Operator}
-	var more *Findings
-	if c.Routes, err = c.operatorRules.check(c); errors.As(err, &more) {
-		findings = append(findings, more.All...)
+	var checkFindings *Findings
+	if c.Routes, err = c.operatorRules.check(c); errors.As(err, &checkFindings) {
+		findings = append(findings, checkFindings.All...)
 	}
 	if len(findings) > 0 {
 		routes.SortFindings(findings)
@@ -74,14 +73,14 @@
 	return c, nil
 }
 
-// operator is the operators' file as it was read.
+// operatorFile is the parsed operators' file.
 type operatorFile struct {
 	file *routes.File
 	name string
 }
 
-// check checks the file against a configuration, which need not be the one that
-// it came with.
+// check validates the file against a configuration, which need not be the one that it was
+// read with, and returns its route table.
 func (o *operatorFile) check(c *Config) (*routes.Table, error) {
 	if o == nil {
 		return nil, nil
@@ -93,9 +92,9 @@
 	return table, nil
 }
 
-// readBounded reads a regular file, and one byte over the bound if there is
-// more: whoever parses it finds it too large.
-func readBounded(path string, most int64) ([]byte, error) {
+// readBounded reads a regular file up to one byte over the limit, so that the parser can
+// report a file that is too large.
+func readBounded(path string, limit int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -106,9 +105,9 @@
 		return nil, err
 	}
 	if !info.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s is no regular file", path)
+		return nil, fmt.Errorf("%s is not a regular file", path)
 	}
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
+	text, err := io.ReadAll(io.LimitReader(f, limit+1))
 	if err != nil {
 		return nil, fmt.Errorf("reading %s: %w", path, err)
 	}
