--- a/internal/node/handed_list.go
+++ b/internal/node/handed_list.go
@@ -57,18 +57,18 @@
 // adoptHandedList starts from a list of another node, like from an old list of this node's
 // own: depending on its age it counts as stale until discovery has sent this node a list.
 func (l *loop) adoptHandedList(h listHandedOver) {
-	p := l.saved
-	if l.lastGeneration > 0 || len(p.restored.Servers) > 0 || len(h.list.Entries) == 0 {
+	saved := l.saved
+	if l.lastGeneration > 0 || len(saved.restored.Servers) > 0 || len(h.list.Entries) == 0 {
 		return // there is a list from discovery or of this node's own
 	}
 	wall := l.clock.WallTime(l.now)
-	restored := persist.Restored{Node: p.restored.Node, List: serverdb.List{
+	restored := persist.Restored{Node: saved.restored.Node, List: serverdb.List{
 		Generation: h.list.Generation, Discovery: h.about.Discovery, Confirmed: wall.Add(-h.about.Age), ServingCount: len(h.list.Entries), Consistent: true,
 	}}
 	for i := range h.list.Entries {
 		restored.Servers = append(restored.Servers, toRow(&h.list.Entries[i], wall))
 	}
-	p.restored, p.fromOtherNode = restored, true
+	saved.restored, saved.fromOtherNode = restored, true
 	l.log.Info("starting with the list of another node", "servers", len(restored.Servers), "generation", h.list.Generation, "age", h.about.Age.Round(time.Millisecond).String())
 	if h.about.Discovery == l.discovery.Address() { // otherwise the generations are not comparable
 		l.discovery.ResumeFrom(h.list.Generation)
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -52,10 +52,10 @@
 }
 
 // handleList handles a list from discovery.
-func (l *loop) handleList(answer *discovery.Update) {
-	m := answer.List
+func (l *loop) handleList(update *discovery.Update) {
+	m := update.List
 	l.lastGeneration = m.Generation
-	asOf := max(1, l.confirmation.RecordAnswer(l.now, answer.CallDuration, answer.PollWait))
+	asOf := max(1, l.confirmation.RecordAnswer(l.now, update.CallDuration, update.PollWait))
 	u := l.view.Apply(l.now, m)
 	l.discovery.SetServerCount(l.view.Serving())
 	l.trace.listReceived(m, len(u.Changes))
@@ -80,7 +80,7 @@
 	l.saveList(m, u.Changes)
 	l.applyChanges(changes, decide.ListDiff)
 	confirmed := time.Duration(0)
-	if answer.WatchPaused {
+	if update.WatchPaused {
 		confirmed = l.confirmation.ConfirmedUntil()
 	}
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
@@ -107,9 +107,9 @@
 		m.ConfirmedUntil = l.confirmation.RecordFailure(l.now, f)
 	}
 	l.trace.noList(f, l.lastGeneration, m.ConfirmedUntil-l.now)
-	if bad := l.view.ApplyPartial(l.now, u.Unavailable); len(bad) > 0 {
-		l.saveList(nil, bad)
-		l.applyChanges(bad, decide.ListRestored)
+	if unavailable := l.view.ApplyPartial(l.now, u.Unavailable); len(unavailable) > 0 {
+		l.saveList(nil, unavailable)
+		l.applyChanges(unavailable, decide.ListRestored)
 	}
 	l.execute(l.balancer.HandleList(l.now, m, l.actions[:0]))
 }
@@ -203,8 +203,8 @@
 	}
 	for i := range entries {
 		if e := &entries[i]; e.Health != decide.Healthy {
-			if p := l.servers[e.ID]; p != nil {
-				l.setSendable(p, false)
+			if server := l.servers[e.ID]; server != nil {
+				l.setSendable(server, false)
 			}
 		}
 	}
@@ -235,28 +235,28 @@
 		for i := range m.Entries {
 			named[m.Entries[i].ID] = true
 		}
-		for id, p := range l.servers {
+		for id, server := range l.servers {
 			if !named[id] {
-				l.removeServer(p)
+				l.removeServer(server)
 			}
 		}
 	}
 	for i := range m.Entries {
 		e := &m.Entries[i]
-		p := l.servers[e.ID]
-		if p != nil && (e.Health == decide.Removed || e.Address != p.Address || e.Started > l.startTimes[e.ID]) {
+		server := l.servers[e.ID]
+		if server != nil && (e.Health == decide.Removed || e.Address != server.Address || e.Started > l.startTimes[e.ID]) {
 			// Attempts in flight to the old process or address must not reach the new one.
-			l.removeServer(p)
-			p = nil
+			l.removeServer(server)
+			server = nil
 		}
 		if e.Health == decide.Removed {
 			continue
 		}
-		if p == nil {
-			p = &knownServer{Target: upstream.Target{ID: e.ID, Address: e.Address}}
-			l.servers[e.ID], l.startTimes[e.ID] = p, e.Started
+		if server == nil {
+			server = &knownServer{Target: upstream.Target{ID: e.ID, Address: e.Address}}
+			l.servers[e.ID], l.startTimes[e.ID] = server, e.Started
 		}
-		l.setSendable(p, e.Health == decide.Healthy)
+		l.setSendable(server, e.Health == decide.Healthy)
 	}
 	l.ready.Store(l.sendable > 0)
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
@@ -269,24 +269,24 @@
 
 // setSendable sets whether a server may receive new attempts. If not, its idle connections
 // are closed.
-func (l *loop) setSendable(p *knownServer, sendable bool) {
-	if sendable != p.sendable {
-		p.sendable = sendable
+func (l *loop) setSendable(server *knownServer, sendable bool) {
+	if sendable != server.sendable {
+		server.sendable = sendable
 		if sendable {
 			l.sendable++
 		} else {
 			l.sendable--
 		}
 	}
-	if p.Closed.Store(!sendable); !sendable {
-		l.upstream.CloseServer(p.ID)
+	if server.Closed.Store(!sendable); !sendable {
+		l.upstream.CloseServer(server.ID)
 	}
 }
 
 // removeServer forgets a server: attempts that are not yet on the wire are not sent, and its
 // idle connections are closed.
-func (l *loop) removeServer(p *knownServer) {
-	l.setSendable(p, false)
-	delete(l.servers, p.ID)
-	delete(l.startTimes, p.ID)
+func (l *loop) removeServer(server *knownServer) {
+	l.setSendable(server, false)
+	delete(l.servers, server.ID)
+	delete(l.startTimes, server.ID)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -43,7 +43,7 @@
 	evictIdleWithin         = time.Second
 	closeUpstreamIdleWithin = time.Second
 	applyListWithin         = 250 * time.Millisecond // rule 3 allows 500 ms; draining servers are stopped at once
-	clientMemoryDivisor     = 4                      // share of the node's memory for client connections
+	clientMemoryDivisor     = 4                      // client connections may use 1/4 of the node's memory
 )
 
 // Node is a running load-balancing node.
@@ -70,7 +70,8 @@
 
 // jobs are the node's background jobs.
 type jobs struct {
-	closeExpired, evictIdle, releaseBuffers, reapplyRules, closeParked, closeUpstreamIdle, applyList, expireLedger, writeState, recordServed *worker.Job
+	closeExpired, evictIdle, releaseBuffers, reapplyRules, closeParked, closeUpstreamIdle,
+	applyList, expireLedger, writeState, recordServed *worker.Job
 }
 
 // New creates a node and binds its listening address.
@@ -107,7 +108,7 @@
 	for i := range worths {
 		worths[i] = c.Settings.Classes[i].Worth
 	}
-	// Without idle rules of the operators, eviction stays LRU, as the platform expects it.
+	// Without idle rules of the operators, eviction is LRU, as the platform expects.
 	policy, rememberedClients := idleconns.LRU, 0
 	if c.Routes.Idle() != nil {
 		policy, rememberedClients = idleconns.LowestValue, clients
@@ -281,10 +282,10 @@
 // are answered.
 func (n *Node) Run(ctx context.Context) error {
 	inner := n.loop.ctx
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	defer n.stop()
-	parts.Go(func() { n.loop.run(n.config.KnownServers) })
+	running.Go(func() { n.loop.run(n.config.KnownServers) })
 	since := n.loop.saved.watchFrom(n.config.KnownServers)
 	if n.stateWriter != nil {
 		go n.stateWriter.Run(inner)
@@ -295,21 +296,21 @@
 			}
 		}()
 	}
-	parts.Go(func() { n.loop.discovery.RunWatch(inner, since) })
-	parts.Go(func() { n.loop.discovery.RunFetches(inner) })
+	running.Go(func() { n.loop.discovery.RunWatch(inner, since) })
+	running.Go(func() { n.loop.discovery.RunFetches(inner) })
 
-	parts.Go(func() { n.worker.Run(inner) })
+	running.Go(func() { n.worker.Run(inner) })
 	if n.members != nil {
-		parts.Go(func() { n.members.Run(inner) })
+		running.Go(func() { n.members.Run(inner) })
 	}
 	if n.leases != nil {
-		parts.Go(func() { n.leases.Run(inner) })
+		running.Go(func() { n.leases.Run(inner) })
 	}
 	if n.loop.bootstrap != nil {
-		parts.Go(func() { n.loop.bootstrap.Run(inner) })
+		running.Go(func() { n.loop.bootstrap.Run(inner) })
 	}
 	frontStopped := make(chan struct{})
-	parts.Go(func() {
+	running.Go(func() {
 		defer close(frontStopped)
 		n.front.Run(inner)
 	})
@@ -330,9 +331,9 @@
 	n.log.Info("shutting down")
 	n.handler.shuttingDown.Store(true)
 	if n.members != nil { // spares the other members from detecting the departure
-		var parts sync.WaitGroup
-		defer parts.Wait()
-		parts.Go(func() {
+		var running sync.WaitGroup
+		defer running.Wait()
+		running.Go(func() {
 			if n.leases != nil { // before Leave, while the other members still know this node's address
 				n.leases.Leave(leaveTimeout / 2)
 			}
--- a/internal/node/saved_state.go
+++ b/internal/node/saved_state.go
@@ -35,40 +35,40 @@
 )
 
 // unconfirmed reports whether discovery has sent no list since the start.
-func (p *savedState) unconfirmed() bool { return p != nil && p.staleList != nil }
+func (s *savedState) unconfirmed() bool { return s != nil && s.staleList != nil }
 
 // priorRate returns the saved rate of answers per second, server and node, as long as the
 // list is stale; 0 otherwise.
-func (p *savedState) priorRate() float64 {
-	if !p.unconfirmed() || p.staleList.Fresh() {
+func (s *savedState) priorRate() float64 {
+	if !s.unconfirmed() || s.staleList.Fresh() {
 		return 0
 	}
-	return max(p.restored.List.ServerRate, minPriorRate)
+	return max(s.restored.List.ServerRate, minPriorRate)
 }
 
 // estimatedFleetSize returns how many servers of a stale list are probably alive, as long as
 // not all of them are offered to the balancer; 0 otherwise.
-func (p *savedState) estimatedFleetSize() int {
-	if !p.unconfirmed() || p.staleList.Fresh() {
+func (s *savedState) estimatedFleetSize() int {
+	if !s.unconfirmed() || s.staleList.Fresh() {
 		return 0
 	}
-	return p.staleList.EstimatedAlive()
+	return s.staleList.EstimatedAlive()
 }
 
 // watchFrom returns the generation that the first watch may start from; nil: it must request
 // the whole list.
-func (p *savedState) watchFrom(known *endpoints.List) *uint64 {
+func (s *savedState) watchFrom(known *endpoints.List) *uint64 {
 	var since *uint64
 	if known != nil {
 		since = &known.Generation
 	}
-	if p == nil || len(p.restored.Servers) == 0 {
+	if s == nil || len(s.restored.Servers) == 0 {
 		return since
 	}
-	if p.restored.List.Consistent && (since == nil || p.restored.List.Generation >= *since) {
-		return &p.restored.List.Generation
+	if s.restored.List.Consistent && (since == nil || s.restored.List.Generation >= *since) {
+		return &s.restored.List.Generation
 	}
-	if since != nil && *since > p.restored.List.Generation {
+	if since != nil && *since > s.restored.List.Generation {
 		return since
 	}
 	return nil // the generation of the saved rows is unknown
@@ -96,60 +96,60 @@
 
 // newSavedState merges the restored servers with the configuration's list.
 func newSavedState(w *persist.Writer, restored persist.Restored, c *Config, wall time.Time) *savedState {
-	p := &savedState{writer: w, restored: restored, staleEntries: map[string]endpoints.Entry{}, discoveryAddress: c.Discovery}
+	s := &savedState{writer: w, restored: restored, staleEntries: map[string]endpoints.Entry{}, discoveryAddress: c.Discovery}
 	if c.KnownServers != nil {
 		configured := make([]serverdb.Server, len(c.KnownServers.Entries))
 		for i := range c.KnownServers.Entries {
 			configured[i] = toRow(&c.KnownServers.Entries[i], wall)
 		}
-		p.restored.Servers = serverdb.Merge(p.restored.Servers, configured)
+		s.restored.Servers = serverdb.Merge(s.restored.Servers, configured)
 	}
-	return p
+	return s
 }
 
 // loadSavedState starts with the restored list.
 func (l *loop) loadSavedState() {
-	p := l.saved
-	all := &endpoints.List{Generation: p.restored.List.Generation, Whole: true}
+	saved := l.saved
+	all := &endpoints.List{Generation: saved.restored.List.Generation, Whole: true}
 	var serving []stalelist.Server
-	for i := range p.restored.Servers {
-		e := toEntry(&p.restored.Servers[i])
+	for i := range saved.restored.Servers {
+		e := toEntry(&saved.restored.Servers[i])
 		all.Entries = append(all.Entries, e)
 		if e.Health == decide.Healthy {
-			p.staleEntries[e.ID] = e
+			saved.staleEntries[e.ID] = e
 			serving = append(serving, stalelist.Server{ID: e.ID, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
 		}
 	}
 	l.view.Restore(all)
-	age, known := p.restored.List.Age(l.clock.WallTime(l.now))
-	if !known && len(p.restored.Servers) > 0 && p.restored.List.Confirmed.IsZero() {
+	age, known := saved.restored.List.Age(l.clock.WallTime(l.now))
+	if !known && len(saved.restored.Servers) > 0 && saved.restored.List.Confirmed.IsZero() {
 		age, known = 0, true // the configuration's list alone is trusted, as without saved state
 	}
-	p.staleList = stalelist.New(stalelist.Settings{NodeName: p.restored.Node, NodeCount: l.settings.Nodes}, age, known, serving)
+	saved.staleList = stalelist.New(stalelist.Settings{NodeName: saved.restored.Node, NodeCount: l.settings.Nodes}, age, known, serving)
 	if len(serving) > 0 {
 		l.log.Info("starting with the saved list", "servers", len(serving), "age", age.Round(time.Second).String(), "age known", known,
-			"generation", p.restored.List.Generation, "complete", p.restored.List.Consistent, "trusted", p.staleList.Fresh())
+			"generation", saved.restored.List.Generation, "complete", saved.restored.List.Consistent, "trusted", saved.staleList.Fresh())
 	}
-	l.updateServers(&endpoints.List{Entries: l.offeredEntries(p.staleList.OfferFirst(l.now))}, decide.ListStored)
+	l.updateServers(&endpoints.List{Entries: l.offeredEntries(saved.staleList.OfferFirst(l.now))}, decide.ListStored)
 	l.scheduleRetry()
 }
 
 // offeredEntries converts the changes of a stale list to list entries.
 func (l *loop) offeredEntries(changes []stalelist.Change) []endpoints.Entry {
-	p := l.saved
+	saved := l.saved
 	entries := make([]endpoints.Entry, 0, len(changes))
 	for _, c := range changes {
-		e := p.staleEntries[c.ID]
+		e := saved.staleEntries[c.ID]
 		switch {
 		case c.State == stalelist.Withdrawn:
 			e.Health = decide.Removed
-		case p.staleList.Fresh():
+		case saved.staleList.Fresh():
 		default:
 			// When the process at this address started is unknown: it counts as started now. Once
 			// verified, it keeps the start time that it was offered with.
 			if c.State == stalelist.Trying {
 				e.Started = l.now
-				p.staleEntries[c.ID] = e
+				saved.staleEntries[c.ID] = e
 			}
 			e.Unverified = c.State == stalelist.Trying
 		}
@@ -160,19 +160,19 @@
 
 // recordSavedResult records the result of an attempt for the saved state and the stale list.
 func (l *loop) recordSavedResult(server string, r decide.Result, took time.Duration) {
-	p := l.saved
+	saved := l.saved
 	if r == decide.Served {
-		p.servedSinceSweep++
-		p.meanAnswerSeconds += (max(took, time.Microsecond).Seconds() - p.meanAnswerSeconds) / (p.answerSamples + 1)
-		p.answerSamples = min(p.answerSamples+1, maxAnswerSamples)
+		saved.servedSinceSweep++
+		saved.meanAnswerSeconds += (max(took, time.Microsecond).Seconds() - saved.meanAnswerSeconds) / (saved.answerSamples + 1)
+		saved.answerSamples = min(saved.answerSamples+1, maxAnswerSamples)
 		if s := l.servers[server]; s != nil {
 			s.lastServed = l.now
 		}
 	}
-	if p.staleList == nil {
+	if saved.staleList == nil {
 		return
 	}
-	if changes := p.staleList.RecordResult(l.now, server, r); len(changes) > 0 {
+	if changes := saved.staleList.RecordResult(l.now, server, r); len(changes) > 0 {
 		l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListRestored)
 	}
 	l.scheduleRetry()
@@ -218,17 +218,17 @@
 
 // saveList passes a list and its changes to the writer.
 func (l *loop) saveList(m *endpoints.List, changes []endpoints.Entry) {
-	p := l.saved
-	if p == nil || p.writer == nil {
+	saved := l.saved
+	if saved == nil || saved.writer == nil {
 		return
 	}
 	wall := l.clock.WallTime(l.now)
 	for i := range changes {
-		p.writer.RecordServer(serverdb.Observation{Server: toRow(&changes[i], wall), FromDiscovery: true})
+		saved.writer.RecordServer(serverdb.Observation{Server: toRow(&changes[i], wall), FromDiscovery: true})
 	}
 	if m != nil {
-		p.writer.ConfirmList(serverdb.List{
-			Generation: m.Generation, Discovery: p.discoveryAddress, Confirmed: wall, ServerRate: l.measuredServerRate(), ServingCount: l.view.Serving(),
+		saved.writer.ConfirmList(serverdb.List{
+			Generation: m.Generation, Discovery: saved.discoveryAddress, Confirmed: wall, ServerRate: l.measuredServerRate(), ServingCount: l.view.Serving(),
 		})
 	}
 }
@@ -237,12 +237,12 @@
 // node: the measured rate, assuming that all nodes use all servers alike, or the rate at
 // which a server answers requests one after another, divided among the nodes.
 func (l *loop) measuredServerRate() float64 {
-	p, rate := l.saved, 0.0
+	saved, rate := l.saved, 0.0
 	if n := l.view.Serving(); n > 0 {
-		rate = p.answersPerSecond / float64(n)
+		rate = saved.answersPerSecond / float64(n)
 	}
-	if p.answerSamples == maxAnswerSamples {
-		rate = max(rate, 1/(p.meanAnswerSeconds*float64(max(1, l.settings.Nodes))))
+	if saved.answerSamples == maxAnswerSamples {
+		rate = max(rate, 1/(saved.meanAnswerSeconds*float64(max(1, l.settings.Nodes))))
 	}
 	return rate
 }
@@ -250,9 +250,9 @@
 // updateAnswerRate updates the moving average of answers per second. It is called with each
 // sweep.
 func (l *loop) updateAnswerRate() {
-	p := l.saved
-	p.answersPerSecond += (p.servedSinceSweep - p.answersPerSecond) / rateSweeps
-	p.servedSinceSweep = 0
+	saved := l.saved
+	saved.answersPerSecond += (saved.servedSinceSweep - saved.answersPerSecond) / rateSweeps
+	saved.servedSinceSweep = 0
 }
 
 // recordServedServers passes the servers that have served recently to the writer, as
