--- a/internal/node/budgets_test.go
+++ b/internal/node/budgets_test.go
@@ -52,7 +52,7 @@
 // The number of attempts must follow from the request's budget and from what answers report as
 // spent: never more than the class allows, and fewer the more was spent.
 func TestAttemptsByBudget(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		name, given, spentHeader string
 		on                       bool
 		attempts                 int
@@ -71,17 +71,17 @@
 		{"more granted than the class allows", "1;t=9000;a=15;w=1;c=look", "1;s=0", true, 4},
 		{"malformed budget is ignored", "1;t=9000;a=0;a=0;w=1;c=look", "1;s=0", true, 4},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			n, servers := startWithBudgets(t, x.on, func(w http.ResponseWriter, _ *http.Request) {
-				if x.spentHeader != "" {
-					w.Header().Set(budget.SpentHeaderName, x.spentHeader)
+			n, servers := startWithBudgets(t, tc.on, func(w http.ResponseWriter, _ *http.Request) {
+				if tc.spentHeader != "" {
+					w.Header().Set(budget.SpentHeaderName, tc.spentHeader)
 				}
 				w.WriteHeader(http.StatusInternalServerError)
 			})
 			r := request(t, n.url, "/look/1", "")
-			if x.given != "" {
-				r.Header.Set(budget.HeaderName, x.given)
+			if tc.given != "" {
+				r.Header.Set(budget.HeaderName, tc.given)
 			}
 			resp, _ := exchange(t, r)
 			// The class is safe to repeat: the request ends with a refusal or a failure.
@@ -89,19 +89,19 @@
 				t.Errorf("answered %s", resp.Status)
 			}
 			all, lines := sentBudgets(servers)
-			if got := totalAttempts(servers); got != x.attempts {
-				t.Errorf("%d attempts, want %d; %q", got, x.attempts, lines)
+			if got := totalAttempts(servers); got != tc.attempts {
+				t.Errorf("%d attempts, want %d; %q", got, tc.attempts, lines)
 			}
 			reported := resp.Header.Get(budget.SpentHeaderName)
-			if !x.on {
+			if !tc.on {
 				if reported != "" || len(lines) > 0 {
 					t.Errorf("budgets are off, but the answer has %q, and %q was sent", reported, lines)
 				}
 				return
 			}
 			spent, advice, err := budget.ParseSpent([]string{reported})
-			if err != nil || spent < x.attempts-1 || spent > 3 || advice == "" {
-				t.Errorf("the answer reports %q (%v) for %d attempts", reported, err, x.attempts)
+			if err != nil || spent < tc.attempts-1 || spent > 3 || advice == "" {
+				t.Errorf("the answer reports %q (%v) for %d attempts", reported, err, tc.attempts)
 			}
 			for _, b := range all {
 				if b == nil || b.ExtraAttempts > 2 || b.TimeLeft <= 0 || len(b.Path) != 1 || b.AttemptID == "" || b.Class != "look" {
--- a/internal/node/listen_test.go
+++ b/internal/node/listen_test.go
@@ -107,7 +107,7 @@
 			"aim_ns":1000000000,"deadline_ns":2000000000,"worth":1}]}}`
 	}
 	long := strings.Repeat("x", 110)
-	for _, x := range []struct{ listen, more, wrong string }{
+	for _, tc := range []struct{ listen, more, wrong string }{
 		{"127.0.0.1:15001", `"sidecar":{},`, ""},
 		{"[::1]:15001", `"sidecar":{"application":"a"},`, ""},
 		{"[::ffff:127.0.0.1]:15001", `"sidecar":{},`, ""},
@@ -128,9 +128,9 @@
 		{"127.0.0.1:15001", `"schema":3,`, "schema"},
 		{"127.0.0.1:15001", `"schema":-1,`, "schema"},
 	} {
-		_, err := parseConfig([]byte(make(x.listen, x.more)))
-		if x.wrong == "" && err != nil || x.wrong != "" && (err == nil || !strings.Contains(err.Error(), x.wrong)) {
-			t.Errorf("%s %s: %v, want %q", x.listen, x.more, err, x.wrong)
+		_, err := parseConfig([]byte(make(tc.listen, tc.more)))
+		if tc.wrong == "" && err != nil || tc.wrong != "" && (err == nil || !strings.Contains(err.Error(), tc.wrong)) {
+			t.Errorf("%s %s: %v, want %q", tc.listen, tc.more, err, tc.wrong)
 		}
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -476,7 +476,7 @@
 	token   uint64
 	overdue *pendingRequest
 	sweep   bool
-	run     func() // called when nothing else is set
+	run     func() // any other call; takes precedence
 }
 
 func (l *loop) after(wait time.Duration, t timer) { l.at(l.now+max(0, wait), t) }
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -79,7 +79,7 @@
 // An answer of discovery must hold them however the JSON is formatted, and they must reach the
 // view, the loop and the balancer.
 func TestPlannedServersFromDiscovery(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, tc := range map[string]struct {
 		idLength int
 		indent   string
 	}{
@@ -88,10 +88,10 @@
 		"long names, indented": {253, "    "},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := encodeList(t, plannedServers(x.idLength))
-			if x.indent != "" {
+			text := encodeList(t, plannedServers(tc.idLength))
+			if tc.indent != "" {
 				var indented bytes.Buffer
-				if err := json.Indent(&indented, text, "", x.indent); err != nil {
+				if err := json.Indent(&indented, text, "", tc.indent); err != nil {
 					t.Fatal(err)
 				}
 				text = indented.Bytes()
