--- a/internal/node/clock/boot_linux.go
+++ b/internal/node/clock/boot_linux.go
@@ -12,7 +12,8 @@
 func Boot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("clock: this kernel has no CLOCK_BOOTTIME: " + err.Error()) // exists since Linux 2.6.39; leases are unsafe without it
+		// CLOCK_BOOTTIME exists since Linux 2.6.39. Without it nothing safe can be done.
+		panic("clock: this kernel has no CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/node/worker/worker_test.go
+++ b/internal/node/worker/worker_test.go
@@ -84,7 +84,7 @@
 	var runs atomic.Int64
 	var job, after *Job
 	w := start(t, nodetest.DiscardLogger(), func(w *Worker) {
-		spend := func(time.Duration) (time.Duration, bool) { return 8 * time.Millisecond, false } // uses up the CPU budget
+		spend := func(time.Duration) (time.Duration, bool) { return 8 * time.Millisecond, false } // the whole budget
 		after = w.Add("after", background.Obligation, spend)
 		job = w.Add("job", background.Optional, func(time.Duration) (time.Duration, bool) {
 			runs.Add(1)
