--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -17,16 +17,16 @@
 	"curlewring/internal/operators/routes"
 )
 
-// setup is a node's files in a folder of the test's.
-type setup struct {
+// nodeFiles are a node's configuration files in a directory of the test.
+type nodeFiles struct {
 	t *testing.T
 	Files
 }
 
-func newSetup(t *testing.T, operator string, servers ...*Server) *setup {
+func newNodeFiles(t *testing.T, operator string, servers ...*Server) *nodeFiles {
 	t.Helper()
 	dir := t.TempDir()
-	s := &setup{t, Files{Config: filepath.Join(dir, "config.json"), Operator: filepath.Join(dir, "operator.toml")}}
+	s := &nodeFiles{t, Files{Config: filepath.Join(dir, "config.json"), Operator: filepath.Join(dir, "operator.toml")}}
 	var addrs []string
 	for _, server := range servers {
 		addrs = append(addrs, server.Addr())
@@ -36,7 +36,7 @@
 	return s
 }
 
-func (s *setup) write(path, text string) {
+func (s *nodeFiles) write(path, text string) {
 	s.t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -46,8 +46,8 @@
 	}
 }
 
-// start runs a node by the files.
-func (s *setup) start() *testNode {
+// start runs a node with the files.
+func (s *nodeFiles) start() *testNode {
 	s.t.Helper()
 	c, err := s.Read()
 	if err != nil {
@@ -56,8 +56,9 @@
 	return startNode(s.t, c)
 }
 
-// lasting tells how long each attempt was to last, as the server was told.
-func lasting(s *Server) []int {
+// attemptTimeouts returns the timeouts, in ms, of all attempts at a server, as their headers
+// gave them.
+func attemptTimeouts(s *Server) []int {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	var all []int
@@ -75,31 +76,31 @@
 	return fmt.Sprintf("[[route]]\nclass = %q\n%s\n", class, strings.Join(keys, "\n"))
 }
 
-// An attempt must end at its route's time-out and go on at another server, as
-// often as the route says, and the server be told how long the node waits.
-func TestRouteOnTheSockets(t *testing.T) {
+// An attempt must end at its route's timeout and be retried at another server as often as the
+// route allows, and the request must tell the server the timeout.
+func TestRoutePolicyIsApplied(t *testing.T) {
 	a, b := NewServer(t, Hang), NewServer(t, Hang)
-	n := newSetup(t, route("look", `attempt_timeout = "120ms"`, "attempts = 2")+
+	n := newNodeFiles(t, route("look", `attempt_timeout = "120ms"`, "attempts = 2")+
 		route("look", `path = "/look/patient"`, "attempts = 1", `attempt_timeout = "200ms"`), a, b).start()
 	resp, _ := exchange(t, request(t, n.url, "/look/1", ""))
 	if resp.StatusCode != http.StatusTooManyRequests {
 		t.Errorf("answered %s", resp.Status)
 	}
-	got := append(lasting(a), lasting(b)...)
+	got := append(attemptTimeouts(a), attemptTimeouts(b)...)
 	if len(got) != 2 || slices.Max(got) > 120 || slices.Min(got) < 1 {
 		t.Errorf("attempts of %v ms, want 2 of up to 120", got)
 	}
 	exchange(t, request(t, n.url, "/look/patient/7", ""))
-	if got = append(lasting(a), lasting(b)...); len(got) != 3 || slices.Max(got) <= 120 || slices.Max(got) > 200 {
+	if got = append(attemptTimeouts(a), attemptTimeouts(b)...); len(got) != 3 || slices.Max(got) <= 120 || slices.Max(got) > 200 {
 		t.Errorf("attempts of %v ms, want one more of up to 200", got)
 	}
 }
 
-// A request in the middle of its second attempt keeps the rules that it came
-// under; the next one has the new ones.
-func TestReloadSparesWhatIsUnderWay(t *testing.T) {
+// After a reload, a request in its second attempt must keep the rules that it arrived under, and
+// the next request must get the new ones.
+func TestReloadKeepsRulesOfOpenRequests(t *testing.T) {
 	a, b := NewServer(t, Hang), NewServer(t, Hang)
-	s := newSetup(t, route("look", `attempt_timeout = "400ms"`, "attempts = 3"), a, b)
+	s := newNodeFiles(t, route("look", `attempt_timeout = "400ms"`, "attempts = 3"), a, b)
 	n := s.start()
 	var done sync.WaitGroup
 	done.Go(func() { exchange(t, request(t, n.url, "/look/1", "")) })
@@ -109,45 +110,44 @@
 		t.Fatal(err)
 	}
 	done.Wait()
-	got := append(lasting(a), lasting(b)...)
+	got := append(attemptTimeouts(a), attemptTimeouts(b)...)
 	if len(got) != 3 || slices.Min(got) <= 50 {
 		t.Errorf("attempts of %v ms, want 3 of up to 400", got)
 	}
 	exchange(t, request(t, n.url, "/look/2", ""))
-	if got = append(lasting(a), lasting(b)...); len(got) != 4 || slices.Min(got) > 50 {
+	if got = append(attemptTimeouts(a), attemptTimeouts(b)...); len(got) != 4 || slices.Min(got) > 50 {
 		t.Errorf("attempts of %v ms, want one more of up to 50", got)
 	}
 }
 
-// Whatever is wrong with either file, a reload must change nothing, and say why
-// in one line.
+// A reload with a fault in either file must change nothing, and log the reason on one line.
 func TestBadReloadChangesNothing(t *testing.T) {
 	good := route("look", `attempt_timeout = "100ms"`, "attempts = 1")
-	loose := route("look", `attempt_timeout = "3s"`, "attempts = 1") // must never apply
+	bad := route("look", `attempt_timeout = "3s"`, "attempts = 1") // must never be applied
 	a := NewServer(t, Hang)
-	s := newSetup(t, good, a)
+	s := newNodeFiles(t, good, a)
 	c, err := s.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
 	n := startNode(t, c)
-	n.log = slog.New(slog.NewTextHandler(&text, nil)) // Reload's alone
+	n.log = slog.New(slog.NewTextHandler(&text, nil)) // captures the log of Reload only
 	config, err := os.ReadFile(s.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for i, c := range []struct{ name, operator, config, why string }{
+	for i, c := range []struct{ name, operator, config, reason string }{
 		{"empty", "", "", "RT003"},
-		{"half a line", loose + "[[route]]\nclass = \"no", "", "RT004"},
-		{"cut at a line's end", "route_count = 2\n" + loose, "", "RT010"},
-		{"ten megabytes", loose + strings.Repeat("# on and on\n", 900000), "", "RT002"},
-		{"a rule broken", loose + route("note", `second_copy_after = "100ms"`), "", "RT041"},
+		{"half a line", bad + "[[route]]\nclass = \"no", "", "RT004"},
+		{"cut at a line's end", "route_count = 2\n" + bad, "", "RT010"},
+		{"ten megabytes", bad + strings.Repeat("# on and on\n", 900000), "", "RT002"},
+		{"a rule broken", bad + route("note", `second_copy_after = "100ms"`), "", "RT041"},
 		{"two faults", route("look", "attempts = 9") + route("nowhere", "attempts = 2"), "", "RT021"},
-		{"a bad configuration", loose, `{"listen":"nowhere"}`, "listen"},
-		{"no configuration", loose, " ", "JSON"},
-		{"a class that new settings do not name", loose, strings.ReplaceAll(string(config), `"look"`, `"watch"`), "RT021"},
+		{"a bad configuration", bad, `{"listen":"nowhere"}`, "listen"},
+		{"no configuration", bad, " ", "JSON"},
+		{"a class that new settings do not name", bad, strings.ReplaceAll(string(config), `"look"`, `"watch"`), "RT021"},
 	} {
 		s.write(s.Operator, c.operator)
 		s.write(s.Config, string(config))
@@ -155,22 +155,22 @@
 			s.write(s.Config, c.config)
 		}
 		text.Reset()
-		if err := n.Reload(s.Files); err == nil || !strings.Contains(err.Error(), c.why) {
-			t.Errorf("%s: got %v, want %s", c.name, err, c.why)
+		if err := n.Reload(s.Files); err == nil || !strings.Contains(err.Error(), c.reason) {
+			t.Errorf("%s: got %v, want %s", c.name, err, c.reason)
 		}
 		line := text.String()
-		if strings.Count(line, "\n") != 1 || !strings.Contains(line, c.why) || !strings.Contains(line, fmt.Sprintf("bad=%d", i+1)) {
+		if strings.Count(line, "\n") != 1 || !strings.Contains(line, c.reason) || !strings.Contains(line, fmt.Sprintf("bad=%d", i+1)) {
 			t.Errorf("%s: logged %q", c.name, line)
 		}
 	}
 	s.write(s.Config, string(config))
-	for _, path := range []string{filepath.Join(dir, "none"), dir} { // not there; a folder
+	for _, path := range []string{filepath.Join(dir, "none"), dir} { // a missing file; a directory
 		if err := n.Reload(Files{Config: s.Config, Operator: path}); err == nil || !strings.Contains(err.Error(), "RT001") {
 			t.Errorf("%s: got %v", path, err)
 		}
 	}
 	exchange(t, request(t, n.url, "/look/1", ""))
-	if got := lasting(a); len(got) != 1 || got[0] > 100 {
+	if got := attemptTimeouts(a); len(got) != 1 || got[0] > 100 {
 		t.Errorf("attempts of %v ms, want one of up to 100: a bad file was applied", got)
 	}
 	s.write(s.Operator, route("look", `attempt_timeout = "60ms"`, "attempts = 1"))
@@ -178,14 +178,14 @@
 		t.Fatal(err)
 	}
 	exchange(t, request(t, n.url, "/look/2", ""))
-	if got := lasting(a); len(got) != 2 || got[1] > 60 {
+	if got := attemptTimeouts(a); len(got) != 2 || got[1] > 60 {
 		t.Errorf("attempts of %v ms, want a second of up to 60", got)
 	}
 }
 
-// A node must not start with a file that breaks a rule.
-func TestBadOperatorFileEndsTheStart(t *testing.T) {
-	s := newSetup(t, route("act", `retry_on = ["reset"]`))
+// A node must not start with an operators' file that breaks a rule.
+func TestBadOperatorFilePreventsStart(t *testing.T) {
+	s := newNodeFiles(t, route("act", `retry_on = ["reset"]`))
 	_, err := s.Read()
 	findings, ok := err.(*Findings)
 	if !ok || len(findings.All) != 1 || findings.All[0].Code != routes.RetryUnsafe {
@@ -193,9 +193,9 @@
 	}
 }
 
-// A log line stays a line of bearable length, however many faults there are.
+// The findings must fit on one log line of limited length, however many there are.
 func TestManyFindingsOnOneLine(t *testing.T) {
-	s := newSetup(t, strings.Repeat(route("nowhere", "attempts = 2"), 500))
+	s := newNodeFiles(t, strings.Repeat(route("nowhere", "attempts = 2"), 500))
 	_, err := s.Read()
 	if err == nil || strings.Contains(err.Error(), "\n") || len(err.Error()) > 4096 || !strings.Contains(err.Error(), "more") {
 		t.Errorf("got %d bytes: %.200s", len(err.Error()), err)
--- /dev/null
+++ b/internal/node/request_handler.go
@@ -0,0 +1,235 @@
+package node
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"curlewring/decide"
+	"curlewring/internal/budget"
+	"curlewring/internal/node/clock"
+	"curlewring/internal/node/front"
+	"curlewring/internal/node/upstream"
+)
+
+const (
+	maxHeaderBytes = 16 << 10
+	maxRemaining   = 10 * time.Minute // larger times in headers are rejected as invalid
+)
+
+// requestHandler is the front.Handler of the node. It validates clients' requests, passes them
+// to the loop, and turns the loop's answers into responses.
+type requestHandler struct {
+	clock        clock.Clock
+	loop         *loop
+	classes      map[string]int
+	tenants      map[string]int
+	idempotency  []decide.Idempotency
+	budgets      *budgets        // nil: budgets are off
+	maxWaits     []time.Duration // longest time that a client waits, by class
+	front        *front.Server
+	shuttingDown atomic.Bool // shutdown has begun: /ready answers 503
+
+	mu       sync.Mutex
+	openTxns map[string]bool // X-Txn values of the requests that have no answer yet
+}
+
+func newRequestHandler(c *Config, clock clock.Clock, loop *loop) *requestHandler {
+	h := &requestHandler{
+		clock: clock, loop: loop, classes: map[string]int{}, tenants: map[string]int{},
+		openTxns: map[string]bool{},
+	}
+	for i, name := range c.Classes {
+		h.classes[name] = i
+		h.idempotency = append(h.idempotency, c.Settings.Classes[i].Idempotency)
+		h.maxWaits = append(h.maxWaits, c.Settings.Classes[i].Deadline)
+	}
+	for i, name := range c.Tenants {
+		h.tenants[name] = i
+	}
+	return h
+}
+
+// singleValueHeaders are the headers that a request must not repeat: node and server might
+// each use another of the values.
+var singleValueHeaders = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
+
+// HandleRequest handles one request. It implements front.Handler.
+func (h *requestHandler) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
+	now := h.clock.Now()
+	if r.URL.Path == "/ready" {
+		if h.loop.ready.Load() && !h.shuttingDown.Load() {
+			return nil, -1, &front.Response{Status: http.StatusOK, Text: "ready"}
+		}
+		return nil, -1, &front.Response{Status: http.StatusServiceUnavailable, Text: "not ready"}
+	}
+	p, status, problem := h.parse(nil, r, now)
+	spent := ""
+	if p != nil && h.budgets != nil {
+		g, loop := h.budgets.read(r, p.request.Class, p.deadline-now)
+		if p.budget = g; g == nil {
+			spent = budget.EncodeSpent(0, budget.Loop)
+			p, status, problem = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
+		} else {
+			p.deadline = min(p.deadline, now+g.grant.TimeLeft)
+		}
+	}
+	if p != nil && !h.reserveTxn(p.upstreamRequest.Txn) {
+		p, status, problem = nil, http.StatusConflict, "another request with this X-Txn is open"
+	}
+	if p == nil {
+		// The connection is closed: after such an error, what follows on it may be no request
+		// but, for instance, the rest of this one's body.
+		a := &front.Response{Status: status, Text: problem, Close: true}
+		if spent != "" {
+			a.HeaderName, a.HeaderValue = budget.SpentHeaderName, spent
+		}
+		return nil, -1, a
+	}
+	if crowded {
+		h.releaseTxn(p.upstreamRequest.Txn)
+		return nil, p.request.Class, &front.Response{Status: http.StatusTooManyRequests, Text: "too many connections", Close: true}
+	}
+	p.token, p.arrivedAt = t, now
+	h.loop.post(requestArrived{p})
+	return p, p.request.Class, nil
+}
+
+// ClientGone abandons the request of a client that has disconnected. It implements
+// front.Handler.
+func (h *requestHandler) ClientGone(open any) {
+	p := open.(*pendingRequest)
+	p.finished.Store(true) // at once, before the loop gets to clientDisconnected
+	h.releaseTxn(p.txn)
+	h.loop.post(clientDisconnected{p})
+}
+
+// reserveTxn reserves a request's X-Txn. It returns false if another open request has it:
+// servers use it to tell attempts apart and to drop duplicates, so answers might reach the
+// wrong client.
+func (h *requestHandler) reserveTxn(txn string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.openTxns[txn] {
+		return false
+	}
+	h.openTxns[txn] = true
+	return true
+}
+
+func (h *requestHandler) releaseTxn(txn string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.openTxns, txn)
+}
+
+// respond delivers the final answer to the client's connection. It does not block.
+func (h *requestHandler) respond(p *pendingRequest, a answer) {
+	h.releaseTxn(p.txn)
+	to := front.Response{HeaderName: budget.SpentHeaderName, HeaderValue: a.spent, WriteDeadline: p.deadline + front.WriteGrace}
+	if a.spent == "" {
+		to.HeaderName = ""
+	}
+	switch a.answerStatus {
+	case served:
+		to.Status, to.ContentType, to.Body = http.StatusOK, a.response.ContentType, a.response.Body
+	case refused:
+		to.Status, to.Text, to.RetryAfter = http.StatusTooManyRequests, "refused", a.retryAfter
+	case failed:
+		to.Status, to.Text = http.StatusBadGateway, "failed"
+	case overdue:
+		to.Status, to.Text = http.StatusGatewayTimeout, "no answer in time"
+	}
+	h.front.Respond(p.token, to)
+}
+
+// parse reads a request. For an invalid one it returns the status and text of the answer.
+// None of these statuses is a refusal, as a retry of such a request is of no use.
+func (h *requestHandler) parse(_ http.ResponseWriter, r *http.Request, now time.Duration) (*pendingRequest, int, string) {
+	// For a request with both Transfer-Encoding and Content-Length, net/http drops one, and a
+	// server or proxy that uses the other finds a second request inside the body (request
+	// smuggling). Chunked bodies are rejected altogether: no client needs them.
+	if len(r.TransferEncoding) > 0 {
+		return nil, http.StatusLengthRequired, "Transfer-Encoding is not taken"
+	}
+	if !r.ProtoAtLeast(1, 1) { // net/http silently drops Transfer-Encoding there
+		return nil, http.StatusHTTPVersionNotSupported, "HTTP/1.1 is needed"
+	}
+	for _, name := range singleValueHeaders {
+		if len(r.Header.Values(name)) > 1 {
+			return nil, http.StatusBadRequest, name + " stands there twice"
+		}
+	}
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class, ok := h.classes[first]
+	if !ok {
+		return nil, http.StatusNotFound, "no such class of requests"
+	}
+	if lane := r.Header.Get("X-Lane"); lane != "" && lane != first {
+		return nil, http.StatusBadRequest, "X-Lane and the path differ"
+	}
+	key := r.Header.Get("Idempotency-Key")
+	switch effect := h.idempotency[class]; {
+	case effect == decide.Idempotent && r.Method != http.MethodGet,
+		effect != decide.Idempotent && r.Method != http.MethodPost:
+		return nil, http.StatusMethodNotAllowed, "the class does not go with the method"
+	case effect == decide.Keyed && key == "":
+		return nil, http.StatusBadRequest, "the class needs an Idempotency-Key"
+	}
+	txn := r.Header.Get("X-Txn")
+	if txn == "" {
+		return nil, http.StatusBadRequest, "no X-Txn"
+	}
+	ms, err := strconv.ParseUint(r.Header.Get("X-Remaining-Ms"), 10, 32)
+	wait := time.Duration(ms) * time.Millisecond
+	if err != nil || wait > maxRemaining {
+		return nil, http.StatusBadRequest, "X-Remaining-Ms is missing or odd"
+	}
+	if longest := h.maxWaits[class]; longest > 0 { // no client waits longer than its class's deadline
+		wait = min(wait, longest)
+	}
+	p := &pendingRequest{
+		path:     r.URL.Path,
+		txn:      txn,
+		deadline: now + wait,
+		request:  decide.Request{Class: class, Tenant: -1, IsRetry: r.Header.Get("X-Resent") == "1"},
+	}
+	if tenant, ok := h.tenants[r.Header.Get("X-Org")]; ok {
+		p.request.Tenant = tenant
+	}
+	if text := r.Header.Get("X-Estimate"); text != "" {
+		us, err := strconv.ParseUint(text, 10, 32)
+		work := time.Duration(us) * time.Microsecond
+		if err != nil || work > maxRemaining {
+			return nil, http.StatusBadRequest, "X-Estimate is odd"
+		}
+		p.request.Work = work
+	}
+	p.upstreamRequest = &upstream.Request{
+		Method: r.Method, URI: r.RequestURI, Host: r.Host, Txn: txn, IdempotencyKey: key, ContentType: r.Header.Get("Content-Type"),
+		Finished: &p.finished,
+	}
+	if !strings.HasPrefix(p.upstreamRequest.URI, "/") || strings.HasPrefix(p.upstreamRequest.URI, "//") {
+		return nil, http.StatusBadRequest, "the target is no path"
+	}
+	if r.Body == http.NoBody {
+		return p, 0, ""
+	}
+	if h.idempotency[class] == decide.Idempotent {
+		return nil, http.StatusBadRequest, "the class takes no body"
+	}
+	if r.ContentLength > upstream.MaxBodySize {
+		return nil, http.StatusRequestEntityTooLarge, "the body is too large"
+	}
+	p.upstreamRequest.Body = make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(r.Body, p.upstreamRequest.Body); err != nil {
+		return nil, http.StatusRequestTimeout, "the body did not come"
+	}
+	// The client's time counts from the last byte of its request.
+	p.deadline += h.clock.Now() - now
+	return p, 0, ""
+}
--- a/internal/node/trace_test.go
+++ b/internal/node/trace_test.go
@@ -9,8 +9,8 @@
 	. "curlewring/internal/node/nodetest"
 )
 
-// Debug lines must tell of one request, by its client's id, which servers were tried, how that ended and why the answer was
-// given; and nothing of it may be logged where nobody asks for it.
+// Debug lines must show for one request, by its X-Txn, which servers were tried, the outcomes
+// and the reason of the answer. Nothing of it may be logged at level info.
 func TestDebugLinesFollowARequest(t *testing.T) {
 	for _, level := range []slog.Level{slog.LevelInfo, slog.LevelDebug} {
 		t.Run(level.String(), func(t *testing.T) {
@@ -20,7 +20,7 @@
 			})
 			var lines lockedBuffer
 			log := slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: level}))
-			n := startLogging(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), 1024), log)
+			n := startNodeWithLog(t, testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr()), 1024), log)
 			resp, _ := exchange(t, request(t, n.url, "/act/1", "x", "X-Txn", "feedbeef"))
 			if resp.StatusCode != http.StatusTooManyRequests {
 				t.Fatalf("answered %s", resp.Status)
