--- a/internal/fleet/leaselog/doc.go
+++ b/internal/fleet/leaselog/doc.go
@@ -1,16 +1,17 @@
-// Package leaselog is one node's part in the fleet's leases: it may have a seat among the
-// voters or none, and asks on behalf of its tenants either way.
+// Package leaselog is one node's part of the replicated log of leases. A node may be one of the voters or not; in
+// both cases it sends commands on behalf of its local clients.
 //
-// A Council ties package agree (the log), package lease (the replicated machine and the
-// leader's clock) and the seats (who votes) together. Messages, ticks, views of the
-// members and requests come in; messages, answers, and what must be on disk first come
-// out. It is pure and belongs to one goroutine.
+// A Node combines package consensus (the log), package lease (the replicated state machine and the leader's expiry
+// tracker), package maintenance (the table of machines under maintenance) and the voter set (which nodes vote).
+// Its inputs are messages, ticks, membership views and requests. Its outputs are messages, replies and state that
+// must be saved first. It is pure and is used by one goroutine.
 //
-// Order is what it is for: nothing that rests on what is not saved yet leaves it. A disk
-// that does not end its write keeps it silent, and says so to those who ask.
+// It enforces the order of effects: nothing that depends on unsaved state is sent. While a disk write hangs, the
+// voter stays silent, and requests are answered with CannotServe.
 //
-// It must not open a socket, write a file or read a clock, and does not act under leases.
+// It must not open a socket, write a file or read a clock, and it does not act on the leases that it records.
 //
-// Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 4 (changes of voters),
-// 6 (clients); Burrows, "The Chubby lock service", 2006 (cells, sessions through any replica).
+// Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4 (cluster membership changes),
+// chapter 6 (client interaction); Burrows, "The Chubby lock service for loosely-coupled distributed systems", 2006
+// (cells, sessions through any replica).
 package leaselog
--- a/internal/fleet/leaselog/encoding.go
+++ b/internal/fleet/leaselog/encoding.go
@@ -10,115 +10,115 @@
 	"curlewring/internal/fleet/protofields"
 )
 
-// Bounds of what is read.
+// Limits of decoded messages.
 const (
-	mostHops   = 4
-	mostListed = 64 // leases in a message
+	maxHops          = 4  // how often a message may be forwarded
+	maxLeasesPerPage = 64 // leases in one message
 )
 
-func appendSeats(to []byte, s *VoterSet) []byte {
-	to = protofields.AppendUint(protofields.AppendUint(protofields.AppendFixed(to, 1, s.Founding), 2, s.Index), 4, s.Tokens)
-	for i := range s.Rows {
-		to = protofields.AppendBytes(to, 3, appendSeat(nil, &s.Rows[i]))
+func appendVoterSet(dst []byte, voters *VoterSet) []byte {
+	dst = protofields.AppendUint(protofields.AppendUint(protofields.AppendFixed(dst, 1, voters.Founding), 2, voters.Index), 4, voters.Tokens)
+	for i := range voters.Rows {
+		dst = protofields.AppendBytes(dst, 3, appendVoterInfo(nil, &voters.Rows[i]))
 	}
-	return to
+	return dst
 }
 
-func appendSeat(to []byte, s *VoterInfo) []byte {
-	return protofields.AppendString(protofields.AppendString(protofields.AppendString(protofields.AppendFixed(to, 1, s.ID), 2, s.Name), 3, s.Site), 4, s.Addr)
+func appendVoterInfo(dst []byte, voter *VoterInfo) []byte {
+	return protofields.AppendString(protofields.AppendString(protofields.AppendString(protofields.AppendFixed(dst, 1, voter.ID), 2, voter.Name), 3, voter.Site), 4, voter.Addr)
 }
 
 func parseName(b []byte) (string, error) {
-	if len(b) == 0 || len(b) > mostName {
-		return "", protofields.Errorf("a name of %d bytes, want 1 to %d", len(b), mostName)
+	if len(b) == 0 || len(b) > maxNameBytes {
+		return "", protofields.Errorf("name has %d bytes, want 1 to %d", len(b), maxNameBytes)
 	}
 	return string(b), nil
 }
 
-func parseSeats(b []byte) (s VoterSet, err error) {
+func parseVoterSet(b []byte) (voters VoterSet, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
-			s.Founding = f.Uint
+			voters.Founding = f.Uint
 		case f.IsUint && f.Number == 2:
-			s.Index = f.Uint
+			voters.Index = f.Uint
 		case f.IsUint && f.Number == 4:
-			s.Tokens = f.Uint
+			voters.Tokens = f.Uint
 		case !f.IsUint && f.Number == 3:
-			if len(s.Rows) == MaxVoters {
-				return protofields.Errorf("more than %d seats", MaxVoters)
+			if len(voters.Rows) == MaxVoters {
+				return protofields.Errorf("voter set has more than %d voters", MaxVoters)
 			}
-			row, err := parseSeat(f.Bytes)
-			s.Rows = append(s.Rows, row)
+			voter, err := parseVoterInfo(f.Bytes)
+			voters.Rows = append(voters.Rows, voter)
 			return err
 		}
 		return nil
 	})
-	if err == nil && (s.Founding == 0 || len(s.Rows) == 0) {
-		err = protofields.Errorf("seats of no log")
+	if err == nil && (voters.Founding == 0 || len(voters.Rows) == 0) {
+		err = protofields.Errorf("voter set has no founding ID or no voters")
 	}
-	return s, err
+	return voters, err
 }
 
-func parseSeat(b []byte) (s VoterInfo, err error) {
+func parseVoterInfo(b []byte) (voter VoterInfo, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsUint && f.Number == 1:
-			s.ID = f.Uint
+			voter.ID = f.Uint
 		case !f.IsUint && f.Number == 2:
-			s.Name, err = parseName(f.Bytes)
+			voter.Name, err = parseName(f.Bytes)
 		case !f.IsUint && f.Number == 3:
-			s.Site, err = parseName(f.Bytes)
+			voter.Site, err = parseName(f.Bytes)
 		case !f.IsUint && f.Number == 4:
-			s.Addr, err = parseName(f.Bytes)
+			voter.Addr, err = parseName(f.Bytes)
 		}
 		return err
 	})
-	if err == nil && (s.ID == 0 || s.Name == "") {
-		err = protofields.Errorf("a seat of nobody")
+	if err == nil && (voter.ID == 0 || voter.Name == "") {
+		err = protofields.Errorf("voter has no ID or no name")
 	}
-	return s, err
+	return voter, err
 }
 
-func appendItem(to []byte, i *ForwardedCommand) []byte {
-	if i.Maintenance != nil {
-		to = protofields.AppendBytes(to, 4, maintenance.AppendCommand(nil, i.Maintenance))
+func appendForwardedCommand(dst []byte, c *ForwardedCommand) []byte {
+	if c.Maintenance != nil {
+		dst = protofields.AppendBytes(dst, 4, maintenance.AppendCommand(nil, c.Maintenance))
 	} else {
-		to = protofields.AppendBytes(to, 1, lease.AppendCommand(nil, &i.Command))
+		dst = protofields.AppendBytes(dst, 1, lease.AppendCommand(nil, &c.Command))
 	}
-	return protofields.AppendUint(protofields.AppendString(to, 2, i.Origin), 3, i.Ref)
+	return protofields.AppendUint(protofields.AppendString(dst, 2, c.Origin), 3, c.Ref)
 }
 
-func parseItem(b []byte) (i ForwardedCommand, err error) {
+func parseForwardedCommand(b []byte) (c ForwardedCommand, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case !f.IsUint && f.Number == 1:
-			i.Command, err = lease.ParseCommand(f.Bytes)
+			c.Command, err = lease.ParseCommand(f.Bytes)
 		case !f.IsUint && f.Number == 2:
-			i.Origin, err = parseName(f.Bytes)
+			c.Origin, err = parseName(f.Bytes)
 		case f.IsUint && f.Number == 3:
-			i.Ref = f.Uint
+			c.Ref = f.Uint
 		case !f.IsUint && f.Number == 4:
-			var c maintenance.Command
-			c, err = maintenance.ParseCommand(f.Bytes)
-			i.Maintenance = &c
+			var maintenanceCommand maintenance.Command
+			maintenanceCommand, err = maintenance.ParseCommand(f.Bytes)
+			c.Maintenance = &maintenanceCommand
 		}
 		return err
 	})
-	return i, err
+	return c, err
 }
 
-func appendVoter(to []byte, m *consensus.Message) ([]byte, error) {
-	to = protofields.AppendUint(protofields.AppendFixed(protofields.AppendFixed(to, 1, m.From), 2, m.To), 3, m.Boot)
-	to = protofields.AppendUint(protofields.AppendBool(to, 4, m.BootQuery), 5, m.KnownBoot)
+func appendRaftMessage(dst []byte, m *consensus.Message) ([]byte, error) {
+	dst = protofields.AppendUint(protofields.AppendFixed(protofields.AppendFixed(dst, 1, m.From), 2, m.To), 3, m.Boot)
+	dst = protofields.AppendUint(protofields.AppendBool(dst, 4, m.BootQuery), 5, m.KnownBoot)
 	if m.Raft == nil {
-		return to, nil
+		return dst, nil
 	}
 	b, err := proto.Marshal(m.Raft)
-	return protofields.AppendBytes(to, 6, b), err
+	return protofields.AppendBytes(dst, 6, b), err
 }
 
-func parseVoter(b []byte) (*consensus.Message, error) {
+func parseRaftMessage(b []byte) (*consensus.Message, error) {
 	m := &consensus.Message{}
 	err := protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
@@ -135,67 +135,67 @@
 		case !f.IsUint && f.Number == 6:
 			m.Raft = &raftpb.Message{}
 			if err := proto.Unmarshal(f.Bytes, m.Raft); err != nil {
-				return protofields.Errorf("a voter's message: %v", err)
+				return protofields.Errorf("raft message: %v", err)
 			}
 			for _, e := range m.Raft.GetEntries() {
 				if e == nil {
-					return protofields.Errorf("a voter's message with no entry in an entry's place")
+					return protofields.Errorf("raft message contains a nil entry")
 				}
 			}
 		}
 		return nil
 	})
 	if err == nil && (m.From == 0 || m.To == 0 || m.Raft != nil && (m.Raft.GetFrom() != m.From || m.Raft.GetTo() != m.To)) {
-		err = protofields.Errorf("a voter's message of nobody")
+		err = protofields.Errorf("raft message has no sender or receiver, or they differ from the envelope's")
 	}
 	return m, err
 }
 
-// AppendMessage appends a message as it goes to another node.
-func AppendMessage(to []byte, m *Message) ([]byte, error) {
-	to = protofields.AppendUint(to, 1, uint64(m.Kind))
-	to = protofields.AppendString(to, 2, m.From)
-	to = protofields.AppendUint(to, 3, uint64(m.Hops))
-	to = protofields.AppendFixed(to, 4, m.Life)
-	to = protofields.AppendUint(protofields.AppendUint(to, 5, m.Seq), 6, m.Ref)
-	to = protofields.AppendString(to, 7, m.Origin)
-	to = protofields.AppendBool(protofields.AppendFixed(protofields.AppendFixed(to, 8, m.ID), 9, m.Founding), 10, m.StartVoter)
-	to = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(to, 11, m.Term), 12, uint64(m.Page)), 13, uint64(m.Pages))
-	to = protofields.AppendBool(protofields.AppendString(to, 19, m.Addr), 22, m.Settled)
+// AppendMessage appends the encoded message.
+func AppendMessage(dst []byte, m *Message) ([]byte, error) {
+	dst = protofields.AppendUint(dst, 1, uint64(m.Kind))
+	dst = protofields.AppendString(dst, 2, m.From)
+	dst = protofields.AppendUint(dst, 3, uint64(m.Hops))
+	dst = protofields.AppendFixed(dst, 4, m.Life)
+	dst = protofields.AppendUint(protofields.AppendUint(dst, 5, m.Seq), 6, m.Ref)
+	dst = protofields.AppendString(dst, 7, m.Origin)
+	dst = protofields.AppendBool(protofields.AppendFixed(protofields.AppendFixed(dst, 8, m.ID), 9, m.Founding), 10, m.StartVoter)
+	dst = protofields.AppendUint(protofields.AppendUint(protofields.AppendUint(dst, 11, m.Term), 12, uint64(m.Page)), 13, uint64(m.Pages))
+	dst = protofields.AppendBool(protofields.AppendString(dst, 19, m.Addr), 22, m.Settled)
 	if m.VoterSet != nil {
-		to = protofields.AppendBytes(to, 14, appendSeats(nil, m.VoterSet))
+		dst = protofields.AppendBytes(dst, 14, appendVoterSet(nil, m.VoterSet))
 	}
 	if m.Voter != nil {
-		b, err := appendVoter(nil, m.Voter)
+		b, err := appendRaftMessage(nil, m.Voter)
 		if err != nil {
-			return to, err
+			return dst, err
 		}
-		to = protofields.AppendBytes(to, 15, b)
+		dst = protofields.AppendBytes(dst, 15, b)
 	}
 	if m.Command != nil {
-		to = protofields.AppendBytes(to, 16, appendItem(nil, m.Command))
+		dst = protofields.AppendBytes(dst, 16, appendForwardedCommand(nil, m.Command))
 	}
 	if m.Answer != nil {
-		to = protofields.AppendBytes(to, 17, lease.AppendAnswer(nil, m.Answer))
+		dst = protofields.AppendBytes(dst, 17, lease.AppendAnswer(nil, m.Answer))
 	}
 	if m.MaintenanceAnswer != nil {
-		to = protofields.AppendBytes(to, 20, maintenance.AppendAnswer(nil, m.MaintenanceAnswer))
+		dst = protofields.AppendBytes(dst, 20, maintenance.AppendAnswer(nil, m.MaintenanceAnswer))
 	}
 	if len(m.MaintenanceTable) > 0 {
-		to = protofields.AppendBytes(to, 21, m.MaintenanceTable)
+		dst = protofields.AppendBytes(dst, 21, m.MaintenanceTable)
 	}
 	for i := range m.Leases {
-		to = protofields.AppendBytes(to, 18, lease.AppendLease(nil, &m.Leases[i]))
+		dst = protofields.AppendBytes(dst, 18, lease.AppendLease(nil, &m.Leases[i]))
 	}
-	return to, nil
+	return dst, nil
 }
 
-// ParseMessage reads a message. Nothing of it refers to the bytes.
+// ParseMessage decodes a message. The result does not refer to b.
 func ParseMessage(b []byte) (*Message, error) {
 	m := &Message{}
 	err := protofields.ForEach(b, func(f protofields.Field) (err error) {
 		if f.IsUint {
-			return m.number(f)
+			return m.setUint(f)
 		}
 		switch f.Number {
 		case 2:
@@ -205,37 +205,37 @@
 		case 19:
 			m.Addr, err = parseName(f.Bytes)
 		case 14:
-			var s VoterSet
-			s, err = parseSeats(f.Bytes)
-			m.VoterSet = &s
+			var voters VoterSet
+			voters, err = parseVoterSet(f.Bytes)
+			m.VoterSet = &voters
 		case 15:
-			m.Voter, err = parseVoter(f.Bytes)
+			m.Voter, err = parseRaftMessage(f.Bytes)
 		case 16:
-			var i ForwardedCommand
-			i, err = parseItem(f.Bytes)
-			m.Command = &i
+			var command ForwardedCommand
+			command, err = parseForwardedCommand(f.Bytes)
+			m.Command = &command
 		case 17:
-			var a lease.Answer
-			a, err = lease.ParseAnswer(f.Bytes)
-			m.Answer = &a
+			var answer lease.Answer
+			answer, err = lease.ParseAnswer(f.Bytes)
+			m.Answer = &answer
 		case 20:
-			var a maintenance.Answer
-			a, err = maintenance.ParseAnswer(f.Bytes)
-			m.MaintenanceAnswer = &a
+			var answer maintenance.Answer
+			answer, err = maintenance.ParseAnswer(f.Bytes)
+			m.MaintenanceAnswer = &answer
 		case 21:
 			m.MaintenanceTable = append([]byte(nil), f.Bytes...)
 		case 18:
-			if len(m.Leases) == mostListed {
-				return protofields.Errorf("more than %d leases in a message", mostListed)
+			if len(m.Leases) == maxLeasesPerPage {
+				return protofields.Errorf("message has more than %d leases", maxLeasesPerPage)
 			}
-			var l lease.Lease
-			l, err = lease.ParseLease(f.Bytes)
-			m.Leases = append(m.Leases, l)
+			var leaseRecord lease.Lease
+			leaseRecord, err = lease.ParseLease(f.Bytes)
+			m.Leases = append(m.Leases, leaseRecord)
 		}
 		return err
 	})
 	if err == nil {
-		err = m.check()
+		err = m.validate()
 	}
 	if err != nil {
 		return nil, err
@@ -243,22 +243,23 @@
 	return m, nil
 }
 
-func (m *Message) number(f protofields.Field) error {
-	small := func(to *int, most uint64) error {
-		if f.Uint > most {
-			return protofields.Errorf("field %d is %d, at most %d", f.Number, f.Uint, most)
+// setUint sets the integer field that f holds.
+func (m *Message) setUint(f protofields.Field) error {
+	setSmall := func(dst *int, limit uint64) error {
+		if f.Uint > limit {
+			return protofields.Errorf("field %d is %d, want at most %d", f.Number, f.Uint, limit)
 		}
-		*to = int(f.Uint)
+		*dst = int(f.Uint)
 		return nil
 	}
 	switch f.Number {
 	case 1:
 		if f.Uint > uint64(MaintenanceReply) {
-			return protofields.Errorf("kind %d", f.Uint)
+			return protofields.Errorf("unknown message kind %d", f.Uint)
 		}
 		m.Kind = Kind(f.Uint)
 	case 3:
-		return small(&m.Hops, mostHops)
+		return setSmall(&m.Hops, maxHops)
 	case 4:
 		m.Life = f.Uint
 	case 5:
@@ -276,15 +277,15 @@
 	case 11:
 		m.Term = f.Uint
 	case 12:
-		return small(&m.Page, lease.MaxLeases)
+		return setSmall(&m.Page, lease.MaxLeases)
 	case 13:
-		return small(&m.Pages, lease.MaxLeases)
+		return setSmall(&m.Pages, lease.MaxLeases)
 	}
 	return nil
 }
 
-// check finds what no message can be.
-func (m *Message) check() error {
+// validate returns an error if a field that the message's kind requires is missing.
+func (m *Message) validate() error {
 	missing := false
 	switch m.Kind {
 	case 0:
@@ -307,58 +308,59 @@
 		missing = m.MaintenanceAnswer == nil && len(m.MaintenanceTable) == 0
 	}
 	if missing || m.From == "" {
-		return protofields.Errorf("a message of kind %d that lacks what it is for", m.Kind)
+		return protofields.Errorf("message of kind %d has no sender or lacks a required field", m.Kind)
 	}
 	return nil
 }
 
-// level is that of the entries that this program makes, and the highest that it can apply. A program that meets a higher one
-// stops rather than leave out what it does not know. It is raised with each new operation or field of an entry; a leader
-// may use the new one only once all voters know it.
-const level = 1
+// entryVersion is the version of the entries that this program writes, and the highest that it can apply. A
+// program that reads a higher version stops, because skipping what it does not know would make its state differ
+// from that of the other voters. The version is raised with each new operation or field of an entry; a leader may
+// use the new one only once all voters support it.
+const entryVersion = 1
 
-// entry is what the log's entries hold.
-type entry struct {
-	Level  uint64 // what a program must know to apply it
-	Items  []ForwardedCommand
-	Change *change
+// logEntry is the content of an entry of the log.
+type logEntry struct {
+	Version  uint64 // the lowest program version that can apply it
+	Commands []ForwardedCommand
+	Change   *voterChange
 }
 
-// change gives a voter's seat to another.
-type change struct {
+// voterChange replaces one voter by another.
+type voterChange struct {
 	Out uint64
 	In  VoterInfo
 }
 
-func appendEntry(to []byte, e *entry) []byte {
-	to = protofields.AppendUint(to, 3, e.Level)
-	for i := range e.Items {
-		to = protofields.AppendBytes(to, 1, appendItem(nil, &e.Items[i]))
+func appendEntry(dst []byte, e *logEntry) []byte {
+	dst = protofields.AppendUint(dst, 3, e.Version)
+	for i := range e.Commands {
+		dst = protofields.AppendBytes(dst, 1, appendForwardedCommand(nil, &e.Commands[i]))
 	}
 	if e.Change != nil {
-		to = protofields.AppendBytes(to, 2, protofields.AppendBytes(protofields.AppendFixed(nil, 1, e.Change.Out), 2, appendSeat(nil, &e.Change.In)))
+		dst = protofields.AppendBytes(dst, 2, protofields.AppendBytes(protofields.AppendFixed(nil, 1, e.Change.Out), 2, appendVoterInfo(nil, &e.Change.In)))
 	}
-	return to
+	return dst
 }
 
-func parseEntry(b []byte) (e entry, err error) {
+func parseEntry(b []byte) (e logEntry, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 3:
-			e.Level = f.Uint
+			e.Version = f.Uint
 		case !f.IsUint && f.Number == 1:
-			i, err := parseItem(f.Bytes)
-			e.Items = append(e.Items, i)
+			command, err := parseForwardedCommand(f.Bytes)
+			e.Commands = append(e.Commands, command)
 			return err
 		case !f.IsUint && f.Number == 2:
-			c := change{}
+			c := voterChange{}
 			e.Change = &c
 			return protofields.ForEach(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsUint && f.Number == 1:
 					c.Out = f.Uint
 				case !f.IsUint && f.Number == 2:
-					c.In, err = parseSeat(f.Bytes)
+					c.In, err = parseVoterInfo(f.Bytes)
 				}
 				return err
 			})
@@ -368,54 +370,54 @@
 	return e, err
 }
 
-// state is what a snapshot of the log holds.
-func appendState(to []byte, seats *VoterSet, s *lease.Snapshot, t *maintenance.Table) []byte {
-	to = protofields.AppendBytes(protofields.AppendBytes(to, 1, appendSeats(nil, seats)), 2, lease.AppendSnapshot(nil, s))
-	return protofields.AppendBytes(to, 3, maintenance.AppendTable(nil, t))
+// appendSnapshot appends the content of a snapshot of the log.
+func appendSnapshot(dst []byte, voters *VoterSet, leases *lease.Snapshot, table *maintenance.Table) []byte {
+	dst = protofields.AppendBytes(protofields.AppendBytes(dst, 1, appendVoterSet(nil, voters)), 2, lease.AppendSnapshot(nil, leases))
+	return protofields.AppendBytes(dst, 3, maintenance.AppendTable(nil, table))
 }
 
-func parseState(b []byte) (seats VoterSet, s lease.Snapshot, t *maintenance.Table, err error) {
-	t = maintenance.NewTable()
+func parseSnapshot(b []byte) (voters VoterSet, leases lease.Snapshot, table *maintenance.Table, err error) {
+	table = maintenance.NewTable()
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case !f.IsUint && f.Number == 1:
-			seats, err = parseSeats(f.Bytes)
+			voters, err = parseVoterSet(f.Bytes)
 		case !f.IsUint && f.Number == 2:
-			s, err = lease.ParseSnapshot(f.Bytes)
+			leases, err = lease.ParseSnapshot(f.Bytes)
 		case !f.IsUint && f.Number == 3:
-			t, err = maintenance.ParseTable(f.Bytes)
+			table, err = maintenance.ParseTable(f.Bytes)
 		}
 		return err
 	})
-	if err == nil && seats.Founding == 0 {
-		err = protofields.Errorf("a state without seats")
+	if err == nil && voters.Founding == 0 {
+		err = protofields.Errorf("snapshot has no voter set")
 	}
-	return seats, s, t, err
+	return voters, leases, table, err
 }
 
-// note is what a node keeps beside its voter's disk.
-type note struct {
-	Pledged uint64   // the log that its number was drawn for
-	Seats   VoterSet // as last known
+// localRecord is what a node stores beside its voter's persistent state.
+type localRecord struct {
+	IDFounding uint64   // founding ID of the log that this node's voter ID was drawn for
+	Voters     VoterSet // the latest known voter set
 }
 
-func appendNote(to []byte, n *note) []byte {
-	to = protofields.AppendFixed(to, 1, n.Pledged)
-	if n.Seats.Founding != 0 {
-		to = protofields.AppendBytes(to, 2, appendSeats(nil, &n.Seats))
+func appendLocalRecord(dst []byte, record *localRecord) []byte {
+	dst = protofields.AppendFixed(dst, 1, record.IDFounding)
+	if record.Voters.Founding != 0 {
+		dst = protofields.AppendBytes(dst, 2, appendVoterSet(nil, &record.Voters))
 	}
-	return to
+	return dst
 }
 
-func parseNote(b []byte) (n note, err error) {
+func parseLocalRecord(b []byte) (record localRecord, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsUint && f.Number == 1:
-			n.Pledged = f.Uint
+			record.IDFounding = f.Uint
 		case !f.IsUint && f.Number == 2:
-			n.Seats, err = parseSeats(f.Bytes)
+			record.Voters, err = parseVoterSet(f.Bytes)
 		}
 		return err
 	})
-	return n, err
+	return record, err
 }
--- a/internal/fleet/leaselog/encoding_test.go
+++ b/internal/fleet/leaselog/encoding_test.go
@@ -13,29 +13,29 @@
 	"curlewring/internal/fleet/maintenance"
 )
 
-func samples() []*Message {
-	h := lease.Holder{Name: "n1", Incarnation: 3, Life: 1 << 60}
-	seats := &VoterSet{Founding: 9, Index: 4, Tokens: 77, Rows: []VoterInfo{{1, "a", "x", "127.0.0.1:1"}, {2, "b", "", ""}}}
+func sampleMessages() []*Message {
+	holder := lease.Holder{Name: "n1", Incarnation: 3, Life: 1 << 60}
+	voters := &VoterSet{Founding: 9, Index: 4, Tokens: 77, Rows: []VoterInfo{{1, "a", "x", "127.0.0.1:1"}, {2, "b", "", ""}}}
 	kind := raftpb.MsgApp
 	return []*Message{
 		{Kind: RaftMessage, From: "a", Addr: "127.0.0.1:2", Voter: &consensus.Message{From: 1, To: 2, Boot: 5, BootQuery: true, KnownBoot: 4}},
 		{Kind: RaftMessage, From: "a", Voter: &consensus.Message{From: 1, To: 2, Boot: 5, Raft: &raftpb.Message{
 			Type: &kind, From: proto.Uint64(1), To: proto.Uint64(2), Entries: []*raftpb.Entry{{Index: proto.Uint64(7), Data: []byte("x")}},
 		}}},
-		{Kind: SubmitCommand, From: "a", Hops: 2, Command: &ForwardedCommand{Command: lease.Command{Op: lease.Transfer, Lease: "l", Holder: h, Seq: 8, Token: 9, TTL: time.Second, To: h}, Origin: "a", Ref: 5}},
+		{Kind: SubmitCommand, From: "a", Hops: 2, Command: &ForwardedCommand{Command: lease.Command{Op: lease.Transfer, Lease: "l", Holder: holder, Seq: 8, Token: 9, TTL: time.Second, To: holder}, Origin: "a", Ref: 5}},
 		{Kind: CommandAnswer, From: "a", Life: 5, Ref: 6, Answer: &lease.Answer{Outcome: lease.Waiting, Lease: "l", Place: 3, Seq: 8}},
-		{Kind: CannotServe, From: "a", Life: 5, Seq: 7, VoterSet: seats},
-		{Kind: VotersKnown, From: "a", StartVoter: true, Founding: 9, VoterSet: seats},
+		{Kind: CannotServe, From: "a", Life: 5, Seq: 7, VoterSet: voters},
+		{Kind: VotersKnown, From: "a", StartVoter: true, Founding: 9, VoterSet: voters},
 		{Kind: ReplacementVoter, From: "a", Founding: 9, ID: 5},
 		{Kind: QueryLeases, From: "a", Origin: "b", Ref: 4},
 		{Kind: MaintenanceReply, From: "a", Ref: 4, MaintenanceAnswer: &maintenance.Answer{Reason: "no", Run: 3}, MaintenanceTable: []byte("t")},
 		{Kind: SubmitCommand, From: "a", Command: &ForwardedCommand{Origin: "a", Maintenance: &maintenance.Command{Op: maintenance.Step, Machine: "m", Serial: 4, To: maintenance.OutOfService, Reason: "x"}}},
-		{Kind: LeasePage, From: "a", Ref: 4, Term: 6, Page: 1, Pages: 2, Leases: []lease.Lease{{Name: "l", Holder: h, Token: 5, TTL: time.Minute, Waiters: []lease.Waiter{{Holder: h, TTL: time.Second, Serial: 4, Seq: 3}}}}},
+		{Kind: LeasePage, From: "a", Ref: 4, Term: 6, Page: 1, Pages: 2, Leases: []lease.Lease{{Name: "l", Holder: holder, Token: 5, TTL: time.Minute, Waiters: []lease.Waiter{{Holder: holder, TTL: time.Second, Serial: 4, Seq: 3}}}}},
 	}
 }
 
-func TestMessagesAreReadAsWritten(t *testing.T) {
-	for _, m := range samples() {
+func TestMessageRoundTrip(t *testing.T) {
+	for _, m := range sampleMessages() {
 		b, err := AppendMessage(nil, m)
 		if err != nil {
 			t.Fatal(err)
@@ -46,21 +46,21 @@
 		}
 		if m.Voter != nil && m.Voter.Raft != nil {
 			if !proto.Equal(m.Voter.Raft, got.Voter.Raft) {
-				t.Errorf("%v, and %v", m.Voter.Raft, got.Voter.Raft)
+				t.Errorf("raft message %v is decoded as %v", m.Voter.Raft, got.Voter.Raft)
 			}
 			got.Voter.Raft = m.Voter.Raft
 		}
 		if !reflect.DeepEqual(m, got) {
-			t.Errorf("%+v\nis read as\n%+v", m, got)
+			t.Errorf("%+v\nis decoded as\n%+v", m, got)
 		}
-		for n := range b { // cut anywhere, it is no message, or a smaller one
+		for n := range b { // any prefix must be rejected or parsed without a panic
 			ParseMessage(b[:n])
 		}
 	}
 }
 
 func FuzzParseMessage(f *testing.F) {
-	for _, m := range samples() {
+	for _, m := range sampleMessages() {
 		b, _ := AppendMessage(nil, m)
 		f.Add(b)
 	}
@@ -72,25 +72,25 @@
 		if _, err := AppendMessage(nil, m); err != nil {
 			t.Fatal(err)
 		}
-		d := consensus.NewCluster([]uint64{1, 2, 3})[0]
-		d.Snapshot.Data = emptyState(&VoterSet{Founding: 9, Index: 1, Rows: []VoterInfo{{1, "a", "", ""}, {2, "b", "", ""}, {3, "c", "", ""}}})
-		c := New(Settings{Name: "a"}, &d, nil, "", 1, 0)
-		c.Receive(0, m) // whatever it says, the node goes on
-		c.Tick(0)
+		state := consensus.NewCluster([]uint64{1, 2, 3})[0]
+		state.Snapshot.Data = initialSnapshot(&VoterSet{Founding: 9, Index: 1, Rows: []VoterInfo{{1, "a", "", ""}, {2, "b", "", ""}, {3, "c", "", ""}}})
+		n := New(Settings{Name: "a"}, &state, nil, "", 1, 0)
+		n.Receive(0, m) // any message must be handled without a panic
+		n.Tick(0)
 	})
 }
 
-// What stands on the disk or in the log may be anything.
+// FuzzParseState checks that arbitrary bytes on disk or in the log cause no panic.
 func FuzzParseState(f *testing.F) {
-	s := lease.NewStateMachine().Snapshot()
-	f.Add(appendState(nil, &VoterSet{Founding: 9, Index: 1, Rows: []VoterInfo{{1, "a", "", ""}}}, &s, maintenance.NewTable()))
-	f.Add(appendEntry(nil, &entry{Level: 1, Items: []ForwardedCommand{{Origin: "x"}}, Change: &change{3, VoterInfo{4, "y", "z", ""}}}))
-	f.Add(appendNote(nil, &note{Pledged: 4}))
+	leases := lease.NewStateMachine().Snapshot()
+	f.Add(appendSnapshot(nil, &VoterSet{Founding: 9, Index: 1, Rows: []VoterInfo{{1, "a", "", ""}}}, &leases, maintenance.NewTable()))
+	f.Add(appendEntry(nil, &logEntry{Version: 1, Commands: []ForwardedCommand{{Origin: "x"}}, Change: &voterChange{3, VoterInfo{4, "y", "z", ""}}}))
+	f.Add(appendLocalRecord(nil, &localRecord{IDFounding: 4}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if _, s, _, err := parseState(b); err == nil {
-			lease.Restore(s).Leases()
+		if _, leases, _, err := parseSnapshot(b); err == nil {
+			lease.Restore(leases).Leases()
 		}
 		parseEntry(b)
-		parseNote(b)
+		parseLocalRecord(b)
 	})
 }
--- a/internal/fleet/leaselog/forward.go
+++ b/internal/fleet/leaselog/forward.go
@@ -7,131 +7,136 @@
 	"curlewring/internal/fleet/maintenance"
 )
 
-// asked takes a request: the leader puts it into its next entry, another voter passes it on. What only a leader's clock
-// says is no request.
-func (c *Node) asked(m *Message) {
+// handleCommand queues a command for the next log entry if this node leads, and forwards it to the leader
+// otherwise. Expire and ExpireWaiter are dropped: only the leader's expiry tracker may issue them.
+func (n *Node) handleCommand(m *Message) {
 	if op := m.Command.Command.Op; m.Command.Maintenance == nil && (op == lease.Expire || op == lease.ExpireWaiter) {
 		return
 	}
-	switch to := c.toLeader(m); {
-	case to == c.set.Name:
-		if len(c.batch) >= mostBatch {
-			c.helpless(m.Command)
+	switch target := n.forwardTarget(m); {
+	case target == n.settings.Name:
+		if len(n.pendingCommands) >= maxPendingCommands {
+			n.reject(m.Command)
 			return
 		}
-		c.batch = append(c.batch, *m.Command)
-	case to != "":
-		c.send(to, &Message{Kind: SubmitCommand, Hops: m.Hops + 1, Command: m.Command})
+		n.pendingCommands = append(n.pendingCommands, *m.Command)
+	case target != "":
+		n.send(target, &Message{Kind: SubmitCommand, Hops: m.Hops + 1, Command: m.Command})
 	default:
-		c.helpless(m.Command)
+		n.reject(m.Command)
 	}
 }
 
-// toLeader is where to pass on what is for the leader; "": nowhere.
-func (c *Node) toLeader(m *Message) string {
-	if c.IsLeader() && c.broken == nil {
-		return c.set.Name
+// forwardTarget returns the node that a request for the leader is sent to: this node if it leads, else the leader
+// that its voter knows. It returns "" if there is none or the hop limit is reached.
+func (n *Node) forwardTarget(m *Message) string {
+	if n.IsLeader() && n.brokenErr == nil {
+		return n.settings.Name
 	}
-	if c.voter == nil || c.hung() || c.broken != nil || m.Hops >= mostHops-1 {
+	if n.voter == nil || n.diskHung() || n.brokenErr != nil || m.Hops >= maxHops-1 {
 		return ""
 	}
-	lead := c.voter.Leader()
-	if lead == 0 || lead == c.voter.ID() {
+	leader := n.voter.Leader()
+	if leader == 0 || leader == n.voter.ID() {
 		return ""
 	}
-	return c.nameOf(lead)
+	return n.nodeName(leader)
 }
 
-func (c *Node) list(m *Message) {
-	switch to := c.toLeader(m); {
-	case to == c.set.Name:
-		all := c.machine.Leases()
-		pages := max(1, (len(all)+mostListed-1)/mostListed)
-		_, term := c.voter.IsLeader()
+// handleLeaseQuery answers with all leases, in pages, if this node leads. Otherwise it forwards the query to the
+// leader.
+func (n *Node) handleLeaseQuery(m *Message) {
+	switch target := n.forwardTarget(m); {
+	case target == n.settings.Name:
+		all := n.stateMachine.Leases()
+		pages := max(1, (len(all)+maxLeasesPerPage-1)/maxLeasesPerPage)
+		_, term := n.voter.IsLeader()
 		for page := range pages {
-			part := all[page*mostListed : min(len(all), (page+1)*mostListed)]
-			c.send(m.Origin, &Message{Kind: LeasePage, Ref: m.Ref, Term: term, Page: page, Pages: pages, Leases: part})
+			leases := all[page*maxLeasesPerPage : min(len(all), (page+1)*maxLeasesPerPage)]
+			n.send(m.Origin, &Message{Kind: LeasePage, Ref: m.Ref, Term: term, Page: page, Pages: pages, Leases: leases})
 		}
-	case to != "":
-		c.send(to, &Message{Kind: QueryLeases, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
+	case target != "":
+		n.send(target, &Message{Kind: QueryLeases, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
 	default:
-		c.send(m.Origin, &Message{Kind: CannotServe, Ref: m.Ref})
+		n.send(m.Origin, &Message{Kind: CannotServe, Ref: m.Ref})
 	}
 }
 
-// Error is one that does not change.
+// Error is a constant error.
 type Error string
 
 func (e Error) Error() string { return string(e) }
 
-// ErrNoVoters says that this node knows of nobody who votes.
-const ErrNoVoters = Error("no voters are known: is the log of leases founded?")
+// ErrNoVoters is returned when this node knows no voters.
+const ErrNoVoters = Error("no voters are known: the log of leases may not have been founded yet")
 
-// Ask sends a request of this node's own to a voter: the leader, if it is known, and with each further try another one.
-// An error tells that there is nobody to ask.
-func (c *Node) SendLeaseCommand(now time.Duration, cmd lease.Command, ref uint64, try int) error {
-	return c.askVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Command: cmd, Origin: c.set.Name, Ref: ref}})
+// SendLeaseCommand sends a command of this node to a voter: on the first attempt (try 0) to the last known leader,
+// on each further attempt to another voter. It returns an error if no voter is known.
+func (n *Node) SendLeaseCommand(now time.Duration, cmd lease.Command, ref uint64, try int) error {
+	return n.sendToVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Command: cmd, Origin: n.settings.Name, Ref: ref}})
 }
 
-// AskList asks which leases there are.
-func (c *Node) RequestLeaseList(now time.Duration, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: QueryLeases, Origin: c.set.Name, Ref: ref})
+// RequestLeaseList requests the list of all leases.
+func (n *Node) RequestLeaseList(now time.Duration, ref uint64, try int) error {
+	return n.sendToVoter(now, ref, try, &Message{Kind: QueryLeases, Origin: n.settings.Name, Ref: ref})
 }
 
-// voterFor is whom to ask at a try, from 0.
-func (c *Node) voterFor(who uint64, try int) string {
-	rows := c.note.Seats.Rows
-	if c.applies() {
-		rows = c.seats.Rows
+// targetVoter returns the voter to contact on an attempt, counted from 0; "" if no voter is known.
+func (n *Node) targetVoter(key uint64, try int) string {
+	voters := n.localRecord.Voters.Rows
+	if n.hasAppliedState() {
+		voters = n.voters.Rows
 	}
-	if len(rows) == 0 {
+	if len(voters) == 0 {
 		return ""
 	}
-	if try == 0 && c.leader != "" {
-		return c.leader
+	if try == 0 && n.lastLeader != "" {
+		return n.lastLeader
 	}
-	return rows[(who+uint64(try))%uint64(len(rows))].Name
+	return voters[(key+uint64(try))%uint64(len(voters))].Name
 }
 
-func (c *Node) askVoter(now time.Duration, ref uint64, try int, m *Message) error {
-	c.now = max(c.now, now)
-	to := c.voterFor(ref, try)
-	if to == "" {
+// sendToVoter sends a message to the voter that this attempt is for. It returns ErrNoVoters if no voter is known.
+func (n *Node) sendToVoter(now time.Duration, ref uint64, try int, m *Message) error {
+	n.now = max(n.now, now)
+	target := n.targetVoter(ref, try)
+	if target == "" {
 		return ErrNoVoters
 	}
-	c.send(to, m)
-	c.settle()
+	n.send(target, m)
+	n.processPending()
 	return nil
 }
 
-// works tells how the machines out for work stand, if this node leads.
-func (c *Node) works(m *Message) {
-	switch to := c.toLeader(m); {
-	case to == c.set.Name:
-		c.send(m.Origin, &Message{Kind: MaintenanceReply, Ref: m.Ref, MaintenanceTable: maintenance.AppendTable(nil, c.table)})
-	case to != "":
-		c.send(to, &Message{Kind: QueryMaintenance, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
+// handleMaintenanceQuery answers with the maintenance table if this node leads. Otherwise it forwards the query to
+// the leader.
+func (n *Node) handleMaintenanceQuery(m *Message) {
+	switch target := n.forwardTarget(m); {
+	case target == n.settings.Name:
+		n.send(m.Origin, &Message{Kind: MaintenanceReply, Ref: m.Ref, MaintenanceTable: maintenance.AppendTable(nil, n.maintenanceTable)})
+	case target != "":
+		n.send(target, &Message{Kind: QueryMaintenance, Hops: m.Hops + 1, Origin: m.Origin, Ref: m.Ref})
 	default:
-		c.send(m.Origin, &Message{Kind: CannotServe, Ref: m.Ref})
+		n.send(m.Origin, &Message{Kind: CannotServe, Ref: m.Ref})
 	}
 }
 
-// AskWork sends a command about machines out for work; an error tells that there is nobody to ask. A command that is sent
-// again may be applied twice: each names what it rests on, or does nothing the second time.
-func (c *Node) SendMaintenanceCommand(now time.Duration, cmd *maintenance.Command, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Maintenance: cmd, Origin: c.set.Name, Ref: ref}})
+// SendMaintenanceCommand sends a maintenance command; it returns an error if no voter is known. A command that is
+// sent again may be applied twice: each command names the state that it expects, or has no effect the second time.
+func (n *Node) SendMaintenanceCommand(now time.Duration, cmd *maintenance.Command, ref uint64, try int) error {
+	return n.sendToVoter(now, ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Maintenance: cmd, Origin: n.settings.Name, Ref: ref}})
 }
 
-// AskWorks asks how the machines out for work stand.
-func (c *Node) RequestMaintenanceTable(now time.Duration, ref uint64, try int) error {
-	return c.askVoter(now, ref, try, &Message{Kind: QueryMaintenance, Origin: c.set.Name, Ref: ref})
+// RequestMaintenanceTable requests the maintenance table.
+func (n *Node) RequestMaintenanceTable(now time.Duration, ref uint64, try int) error {
+	return n.sendToVoter(now, ref, try, &Message{Kind: QueryMaintenance, Origin: n.settings.Name, Ref: ref})
 }
 
-// size is about what an item takes in an entry.
-func (i *ForwardedCommand) size() int {
-	n := len(i.Command.Lease) + 2*mostName + 64
-	if i.Maintenance != nil {
-		n += 128 * (1 + len(i.Maintenance.Requests) + len(i.Maintenance.Lost))
+// approximateSize estimates the encoded size of the command in a log entry.
+func (c *ForwardedCommand) approximateSize() int {
+	size := len(c.Command.Lease) + 2*maxNameBytes + 64
+	if c.Maintenance != nil {
+		size += 128 * (1 + len(c.Maintenance.Requests) + len(c.Maintenance.Lost))
 	}
-	return n
+	return size
 }
--- a/internal/fleet/leaselog/founding.go
+++ b/internal/fleet/leaselog/founding.go
@@ -12,211 +12,216 @@
 	"curlewring/internal/fleet/maintenance"
 )
 
-// The steps of a founding, each with its bound.
+// Timeouts and limits of the steps of a founding.
 const (
-	askFor    = 1500 * time.Millisecond // whether somebody knows of voters
-	drawFor   = 10 * time.Second
-	beginFor  = 10 * time.Second
-	foundStep = 300 * time.Millisecond
-	mostAsked = 1024 // members that one step asks, besides those chosen; the next steps ask the others
+	minQueryTime          = 1500 * time.Millisecond // minimum time to find out whether a member knows voters
+	answerTimeout         = 10 * time.Second        // for the chosen nodes to answer the query, and to draw an ID
+	startTimeout          = 10 * time.Second        // for all chosen nodes to start
+	foundingRetryInterval = 300 * time.Millisecond
+	maxQueriesAtOnce      = 1024 // members queried at a time besides the chosen ones; the others follow in later rounds
 )
 
-// founding is one that was begun at this node.
+// founding is the one-time creation of the fleet's log, run by this node.
 type founding struct {
-	id       uint64
-	names    []string
-	tokens   uint64
-	step     int    // 0: asking, 1: numbers are drawn, 2: they begin
-	reached  string // the member up to which, by name, each has been asked in this round
-	rounds   int    // of asking all members, that are over
-	since    time.Duration
-	next     time.Duration
-	unseated map[string]bool
-	drawn    map[string]uint64
-	begun    map[string]bool
-	other    *VoterSet // somebody knows of voters already
-	seats    VoterSet
-	done     func(VoterSet, error)
+	id            uint64
+	chosen        []string
+	tokens        uint64
+	step          int    // 0: query members, 1: collect voter IDs, 2: start the voters
+	lastQueried   string // the last member, by name, that was queried in this round
+	rounds        int    // completed rounds of querying all members
+	stepStarted   time.Duration
+	nextAttempt   time.Duration
+	withoutVoters map[string]bool
+	drawnIDs      map[string]uint64
+	started       map[string]bool
+	existing      *VoterSet // a voter set that a member knows already
+	voters        VoterSet
+	done          func(VoterSet, error)
 }
 
-// heard takes an answer to the asking, or to the word to begin.
-func (f *founding) heard(m *Message) {
+// receiveVoterSet handles a member's reply with a voter set: one that exists already, or a confirmation that its
+// voter started.
+func (f *founding) receiveVoterSet(m *Message) {
 	switch {
 	case f.step == 2 && m.VoterSet.Founding == f.id:
-		f.begun[m.From] = true
+		f.started[m.From] = true
 	case f.step < 2:
-		s := m.VoterSet.clone()
-		f.other = &s
+		voters := m.VoterSet.clone()
+		f.existing = &voters
 	}
 }
 
-// Found founds the fleet's log: n voters, chosen by rule, or those named; its tokens begin above one. It must be done once
-// for a fleet, and finds out if it was. Done is called with who votes then. An error that comes at once means that nothing
-// was begun.
-func (c *Node) FoundLog(now time.Duration, names []string, n int, tokens uint64, done func(VoterSet, error)) error {
-	c.now = max(c.now, now)
+// FoundLog founds the fleet's log with the named voters, or with count voters chosen by site. Tokens are issued above
+// the given one. It must be done once per fleet, and detects a log that exists already. done is called with the
+// resulting voter set. An error that is returned at once means that nothing was started.
+func (n *Node) FoundLog(now time.Duration, names []string, count int, tokens uint64, done func(VoterSet, error)) error {
+	n.now = max(n.now, now)
 	switch {
-	case c.founding != nil:
-		return Error("a founding is under way at this node")
-	case !c.inView:
-		return Error("this node is in no view of the members")
+	case n.founding != nil:
+		return Error("this node is already founding a log")
+	case !n.inView:
+		return Error("this node is not in the membership view")
 	case len(names) == 0:
-		if n < MinVoters || n > MaxVoters || n%2 == 0 {
-			return fmt.Errorf("%d voters: want an odd number from %d to %d", n, MinVoters, MaxVoters)
+		if count < MinVoters || count > MaxVoters || count%2 == 0 {
+			return fmt.Errorf("voter count is %d, want an odd number from %d to %d", count, MinVoters, MaxVoters)
 		}
-		names = choose(c.members, nil, n)
-		if len(names) < n {
-			return fmt.Errorf("%d voters are wanted, and %d members are there", n, len(names))
+		names = chooseVoters(n.members, nil, count)
+		if len(names) < count {
+			return fmt.Errorf("voter count is %d, but the membership view has only %d nodes", count, len(names))
 		}
 	}
 	names = slices.Compact(slices.Sorted(slices.Values(names)))
 	if len(names) > MaxVoters || len(names)%2 == 0 {
-		return fmt.Errorf("%d voters: want an odd number from %d to %d", len(names), MinVoters, MaxVoters)
+		return fmt.Errorf("voter count is %d, want an odd number from %d to %d", len(names), MinVoters, MaxVoters)
 	}
 	for _, name := range names {
-		if _, in := c.members[name]; !in {
-			return fmt.Errorf("%q is no member of the present view", name)
+		if _, isMember := n.members[name]; !isMember {
+			return fmt.Errorf("node %q is not in the membership view", name)
 		}
 	}
-	c.founding = &founding{
-		id: c.rng.Uint64() | 1, names: names, tokens: tokens, since: c.now, done: done,
-		unseated: map[string]bool{}, drawn: map[string]uint64{}, begun: map[string]bool{},
+	n.founding = &founding{
+		id: n.rng.Uint64() | 1, chosen: names, tokens: tokens, stepStarted: n.now, done: done,
+		withoutVoters: map[string]bool{}, drawnIDs: map[string]uint64{}, started: map[string]bool{},
 	}
-	c.found()
-	c.settle()
+	n.stepFounding()
+	n.processPending()
 	return nil
 }
 
-// ended tells the founder.
-func (c *Node) ended(err error) {
-	f := c.founding
-	c.founding = nil
-	f.done(f.seats.clone(), err)
+// finishFounding reports the result of the founding.
+func (n *Node) finishFounding(err error) {
+	f := n.founding
+	n.founding = nil
+	f.done(f.voters.clone(), err)
 }
 
-// found does the next step of a founding that was begun here.
-func (c *Node) found() {
-	f := c.founding
-	if f == nil || c.now < f.next {
+// stepFounding continues the founding that runs at this node, if any.
+func (n *Node) stepFounding() {
+	f := n.founding
+	if f == nil || n.now < f.nextAttempt {
 		return
 	}
-	f.next = c.now + foundStep
-	if f.other == nil && c.note.Seats.Founding != 0 && c.note.Seats.Founding != f.id {
-		s := c.note.Seats.clone()
-		f.other = &s
+	f.nextAttempt = n.now + foundingRetryInterval
+	if f.existing == nil && n.localRecord.Voters.Founding != 0 && n.localRecord.Voters.Founding != f.id {
+		voters := n.localRecord.Voters.clone()
+		f.existing = &voters
 	}
-	if f.other != nil && f.step < 2 { // that one may have ended half way: it is brought to its end
-		for _, r := range f.other.Rows {
-			s := f.other.clone()
-			c.send(r.Name, &Message{Kind: VotersKnown, VoterSet: &s, StartVoter: true})
+	if f.existing != nil && f.step < 2 { // an earlier founding may have been interrupted: complete it
+		for _, voter := range f.existing.Rows {
+			voters := f.existing.clone()
+			n.send(voter.Name, &Message{Kind: VotersKnown, VoterSet: &voters, StartVoter: true})
 		}
-		f.seats = *f.other
-		c.ended(fmt.Errorf("there are voters already: %s", f.other.names()))
+		f.voters = *f.existing
+		n.finishFounding(fmt.Errorf("the fleet has voters already: %s", f.existing.joinedNames()))
 		return
 	}
-	lasted := c.now - f.since
+	elapsed := n.now - f.stepStarted
 	switch f.step {
 	case 0:
-		c.foundAsk(f, lasted)
+		n.queryExistingVoters(f, elapsed)
 	case 1:
-		c.foundDraw(f, lasted)
+		n.collectIDs(f, elapsed)
 	case 2:
-		c.foundBegin(f, lasted)
+		n.startVoters(f, elapsed)
 	}
 }
 
-// advance begins the next step.
-func (f *founding) advance(now time.Duration) { f.step, f.since, f.next = f.step+1, now, now }
+// nextStep starts the next step.
+func (f *founding) nextStep(now time.Duration) {
+	f.step, f.stepStarted, f.nextAttempt = f.step+1, now, now
+}
 
-// foundAsk asks the members whether they know of voters: a part of them in a step, and the chosen ones in each. It is over
-// once all have answered, or all were asked, some time has passed, and those chosen have answered.
-func (c *Node) foundAsk(f *founding, lasted time.Duration) {
-	silent := slices.DeleteFunc(slices.Clone(f.names), func(n string) bool { return n == c.set.Name || f.unseated[n] })
-	waiting := c.unanswered(f)
-	for _, name := range c.nextAsked(f, waiting, silent) {
-		c.send(name, &Message{Kind: QueryVoters, Founding: f.id})
+// queryExistingVoters asks the members whether they know voters: some of them in each round, and the chosen ones
+// in every round. It ends once all have answered, or once all were queried, the minimum time has passed and the
+// chosen ones have answered.
+func (n *Node) queryExistingVoters(f *founding, elapsed time.Duration) {
+	silent := slices.DeleteFunc(slices.Clone(f.chosen), func(member string) bool { return member == n.settings.Name || f.withoutVoters[member] })
+	waiting := n.unansweredMembers(f)
+	for _, name := range n.nextQueried(f, waiting, silent) {
+		n.send(name, &Message{Kind: QueryVoters, Founding: f.id})
 	}
 	switch {
-	case len(waiting)+len(silent) == 0 || f.rounds > 0 && lasted >= askFor && len(silent) == 0:
-		f.advance(c.now)
-	case lasted >= drawFor:
-		c.ended(fmt.Errorf("no answer from %s", strings.Join(silent, ", ")))
+	case len(waiting)+len(silent) == 0 || f.rounds > 0 && elapsed >= minQueryTime && len(silent) == 0:
+		f.nextStep(n.now)
+	case elapsed >= answerTimeout:
+		n.finishFounding(fmt.Errorf("no answer to the query for voters from %s; nothing was founded", strings.Join(silent, ", ")))
 	}
 }
 
-// unanswered are the other members that have not said that they know of no voters, by name.
-func (c *Node) unanswered(f *founding) []string {
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(c.members)), func(n string) bool { return n == c.set.Name || f.unseated[n] })
+// unansweredMembers returns the other members that have not reported that they know no voters, sorted by name.
+func (n *Node) unansweredMembers(f *founding) []string {
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(n.members)), func(member string) bool { return member == n.settings.Name || f.withoutVoters[member] })
 }
 
-// nextAsked are those whom a step asks: the next of the members that have not answered, and the chosen ones of them.
-func (c *Node) nextAsked(f *founding, waiting, chosen []string) []string {
-	from, found := slices.BinarySearch(waiting, f.reached)
+// nextQueried returns the members to query now: the next ones that have not answered, and those of the chosen
+// ones.
+func (n *Node) nextQueried(f *founding, waiting, chosen []string) []string {
+	from, found := slices.BinarySearch(waiting, f.lastQueried)
 	if found {
 		from++
 	}
-	next := waiting[from:min(len(waiting), from+mostAsked)]
+	next := waiting[from:min(len(waiting), from+maxQueriesAtOnce)]
 	if from+len(next) == len(waiting) {
-		f.reached, f.rounds = "", f.rounds+1
+		f.lastQueried, f.rounds = "", f.rounds+1
 	} else {
-		f.reached = next[len(next)-1]
+		f.lastQueried = next[len(next)-1]
 	}
 	next = append(slices.Clone(next), chosen...)
 	slices.Sort(next)
 	return slices.Compact(next)
 }
 
-// foundDraw has all that were chosen draw their numbers.
-func (c *Node) foundDraw(f *founding, lasted time.Duration) {
+// collectIDs asks all chosen nodes to draw a voter ID.
+func (n *Node) collectIDs(f *founding, elapsed time.Duration) {
 	var silent []string
-	for _, name := range f.names {
-		if f.drawn[name] == 0 {
+	for _, name := range f.chosen {
+		if f.drawnIDs[name] == 0 {
 			silent = append(silent, name)
-			c.send(name, &Message{Kind: RequestID, Founding: f.id})
+			n.send(name, &Message{Kind: RequestID, Founding: f.id})
 		}
 	}
 	switch {
 	case len(silent) == 0:
-		f.seats = VoterSet{Founding: f.id, Index: 1, Tokens: f.tokens}
-		for _, name := range f.names {
-			f.seats.Rows = append(f.seats.Rows, VoterInfo{ID: f.drawn[name], Name: name, Site: c.members[name].Site, Addr: c.members[name].Addr})
+		f.voters = VoterSet{Founding: f.id, Index: 1, Tokens: f.tokens}
+		for _, name := range f.chosen {
+			f.voters.Rows = append(f.voters.Rows, VoterInfo{ID: f.drawnIDs[name], Name: name, Site: n.members[name].Site, Addr: n.members[name].Addr})
 		}
-		f.advance(c.now)
-	case lasted >= drawFor:
-		c.ended(fmt.Errorf("no number was drawn by %s; nothing is founded", strings.Join(silent, ", ")))
+		f.nextStep(n.now)
+	case elapsed >= answerTimeout:
+		n.finishFounding(fmt.Errorf("no voter ID was drawn by %s; nothing was founded", strings.Join(silent, ", ")))
 	}
 }
 
-// foundBegin tells all of them the whole list.
-func (c *Node) foundBegin(f *founding, lasted time.Duration) {
+// startVoters sends the complete voter set to all chosen nodes.
+func (n *Node) startVoters(f *founding, elapsed time.Duration) {
 	var silent []string
-	for _, name := range f.names {
-		if !f.begun[name] {
+	for _, name := range f.chosen {
+		if !f.started[name] {
 			silent = append(silent, name)
-			s := f.seats.clone()
-			c.send(name, &Message{Kind: VotersKnown, VoterSet: &s, StartVoter: true, Founding: f.id})
+			voters := f.voters.clone()
+			n.send(name, &Message{Kind: VotersKnown, VoterSet: &voters, StartVoter: true, Founding: f.id})
 		}
 	}
 	switch {
 	case len(silent) == 0:
-		c.ended(nil)
-	case lasted >= beginFor:
-		c.ended(fmt.Errorf("%s have not said that they began; asking once more goes on from here", strings.Join(silent, ", ")))
+		n.finishFounding(nil)
+	case elapsed >= startTimeout:
+		n.finishFounding(fmt.Errorf("no confirmation of the start from %s; founding again continues from here", strings.Join(silent, ", ")))
 	}
 }
 
-// names is who they are.
-func (s *VoterSet) names() string {
-	var all []string
-	for _, r := range s.Rows {
-		all = append(all, cmp.Or(r.Name, "?"))
+// joinedNames returns the voters' names, separated by commas.
+func (s *VoterSet) joinedNames() string {
+	var names []string
+	for _, voter := range s.Rows {
+		names = append(names, cmp.Or(voter.Name, "?"))
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(names, ", ")
 }
 
-// emptyState is the state of a log that nothing was agreed on in.
-func emptyState(s *VoterSet) []byte {
-	empty := lease.NewStateMachine().Snapshot()
-	empty.Tokens = s.Tokens
-	return appendState(nil, s, &empty, maintenance.NewTable())
+// initialSnapshot returns the encoded state of a log without entries.
+func initialSnapshot(voters *VoterSet) []byte {
+	snapshot := lease.NewStateMachine().Snapshot()
+	snapshot.Tokens = voters.Tokens
+	return appendSnapshot(nil, voters, &snapshot, maintenance.NewTable())
 }
--- a/internal/fleet/leaselog/founding_size_test.go
+++ b/internal/fleet/leaselog/founding_size_test.go
@@ -6,47 +6,47 @@
 	"time"
 )
 
-// A founder asks each member of a large fleet whether it knows of voters before anybody draws a number: the only one that
-// does may be any. A step asks a part of them.
-func TestAFoundingAsksAllMembers(t *testing.T) {
-	const nodes = 20_000     // as many as a view holds
-	const mostInAStep = 1027 // a node's inbox for leases holds 1,024 answers; the chosen ones are asked in each step
+// A founding must query each member of a large fleet for existing voters before any voter ID is drawn, because a
+// single member may be the only one that knows them. Only some members are queried at a time.
+func TestFoundingQueriesAllMembers(t *testing.T) {
+	const nodes = 20_000          // the size limit of a membership view
+	const maxQueriedAtOnce = 1027 // a node's inbox holds 1,024 replies; the chosen nodes are queried each time
 	members := map[string]Member{}
 	for i := range nodes {
 		members[fmt.Sprintf("n%05d", i)] = Member{Site: "a", Addr: "127.0.0.1:1"}
 	}
 	f := newFleet(t, "n00000")
-	c := f.up["n00000"]
-	c.SetMembers(f.now, members)
+	n := f.running["n00000"]
+	n.SetMembers(f.now, members)
 	chosen := []string{"n00000", "n00001", "n00002"}
-	if err := c.FoundLog(f.now, chosen, 0, 0, func(VoterSet, error) {}); err != nil {
+	if err := n.FoundLog(f.now, chosen, 0, 0, func(VoterSet, error) {}); err != nil {
 		t.Fatal(err)
 	}
-	asked, drawing := map[string]bool{}, false
-	for end := f.now + drawFor; !drawing; f.now += 100 * time.Millisecond {
+	queried, idRequested := map[string]bool{}, false
+	for end := f.now + answerTimeout; !idRequested; f.now += 100 * time.Millisecond {
 		if f.now > end {
-			t.Fatalf("%d of %d members were asked, and no number is drawn within %v", len(asked), nodes-1, drawFor)
+			t.Fatalf("%d of %d members were queried, and no voter ID was requested within %v", len(queried), nodes-1, answerTimeout)
 		}
-		c.Tick(f.now)
-		outs, _ := c.TakeOutgoing()
-		step := 0
-		for _, o := range outs {
-			switch o.Message.Kind {
+		n.Tick(f.now)
+		outgoing, _ := n.TakeOutgoing()
+		queriedAtOnce := 0
+		for _, out := range outgoing {
+			switch out.Message.Kind {
 			case QueryVoters:
-				step++
-				asked[o.To] = true
-				if o.To == chosen[1] || o.To == chosen[2] {
-					c.Receive(f.now, &Message{Kind: NoVotersKnown, From: o.To, Founding: o.Message.Founding})
+				queriedAtOnce++
+				queried[out.To] = true
+				if out.To == chosen[1] || out.To == chosen[2] {
+					n.Receive(f.now, &Message{Kind: NoVotersKnown, From: out.To, Founding: out.Message.Founding})
 				}
 			case RequestID:
-				drawing = true
+				idRequested = true
 			}
 		}
-		if step > mostInAStep {
-			t.Errorf("a step asks %d members, at most %d", step, mostInAStep)
+		if queriedAtOnce > maxQueriedAtOnce {
+			t.Errorf("%d members were queried at once, want at most %d", queriedAtOnce, maxQueriedAtOnce)
 		}
 	}
-	if len(asked) != nodes-1 {
-		t.Errorf("numbers are drawn after %d of %d members were asked", len(asked), nodes-1)
+	if len(queried) != nodes-1 {
+		t.Errorf("voter IDs were requested after %d of %d members were queried", len(queried), nodes-1)
 	}
 }
--- a/internal/fleet/leaselog/message.go
+++ b/internal/fleet/leaselog/message.go
@@ -6,51 +6,51 @@
 	"curlewring/internal/fleet/maintenance"
 )
 
-// Kind says what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
-// The kinds of messages.
+// The message types.
 const (
-	RaftMessage      Kind = 1 + iota // Voter: between voters
-	SubmitCommand                    // Item: to a voter, which passes it to the leader
-	CommandAnswer                    // Answer, of the request Ref or of the life Life
-	CannotServe                      // the sender can't help with the request Seq of the life Life, or with Ref; Seats says who might
-	QueryVoters                      // who votes?
-	VotersKnown                      // Seats, as the sender knows them; with Begin: start as a voter from them
-	RequestID                        // draw a number for the log Founding
-	IDOffered                        // ID is drawn
-	ReplacementVoter                 // ID is the number of the sender, whose seat's disk is lost
-	QueryLeases                      // Ref: which leases are there?
-	LeasePage                        // Leases, Page of Pages
-	NoVotersKnown                    // the sender knows of nobody who votes
-	QueryMaintenance                 // Ref: how do the machines out for work stand?
-	MaintenanceReply                 // Table, as the leader has it; or Work, the answer to the request Ref
+	RaftMessage      Kind = 1 + iota // Voter: from one voter to another
+	SubmitCommand                    // Command: to a voter, which forwards it to the leader
+	CommandAnswer                    // Answer to the request Ref, or to the holder Life
+	CannotServe                      // the sender can't serve Seq of Life, or Ref; VoterSet says who might
+	QueryVoters                      // requests the known voter set
+	VotersKnown                      // VoterSet as the sender knows it; with StartVoter: start as one of its voters
+	RequestID                        // requests a voter ID for the log Founding
+	IDOffered                        // ID was drawn
+	ReplacementVoter                 // ID replaces the sender's voter ID, whose disk was lost
+	QueryLeases                      // Ref: requests all leases
+	LeasePage                        // Leases: Page of Pages
+	NoVotersKnown                    // the sender knows no voters
+	QueryMaintenance                 // Ref: requests the maintenance table
+	MaintenanceReply                 // MaintenanceTable of the leader, or MaintenanceAnswer to the request Ref
 )
 
-// Item is a command on its way to the leader: one of a lease, or of the machines out for work.
+// ForwardedCommand is a command on its way to the leader: a lease command or a maintenance command.
 type ForwardedCommand struct {
 	Command     lease.Command
-	Maintenance *maintenance.Command // nil: Command is meant
-	Origin      string               // the node that is to be answered
-	Ref         uint64               // of the origin's, for what is no holder's
+	Maintenance *maintenance.Command // nil: Command is set
+	Origin      string               // the node to reply to
+	Ref         uint64               // the origin's request number, for commands without a holder
 }
 
-// Message is what one node tells another.
+// Message is what nodes send each other.
 type Message struct {
 	Kind              Kind
 	From              string // the sender's name
-	Addr              string // where it is
-	Hops              int    // how often it was passed on
+	Addr              string // the sender's address
+	Hops              int    // how often it was forwarded
 	Life              uint64
 	Seq               uint64
 	Ref               uint64
-	Origin            string // List: who is to be answered
+	Origin            string // QueryLeases, QueryMaintenance: the node to reply to
 	ID                uint64
 	Founding          uint64
 	StartVoter        bool
-	Settled           bool   // Seated: the sender votes, and those who vote are those who have the seats
-	Term              uint64 // Listed
-	Page              int    // Listed, from 0
+	Settled           bool   // VotersKnown: the sender votes, and raft's configuration matches the voter set
+	Term              uint64 // LeasePage
+	Page              int    // LeasePage: counted from 0
 	Pages             int
 	VoterSet          *VoterSet
 	Voter             *consensus.Message
@@ -58,12 +58,12 @@
 	Answer            *lease.Answer
 	Leases            []lease.Lease
 	MaintenanceAnswer *maintenance.Answer
-	MaintenanceTable  []byte // of package maintenance
+	MaintenanceTable  []byte // encoded by package maintenance
 }
 
-// Out is a message on its way out.
+// Outgoing is a message to be sent.
 type Outgoing struct {
 	To      string // a node's name
-	Addr    string // where it was, for those who know nothing newer; "": not known
+	Addr    string // the last address in the voter set, for lack of a newer one; "": unknown
 	Message *Message
 }
--- a/internal/fleet/leaselog/node.go
+++ b/internal/fleet/leaselog/node.go
@@ -11,39 +11,39 @@
 	"curlewring/internal/fleet/maintenance"
 )
 
-// Settings are what a council goes by. Terms, Agree and ReplaceAfter must be the same at all nodes of a fleet.
+// Settings configure a Node. Timing, Consensus and ReplaceAfter must be the same on all nodes of a fleet.
 type Settings struct {
 	Name, Site   string
 	Timing       lease.Timing
 	Consensus    consensus.Settings
-	ReplaceAfter time.Duration // a voter out of the members' view for so long loses its seat; 0: 5 min
+	ReplaceAfter time.Duration // absence from the membership view after which a voter is replaced; 0: 5 min
 	CompactEvery int           // commands between two snapshots; 0: 2,000
 }
 
 const (
-	usualReplaceAfter = 5 * time.Minute
-	usualCompact      = 2000
-
-	mostItems, mostItemBytes = 256, 32 << 10 // in an entry
-	mostBatch                = 4096          // items that wait for the next one
-	stuckTicks               = 20            // of a write: the disk hangs
-	askSeatsUnknown          = time.Second
-	askSeatsKnown            = 15 * time.Second
-	newcomerEvery            = time.Second
-	newcomerFor              = 5 * time.Second
-	decideEvery              = time.Second
-	offerFor                 = 5 * time.Second // a node that does not answer an offer is passed over for so long
-	mostHeard                = 64
+	defaultReplaceAfter = 5 * time.Minute
+	defaultCompactEvery = 2000
+
+	maxEntryCommands, maxEntryBytes = 256, 32 << 10 // per log entry
+	maxPendingCommands              = 4096          // commands waiting for the next entry
+	hungAfterTicks                  = 20            // a write that takes longer counts as hung
+	voterQueryIntervalUnknown       = time.Second
+	voterQueryIntervalKnown         = 15 * time.Second
+	lossReportInterval              = time.Second
+	replacementLifetime             = 5 * time.Second // a reported loss is ignored after this time
+	voterCheckInterval              = time.Second
+	idRequestTimeout                = 5 * time.Second // a node that does not draw an ID within this time is skipped
+	maxLearnedNames                 = 64              // voters whose names were learned from messages
 )
 
-// Told is something for this node's own tenants and operators.
+// LocalReply is a reply for a client or operator of this node.
 type LocalReply struct {
-	Kind              Kind // Answers, Helpless or Listed
+	Kind              Kind // CommandAnswer, CannotServe, MaintenanceReply or LeasePage
 	Life              uint64
 	Seq               uint64
 	Ref               uint64
 	Answer            lease.Answer
-	From              string // who answered
+	From              string // the node that replied
 	Term              uint64
 	Page              int
 	Pages             int
@@ -52,514 +52,520 @@
 	MaintenanceTable  []byte
 }
 
-// Saving is what must be on disk before the council goes on.
+// PendingSave is what must be durable before the node continues.
 type PendingSave struct {
-	NewState *consensus.PersistentState // all that there was gives way to this; nil: it stays
+	NewState *consensus.PersistentState // replaces all persistent state; nil: only Update is applied
 	Update   consensus.Update
-	UserData []byte // nil: as it was
+	UserData []byte // nil: unchanged
 }
 
-// Council is one node's part.
+// Node is one node's part of the lease log.
 type Node struct {
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	members map[string]Member // by name, as agreed on
-	inView  bool
-
-	note      note
-	noteDirty bool
-	voter     *consensus.Voter // nil: this node has no number
-	machine   *lease.StateMachine
-	table     *maintenance.Table
-	seats     VoterSet // as applied; of use while the voter has a state
-	keeper    *lease.ExpiryTracker
-	term      uint64 // of the keeper
-	commands  int    // since the last snapshot
-	batch     []ForwardedCommand
-	heard     map[uint64]string // nodes by number, as their messages said
-	conflict  bool              // another log than this node's was met
-	broken    error
-
-	begin  *consensus.PersistentState // to be saved, and begun from
-	saving *PendingSave               // on its way to the disk
-	work   *consensus.Ready           // that it is part of; nil: of none
-	taken  bool
-	ticks  int        // since it was taken
-	queue  []*Message // to this node itself
-	outs   []Outgoing
-	told   []LocalReply
-
-	leader     string        // who has answered last
-	askSeats   time.Duration // when to ask again who votes
-	asNewcomer time.Duration // when to say again that the old disk is lost
-	decided    time.Duration
-	absent     map[string]time.Duration // leader: since when nodes with seats are out of the view
-	newcomers  map[string]newcomer      // leader: nodes whose disk is lost
-	offers     map[string]*offer        // leader: nodes that were asked to draw a number
-	founding   *founding                // begun here
-}
-
-type newcomer struct {
-	id uint64
-	at time.Duration
-}
-
-type offer struct {
-	at time.Duration
-	id uint64
-}
-
-// New makes a council of what the disk holds. Doubt is why that is not to be trusted; "": it is. What can't be read though
-// it can be trusted, as it is a later version's, leaves the council Broken.
-func New(set Settings, disk *consensus.PersistentState, kept []byte, doubt string, seed uint64, now time.Duration) *Node {
-	if set.ReplaceAfter <= 0 {
-		set.ReplaceAfter = usualReplaceAfter
-	}
-	if set.CompactEvery <= 0 {
-		set.CompactEvery = usualCompact
-	}
-	set.Timing = set.Timing.Default()
-	c := &Node{
-		set: set, now: now, rng: rand.New(rand.NewPCG(seed, 0xc0c)), machine: lease.NewStateMachine(), table: maintenance.NewTable(), members: map[string]Member{},
-		heard: map[uint64]string{}, absent: map[string]time.Duration{}, newcomers: map[string]newcomer{}, offers: map[string]*offer{},
+	settings Settings
+	rng      *rand.Rand
+	now      time.Duration
+	members  map[string]Member // the current membership view, by name
+	inView   bool              // this node is in the membership view
+
+	localRecord           localRecord
+	localRecordDirty      bool
+	voter                 *consensus.Voter // nil: this node has no voter ID
+	stateMachine          *lease.StateMachine
+	maintenanceTable      *maintenance.Table
+	voters                VoterSet // as applied; valid if hasAppliedState
+	expiry                *lease.ExpiryTracker
+	expiryTerm            uint64 // the term that expiry was created in
+	commandsSinceSnapshot int
+	pendingCommands       []ForwardedCommand // waiting for the next entry
+	learnedNames          map[uint64]string  // node names by voter ID, learned from messages
+	foundingConflict      bool               // a log with another founding ID was seen
+	brokenErr             error              // why the voter stopped
+
+	newState       *consensus.PersistentState // to be saved, and restarted from
+	pendingSave    *PendingSave               // to be written, or being written
+	pendingReady   *consensus.Ready           // the Ready that pendingSave belongs to; nil: none
+	saveInProgress bool                       // pendingSave was handed out
+	saveTicks      int                        // ticks since then
+	localQueue     []*Message                 // messages to this node itself
+	outgoing       []Outgoing
+	replies        []LocalReply
+
+	lastLeader     string                   // the last node that answered a command
+	nextVoterQuery time.Duration            // when to query the voters next
+	nextLossReport time.Duration            // when to report the lost disk next
+	lastVoterCheck time.Duration            // when the leader last checked the voters
+	absentSince    map[string]time.Duration // leader: voters missing from the view, and since when
+	replacements   map[string]replacement   // leader: voters whose disk was lost
+	idRequests     map[string]*idRequest    // leader: nodes that were asked to draw a voter ID
+	founding       *founding                // the founding that this node runs; nil: none
+}
+
+// replacement is a new voter ID that a node reported after it lost its disk.
+type replacement struct {
+	id         uint64
+	reportedAt time.Duration
+}
+
+// idRequest is a request to draw a voter ID, and the ID that was drawn; 0: none yet.
+type idRequest struct {
+	requestedAt time.Duration
+	id          uint64
+}
+
+// New creates a Node from its saved state. A non-empty distrustReason says why that state must not be trusted; it
+// is then discarded together with the voter ID. State that is trusted but can't be read, such as that of a later
+// version, leaves the node Broken.
+func New(settings Settings, state *consensus.PersistentState, savedRecord []byte, distrustReason string, seed uint64, now time.Duration) *Node {
+	if settings.ReplaceAfter <= 0 {
+		settings.ReplaceAfter = defaultReplaceAfter
+	}
+	if settings.CompactEvery <= 0 {
+		settings.CompactEvery = defaultCompactEvery
+	}
+	settings.Timing = settings.Timing.Default()
+	n := &Node{
+		settings: settings, now: now, rng: rand.New(rand.NewPCG(seed, 0xc0c)), stateMachine: lease.NewStateMachine(), maintenanceTable: maintenance.NewTable(), members: map[string]Member{},
+		learnedNames: map[uint64]string{}, absentSince: map[string]time.Duration{}, replacements: map[string]replacement{}, idRequests: map[string]*idRequest{},
 	}
 	var err error
-	if c.note, err = parseNote(kept); err != nil && doubt == "" {
-		doubt = fmt.Sprint("the note: ", err)
+	if n.localRecord, err = parseLocalRecord(savedRecord); err != nil && distrustReason == "" {
+		distrustReason = fmt.Sprint("decode the local record: ", err)
 	}
-	if doubt != "" {
-		c.note = note{}
-		if disk.ID != 0 {
-			c.begin = &consensus.PersistentState{} // the number goes with it
+	if distrustReason != "" {
+		n.localRecord = localRecord{}
+		if state.ID != 0 {
+			n.newState = &consensus.PersistentState{} // its voter ID is discarded with it
 		}
-		return c
+		return n
 	}
-	c.seats = c.note.Seats.clone()
-	if disk.ID != 0 {
-		c.start(disk)
+	n.voters = n.localRecord.Voters.clone()
+	if state.ID != 0 {
+		n.startVoter(state)
 	}
-	return c
+	return n
 }
 
-// start begins as a voter from its disk.
-func (c *Node) start(disk *consensus.PersistentState) {
-	c.machine, c.table = lease.NewStateMachine(), maintenance.NewTable()
-	c.keeper, c.commands, c.broken, c.work = nil, 0, nil, nil
-	if c.voter, c.broken = consensus.New(c.set.Consensus, disk, c.rng.Uint64()); c.broken != nil {
-		c.voter = nil
+// startVoter starts the voter from its persistent state.
+func (n *Node) startVoter(state *consensus.PersistentState) {
+	n.stateMachine, n.maintenanceTable = lease.NewStateMachine(), maintenance.NewTable()
+	n.expiry, n.commandsSinceSnapshot, n.brokenErr, n.pendingReady = nil, 0, nil, nil
+	if n.voter, n.brokenErr = consensus.New(n.settings.Consensus, state, n.rng.Uint64()); n.brokenErr != nil {
+		n.voter = nil
 		return
 	}
-	if data := disk.Snapshot.GetData(); len(data) > 0 {
-		c.broken = c.restore(data)
+	if data := state.Snapshot.GetData(); len(data) > 0 {
+		n.brokenErr = n.restoreSnapshot(data)
 	}
 }
 
-func (c *Node) restore(data []byte) error {
-	seats, s, t, err := parseState(data)
+// restoreSnapshot replaces the replicated state by that of a snapshot.
+func (n *Node) restoreSnapshot(data []byte) error {
+	voters, leases, maintenanceTable, err := parseSnapshot(data)
 	if err != nil {
-		return fmt.Errorf("council: the state: %w", err)
+		return fmt.Errorf("lease log: decode snapshot: %w", err)
 	}
-	c.machine, c.table = lease.Restore(s), t
-	c.keeper = nil
-	c.learn(seats)
-	c.seats = seats
+	n.stateMachine, n.maintenanceTable = lease.Restore(leases), maintenanceTable
+	n.expiry = nil
+	n.learnVoters(voters)
+	n.voters = voters
 	return nil
 }
 
-// learn takes in who votes, if that is newer than what is known.
-func (c *Node) learn(s VoterSet) {
-	have := &c.note.Seats
+// learnVoters takes over a voter set if it is newer than the known one.
+func (n *Node) learnVoters(voters VoterSet) {
+	known := &n.localRecord.Voters
 	switch {
-	case have.Founding == 0:
-	case have.Founding != s.Founding:
-		c.conflict = true
+	case known.Founding == 0:
+	case known.Founding != voters.Founding:
+		n.foundingConflict = true
 		return
-	case have.Index >= s.Index:
+	case known.Index >= voters.Index:
 		return
 	}
-	c.note.Seats, c.noteDirty = s.clone(), true
-	if !c.applies() {
-		c.seats = s.clone()
+	n.localRecord.Voters, n.localRecordDirty = voters.clone(), true
+	if !n.hasAppliedState() {
+		n.voters = voters.clone()
 	}
 }
 
-// applies tells whether this node's own state says who votes.
-func (c *Node) applies() bool { return c.voter != nil && len(c.voter.Voters()) > 0 }
+// hasAppliedState reports whether this node's own applied state contains a voter set.
+func (n *Node) hasAppliedState() bool { return n.voter != nil && len(n.voter.Voters()) > 0 }
 
-// Leads tells whether this node's voter leads.
-func (c *Node) IsLeader() bool {
-	if c.voter == nil || c.hung() {
+// IsLeader reports whether this node's voter leads.
+func (n *Node) IsLeader() bool {
+	if n.voter == nil || n.diskHung() {
 		return false
 	}
-	leads, _ := c.voter.IsLeader()
-	return leads
+	isLeader, _ := n.voter.IsLeader()
+	return isLeader
 }
 
-// hung tells whether the disk has not ended a write for long.
-func (c *Node) hung() bool { return c.taken && c.ticks > stuckTicks }
+// diskHung reports whether a write has been running for too long.
+func (n *Node) diskHung() bool { return n.saveInProgress && n.saveTicks > hungAfterTicks }
 
-// Leave is to be called before this node ends: another voter leads then, without an election's wait.
-func (c *Node) Leave(now time.Duration) {
-	c.now = max(c.now, now)
-	if c.IsLeader() {
-		c.voter.TransferLeadership()
+// Leave must be called before this node ends. It transfers leadership, which saves the wait for an election.
+func (n *Node) Leave(now time.Duration) {
+	n.now = max(n.now, now)
+	if n.IsLeader() {
+		n.voter.TransferLeadership()
 	}
-	c.settle()
+	n.processPending()
 }
 
-// View takes the members as agreed on, by name; nil: this node is in no view.
-func (c *Node) SetMembers(now time.Duration, members map[string]Member) {
-	c.now = max(c.now, now)
-	if c.inView = members != nil; c.inView {
-		c.members = members
+// SetMembers sets the membership view, by node name; nil means that this node is not in the view.
+func (n *Node) SetMembers(now time.Duration, members map[string]Member) {
+	n.now = max(n.now, now)
+	if n.inView = members != nil; n.inView {
+		n.members = members
 	}
 }
 
-// Tick is to be called every Settings.Agree.Round.
-func (c *Node) Tick(now time.Duration) {
-	c.now = max(c.now, now)
-	if c.taken {
-		c.ticks++
+// Tick must be called once per Settings.Consensus.TickInterval.
+func (n *Node) Tick(now time.Duration) {
+	n.now = max(n.now, now)
+	if n.saveInProgress {
+		n.saveTicks++
 	}
-	if c.voter != nil && !c.hung() {
-		c.voter.Tick()
-		c.lead()
-		c.stray()
+	if n.voter != nil && !n.diskHung() {
+		n.voter.Tick()
+		n.runLeaderDuties()
+		n.discardIfRemoved()
 	}
-	c.seek()
-	c.found()
-	c.settle()
+	n.discoverVoters()
+	n.stepFounding()
+	n.processPending()
 }
 
-// Receive takes a message of another node.
-func (c *Node) Receive(now time.Duration, m *Message) {
-	c.now = max(c.now, now)
-	c.take(m)
-	c.settle()
+// Receive handles a message of another node.
+func (n *Node) Receive(now time.Duration, m *Message) {
+	n.now = max(n.now, now)
+	n.handle(m)
+	n.processPending()
 }
 
-// Outs are the messages that may leave, and Told what is for this node's own, since the last call.
-func (c *Node) TakeOutgoing() (outs []Outgoing, told []LocalReply) {
-	outs, told = c.outs, c.told
-	c.outs, c.told = nil, nil
-	return outs, told
+// TakeOutgoing returns the messages to send and the replies for this node's own clients since the last call.
+func (n *Node) TakeOutgoing() (outgoing []Outgoing, replies []LocalReply) {
+	outgoing, replies = n.outgoing, n.replies
+	n.outgoing, n.replies = nil, nil
+	return outgoing, replies
 }
 
-// Busy tells whether something that was taken is not on the disk yet.
-func (c *Node) Busy() bool { return c.taken }
+// Busy reports whether a save was handed out and is not durable yet.
+func (n *Node) Busy() bool { return n.saveInProgress }
 
-// Take returns what must be saved; nil if nothing, or if the last Saving is not on the disk yet.
-func (c *Node) TakeSave() *PendingSave {
-	if c.saving == nil || c.taken {
+// TakeSave returns what must be saved. It returns nil if there is nothing to save or the last PendingSave is not
+// durable yet.
+func (n *Node) TakeSave() *PendingSave {
+	if n.pendingSave == nil || n.saveInProgress {
 		return nil
 	}
-	c.taken, c.ticks = true, 0
-	return c.saving
+	n.saveInProgress, n.saveTicks = true, 0
+	return n.pendingSave
 }
 
-// Saved tells that what was taken is on the disk.
-func (c *Node) Saved(now time.Duration) {
-	c.now = max(c.now, now)
-	s := c.saving
-	if !c.taken {
+// Saved reports that the PendingSave that was handed out is durable.
+func (n *Node) Saved(now time.Duration) {
+	n.now = max(n.now, now)
+	save := n.pendingSave
+	if !n.saveInProgress {
 		return
 	}
-	c.saving, c.taken = nil, false
-	if s.NewState != nil {
-		c.begun(s.NewState)
-	} else if w := c.work; w != nil {
-		c.work = nil
-		c.finish(w)
+	n.pendingSave, n.saveInProgress = nil, false
+	if save.NewState != nil {
+		n.restartFrom(save.NewState)
+	} else if ready := n.pendingReady; ready != nil {
+		n.pendingReady = nil
+		n.completeReady(ready)
 	}
-	c.settle()
+	n.processPending()
 }
 
-// begun goes on from a new disk.
-func (c *Node) begun(d *consensus.PersistentState) {
-	c.voter, c.work = nil, nil
-	if d.ID != 0 {
-		c.start(d)
-		if c.note.Pledged != 0 && !c.applies() {
-			c.asNewcomer = c.now
+// restartFrom starts the voter from newly saved state.
+func (n *Node) restartFrom(state *consensus.PersistentState) {
+	n.voter, n.pendingReady = nil, nil
+	if state.ID != 0 {
+		n.startVoter(state)
+		if n.localRecord.IDFounding != 0 && !n.hasAppliedState() {
+			n.nextLossReport = n.now
 		}
 	}
 }
 
-// send lets a message leave.
-func (c *Node) send(to string, m *Message) {
-	m.From = c.set.Name
-	if to == c.set.Name {
-		c.queue = append(c.queue, m)
+// send queues a message to another node or to this one.
+func (n *Node) send(to string, m *Message) {
+	m.From = n.settings.Name
+	if to == n.settings.Name {
+		n.localQueue = append(n.localQueue, m)
 		return
 	}
-	s, ok := c.seats.of(to)
+	voter, ok := n.voters.byName(to)
 	if !ok {
-		s, _ = c.note.Seats.of(to)
+		voter, _ = n.localRecord.Voters.byName(to)
 	}
-	c.outs = append(c.outs, Outgoing{to, s.Addr, m})
+	n.outgoing = append(n.outgoing, Outgoing{to, voter.Addr, m})
 }
 
-// settle goes on until there is nothing more to do without the disk or another node.
-func (c *Node) settle() {
+// processPending works until nothing more can be done without the disk or another node.
+func (n *Node) processPending() {
 	for {
-		for len(c.queue) > 0 {
-			m := c.queue[0]
-			c.queue = c.queue[1:]
-			c.take(m)
+		for len(n.localQueue) > 0 {
+			message := n.localQueue[0]
+			n.localQueue = n.localQueue[1:]
+			n.handle(message)
 		}
-		if !c.step() && len(c.queue) == 0 {
+		if !n.step() && len(n.localQueue) == 0 {
 			return
 		}
 	}
 }
 
-// step does the next piece of work, and tells whether there may be more.
-func (c *Node) step() bool {
-	if c.saving != nil {
+// step does the next piece of work and reports whether there may be more.
+func (n *Node) step() bool {
+	if n.pendingSave != nil {
 		return false
 	}
-	if c.begin != nil {
-		c.saving = &PendingSave{NewState: c.begin, UserData: appendNote(nil, &c.note)}
-		c.begin, c.noteDirty = nil, false
+	if n.newState != nil {
+		n.pendingSave = &PendingSave{NewState: n.newState, UserData: appendLocalRecord(nil, &n.localRecord)}
+		n.newState, n.localRecordDirty = nil, false
 		return false
 	}
-	if c.voter != nil && c.broken == nil {
-		if c.broken = c.voter.Broken(); c.voter.DiskStale() {
-			c.giveUp()
+	if n.voter != nil && n.brokenErr == nil {
+		if n.brokenErr = n.voter.Broken(); n.voter.DiskStale() {
+			n.discardVoter()
 			return true
 		}
-		c.propose()
-		if w, ok := c.voter.Ready(); ok {
-			if w.Update.Empty() && !c.noteDirty {
-				c.finish(&w)
+		n.proposePending()
+		if ready, ok := n.voter.Ready(); ok {
+			if ready.Update.Empty() && !n.localRecordDirty {
+				n.completeReady(&ready)
 				return true
 			}
-			c.work = &w
-			c.saving = &PendingSave{Update: w.Update}
+			n.pendingReady = &ready
+			n.pendingSave = &PendingSave{Update: ready.Update}
 		}
 	}
-	if c.noteDirty {
-		if c.saving == nil {
-			c.saving = &PendingSave{}
+	if n.localRecordDirty {
+		if n.pendingSave == nil {
+			n.pendingSave = &PendingSave{}
 		}
-		c.saving.UserData, c.noteDirty = appendNote(nil, &c.note), false
+		n.pendingSave.UserData, n.localRecordDirty = appendLocalRecord(nil, &n.localRecord), false
 	}
 	return false
 }
 
-// giveUp ends this node's voter for good: its number is another's, or its disk has forgotten something.
-func (c *Node) giveUp() {
-	c.voter, c.work, c.broken = nil, nil, nil
-	c.begin = &consensus.PersistentState{}
-	c.note.Pledged = 0
-	c.refuse()
+// discardVoter removes this node's voter for good: its ID was replaced, or its disk has lost acknowledged state.
+func (n *Node) discardVoter() {
+	n.voter, n.pendingReady, n.brokenErr = nil, nil, nil
+	n.newState = &consensus.PersistentState{}
+	n.localRecord.IDFounding = 0
+	n.rejectPending()
 }
 
-// finish does what may be done once a Work is saved.
-func (c *Node) finish(w *consensus.Ready) {
-	for i := range w.Messages {
-		m := w.Messages[i]
-		if to := c.nameOf(m.To); to != "" {
-			c.send(to, &Message{Kind: RaftMessage, Voter: &m})
+// completeReady does what may be done once a Ready is saved.
+func (n *Node) completeReady(ready *consensus.Ready) {
+	for i := range ready.Messages {
+		m := ready.Messages[i]
+		if to := n.nodeName(m.To); to != "" {
+			n.send(to, &Message{Kind: RaftMessage, Voter: &m})
 		}
 	}
-	if w.Restore != nil {
-		if err := c.restore(w.Restore); err != nil {
-			c.broken = err
+	if ready.Restore != nil {
+		if err := n.restoreSnapshot(ready.Restore); err != nil {
+			n.brokenErr = err
 			return
 		}
 	}
-	for i := range w.Entries {
-		if err := c.apply(&w.Entries[i]); err != nil {
-			c.broken = err
+	for i := range ready.Entries {
+		if err := n.applyEntry(&ready.Entries[i]); err != nil {
+			n.brokenErr = err
 			return
 		}
 	}
-	if err := c.voter.Advance(); err != nil {
-		c.broken = err
+	if err := n.voter.Advance(); err != nil {
+		n.brokenErr = err
 		return
 	}
-	if c.commands >= c.set.CompactEvery || c.voter.WantsSnapshot() && c.applies() && c.seats.Founding != 0 {
-		c.commands = 0
-		snap := c.machine.Snapshot()
-		if err := c.voter.Compact(c.voter.Applied(), appendState(nil, &c.seats, &snap, c.table)); err != nil {
-			c.broken = err
+	if n.commandsSinceSnapshot >= n.settings.CompactEvery || n.voter.WantsSnapshot() && n.hasAppliedState() && n.voters.Founding != 0 {
+		n.commandsSinceSnapshot = 0
+		snapshot := n.stateMachine.Snapshot()
+		if err := n.voter.Compact(n.voter.Applied(), appendSnapshot(nil, &n.voters, &snapshot, n.maintenanceTable)); err != nil {
+			n.brokenErr = err
 		}
 	}
 }
 
-// nameOf is the node of a number; "": it is not known.
-func (c *Node) nameOf(id uint64) string {
-	if s, ok := c.seats.by(id); ok {
-		return s.Name
+// nodeName returns the node of a voter ID; "" if it is unknown.
+func (n *Node) nodeName(id uint64) string {
+	if voter, ok := n.voters.byID(id); ok {
+		return voter.Name
 	}
-	if s, ok := c.note.Seats.by(id); ok {
-		return s.Name
+	if voter, ok := n.localRecord.Voters.byID(id); ok {
+		return voter.Name
 	}
-	return c.heard[id]
+	return n.learnedNames[id]
 }
 
-// apply does what an entry says, and answers if this node leads.
-func (c *Node) apply(e *consensus.Entry) error {
-	x, err := parseEntry(e.Data)
+// applyEntry applies a committed entry. If this node leads, it also answers the commands' origins.
+func (n *Node) applyEntry(entry *consensus.Entry) error {
+	parsed, err := parseEntry(entry.Data)
 	if err != nil {
-		return fmt.Errorf("council: entry %d: %w", e.Index, err)
-	}
-	if x.Level > level {
-		return fmt.Errorf("council: entry %d is of level %d, and this program knows %d: it must be a later one", e.Index, x.Level, level)
-	}
-	leads := c.IsLeader()
-	if x.Change != nil && c.seats.change(x.Change.Out, x.Change.In, e.Index) {
-		c.learn(c.seats)
-	}
-	for i := range x.Items {
-		it := &x.Items[i]
-		c.commands++
-		if it.Maintenance != nil {
-			a := c.table.Apply(it.Maintenance, c.seats.nodes())
-			if leads && it.Origin != "" {
-				c.send(it.Origin, &Message{Kind: MaintenanceReply, Ref: it.Ref, MaintenanceAnswer: &a})
+		return fmt.Errorf("lease log: decode entry %d: %w", entry.Index, err)
+	}
+	if parsed.Version > entryVersion {
+		return fmt.Errorf("lease log: entry %d has version %d, and this program supports %d: a later version is required", entry.Index, parsed.Version, entryVersion)
+	}
+	isLeader := n.IsLeader()
+	if parsed.Change != nil && n.voters.replace(parsed.Change.Out, parsed.Change.In, entry.Index) {
+		n.learnVoters(n.voters)
+	}
+	for i := range parsed.Commands {
+		command := &parsed.Commands[i]
+		n.commandsSinceSnapshot++
+		if command.Maintenance != nil {
+			answer := n.maintenanceTable.Apply(command.Maintenance, n.voters.nodeNames())
+			if isLeader && command.Origin != "" {
+				n.send(command.Origin, &Message{Kind: MaintenanceReply, Ref: command.Ref, MaintenanceAnswer: &answer})
 			}
 			continue
 		}
-		a, grants := c.machine.Apply(&it.Command)
-		if !leads {
+		answer, grants := n.stateMachine.Apply(&command.Command)
+		if !isLeader {
 			continue
 		}
-		if it.Origin != "" {
-			c.send(it.Origin, &Message{Kind: CommandAnswer, Life: it.Command.Holder.Life, Seq: it.Command.Seq, Ref: it.Ref, Answer: &a})
+		if command.Origin != "" {
+			n.send(command.Origin, &Message{Kind: CommandAnswer, Life: command.Command.Holder.Life, Seq: command.Command.Seq, Ref: command.Ref, Answer: &answer})
 		}
-		for _, g := range grants {
-			answer := g.Answer
-			c.send(g.Holder.Name, &Message{Kind: CommandAnswer, Life: g.Holder.Life, Answer: &answer})
+		for _, grant := range grants {
+			grantAnswer := grant.Answer
+			n.send(grant.Holder.Name, &Message{Kind: CommandAnswer, Life: grant.Holder.Life, Answer: &grantAnswer})
 		}
 	}
 	return nil
 }
 
-// propose puts what has come into one entry, if this node leads; else it goes to who does.
-func (c *Node) propose() {
-	if len(c.batch) == 0 {
+// proposePending proposes the pending commands as one entry if this node leads, and rejects them otherwise.
+func (n *Node) proposePending() {
+	if len(n.pendingCommands) == 0 {
 		return
 	}
-	if !c.IsLeader() {
-		c.refuse()
+	if !n.IsLeader() {
+		n.rejectPending()
 		return
 	}
-	n, size := 0, 0
-	e := entry{Level: level}
-	for ; n < len(c.batch) && n < mostItems && size < mostItemBytes; n++ {
-		size += c.batch[n].size()
+	count, size := 0, 0
+	entry := logEntry{Version: entryVersion}
+	for ; count < len(n.pendingCommands) && count < maxEntryCommands && size < maxEntryBytes; count++ {
+		size += n.pendingCommands[count].approximateSize()
 	}
-	e.Items = c.batch[:n]
-	err := c.voter.Propose(appendEntry(nil, &e))
-	if err != nil { // too much is under way, or the lead was lost just now
-		c.refuse()
+	entry.Commands = n.pendingCommands[:count]
+	err := n.voter.Propose(appendEntry(nil, &entry))
+	if err != nil { // too many proposals are in flight, or leadership was just lost
+		n.rejectPending()
 		return
 	}
-	c.batch = slices.Clone(c.batch[n:])
+	n.pendingCommands = slices.Clone(n.pendingCommands[count:])
 }
 
-// refuse tells all who wait for the next entry to ask again.
-func (c *Node) refuse() {
-	batch := c.batch
-	c.batch = nil
-	for i := range batch {
-		c.helpless(&batch[i])
+// rejectPending tells all senders of pending commands to try again.
+func (n *Node) rejectPending() {
+	commands := n.pendingCommands
+	n.pendingCommands = nil
+	for i := range commands {
+		n.reject(&commands[i])
 	}
 }
 
-func (c *Node) helpless(i *ForwardedCommand) {
-	if i.Origin == "" {
+// reject answers a command with CannotServe and the known voters.
+func (n *Node) reject(command *ForwardedCommand) {
+	if command.Origin == "" {
 		return
 	}
-	m := &Message{Kind: CannotServe, Life: i.Command.Holder.Life, Seq: i.Command.Seq, Ref: i.Ref}
-	if c.note.Seats.Founding != 0 {
-		s := c.note.Seats.clone()
-		m.VoterSet = &s
+	reply := &Message{Kind: CannotServe, Life: command.Command.Holder.Life, Seq: command.Command.Seq, Ref: command.Ref}
+	if n.localRecord.Voters.Founding != 0 {
+		voters := n.localRecord.Voters.clone()
+		reply.VoterSet = &voters
 	}
-	c.send(i.Origin, m)
+	n.send(command.Origin, reply)
 }
 
-// lead does what a leader's clock says.
-func (c *Node) lead() {
-	leads, term := c.voter.IsLeader()
-	if !leads || !c.applies() {
-		c.keeper = nil
+// runLeaderDuties proposes expired leases and keeps the voters up to date, if this node leads.
+func (n *Node) runLeaderDuties() {
+	isLeader, term := n.voter.IsLeader()
+	if !isLeader || !n.hasAppliedState() {
+		n.expiry = nil
 		return
 	}
-	if c.keeper == nil || c.term != term {
-		c.keeper, c.term = lease.NewExpiryTracker(c.set.Timing), term
-		clear(c.absent)
-		clear(c.offers)
-		c.decided = c.now
+	if n.expiry == nil || n.expiryTerm != term {
+		n.expiry, n.expiryTerm = lease.NewExpiryTracker(n.settings.Timing), term
+		clear(n.absentSince)
+		clear(n.idRequests)
+		n.lastVoterCheck = n.now
 	}
-	for _, x := range c.keeper.Expired(c.now, c.machine) {
-		c.batch = append(c.batch, ForwardedCommand{Command: x})
+	for _, command := range n.expiry.Expired(n.now, n.stateMachine) {
+		n.pendingCommands = append(n.pendingCommands, ForwardedCommand{Command: command})
 	}
-	c.settleSeats()
+	n.reconcileVoters()
 }
 
-// take does what a message says.
-func (c *Node) take(m *Message) {
+// handle processes a message.
+func (n *Node) handle(m *Message) {
 	if m.VoterSet != nil && m.Kind != VotersKnown {
-		c.learn(*m.VoterSet)
+		n.learnVoters(*m.VoterSet)
 	}
 	switch m.Kind {
 	case RaftMessage:
-		c.voted(m)
+		n.handleRaftMessage(m)
 	case SubmitCommand:
-		c.asked(m)
+		n.handleCommand(m)
 	case CommandAnswer:
-		c.leader = m.From
-		c.told = append(c.told, LocalReply{Kind: CommandAnswer, Life: m.Life, Seq: m.Answer.Seq, Ref: m.Ref, Answer: *m.Answer, From: m.From})
+		n.lastLeader = m.From
+		n.replies = append(n.replies, LocalReply{Kind: CommandAnswer, Life: m.Life, Seq: m.Answer.Seq, Ref: m.Ref, Answer: *m.Answer, From: m.From})
 	case CannotServe:
-		if c.leader == m.From {
-			c.leader = ""
+		if n.lastLeader == m.From {
+			n.lastLeader = ""
 		}
-		c.told = append(c.told, LocalReply{Kind: CannotServe, Life: m.Life, Seq: m.Seq, Ref: m.Ref, From: m.From})
+		n.replies = append(n.replies, LocalReply{Kind: CannotServe, Life: m.Life, Seq: m.Seq, Ref: m.Ref, From: m.From})
 	case QueryVoters:
-		if c.note.Seats.Founding != 0 {
-			s := c.note.Seats.clone()
-			c.send(m.From, &Message{Kind: VotersKnown, VoterSet: &s, Founding: m.Founding, Settled: c.agreed()})
+		if n.localRecord.Voters.Founding != 0 {
+			voterSet := n.localRecord.Voters.clone()
+			n.send(m.From, &Message{Kind: VotersKnown, VoterSet: &voterSet, Founding: m.Founding, Settled: n.votersSettled()})
 		} else {
-			c.send(m.From, &Message{Kind: NoVotersKnown, Founding: m.Founding})
+			n.send(m.From, &Message{Kind: NoVotersKnown, Founding: m.Founding})
 		}
 	case NoVotersKnown:
-		if f := c.founding; f != nil && m.Founding == f.id {
-			f.unseated[m.From] = true
+		if f := n.founding; f != nil && m.Founding == f.id {
+			f.withoutVoters[m.From] = true
 		}
 	case VotersKnown:
-		c.seated(m)
+		n.handleVotersKnown(m)
 	case RequestID:
-		c.offered(m)
+		n.handleIDRequest(m)
 	case IDOffered:
-		c.accepted(m)
+		n.handleIDOffered(m)
 	case ReplacementVoter:
-		if s, ok := c.seats.of(m.From); ok && s.ID != m.ID && m.Founding == c.seats.Founding {
-			c.newcomers[m.From] = newcomer{m.ID, c.now}
+		if voter, ok := n.voters.byName(m.From); ok && voter.ID != m.ID && m.Founding == n.voters.Founding {
+			n.replacements[m.From] = replacement{m.ID, n.now}
 		}
 	case QueryLeases:
-		c.list(m)
+		n.handleLeaseQuery(m)
 	case QueryMaintenance:
-		c.works(m)
+		n.handleMaintenanceQuery(m)
 	case MaintenanceReply:
-		c.told = append(c.told, LocalReply{Kind: MaintenanceReply, Ref: m.Ref, From: m.From, MaintenanceAnswer: m.MaintenanceAnswer, MaintenanceTable: m.MaintenanceTable})
+		n.replies = append(n.replies, LocalReply{Kind: MaintenanceReply, Ref: m.Ref, From: m.From, MaintenanceAnswer: m.MaintenanceAnswer, MaintenanceTable: m.MaintenanceTable})
 	case LeasePage:
-		c.told = append(c.told, LocalReply{Kind: LeasePage, Ref: m.Ref, From: m.From, Term: m.Term, Page: m.Page, Pages: m.Pages, Leases: m.Leases})
+		n.replies = append(n.replies, LocalReply{Kind: LeasePage, Ref: m.Ref, From: m.From, Term: m.Term, Page: m.Page, Pages: m.Pages, Leases: m.Leases})
 	}
 }
 
-// voted takes a message of another voter.
-func (c *Node) voted(m *Message) {
-	if c.nameOf(m.Voter.From) == "" {
-		if len(c.heard) >= mostHeard {
-			clear(c.heard)
+// handleRaftMessage passes a message of another voter to this node's voter.
+func (n *Node) handleRaftMessage(m *Message) {
+	if n.nodeName(m.Voter.From) == "" {
+		if len(n.learnedNames) >= maxLearnedNames {
+			clear(n.learnedNames)
 		}
-		c.heard[m.Voter.From] = m.From
+		n.learnedNames[m.Voter.From] = m.From
 	}
-	if c.voter != nil && !c.hung() && c.broken == nil {
-		c.voter.Receive(m.Voter)
+	if n.voter != nil && !n.diskHung() && n.brokenErr == nil {
+		n.voter.Receive(m.Voter)
 	}
 }
--- a/internal/fleet/leaselog/node_test.go
+++ b/internal/fleet/leaselog/node_test.go
@@ -13,247 +13,248 @@
 	"curlewring/internal/fleet/lease"
 )
 
-// fleet is councils whose messages arrive at once, and whose disks end their writes at once unless they hang.
-type fleet struct {
-	t       *testing.T
-	now     time.Duration
-	view    map[string]Member
-	up      map[string]*Node
-	disks   map[string]*consensus.PersistentState
-	notes   map[string][]byte
-	hangs   map[string]bool
-	held    func(from, to string, m *Message) bool
-	told    map[string][]LocalReply
-	entries int // that some voter has saved
+// testFleet is a set of nodes whose messages arrive at once and whose disk writes end at once unless they hang.
+type testFleet struct {
+	t            *testing.T
+	now          time.Duration
+	members      map[string]Member
+	running      map[string]*Node
+	disks        map[string]*consensus.PersistentState
+	userData     map[string][]byte
+	diskHangs    map[string]bool
+	dropped      func(from, to string, m *Message) bool
+	replies      map[string][]LocalReply
+	savedEntries int // saved by any voter
 }
 
-func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{
-		t: t, now: time.Hour, view: map[string]Member{}, up: map[string]*Node{}, disks: map[string]*consensus.PersistentState{},
-		notes: map[string][]byte{}, hangs: map[string]bool{}, told: map[string][]LocalReply{},
+func newFleet(t *testing.T, names ...string) *testFleet {
+	f := &testFleet{
+		t: t, now: time.Hour, members: map[string]Member{}, running: map[string]*Node{}, disks: map[string]*consensus.PersistentState{},
+		userData: map[string][]byte{}, diskHangs: map[string]bool{}, replies: map[string][]LocalReply{},
 	}
-	for i, n := range names {
-		f.view[n] = Member{Site: fmt.Sprint("s", i%3), Addr: "127.0.0.1:1"}
-		f.disks[n] = &consensus.PersistentState{}
+	for i, name := range names {
+		f.members[name] = Member{Site: fmt.Sprint("s", i%3), Addr: "127.0.0.1:1"}
+		f.disks[name] = &consensus.PersistentState{}
 	}
-	for _, n := range names {
-		f.start(n)
+	for _, name := range names {
+		f.startNode(name)
 	}
 	return f
 }
 
-func (f *fleet) start(name string) {
-	d := f.disks[name].Clone()
-	set := Settings{Name: name, Site: f.view[name].Site, ReplaceAfter: 20 * time.Second, CompactEvery: 50, Consensus: consensus.Settings{KeepEntries: 20}}
-	f.up[name] = New(set, &d, f.notes[name], "", rank(name)+uint64(len(f.disks)), f.now)
+func (f *testFleet) startNode(name string) {
+	state := f.disks[name].Clone()
+	settings := Settings{Name: name, Site: f.members[name].Site, ReplaceAfter: 20 * time.Second, CompactEvery: 50, Consensus: consensus.Settings{KeepEntries: 20}}
+	f.running[name] = New(settings, &state, f.userData[name], "", nameHash(name)+uint64(len(f.disks)), f.now)
 }
 
-func (f *fleet) names() (all []string) {
-	for n := range f.up {
-		all = append(all, n)
+func (f *testFleet) names() (names []string) {
+	for name := range f.running {
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// settle does all that there is to do at one moment.
-func (f *fleet) settle() {
+// processPending does all that can be done at the present time.
+func (f *testFleet) processPending() {
 	for more := true; more; {
 		more = false
-		for _, n := range f.names() {
-			c := f.up[n]
-			if s := c.TakeSave(); s != nil {
+		for _, name := range f.names() {
+			n := f.running[name]
+			if save := n.TakeSave(); save != nil {
 				more = true
-				if s.NewState != nil {
-					d := s.NewState.Clone()
-					f.disks[n] = &d
+				if save.NewState != nil {
+					state := save.NewState.Clone()
+					f.disks[name] = &state
 				}
-				f.entries += len(s.Update.Entries)
-				if !f.hangs[n] {
-					f.disks[n].Apply(&s.Update)
-					if s.UserData != nil {
-						f.notes[n] = s.UserData
+				f.savedEntries += len(save.Update.Entries)
+				if !f.diskHangs[name] {
+					f.disks[name].Apply(&save.Update)
+					if save.UserData != nil {
+						f.userData[name] = save.UserData
 					}
-					c.Saved(f.now)
+					n.Saved(f.now)
 				}
 			}
-			outs, told := c.TakeOutgoing()
-			f.told[n] = append(f.told[n], told...)
-			for _, o := range outs {
+			outgoing, replies := n.TakeOutgoing()
+			f.replies[name] = append(f.replies[name], replies...)
+			for _, out := range outgoing {
 				more = true
-				to := f.up[o.To]
-				if to == nil || f.held != nil && f.held(n, o.To, o.Message) {
+				receiver := f.running[out.To]
+				if receiver == nil || f.dropped != nil && f.dropped(name, out.To, out.Message) {
 					continue
 				}
-				b, err := AppendMessage(nil, o.Message)
+				b, err := AppendMessage(nil, out.Message)
 				if err != nil {
 					f.t.Fatal(err)
 				}
-				m, err := ParseMessage(b) // as it comes over a socket
+				m, err := ParseMessage(b) // as received from a socket
 				if err != nil {
-					f.t.Fatalf("%+v: %v", o.Message, err)
+					f.t.Fatalf("%+v: %v", out.Message, err)
 				}
-				to.Receive(f.now, m)
+				receiver.Receive(f.now, m)
 			}
 		}
 	}
 }
 
-// run lets time go on.
-func (f *fleet) run(d time.Duration) {
+// advance lets time pass.
+func (f *testFleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += 100 * time.Millisecond {
-		for _, n := range f.names() {
-			f.up[n].SetMembers(f.now, f.view)
-			f.up[n].Tick(f.now)
+		for _, name := range f.names() {
+			f.running[name].SetMembers(f.now, f.members)
+			f.running[name].Tick(f.now)
 		}
-		f.settle()
+		f.processPending()
 	}
 }
 
-func (f *fleet) until(what string, within time.Duration, ok func() bool) {
+func (f *testFleet) waitFor(what string, within time.Duration, condition func() bool) {
 	f.t.Helper()
-	for end := f.now + within; !ok(); f.run(100 * time.Millisecond) {
+	for end := f.now + within; !condition(); f.advance(100 * time.Millisecond) {
 		if f.now > end {
 			f.t.Fatalf("not within %v: %s", within, what)
 		}
 	}
 }
 
-func (f *fleet) leader() *Node {
-	var best *Node
-	for _, n := range f.names() {
-		if c := f.up[n]; c.IsLeader() && (best == nil || c.Status().Term > best.Status().Term) {
-			best = c
+func (f *testFleet) leader() *Node {
+	var leader *Node
+	for _, name := range f.names() {
+		if n := f.running[name]; n.IsLeader() && (leader == nil || n.Status().Term > leader.Status().Term) {
+			leader = n
 		}
 	}
-	return best
+	return leader
 }
 
-// found founds a log, and returns what came of it.
-func (f *fleet) found(at string, voters int, names ...string) (seats VoterSet, err error) {
+// foundLog founds a log and returns its result.
+func (f *testFleet) foundLog(founder string, count int, names ...string) (voters VoterSet, err error) {
 	ended := false
-	if err := f.up[at].FoundLog(f.now, names, voters, 0, func(s VoterSet, e error) { seats, err, ended = s, e, true }); err != nil {
+	if err := f.running[founder].FoundLog(f.now, names, count, 0, func(result VoterSet, foundingErr error) { voters, err, ended = result, foundingErr, true }); err != nil {
 		return VoterSet{}, err
 	}
-	f.until("the founding's end", 40*time.Second, func() bool { return ended })
-	return seats, err
+	f.waitFor("the end of the founding", 40*time.Second, func() bool { return ended })
+	return voters, err
 }
 
-func founded(t *testing.T, nodes, voters int) (*fleet, VoterSet) {
+func newFoundedFleet(t *testing.T, nodes, voters int) (*testFleet, VoterSet) {
 	t.Helper()
 	var names []string
 	for i := range nodes {
 		names = append(names, fmt.Sprint("n", i))
 	}
 	f := newFleet(t, names...)
-	f.run(time.Second)
-	s, err := f.found("n0", voters)
+	f.advance(time.Second)
+	voterSet, err := f.foundLog("n0", voters)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.until("a leader", 10*time.Second, func() bool { return f.leader() != nil })
-	return f, s
+	f.waitFor("a leader", 10*time.Second, func() bool { return f.leader() != nil })
+	return f, voterSet
 }
 
-// ask sends a command from a node until it is answered.
-func (f *fleet) ask(node string, c lease.Command) lease.Answer {
+// sendUntilAnswered sends a command from a node until it is answered.
+func (f *testFleet) sendUntilAnswered(node string, command lease.Command) lease.Answer {
 	f.t.Helper()
 	for try := range 30 {
-		f.told[node] = nil
-		f.up[node].SendLeaseCommand(f.now, c, 0, try)
-		f.run(300 * time.Millisecond)
-		for _, m := range f.told[node] {
-			if m.Kind == CommandAnswer && m.Life == c.Holder.Life && m.Seq == c.Seq {
-				return m.Answer
+		f.replies[node] = nil
+		f.running[node].SendLeaseCommand(f.now, command, 0, try)
+		f.advance(300 * time.Millisecond)
+		for _, reply := range f.replies[node] {
+			if reply.Kind == CommandAnswer && reply.Life == command.Holder.Life && reply.Seq == command.Seq {
+				return reply.Answer
 			}
 		}
 	}
-	f.t.Fatalf("no answer to %+v", c)
+	f.t.Fatalf("no answer to %+v", command)
 	return lease.Answer{}
 }
 
-func holder(node string, life uint64) lease.Holder {
+func newHolder(node string, life uint64) lease.Holder {
 	return lease.Holder{Name: node, Incarnation: 1, Life: life}
 }
 
 func TestFounding(t *testing.T) {
-	f, s := founded(t, 7, 3)
+	f, voters := newFoundedFleet(t, 7, 3)
 	sites := map[string]bool{}
-	for _, r := range s.Rows {
-		sites[r.Site] = true
+	for _, voter := range voters.Rows {
+		sites[voter.Site] = true
 	}
-	if len(s.Rows) != 3 || len(sites) != 3 {
-		t.Errorf("voters %v: wanted one of each site", s.Rows)
+	if len(voters.Rows) != 3 || len(sites) != 3 {
+		t.Errorf("voters %v: want one in each site", voters.Rows)
 	}
-	f.until("all know", 40*time.Second, func() bool {
-		return !slices.ContainsFunc(f.names(), func(n string) bool { return f.up[n].Status().Seats.Founding != s.Founding })
+	f.waitFor("all nodes know the voters", 40*time.Second, func() bool {
+		return !slices.ContainsFunc(f.names(), func(name string) bool { return f.running[name].Status().Seats.Founding != voters.Founding })
 	})
-	// Once is enough, whoever asks and whatever for.
-	for _, at := range []string{"n0", "n3"} {
-		if again, err := f.found(at, 5); err == nil || !strings.Contains(err.Error(), "voters already") || again.Founding != s.Founding {
-			t.Errorf("%s founds a second log: %v, %v", at, again, err)
+	// A second founding must fail, at any node and with any number of voters.
+	for _, founder := range []string{"n0", "n3"} {
+		if again, err := f.foundLog(founder, 5); err == nil || !strings.Contains(err.Error(), "voters already") || again.Founding != voters.Founding {
+			t.Errorf("%s founded a second log: %v, error %v", founder, again, err)
 		}
 	}
-	for _, bad := range []struct {
+	for _, invalid := range []struct {
 		n     int
 		names []string
 	}{{2, nil}, {9, nil}, {0, nil}, {0, []string{"n0", "n1"}}, {0, []string{"n0", "n1", "nobody"}}} {
-		if _, err := f.found("n0", bad.n, bad.names...); err == nil {
-			t.Errorf("%+v was founded", bad)
+		if _, err := f.foundLog("n0", invalid.n, invalid.names...); err == nil {
+			t.Errorf("FoundLog accepted %+v", invalid)
 		}
 	}
 	alone := newFleet(t, "n0")
-	if _, err := alone.found("n0", 1); err == nil {
-		t.Error("a node in no view founds")
+	if _, err := alone.foundLog("n0", 1); err == nil {
+		t.Error("a node outside the membership view founded a log")
 	}
 }
 
-// A founder that ends at any moment leaves nothing that a second founding, at another node, can't bring to one log.
-func TestFoundersThatEnd(t *testing.T) {
-	for _, cut := range []time.Duration{200, 1600, 1800, 1900, 2000, 2100, 2300, 2600} {
+// A founding that is interrupted at any time must leave a state from which a second founding, at another node,
+// leads to one log.
+func TestInterruptedFoundingCanBeCompleted(t *testing.T) {
+	for _, interruptedAfter := range []time.Duration{200, 1600, 1800, 1900, 2000, 2100, 2300, 2600} {
 		f := newFleet(t, "n0", "n1", "n2", "n3", "n4")
-		f.run(time.Second)
-		if err := f.up["n0"].FoundLog(f.now, []string{"n1", "n2", "n3"}, 0, 0, func(VoterSet, error) {}); err != nil {
+		f.advance(time.Second)
+		if err := f.running["n0"].FoundLog(f.now, []string{"n1", "n2", "n3"}, 0, 0, func(VoterSet, error) {}); err != nil {
 			t.Fatal(err)
 		}
-		lost := 0
-		f.held = func(from, _ string, m *Message) bool { // a third of what it says is lost
-			lost++
-			return from == "n0" && lost%3 == 0
+		messages := 0
+		f.dropped = func(from, _ string, m *Message) bool { // drop a third of the founder's messages
+			messages++
+			return from == "n0" && messages%3 == 0
 		}
-		f.run(cut * time.Millisecond)
-		f.held = nil
-		delete(f.up, "n0")
-		f.run(time.Second)
-		f.found("n4", 3)
-		f.found("n4", 3) // says that there are voters, and ends what was half done
-		f.until("a leader", 10*time.Second, func() bool { return f.leader() != nil })
+		f.advance(interruptedAfter * time.Millisecond)
+		f.dropped = nil
+		delete(f.running, "n0")
+		f.advance(time.Second)
+		f.foundLog("n4", 3)
+		f.foundLog("n4", 3) // reports that there are voters, and completes the interrupted founding
+		f.waitFor("a leader", 10*time.Second, func() bool { return f.leader() != nil })
 		logs := map[uint64]bool{}
-		for _, n := range f.names() {
-			if s := f.up[n].Status(); s.Voter && s.Applied > 0 {
-				logs[s.Seats.Founding] = true
+		for _, name := range f.names() {
+			if status := f.running[name].Status(); status.Voter && status.Applied > 0 {
+				logs[status.Seats.Founding] = true
 			}
 		}
 		if len(logs) != 1 {
-			t.Errorf("cut after %v: %d logs", cut*time.Millisecond, len(logs))
+			t.Errorf("interrupted after %v: %d logs, want 1", interruptedAfter*time.Millisecond, len(logs))
 		}
 	}
 }
 
-// Two who found at once make one log, or none.
-func TestTwoFounders(t *testing.T) {
+// Two concurrent foundings must result in at most one log.
+func TestConcurrentFoundings(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := newFleet(t, "n0", "n1", "n2", "n3", "n4")
-		f.run(time.Second)
-		f.up["n0"].FoundLog(f.now, nil, 3, 0, func(VoterSet, error) {})
-		f.run(time.Duration(rng.IntN(25)) * 100 * time.Millisecond)
-		f.up["n1"].FoundLog(f.now, []string{"n2", "n3", "n4"}, 0, 0, func(VoterSet, error) {})
-		f.run(30 * time.Second)
+		f.advance(time.Second)
+		f.running["n0"].FoundLog(f.now, nil, 3, 0, func(VoterSet, error) {})
+		f.advance(time.Duration(rng.IntN(25)) * 100 * time.Millisecond)
+		f.running["n1"].FoundLog(f.now, []string{"n2", "n3", "n4"}, 0, 0, func(VoterSet, error) {})
+		f.advance(30 * time.Second)
 		leaders := map[uint64]int{}
-		for _, n := range f.names() {
-			if f.up[n].IsLeader() {
-				leaders[f.up[n].Status().Seats.Founding]++
+		for _, name := range f.names() {
+			if f.running[name].IsLeader() {
+				leaders[f.running[name].Status().Seats.Founding]++
 			}
 		}
 		if len(leaders) > 1 {
@@ -262,356 +263,361 @@
 	}
 }
 
-func TestAskingWithoutVoters(t *testing.T) {
-	f := newFleet(t, "n0", "n1", "n2")
-	f.run(time.Second)
-	c := lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 5), Seq: 1, TTL: time.Second}
-	if err := f.up["n0"].SendLeaseCommand(f.now, c, 0, 0); !errors.Is(err, ErrNoVoters) {
+func TestCommandWithoutVoters(t *testing.T) {
+	unfounded := newFleet(t, "n0", "n1", "n2")
+	unfounded.advance(time.Second)
+	command := lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder("n0", 5), Seq: 1, TTL: time.Second}
+	if err := unfounded.running["n0"].SendLeaseCommand(unfounded.now, command, 0, 0); !errors.Is(err, ErrNoVoters) {
 		t.Errorf("%v", err)
 	}
-	g, s := founded(t, 5, 3)
-	for _, r := range s.Rows[:2] { // a majority
-		delete(g.up, r.Name)
+	founded, voters := newFoundedFleet(t, 5, 3)
+	for _, voter := range voters.Rows[:2] { // stop a majority
+		delete(founded.running, voter.Name)
 	}
-	g.run(5 * time.Second)
-	asker := ""
-	for _, n := range g.names() {
-		if _, seated := s.of(n); !seated {
-			asker = n
+	founded.advance(5 * time.Second)
+	sender := ""
+	for _, name := range founded.names() {
+		if _, isVoter := voters.byName(name); !isVoter {
+			sender = name
 		}
 	}
-	g.told[asker] = nil
+	founded.replies[sender] = nil
 	for try := range 3 {
-		g.up[asker].SendLeaseCommand(g.now, lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder(asker, 5), Seq: 1, TTL: time.Second}, 0, try)
+		founded.running[sender].SendLeaseCommand(founded.now, lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder(sender, 5), Seq: 1, TTL: time.Second}, 0, try)
 	}
-	g.settle()
-	if len(g.told[asker]) != 1 || g.told[asker][0].Kind != CannotServe || g.told[asker][0].Seq != 1 {
-		t.Errorf("the one voter that is left says %+v", g.told[asker])
+	founded.processPending()
+	if len(founded.replies[sender]) != 1 || founded.replies[sender][0].Kind != CannotServe || founded.replies[sender][0].Seq != 1 {
+		t.Errorf("replies of the one remaining voter: %+v, want CannotServe", founded.replies[sender])
 	}
 }
 
-// A disk that does not end its write keeps its voter silent: another leads, and what it is asked is not swallowed.
-func TestADiskThatHangs(t *testing.T) {
-	f, _ := founded(t, 5, 3)
-	was := f.leader()
-	name := was.set.Name
-	f.hangs[name] = true
-	c := lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 5), Seq: 1, TTL: time.Minute}
-	was.SendLeaseCommand(f.now, c, 0, 0)
-	f.until("another leads", 10*time.Second, func() bool { l := f.leader(); return l != nil && l != was })
-	f.run(3 * time.Second)
-	if s := was.Status(); !s.Hung || s.Leads {
-		t.Errorf("%+v", s)
-	}
-	if a := f.ask("n0", c); a.Outcome != lease.Granted {
-		t.Errorf("%+v", a)
-	}
-	f.told[name] = nil
-	was.take(&Message{Kind: SubmitCommand, From: name, Command: &ForwardedCommand{Command: c, Origin: name}})
-	was.settle()
-	f.settle()
-	if len(f.told[name]) != 1 || f.told[name][0].Kind != CannotServe {
-		t.Errorf("asked while its disk hangs: %+v", f.told[name])
+// A voter whose disk write hangs must stay silent so that another one leads, and must answer commands with
+// CannotServe.
+func TestHungDiskLosesLeadership(t *testing.T) {
+	f, _ := newFoundedFleet(t, 5, 3)
+	hung := f.leader()
+	name := hung.settings.Name
+	f.diskHangs[name] = true
+	command := lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder("n0", 5), Seq: 1, TTL: time.Minute}
+	hung.SendLeaseCommand(f.now, command, 0, 0)
+	f.waitFor("another leader", 10*time.Second, func() bool { leader := f.leader(); return leader != nil && leader != hung })
+	f.advance(3 * time.Second)
+	if status := hung.Status(); !status.Hung || status.Leads {
+		t.Errorf("status of the hung voter: %+v", status)
+	}
+	if answer := f.sendUntilAnswered("n0", command); answer.Outcome != lease.Granted {
+		t.Errorf("answer: %+v, want Granted", answer)
+	}
+	f.replies[name] = nil
+	hung.handle(&Message{Kind: SubmitCommand, From: name, Command: &ForwardedCommand{Command: command, Origin: name}})
+	hung.processPending()
+	f.processPending()
+	if len(f.replies[name]) != 1 || f.replies[name][0].Kind != CannotServe {
+		t.Errorf("replies while the disk hangs: %+v, want CannotServe", f.replies[name])
 	}
 }
 
-// What came while the disk was at work goes into one entry.
-func TestRequestsShareEntries(t *testing.T) {
-	f, _ := founded(t, 3, 3)
-	l := f.leader()
-	f.entries = 0
-	const n = 1000
-	for i := range uint64(n) {
-		l.SendLeaseCommand(f.now, lease.Command{Op: lease.Acquire, Lease: fmt.Sprint("l", i), Holder: holder(l.set.Name, i+1), Seq: 1, TTL: time.Minute}, 0, 0)
+// Commands that arrive during a disk write must share one entry.
+func TestCommandsShareEntries(t *testing.T) {
+	f, _ := newFoundedFleet(t, 3, 3)
+	leader := f.leader()
+	f.savedEntries = 0
+	const commands = 1000
+	for i := range uint64(commands) {
+		leader.SendLeaseCommand(f.now, lease.Command{Op: lease.Acquire, Lease: fmt.Sprint("l", i), Holder: newHolder(leader.settings.Name, i+1), Seq: 1, TTL: time.Minute}, 0, 0)
 	}
-	f.run(2 * time.Second)
+	f.advance(2 * time.Second)
 	granted := 0
-	for _, m := range f.told[l.set.Name] {
-		if m.Kind == CommandAnswer && m.Answer.Outcome == lease.Granted {
+	for _, reply := range f.replies[leader.settings.Name] {
+		if reply.Kind == CommandAnswer && reply.Answer.Outcome == lease.Granted {
 			granted++
 		}
 	}
-	if granted != n || f.entries > 3*12 {
-		t.Errorf("%d granted of %d, by %d entries at three voters", granted, n, f.entries)
+	if granted != commands || f.savedEntries > 3*12 {
+		t.Errorf("%d of %d commands granted, with %d entries saved by three voters", granted, commands, f.savedEntries)
 	}
-	if err := l.RequestLeaseList(f.now, 9, 0); err != nil {
+	if err := leader.RequestLeaseList(f.now, 9, 0); err != nil {
 		t.Fatal(err)
 	}
-	f.settle()
+	f.processPending()
 	listed, pages := 0, 0
-	for _, m := range f.told[l.set.Name] {
-		if m.Kind == LeasePage {
-			listed, pages = listed+len(m.Leases), m.Pages
+	for _, reply := range f.replies[leader.settings.Name] {
+		if reply.Kind == LeasePage {
+			listed, pages = listed+len(reply.Leases), reply.Pages
 		}
 	}
-	if listed != n || pages != (n+mostListed-1)/mostListed {
-		t.Errorf("%d listed on %d pages", listed, pages)
+	if listed != commands || pages != (commands+maxLeasesPerPage-1)/maxLeasesPerPage {
+		t.Errorf("%d leases listed on %d pages", listed, pages)
 	}
 }
 
-// An operator's word that comes twice takes a lease away once.
-func TestForceTwice(t *testing.T) {
-	f, _ := founded(t, 3, 3)
+// A forced release that is sent twice must release the lease only once.
+func TestForceReleaseIsIdempotent(t *testing.T) {
+	f, _ := newFoundedFleet(t, 3, 3)
 	for life := range uint64(3) {
-		f.ask("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", life+1), Seq: 1, TTL: time.Hour})
+		f.sendUntilAnswered("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder("n0", life+1), Seq: 1, TTL: time.Hour})
 	}
 	force := lease.Command{Op: lease.ForceRelease, Lease: "l", Token: 1}
 	for ref := range uint64(2) {
-		f.up["n1"].SendLeaseCommand(f.now, force, ref+7, 0)
-		f.run(300 * time.Millisecond)
+		f.running["n1"].SendLeaseCommand(f.now, force, ref+7, 0)
+		f.advance(300 * time.Millisecond)
 	}
-	l, _ := f.leader().machine.Lease("l")
-	if l.Holder.Life != 2 || l.Token != 2 {
-		t.Errorf("%+v", l)
+	leaseRecord, _ := f.leader().stateMachine.Lease("l")
+	if leaseRecord.Holder.Life != 2 || leaseRecord.Token != 2 {
+		t.Errorf("lease: %+v, want life 2 and token 2", leaseRecord)
 	}
 }
 
-// Ends and drops are the leader's own: nobody can ask for them.
-func TestOnlyTheLeaderEnds(t *testing.T) {
-	f, _ := founded(t, 3, 3)
-	f.ask("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: holder("n0", 1), Seq: 1, TTL: time.Hour})
-	l, _ := f.leader().machine.Lease("l")
+// Expire commands of other nodes must be dropped: only the leader may issue them.
+func TestOnlyTheLeaderExpiresLeases(t *testing.T) {
+	f, _ := newFoundedFleet(t, 3, 3)
+	f.sendUntilAnswered("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder("n0", 1), Seq: 1, TTL: time.Hour})
+	leaseRecord, _ := f.leader().stateMachine.Lease("l")
 	for try := range 3 {
-		f.up["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.Expire, Lease: "l", Holder: l.Holder, Serial: l.Serial}, 0, try)
+		f.running["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.Expire, Lease: "l", Holder: leaseRecord.Holder, Serial: leaseRecord.Serial}, 0, try)
 	}
-	f.run(time.Second)
-	if l, _ := f.leader().machine.Lease("l"); l.Holder.Life != 1 {
-		t.Errorf("%+v", l)
+	f.advance(time.Second)
+	if leaseRecord, _ := f.leader().stateMachine.Lease("l"); leaseRecord.Holder.Life != 1 {
+		t.Errorf("lease: %+v, want life 1", leaseRecord)
 	}
 }
 
-// A voter that meets an entry of a later program's stops, and tells why: it must not leave out what others apply.
-func TestEntriesOfALaterVersion(t *testing.T) {
-	f, _ := founded(t, 3, 3)
-	l := f.leader()
-	if err := l.voter.Propose(appendEntry(nil, &entry{Level: level + 1})); err != nil {
+// A voter that reads an entry of a later program version must stop and report the reason: skipping the entry would
+// make its state differ from that of the other voters.
+func TestEntryOfLaterVersionStopsVoter(t *testing.T) {
+	f, _ := newFoundedFleet(t, 3, 3)
+	leader := f.leader()
+	if err := leader.voter.Propose(appendEntry(nil, &logEntry{Version: entryVersion + 1})); err != nil {
 		t.Fatal(err)
 	}
-	f.run(time.Second)
-	for _, n := range f.names() {
-		c := f.up[n]
-		if c.Broken() == nil || !strings.Contains(c.Broken().Error(), "level 2") || c.IsLeader() && c.toLeader(&Message{}) == n {
-			t.Errorf("%s goes on: %v", n, c.Broken())
+	f.advance(time.Second)
+	for _, name := range f.names() {
+		n := f.running[name]
+		if n.Broken() == nil || !strings.Contains(n.Broken().Error(), "has version 2,") || n.IsLeader() && n.forwardTarget(&Message{}) == name {
+			t.Errorf("%s was not stopped by the entry: %v", name, n.Broken())
 		}
-		f.start(n)
+		f.startNode(name)
 	}
-	f.run(5 * time.Second)
-	if f.up["n0"].Broken() == nil {
-		t.Error("the entry is forgotten after a start")
+	f.advance(5 * time.Second)
+	if f.running["n0"].Broken() == nil {
+		t.Error("the voter was not stopped by the entry after a restart")
 	}
-	// A message of a later version's kind is passed over.
+	// A message of an unknown kind must be rejected.
 	b, _ := AppendMessage(nil, &Message{Kind: NoVotersKnown + 1, From: "n0"})
 	if _, err := ParseMessage(b); err == nil {
-		t.Error("a kind that is not known was taken")
+		t.Error("a message of an unknown kind was parsed")
 	}
 }
 
-// A seat goes to a node that answers, of the site that has least; a voter that comes back gives its number up.
-func TestASeatGoesToAnother(t *testing.T) {
-	f, s := founded(t, 9, 3)
-	l := f.leader()
-	gone := ""
-	for _, r := range s.Rows {
-		if r.Name != l.set.Name {
-			gone = r.Name
+// An absent voter must be replaced by a node that answers, in the site with the fewest voters. A replaced voter
+// that returns must discard its voter ID.
+func TestAbsentVoterIsReplaced(t *testing.T) {
+	f, voters := newFoundedFleet(t, 9, 3)
+	leader := f.leader()
+	absent := ""
+	for _, voter := range voters.Rows {
+		if voter.Name != leader.settings.Name {
+			absent = voter.Name
 		}
 	}
-	site := f.view[gone].Site
-	was := f.up[gone]
-	delete(f.up, gone)
-	member := f.view[gone]
-	delete(f.view, gone)
-	f.run(19 * time.Second)
-	if _, still := f.leader().seats.of(gone); !still {
-		t.Fatal("it was replaced before its time")
-	}
-	deaf := choose(f.view, slices.DeleteFunc(slices.Clone(s.Rows), func(r VoterInfo) bool { return r.Name == gone }), 1)[0]
-	f.held = func(_, to string, m *Message) bool { return to == deaf && m.Kind == RequestID }
-	f.until("another has the seat", 30*time.Second, func() bool { _, still := f.leader().seats.of(gone); return !still })
-	for _, r := range f.leader().seats.Rows {
-		if _, old := s.of(r.Name); !old && (r.Site != site || r.Name == deaf || r.Addr == "") {
-			t.Errorf("%+v has the seat of %s in %s; %s is deaf", r, gone, site, deaf)
+	site := f.members[absent].Site
+	absentNode := f.running[absent]
+	delete(f.running, absent)
+	member := f.members[absent]
+	delete(f.members, absent)
+	f.advance(19 * time.Second)
+	if _, isVoter := f.leader().voters.byName(absent); !isVoter {
+		t.Fatal("the voter was replaced before ReplaceAfter")
+	}
+	unreachable := chooseVoters(f.members, slices.DeleteFunc(slices.Clone(voters.Rows), func(voter VoterInfo) bool { return voter.Name == absent }), 1)[0]
+	f.dropped = func(_, to string, m *Message) bool { return to == unreachable && m.Kind == RequestID }
+	f.waitFor("the replacement of the voter", 30*time.Second, func() bool { _, isVoter := f.leader().voters.byName(absent); return !isVoter })
+	for _, voter := range f.leader().voters.Rows {
+		if _, wasVoter := voters.byName(voter.Name); !wasVoter && (voter.Site != site || voter.Name == unreachable || voter.Addr == "") {
+			t.Errorf("%+v replaced %s in %s; %s does not receive requests", voter, absent, site, unreachable)
 		}
 	}
-	// As long as the voters have not changed as the seats have, it is one of those whose majority counts.
-	for _, n := range f.names() {
-		f.up[n].decided = f.now + time.Hour
+	// As long as raft's configuration has not changed, the old voter counts towards the majority and must keep its
+	// ID.
+	for _, name := range f.names() {
+		f.running[name].lastVoterCheck = f.now + time.Hour
 	}
-	f.view[gone], f.up[gone] = member, was
-	f.run(35 * time.Second)
-	if l := f.leader(); l == nil || l.agreed() || !f.up[gone].Status().Voter {
-		t.Error("it gave its number up before another had its voice, or the voters had changed already")
+	f.members[absent], f.running[absent] = member, absentNode
+	f.advance(35 * time.Second)
+	if leader := f.leader(); leader == nil || leader.votersSettled() || !f.running[absent].Status().Voter {
+		t.Error("the old voter discarded its ID before raft's configuration changed, or that had changed already")
 	}
-	for _, n := range f.names() {
-		f.up[n].decided = 0
+	for _, name := range f.names() {
+		f.running[name].lastVoterCheck = 0
 	}
-	f.until("it gives its number up", 40*time.Second, func() bool { return !f.up[gone].Status().Voter })
-	if f.disks[gone].ID != 0 {
-		t.Error("its disk keeps the number")
+	f.waitFor("the discarding of the voter ID", 40*time.Second, func() bool { return !f.running[absent].Status().Voter })
+	if f.disks[absent].ID != 0 {
+		t.Error("the voter ID is still on disk")
 	}
 }
 
-// A majority that is all in one lost site: nothing goes on, and nothing is replaced, until it is back.
-func TestAMajorityIsLost(t *testing.T) {
-	f, s := founded(t, 7, 3)
-	away := map[string]*Node{}
-	for _, r := range s.Rows[:2] {
-		away[r.Name] = f.up[r.Name]
-		delete(f.up, r.Name)
-		delete(f.view, r.Name)
+// If a majority is lost with one site, the log must stop and no voter may be replaced until the majority is back.
+func TestLostMajorityStopsTheLog(t *testing.T) {
+	f, voters := newFoundedFleet(t, 7, 3)
+	stopped := map[string]*Node{}
+	for _, voter := range voters.Rows[:2] {
+		stopped[voter.Name] = f.running[voter.Name]
+		delete(f.running, voter.Name)
+		delete(f.members, voter.Name)
 	}
-	f.run(60 * time.Second)
-	if f.leader() != nil || f.up[s.Rows[2].Name].seats.Index != s.Index {
-		t.Error("a minority goes on")
+	f.advance(60 * time.Second)
+	if f.leader() != nil || f.running[voters.Rows[2].Name].voters.Index != voters.Index {
+		t.Error("a minority elected a leader or changed the voter set")
 	}
-	for n := range away { // new processes on the old disks
-		f.view[n] = Member{Site: "s0"}
-		f.start(n)
+	for name := range stopped { // restart with the old disks
+		f.members[name] = Member{Site: "s0"}
+		f.startNode(name)
 	}
-	f.until("a leader again", 10*time.Second, func() bool { return f.leader() != nil })
+	f.waitFor("a leader again", 10*time.Second, func() bool { return f.leader() != nil })
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseVotersBalancesSites(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		members, sizes := map[string]Member{}, map[string]int{}
+		members, nodesPerSite := map[string]Member{}, map[string]int{}
 		for i := range 1 + rng.IntN(30) {
 			site := fmt.Sprint("s", rng.IntN(1+rng.IntN(6)))
 			members[fmt.Sprint("n", i)] = Member{Site: site}
-			sizes[site]++
+			nodesPerSite[site]++
 		}
 		n := min(1+2*rng.IntN(4), len(members))
-		names := choose(members, nil, n)
-		count := map[string]int{}
+		names := chooseVoters(members, nil, n)
+		votersPerSite := map[string]int{}
 		for _, name := range names {
-			count[members[name].Site]++
+			votersPerSite[members[name].Site]++
 		}
 		if len(names) != n {
-			t.Fatalf("seed %d: %d of %d", seed, len(names), n)
+			t.Fatalf("seed %d: %d voters chosen, want %d", seed, len(names), n)
 		}
-		for a := range sizes {
-			for b := range sizes {
-				if count[a] > count[b]+1 && count[b] < sizes[b] {
-					t.Fatalf("seed %d: %v of %v", seed, count, sizes)
+		for a := range nodesPerSite {
+			for b := range nodesPerSite {
+				if votersPerSite[a] > votersPerSite[b]+1 && votersPerSite[b] < nodesPerSite[b] {
+					t.Fatalf("seed %d: voters per site %v, nodes per site %v", seed, votersPerSite, nodesPerSite)
 				}
 			}
 		}
-		if again := choose(members, nil, n); !slices.Equal(names, again) {
-			t.Fatalf("seed %d: %v, then %v", seed, names, again)
+		if again := chooseVoters(members, nil, n); !slices.Equal(names, again) {
+			t.Fatalf("seed %d: first choice %v, second choice %v", seed, names, again)
 		}
 	}
 }
 
-// Two disks are lost: the second seat is not given on before the first newcomer has what is agreed on, as both together
-// would make a majority with one of the others that knows nothing.
-func TestOneNewcomerAtATime(t *testing.T) {
-	f, s := founded(t, 5, 5)
-	l := f.leader().set.Name
+// If two disks are lost, the second voter must not be replaced before the first replacement has caught up: both
+// together with one other voter would be a majority that lacks committed entries.
+func TestOneReplacementAtATime(t *testing.T) {
+	f, voters := newFoundedFleet(t, 5, 5)
+	leader := f.leader().settings.Name
 	var lost []string
-	for _, r := range s.Rows {
-		if r.Name != l && len(lost) < 2 {
-			lost = append(lost, r.Name)
+	for _, voter := range voters.Rows {
+		if voter.Name != leader && len(lost) < 2 {
+			lost = append(lost, voter.Name)
 		}
 	}
-	for _, n := range lost {
-		f.disks[n], f.notes[n] = &consensus.PersistentState{}, nil
-		f.start(n)
+	for _, name := range lost {
+		f.disks[name], f.userData[name] = &consensus.PersistentState{}, nil
+		f.startNode(name)
 	}
-	f.held = func(from, to string, m *Message) bool { // newcomers take nothing in
+	f.dropped = func(from, to string, m *Message) bool { // keep the replacements from catching up
 		return m.Kind == RaftMessage && m.Voter.Raft != nil && slices.Contains(lost, to)
 	}
-	changed := func() (n int) {
-		for _, r := range f.leader().seats.Rows {
-			if old, _ := s.of(r.Name); old.ID != r.ID {
-				n++
+	changed := func() (count int) {
+		for _, voter := range f.leader().voters.Rows {
+			if old, _ := voters.byName(voter.Name); old.ID != voter.ID {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	f.run(15 * time.Second)
-	if n := changed(); n != 1 {
-		t.Errorf("%d seats were given on before any newcomer has taken anything in", n)
+	f.advance(15 * time.Second)
+	if count := changed(); count != 1 {
+		t.Errorf("%d voters were replaced before the first replacement caught up, want 1", count)
 	}
-	f.held = nil
-	f.until("both are in", 20*time.Second, func() bool { return f.leader() != nil && changed() == 2 })
+	f.dropped = nil
+	f.waitFor("both replacements", 20*time.Second, func() bool { return f.leader() != nil && changed() == 2 })
 }
 
-// A voter's disk is lost, and another voter ends so many messages after it is taken in anew. Its old number counts until
-// the voters have changed, so that may leave no majority until the other is back; once both that are left say that the
-// change has ended, they must go on by themselves.
-func TestASecondLossAfterALostDisk(t *testing.T) {
-	early, late := 0, 0
+// One voter's disk is lost, and another voter stops some messages after the replacement starts to catch up. The
+// lost voter ID counts until raft's configuration has changed, so there may be no majority until the stopped voter
+// is back. Once both remaining voters report that the change is complete, they must elect a leader by themselves.
+func TestSecondLossAfterLostDisk(t *testing.T) {
+	withoutMajority, afterChange := 0, 0
 	for _, ofLeader := range []bool{true, false} {
 		for messages := range 24 {
-			f, seats := founded(t, 5, 3)
-			loss := newSecondLoss(f, seats, ofLeader)
-			settled := loss.play(messages)
-			f.run(10 * time.Second)
-			switch led := f.leader() != nil; {
-			case settled && !led:
-				t.Errorf("leader %v, after %d messages: no leader, though the change of voters had ended", ofLeader, messages)
+			f, voters := newFoundedFleet(t, 5, 3)
+			scenario := newSecondLoss(f, voters, ofLeader)
+			settled := scenario.play(messages)
+			f.advance(10 * time.Second)
+			switch hasLeader := f.leader() != nil; {
+			case settled && !hasLeader:
+				t.Errorf("leader stopped %v, after %d messages: no leader, though the voter change was complete", ofLeader, messages)
 			case settled:
-				late++
-			case !led:
-				early++
+				afterChange++
+			case !hasLeader:
+				withoutMajority++
 			}
-			f.held = nil
-			f.start(loss.second)
-			f.until("a leader once the other is back", 20*time.Second, func() bool { return f.leader() != nil })
+			f.dropped = nil
+			f.startNode(scenario.stopped)
+			f.waitFor("a leader after the restart of the stopped voter", 20*time.Second, func() bool { return f.leader() != nil })
 		}
 	}
-	if early == 0 || late == 0 {
-		t.Errorf("%d losses that leave no majority, and %d after the change: the test shows nothing", early, late)
+	if withoutMajority == 0 || afterChange == 0 {
+		t.Errorf("%d losses left no majority, and %d came after the voter change: want some of both", withoutMajority, afterChange)
 	}
 }
 
-// secondLoss is a voter that ends while another, whose disk was lost, is taken in anew.
-type secondLoss struct {
-	*fleet
-	leader, lost, second, rest string
-	was                        uint64 // the number whose disk is lost
+// secondLossScenario stops a voter while another one, whose disk was lost, is being replaced.
+type secondLossScenario struct {
+	*testFleet
+	leaderName, diskLost, stopped, remaining string
+	lostID                                   uint64 // the voter ID whose disk is lost
 }
 
-func newSecondLoss(f *fleet, seats VoterSet, ofLeader bool) *secondLoss {
-	l := &secondLoss{fleet: f, leader: f.leader().set.Name}
-	others := slices.DeleteFunc(seats.nodes(), func(n string) bool { return n == l.leader })
-	l.lost, l.second, l.rest = others[0], others[1], l.leader
+func newSecondLoss(f *testFleet, voters VoterSet, ofLeader bool) *secondLossScenario {
+	scenario := &secondLossScenario{testFleet: f, leaderName: f.leader().settings.Name}
+	others := slices.DeleteFunc(voters.nodeNames(), func(name string) bool { return name == scenario.leaderName })
+	scenario.diskLost, scenario.stopped, scenario.remaining = others[0], others[1], scenario.leaderName
 	if ofLeader {
-		l.second, l.rest = l.leader, others[1]
+		scenario.stopped, scenario.remaining = scenario.leaderName, others[1]
 	}
-	old, _ := seats.of(l.lost)
-	l.was = old.ID
-	return l
+	old, _ := voters.byName(scenario.diskLost)
+	scenario.lostID = old.ID
+	return scenario
 }
 
-// play loses the disk and then the other voter, so many messages after the first is taken in. It tells whether both voters that
-// are left say that the change has ended.
-func (l *secondLoss) play(messages int) (settled bool) {
-	l.disks[l.lost], l.notes[l.lost] = &consensus.PersistentState{}, nil
-	l.start(l.lost)
+// play loses the disk, and stops the other voter the given number of messages after the replacement starts to
+// catch up. It reports whether both remaining voters consider the voter change complete.
+func (s *secondLossScenario) play(messages int) (settled bool) {
+	s.disks[s.diskLost], s.userData[s.diskLost] = &consensus.PersistentState{}, nil
+	s.startNode(s.diskLost)
 	ended := false
-	l.held = func(from, to string, _ *Message) bool {
-		if !ended && l.takenIn() {
+	s.dropped = func(from, to string, _ *Message) bool {
+		if !ended && s.replacementCatchingUp() {
 			messages--
 			ended = messages < 0
 		}
-		return ended && (from == l.second || to == l.second)
+		return ended && (from == s.stopped || to == s.stopped)
 	}
-	l.until("the second loss", 20*time.Second, func() bool { return ended })
-	delete(l.up, l.second)
-	return l.settled(l.lost) && l.settled(l.rest)
+	s.waitFor("the second loss", 20*time.Second, func() bool { return ended })
+	delete(s.running, s.stopped)
+	return s.settled(s.diskLost) && s.settled(s.remaining)
 }
 
-// takenIn tells whether the leader has given the seat to the new number, and that has begun to take in the log.
-func (l *secondLoss) takenIn() bool {
-	seats := l.up[l.leader].Status().Seats
-	seat, _ := seats.of(l.lost)
-	newcomer := l.up[l.lost].Status()
-	return seat.ID != l.was && newcomer.ID == seat.ID && newcomer.Applied > 1
+// replacementCatchingUp reports whether the voter set has the new ID and the new voter has started to apply the
+// log.
+func (s *secondLossScenario) replacementCatchingUp() bool {
+	voters := s.running[s.leaderName].Status().Seats
+	voter, _ := voters.byName(s.diskLost)
+	newVoter := s.running[s.diskLost].Status()
+	return voter.ID != s.lostID && newVoter.ID == voter.ID && newVoter.Applied > 1
 }
 
-func (l *secondLoss) settled(name string) bool {
-	s := l.up[name].Status()
-	_, old := s.Seats.by(l.was)
-	return s.Settled && !old
+func (s *secondLossScenario) settled(name string) bool {
+	status := s.running[name].Status()
+	_, isVoter := status.Seats.byID(s.lostID)
+	return status.Settled && !isVoter
 }
--- a/internal/fleet/leaselog/replacement.go
+++ b/internal/fleet/leaselog/replacement.go
@@ -8,275 +8,280 @@
 	"curlewring/internal/fleet/consensus"
 )
 
-// seek finds out who votes, and says that this node's old disk is lost where it has a seat under another number.
-func (c *Node) seek() {
-	s := &c.note.Seats
-	if c.now >= c.askSeats {
-		every := askSeatsKnown
-		if s.Founding == 0 {
-			every = askSeatsUnknown
+// discoverVoters queries the known voters from time to time. If this node is in the voter set without the voter's
+// disk, it draws a new ID and reports it to the other voters.
+func (n *Node) discoverVoters() {
+	voters := &n.localRecord.Voters
+	if n.now >= n.nextVoterQuery {
+		interval := voterQueryIntervalKnown
+		if voters.Founding == 0 {
+			interval = voterQueryIntervalUnknown
 		}
-		c.askSeats = c.now + every
-		if to := c.somebody(); to != "" {
-			c.send(to, &Message{Kind: QueryVoters})
+		n.nextVoterQuery = n.now + interval
+		if target := n.queryTarget(); target != "" {
+			n.send(target, &Message{Kind: QueryVoters})
 		}
 	}
-	own, seated := s.of(c.set.Name)
-	if !seated || c.hung() || c.broken != nil {
+	own, isVoter := voters.byName(n.settings.Name)
+	if !isVoter || n.diskHung() || n.brokenErr != nil {
 		return
 	}
-	if c.voter == nil && c.begin == nil && c.saving == nil || c.voter != nil && !c.applies() && c.note.Pledged != s.Founding {
-		c.draw(s.Founding) // a seat, and no disk
+	if n.voter == nil && n.newState == nil && n.pendingSave == nil || n.voter != nil && !n.hasAppliedState() && n.localRecord.IDFounding != voters.Founding {
+		n.drawID(voters.Founding) // in the voter set, but its disk was lost
 		return
 	}
-	if c.voter != nil && c.voter.ID() != own.ID && c.now >= c.asNewcomer {
-		c.asNewcomer = c.now + newcomerEvery
-		for _, r := range s.Rows {
-			if r.Name != c.set.Name {
-				c.send(r.Name, &Message{Kind: ReplacementVoter, Founding: s.Founding, ID: c.voter.ID()})
+	if n.voter != nil && n.voter.ID() != own.ID && n.now >= n.nextLossReport {
+		n.nextLossReport = n.now + lossReportInterval
+		for _, voter := range voters.Rows {
+			if voter.Name != n.settings.Name {
+				n.send(voter.Name, &Message{Kind: ReplacementVoter, Founding: voters.Founding, ID: n.voter.ID()})
 			}
 		}
 	}
 }
 
-// somebody is whom to ask who votes: one who does, or any member.
-func (c *Node) somebody() string {
+// queryTarget returns a random voter to query, or any member if no voters are known.
+func (n *Node) queryTarget() string {
 	var names []string
-	for _, r := range c.note.Seats.Rows {
-		names = append(names, r.Name)
+	for _, voter := range n.localRecord.Voters.Rows {
+		names = append(names, voter.Name)
 	}
 	if len(names) == 0 {
-		names = slices.Sorted(maps.Keys(c.members))
+		names = slices.Sorted(maps.Keys(n.members))
 	}
-	names = slices.DeleteFunc(names, func(n string) bool { return n == c.set.Name })
+	names = slices.DeleteFunc(names, func(name string) bool { return name == n.settings.Name })
 	if len(names) == 0 {
 		return ""
 	}
-	return names[c.rng.IntN(len(names))]
+	return names[n.rng.IntN(len(names))]
 }
 
-// draw draws a number for a log, and starts a voter that knows nothing yet.
-func (c *Node) draw(founding uint64) {
-	c.note.Pledged = founding
-	c.begin = &consensus.PersistentState{ID: c.rng.Uint64() | 1}
+// drawID draws a voter ID for a log, and prepares an empty voter.
+func (n *Node) drawID(founding uint64) {
+	n.localRecord.IDFounding = founding
+	n.newState = &consensus.PersistentState{ID: n.rng.Uint64() | 1}
 }
 
-// seated takes who votes, as another knows it.
-func (c *Node) seated(m *Message) {
-	if f := c.founding; f != nil && m.Founding == f.id {
-		f.heard(m)
+// handleVotersKnown takes over a voter set that another node reports.
+func (n *Node) handleVotersKnown(m *Message) {
+	if f := n.founding; f != nil && m.Founding == f.id {
+		f.receiveVoterSet(m)
 	}
-	c.learn(*m.VoterSet)
+	n.learnVoters(*m.VoterSet)
 	if m.StartVoter {
-		c.beginFrom(m)
+		n.startFromVoterSet(m)
 		return
 	}
 	if m.Settled {
-		c.leaveSeat()
+		n.resignIfReplaced()
 	}
 }
 
-// agreed tells whether this node votes, and those who vote are those who have the seats.
-func (c *Node) agreed() bool {
-	if !c.applies() || c.seats.Index != c.note.Seats.Index {
+// votersSettled reports whether this node votes and raft's configuration matches the voter set.
+func (n *Node) votersSettled() bool {
+	if !n.hasAppliedState() || n.voters.Index != n.localRecord.Voters.Index {
 		return false
 	}
-	voters := c.voter.Voters()
-	out, in := differ(voters, c.seats.Rows)
-	return out == 0 && in == 0 && len(voters) == len(c.seats.Rows)
+	voters := n.voter.Voters()
+	removed, added := diffVoters(voters, n.voters.Rows)
+	return removed == 0 && added == 0 && len(voters) == len(n.voters.Rows)
 }
 
-// leaveSeat gives this voter's number up, as another has its seat by now and its voice too: until the voters have changed
-// as the seats have, it counts among those of whom a majority must be there.
-func (c *Node) leaveSeat() {
-	if c.voter == nil || !c.applies() || c.note.Seats.Index <= c.seats.Index || c.note.Seats.Founding != c.seats.Founding {
+// resignIfReplaced discards this node's voter if another has replaced it in the voter set and in raft's
+// configuration. Until both have changed, the old voter still counts towards the majority and must stay.
+func (n *Node) resignIfReplaced() {
+	if n.voter == nil || !n.hasAppliedState() || n.localRecord.Voters.Index <= n.voters.Index || n.localRecord.Voters.Founding != n.voters.Founding {
 		return
 	}
-	if _, has := c.note.Seats.by(c.voter.ID()); !has {
-		c.seats = c.note.Seats.clone()
-		c.giveUp()
+	if _, isVoter := n.localRecord.Voters.byID(n.voter.ID()); !isVoter {
+		n.voters = n.localRecord.Voters.clone()
+		n.discardVoter()
 	}
 }
 
-// beginFrom has a node that drew a number for this log start from its seats, unless it has.
-func (c *Node) beginFrom(m *Message) {
-	own, has := m.VoterSet.of(c.set.Name)
-	if !has || m.VoterSet.Founding != c.note.Pledged || c.voter == nil || c.voter.ID() != own.ID {
+// startFromVoterSet starts the voter of a node that drew an ID for this log, unless it has started already.
+func (n *Node) startFromVoterSet(m *Message) {
+	own, isVoter := m.VoterSet.byName(n.settings.Name)
+	if !isVoter || m.VoterSet.Founding != n.localRecord.IDFounding || n.voter == nil || n.voter.ID() != own.ID {
 		return
 	}
-	if !c.applies() && c.begin == nil {
-		c.begin = first(m.VoterSet, own.ID)
+	if !n.hasAppliedState() && n.newState == nil {
+		n.newState = initialState(m.VoterSet, own.ID)
 	}
-	if c.applies() {
-		s := m.VoterSet.clone()
-		c.send(m.From, &Message{Kind: VotersKnown, VoterSet: &s, Founding: m.Founding})
+	if n.hasAppliedState() {
+		voters := m.VoterSet.clone()
+		n.send(m.From, &Message{Kind: VotersKnown, VoterSet: &voters, Founding: m.Founding})
 	}
 }
 
-// offered has this node draw a number, if it has no seat.
-func (c *Node) offered(m *Message) {
-	if c.applies() || c.broken != nil || c.note.Seats.Founding != 0 && c.note.Seats.Founding != m.Founding || c.begin != nil {
+// handleIDRequest draws a voter ID unless this node votes already.
+func (n *Node) handleIDRequest(m *Message) {
+	if n.hasAppliedState() || n.brokenErr != nil || n.localRecord.Voters.Founding != 0 && n.localRecord.Voters.Founding != m.Founding || n.newState != nil {
 		return
 	}
-	if c.voter == nil || c.note.Pledged != m.Founding {
-		c.draw(m.Founding)
-		return // it is asked again, and answers then
+	if n.voter == nil || n.localRecord.IDFounding != m.Founding {
+		n.drawID(m.Founding)
+		return // the answer follows once the request is repeated
 	}
-	c.send(m.From, &Message{Kind: IDOffered, Founding: m.Founding, ID: c.voter.ID()})
+	n.send(m.From, &Message{Kind: IDOffered, Founding: m.Founding, ID: n.voter.ID()})
 }
 
-// accepted takes a number that was drawn for an offer.
-func (c *Node) accepted(m *Message) {
-	if f := c.founding; f != nil && m.Founding == f.id {
-		f.drawn[m.From] = m.ID
+// handleIDOffered records a voter ID that another node drew on request.
+func (n *Node) handleIDOffered(m *Message) {
+	if f := n.founding; f != nil && m.Founding == f.id {
+		f.drawnIDs[m.From] = m.ID
 	}
-	if o := c.offers[m.From]; o != nil && m.Founding == c.seats.Founding {
-		o.id = m.ID
+	if request := n.idRequests[m.From]; request != nil && m.Founding == n.voters.Founding {
+		request.id = m.ID
 	}
 }
 
-// settleSeats is the leader's: it brings the voters to the seats, and the seats to who is there, one at a time.
-func (c *Node) settleSeats() {
-	for _, s := range c.seats.Rows { // every tick, so that one look into the view that shows it starts anew
-		if _, in := c.members[s.Name]; in || !c.inView {
-			delete(c.absent, s.Name)
-		} else if _, known := c.absent[s.Name]; !known {
-			c.absent[s.Name] = c.now
+// reconcileVoters is run by the leader. It brings raft's configuration in line with the voter set, and the voter
+// set in line with the membership view, one voter at a time.
+func (n *Node) reconcileVoters() {
+	for _, voter := range n.voters.Rows { // on every tick: a single view that contains the node resets its absence
+		if _, present := n.members[voter.Name]; present || !n.inView {
+			delete(n.absentSince, voter.Name)
+		} else if _, wasAbsent := n.absentSince[voter.Name]; !wasAbsent {
+			n.absentSince[voter.Name] = n.now
 		}
 	}
-	if c.now-c.decided < decideEvery || c.work != nil {
+	if n.now-n.lastVoterCheck < voterCheckInterval || n.pendingReady != nil {
 		return
 	}
-	c.decided = c.now
-	voters := c.voter.Voters()
-	if out, in := differ(voters, c.seats.Rows); out != 0 || in != 0 {
-		if out != 0 && in != 0 && len(voters) == len(c.seats.Rows) {
-			c.voter.Replace(out, in) // an error: a change is under way, and this is tried again
+	n.lastVoterCheck = n.now
+	voters := n.voter.Voters()
+	if removed, added := diffVoters(voters, n.voters.Rows); removed != 0 || added != 0 {
+		if removed != 0 && added != 0 && len(voters) == len(n.voters.Rows) {
+			n.voter.Replace(removed, added) // on an error a change is in progress; it is retried
 		}
 		return
 	}
-	if !c.settled() {
+	if !n.votersCaughtUp() {
 		return
 	}
-	if x := c.nextChange(); x != nil {
-		c.voter.Propose(appendEntry(nil, &entry{Level: level, Change: x})) // if it is lost, it is decided again
+	if change := n.nextVoterChange(); change != nil {
+		// A lost proposal is decided again.
+		n.voter.Propose(appendEntry(nil, &logEntry{Version: entryVersion, Change: change}))
 	}
 }
 
-// differ finds a voter without a seat and a seat without a voter; 0: there is none.
-func differ(voters []uint64, rows []VoterInfo) (out, in uint64) {
+// diffVoters returns a raft voter that is not in the voter set and one of the set that is not a raft voter; 0:
+// none.
+func diffVoters(voters []uint64, rows []VoterInfo) (removed, added uint64) {
 	for _, id := range voters {
-		if !slices.ContainsFunc(rows, func(s VoterInfo) bool { return s.ID == id }) {
-			out = id
+		if !slices.ContainsFunc(rows, func(voter VoterInfo) bool { return voter.ID == id }) {
+			removed = id
 		}
 	}
-	for _, s := range rows {
-		if !slices.Contains(voters, s.ID) {
-			in = s.ID
+	for _, voter := range rows {
+		if !slices.Contains(voters, voter.ID) {
+			added = voter.ID
 		}
 	}
-	return out, in
+	return removed, added
 }
 
-// settled tells whether those who are there have what is agreed on: a newcomer that is still taking it in counts in each
-// majority, and a second one would make a majority of voters that know nothing.
-func (c *Node) settled() bool {
-	there := 0
-	for _, s := range c.seats.Rows {
-		behind, heard := c.voter.Lag(s.ID)
-		_, gone := c.absent[s.Name]
-		n, lost := c.newcomers[s.Name]
-		lost = lost && n.id != s.ID
+// votersCaughtUp reports whether all available voters have the committed entries. A replacement that is still
+// catching up counts towards the quorum size, and a second one could form a majority of voters that lack those
+// entries.
+func (n *Node) votersCaughtUp() bool {
+	caughtUp := 0
+	for _, voter := range n.voters.Rows {
+		lag, recentlyActive := n.voter.Lag(voter.ID)
+		_, absent := n.absentSince[voter.Name]
+		replacement, diskLost := n.replacements[voter.Name]
+		diskLost = diskLost && replacement.id != voter.ID
 		switch {
-		case heard && behind <= uint64(mostItems):
-			there++
-		case !gone && !lost:
+		case recentlyActive && lag <= uint64(maxEntryCommands):
+			caughtUp++
+		case !absent && !diskLost:
 			return false
 		}
 	}
-	return there >= c.seats.majority()
+	return caughtUp >= n.voters.majority()
 }
 
-// nextChange is which seat goes to whom; nil: all stay.
-func (c *Node) nextChange() *change {
-	for _, s := range c.seats.Rows {
-		n, ok := c.newcomers[s.Name]
-		if !ok || n.id == s.ID || c.now-n.at > newcomerFor {
-			delete(c.newcomers, s.Name)
+// nextVoterChange returns the next change of the voter set; nil: none.
+func (n *Node) nextVoterChange() *voterChange {
+	for _, voter := range n.voters.Rows {
+		replacement, ok := n.replacements[voter.Name]
+		if !ok || replacement.id == voter.ID || n.now-replacement.reportedAt > replacementLifetime {
+			delete(n.replacements, voter.Name)
 			continue
 		}
-		return &change{Out: s.ID, In: VoterInfo{ID: n.id, Name: s.Name, Site: s.Site, Addr: s.Addr}}
+		return &voterChange{Out: voter.ID, In: VoterInfo{ID: replacement.id, Name: voter.Name, Site: voter.Site, Addr: voter.Addr}}
 	}
-	for _, s := range c.seats.Rows {
-		since, gone := c.absent[s.Name]
-		if !gone || c.now-since < c.set.ReplaceAfter {
+	for _, voter := range n.voters.Rows {
+		since, absent := n.absentSince[voter.Name]
+		if !absent || n.now-since < n.settings.ReplaceAfter {
 			continue
 		}
-		if x := c.successor(s); x != nil {
-			return x
+		if change := n.findSuccessor(voter); change != nil {
+			return change
 		}
 	}
 	return nil
 }
 
-// successor asks the node that is to have a seat, and says so once it has drawn a number.
-func (c *Node) successor(gone VoterInfo) *change {
-	rest := slices.DeleteFunc(slices.Clone(c.seats.Rows), func(s VoterInfo) bool { return s.ID == gone.ID })
-	members := maps.Clone(c.members)
-	for name, o := range c.offers {
-		if o.id == 0 && c.now-o.at > offerFor {
-			delete(members, name) // it does not answer; another is asked, and this one again if all don't
+// findSuccessor asks the node that is to replace a voter for an ID, and returns the change once the ID is drawn.
+func (n *Node) findSuccessor(absent VoterInfo) *voterChange {
+	remaining := slices.DeleteFunc(slices.Clone(n.voters.Rows), func(voter VoterInfo) bool { return voter.ID == absent.ID })
+	members := maps.Clone(n.members)
+	for name, request := range n.idRequests {
+		if request.id == 0 && n.now-request.requestedAt > idRequestTimeout {
+			delete(members, name) // it does not answer: try another one, and this one again once none answers
 		}
 	}
-	names := choose(members, rest, 1)
+	names := chooseVoters(members, remaining, 1)
 	if len(names) == 0 {
-		clear(c.offers)
+		clear(n.idRequests)
 		return nil
 	}
 	name := names[0]
-	o := c.offers[name]
-	if o == nil {
-		o = &offer{at: c.now}
-		c.offers[name] = o
+	request := n.idRequests[name]
+	if request == nil {
+		request = &idRequest{requestedAt: n.now}
+		n.idRequests[name] = request
 	}
-	if o.id != 0 {
-		delete(c.offers, name)
-		return &change{Out: gone.ID, In: VoterInfo{ID: o.id, Name: name, Site: c.members[name].Site, Addr: c.members[name].Addr}}
+	if request.id != 0 {
+		delete(n.idRequests, name)
+		return &voterChange{Out: absent.ID, In: VoterInfo{ID: request.id, Name: name, Site: n.members[name].Site, Addr: n.members[name].Addr}}
 	}
-	c.send(name, &Message{Kind: RequestID, Founding: c.seats.Founding})
+	n.send(name, &Message{Kind: RequestID, Founding: n.voters.Founding})
 	return nil
 }
 
-// stray gives up a voter that has no seat in what it has applied itself: it was replaced, and knows.
-func (c *Node) stray() {
-	if !c.applies() || c.seats.Founding == 0 {
+// discardIfRemoved discards a voter that its own applied state no longer contains: it was replaced.
+func (n *Node) discardIfRemoved() {
+	if !n.hasAppliedState() || n.voters.Founding == 0 {
 		return
 	}
-	if _, has := c.seats.by(c.voter.ID()); !has && !slices.Contains(c.voter.Voters(), c.voter.ID()) {
-		c.giveUp()
+	if _, isVoter := n.voters.byID(n.voter.ID()); !isVoter && !slices.Contains(n.voter.Voters(), n.voter.ID()) {
+		n.discardVoter()
 	}
 }
 
-// first is the disk of a voter that begins a log together with the others.
-func first(s *VoterSet, id uint64) *consensus.PersistentState {
+// initialState returns the persistent state of a voter that starts a log together with the others.
+func initialState(voters *VoterSet, id uint64) *consensus.PersistentState {
 	var ids []uint64
-	for _, r := range s.Rows {
-		ids = append(ids, r.ID)
+	for _, voter := range voters.Rows {
+		ids = append(ids, voter.ID)
 	}
-	for _, d := range consensus.NewCluster(ids) {
-		if d.ID == id {
-			d.Snapshot.Data = emptyState(s)
-			return &d
+	for _, state := range consensus.NewCluster(ids) {
+		if state.ID == id {
+			state.Snapshot.Data = initialSnapshot(voters)
+			return &state
 		}
 	}
 	return nil
 }
 
-// Since is for how long a node with a seat has been out of the members' view, as this node's leader counts; 0: it is there,
-// or this node does not lead.
-func (c *Node) since(name string) time.Duration {
-	if at, gone := c.absent[name]; gone && c.IsLeader() {
-		return c.now - at
+// absentFor returns how long a voter's node has been missing from the membership view, as this leader counts. It
+// returns 0 if the node is in the view or this node does not lead.
+func (n *Node) absentFor(name string) time.Duration {
+	if since, absent := n.absentSince[name]; absent && n.IsLeader() {
+		return n.now - since
 	}
 	return 0
 }
--- a/internal/fleet/leaselog/status.go
+++ b/internal/fleet/leaselog/status.go
@@ -2,74 +2,74 @@
 
 import "time"
 
-// Standing is what a node knows of the log and its voters, for operators.
+// Status is what a node knows of the log and its voters, for operators.
 type Status struct {
 	Name     string
 	Seats    VoterSet
-	Voter    bool   // this node has a number
-	ID       uint64 // that number
-	Cleared  bool   // its voter has found that its disk is no older than it was
-	Leader   string // as this node knows; "": none, or not told here
+	Voter    bool   // this node has a voter ID
+	ID       uint64 // that voter ID
+	Cleared  bool   // the other voters confirmed that this voter's disk is not an older copy
+	Leader   string // as this node knows; "": none or unknown
 	Term     uint64
 	Leads    bool
 	Applied  uint64
-	Hung     bool   // its disk has not ended a write for long
-	Broken   string // why its voter can't go on
-	Conflict bool   // another log of this fleet was met: two were founded
-	// Settled: the voters that this node knows of are those that have the seats. While a seat changes hands the one that is out
-	// still counts: the loss of one more voter may leave no majority.
+	Hung     bool   // a disk write has been running for too long
+	Broken   string // why the voter stopped
+	Conflict bool   // another log of this fleet was seen: two were founded
+	// Settled: raft's configuration matches the voter set that this node knows. While a voter is being replaced,
+	// the old one still counts: the loss of one more voter may leave no majority.
 	Settled bool
-	Gone    []AbsentVoter // leader: nodes with seats that are out of the members' view
+	Gone    []AbsentVoter // leader: voters that are missing from the membership view
 	Leases  int
 }
 
-// Absent is a node with a seat that is out of the view.
+// AbsentVoter is a voter whose node is missing from the membership view.
 type AbsentVoter struct {
 	Name   string
 	For    time.Duration
-	Within time.Duration // its seat goes to another then
+	Within time.Duration // time left until it is replaced
 }
 
-// Mark is what of a standing is worth a look when it changes; it costs nothing to take.
+// StatusSummary holds the parts of the status whose changes are worth reporting. It is cheap to compute.
 type StatusSummary struct {
 	IsLeader, DiskHung, Conflict bool
-	ID, Index                    uint64 // this node's number, and the log's at the last change of seats
+	ID, Index                    uint64 // this node's voter ID, and the log index of the last change of the voter set
 	Broken                       bool
 }
 
-// Mark is the present one.
-func (c *Node) StatusSummary() StatusSummary {
-	m := StatusSummary{IsLeader: c.IsLeader(), DiskHung: c.hung(), Conflict: c.conflict, Index: c.note.Seats.Index, Broken: c.broken != nil}
-	if c.voter != nil {
-		m.ID = c.voter.ID()
+// StatusSummary returns the current summary.
+func (n *Node) StatusSummary() StatusSummary {
+	summary := StatusSummary{IsLeader: n.IsLeader(), DiskHung: n.diskHung(), Conflict: n.foundingConflict, Index: n.localRecord.Voters.Index, Broken: n.brokenErr != nil}
+	if n.voter != nil {
+		summary.ID = n.voter.ID()
 	}
-	return m
+	return summary
 }
 
-// Standing tells what this node knows.
-func (c *Node) Status() Status {
-	s := Status{Name: c.set.Name, Seats: c.note.Seats.clone(), Conflict: c.conflict, Hung: c.hung(), Leader: c.leader}
-	if c.broken != nil {
-		s.Broken = c.broken.Error()
+// Status returns what this node knows.
+func (n *Node) Status() Status {
+	status := Status{Name: n.settings.Name, Seats: n.localRecord.Voters.clone(), Conflict: n.foundingConflict, Hung: n.diskHung(), Leader: n.lastLeader}
+	if n.brokenErr != nil {
+		status.Broken = n.brokenErr.Error()
 	}
-	if c.voter == nil {
-		return s
+	if n.voter == nil {
+		return status
 	}
-	s.Voter, s.ID, s.Cleared, s.Applied = true, c.voter.ID(), c.voter.BootConfirmed(), c.voter.Applied()
-	_, s.Term = c.voter.IsLeader()
-	s.Leads = c.IsLeader()
-	if !c.applies() {
-		return s
+	status.Voter, status.ID, status.Cleared, status.Applied = true, n.voter.ID(), n.voter.BootConfirmed(), n.voter.Applied()
+	_, status.Term = n.voter.IsLeader()
+	status.Leads = n.IsLeader()
+	if !n.hasAppliedState() {
+		return status
 	}
-	s.Seats, s.Leases, s.Settled = c.seats.clone(), c.machine.Len(), c.agreed()
-	s.Leader = c.nameOf(c.voter.Leader())
-	for _, r := range c.seats.Rows {
-		if d := c.since(r.Name); d > 0 {
-			s.Gone = append(s.Gone, AbsentVoter{r.Name, d, max(0, c.set.ReplaceAfter-d)})
+	status.Seats, status.Leases, status.Settled = n.voters.clone(), n.stateMachine.Len(), n.votersSettled()
+	status.Leader = n.nodeName(n.voter.Leader())
+	for _, voter := range n.voters.Rows {
+		if absence := n.absentFor(voter.Name); absence > 0 {
+			status.Gone = append(status.Gone, AbsentVoter{voter.Name, absence, max(0, n.settings.ReplaceAfter-absence)})
 		}
 	}
-	return s
+	return status
 }
 
-// Broken is why this node's voter can't go on until it is started from its disk again; nil: it can.
-func (c *Node) Broken() error { return c.broken }
+// Broken returns why this node's voter stopped, until it is restarted from its disk; nil if it works.
+func (n *Node) Broken() error { return n.brokenErr }
--- a/internal/fleet/leaselog/voterset.go
+++ b/internal/fleet/leaselog/voterset.go
@@ -7,120 +7,120 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Seat is one voter's.
+// VoterInfo describes one voter.
 type VoterInfo struct {
-	ID   uint64 // drawn with its disk, never 0
-	Name string // of the node
+	ID   uint64 // drawn when its disk is initialized, never 0
+	Name string // the node's name
 	Site string
-	Addr string // where it was when it got the seat: after all have ended, nobody has a view that says so
+	Addr string // its address when it became a voter: after a full restart no membership view provides one
 }
 
-// Seats is who votes.
+// VoterSet is the set of voters that the log assigns.
 type VoterSet struct {
-	Founding uint64      // drawn when the log was founded; 0: nobody votes yet
-	Index    uint64      // of the log, at the last change
-	Tokens   uint64      // the first token is above it: where a log takes another's place
-	Rows     []VoterInfo // by name
+	Founding uint64      // drawn when the log was founded; 0: there are no voters yet
+	Index    uint64      // log index of the last change
+	Tokens   uint64      // tokens are issued above it; set if the log replaces a lost one
+	Rows     []VoterInfo // sorted by name
 }
 
-// Bounds of what an operator may found.
+// Limits of the voter set.
 const (
 	MinVoters, MaxVoters = 1, 7
-	mostName             = 64 // as of members
+	maxNameBytes         = 64 // as in package membership
 )
 
-// clone copies them.
+// clone returns a copy.
 func (s VoterSet) clone() VoterSet {
 	s.Rows = slices.Clone(s.Rows)
 	return s
 }
 
-// of finds a node's seat.
-func (s *VoterSet) of(name string) (VoterInfo, bool) {
-	for _, r := range s.Rows {
-		if r.Name == name {
-			return r, true
+// byName returns the voter on a node.
+func (s *VoterSet) byName(name string) (VoterInfo, bool) {
+	for _, voter := range s.Rows {
+		if voter.Name == name {
+			return voter, true
 		}
 	}
 	return VoterInfo{}, false
 }
 
-// by finds the seat of a number.
-func (s *VoterSet) by(id uint64) (VoterInfo, bool) {
-	for _, r := range s.Rows {
-		if r.ID == id {
-			return r, true
+// byID returns the voter with an ID.
+func (s *VoterSet) byID(id uint64) (VoterInfo, bool) {
+	for _, voter := range s.Rows {
+		if voter.ID == id {
+			return voter, true
 		}
 	}
 	return VoterInfo{}, false
 }
 
-// change gives one seat to another; false if that has been done, or makes no sense.
-func (s *VoterSet) change(out uint64, in VoterInfo, index uint64) bool {
-	at := slices.IndexFunc(s.Rows, func(r VoterInfo) bool { return r.ID == out })
-	if _, there := s.by(in.ID); at < 0 || there || in.ID == 0 {
+// replace replaces one voter by another. It returns false if that was done already or is invalid.
+func (s *VoterSet) replace(oldID uint64, replacement VoterInfo, index uint64) bool {
+	i := slices.IndexFunc(s.Rows, func(voter VoterInfo) bool { return voter.ID == oldID })
+	if _, exists := s.byID(replacement.ID); i < 0 || exists || replacement.ID == 0 {
 		return false
 	}
-	if other, there := s.of(in.Name); there && other.ID != out {
-		return false // a node has one seat
+	if other, exists := s.byName(replacement.Name); exists && other.ID != oldID {
+		return false // a node has at most one voter
 	}
-	s.Rows[at] = in
+	s.Rows[i] = replacement
 	slices.SortFunc(s.Rows, func(a, b VoterInfo) int { return cmp.Compare(a.Name, b.Name) })
 	s.Index = index
 	return true
 }
 
-// nodes are who has the seats.
-func (s *VoterSet) nodes() (names []string) {
-	for _, r := range s.Rows {
-		names = append(names, r.Name)
+// nodeNames returns the names of the voters' nodes.
+func (s *VoterSet) nodeNames() (names []string) {
+	for _, voter := range s.Rows {
+		names = append(names, voter.Name)
 	}
 	return names
 }
 
-// majority is how many of them decide.
+// majority returns the size of a quorum.
 func (s *VoterSet) majority() int { return len(s.Rows)/2 + 1 }
 
-// rank orders the nodes of a site, by nothing that anybody chooses.
-func rank(name string) uint64 { return xxhash.Sum64String(name) }
+// nameHash orders the nodes of a site independently of how they are named.
+func nameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Member is a node as the members' view has it.
+// Member is a node in the membership view.
 type Member struct {
 	Site string
 	Addr string
 }
 
-// choose picks nodes for seats, so that sites have as equal a share of all seats as they can: the next one goes to the site
-// that has least of them, of several to the one with most nodes to choose from, and there to the one whose rank is lowest.
-// Members are sites by name; those who have seats already count for their sites.
-func choose(members map[string]Member, have []VoterInfo, n int) (names []string) {
-	sites := map[string][]string{}
+// chooseVoters chooses count nodes as voters and spreads all voters evenly over the sites. The next voter goes to the
+// site with the fewest voters; among equals to the one with the most candidates; and there to the node with the
+// lowest hash. The existing voters count for their sites.
+func chooseVoters(members map[string]Member, existing []VoterInfo, count int) (names []string) {
+	candidatesBySite := map[string][]string{}
 	for name, m := range members {
 		site := m.Site
-		if !slices.ContainsFunc(have, func(s VoterInfo) bool { return s.Name == name }) {
-			sites[site] = append(sites[site], name)
+		if !slices.ContainsFunc(existing, func(voter VoterInfo) bool { return voter.Name == name }) {
+			candidatesBySite[site] = append(candidatesBySite[site], name)
 		}
 	}
-	count := map[string]int{}
-	for _, s := range have {
-		count[s.Site]++
+	votersPerSite := map[string]int{}
+	for _, voter := range existing {
+		votersPerSite[voter.Site]++
 	}
-	var order []string
-	for site, all := range sites {
-		slices.SortFunc(all, func(a, b string) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b)) })
-		order = append(order, site)
+	var siteOrder []string
+	for site, candidates := range candidatesBySite {
+		slices.SortFunc(candidates, func(a, b string) int { return cmp.Or(cmp.Compare(nameHash(a), nameHash(b)), cmp.Compare(a, b)) })
+		siteOrder = append(siteOrder, site)
 	}
-	for len(names) < n {
-		order = slices.DeleteFunc(order, func(site string) bool { return len(sites[site]) == 0 })
-		if len(order) == 0 {
+	for len(names) < count {
+		siteOrder = slices.DeleteFunc(siteOrder, func(site string) bool { return len(candidatesBySite[site]) == 0 })
+		if len(siteOrder) == 0 {
 			return names
 		}
-		site := slices.MinFunc(order, func(a, b string) int {
-			return cmp.Or(cmp.Compare(count[a], count[b]), -cmp.Compare(len(sites[a]), len(sites[b])), cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b))
+		site := slices.MinFunc(siteOrder, func(a, b string) int {
+			return cmp.Or(cmp.Compare(votersPerSite[a], votersPerSite[b]), -cmp.Compare(len(candidatesBySite[a]), len(candidatesBySite[b])), cmp.Compare(nameHash(a), nameHash(b)), cmp.Compare(a, b))
 		})
-		names = append(names, sites[site][0])
-		sites[site] = sites[site][1:]
-		count[site]++
+		names = append(names, candidatesBySite[site][0])
+		candidatesBySite[site] = candidatesBySite[site][1:]
+		votersPerSite[site]++
 	}
 	return names
 }
