--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -1,19 +1,18 @@
-// Package consensus keeps a log that a majority of some voters agrees on. The agreement is
-// go.etcd.io/raft's, with pre-vote and check-quorum; this package drives it, and says what
-// must be on disk before what leaves.
+// Package consensus keeps a log that a majority of voters agrees on. It drives go.etcd.io/raft, with pre-vote and
+// check-quorum, and determines what must be on disk before messages are sent.
 //
-// A Voter is one voter's part: ticks, messages and proposals come in; Work comes out, in
-// which what is to be saved stands apart from what may only go out afterwards. It is pure: no
-// I/O, no clock, no goroutine, and elections are drawn by a seed, so a schedule plays the same
-// again. A Voter belongs to one goroutine.
+// A Voter is one voter. Its inputs are ticks, messages and proposals. Its output is a Ready, which separates what
+// must be saved first from what may only be done afterwards. It is pure: it has no I/O, no clock and no goroutine,
+// and election timeouts are drawn from a seed, so that a run can be repeated exactly. A Voter is used by one
+// goroutine.
 //
-// A voter is its disk: its number is drawn with it, and one whose disk is lost comes back as
-// another, which has no vote until the others take it in. One whose disk is older than it was
-// finds that out before it votes: each start is counted on the voter's own disk and on the
-// others', and a voter whose count is behind theirs gives its number up.
+// A voter's identity is tied to its disk: its ID is drawn when the disk is initialized. A node whose disk is lost
+// returns as a new voter, which has no vote until the others add it. A voter that runs on an older copy of its
+// disk detects this before it votes: each start is counted on the voter's own disk and on those of the others, and
+// a voter whose count is behind theirs gives up its ID.
 //
-// It must not know what the entries say.
+// It must not know what the entries mean.
 //
-// Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014 (the log, pre-vote 9.6,
-// check-quorum 6.2, changes of one voter 4.3).
+// Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014 (the log; pre-vote, 9.6; check-quorum, 6.2;
+// single-server membership changes, 4.3).
 package consensus
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -14,14 +14,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Settings are what a voter goes by.
+// Settings configure a Voter.
 type Settings struct {
-	TickInterval  time.Duration // between two ticks; 0: 100 ms
-	ElectionTicks int           // ticks without a leader before a voter asks for votes, up to twice as many; 0: 10
-	KeepEntries   int           // entries behind the applied ones that stay in the log when it is cut; 0: 256
+	TickInterval  time.Duration // 0: 100 ms
+	ElectionTicks int           // ticks without a leader before an election, up to twice as many; 0: 10
+	KeepEntries   int           // applied entries that stay in the log when it is compacted; 0: 256
 }
 
-// Default fills in what is not set.
+// Default replaces unset values by their defaults.
 func (s Settings) Default() Settings {
 	if s.TickInterval <= 0 {
 		s.TickInterval = 100 * time.Millisecond
@@ -35,493 +35,502 @@
 	return s
 }
 
-// Disk is what a voter has on disk.
+// PersistentState is what a voter keeps on disk.
 type PersistentState struct {
-	ID       uint64            // drawn with the disk, never 0
-	Boots    map[uint64]uint64 // the latest start of each voter, as far as this one knows; itself included
+	ID       uint64            // drawn when the disk is initialized, never 0
+	Boots    map[uint64]uint64 // the latest known start of each voter, including this one
 	Hard     *raftpb.HardState
 	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry // after the snapshot, ascending
+	Entries  []*raftpb.Entry // after the snapshot, in ascending order
 }
 
-// Clone copies a disk; what is in it is never written to.
-func (d *PersistentState) Clone() PersistentState {
-	c := *d
-	c.Boots, c.Entries = maps.Clone(d.Boots), slices.Clone(d.Entries)
-	return c
+// Clone copies the state. The parts that are shared are never modified.
+func (s *PersistentState) Clone() PersistentState {
+	copied := *s
+	copied.Boots, copied.Entries = maps.Clone(s.Boots), slices.Clone(s.Entries)
+	return copied
 }
 
-// Save is what must be on disk, all of it or none, before anything else of its Work is done.
+// Update is what must be saved atomically before anything else of its Ready is done.
 type Update struct {
-	Boots       map[uint64]uint64 // those that changed; the greater holds
-	Hard        *raftpb.HardState // nil: as it was
-	Snapshot    *raftpb.Snapshot  // nil: none; else the log begins anew after it
-	Entries     []*raftpb.Entry   // they take the place of all from the first one's index on
-	CompactedTo uint64            // entries up to here may go; they are in the snapshot that stands beside
+	Boots       map[uint64]uint64 // changed ones; the greater value wins
+	Hard        *raftpb.HardState // nil: unchanged
+	Snapshot    *raftpb.Snapshot  // nil: none; otherwise the log restarts after it, unless CompactedTo is set
+	Entries     []*raftpb.Entry   // replace all entries from the first one's index on
+	CompactedTo uint64            // entries up to here may be deleted; Snapshot contains them
 }
 
-// Empty tells whether there is nothing to save.
-func (s *Update) Empty() bool {
-	return len(s.Boots) == 0 && s.Hard == nil && s.Snapshot == nil && len(s.Entries) == 0 && s.CompactedTo == 0
+// Empty reports whether there is nothing to save.
+func (u *Update) Empty() bool {
+	return len(u.Boots) == 0 && u.Hard == nil && u.Snapshot == nil && len(u.Entries) == 0 && u.CompactedTo == 0
 }
 
-// Put brings a disk to what a save says.
-func (d *PersistentState) Apply(s *Update) {
-	if d.Boots == nil {
-		d.Boots = map[uint64]uint64{}
+// Apply applies an update to the state.
+func (s *PersistentState) Apply(update *Update) {
+	if s.Boots == nil {
+		s.Boots = map[uint64]uint64{}
 	}
-	for id, n := range s.Boots {
-		d.Boots[id] = max(d.Boots[id], n)
+	for id, boot := range update.Boots {
+		s.Boots[id] = max(s.Boots[id], boot)
 	}
-	if s.Hard != nil {
-		d.Hard = s.Hard
+	if update.Hard != nil {
+		s.Hard = update.Hard
 	}
-	if s.Snapshot != nil {
-		d.Snapshot = s.Snapshot
-		if s.CompactedTo == 0 { // another's: what was here is of no use
-			d.Entries = nil
+	if update.Snapshot != nil {
+		s.Snapshot = update.Snapshot
+		if update.CompactedTo == 0 { // the leader's snapshot: older entries are useless
+			s.Entries = nil
 		}
 	}
-	if len(s.Entries) > 0 {
-		first := s.Entries[0].GetIndex()
-		n := slices.IndexFunc(d.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
-		if n < 0 {
-			n = len(d.Entries)
+	if len(update.Entries) > 0 {
+		first := update.Entries[0].GetIndex()
+		kept := slices.IndexFunc(s.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
+		if kept < 0 {
+			kept = len(s.Entries)
 		}
-		d.Entries = append(slices.Clone(d.Entries[:n]), s.Entries...)
+		s.Entries = append(slices.Clone(s.Entries[:kept]), update.Entries...)
 	}
-	if s.CompactedTo > 0 {
-		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= s.CompactedTo })
+	if update.CompactedTo > 0 {
+		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= update.CompactedTo })
 	}
 }
 
-// Message is what one voter tells another. Either Raft is set, or it is about starts.
+// Message is sent from one voter to another. It carries a raft message or, if Raft is nil, is about starts.
 type Message struct {
 	From, To  uint64
-	Boot      uint64          // the sender's start: a count above 32 bits that are drawn with it
-	Raft      *raftpb.Message // nil: about starts
-	BootQuery bool            // tell the sender which start of it is known
-	KnownBoot uint64          // the latest start of the receiver that the sender knows of
+	Boot      uint64          // the sender's start: a count in the upper 32 bits, a random number in the lower ones
+	Raft      *raftpb.Message // nil: the message is about starts
+	BootQuery bool            // asks which start of the sender the receiver knows
+	KnownBoot uint64          // the receiver's latest start that the sender knows
 }
 
-// Entry is one that a majority has agreed on, to be applied in order.
+// Entry is a committed entry, to be applied in order.
 type Entry struct {
 	Index, Term uint64
 	Data        []byte
 }
 
-// Work is what is to be done, in this order: save, and wait for the disk; then send, restore, apply; then Done.
+// Ready is work to be done in this order: save Update and wait for the disk; send Messages; apply Restore and
+// Entries; call Advance.
 type Ready struct {
 	Update   Update
 	Messages []Message
-	Restore  []byte // a snapshot of the applied state that takes the place of what there is; nil: none
-	Applied  uint64 // with Restore: the index that it stands for
+	Restore  []byte // a snapshot that replaces the applied state; nil: none
+	Applied  uint64 // with Restore: the snapshot's index
 	Entries  []Entry
 }
 
-// Voter is one voter's part.
+// Voter is one voter of the log.
 type Voter struct {
-	set     Settings
-	id      uint64
-	boot    uint64
-	boots   map[uint64]uint64
-	newBoot map[uint64]uint64 // to be saved
-	known   map[uint64]bool   // voters who have said which start of this one they know
-	cleared bool              // enough have, and none knew a later one
-	given   bool              // this number is given up
-	rng     *rand.Rand
-	node    *raft.RawNode
-	log     *raft.MemoryStorage
-	conf    *raftpb.ConfState
-	sends   []Message
-	wait    int // ticks until the next election of this voter's
-	ticks   int
-	applied uint64
-	stale   bool // the voters have changed since the last snapshot
-	ready   *raft.Ready
-	pending Update // beside Ready's
-	broken  error
-	snaps   map[uint64]int // ticks since a snapshot went to one that has not said since that it has it
-}
-
-// none is the error of a voter that is none any more.
-func none() error { return errors.New("agree: this voter has given its number up") }
-
-// Found makes the disks of voters that begin a log together; it is done once for a fleet, by one process.
+	settings         Settings
+	id               uint64
+	boot             uint64
+	knownBoots       map[uint64]uint64 // latest known start of each voter
+	unsavedBoots     map[uint64]uint64 // to be saved
+	confirmedBy      map[uint64]bool   // voters that reported which start of this one they know
+	bootConfirmed    bool              // a majority, with this voter, knows no later start of it
+	diskStale        bool              // this ID is given up
+	rng              *rand.Rand
+	rawNode          *raft.RawNode
+	storage          *raft.MemoryStorage
+	confState        *raftpb.ConfState
+	outgoing         []Message
+	electionTimer    int // ticks until this voter's next election
+	bootTicks        int // since the start, until bootConfirmed
+	applied          uint64
+	snapshotOutdated bool // the voters have changed since the last snapshot
+	currentReady     *raft.Ready
+	pendingUpdate    Update // saved with the next Ready
+	brokenErr        error
+	snapshotTicks    map[uint64]int // ticks since a snapshot was sent that has not been acknowledged
+}
+
+// stoppedError returns the error of a voter that has given up its ID or has stopped.
+func stoppedError() error {
+	return errors.New("consensus: this voter has given up its ID or has stopped")
+}
+
+// NewCluster creates the state of voters that start a log together. One process must call it, once per fleet.
 func NewCluster(ids []uint64) []PersistentState {
 	voters := slices.Clone(ids)
 	slices.Sort(voters)
-	disks := make([]PersistentState, len(ids))
+	states := make([]PersistentState, len(ids))
 	for i, id := range ids {
-		disks[i] = PersistentState{ID: id, Boots: map[uint64]uint64{}, Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{
+		states[i] = PersistentState{ID: id, Boots: map[uint64]uint64{}, Snapshot: &raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{
 			ConfState: &raftpb.ConfState{Voters: voters}, Index: proto.Uint64(1), Term: proto.Uint64(1),
 		}}, Hard: &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}}
 	}
-	return disks
+	return states
 }
 
-// New starts a voter from its disk. The first Work saves this start; until then nothing leaves.
-func New(set Settings, disk *PersistentState, seed uint64) (_ *Voter, err error) {
+// New starts a voter from its state. The first Ready saves this start; no message is sent before.
+func New(settings Settings, state *PersistentState, seed uint64) (_ *Voter, err error) {
 	defer func() {
-		if r := recover(); r != nil { // the library's word on a disk that makes no sense
-			err = fmt.Errorf("agree: the disk: %v", r)
+		if r := recover(); r != nil { // raft panics on inconsistent state
+			err = fmt.Errorf("consensus: load persistent state: %v", r)
 		}
 	}()
-	if disk.ID == 0 {
-		return nil, errors.New("agree: a voter without a number")
+	if state.ID == 0 {
+		return nil, errors.New("consensus: the persistent state has no voter ID")
 	}
 	v := &Voter{
-		set: set.Default(), id: disk.ID, boots: maps.Clone(disk.Boots), known: map[uint64]bool{},
-		rng: rand.New(rand.NewPCG(seed, disk.ID)), log: raft.NewMemoryStorage(), snaps: map[uint64]int{},
-	}
-	if v.boots == nil {
-		v.boots = map[uint64]uint64{}
-	}
-	v.boot = (starts(v.boots[v.id])+1)<<32 | uint64(v.rng.Uint32())
-	v.boots[v.id] = v.boot
-	v.newBoot = map[uint64]uint64{v.id: v.boot}
-	if disk.Snapshot != nil {
-		if err := v.log.ApplySnapshot(disk.Snapshot); err != nil {
-			return nil, fmt.Errorf("agree: the snapshot on disk: %w", err)
+		settings: settings.Default(), id: state.ID, knownBoots: maps.Clone(state.Boots), confirmedBy: map[uint64]bool{},
+		rng: rand.New(rand.NewPCG(seed, state.ID)), storage: raft.NewMemoryStorage(), snapshotTicks: map[uint64]int{},
+	}
+	if v.knownBoots == nil {
+		v.knownBoots = map[uint64]uint64{}
+	}
+	v.boot = (bootCount(v.knownBoots[v.id])+1)<<32 | uint64(v.rng.Uint32())
+	v.knownBoots[v.id] = v.boot
+	v.unsavedBoots = map[uint64]uint64{v.id: v.boot}
+	if state.Snapshot != nil {
+		if err := v.storage.ApplySnapshot(state.Snapshot); err != nil {
+			return nil, fmt.Errorf("consensus: load snapshot: %w", err)
 		}
-		v.applied = disk.Snapshot.GetMetadata().GetIndex()
+		v.applied = state.Snapshot.GetMetadata().GetIndex()
 	}
-	if disk.Hard != nil {
-		if err := v.log.SetHardState(disk.Hard); err != nil {
-			return nil, fmt.Errorf("agree: the state on disk: %w", err)
+	if state.Hard != nil {
+		if err := v.storage.SetHardState(state.Hard); err != nil {
+			return nil, fmt.Errorf("consensus: load hard state: %w", err)
 		}
 	}
-	if err := v.log.Append(disk.Entries); err != nil {
-		return nil, fmt.Errorf("agree: the log on disk: %w", err)
+	if err := v.storage.Append(state.Entries); err != nil {
+		return nil, fmt.Errorf("consensus: load log entries: %w", err)
 	}
-	if _, v.conf, err = v.log.InitialState(); err != nil {
-		return nil, fmt.Errorf("agree: the disk: %w", err)
+	if _, v.confState, err = v.storage.InitialState(); err != nil {
+		return nil, fmt.Errorf("consensus: load initial state: %w", err)
 	}
-	v.node, err = raft.NewRawNode(&raft.Config{
-		ID: v.id, ElectionTick: v.set.ElectionTicks, HeartbeatTick: 1, Storage: v.log, Applied: v.applied,
+	v.rawNode, err = raft.NewRawNode(&raft.Config{
+		ID: v.id, ElectionTick: v.settings.ElectionTicks, HeartbeatTick: 1, Storage: v.storage, Applied: v.applied,
 		MaxSizePerMsg: 64 << 10, MaxCommittedSizePerReady: 1 << 20, MaxUncommittedEntriesSize: 1 << 20, MaxInflightMsgs: 64,
-		CheckQuorum: true, PreVote: true, Logger: quiet{},
+		CheckQuorum: true, PreVote: true, Logger: panicLogger{},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("agree: %w", err)
+		return nil, fmt.Errorf("consensus: create raft node: %w", err)
 	}
-	// One that has never been anything has nothing to forget.
-	v.cleared = len(v.conf.GetVoters()) == 0 || slices.Equal(v.conf.GetVoters(), []uint64{v.id})
-	v.draw()
+	// A voter without other voters has no acknowledged state that it could have lost.
+	v.bootConfirmed = len(v.confState.GetVoters()) == 0 || slices.Equal(v.confState.GetVoters(), []uint64{v.id})
+	v.resetElectionTimer()
 	return v, nil
 }
 
-// starts is how many starts there were by this one. Two of one count are of two disks, one of which was put back: what is
-// drawn with each tells them apart.
-func starts(boot uint64) uint64 { return boot >> 32 }
+// bootCount returns the count of starts in a Boot value. If two starts have the same count, one of them ran on a
+// restored copy of the disk; their random parts differ.
+func bootCount(boot uint64) uint64 { return boot >> 32 }
 
-// draw says when this voter asks for votes, if it hears no leader till then.
-func (v *Voter) draw() { v.wait = v.set.ElectionTicks + v.rng.IntN(v.set.ElectionTicks) }
+// resetElectionTimer draws the ticks until this voter starts an election, unless it hears from a leader first.
+func (v *Voter) resetElectionTimer() {
+	v.electionTimer = v.settings.ElectionTicks + v.rng.IntN(v.settings.ElectionTicks)
+}
 
-// ID is this voter's number, and Boot its start.
+// ID returns this voter's ID, and Boot its current start.
 func (v *Voter) ID() uint64   { return v.id }
 func (v *Voter) Boot() uint64 { return v.boot }
 
-// Given tells whether this voter has found that its disk is older than it was, and has given its number up. It must
-// come back with a new disk.
-func (v *Voter) DiskStale() bool { return v.given }
+// DiskStale reports whether this voter found that it runs on an older copy of its disk, and gave up its ID. It
+// must be restarted with a new disk.
+func (v *Voter) DiskStale() bool { return v.diskStale }
 
-// Cleared tells whether enough others have said that they know of no later start of this voter.
-func (v *Voter) BootConfirmed() bool { return v.cleared }
+// BootConfirmed reports whether enough other voters confirmed that they know no later start of this one.
+func (v *Voter) BootConfirmed() bool { return v.bootConfirmed }
 
-// Leads tells whether this voter leads, as far as it knows, and in which term.
+// IsLeader reports whether this voter leads, as far as it knows, and the current term.
 func (v *Voter) IsLeader() (bool, uint64) {
-	s := v.node.BasicStatus()
-	return s.RaftState == raft.StateLeader && !v.given && v.broken == nil, s.HardState.GetTerm()
+	status := v.rawNode.BasicStatus()
+	return status.RaftState == raft.StateLeader && !v.diskStale && v.brokenErr == nil, status.HardState.GetTerm()
 }
 
-// Leader is the number of the voter that leads, as far as is known; 0: none is known.
-func (v *Voter) Leader() uint64 { return v.node.BasicStatus().Lead }
+// Leader returns the ID of the leader; 0 if unknown.
+func (v *Voter) Leader() uint64 { return v.rawNode.BasicStatus().Lead }
 
-// Voters are the voters that this one knows of, ascending.
+// Voters returns the IDs of the known voters in ascending order, including those that are being removed.
 func (v *Voter) Voters() []uint64 {
-	all := slices.Concat(v.conf.GetVoters(), v.conf.GetVotersOutgoing())
-	slices.Sort(all)
-	return slices.Compact(all)
+	ids := slices.Concat(v.confState.GetVoters(), v.confState.GetVotersOutgoing())
+	slices.Sort(ids)
+	return slices.Compact(ids)
 }
 
-// Tick is to be called every Settings.Round.
+// Tick must be called once per Settings.TickInterval.
 func (v *Voter) Tick() {
-	if v.given || v.broken != nil {
+	if v.diskStale || v.brokenErr != nil {
 		return
 	}
-	if !v.cleared {
-		if v.ticks%3 == 0 {
+	if !v.bootConfirmed {
+		if v.bootTicks%3 == 0 {
 			for _, id := range v.Voters() {
 				if id != v.id {
-					v.sends = append(v.sends, Message{From: v.id, To: id, Boot: v.boot, BootQuery: true})
+					v.outgoing = append(v.outgoing, Message{From: v.id, To: id, Boot: v.boot, BootQuery: true})
 				}
 			}
 		}
-		v.ticks++
+		v.bootTicks++
 		return
 	}
-	if leads, _ := v.IsLeader(); leads {
-		v.node.Tick()
-		v.again()
+	if isLeader, _ := v.IsLeader(); isLeader {
+		v.rawNode.Tick()
+		v.retryLostSnapshots()
 		return
 	}
-	clear(v.snaps)
-	// The library draws its elections from a source of its own; here they are drawn by the seed.
-	v.node.TickQuiesced()
-	if v.wait--; v.wait <= 0 {
-		v.draw()
-		v.node.Campaign() // one that is no voter is not heard
+	clear(v.snapshotTicks)
+	// raft draws election timeouts from its own random source; they are drawn here instead so that the seed
+	// determines them.
+	v.rawNode.TickQuiesced()
+	if v.electionTimer--; v.electionTimer <= 0 {
+		v.resetElectionTimer()
+		v.rawNode.Campaign() // without effect if this node is not a voter
 	}
 }
 
-// again has snapshots sent anew that seem to be lost: the library waits for word of them, which nobody else gives.
-func (v *Voter) again() {
-	v.node.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
+// retryLostSnapshots has snapshots sent again that seem to be lost: raft waits for a report of their delivery,
+// which nobody else makes.
+func (v *Voter) retryLostSnapshots() {
+	v.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
 		if p.State != tracker.StateSnapshot {
-			delete(v.snaps, id)
+			delete(v.snapshotTicks, id)
 			return
 		}
-		v.snaps[id]++
+		v.snapshotTicks[id]++
 	})
-	for id, n := range v.snaps {
-		if n > v.set.ElectionTicks {
-			delete(v.snaps, id)
-			v.node.ReportSnapshot(id, raft.SnapshotFailure)
+	for id, ticks := range v.snapshotTicks {
+		if ticks > v.settings.ElectionTicks {
+			delete(v.snapshotTicks, id)
+			v.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 		}
 	}
 }
 
-// Behind is how many entries another voter lacks of those that this one has handed out; false if this one does not lead,
-// or the other is no voter or has not been heard of late. The leader alone knows.
+// Lag returns how many of the entries that this voter has applied another voter lacks. ok is false if this one
+// does not lead, or if the other is not a voter or was not active recently.
 func (v *Voter) Lag(id uint64) (entries uint64, ok bool) {
-	if leads, _ := v.IsLeader(); !leads {
+	if isLeader, _ := v.IsLeader(); !isLeader {
 		return 0, false
 	}
-	v.node.WithProgress(func(x uint64, _ raft.ProgressType, p tracker.Progress) {
-		if x == id {
+	v.rawNode.WithProgress(func(progressID uint64, _ raft.ProgressType, p tracker.Progress) {
+		if progressID == id {
 			entries, ok = v.applied-min(v.applied, p.Match), p.RecentActive || id == v.id
 		}
 	})
 	return entries, ok
 }
 
-// Receive takes a message of another voter.
+// Receive handles a message of another voter.
 func (v *Voter) Receive(m *Message) {
-	if m.To != v.id || m.From == v.id || v.given || v.broken != nil {
+	if m.To != v.id || m.From == v.id || v.diskStale || v.brokenErr != nil {
 		return
 	}
-	known := v.boots[m.From]
-	if starts(m.Boot) <= starts(known) && m.Boot != known {
-		if m.BootQuery { // its disk is older than it was: it must be told
-			v.sends = append(v.sends, Message{From: v.id, To: m.From, Boot: v.boot, KnownBoot: known})
+	knownBoot := v.knownBoots[m.From]
+	if bootCount(m.Boot) <= bootCount(knownBoot) && m.Boot != knownBoot {
+		if m.BootQuery { // the sender's disk is an older copy: tell it
+			v.outgoing = append(v.outgoing, Message{From: v.id, To: m.From, Boot: v.boot, KnownBoot: knownBoot})
 		}
 		return
 	}
-	if m.Boot > known {
-		v.boots[m.From], v.newBoot[m.From] = m.Boot, m.Boot
+	if m.Boot > knownBoot {
+		v.knownBoots[m.From], v.unsavedBoots[m.From] = m.Boot, m.Boot
 	}
 	switch {
 	case m.BootQuery:
-		v.sends = append(v.sends, Message{From: v.id, To: m.From, Boot: v.boot, KnownBoot: v.boots[m.From]})
+		v.outgoing = append(v.outgoing, Message{From: v.id, To: m.From, Boot: v.boot, KnownBoot: v.knownBoots[m.From]})
 	case m.Raft == nil:
-		v.told(m)
-	case v.cleared:
-		v.step(m.Raft)
+		v.handleBootReply(m)
+	case v.bootConfirmed:
+		v.stepRaft(m.Raft)
 	}
 }
 
-// told takes what another knows of this voter's starts.
-func (v *Voter) told(m *Message) {
+// handleBootReply handles a reply that says which start of this voter another voter knows.
+func (v *Voter) handleBootReply(m *Message) {
 	switch {
-	case starts(m.KnownBoot) < starts(v.boot): // of an earlier asking
+	case bootCount(m.KnownBoot) < bootCount(v.boot): // a reply to the query of an earlier start
 		return
 	case m.KnownBoot != v.boot:
-		v.given = true
+		v.diskStale = true
 		return
 	}
 	voters := v.Voters()
 	if !slices.Contains(voters, m.From) {
 		return
 	}
-	v.known[m.From] = true
-	if 2*(len(v.known)+1) > len(voters) {
-		v.cleared = true
+	v.confirmedBy[m.From] = true
+	if 2*(len(v.confirmedBy)+1) > len(voters) {
+		v.bootConfirmed = true
 	}
 }
 
-func (v *Voter) step(m *raftpb.Message) {
+// stepRaft passes a message to raft.
+func (v *Voter) stepRaft(m *raftpb.Message) {
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		if m.GetTerm() >= v.node.BasicStatus().HardState.GetTerm() { // its leader's
-			v.draw()
+		if m.GetTerm() >= v.rawNode.BasicStatus().HardState.GetTerm() { // from the current leader
+			v.resetElectionTimer()
 		}
 	}
 	if m.GetType() == raftpb.MsgHeartbeat {
-		// A leader tells no more than what it was told to be here: the disk has lost some of it.
-		if last, err := v.log.LastIndex(); err != nil || m.GetTerm() >= v.node.BasicStatus().HardState.GetTerm() && m.GetCommit() > last && v.ready == nil {
-			v.given = true
+		// A leader announces no commit index beyond what this voter has acknowledged: the disk has lost entries.
+		if last, err := v.storage.LastIndex(); err != nil || m.GetTerm() >= v.rawNode.BasicStatus().HardState.GetTerm() && m.GetCommit() > last && v.currentReady == nil {
+			v.diskStale = true
 			return
 		}
 	}
-	v.safely(func() { v.node.Step(m) }) // what makes no sense is passed over
+	v.recoverPanics(func() { v.rawNode.Step(m) }) // raft's errors are ignored: invalid messages have no effect
 }
 
-// safely does something of the library's. Where it can't go on it panics, which a message that was made up can bring
-// about: then this voter is none any more until it is started from its disk again.
-func (v *Voter) safely(do func()) {
+// recoverPanics calls a function of the raft library. The library panics if it can't continue, which a forged
+// message can cause; the voter then stops until it is restarted from its disk.
+func (v *Voter) recoverPanics(call func()) {
 	defer func() {
 		if r := recover(); r != nil {
-			v.broken = fmt.Errorf("agree: the voter can't go on: %v", r)
+			v.brokenErr = fmt.Errorf("consensus: the raft library panicked: %v", r)
 		}
 	}()
-	do()
+	call()
 }
 
-// Broken is why this voter can't go on, until it is started from its disk again; nil: it can.
-func (v *Voter) Broken() error { return v.broken }
+// Broken returns why this voter stopped, until it is restarted from its disk; nil if it works.
+func (v *Voter) Broken() error { return v.brokenErr }
 
-// Propose puts something into the log, by way of the leader. That it is taken is not known until it comes back as an
-// Entry; it may be lost, and it may come twice if it is proposed again.
+// Propose proposes an entry, through the leader. It is committed once it is returned in Ready.Entries. A proposal
+// may be lost, and may be committed twice if it is repeated.
 func (v *Voter) Propose(data []byte) error {
-	if v.given || v.broken != nil {
-		return none()
+	if v.diskStale || v.brokenErr != nil {
+		return stoppedError()
 	}
-	return v.node.Propose(data)
+	return v.rawNode.Propose(data)
 }
 
-// Replace takes one voter out and another one in, in one change. The leader alone can.
-func (v *Voter) Replace(out, in uint64) error {
-	if v.given || v.broken != nil {
-		return none()
+// Replace replaces one voter by another in a single change. Only the leader can do this.
+func (v *Voter) Replace(oldID, newID uint64) error {
+	if v.diskStale || v.brokenErr != nil {
+		return stoppedError()
 	}
-	voters := v.conf.GetVoters()
-	if !slices.Contains(voters, out) || slices.Contains(voters, in) || in == 0 {
-		return fmt.Errorf("agree: %x can't take the place of %x among %x", in, out, voters)
+	voters := v.confState.GetVoters()
+	if !slices.Contains(voters, oldID) || slices.Contains(voters, newID) || newID == 0 {
+		return fmt.Errorf("consensus: voter %x can't replace %x in the configuration %x", newID, oldID, voters)
 	}
-	add, remove, auto := raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode, raftpb.ConfChangeTransitionAuto
-	return v.node.ProposeConfChange(&raftpb.ConfChangeV2{Transition: &auto, Changes: []*raftpb.ConfChangeSingle{
-		{Type: &add, NodeId: &in}, {Type: &remove, NodeId: &out},
+	addType, removeType, transition := raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode, raftpb.ConfChangeTransitionAuto
+	return v.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Transition: &transition, Changes: []*raftpb.ConfChangeSingle{
+		{Type: &addType, NodeId: &newID}, {Type: &removeType, NodeId: &oldID},
 	}})
 }
 
-// HandLead has another voter lead in this one's place, which has what is agreed on; it does nothing if this one does not
-// lead, or there is no such voter.
+// TransferLeadership transfers leadership to an active voter that has all applied entries. It does nothing if this
+// one does not lead, or if there is no such voter.
 func (v *Voter) TransferLeadership() {
-	if leads, _ := v.IsLeader(); !leads {
+	if isLeader, _ := v.IsLeader(); !isLeader {
 		return
 	}
-	to, most := uint64(0), uint64(0)
-	v.node.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
-		if id != v.id && p.RecentActive && p.Match >= v.applied && (p.Match > most || p.Match == most && id < to) {
-			to, most = id, p.Match
+	to, maxMatch := uint64(0), uint64(0)
+	v.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
+		if id != v.id && p.RecentActive && p.Match >= v.applied && (p.Match > maxMatch || p.Match == maxMatch && id < to) {
+			to, maxMatch = id, p.Match
 		}
 	})
 	if to != 0 {
-		v.node.TransferLeader(to)
+		v.rawNode.TransferLeader(to)
 	}
 }
 
-// Wants tells whether Compact is to be called soon: a voter that was taken in is started from a snapshot, and takes none
-// that does not name it.
-func (v *Voter) WantsSnapshot() bool { return v.stale && v.ready == nil }
+// WantsSnapshot reports whether Compact should be called soon: a new voter starts from a snapshot, and accepts
+// only one whose configuration contains it.
+func (v *Voter) WantsSnapshot() bool { return v.snapshotOutdated && v.currentReady == nil }
 
-// Compact takes the applied state up to an index as a snapshot, and lets most of the log before it go.
+// Compact stores the applied state up to an index as a snapshot, and removes most of the log before it.
 func (v *Voter) Compact(index uint64, state []byte) error {
-	s, err := v.log.CreateSnapshot(index, v.conf, state)
+	snapshot, err := v.storage.CreateSnapshot(index, v.confState, state)
 	if err != nil {
-		return fmt.Errorf("agree: a snapshot at %d: %w", index, err)
+		return fmt.Errorf("consensus: create snapshot at index %d: %w", index, err)
 	}
-	first, err := v.log.FirstIndex()
+	first, err := v.storage.FirstIndex()
 	if err != nil {
-		return fmt.Errorf("agree: %w", err)
+		return fmt.Errorf("consensus: first log index: %w", err)
 	}
-	cut := max(index, uint64(v.set.KeepEntries)) - uint64(v.set.KeepEntries)
-	if cut >= first {
-		if err := v.log.Compact(cut); err != nil {
-			return fmt.Errorf("agree: the log up to %d: %w", cut, err)
+	compactTo := max(index, uint64(v.settings.KeepEntries)) - uint64(v.settings.KeepEntries)
+	if compactTo >= first {
+		if err := v.storage.Compact(compactTo); err != nil {
+			return fmt.Errorf("consensus: compact log up to index %d: %w", compactTo, err)
 		}
 	}
-	v.stale = false
-	v.pending.Snapshot, v.pending.CompactedTo = s, max(cut, first-1, 1)
+	v.snapshotOutdated = false
+	v.pendingUpdate.Snapshot, v.pendingUpdate.CompactedTo = snapshot, max(compactTo, first-1, 1)
 	return nil
 }
 
-// Take returns what is to be done; false if there is nothing, or the last Work is not done yet.
+// Ready returns the next work. It returns false if there is none or the last Ready is not finished yet.
 func (v *Voter) Ready() (Ready, bool) {
-	if v.ready != nil || v.broken != nil {
+	if v.currentReady != nil || v.brokenErr != nil {
 		return Ready{}, false
 	}
-	w := Ready{Update: v.pending, Messages: v.sends}
-	v.pending, v.sends = Update{}, nil
-	if len(v.newBoot) > 0 {
-		w.Update.Boots, v.newBoot = v.newBoot, map[uint64]uint64{}
+	ready := Ready{Update: v.pendingUpdate, Messages: v.outgoing}
+	v.pendingUpdate, v.outgoing = Update{}, nil
+	if len(v.unsavedBoots) > 0 {
+		ready.Update.Boots, v.unsavedBoots = v.unsavedBoots, map[uint64]uint64{}
 	}
-	if v.given || !v.node.HasReady() {
-		if w.Update.Empty() && len(w.Messages) == 0 {
-			return w, false
+	if v.diskStale || !v.rawNode.HasReady() {
+		if ready.Update.Empty() && len(ready.Messages) == 0 {
+			return ready, false
 		}
-		v.ready = &raft.Ready{}
-		return w, true
+		v.currentReady = &raft.Ready{}
+		return ready, true
 	}
-	r := v.node.Ready()
-	v.ready = &r
-	if !raft.IsEmptyHardState(r.HardState) {
-		w.Update.Hard = r.HardState
+	raftReady := v.rawNode.Ready()
+	v.currentReady = &raftReady
+	if !raft.IsEmptyHardState(raftReady.HardState) {
+		ready.Update.Hard = raftReady.HardState
 	}
-	w.Update.Entries = r.Entries
-	if !raft.IsEmptySnap(r.Snapshot) {
-		w.Update.Snapshot, w.Update.CompactedTo = r.Snapshot, 0
-		w.Restore, w.Applied = r.Snapshot.GetData(), r.Snapshot.GetMetadata().GetIndex()
+	ready.Update.Entries = raftReady.Entries
+	if !raft.IsEmptySnap(raftReady.Snapshot) {
+		ready.Update.Snapshot, ready.Update.CompactedTo = raftReady.Snapshot, 0
+		ready.Restore, ready.Applied = raftReady.Snapshot.GetData(), raftReady.Snapshot.GetMetadata().GetIndex()
 	}
-	for _, m := range r.Messages {
-		w.Messages = append(w.Messages, Message{From: v.id, To: m.GetTo(), Boot: v.boot, Raft: m})
+	for _, m := range raftReady.Messages {
+		ready.Messages = append(ready.Messages, Message{From: v.id, To: m.GetTo(), Boot: v.boot, Raft: m})
 	}
-	for _, e := range r.CommittedEntries {
-		if e.GetType() == raftpb.EntryNormal && len(e.GetData()) > 0 {
-			w.Entries = append(w.Entries, Entry{e.GetIndex(), e.GetTerm(), e.GetData()})
+	for _, entry := range raftReady.CommittedEntries {
+		if entry.GetType() == raftpb.EntryNormal && len(entry.GetData()) > 0 {
+			ready.Entries = append(ready.Entries, Entry{entry.GetIndex(), entry.GetTerm(), entry.GetData()})
 		}
 	}
-	return w, true
+	return ready, true
 }
 
-// Done says that the last Work was done, all of it.
+// Advance reports that the last Ready was done completely.
 func (v *Voter) Advance() (err error) {
-	v.safely(func() { err = v.done() })
-	if v.broken != nil {
-		return v.broken
+	v.recoverPanics(func() { err = v.finishReady() })
+	if v.brokenErr != nil {
+		return v.brokenErr
 	}
 	return err
 }
 
-func (v *Voter) done() error {
-	r := v.ready
-	if r == nil {
+// finishReady updates the state in memory after a Ready was done.
+func (v *Voter) finishReady() error {
+	ready := v.currentReady
+	if ready == nil {
 		return nil
 	}
-	v.ready = nil
-	if r.HardState == nil && len(r.Entries) == 0 && len(r.CommittedEntries) == 0 && len(r.Messages) == 0 && r.SoftState == nil && r.Snapshot == nil && len(r.ReadStates) == 0 {
-		return nil // none of the library's
+	v.currentReady = nil
+	if ready.HardState == nil && len(ready.Entries) == 0 && len(ready.CommittedEntries) == 0 && len(ready.Messages) == 0 && ready.SoftState == nil && ready.Snapshot == nil && len(ready.ReadStates) == 0 {
+		return nil // the Ready contained nothing of raft's
 	}
-	if !raft.IsEmptySnap(r.Snapshot) {
-		if err := v.log.ApplySnapshot(r.Snapshot); err != nil {
-			return fmt.Errorf("agree: a snapshot of another: %w", err)
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := v.storage.ApplySnapshot(ready.Snapshot); err != nil {
+			return fmt.Errorf("consensus: apply received snapshot: %w", err)
 		}
-		v.conf = r.Snapshot.GetMetadata().GetConfState()
-		v.applied = r.Snapshot.GetMetadata().GetIndex()
+		v.confState = ready.Snapshot.GetMetadata().GetConfState()
+		v.applied = ready.Snapshot.GetMetadata().GetIndex()
 	}
-	if !raft.IsEmptyHardState(r.HardState) {
-		if err := v.log.SetHardState(r.HardState); err != nil {
-			return fmt.Errorf("agree: %w", err)
+	if !raft.IsEmptyHardState(ready.HardState) {
+		if err := v.storage.SetHardState(ready.HardState); err != nil {
+			return fmt.Errorf("consensus: set hard state: %w", err)
 		}
 	}
-	if err := v.log.Append(r.Entries); err != nil {
-		return fmt.Errorf("agree: %w", err)
+	if err := v.storage.Append(ready.Entries); err != nil {
+		return fmt.Errorf("consensus: append log entries: %w", err)
 	}
-	for _, e := range r.CommittedEntries {
-		v.applied = e.GetIndex()
+	for _, entry := range ready.CommittedEntries {
+		v.applied = entry.GetIndex()
 		var change raftpb.ConfChangeI
-		switch e.GetType() {
+		switch entry.GetType() {
 		case raftpb.EntryConfChange:
 			change = &raftpb.ConfChange{}
 		case raftpb.EntryConfChangeV2:
@@ -529,34 +538,34 @@
 		default:
 			continue
 		}
-		if err := proto.Unmarshal(e.GetData(), change.(proto.Message)); err != nil {
-			return fmt.Errorf("agree: a change of the voters at %d: %w", e.GetIndex(), err)
+		if err := proto.Unmarshal(entry.GetData(), change.(proto.Message)); err != nil {
+			return fmt.Errorf("consensus: decode configuration change at index %d: %w", entry.GetIndex(), err)
 		}
-		v.conf, v.stale = v.node.ApplyConfChange(change), true
+		v.confState, v.snapshotOutdated = v.rawNode.ApplyConfChange(change), true
 	}
-	v.node.Advance(*r)
+	v.rawNode.Advance(*ready)
 	return nil
 }
 
-// Applied is the index up to which entries were handed out and done.
+// Applied returns the index up to which entries were returned and applied.
 func (v *Voter) Applied() uint64 { return v.applied }
 
-// quiet is the library's log: what it says is told by this package's events, and what it can't go on from ends the voter.
-type quiet struct{}
-
-func (quiet) Debug(...any)            {}
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Error(...any)            {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warning(...any)          {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(f string, v ...any) {
+// panicLogger is the raft library's logger. It discards messages, and panics on fatal errors to stop the voter.
+type panicLogger struct{}
+
+func (panicLogger) Debug(...any)            {}
+func (panicLogger) Debugf(string, ...any)   {}
+func (panicLogger) Error(...any)            {}
+func (panicLogger) Errorf(string, ...any)   {}
+func (panicLogger) Info(...any)             {}
+func (panicLogger) Infof(string, ...any)    {}
+func (panicLogger) Warning(...any)          {}
+func (panicLogger) Warningf(string, ...any) {}
+func (panicLogger) Fatal(v ...any)          { panic(fmt.Sprint(v...)) }
+func (panicLogger) Fatalf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(f string, v ...any) {
+func (panicLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (panicLogger) Panicf(f string, v ...any) {
 	panic(fmt.Sprintf(f, v...))
 }
--- a/internal/fleet/consensus/voter_test.go
+++ b/internal/fleet/consensus/voter_test.go
@@ -8,73 +8,73 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// group is voters whose messages arrive at once, unless one is down.
-type group struct {
-	t     *testing.T
-	disks map[uint64]*PersistentState
-	up    map[uint64]*Voter
-	said  map[uint64][]string // applied, with the state that snapshots carry
-	held  func(m *Message) bool
-	seed  uint64
+// cluster is a set of voters whose messages arrive at once, except those of stopped voters.
+type cluster struct {
+	t       *testing.T
+	disks   map[uint64]*PersistentState
+	running map[uint64]*Voter
+	applied map[uint64][]string // applied entries, after the state of the last snapshot
+	dropped func(m *Message) bool
+	seed    uint64
 }
 
-func newGroup(t *testing.T, n int) *group {
-	g := &group{t: t, disks: map[uint64]*PersistentState{}, up: map[uint64]*Voter{}, said: map[uint64][]string{}}
+func newTestCluster(t *testing.T, n int) *cluster {
+	c := &cluster{t: t, disks: map[uint64]*PersistentState{}, running: map[uint64]*Voter{}, applied: map[uint64][]string{}}
 	var ids []uint64
 	for i := range n {
 		ids = append(ids, uint64(i+1))
 	}
-	for _, d := range NewCluster(ids) {
-		g.disks[d.ID] = &d
-		g.start(d.ID)
+	for _, state := range NewCluster(ids) {
+		c.disks[state.ID] = &state
+		c.startVoter(state.ID)
 	}
-	return g
+	return c
 }
 
-func (g *group) start(id uint64) {
-	g.t.Helper()
-	d := g.disks[id].Clone()
-	v, err := New(Settings{KeepEntries: 5}, &d, 7+g.seed)
+func (c *cluster) startVoter(id uint64) {
+	c.t.Helper()
+	state := c.disks[id].Clone()
+	v, err := New(Settings{KeepEntries: 5}, &state, 7+c.seed)
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	g.up[id] = v
-	g.said[id] = nil
-	if d.Snapshot != nil && len(d.Snapshot.GetData()) > 0 {
-		g.said[id] = []string{string(d.Snapshot.GetData())}
+	c.running[id] = v
+	c.applied[id] = nil
+	if state.Snapshot != nil && len(state.Snapshot.GetData()) > 0 {
+		c.applied[id] = []string{string(state.Snapshot.GetData())}
 	}
 }
 
-// settle does all work that there is.
-func (g *group) settle() {
+// processReady handles all pending work.
+func (c *cluster) processReady() {
 	for more := true; more; {
 		more = false
-		for _, id := range g.ids() {
-			v := g.up[id]
+		for _, id := range c.ids() {
+			v := c.running[id]
 			for {
-				w, ok := v.Ready()
+				ready, ok := v.Ready()
 				if !ok {
 					break
 				}
 				more = true
-				g.disks[id].Apply(&w.Update)
-				if w.Restore != nil {
-					g.said[id] = []string{string(w.Restore)}
+				c.disks[id].Apply(&ready.Update)
+				if ready.Restore != nil {
+					c.applied[id] = []string{string(ready.Restore)}
 				}
-				for _, e := range w.Entries {
-					g.said[id] = append(g.said[id], string(e.Data))
+				for _, entry := range ready.Entries {
+					c.applied[id] = append(c.applied[id], string(entry.Data))
 				}
 				if err := v.Advance(); err != nil {
-					g.t.Fatal(err)
+					c.t.Fatal(err)
 				}
 				if v.WantsSnapshot() {
-					if err := v.Compact(v.Applied(), []byte(fmt.Sprint("state of ", len(g.said[id])))); err != nil {
-						g.t.Fatal(err)
+					if err := v.Compact(v.Applied(), []byte(fmt.Sprint("state of ", len(c.applied[id])))); err != nil {
+						c.t.Fatal(err)
 					}
 				}
-				for i := range w.Messages {
-					if to := g.up[w.Messages[i].To]; to != nil && (g.held == nil || !g.held(&w.Messages[i])) {
-						to.Receive(&w.Messages[i])
+				for i := range ready.Messages {
+					if receiver := c.running[ready.Messages[i].To]; receiver != nil && (c.dropped == nil || !c.dropped(&ready.Messages[i])) {
+						receiver.Receive(&ready.Messages[i])
 					}
 				}
 			}
@@ -82,241 +82,242 @@
 	}
 }
 
-func (g *group) ids() (all []uint64) {
-	for id := range g.up {
-		all = append(all, id)
+func (c *cluster) ids() (ids []uint64) {
+	for id := range c.running {
+		ids = append(ids, id)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(ids)
+	return ids
 }
 
-// until ticks until something holds.
-func (g *group) until(what string, ok func() bool) {
-	g.t.Helper()
+// waitFor ticks until a condition holds.
+func (c *cluster) waitFor(what string, condition func() bool) {
+	c.t.Helper()
 	for range 300 {
-		g.settle()
-		if ok() {
+		c.processReady()
+		if condition() {
 			return
 		}
-		for _, id := range g.ids() {
-			g.up[id].Tick()
+		for _, id := range c.ids() {
+			c.running[id].Tick()
 		}
 	}
-	g.t.Fatalf("never: %s", what)
+	c.t.Fatalf("condition did not occur: %s", what)
 }
 
-func (g *group) leader() *Voter {
-	for _, id := range g.ids() {
-		if leads, _ := g.up[id].IsLeader(); leads {
-			return g.up[id]
+func (c *cluster) leader() *Voter {
+	for _, id := range c.ids() {
+		if isLeader, _ := c.running[id].IsLeader(); isLeader {
+			return c.running[id]
 		}
 	}
 	return nil
 }
 
-func (g *group) propose(n int) {
-	g.t.Helper()
+func (c *cluster) propose(n int) {
+	c.t.Helper()
 	for i := range n {
-		g.until("a leader that takes a proposal", func() bool {
-			l := g.leader()
-			return l != nil && l.Propose([]byte(fmt.Sprint(i))) == nil
+		c.waitFor("a leader that accepts a proposal", func() bool {
+			leader := c.leader()
+			return leader != nil && leader.Propose([]byte(fmt.Sprint(i))) == nil
 		})
-		g.settle()
+		c.processReady()
 	}
 }
 
-func TestAVoterMustKnowThatItsDiskIsNoOlder(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("a leader", func() bool { return g.leader() != nil })
-	g.propose(5)
-	backup := g.disks[2].Clone()
+func TestOldDiskIsDetectedByBootCount(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.waitFor("a leader", func() bool { return c.leader() != nil })
+	c.propose(5)
+	backup := c.disks[2].Clone()
 	for range 2 { // two starts after the backup
-		delete(g.up, 2)
-		g.start(2)
-		g.until("it is cleared", func() bool { return g.up[2].BootConfirmed() })
+		delete(c.running, 2)
+		c.startVoter(2)
+		c.waitFor("confirmation of the start", func() bool { return c.running[2].BootConfirmed() })
 	}
-	g.propose(5)
-	delete(g.up, 2)
-	g.disks[2] = &backup
-	g.start(2)
-	g.until("it gives its number up", func() bool { return g.up[2].DiskStale() })
-	if g.up[2].Propose([]byte("x")) == nil || g.up[2].Replace(1, 9) == nil {
-		t.Error("a voter that is none any more proposes")
+	c.propose(5)
+	delete(c.running, 2)
+	c.disks[2] = &backup
+	c.startVoter(2)
+	c.waitFor("detection of the old disk", func() bool { return c.running[2].DiskStale() })
+	if c.running[2].Propose([]byte("x")) == nil || c.running[2].Replace(1, 9) == nil {
+		t.Error("a voter that has given up its ID accepted a proposal")
 	}
-	// Nobody answers: it is not cleared, and neither votes nor asks for votes.
-	h := newGroup(t, 3)
-	h.held = func(m *Message) bool { return m.To == 3 || m.From == 3 }
-	h.until("the others have a leader", func() bool { return h.leader() != nil })
-	if h.up[3].BootConfirmed() || h.up[3].Leader() != 0 {
-		t.Error("one that hears nobody is cleared")
+	// Without replies, a voter's start is not confirmed, and it neither votes nor starts elections.
+	isolated := newTestCluster(t, 3)
+	isolated.dropped = func(m *Message) bool { return m.To == 3 || m.From == 3 }
+	isolated.waitFor("a leader of the others", func() bool { return isolated.leader() != nil })
+	if isolated.running[3].BootConfirmed() || isolated.running[3].Leader() != 0 {
+		t.Error("the start of an isolated voter was confirmed")
 	}
 }
 
-// A backup that is put back after a single start counts as many starts as the disk in whose place it comes; what is drawn
-// with each tells them apart.
-func TestABackupOfTheSameCount(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("a leader", func() bool { return g.leader() != nil })
-	g.propose(5)
-	backup := g.disks[2].Clone()
-	delete(g.up, 2)
-	g.start(2)
-	g.until("it is cleared", func() bool { return g.up[2].BootConfirmed() })
-	g.propose(5) // it has promised something since
-	delete(g.up, 2)
-	g.disks[2] = &backup
-	g.seed++
-	g.start(2)
-	g.until("it gives its number up", func() bool { return g.up[2].DiskStale() })
-	if g.up[2].BootConfirmed() {
-		t.Error("it had a voice before")
+// If a backup is restored after a single start, its next start has the same count as the one on the disk that it
+// replaces. The random part of the start must reveal the old disk.
+func TestOldDiskWithEqualBootCountIsDetected(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.waitFor("a leader", func() bool { return c.leader() != nil })
+	c.propose(5)
+	backup := c.disks[2].Clone()
+	delete(c.running, 2)
+	c.startVoter(2)
+	c.waitFor("confirmation of the start", func() bool { return c.running[2].BootConfirmed() })
+	c.propose(5) // it has acknowledged entries since the backup
+	delete(c.running, 2)
+	c.disks[2] = &backup
+	c.seed++
+	c.startVoter(2)
+	c.waitFor("detection of the old disk", func() bool { return c.running[2].DiskStale() })
+	if c.running[2].BootConfirmed() {
+		t.Error("the start was confirmed on an old disk")
 	}
 }
 
-func TestALostDiskIsAnotherVoter(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("a leader", func() bool { return g.leader() != nil })
-	g.propose(20)
-	var gone uint64
-	for _, id := range g.ids() {
-		if leads, _ := g.up[id].IsLeader(); !leads {
-			gone = id
+func TestVoterWithLostDiskIsReplaced(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.waitFor("a leader", func() bool { return c.leader() != nil })
+	c.propose(20)
+	var lost uint64
+	for _, id := range c.ids() {
+		if isLeader, _ := c.running[id].IsLeader(); !isLeader {
+			lost = id
 		}
 	}
-	delete(g.up, gone)
-	delete(g.disks, gone)
-	g.disks[77] = &PersistentState{ID: 77}
-	g.start(77)
-	if err := g.leader().Replace(gone, 1000+gone); err != nil { // one that never comes
+	delete(c.running, lost)
+	delete(c.disks, lost)
+	c.disks[77] = &PersistentState{ID: 77}
+	c.startVoter(77)
+	if err := c.leader().Replace(lost, 1000+lost); err != nil { // a voter that never starts
 		t.Fatal(err)
 	}
-	g.until("the change", func() bool { return slices.Contains(g.leader().Voters(), 1000+gone) })
-	if err := g.leader().Replace(1000+gone, 77); err != nil {
+	c.waitFor("the configuration change", func() bool { return slices.Contains(c.leader().Voters(), 1000+lost) })
+	if err := c.leader().Replace(1000+lost, 77); err != nil {
 		t.Fatal(err)
 	}
-	g.until("the new one has all", func() bool { return len(g.said[77]) > 0 && g.said[77][0] == "state of 20" })
-	if g.leader().Replace(gone, 5) == nil || g.leader().Replace(77, 77) == nil {
-		t.Error("a change that makes no sense was taken")
+	c.waitFor("all entries at the new voter", func() bool { return len(c.applied[77]) > 0 && c.applied[77][0] == "state of 20" })
+	if c.leader().Replace(lost, 5) == nil || c.leader().Replace(77, 77) == nil {
+		t.Error("an invalid change was accepted")
 	}
-	// It counts: with it and one of the others there is a majority.
-	for _, id := range g.ids() {
-		if leads, _ := g.up[id].IsLeader(); leads {
-			delete(g.up, id)
+	// The new voter counts: together with one of the others it is a majority.
+	for _, id := range c.ids() {
+		if isLeader, _ := c.running[id].IsLeader(); isLeader {
+			delete(c.running, id)
 		}
 	}
-	g.propose(3)
+	c.propose(3)
 }
 
-func TestTheLogStaysShort(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("a leader", func() bool { return g.leader() != nil })
-	behind := g.ids()[0]
-	if g.leader().ID() == behind {
-		behind = g.ids()[1]
+func TestCompactionKeepsLogShort(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.waitFor("a leader", func() bool { return c.leader() != nil })
+	behind := c.ids()[0]
+	if c.leader().ID() == behind {
+		behind = c.ids()[1]
 	}
-	delete(g.up, behind)
+	delete(c.running, behind)
 	for range 10 {
-		g.propose(10)
-		for _, id := range g.ids() {
-			if err := g.up[id].Compact(g.up[id].Applied(), []byte(fmt.Sprint("state of ", len(g.said[id])))); err != nil {
+		c.propose(10)
+		for _, id := range c.ids() {
+			if err := c.running[id].Compact(c.running[id].Applied(), []byte(fmt.Sprint("state of ", len(c.applied[id])))); err != nil {
 				t.Fatal(err)
 			}
 		}
-		g.settle()
+		c.processReady()
 	}
-	for _, id := range g.ids() {
-		if n := len(g.disks[id].Entries); n > 20 {
-			t.Errorf("voter %d has %d entries on disk", id, n)
+	for _, id := range c.ids() {
+		if n := len(c.disks[id].Entries); n > 20 {
+			t.Errorf("voter %d has %d entries on disk, want at most 20", id, n)
 		}
 	}
-	g.start(behind)
-	g.propose(1)
-	g.until("the one that was away goes on from a snapshot", func() bool {
-		n := len(g.said[behind])
-		return n > 0 && g.said[behind][n-1] == "0" && g.said[behind][0][:5] == "state"
+	c.startVoter(behind)
+	c.propose(1)
+	c.waitFor("the snapshot at the voter that was stopped", func() bool {
+		n := len(c.applied[behind])
+		return n > 0 && c.applied[behind][n-1] == "0" && c.applied[behind][0][:5] == "state"
 	})
-	// Each starts again from what it has.
-	for _, id := range g.ids() {
-		delete(g.up, id)
-		g.start(id)
+	// All voters must be able to restart from their disks.
+	for _, id := range c.ids() {
+		delete(c.running, id)
+		c.startVoter(id)
 	}
-	g.propose(2)
+	c.propose(2)
 }
 
-// A snapshot that is lost on its way is sent again, however often.
-func TestLostSnapshotsAreSentAgain(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("a leader", func() bool { return g.leader() != nil })
-	behind := g.ids()[0]
-	if g.leader().ID() == behind {
-		behind = g.ids()[1]
+// A snapshot that is lost must be sent again, every time.
+func TestLostSnapshotsAreRetried(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.waitFor("a leader", func() bool { return c.leader() != nil })
+	behind := c.ids()[0]
+	if c.leader().ID() == behind {
+		behind = c.ids()[1]
 	}
-	delete(g.up, behind)
-	g.propose(20)
-	for _, id := range g.ids() {
-		if err := g.up[id].Compact(g.up[id].Applied(), []byte("state")); err != nil {
+	delete(c.running, behind)
+	c.propose(20)
+	for _, id := range c.ids() {
+		if err := c.running[id].Compact(c.running[id].Applied(), []byte("state")); err != nil {
 			t.Fatal(err)
 		}
 	}
 	lost := 0
-	g.held = func(m *Message) bool {
+	c.dropped = func(m *Message) bool {
 		if m.Raft != nil && m.Raft.GetType() == raftpb.MsgSnap && lost < 3 {
 			lost++
 			return true
 		}
 		return false
 	}
-	g.start(behind)
-	g.until("the one that was away has the state", func() bool { return len(g.said[behind]) > 0 && g.said[behind][0] == "state" })
+	c.startVoter(behind)
+	c.waitFor("the snapshot at the voter that was stopped", func() bool { return len(c.applied[behind]) > 0 && c.applied[behind][0] == "state" })
 	if lost < 3 {
-		t.Errorf("%d snapshots were lost, wanted 3", lost)
+		t.Errorf("%d snapshots were lost, want 3", lost)
 	}
-	if n, ok := g.leader().Lag(behind); !ok || n > 0 {
-		t.Errorf("it is %d entries behind, known %v", n, ok)
+	if n, ok := c.leader().Lag(behind); !ok || n > 0 {
+		t.Errorf("lag is %d entries, known %v", n, ok)
 	}
 }
 
-// What no leader can say ends the voter, not the process; one that is told that it had more than it has gives its number up.
-func TestMadeUpMessages(t *testing.T) {
-	g := newGroup(t, 3)
-	g.until("a leader", func() bool { return g.leader() != nil })
-	g.propose(3)
-	for _, id := range g.ids() {
-		if g.up[id] == g.leader() {
+// A message that no leader can send must stop the voter, not the process. A heartbeat with a commit index beyond
+// the voter's log must make it give up its ID.
+func TestForgedMessages(t *testing.T) {
+	c := newTestCluster(t, 3)
+	c.waitFor("a leader", func() bool { return c.leader() != nil })
+	c.propose(3)
+	for _, id := range c.ids() {
+		if c.running[id] == c.leader() {
 			continue
 		}
-		term, far := uint64(99), uint64(1000)
-		beat := raftpb.MsgHeartbeat
-		m := &raftpb.Message{Type: &beat, Term: &term, From: &far, To: &id, Commit: &far}
-		g.up[id].Receive(&Message{From: far, To: id, Boot: 1 << 32, Raft: m})
-		if !g.up[id].DiskStale() {
-			t.Error("a heartbeat for what was never here was taken")
+		term, forged := uint64(99), uint64(1000)
+		heartbeat := raftpb.MsgHeartbeat
+		m := &raftpb.Message{Type: &heartbeat, Term: &term, From: &forged, To: &id, Commit: &forged}
+		c.running[id].Receive(&Message{From: forged, To: id, Boot: 1 << 32, Raft: m})
+		if !c.running[id].DiskStale() {
+			t.Error("a heartbeat with an impossible commit index was accepted")
 		}
-		g.start(id)
-		g.up[id].cleared = true
-		if _, ok := g.up[id].Ready(); !ok { // its disk is at work
-			t.Fatal("a start is not saved")
+		c.startVoter(id)
+		c.running[id].bootConfirmed = true
+		if _, ok := c.running[id].Ready(); !ok { // a disk write is in progress
+			t.Fatal("the start was not saved")
 		}
-		g.up[id].Receive(&Message{From: far, To: id, Boot: 1 << 32, Raft: m})
-		if err := g.up[id].Advance(); g.up[id].Broken() == nil || err == nil {
-			t.Errorf("the voter goes on: %v, %v", g.up[id].Broken(), err)
+		c.running[id].Receive(&Message{From: forged, To: id, Boot: 1 << 32, Raft: m})
+		if err := c.running[id].Advance(); c.running[id].Broken() == nil || err == nil {
+			t.Errorf("the voter was not stopped: %v, %v", c.running[id].Broken(), err)
 		}
-		g.start(id)
+		c.startVoter(id)
 	}
 }
 
 func FuzzReceive(f *testing.F) {
 	f.Add(uint64(1), uint64(2), uint64(1), uint64(3), true)
-	f.Fuzz(func(t *testing.T, from, to, boot, known uint64, hello bool) {
-		d := NewCluster([]uint64{1, 2, 3})[0]
-		v, err := New(Settings{}, &d, 1)
+	f.Fuzz(func(t *testing.T, from, to, boot, knownBoot uint64, bootQuery bool) {
+		state := NewCluster([]uint64{1, 2, 3})[0]
+		v, err := New(Settings{}, &state, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		v.Receive(&Message{From: from, To: to, Boot: boot, KnownBoot: known, BootQuery: hello})
+		v.Receive(&Message{From: from, To: to, Boot: boot, KnownBoot: knownBoot, BootQuery: bootQuery})
 		v.Tick()
-		if w, ok := v.Ready(); ok {
-			d.Apply(&w.Update)
+		if ready, ok := v.Ready(); ok {
+			state.Apply(&ready.Update)
 			if err := v.Advance(); err != nil {
 				t.Fatal(err)
 			}
