--- a/internal/fleet/raftstore/doc.go
+++ b/internal/fleet/raftstore/doc.go
@@ -1,16 +1,15 @@
-// Package raftstore keeps a voter's disk in a store: number, starts, state, snapshot and log,
-// and a note of its user's beside them.
+// Package raftstore keeps a voter's persistent state in a store: its ID, starts, hard state, snapshot and log, and
+// a record of the user's beside them.
 //
-// One Save is one commit of the store, which is read back whole or not at all. What is
-// found at the start is looked through: where something is missing that was once
-// acknowledged, or may be, the disk is not to be trusted, and its voter must give its
-// number up. The store's Whole setting must be on.
+// One Save is one commit of the store, which is read back completely or not at all. The state is checked when it
+// is loaded: if something that was acknowledged is missing, or may be, the state must not be trusted, and its
+// voter must give up its ID. The store's AtomicCommits setting must be on.
 //
-// It is pure: the store's files are an interface, and time comes in. A Ledger belongs to
-// one goroutine, which waits for the disk.
+// It is pure: the store's files are an interface, and time is an argument. A Store is used by one goroutine, which
+// waits for the disk.
 //
-// It must not decide who votes, and does not know what entries say.
+// It must not decide who votes, and does not know what the entries mean.
 //
-// Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 3.8 (what must be kept),
-// 11.7.3 (disks that forget).
+// Source: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 3.8 (persisted state), 11.7.3 (disks that lose
+// data).
 package raftstore
--- a/internal/fleet/raftstore/store.go
+++ b/internal/fleet/raftstore/store.go
@@ -16,303 +16,305 @@
 	"curlewring/internal/store"
 )
 
-// The tables of the store. They are never used anew for something else.
+// The store's tables. Their numbers must not be reused for other data.
 const (
-	tableSelf    = 1 + iota // rowID, rowNote, rowHard, rowSnapshot
-	tableBoots              // by voter
-	tablePieces             // of the snapshot's data, by place
-	tableEntries            // by index
+	tableVoter   = 1 + iota // rowID, rowUserData, rowHard, rowSnapshot
+	tableBoots              // by voter ID
+	tableChunks             // of the snapshot's data, by position
+	tableEntries            // by log index
 )
 
 const (
-	rowID, rowNote, rowHard, rowSnapshot = "id", "note", "hard", "snapshot"
+	rowID, rowUserData, rowHard, rowSnapshot = "id", "note", "hard", "snapshot"
 
-	pieceBytes = 48 << 10
-	mostBytes  = 48 << 20
-	mostRows   = 1 << 16
+	chunkBytes    = 48 << 10
+	maxStoreBytes = 48 << 20
+	maxStoreRows  = 1 << 16
 )
 
-// Settings are those of the store that a Ledger needs.
+// Settings returns the settings that a Store needs its underlying store to be opened with.
 func Settings() store.Settings {
-	return store.Settings{MaxRows: mostRows, MaxBytes: mostBytes, UrgentSyncInterval: 1, AtomicCommits: true}
+	return store.Settings{MaxRows: maxStoreRows, MaxBytes: maxStoreBytes, UrgentSyncInterval: 1, AtomicCommits: true}
 }
 
-// Found is what stood on the disk.
+// Loaded is what was found on disk.
 type Loaded struct {
-	State    consensus.PersistentState // ID 0: none
-	UserData []byte                    // its user's
-	// Doubt says why the disk must not be trusted; "": it can be. The number is told then, and nothing else is.
+	State    consensus.PersistentState // ID 0: there is none
+	UserData []byte                    // the user's record
+	// DistrustReason says why the state must not be trusted; "": it can be. Otherwise State holds the voter ID
+	// alone.
 	DistrustReason string
 }
 
-// Ledger is a voter's disk.
+// Store keeps a voter's persistent state.
 type Store struct {
-	s           *store.Store
-	first, last uint64 // indices of the entries there; last < first: none
-	pieces      int
+	store                 *store.Store
+	firstIndex, lastIndex uint64 // indices of the stored entries; lastIndex < firstIndex: none
+	chunks                int    // of the stored snapshot
 }
 
-// New looks through a store that was opened with Settings.
-func New(s *store.Store, r store.Report) (*Store, Loaded) {
-	l := &Store{s: s, first: 1}
-	f, err := l.read()
-	var wrong []string
-	if r.DamagedBytes > 0 || r.IncompleteSnapshots > 0 || r.NoSnapshot && r.Rows > 0 {
-		wrong = append(wrong, r.String())
+// New loads the state from a store that was opened with Settings.
+func New(opened *store.Store, report store.Report) (*Store, Loaded) {
+	s := &Store{store: opened, firstIndex: 1}
+	loaded, err := s.load()
+	var reasons []string
+	if report.DamagedBytes > 0 || report.IncompleteSnapshots > 0 || report.NoSnapshot && report.Rows > 0 {
+		reasons = append(reasons, report.String())
 	}
-	if len(r.Notes) > 0 {
-		wrong = append(wrong, strings.Join(r.Notes, "; "))
+	if len(report.Notes) > 0 {
+		reasons = append(reasons, strings.Join(report.Notes, "; "))
 	}
 	if err != nil {
-		wrong = append(wrong, err.Error())
+		reasons = append(reasons, err.Error())
 	}
-	if len(wrong) > 0 {
-		f = Loaded{State: consensus.PersistentState{ID: f.State.ID}, DistrustReason: strings.Join(wrong, "; ")}
+	if len(reasons) > 0 {
+		loaded = Loaded{State: consensus.PersistentState{ID: loaded.State.ID}, DistrustReason: strings.Join(reasons, "; ")}
 	}
-	return l, f
+	return s, loaded
 }
 
-func key(x uint64) string { return string(binary.BigEndian.AppendUint64(nil, x)) }
+func encodeUint64(x uint64) string { return string(binary.BigEndian.AppendUint64(nil, x)) }
 
-func number(b []byte) (uint64, error) {
+func decodeUint64(b []byte) (uint64, error) {
 	if len(b) != 8 {
-		return 0, fmt.Errorf("a number of %d bytes", len(b))
+		return 0, fmt.Errorf("value has %d bytes, want 8", len(b))
 	}
 	return binary.BigEndian.Uint64(b), nil
 }
 
-// read makes a disk of the rows.
-func (l *Store) read() (f Loaded, err error) {
-	b := l.s.Get(tableSelf, rowID)
+// load reads the persistent state from the rows.
+func (s *Store) load() (loaded Loaded, err error) {
+	b := s.store.Get(tableVoter, rowID)
 	if b == nil {
-		f.UserData = l.s.Get(tableSelf, rowNote)
-		if l.s.Len() > 1 || l.s.Len() == 1 && f.UserData == nil {
-			return f, errors.New("there are rows, and no voter's number")
+		loaded.UserData = s.store.Get(tableVoter, rowUserData)
+		if s.store.Len() > 1 || s.store.Len() == 1 && loaded.UserData == nil {
+			return loaded, errors.New("raftstore: there are rows, but no voter ID")
 		}
-		return f, nil
+		return loaded, nil
 	}
-	d := &f.State
-	if d.ID, err = number(b); err != nil || d.ID == 0 {
-		return f, fmt.Errorf("the voter's number is none: %x", b)
+	state := &loaded.State
+	if state.ID, err = decodeUint64(b); err != nil || state.ID == 0 {
+		return loaded, fmt.Errorf("raftstore: the voter ID is invalid: %x", b)
 	}
-	f.UserData = l.s.Get(tableSelf, rowNote)
-	d.Boots = map[uint64]uint64{}
-	for _, k := range l.s.Keys(tableBoots) {
-		id, err := number([]byte(k))
-		n, err2 := number(l.s.Get(tableBoots, k))
+	loaded.UserData = s.store.Get(tableVoter, rowUserData)
+	state.Boots = map[uint64]uint64{}
+	for _, key := range s.store.Keys(tableBoots) {
+		id, err := decodeUint64([]byte(key))
+		boot, err2 := decodeUint64(s.store.Get(tableBoots, key))
 		if err = cmp.Or(err, err2); err != nil {
-			return f, fmt.Errorf("a count of starts: %w", err)
+			return loaded, fmt.Errorf("raftstore: decode start of a voter: %w", err)
 		}
-		d.Boots[id] = n
+		state.Boots[id] = boot
 	}
-	if b := l.s.Get(tableSelf, rowHard); b != nil {
-		d.Hard = &raftpb.HardState{}
-		if err := proto.Unmarshal(b, d.Hard); err != nil {
-			return f, fmt.Errorf("the voter's state: %w", err)
+	if b := s.store.Get(tableVoter, rowHard); b != nil {
+		state.Hard = &raftpb.HardState{}
+		if err := proto.Unmarshal(b, state.Hard); err != nil {
+			return loaded, fmt.Errorf("raftstore: decode hard state: %w", err)
 		}
 	}
-	if err := l.readSnapshot(d); err != nil {
-		return f, err
+	if err := s.loadSnapshot(state); err != nil {
+		return loaded, err
 	}
-	return f, l.readEntries(d)
+	return loaded, s.loadEntries(state)
 }
 
-func (l *Store) readSnapshot(d *consensus.PersistentState) error {
-	keys := l.s.Keys(tablePieces)
-	l.pieces = len(keys)
-	b := l.s.Get(tableSelf, rowSnapshot)
+func (s *Store) loadSnapshot(state *consensus.PersistentState) error {
+	keys := s.store.Keys(tableChunks)
+	s.chunks = len(keys)
+	b := s.store.Get(tableVoter, rowSnapshot)
 	if b == nil {
 		if len(keys) > 0 {
-			return errors.New("pieces of a snapshot that is not there")
+			return errors.New("raftstore: there are chunks, but no snapshot")
 		}
 		return nil
 	}
-	d.Snapshot = &raftpb.Snapshot{}
-	if err := proto.Unmarshal(b, d.Snapshot); err != nil {
-		return fmt.Errorf("the snapshot: %w", err)
+	state.Snapshot = &raftpb.Snapshot{}
+	if err := proto.Unmarshal(b, state.Snapshot); err != nil {
+		return fmt.Errorf("raftstore: decode snapshot: %w", err)
 	}
-	want, err := number(d.Snapshot.GetData()) // in the place of the data: how many pieces it has
-	if err != nil || want != uint64(len(keys)) {
-		return fmt.Errorf("the snapshot has %d of %d pieces", len(keys), want)
+	chunks, err := decodeUint64(state.Snapshot.GetData()) // the number of chunks is stored in place of the data
+	if err != nil || chunks != uint64(len(keys)) {
+		return fmt.Errorf("raftstore: the snapshot has %d of %d chunks", len(keys), chunks)
 	}
-	d.Snapshot.Data = nil
-	for i, k := range keys {
-		if k != key(uint64(i)) {
-			return fmt.Errorf("the snapshot lacks piece %d", i)
+	state.Snapshot.Data = nil
+	for i, key := range keys {
+		if key != encodeUint64(uint64(i)) {
+			return fmt.Errorf("raftstore: the snapshot lacks chunk %d", i)
 		}
-		d.Snapshot.Data = append(d.Snapshot.Data, l.s.Get(tablePieces, k)...)
+		state.Snapshot.Data = append(state.Snapshot.Data, s.store.Get(tableChunks, key)...)
 	}
 	return nil
 }
 
-func (l *Store) readEntries(d *consensus.PersistentState) error {
-	begin := d.Snapshot.GetMetadata().GetIndex() + 1
-	keys := l.s.Keys(tableEntries)
-	for i, k := range keys {
-		index, err := number([]byte(k))
+func (s *Store) loadEntries(state *consensus.PersistentState) error {
+	firstIndex := state.Snapshot.GetMetadata().GetIndex() + 1
+	keys := s.store.Keys(tableEntries)
+	for i, key := range keys {
+		index, err := decodeUint64([]byte(key))
 		if err != nil {
-			return fmt.Errorf("an entry: %w", err)
+			return fmt.Errorf("raftstore: decode entry index: %w", err)
 		}
 		if i == 0 {
-			l.first, l.last = index, index-1
+			s.firstIndex, s.lastIndex = index, index-1
 		}
-		if index != l.last+1 {
-			return fmt.Errorf("entries %d to %d are missing", l.last+1, index-1)
+		if index != s.lastIndex+1 {
+			return fmt.Errorf("raftstore: entries %d to %d are missing", s.lastIndex+1, index-1)
 		}
-		l.last = index
-		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(l.s.Get(tableEntries, k), e); err != nil || e.GetIndex() != index {
-			return fmt.Errorf("entry %d can't be read: %v", index, err)
+		s.lastIndex = index
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(s.store.Get(tableEntries, key), entry); err != nil || entry.GetIndex() != index {
+			return fmt.Errorf("raftstore: entry %d can't be decoded or has another index: %v", index, err)
 		}
-		if index >= begin {
-			d.Entries = append(d.Entries, e)
+		if index >= firstIndex {
+			state.Entries = append(state.Entries, entry)
 		}
 	}
-	if len(d.Entries) > 0 && d.Entries[0].GetIndex() != begin {
-		return fmt.Errorf("the snapshot ends at %d, and the entries begin at %d", begin-1, d.Entries[0].GetIndex())
+	if len(state.Entries) > 0 && state.Entries[0].GetIndex() != firstIndex {
+		return fmt.Errorf("raftstore: the snapshot ends at index %d, but the entries start at %d", firstIndex-1, state.Entries[0].GetIndex())
 	}
-	if have := begin - 1 + uint64(len(d.Entries)); d.Hard.GetCommit() > have {
-		return fmt.Errorf("entries up to %d are agreed on, and %d are here", d.Hard.GetCommit(), have)
+	if lastIndex := firstIndex - 1 + uint64(len(state.Entries)); state.Hard.GetCommit() > lastIndex {
+		return fmt.Errorf("raftstore: entries up to index %d are committed, but the last one stored is %d", state.Hard.GetCommit(), lastIndex)
 	}
 	return nil
 }
 
-// batch is rows that are put together.
+// batch is a set of row changes. It keeps the first error.
 type batch struct {
-	l   *Store
-	now time.Duration
-	err error
+	target *Store
+	now    time.Duration
+	err    error
 }
 
 func (b *batch) put(table byte, key string, value []byte) {
 	if b.err == nil {
-		_, b.err = b.l.s.Put(b.now, table, key, value, true)
+		_, b.err = b.target.store.Put(b.now, table, key, value, true)
 	}
 }
 
-func (b *batch) message(table byte, key string, m proto.Message) {
-	value, err := proto.Marshal(m)
+func (b *batch) putProto(table byte, key string, message proto.Message) {
+	value, err := proto.Marshal(message)
 	if b.err = cmp.Or(b.err, err); b.err == nil {
 		b.put(table, key, value)
 	}
 }
 
-func (b *batch) drop(table byte, key string) { b.l.s.Delete(b.now, table, key, true) }
+func (b *batch) delete(table byte, key string) { b.target.store.Delete(b.now, table, key, true) }
 
-// entries removes those from one index to another.
-func (b *batch) entries(from, to uint64) {
-	for i := max(from, b.l.first); i <= min(to, b.l.last); i++ {
-		b.drop(tableEntries, key(i))
+// deleteEntries deletes the entries from one index to another, both included.
+func (b *batch) deleteEntries(from, to uint64) {
+	for i := max(from, b.target.firstIndex); i <= min(to, b.target.lastIndex); i++ {
+		b.delete(tableEntries, encodeUint64(i))
 	}
 }
 
-func (b *batch) snapshot(s *raftpb.Snapshot) {
-	data := s.GetData()
-	n := 0
-	for ; len(data) > 0; n++ {
-		size := min(len(data), pieceBytes)
-		b.put(tablePieces, key(uint64(n)), data[:size])
+// putSnapshot stores the snapshot's metadata, and its data in chunks.
+func (b *batch) putSnapshot(snapshot *raftpb.Snapshot) {
+	data := snapshot.GetData()
+	chunks := 0
+	for ; len(data) > 0; chunks++ {
+		size := min(len(data), chunkBytes)
+		b.put(tableChunks, encodeUint64(uint64(chunks)), data[:size])
 		data = data[size:]
 	}
-	for i := n; i < b.l.pieces; i++ {
-		b.drop(tablePieces, key(uint64(i)))
+	for i := chunks; i < b.target.chunks; i++ {
+		b.delete(tableChunks, encodeUint64(uint64(i)))
 	}
-	b.l.pieces = n
-	b.message(tableSelf, rowSnapshot, &raftpb.Snapshot{Metadata: s.GetMetadata(), Data: []byte(key(uint64(n)))})
+	b.target.chunks = chunks
+	b.putProto(tableVoter, rowSnapshot, &raftpb.Snapshot{Metadata: snapshot.GetMetadata(), Data: []byte(encodeUint64(uint64(chunks)))})
 }
 
-// Put writes a Save, and a note if there is one, and waits for the disk. After an error nothing of it may be acted on;
-// the same Save must be put again before anything else is, and that until it succeeds.
-func (l *Store) Save(now time.Duration, s *consensus.Update, note []byte) error {
-	b := &batch{l: l, now: now}
-	if note != nil {
-		b.put(tableSelf, rowNote, note)
-	}
-	for id, n := range s.Boots {
-		b.put(tableBoots, key(id), []byte(key(n)))
-	}
-	if s.Hard != nil {
-		b.message(tableSelf, rowHard, s.Hard)
-	}
-	if s.Snapshot != nil {
-		b.snapshot(s.Snapshot)
-		if s.CompactedTo == 0 { // another's: what was here is of no use
-			b.entries(0, math.MaxUint64)
-			l.first = s.Snapshot.GetMetadata().GetIndex() + 1
-			l.last = l.first - 1
+// Save writes an Update, and the user's record unless it is nil, and waits for the disk. After an error nothing of
+// it may be acted on, and the same Update must be saved again, until that succeeds, before any other.
+func (s *Store) Save(now time.Duration, update *consensus.Update, userData []byte) error {
+	b := &batch{target: s, now: now}
+	if userData != nil {
+		b.put(tableVoter, rowUserData, userData)
+	}
+	for id, boot := range update.Boots {
+		b.put(tableBoots, encodeUint64(id), []byte(encodeUint64(boot)))
+	}
+	if update.Hard != nil {
+		b.putProto(tableVoter, rowHard, update.Hard)
+	}
+	if update.Snapshot != nil {
+		b.putSnapshot(update.Snapshot)
+		if update.CompactedTo == 0 { // the leader's snapshot: older entries are useless
+			b.deleteEntries(0, math.MaxUint64)
+			s.firstIndex = update.Snapshot.GetMetadata().GetIndex() + 1
+			s.lastIndex = s.firstIndex - 1
 		}
 	}
-	if len(s.Entries) > 0 {
-		from := s.Entries[0].GetIndex()
-		b.entries(from+uint64(len(s.Entries)), math.MaxUint64)
-		for _, e := range s.Entries {
-			b.message(tableEntries, key(e.GetIndex()), e)
+	if len(update.Entries) > 0 {
+		from := update.Entries[0].GetIndex()
+		b.deleteEntries(from+uint64(len(update.Entries)), math.MaxUint64)
+		for _, entry := range update.Entries {
+			b.putProto(tableEntries, encodeUint64(entry.GetIndex()), entry)
 		}
-		if l.last < l.first {
-			l.first = from
+		if s.lastIndex < s.firstIndex {
+			s.firstIndex = from
 		}
-		l.last = from + uint64(len(s.Entries)) - 1
+		s.lastIndex = from + uint64(len(update.Entries)) - 1
 	}
-	if s.CompactedTo > 0 {
-		b.entries(0, s.CompactedTo)
-		l.first = max(l.first, min(s.CompactedTo, l.last)+1)
+	if update.CompactedTo > 0 {
+		b.deleteEntries(0, update.CompactedTo)
+		s.firstIndex = max(s.firstIndex, min(update.CompactedTo, s.lastIndex)+1)
 	}
-	return l.commit(b)
+	return s.commit(b)
 }
 
-// commit writes what was put.
-func (l *Store) commit(b *batch) error {
+// commit writes the batch to disk.
+func (s *Store) commit(b *batch) error {
 	if b.err != nil {
 		return b.err
 	}
-	seq := l.s.Seq()
-	// A store that has failed waits before it tries again: whoever calls has waited.
-	at, due := l.s.Due()
-	if err := l.s.Commit(max(b.now, at)); err != nil {
+	seq := s.store.Seq()
+	// After a failure the store waits before it tries again; the caller has waited already.
+	at, due := s.store.Due()
+	if err := s.store.Commit(max(b.now, at)); err != nil {
 		return err
 	}
-	if due && l.s.Durable() < seq {
-		return cmp.Or(l.s.WriteError(), errors.New("ledger: the store has not written"))
+	if due && s.store.Durable() < seq {
+		return cmp.Or(s.store.WriteError(), errors.New("raftstore: the store has not written the update"))
 	}
 	return nil
 }
 
-// Begin puts another voter's disk in the place of whatever there is.
-func (l *Store) Reset(now time.Duration, d *consensus.PersistentState, note []byte) error {
-	b := &batch{l: l, now: now}
-	for _, table := range []byte{tableSelf, tableBoots, tablePieces, tableEntries} {
-		for _, k := range l.s.Keys(table) {
-			b.drop(table, k)
+// Reset replaces all stored state.
+func (s *Store) Reset(now time.Duration, state *consensus.PersistentState, userData []byte) error {
+	b := &batch{target: s, now: now}
+	for _, table := range []byte{tableVoter, tableBoots, tableChunks, tableEntries} {
+		for _, key := range s.store.Keys(table) {
+			b.delete(table, key)
 		}
 	}
-	l.first, l.last, l.pieces = 1, 0, 0
-	if note != nil {
-		b.put(tableSelf, rowNote, note)
+	s.firstIndex, s.lastIndex, s.chunks = 1, 0, 0
+	if userData != nil {
+		b.put(tableVoter, rowUserData, userData)
 	}
-	if d.ID != 0 {
-		b.put(tableSelf, rowID, []byte(key(d.ID)))
+	if state.ID != 0 {
+		b.put(tableVoter, rowID, []byte(encodeUint64(state.ID)))
 	}
-	for id, n := range d.Boots {
-		b.put(tableBoots, key(id), []byte(key(n)))
+	for id, boot := range state.Boots {
+		b.put(tableBoots, encodeUint64(id), []byte(encodeUint64(boot)))
 	}
-	if d.Hard != nil {
-		b.message(tableSelf, rowHard, d.Hard)
+	if state.Hard != nil {
+		b.putProto(tableVoter, rowHard, state.Hard)
 	}
-	if d.Snapshot != nil {
-		b.snapshot(d.Snapshot)
-		l.first = d.Snapshot.GetMetadata().GetIndex() + 1
-		l.last = l.first - 1
+	if state.Snapshot != nil {
+		b.putSnapshot(state.Snapshot)
+		s.firstIndex = state.Snapshot.GetMetadata().GetIndex() + 1
+		s.lastIndex = s.firstIndex - 1
 	}
-	for _, e := range d.Entries {
-		b.message(tableEntries, key(e.GetIndex()), e)
-		l.last = e.GetIndex()
+	for _, entry := range state.Entries {
+		b.putProto(tableEntries, encodeUint64(entry.GetIndex()), entry)
+		s.lastIndex = entry.GetIndex()
 	}
-	return l.commit(b)
+	return s.commit(b)
 }
 
-// Tidy keeps the store's files short, by a bounded step; it tells whether there is more.
-func (l *Store) Compact(now time.Duration) (more bool, err error) { return l.s.Compact(now) }
+// Compact takes a bounded step to shorten the store's files, and reports whether there is more to do.
+func (s *Store) Compact(now time.Duration) (more bool, err error) { return s.store.Compact(now) }
 
-// Size is how many bytes the rows take, and Stats what was written.
-func (l *Store) Size() int          { return l.s.Bytes() }
-func (l *Store) Stats() store.Stats { return l.s.Stats() }
+// Size returns the size of the rows in bytes, and Stats what was written.
+func (s *Store) Size() int          { return s.store.Bytes() }
+func (s *Store) Stats() store.Stats { return s.store.Stats() }
--- a/internal/fleet/raftstore/store_test.go
+++ b/internal/fleet/raftstore/store_test.go
@@ -17,210 +17,212 @@
 	"curlewring/internal/store"
 )
 
-// folder is a store's folder in memory.
+// folder is an in-memory store.FS.
 type folder struct {
-	files map[string][]byte
-	safe  map[string]int // bytes of each that are synced
-	full  bool
+	files  map[string][]byte
+	synced map[string]int // bytes of each file that are synced
+	full   bool
 }
 
-func newFolder() *folder { return &folder{files: map[string][]byte{}, safe: map[string]int{}} }
+func newFolder() *folder { return &folder{files: map[string][]byte{}, synced: map[string]int{}} }
 
 func (f *folder) List() ([]string, error) { return slices.Collect(maps.Keys(f.files)), nil }
-func (f *folder) Read(name string, most int) ([]byte, error) {
+func (f *folder) Read(name string, limit int) ([]byte, error) {
 	return slices.Clone(f.files[name]), nil
 }
 func (f *folder) Create(name string) (store.File, error) {
 	if f.full {
 		return nil, errors.New("no space left on device")
 	}
-	f.files[name], f.safe[name] = nil, 0
+	f.files[name], f.synced[name] = nil, 0
 	return &file{f, name}, nil
 }
 func (f *folder) Rename(from, to string) error {
-	f.files[to], f.safe[to] = f.files[from], f.safe[from]
+	f.files[to], f.synced[to] = f.files[from], f.synced[from]
 	delete(f.files, from)
 	return nil
 }
 func (f *folder) Remove(name string) error { delete(f.files, name); return nil }
 func (f *folder) SyncDir() error           { return nil }
 
-// torn is the folder after a crash: of what was not synced some is there.
-func (f *folder) torn(rng *rand.Rand) *folder {
+// afterCrash returns the folder after a crash: part of the unsynced bytes is lost.
+func (f *folder) afterCrash(rng *rand.Rand) *folder {
 	next := newFolder()
 	for name, b := range f.files {
-		safe := min(f.safe[name], len(b))
-		next.files[name] = slices.Clone(b[:safe+rng.IntN(len(b)-safe+1)])
-		next.safe[name] = len(next.files[name])
+		synced := min(f.synced[name], len(b))
+		next.files[name] = slices.Clone(b[:synced+rng.IntN(len(b)-synced+1)])
+		next.synced[name] = len(next.files[name])
 	}
 	return next
 }
 
 type file struct {
-	f    *folder
-	name string
+	folder *folder
+	name   string
 }
 
-func (x *file) Write(p []byte) (int, error) {
-	if x.f.full {
+func (f *file) Write(p []byte) (int, error) {
+	if f.folder.full {
 		return 0, errors.New("no space left on device")
 	}
-	x.f.files[x.name] = append(x.f.files[x.name], p...)
+	f.folder.files[f.name] = append(f.folder.files[f.name], p...)
 	return len(p), nil
 }
-func (x *file) Sync() error  { x.f.safe[x.name] = len(x.f.files[x.name]); return nil }
-func (x *file) Close() error { return nil }
+func (f *file) Sync() error  { f.folder.synced[f.name] = len(f.folder.files[f.name]); return nil }
+func (f *file) Close() error { return nil }
 
-func open(f *folder) (*Store, Loaded) { return New(store.Open(f, Settings())) }
+func openStore(f *folder) (*Store, Loaded) { return New(store.Open(f, Settings())) }
 
-// text is a disk as a test compares it.
-func text(d *consensus.PersistentState) string {
-	var s strings.Builder
-	fmt.Fprint(&s, d.ID, " ", d.Boots, " ", d.Hard, " ", d.Snapshot.GetMetadata(), " ", len(d.Snapshot.GetData()), " ")
-	from := d.Snapshot.GetMetadata().GetIndex()
-	for _, e := range d.Entries {
-		if e.GetIndex() > from {
-			fmt.Fprint(&s, e, " ")
+// stateText formats a state for comparison.
+func stateText(state *consensus.PersistentState) string {
+	var text strings.Builder
+	fmt.Fprint(&text, state.ID, " ", state.Boots, " ", state.Hard, " ", state.Snapshot.GetMetadata(), " ", len(state.Snapshot.GetData()), " ")
+	snapshotIndex := state.Snapshot.GetMetadata().GetIndex()
+	for _, entry := range state.Entries {
+		if entry.GetIndex() > snapshotIndex {
+			fmt.Fprint(&text, entry, " ")
 		}
 	}
-	return s.String()
+	return text.String()
 }
 
-func entries(from, to, term uint64, rng *rand.Rand) (all []*raftpb.Entry) {
+func newEntries(from, to, term uint64, rng *rand.Rand) (entries []*raftpb.Entry) {
 	for i := from; i <= to; i++ {
-		all = append(all, &raftpb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(term), Data: make([]byte, rng.IntN(200))})
+		entries = append(entries, &raftpb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(term), Data: make([]byte, rng.IntN(200))})
 	}
-	return all
+	return entries
 }
 
-// What is read back is what was put, or that and the Save whose write was cut, and it is never half of one: with entries
-// that take others' place, snapshots of this voter and of others, in several pieces, and cuts.
-func TestSavesAreReadBack(t *testing.T) {
+// Loading must return the saved state, or, if the last write was cut, the state before or after that Save, but
+// never part of it. Saves replace entries, store own and received snapshots of several chunks, and compact the
+// log.
+func TestSavedStateIsLoaded(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f := newFolder()
 		model := consensus.NewCluster([]uint64{7, 8, 9})[0]
-		l, found := open(f)
-		if found.State.ID != 0 || found.DistrustReason != "" {
-			t.Fatalf("an empty folder: %+v", found)
+		s, loaded := openStore(f)
+		if loaded.State.ID != 0 || loaded.DistrustReason != "" {
+			t.Fatalf("state loaded from an empty folder: %+v", loaded)
 		}
 		now := time.Hour
-		if err := l.Reset(now, &model, []byte("note")); err != nil {
+		if err := s.Reset(now, &model, []byte("note")); err != nil {
 			t.Fatal(err)
 		}
 		term, last := uint64(1), uint64(1)
 		for range 40 {
-			save := consensus.Update{}
+			update := consensus.Update{}
 			if rng.IntN(3) == 0 {
-				save.Boots = map[uint64]uint64{7: model.Boots[7] + 1}
+				update.Boots = map[uint64]uint64{7: model.Boots[7] + 1}
 			}
 			switch rng.IntN(6) {
-			case 0: // another's snapshot
+			case 0: // a received snapshot
 				last += uint64(1 + rng.IntN(20))
-				save.Snapshot = &raftpb.Snapshot{Data: make([]byte, rng.IntN(4)*40<<10), Metadata: &raftpb.SnapshotMetadata{
+				update.Snapshot = &raftpb.Snapshot{Data: make([]byte, rng.IntN(4)*40<<10), Metadata: &raftpb.SnapshotMetadata{
 					ConfState: &raftpb.ConfState{Voters: []uint64{7, 8, 9}}, Index: proto.Uint64(last), Term: proto.Uint64(term)}}
-			case 1: // its own, and a cut
+			case 1: // an own snapshot, and compaction
 				index := model.Snapshot.GetMetadata().GetIndex()
 				index += uint64(rng.IntN(int(last-index) + 1))
-				save.Snapshot = &raftpb.Snapshot{Data: make([]byte, rng.IntN(100<<10)), Metadata: &raftpb.SnapshotMetadata{
+				update.Snapshot = &raftpb.Snapshot{Data: make([]byte, rng.IntN(100<<10)), Metadata: &raftpb.SnapshotMetadata{
 					ConfState: &raftpb.ConfState{Voters: []uint64{7, 8, 9}}, Index: proto.Uint64(index), Term: proto.Uint64(term)}}
-				save.CompactedTo = max(1, index-min(index, uint64(rng.IntN(5))))
+				update.CompactedTo = max(1, index-min(index, uint64(rng.IntN(5))))
 			default:
 				from := last + 1
-				if first := model.Snapshot.GetMetadata().GetIndex() + 1; rng.IntN(4) == 0 && from > first { // others' place
+				// Replace existing entries.
+				if first := model.Snapshot.GetMetadata().GetIndex() + 1; rng.IntN(4) == 0 && from > first {
 					from = first + uint64(rng.IntN(int(from-first)))
 				}
 				term++
 				last = from + uint64(rng.IntN(5))
-				save.Entries = entries(from, last, term, rng)
+				update.Entries = newEntries(from, last, term, rng)
 			}
 			if rng.IntN(2) == 0 {
-				save.Hard = &raftpb.HardState{Term: proto.Uint64(term), Commit: proto.Uint64(model.Snapshot.GetMetadata().GetIndex())}
+				update.Hard = &raftpb.HardState{Term: proto.Uint64(term), Commit: proto.Uint64(model.Snapshot.GetMetadata().GetIndex())}
 			}
-			before := text(&model)
-			sizes := maps.Clone(f.safe)
-			if err := l.Save(now, &save, nil); err != nil {
+			before := stateText(&model)
+			sizes := maps.Clone(f.synced)
+			if err := s.Save(now, &update, nil); err != nil {
 				t.Fatal(err)
 			}
-			model.Apply(&save)
+			model.Apply(&update)
 			now += time.Millisecond
-			after := text(&model)
-			if rng.IntN(3) == 0 { // it was cut, as if the sync had not ended
-				cut := newFolder()
-				cut.files, cut.safe = maps.Clone(f.files), sizes
-				for name := range cut.files {
-					if _, had := sizes[name]; !had {
-						cut.safe[name] = len(cut.files[name])
+			after := stateText(&model)
+			if rng.IntN(3) == 0 { // a crash before the sync ended
+				crashed := newFolder()
+				crashed.files, crashed.synced = maps.Clone(f.files), sizes
+				for name := range crashed.files {
+					if _, existed := sizes[name]; !existed {
+						crashed.synced[name] = len(crashed.files[name])
 					}
 				}
-				_, found := open(cut.torn(rng))
-				if got := text(&found.State); found.DistrustReason != "" || got != before && got != after {
-					t.Fatalf("seed %d: %.300s\nbefore %.300s\nafter %.300s\ndoubt %s", seed, got, before, after, found.DistrustReason)
+				_, loaded := openStore(crashed.afterCrash(rng))
+				if got := stateText(&loaded.State); loaded.DistrustReason != "" || got != before && got != after {
+					t.Fatalf("seed %d: %.300s\nbefore %.300s\nafter %.300s\nreason for distrust %s", seed, got, before, after, loaded.DistrustReason)
 				}
 			}
 			for more := true; more; {
 				var err error
-				if more, err = l.Compact(now); err != nil {
+				if more, err = s.Compact(now); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if rng.IntN(5) == 0 {
-				l, found = open(f)
-				if got := text(&found.State); found.DistrustReason != "" || got != after || string(found.UserData) != "note" {
-					t.Fatalf("seed %d: %.300s\nwanted %.300s\ndoubt %s", seed, got, after, found.DistrustReason)
+				s, loaded = openStore(f)
+				if got := stateText(&loaded.State); loaded.DistrustReason != "" || got != after || string(loaded.UserData) != "note" {
+					t.Fatalf("seed %d: %.300s\nwant %.300s\nreason for distrust %s", seed, got, after, loaded.DistrustReason)
 				}
 			}
 		}
 	}
 }
 
-// What can't be trusted is told: a row that is missing, a file that is, a byte that has changed.
-func TestADoubtfulDiskIsTold(t *testing.T) {
+// State with a missing row, a missing file or a changed byte must not be trusted.
+func TestDamagedStateIsDistrusted(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	whole := newFolder()
-	d := consensus.NewCluster([]uint64{7, 8, 9})[0]
-	l, _ := open(whole)
-	if err := l.Reset(time.Hour, &d, nil); err != nil {
+	intact := newFolder()
+	state := consensus.NewCluster([]uint64{7, 8, 9})[0]
+	s, _ := openStore(intact)
+	if err := s.Reset(time.Hour, &state, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(2); i < 20; i++ {
-		save := consensus.Update{Entries: entries(i, i, 2, rng), Hard: &raftpb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(i)}}
-		if err := l.Save(time.Hour, &save, nil); err != nil {
+		update := consensus.Update{Entries: newEntries(i, i, 2, rng), Hard: &raftpb.HardState{Term: proto.Uint64(2), Commit: proto.Uint64(i)}}
+		if err := s.Save(time.Hour, &update, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, found := open(whole); found.DistrustReason != "" || len(found.State.Entries) != 18 {
-		t.Fatalf("%d entries, doubt %q", len(found.State.Entries), found.DistrustReason)
+	if _, loaded := openStore(intact); loaded.DistrustReason != "" || len(loaded.State.Entries) != 18 {
+		t.Fatalf("%d entries, reason for distrust %q", len(loaded.State.Entries), loaded.DistrustReason)
 	}
-	damaged := func(what string, do func(f *folder, s *store.Store)) {
-		f := whole.torn(rng)
-		s, _ := store.Open(f, Settings())
-		do(f, s)
-		if _, found := open(f); found.DistrustReason == "" && found.State.ID != 0 || len(found.State.Entries) > 0 {
-			t.Errorf("%s: trusted, with %d entries", what, len(found.State.Entries))
+	checkDamage := func(what string, damage func(f *folder, opened *store.Store)) {
+		f := intact.afterCrash(rng)
+		opened, _ := store.Open(f, Settings())
+		damage(f, opened)
+		if _, loaded := openStore(f); loaded.DistrustReason == "" && loaded.State.ID != 0 || len(loaded.State.Entries) > 0 {
+			t.Errorf("%s is damaged, but the state was trusted, with %d entries", what, len(loaded.State.Entries))
 		}
 	}
-	drop := func(table byte, key string) func(*folder, *store.Store) {
-		return func(_ *folder, s *store.Store) {
-			s.Delete(2*time.Hour, table, key, true)
-			if err := s.Commit(3 * time.Hour); err != nil {
+	deleteRow := func(table byte, key string) func(*folder, *store.Store) {
+		return func(_ *folder, opened *store.Store) {
+			opened.Delete(2*time.Hour, table, key, true)
+			if err := opened.Commit(3 * time.Hour); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	damaged("an entry in the middle", drop(tableEntries, key(9)))
-	damaged("the last entry, which is agreed on", drop(tableEntries, key(19)))
-	damaged("the first entry", drop(tableEntries, key(2)))
-	damaged("the number", drop(tableSelf, rowID))
-	damaged("the snapshot", drop(tableSelf, rowSnapshot))
-	damaged("a byte in the middle of the journal", func(f *folder, _ *store.Store) {
+	checkDamage("an entry in the middle", deleteRow(tableEntries, encodeUint64(9)))
+	checkDamage("the last entry, which is committed", deleteRow(tableEntries, encodeUint64(19)))
+	checkDamage("the first entry", deleteRow(tableEntries, encodeUint64(2)))
+	checkDamage("the voter ID", deleteRow(tableVoter, rowID))
+	checkDamage("the snapshot", deleteRow(tableVoter, rowSnapshot))
+	checkDamage("a byte in the middle of the journal", func(f *folder, _ *store.Store) {
 		for name, b := range f.files {
 			if strings.HasPrefix(name, "journal") {
 				b[len(b)/2] ^= 1
 			}
 		}
 	})
-	damaged("the snapshot's file", func(f *folder, _ *store.Store) {
+	checkDamage("the snapshot file", func(f *folder, _ *store.Store) {
 		for name := range f.files {
 			if strings.HasPrefix(name, "snapshot") {
 				delete(f.files, name)
@@ -229,39 +231,40 @@
 	})
 }
 
-// A full disk is told each time, and what was put is there once there is room.
-func TestAFullDisk(t *testing.T) {
+// Every Save to a full disk must fail, and the saved state must be there once the disk has space again.
+func TestFullDiskFailsSave(t *testing.T) {
 	f := newFolder()
-	l, _ := open(f)
-	d := consensus.NewCluster([]uint64{7, 8, 9})[0]
-	if err := l.Reset(time.Hour, &d, nil); err != nil {
+	s, _ := openStore(f)
+	state := consensus.NewCluster([]uint64{7, 8, 9})[0]
+	if err := s.Reset(time.Hour, &state, nil); err != nil {
 		t.Fatal(err)
 	}
 	f.full = true
-	save := consensus.Update{Entries: entries(2, 4, 1, rand.New(rand.NewPCG(1, 2)))}
+	update := consensus.Update{Entries: newEntries(2, 4, 1, rand.New(rand.NewPCG(1, 2)))}
 	for i := range 5 {
-		if l.Save(time.Hour+time.Duration(i)*10*time.Millisecond, &save, nil) == nil {
-			t.Fatal("a full disk took it")
+		if s.Save(time.Hour+time.Duration(i)*10*time.Millisecond, &update, nil) == nil {
+			t.Fatal("Save succeeded on a full disk")
 		}
 	}
-	if _, found := open(f); len(found.State.Entries) > 0 {
-		t.Error("what was not acknowledged is there")
+	if _, loaded := openStore(f); len(loaded.State.Entries) > 0 {
+		t.Error("entries of a failed Save were loaded")
 	}
 	f.full = false
-	if err := l.Save(2*time.Hour, &save, nil); err != nil {
+	if err := s.Save(2*time.Hour, &update, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, found := open(f); found.DistrustReason != "" || len(found.State.Entries) != 3 {
-		t.Errorf("%+v", found)
+	if _, loaded := openStore(f); loaded.DistrustReason != "" || len(loaded.State.Entries) != 3 {
+		t.Errorf("loaded state: %+v", loaded)
 	}
 }
 
-// Whatever stands in a file, opening ends, and what it gives starts a voter or is doubted.
+// Opening arbitrary files must not panic, and must yield either a state that starts a voter or a reason for
+// distrust.
 func FuzzOpen(f *testing.F) {
 	d := newFolder()
-	l, _ := open(d)
-	disk := consensus.NewCluster([]uint64{7, 8, 9})[0]
-	if err := l.Reset(time.Hour, &disk, []byte("n")); err != nil {
+	s, _ := openStore(d)
+	state := consensus.NewCluster([]uint64{7, 8, 9})[0]
+	if err := s.Reset(time.Hour, &state, []byte("n")); err != nil {
 		f.Fatal(err)
 	}
 	for name, b := range d.files {
@@ -270,8 +273,8 @@
 	f.Fuzz(func(t *testing.T, name string, b []byte) {
 		d := newFolder()
 		d.files[name] = b
-		if _, found := open(d); found.DistrustReason == "" && found.State.ID != 0 {
-			consensus.New(consensus.Settings{}, &found.State, 1)
+		if _, loaded := openStore(d); loaded.DistrustReason == "" && loaded.State.ID != 0 {
+			consensus.New(consensus.Settings{}, &loaded.State, 1)
 		}
 	})
 }
