--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -48,7 +48,7 @@
 // comes, keeps the place in line, renews in time, and gives the lease up once no act lasts any more. It goes by its own
 // clock alone, which must go on while the process stands still. It is used once: who wants the lease again is another life.
 type Client struct {
-	terms  Timing
+	timing  Timing
 	lease  string
 	holder Holder
 	ttl    time.Duration
@@ -56,35 +56,35 @@
 	phase  Phase
 	place  int
 	seq    uint64
-	open   *Command      // without an answer yet
-	since  time.Duration // when it was asked for what is open
-	first  time.Duration // when the open request was first sent
-	sent   time.Duration
-	tries  int           // of the open request
-	asks   time.Duration // when to ask again for the place in line
-	quiet  bool          // Unreachable was told
-	end    time.Duration // of the releasing, whatever is answered
-	handTo Holder
-	why    string
+	pending   *Command      // without an answer yet
+	pendingSince  time.Duration // when it was asked for what is open
+	firstSent  time.Duration // when the open request was first sent
+	lastSent   time.Duration
+	attempts  int           // of the open request
+	refreshAt   time.Duration // when to ask again for the place in line
+	unreachable  bool          // Unreachable was told
+	releaseDeadline    time.Duration // of the releasing, whatever is answered
+	transferTo Holder
+	reason    string
 	events []Event
 }
 
 const (
-	mostRetry, leastRetry = 300 * time.Millisecond, 50 * time.Millisecond
-	hurriedRetry          = 20 * time.Millisecond // after a voter's word that it can't help
+	maxRetryInterval, minRetryInterval = 300 * time.Millisecond, 50 * time.Millisecond
+	fastRetryInterval          = 20 * time.Millisecond // after a voter's word that it can't help
 	// An election takes one to two seconds; who has heard nobody for longer is told.
-	patience = 3 * time.Second
+	noAnswerTimeout = 3 * time.Second
 )
 
 // NewTenant begins to ask for a lease.
 func NewClient(terms Timing, name string, h Holder, ttl time.Duration, now time.Duration) (*Client, error) {
-	t := &Client{terms: terms.Default(), lease: name, holder: h, ttl: ttl, phase: Asking}
-	t.guard = NewGuard(t.terms)
+	t := &Client{timing: terms.Default(), lease: name, holder: h, ttl: ttl, phase: Asking}
+	t.guard = NewGuard(t.timing)
 	c := Command{Op: Acquire, Lease: name, Holder: h, TTL: ttl}
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	t.request(now, c)
+	t.startRequest(now, c)
 	return t, nil
 }
 
@@ -98,10 +98,10 @@
 
 // Tries is how often the open request was sent; 0: none is open.
 func (t *Client) Attempts() int {
-	if t.open == nil {
+	if t.pending == nil {
 		return 0
 	}
-	return t.tries
+	return t.attempts
 }
 
 // Events are what has happened since the last call.
@@ -111,18 +111,18 @@
 	return e
 }
 
-func (t *Client) move(p Phase, why string) {
-	t.phase, t.why = p, why
-	t.events = append(t.events, Event{Kind: PhaseChanged, Phase: p, Place: t.place, Token: t.guard.Token(), Until: t.guard.ends, Why: why})
+func (t *Client) changePhase(p Phase, why string) {
+	t.phase, t.reason = p, why
+	t.events = append(t.events, Event{Kind: PhaseChanged, Phase: p, Place: t.place, Token: t.guard.Token(), Until: t.guard.validUntil, Why: why})
 }
 
 // retry is how long an answer is waited for.
-func (t *Client) retry() time.Duration { return min(max(t.ttl/12, leastRetry), mostRetry) }
+func (t *Client) retryInterval() time.Duration { return min(max(t.ttl/12, minRetryInterval), maxRetryInterval) }
 
-func (t *Client) request(now time.Duration, c Command) {
+func (t *Client) startRequest(now time.Duration, c Command) {
 	t.seq++
 	c.Lease, c.Holder, c.Seq = t.lease, t.holder, t.seq
-	t.open, t.since, t.first, t.sent, t.tries = &c, now, now, now-time.Hour, 0
+	t.pending, t.pendingSince, t.firstSent, t.lastSent, t.attempts = &c, now, now, now-time.Hour, 0
 	t.guard.RequestSent(now, t.seq)
 }
 
@@ -151,13 +151,13 @@
 func (t *Client) Stop(now time.Duration, to Holder) {
 	switch t.phase {
 	case Asking, Queued:
-		t.end = now + patience
-		t.request(now, Command{Op: LeaveQueue})
-		t.move(Releasing, "given up")
+		t.releaseDeadline = now + noAnswerTimeout
+		t.startRequest(now, Command{Op: LeaveQueue})
+		t.changePhase(Releasing, "given up")
 	case Holding:
-		t.handTo = to
+		t.transferTo = to
 		t.guard.Stop(now)
-		t.move(Stopping, "given up")
+		t.changePhase(Stopping, "given up")
 	}
 }
 
@@ -167,8 +167,8 @@
 	if t.phase == Over {
 		return
 	}
-	t.guard.shut, t.open = true, nil
-	t.move(Over, "its user is gone; the lease runs out")
+	t.guard.stopped, t.pending = true, nil
+	t.changePhase(Over, "its user is gone; the lease runs out")
 }
 
 // Tick says what is to be sent now, if anything. It is to be called often, and after each other call.
@@ -177,53 +177,53 @@
 	case Over:
 		return nil
 	case Queued:
-		if t.open == nil && now >= t.asks {
-			t.request(now, Command{Op: Acquire, TTL: t.ttl})
+		if t.pending == nil && now >= t.refreshAt {
+			t.startRequest(now, Command{Op: Acquire, TTL: t.ttl})
 		}
 	case Holding:
-		if now > t.guard.ends {
+		if now > t.guard.validUntil {
 			t.guard.Stop(now)
-			t.move(Stopping, "not renewed in time")
-		} else if t.open == nil && now >= t.guard.RenewAt() {
-			t.request(now, Command{Op: Renew, Token: t.guard.Token()})
+			t.changePhase(Stopping, "not renewed in time")
+		} else if t.pending == nil && now >= t.guard.RenewAt() {
+			t.startRequest(now, Command{Op: Renew, Token: t.guard.Token()})
 		}
 	}
 	if t.phase == Stopping && !t.guard.Busy(now) {
 		c := Command{Op: Release, Token: t.guard.Token()}
-		if t.handTo.Life != 0 {
-			c.Op, c.To = Transfer, t.handTo
+		if t.transferTo.Life != 0 {
+			c.Op, c.To = Transfer, t.transferTo
 		}
-		t.end = now + 2*t.ttl
-		t.request(now, c)
-		t.move(Releasing, t.why)
+		t.releaseDeadline = now + 2*t.ttl
+		t.startRequest(now, c)
+		t.changePhase(Releasing, t.reason)
 	}
-	if t.phase == Releasing && now >= t.end {
-		t.open = nil
-		t.move(Over, t.why)
+	if t.phase == Releasing && now >= t.releaseDeadline {
+		t.pending = nil
+		t.changePhase(Over, t.reason)
 		return nil
 	}
-	if t.open == nil || now-t.sent < t.retry() {
+	if t.pending == nil || now-t.lastSent < t.retryInterval() {
 		return nil
 	}
-	if op := t.open.Op; (op == Acquire || op == Renew) && now-t.first >= t.ttl/4 {
+	if op := t.pending.Op; (op == Acquire || op == Renew) && now-t.firstSent >= t.ttl/4 {
 		// What it is answered counts from its first sending: it would be over, or nearly, when it comes.
-		since, tries := t.since, t.tries
-		t.request(now, *t.open)
-		t.since, t.tries = since, tries
+		since, tries := t.pendingSince, t.attempts
+		t.startRequest(now, *t.pending)
+		t.pendingSince, t.attempts = since, tries
 	}
-	if !t.quiet && now-t.since >= patience {
-		t.quiet = true
-		t.events = append(t.events, Event{Kind: Unreachable, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.ends})
+	if !t.unreachable && now-t.pendingSince >= noAnswerTimeout {
+		t.unreachable = true
+		t.events = append(t.events, Event{Kind: Unreachable, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.validUntil})
 	}
-	t.sent = now
-	t.tries++
-	return t.open
+	t.lastSent = now
+	t.attempts++
+	return t.pending
 }
 
 // Hurry has the open request sent again soon, to another voter: the last one said that it can't help.
 func (t *Client) RetrySoon(now time.Duration, seq uint64) {
-	if t.open != nil && t.open.Seq == seq {
-		t.sent = now - t.retry() + min(hurriedRetry<<min(t.tries, 4), t.retry())
+	if t.pending != nil && t.pending.Seq == seq {
+		t.lastSent = now - t.retryInterval() + min(fastRetryInterval<<min(t.attempts, 4), t.retryInterval())
 	}
 }
 
@@ -232,28 +232,28 @@
 	if t.phase == Over || a.Lease != t.lease {
 		return
 	}
-	if t.quiet {
-		t.quiet = false
+	if t.unreachable {
+		t.unreachable = false
 		t.events = append(t.events, Event{Kind: Reachable, Phase: t.phase})
 	}
-	answers := t.open != nil && a.Seq == t.open.Seq
+	answers := t.pending != nil && a.Seq == t.pending.Seq
 	var asked Op
 	if answers {
-		asked, t.open = t.open.Op, nil
+		asked, t.pending = t.pending.Op, nil
 	}
 	switch a.Outcome {
 	case Granted:
-		t.granted(now, a, asked)
+		t.handleGrant(now, a, asked)
 	case Waiting:
 		if answers && (t.phase == Asking || t.phase == Queued) {
-			if t.asks = now + min(t.terms.WaiterTimeout/3, t.ttl/4); t.phase != Queued || t.place != a.Place {
+			if t.refreshAt = now + min(t.timing.WaiterTimeout/3, t.ttl/4); t.phase != Queued || t.place != a.Place {
 				t.place = a.Place
-				t.move(Queued, "")
+				t.changePhase(Queued, "")
 			}
 		}
 	case Freed:
 		if answers {
-			t.move(Over, t.why)
+			t.changePhase(Over, t.reason)
 		}
 	case Refused, LimitReached:
 		if !answers {
@@ -261,21 +261,21 @@
 		}
 		switch {
 		case t.phase == Releasing && asked == Transfer: // nobody of that name waits: it goes to the first in line
-			t.request(now, Command{Op: Release, Token: t.guard.Token()})
+			t.startRequest(now, Command{Op: Release, Token: t.guard.Token()})
 		case t.phase == Releasing:
-			t.move(Over, t.why)
+			t.changePhase(Over, t.reason)
 		case a.Outcome == LimitReached:
-			t.move(Over, "the line, or the table of leases, is full")
+			t.changePhase(Over, "the line, or the table of leases, is full")
 		case t.phase == Holding: // the renewal: the machine gave it to another, or an operator took it
 			t.guard.Stop(now)
-			t.move(Stopping, "the lease was taken away")
+			t.changePhase(Stopping, "the lease was taken away")
 		case t.phase != Stopping:
-			t.move(Over, "refused")
+			t.changePhase(Over, "refused")
 		}
 	}
 }
 
-func (t *Client) granted(now time.Duration, a Answer, asked Op) {
+func (t *Client) handleGrant(now time.Duration, a Answer, asked Op) {
 	switch t.phase {
 	case Asking, Queued:
 		t.guard.HandleAnswer(a)
@@ -283,20 +283,20 @@
 			return // its asking is not known any more
 		}
 		if asked != Acquire { // it came by the line; what is open asks for nothing new
-			t.open = nil
+			t.pending = nil
 		}
 		t.place = 0
-		t.move(Holding, "")
+		t.changePhase(Holding, "")
 	case Holding:
-		before := t.guard.ends
-		if t.guard.HandleAnswer(a); t.guard.ends > before {
-			t.events = append(t.events, Event{Kind: Extended, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.ends})
+		before := t.guard.validUntil
+		if t.guard.HandleAnswer(a); t.guard.validUntil > before {
+			t.events = append(t.events, Event{Kind: Extended, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.validUntil})
 		}
 	case Releasing:
 		if t.guard.Token() == 0 { // it was granted while the wish was being given up
 			t.guard.HandleAnswer(a)
 			t.guard.Stop(now)
-			t.request(now, Command{Op: Release, Token: a.Token})
+			t.startRequest(now, Command{Op: Release, Token: a.Token})
 		}
 	}
 }
--- a/internal/fleet/lease/client_test.go
+++ b/internal/fleet/lease/client_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-const tenantTTL = 10 * time.Second
+const testTTL = 10 * time.Second
 
-func newTenant(t *testing.T) *Client {
+func newTestClient(t *testing.T) *Client {
 	t.Helper()
-	x, err := NewClient(Timing{}, "l", Holder{"n", 1, 7}, tenantTTL, time.Hour)
+	x, err := NewClient(Timing{}, "l", Holder{"n", 1, 7}, testTTL, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,11 +18,11 @@
 }
 
 // held is a tenant that holds under token 5, from an hour on.
-func held(t *testing.T) *Client {
+func newHoldingClient(t *testing.T) *Client {
 	t.Helper()
-	x := newTenant(t)
+	x := newTestClient(t)
 	c := x.Tick(time.Hour)
-	x.HandleAnswer(time.Hour, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: c.Seq})
+	x.HandleAnswer(time.Hour, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: testTTL, Seq: c.Seq})
 	x.Events()
 	if x.Phase() != Holding || x.Token() != 5 {
 		t.Fatal(x)
@@ -30,7 +30,7 @@
 	return x
 }
 
-func kinds(events []Event) (phases []Phase) {
+func phasesOf(events []Event) (phases []Phase) {
 	for _, e := range events {
 		if e.Kind == PhaseChanged {
 			phases = append(phases, e.Phase)
@@ -42,8 +42,8 @@
 // A lease is renewed after a third, asked for again without an answer, and given up where none comes in time: before the
 // leader's clock can have ended it, acts included.
 func TestTenantRenewsOrStops(t *testing.T) {
-	x := held(t)
-	at := time.Hour + tenantTTL/3 - 1
+	x := newHoldingClient(t)
+	at := time.Hour + testTTL/3 - 1
 	if c := x.Tick(at); c != nil {
 		t.Fatalf("too early: %+v", c)
 	}
@@ -54,18 +54,18 @@
 	if again := x.Tick(at + 2); again != nil {
 		t.Fatalf("at once again: %+v", again)
 	}
-	again := x.Tick(at + x.retry() + 2)
+	again := x.Tick(at + x.retryInterval() + 2)
 	if again == nil || again.Seq != c.Seq {
 		t.Fatalf("the same request does not come again: %+v", again)
 	}
-	x.HandleAnswer(at+400*time.Millisecond, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: c.Seq})
+	x.HandleAnswer(at+400*time.Millisecond, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: testTTL, Seq: c.Seq})
 	until := time.Duration(0)
 	for _, e := range x.Events() {
 		if e.Kind == Extended {
 			until = e.Until
 		}
 	}
-	if until != at+1+x.terms.held(tenantTTL) {
+	if until != at+1+x.timing.holderTTL(testTTL) {
 		t.Fatalf("it lasts until %v, and was asked for at %v", until, at+1)
 	}
 	if _, ok := x.BeginAct(until-time.Second, 900*time.Millisecond); !ok {
@@ -77,12 +77,12 @@
 	for now := at + time.Second; now <= until; now += 50 * time.Millisecond {
 		x.Tick(now)
 	}
-	told := kinds(x.Events())
+	told := phasesOf(x.Events())
 	if len(told) != 0 {
 		t.Fatal("given up before its time")
 	}
 	x.Tick(until + 1)
-	if p := kinds(x.Events()); len(p) < 1 || p[0] != Stopping || x.MaxActDuration(until+1) > 0 {
+	if p := phasesOf(x.Events()); len(p) < 1 || p[0] != Stopping || x.MaxActDuration(until+1) > 0 {
 		t.Fatal(x)
 	}
 	if c := x.Tick(until + time.Second); c == nil || c.Op != Release {
@@ -93,23 +93,23 @@
 // A grant counts from before it was asked for; one that was asked for long ago would be over when it comes, so it is asked
 // for anew.
 func TestTenantAsksAnew(t *testing.T) {
-	x := newTenant(t)
+	x := newTestClient(t)
 	last := uint64(0)
 	now := time.Hour
-	for ; now < time.Hour+3*tenantTTL; now += 20 * time.Millisecond {
+	for ; now < time.Hour+3*testTTL; now += 20 * time.Millisecond {
 		if c := x.Tick(now); c != nil {
 			last = c.Seq
 		}
 	}
-	x.HandleAnswer(now, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: tenantTTL, Seq: last})
-	if left := x.MaxActDuration(now); left < tenantTTL/2 {
-		t.Errorf("%v of %v are left", left, tenantTTL)
+	x.HandleAnswer(now, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: testTTL, Seq: last})
+	if left := x.MaxActDuration(now); left < testTTL/2 {
+		t.Errorf("%v of %v are left", left, testTTL)
 	}
 }
 
 // Acts that have begun go before the word that the lease is free.
 func TestTenantWaitsForItsActs(t *testing.T) {
-	x := held(t)
+	x := newHoldingClient(t)
 	if _, ok := x.BeginAct(time.Hour+1, 2*time.Second); !ok {
 		t.Fatal(x)
 	}
@@ -134,13 +134,13 @@
 
 // A wish that is given up leaves the line; where the lease came meanwhile it is given back.
 func TestTenantGivesUpItsWish(t *testing.T) {
-	x := newTenant(t)
+	x := newTestClient(t)
 	c := x.Tick(time.Hour)
 	x.HandleAnswer(time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 2, Seq: c.Seq})
 	if x.Phase() != Queued || x.Events()[0].Place != 2 {
 		t.Fatal(x)
 	}
-	next := time.Hour + x.terms.WaiterTimeout/3 // asked again before it is dropped
+	next := time.Hour + x.timing.WaiterTimeout/3 // asked again before it is dropped
 	again := x.Tick(next)
 	if again == nil || again.Op != Acquire || again.Seq <= c.Seq {
 		t.Fatalf("%+v", again)
@@ -150,7 +150,7 @@
 	if f == nil || f.Op != LeaveQueue {
 		t.Fatalf("%+v", f)
 	}
-	x.HandleAnswer(next+2, Answer{Outcome: Granted, Lease: "l", Token: 8, TTL: tenantTTL, Seq: c.Seq})
+	x.HandleAnswer(next+2, Answer{Outcome: Granted, Lease: "l", Token: 8, TTL: testTTL, Seq: c.Seq})
 	r := x.Tick(next + 2)
 	if r == nil || r.Op != Release || r.Token != 8 || x.MaxActDuration(next+2) > 0 {
 		t.Fatalf("%+v", r)
@@ -159,19 +159,19 @@
 
 // What takes the lease away is told: a renewal that is refused, an operator, a full table.
 func TestTenantLoses(t *testing.T) {
-	x := held(t)
-	c := x.Tick(time.Hour + tenantTTL/2)
-	x.HandleAnswer(time.Hour+tenantTTL/2, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq})
-	if x.Phase() != Stopping || x.MaxActDuration(time.Hour+tenantTTL/2) > 0 {
+	x := newHoldingClient(t)
+	c := x.Tick(time.Hour + testTTL/2)
+	x.HandleAnswer(time.Hour+testTTL/2, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq})
+	if x.Phase() != Stopping || x.MaxActDuration(time.Hour+testTTL/2) > 0 {
 		t.Fatal(x)
 	}
-	y := newTenant(t)
+	y := newTestClient(t)
 	c = y.Tick(time.Hour)
 	y.HandleAnswer(time.Hour, Answer{Outcome: LimitReached, Lease: "l", Seq: c.Seq})
 	if y.Phase() != Over {
 		t.Fatal(y)
 	}
-	z := held(t)
+	z := newHoldingClient(t)
 	z.Abandon()
 	if z.Tick(2*time.Hour) != nil || z.Phase() != Over || z.MaxActDuration(time.Hour+1) > 0 {
 		t.Fatal(z)
@@ -183,7 +183,7 @@
 
 // Nobody who answers is told once, after an election's time, and so is that somebody does again.
 func TestTenantTellsThatNobodyAnswers(t *testing.T) {
-	x := newTenant(t)
+	x := newTestClient(t)
 	told, sends := 0, 0
 	for now := time.Hour; now < time.Hour+10*time.Second; now += 10 * time.Millisecond {
 		if c := x.Tick(now); c != nil {
@@ -193,7 +193,7 @@
 		for _, e := range x.Events() {
 			if e.Kind == Unreachable {
 				told++
-				if since := now - time.Hour; since < patience || since > patience+mostRetry {
+				if since := now - time.Hour; since < noAnswerTimeout || since > noAnswerTimeout+maxRetryInterval {
 					t.Errorf("told after %v", since)
 				}
 			}
@@ -212,7 +212,7 @@
 func TestTenantTakesAnything(t *testing.T) {
 	for seed := range uint64(3000) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		x := newTenant(t)
+		x := newTestClient(t)
 		now := time.Hour
 		asked := map[uint64]time.Duration{}
 		var seqs []uint64
@@ -226,7 +226,7 @@
 			switch rng.IntN(5) {
 			case 0, 1:
 				if len(seqs) > 0 {
-					a := Answer{Outcome: Outcome(1 + rng.IntN(6)), Lease: "l", Token: uint64(1 + rng.IntN(3)), TTL: tenantTTL, Place: 1, Seq: seqs[rng.IntN(len(seqs))]}
+					a := Answer{Outcome: Outcome(1 + rng.IntN(6)), Lease: "l", Token: uint64(1 + rng.IntN(3)), TTL: testTTL, Place: 1, Seq: seqs[rng.IntN(len(seqs))]}
 					x.HandleAnswer(now, a)
 				}
 			case 2:
@@ -238,7 +238,7 @@
 			for _, at := range asked {
 				last = max(last, at)
 			}
-			if left := x.MaxActDuration(now); left > 0 && now+left > last+tenantTTL {
+			if left := x.MaxActDuration(now); left > 0 && now+left > last+testTTL {
 				t.Fatalf("seed %d: holds until %v, and asked at %v at the latest", seed, now+left, last)
 			}
 			x.Events()
--- a/internal/fleet/lease/command.go
+++ b/internal/fleet/lease/command.go
@@ -44,7 +44,7 @@
 	MaxLeases   = 4096
 	MaxWaiters  = 64 // of one lease
 	MaxSessions = 8192
-	mostName    = 128
+	maxNameBytes    = 128
 	MinTTL      = time.Second
 	MaxTTL      = time.Hour
 )
@@ -54,9 +54,9 @@
 	switch {
 	case c.Op < Acquire || c.Op > ForceRelease:
 		return fmt.Errorf("lease: no operation %d", c.Op)
-	case c.Lease == "" || len(c.Lease) > mostName:
-		return fmt.Errorf("lease: a name has 1 to %d bytes, this one %d", mostName, len(c.Lease))
-	case c.Op != ForceRelease && (c.Holder.Life == 0 || c.Holder.Name == "" || len(c.Holder.Name) > mostName):
+	case c.Lease == "" || len(c.Lease) > maxNameBytes:
+		return fmt.Errorf("lease: a name has 1 to %d bytes, this one %d", maxNameBytes, len(c.Lease))
+	case c.Op != ForceRelease && (c.Holder.Life == 0 || c.Holder.Name == "" || len(c.Holder.Name) > maxNameBytes):
 		return fmt.Errorf("lease %q: no holder has the life %d and a name of %d bytes", c.Lease, c.Holder.Life, len(c.Holder.Name))
 	case c.Op == Acquire && (c.TTL < MinTTL || c.TTL > MaxTTL):
 		return fmt.Errorf("lease %q: a time to live of %v, want %v to %v", c.Lease, c.TTL, MinTTL, MaxTTL)
--- a/internal/fleet/lease/encoding.go
+++ b/internal/fleet/lease/encoding.go
@@ -38,7 +38,7 @@
 		case f.IsUint && f.Number == 5:
 			c.Token = f.Uint
 		case f.IsUint && f.Number == 6:
-			c.TTL, err = length(f.Uint)
+			c.TTL, err = parseTTL(f.Uint)
 		case f.IsUint && f.Number == 7:
 			c.Serial = f.Uint
 		case !f.IsUint && f.Number == 8:
@@ -50,7 +50,7 @@
 }
 
 // length takes a time span of at most MostTTL.
-func length(x uint64) (time.Duration, error) {
+func parseTTL(x uint64) (time.Duration, error) {
 	if x > uint64(MaxTTL) {
 		return 0, protofields.Errorf("a time to live of %d ns, at most %v", x, MaxTTL)
 	}
@@ -69,8 +69,8 @@
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
 		case !f.IsUint && f.Number == 1:
-			if len(f.Bytes) > mostName {
-				return protofields.Errorf("a holder's name of %d bytes, at most %d", len(f.Bytes), mostName)
+			if len(f.Bytes) > maxNameBytes {
+				return protofields.Errorf("a holder's name of %d bytes, at most %d", len(f.Bytes), maxNameBytes)
 			}
 			h.Name = string(f.Bytes)
 		case f.IsUint && f.Number == 2:
@@ -107,7 +107,7 @@
 		case f.IsUint && f.Number == 3:
 			a.Token = f.Uint
 		case f.IsUint && f.Number == 4:
-			a.TTL, err = length(f.Uint)
+			a.TTL, err = parseTTL(f.Uint)
 		case f.IsUint && f.Number == 5:
 			if f.Uint > MaxWaiters {
 				return protofields.Errorf("place %d in line", f.Uint)
@@ -152,7 +152,7 @@
 		case f.IsUint && f.Number == 3:
 			l.Token = f.Uint
 		case f.IsUint && f.Number == 4:
-			l.TTL, err = length(f.Uint)
+			l.TTL, err = parseTTL(f.Uint)
 		case f.IsUint && f.Number == 5:
 			l.Serial = f.Uint
 		case f.IsUint && f.Number == 6:
@@ -167,7 +167,7 @@
 				case !f.IsUint && f.Number == 1:
 					w.Holder, err = parseHolder(f.Bytes)
 				case f.IsUint && f.Number == 2:
-					w.TTL, err = length(f.Uint)
+					w.TTL, err = parseTTL(f.Uint)
 				case f.IsUint && f.Number == 3:
 					w.Serial = f.Uint
 				case f.IsUint && f.Number == 4:
@@ -179,7 +179,7 @@
 		}
 		return err
 	})
-	if err == nil && (l.Name == "" || len(l.Name) > mostName) {
+	if err == nil && (l.Name == "" || len(l.Name) > maxNameBytes) {
 		err = protofields.Errorf("a lease with a name of %d bytes", len(l.Name))
 	}
 	return l, err
--- a/internal/fleet/lease/expiry.go
+++ b/internal/fleet/lease/expiry.go
@@ -25,42 +25,42 @@
 }
 
 // held is how long a holder counts a lease, by its own clock, from before it asked.
-func (t Timing) held(ttl time.Duration) time.Duration {
+func (t Timing) holderTTL(ttl time.Duration) time.Duration {
 	return ttl - time.Duration(t.ClockDrift*float64(ttl))
 }
 
 // given is how long the leader counts it, by its own clock, from after it has applied it.
-func (t Timing) given(ttl time.Duration) time.Duration {
+func (t Timing) leaderTTL(ttl time.Duration) time.Duration {
 	return ttl + time.Duration(t.ClockDrift*float64(ttl)) + time.Millisecond
 }
 
 // Keeper is the leader's part: which leases and waiters are over by its clock. One is made when a node becomes leader,
 // and dropped when it is none any more.
 type ExpiryTracker struct {
-	terms Timing
-	since map[string]counted // by lease
-	lines map[waits]counted
+	timing Timing
+	leases map[string]observation // by lease
+	waiters map[waiterKey]observation
 }
 
-type waits struct {
+type waiterKey struct {
 	lease  string
 	holder Holder
 }
 
 // counted is since when this leader has known of a renewal, or of an asking.
-type counted struct {
+type observation struct {
 	serial uint64
-	at     time.Duration
-	told   time.Duration // when its end was last proposed; 0: not yet
+	firstSeen     time.Duration
+	proposedAt   time.Duration // when its end was last proposed; 0: not yet
 }
 
 // again is how long an End or Drop that was proposed has to come back.
-const again = time.Second
+const proposalRetryInterval = time.Second
 
 // NewKeeper returns the keeper of a leader that begins now. What stands in the log by then counts from now: it was asked
 // for before, whoever led.
 func NewExpiryTracker(t Timing) *ExpiryTracker {
-	return &ExpiryTracker{terms: t.Default(), since: map[string]counted{}, lines: map[waits]counted{}}
+	return &ExpiryTracker{timing: t.Default(), leases: map[string]observation{}, waiters: map[waiterKey]observation{}}
 }
 
 // Due looks at the machine as it is applied here, and returns what is to be proposed: ends of leases that were not renewed,
@@ -68,29 +68,29 @@
 func (k *ExpiryTracker) Expired(now time.Duration, m *StateMachine) []Command {
 	var due []Command
 	seen := make(map[string]bool, len(m.leases))
-	waiting := map[waits]bool{}
+	waiting := map[waiterKey]bool{}
 	for name, l := range m.leases {
 		seen[name] = true
-		if l.Holder.Life != 0 && over(k.since, name, l.Serial, now, k.terms.given(l.TTL)) {
+		if l.Holder.Life != 0 && checkExpired(k.leases, name, l.Serial, now, k.timing.leaderTTL(l.TTL)) {
 			due = append(due, Command{Op: Expire, Lease: name, Holder: l.Holder, Serial: l.Serial})
 		}
 		for i := range l.Waiters {
 			w := &l.Waiters[i]
-			key := waits{name, w.Holder}
+			key := waiterKey{name, w.Holder}
 			waiting[key] = true
-			if over(k.lines, key, w.Serial, now, k.terms.WaiterTimeout) {
+			if checkExpired(k.waiters, key, w.Serial, now, k.timing.WaiterTimeout) {
 				due = append(due, Command{Op: ExpireWaiter, Lease: name, Holder: w.Holder, Serial: w.Serial})
 			}
 		}
 	}
-	for name := range k.since {
+	for name := range k.leases {
 		if !seen[name] {
-			delete(k.since, name)
+			delete(k.leases, name)
 		}
 	}
-	for key := range k.lines {
+	for key := range k.waiters {
 		if !waiting[key] {
-			delete(k.lines, key)
+			delete(k.waiters, key)
 		}
 	}
 	slices.SortFunc(due, func(a, b Command) int {
@@ -100,16 +100,16 @@
 }
 
 // over counts one thing, and tells whether its end is to be proposed.
-func over[K comparable](all map[K]counted, key K, serial uint64, now, lasts time.Duration) bool {
+func checkExpired[K comparable](all map[K]observation, key K, serial uint64, now, lasts time.Duration) bool {
 	c, known := all[key]
 	if !known || c.serial != serial {
-		all[key] = counted{serial: serial, at: now}
+		all[key] = observation{serial: serial, firstSeen: now}
 		return false
 	}
-	if now-c.at <= lasts || c.told > 0 && now-c.told < again {
+	if now-c.firstSeen <= lasts || c.proposedAt > 0 && now-c.proposedAt < proposalRetryInterval {
 		return false
 	}
-	c.told = now
+	c.proposedAt = now
 	all[key] = c
 	return true
 }
--- a/internal/fleet/lease/state_machine.go
+++ b/internal/fleet/lease/state_machine.go
@@ -31,13 +31,13 @@
 	Holder Holder
 	Seq    uint64
 	Answer Answer
-	used   uint64 // the command that used it last: the longest unused goes first
+	lastUsed   uint64 // the command that used it last: the longest unused goes first
 }
 
 // Machine is the replicated state.
 type StateMachine struct {
-	tokens   uint64 // the last that was given out
-	serials  uint64
+	lastToken   uint64 // the last that was given out
+	lastSerial  uint64
 	applied  uint64 // commands
 	leases   map[string]*Lease
 	sessions map[Holder]*session
@@ -59,29 +59,29 @@
 	}
 	switch c.Op {
 	case Expire, ExpireWaiter, ForceRelease:
-		return m.leader(c), m.grants
+		return m.applyLeaderCommand(c), m.grants
 	}
 	s, known := m.sessions[c.Holder]
 	switch {
 	case known && c.Seq == s.Seq:
-		s.used = m.applied
+		s.lastUsed = m.applied
 		return s.Answer, nil
 	case known && c.Seq < s.Seq:
 		return Answer{Outcome: Refused, Lease: c.Lease, Seq: c.Seq}, nil
 	case !known:
 		s = &session{Holder: c.Holder}
-		if !m.room() {
+		if !m.ensureSessionCapacity() {
 			return Answer{Outcome: LimitReached, Lease: c.Lease, Seq: c.Seq}, nil
 		}
 		m.sessions[c.Holder] = s
 	}
-	a := m.request(c)
-	s.Seq, s.Answer, s.used = c.Seq, a, m.applied
+	a := m.applyRequest(c)
+	s.Seq, s.Answer, s.lastUsed = c.Seq, a, m.applied
 	return a, m.grants
 }
 
 // request does what a life asks for.
-func (m *StateMachine) request(c *Command) Answer {
+func (m *StateMachine) applyRequest(c *Command) Answer {
 	refused := Answer{Outcome: Refused, Lease: c.Lease, Seq: c.Seq}
 	l := m.leases[c.Lease]
 	if c.Op == Acquire {
@@ -91,12 +91,12 @@
 		return refused
 	}
 	if c.Op == LeaveQueue {
-		at := l.waiter(c.Holder)
+		at := l.waiterIndex(c.Holder)
 		if at < 0 {
 			return refused
 		}
 		l.Waiters = slices.Delete(l.Waiters, at, at+1)
-		m.tidy(l)
+		m.deleteIfUnused(l)
 		return Answer{Outcome: Freed, Lease: c.Lease, Seq: c.Seq}
 	}
 	if l.Holder != c.Holder || l.Token != c.Token {
@@ -106,10 +106,10 @@
 	case Renew:
 		return m.renew(c, l)
 	case Release:
-		m.free(l)
+		m.passOn(l)
 		return Answer{Outcome: Freed, Lease: c.Lease, Token: c.Token, Seq: c.Seq}
 	case Transfer:
-		at := l.waiter(c.To)
+		at := l.waiterIndex(c.To)
 		if at < 0 {
 			return refused
 		}
@@ -133,14 +133,14 @@
 		l.TTL = c.TTL
 		return m.renew(c, l)
 	}
-	m.serials++
-	w := Waiter{Holder: c.Holder, TTL: c.TTL, Serial: m.serials, Seq: c.Seq}
+	m.lastSerial++
+	w := Waiter{Holder: c.Holder, TTL: c.TTL, Serial: m.lastSerial, Seq: c.Seq}
 	if l.Holder.Life == 0 { // and nobody waits: a lease that is free goes to the first at once
 		m.grant(l, w)
 		m.grants = m.grants[:0] // the answer says it
 		return l.answer()
 	}
-	at := l.waiter(c.Holder)
+	at := l.waiterIndex(c.Holder)
 	switch {
 	case at >= 0:
 		l.Waiters[at] = w
@@ -154,13 +154,13 @@
 }
 
 func (m *StateMachine) renew(c *Command, l *Lease) Answer {
-	m.serials++
-	l.Serial, l.Seq = m.serials, c.Seq
+	m.lastSerial++
+	l.Serial, l.Seq = m.lastSerial, c.Seq
 	return l.answer()
 }
 
 // leader does what the leader's clock or an operator says.
-func (m *StateMachine) leader(c *Command) Answer {
+func (m *StateMachine) applyLeaderCommand(c *Command) Answer {
 	void := Answer{Outcome: Superseded, Lease: c.Lease}
 	l := m.leases[c.Lease]
 	switch {
@@ -175,7 +175,7 @@
 			return void // it was renewed, or is another's by now
 		}
 	case c.Op == ExpireWaiter:
-		at := l.waiter(c.Holder)
+		at := l.waiterIndex(c.Holder)
 		if at < 0 || l.Waiters[at].Serial != c.Serial {
 			return void
 		}
@@ -183,12 +183,12 @@
 		return Answer{Outcome: Freed, Lease: c.Lease}
 	}
 	token := l.Token
-	m.free(l)
+	m.passOn(l)
 	return Answer{Outcome: Freed, Lease: c.Lease, Token: token}
 }
 
 // free takes a lease from its holder and gives it to the first in line.
-func (m *StateMachine) free(l *Lease) {
+func (m *StateMachine) passOn(l *Lease) {
 	l.Holder = Holder{}
 	if len(l.Waiters) > 0 {
 		w := l.Waiters[0]
@@ -196,11 +196,11 @@
 		m.grant(l, w)
 		return
 	}
-	m.tidy(l)
+	m.deleteIfUnused(l)
 }
 
 // tidy forgets a lease that nobody holds or waits for. Its token is not forgotten: the count is one for all.
-func (m *StateMachine) tidy(l *Lease) {
+func (m *StateMachine) deleteIfUnused(l *Lease) {
 	if l.Holder.Life == 0 && len(l.Waiters) == 0 {
 		delete(m.leases, l.Name)
 	}
@@ -208,9 +208,9 @@
 
 // grant gives a lease to one, under a new token.
 func (m *StateMachine) grant(l *Lease, w Waiter) {
-	m.tokens++
-	m.serials++
-	l.Holder, l.Token, l.TTL, l.Serial, l.Seq = w.Holder, m.tokens, w.TTL, m.serials, w.Seq
+	m.lastToken++
+	m.lastSerial++
+	l.Holder, l.Token, l.TTL, l.Serial, l.Seq = w.Holder, m.lastToken, w.TTL, m.lastSerial, w.Seq
 	m.grants = append(m.grants, Grant{w.Holder, l.answer()})
 }
 
@@ -218,14 +218,14 @@
 	return Answer{Outcome: Granted, Lease: l.Name, Token: l.Token, TTL: l.TTL, Seq: l.Seq}
 }
 
-func (l *Lease) waiter(h Holder) int {
+func (l *Lease) waiterIndex(h Holder) int {
 	return slices.IndexFunc(l.Waiters, func(w Waiter) bool { return w.Holder == h })
 }
 
 // room makes room for a session: of lives that hold nothing and wait for nothing the one that was used longest ago goes.
 // What it asks for again afterwards is done anew, which for such a life harms nobody: an old Acquire of it can at most
 // take a place in line, and a Renew or Release finds nothing that it holds.
-func (m *StateMachine) room() bool {
+func (m *StateMachine) ensureSessionCapacity() bool {
 	if len(m.sessions) < MaxSessions {
 		return true
 	}
@@ -238,7 +238,7 @@
 	}
 	var oldest *session
 	for h, s := range m.sessions {
-		if !busy[h] && (oldest == nil || s.used < oldest.used) { // no two were used by one command
+		if !busy[h] && (oldest == nil || s.lastUsed < oldest.lastUsed) { // no two were used by one command
 			oldest = s
 		}
 	}
@@ -292,9 +292,9 @@
 
 // Snapshot copies the state.
 func (m *StateMachine) Snapshot() Snapshot {
-	s := Snapshot{Tokens: m.tokens, Serials: m.serials, Applied: m.applied, Leases: m.Leases()}
+	s := Snapshot{Tokens: m.lastToken, Serials: m.lastSerial, Applied: m.applied, Leases: m.Leases()}
 	for _, x := range m.sessions {
-		s.Sessions = append(s.Sessions, Session{x.Holder, x.Seq, x.used, x.Answer})
+		s.Sessions = append(s.Sessions, Session{x.Holder, x.Seq, x.lastUsed, x.Answer})
 	}
 	slices.SortFunc(s.Sessions, func(a, b Session) int {
 		return cmp.Or(strings.Compare(a.Holder.Name, b.Holder.Name), cmp.Compare(a.Holder.Incarnation, b.Holder.Incarnation), cmp.Compare(a.Holder.Life, b.Holder.Life))
@@ -305,7 +305,7 @@
 // Restore makes a machine of a snapshot.
 func Restore(s Snapshot) *StateMachine {
 	m := NewStateMachine()
-	m.tokens, m.serials, m.applied = s.Tokens, s.Serials, s.Applied
+	m.lastToken, m.lastSerial, m.applied = s.Tokens, s.Serials, s.Applied
 	for i := range s.Leases {
 		l := s.Leases[i]
 		l.Waiters = slices.Clone(l.Waiters)
--- a/internal/fleet/lease/watchdog.go
+++ b/internal/fleet/lease/watchdog.go
@@ -17,10 +17,10 @@
 type Watchdog struct {
 	grace  time.Duration
 	margin time.Duration
-	until  time.Duration
-	kill   time.Duration // 0: none is planned
-	termed bool
-	killed bool
+	leaseEnd  time.Duration
+	killAt   time.Duration // 0: none is planned
+	termSent bool
+	killSent bool
 	lost   bool
 }
 
@@ -30,34 +30,34 @@
 	if grace <= 0 {
 		grace = ttl / 4
 	}
-	return &Watchdog{grace: min(grace, ttl/2), margin: max(ttl/50, 20*time.Millisecond), until: until}
+	return &Watchdog{grace: min(grace, ttl/2), margin: max(ttl/50, 20*time.Millisecond), leaseEnd: until}
 }
 
 // Until tells that the lease goes on until then. A word that came late changes nothing.
-func (w *Watchdog) Extend(until time.Duration) { w.until = max(w.until, until) }
+func (w *Watchdog) Extend(until time.Duration) { w.leaseEnd = max(w.leaseEnd, until) }
 
 // Stop has the command end: its lease is to pass on, or its operator wants that.
 func (w *Watchdog) Stop(now time.Duration) {
-	if w.kill == 0 {
-		w.kill = now + w.grace
+	if w.killAt == 0 {
+		w.killAt = now + w.grace
 	}
 }
 
 // Due is the signal that the command is to get now, each once. The end of the lease goes before its grace.
 func (w *Watchdog) NextSignal(now time.Duration) Signal {
-	last := w.until - w.margin
-	if now >= last-w.grace && w.kill == 0 {
-		w.lost, w.kill = true, last
+	last := w.leaseEnd - w.margin
+	if now >= last-w.grace && w.killAt == 0 {
+		w.lost, w.killAt = true, last
 	}
 	switch {
-	case w.kill == 0:
+	case w.killAt == 0:
 		return None
-	case !w.killed && (now >= w.kill || now >= last):
+	case !w.killSent && (now >= w.killAt || now >= last):
 		w.lost = w.lost || now >= last
-		w.termed, w.killed = true, true
+		w.termSent, w.killSent = true, true
 		return Kill
-	case !w.termed:
-		w.termed = true
+	case !w.termSent:
+		w.termSent = true
 		return Term
 	}
 	return None
