--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -5,303 +5,313 @@
 	"time"
 )
 
-// Phase is how far a tenant is.
+// Phase is the state of a client.
 type Phase uint8
 
-// The phases, in the order in which they come; some may be passed over.
+// The phases, in their order; some may be skipped.
 const (
-	Asking    Phase = 1 + iota
-	Queued          // others hold the lease, or stand before it
-	Holding         // acts may begin, as long as the guard says so
-	Stopping        // no act may begin any more; some may still last
-	Releasing       // the machine is told that it is free
-	Over
+	Asking    Phase = 1 + iota // the first request has no answer yet
+	Queued                     // waits while others hold the lease or are ahead in the queue
+	Holding                    // acts may begin, as far as the guard permits
+	Stopping                   // no act may begin; begun ones may still last
+	Releasing                  // the release was sent and has no answer yet
+	Over                       // ended; the client does nothing more
 )
 
-// String is the phase as operators read it.
+// String returns the phase as shown to operators.
 func (p Phase) String() string {
 	return [...]string{"", "asking", "in line", "holding", "stopping", "releasing", "over"}[p]
 }
 
-// EventKind says what a tenant has come to know.
+// EventKind is the kind of an event.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	PhaseChanged EventKind = 1 + iota // the phase is another one, or the place in line
-	Extended                          // the lease goes on until Until
-	Unreachable                       // nobody has answered for a while: there is no majority, or no way to it
-	Reachable                         // after that, somebody has
+	PhaseChanged EventKind = 1 + iota // the phase or the place in the queue has changed
+	Extended                          // renewed: the lease lasts until Until
+	Unreachable                       // no answer for noAnswerTimeout: no majority of the voters, or no path to it
+	Reachable                         // an answer came after Unreachable
 )
 
-// Event is something that a tenant's user wants to know.
+// Event is a change that a client reports to its user.
 type Event struct {
 	Kind  EventKind
 	Phase Phase
-	Place int           // in line, from 1
+	Place int           // in the queue, from 1
 	Token uint64        // from Holding on
-	Until time.Duration // Holding, Extended: no act may last beyond, by the tenant's clock
+	Until time.Duration // Holding, Extended: every act must end by then, by the client's clock
 	Why   string        // Over
 }
 
-// Tenant is one life's part in one lease, from its asking to its end: it says what is to be sent, and again if no answer
-// comes, keeps the place in line, renews in time, and gives the lease up once no act lasts any more. It goes by its own
-// clock alone, which must go on while the process stands still. It is used once: who wants the lease again is another life.
+// Client drives one holder's side of one lease, from the first request to the release. It returns the commands to
+// send and resends them if no answer comes, keeps the place in the queue, renews in time, and releases the lease once
+// no act lasts any more. It uses only its own clock, which must go on while the process is suspended. A Client is
+// used once: to acquire the lease again takes a new Client with another life.
 type Client struct {
-	timing  Timing
-	lease  string
-	holder Holder
-	ttl    time.Duration
-	guard  *Guard
-	phase  Phase
-	place  int
-	seq    uint64
-	pending   *Command      // without an answer yet
-	pendingSince  time.Duration // when it was asked for what is open
-	firstSent  time.Duration // when the open request was first sent
-	lastSent   time.Duration
-	attempts  int           // of the open request
-	refreshAt   time.Duration // when to ask again for the place in line
-	unreachable  bool          // Unreachable was told
-	releaseDeadline    time.Duration // of the releasing, whatever is answered
-	transferTo Holder
-	reason    string
-	events []Event
+	timing          Timing
+	lease           string
+	holder          Holder
+	ttl             time.Duration
+	guard           *Guard
+	phase           Phase
+	place           int
+	seq             uint64
+	pending         *Command      // the request that has no answer yet
+	pendingSince    time.Duration // when what the pending request asks for was first requested
+	firstSent       time.Duration // when the pending request was first sent
+	lastSent        time.Duration
+	attempts        int           // of the pending request
+	refreshAt       time.Duration // when to repeat the request that keeps the place in the queue
+	unreachable     bool          // Unreachable was reported
+	releaseDeadline time.Duration // when Releasing ends even without an answer
+	transferTo      Holder
+	reason          string
+	events          []Event
 }
 
 const (
 	maxRetryInterval, minRetryInterval = 300 * time.Millisecond, 50 * time.Millisecond
-	fastRetryInterval          = 20 * time.Millisecond // after a voter's word that it can't help
-	// An election takes one to two seconds; who has heard nobody for longer is told.
+	fastRetryInterval                  = 20 * time.Millisecond // after a voter has answered that it can't serve
+	// An election takes one to two seconds; a longer time without an answer is reported.
 	noAnswerTimeout = 3 * time.Second
 )
 
-// NewTenant begins to ask for a lease.
-func NewClient(terms Timing, name string, h Holder, ttl time.Duration, now time.Duration) (*Client, error) {
-	t := &Client{timing: terms.Default(), lease: name, holder: h, ttl: ttl, phase: Asking}
-	t.guard = NewGuard(t.timing)
+// NewClient returns a client that requests a lease for h.
+func NewClient(timing Timing, name string, h Holder, ttl time.Duration, now time.Duration) (*Client, error) {
+	cl := &Client{timing: timing.Default(), lease: name, holder: h, ttl: ttl, phase: Asking}
+	cl.guard = NewGuard(cl.timing)
 	c := Command{Op: Acquire, Lease: name, Holder: h, TTL: ttl}
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	t.startRequest(now, c)
-	return t, nil
+	cl.startRequest(now, c)
+	return cl, nil
 }
 
-// Lease is the lease's name, Holder who asks, and Phase how far it is.
-func (t *Client) Lease() string  { return t.lease }
-func (t *Client) Holder() Holder { return t.holder }
-func (t *Client) Phase() Phase   { return t.phase }
+// Lease returns the lease's name.
+func (cl *Client) Lease() string { return cl.lease }
 
-// Token is what was held last; 0: nothing yet.
-func (t *Client) Token() uint64 { return t.guard.Token() }
+// Holder returns the life that the client acts for.
+func (cl *Client) Holder() Holder { return cl.holder }
 
-// Tries is how often the open request was sent; 0: none is open.
-func (t *Client) Attempts() int {
-	if t.pending == nil {
+// Phase returns the client's phase.
+func (cl *Client) Phase() Phase { return cl.phase }
+
+// Token returns the last token held; 0 if there was none.
+func (cl *Client) Token() uint64 { return cl.guard.Token() }
+
+// Attempts returns how often the pending request was sent; 0 if none is pending.
+func (cl *Client) Attempts() int {
+	if cl.pending == nil {
 		return 0
 	}
-	return t.attempts
+	return cl.attempts
 }
 
-// Events are what has happened since the last call.
-func (t *Client) Events() []Event {
-	e := t.events
-	t.events = nil
+// Events returns and clears the events since the last call.
+func (cl *Client) Events() []Event {
+	e := cl.events
+	cl.events = nil
 	return e
 }
 
-func (t *Client) changePhase(p Phase, why string) {
-	t.phase, t.reason = p, why
-	t.events = append(t.events, Event{Kind: PhaseChanged, Phase: p, Place: t.place, Token: t.guard.Token(), Until: t.guard.validUntil, Why: why})
+// changePhase enters a phase, for the given reason, and reports it as an event.
+func (cl *Client) changePhase(p Phase, reason string) {
+	cl.phase, cl.reason = p, reason
+	cl.events = append(cl.events, Event{Kind: PhaseChanged, Phase: p, Place: cl.place, Token: cl.guard.Token(), Until: cl.guard.validUntil, Why: reason})
 }
 
-// retry is how long an answer is waited for.
-func (t *Client) retryInterval() time.Duration { return min(max(t.ttl/12, minRetryInterval), maxRetryInterval) }
+// retryInterval is how long to wait for an answer before the request is sent again.
+func (cl *Client) retryInterval() time.Duration {
+	return min(max(cl.ttl/12, minRetryInterval), maxRetryInterval)
+}
 
-func (t *Client) startRequest(now time.Duration, c Command) {
-	t.seq++
-	c.Lease, c.Holder, c.Seq = t.lease, t.holder, t.seq
-	t.pending, t.pendingSince, t.firstSent, t.lastSent, t.attempts = &c, now, now, now-time.Hour, 0
-	t.guard.RequestSent(now, t.seq)
+// startRequest makes c the pending request, under a new sequence number.
+func (cl *Client) startRequest(now time.Duration, c Command) {
+	cl.seq++
+	c.Lease, c.Holder, c.Seq = cl.lease, cl.holder, cl.seq
+	cl.pending, cl.pendingSince, cl.firstSent, cl.lastSent, cl.attempts = &c, now, now, now-time.Hour, 0
+	cl.guard.RequestSent(now, cl.seq)
 }
 
-// Begin is to be called right before an act, as the guard's is: a token, or false.
-func (t *Client) BeginAct(now, act time.Duration) (uint64, bool) {
-	if t.phase != Holding {
+// BeginAct must be called right before an act. It returns the token to act under, or false if the act may not begin.
+func (cl *Client) BeginAct(now, act time.Duration) (uint64, bool) {
+	if cl.phase != Holding {
 		return 0, false
 	}
-	return t.guard.BeginAct(now, act)
+	return cl.guard.BeginAct(now, act)
 }
 
-// May tells how long acts may last at the most that begin now; 0: none may begin.
-func (t *Client) MaxActDuration(now time.Duration) time.Duration {
-	if t.phase != Holding {
+// MaxActDuration returns how long an act that begins now may last; 0: none may begin.
+func (cl *Client) MaxActDuration(now time.Duration) time.Duration {
+	if cl.phase != Holding {
 		return 0
 	}
-	_, left, _ := t.guard.CanBegin(now, 0)
+	_, left, _ := cl.guard.CanBegin(now, 0)
 	return left
 }
 
-// Acted tells that all acts that had begun are over.
-func (t *Client) ActsEnded(now time.Duration) { t.guard.EndActs(now) }
+// ActsEnded records that all begun acts have ended.
+func (cl *Client) ActsEnded(now time.Duration) { cl.guard.EndActs(now) }
 
-// Stop gives the lease up, or the wish for it. Once no act lasts any more the machine is told. To may name a waiter that it
-// is to go to, ahead of others in line.
-func (t *Client) Stop(now time.Duration, to Holder) {
-	switch t.phase {
+// Stop gives up the lease, or the request for it. The release is sent once no act lasts any more. If to names a
+// waiter, the lease passes to that one, ahead of others in the queue.
+func (cl *Client) Stop(now time.Duration, to Holder) {
+	switch cl.phase {
 	case Asking, Queued:
-		t.releaseDeadline = now + noAnswerTimeout
-		t.startRequest(now, Command{Op: LeaveQueue})
-		t.changePhase(Releasing, "given up")
+		cl.releaseDeadline = now + noAnswerTimeout
+		cl.startRequest(now, Command{Op: LeaveQueue})
+		cl.changePhase(Releasing, "given up")
 	case Holding:
-		t.transferTo = to
-		t.guard.Stop(now)
-		t.changePhase(Stopping, "given up")
+		cl.transferTo = to
+		cl.guard.Stop(now)
+		cl.changePhase(Stopping, "given up")
 	}
 }
 
-// Abandon has the tenant say and do nothing more: its user can't be asked any more whether its acts are over. The lease ends
-// by its time.
-func (t *Client) Abandon() {
-	if t.phase == Over {
+// Abandon ends the client without a release, for a user that is gone and can't report whether its acts have ended.
+// The lease expires by itself.
+func (cl *Client) Abandon() {
+	if cl.phase == Over {
 		return
 	}
-	t.guard.stopped, t.pending = true, nil
-	t.changePhase(Over, "its user is gone; the lease runs out")
+	cl.guard.stopped, cl.pending = true, nil
+	cl.changePhase(Over, "the user is gone; the lease expires by itself")
 }
 
-// Tick says what is to be sent now, if anything. It is to be called often, and after each other call.
-func (t *Client) Tick(now time.Duration) (send *Command) {
-	switch t.phase {
+// Tick returns the command to send now, or nil. It must be called often, and after each other call.
+func (cl *Client) Tick(now time.Duration) (send *Command) {
+	switch cl.phase {
 	case Over:
 		return nil
 	case Queued:
-		if t.pending == nil && now >= t.refreshAt {
-			t.startRequest(now, Command{Op: Acquire, TTL: t.ttl})
+		if cl.pending == nil && now >= cl.refreshAt {
+			cl.startRequest(now, Command{Op: Acquire, TTL: cl.ttl})
 		}
 	case Holding:
-		if now > t.guard.validUntil {
-			t.guard.Stop(now)
-			t.changePhase(Stopping, "not renewed in time")
-		} else if t.pending == nil && now >= t.guard.RenewAt() {
-			t.startRequest(now, Command{Op: Renew, Token: t.guard.Token()})
+		if now > cl.guard.validUntil {
+			cl.guard.Stop(now)
+			cl.changePhase(Stopping, "not renewed in time")
+		} else if cl.pending == nil && now >= cl.guard.RenewAt() {
+			cl.startRequest(now, Command{Op: Renew, Token: cl.guard.Token()})
 		}
 	}
-	if t.phase == Stopping && !t.guard.Busy(now) {
-		c := Command{Op: Release, Token: t.guard.Token()}
-		if t.transferTo.Life != 0 {
-			c.Op, c.To = Transfer, t.transferTo
+	if cl.phase == Stopping && !cl.guard.Busy(now) {
+		c := Command{Op: Release, Token: cl.guard.Token()}
+		if cl.transferTo.Life != 0 {
+			c.Op, c.To = Transfer, cl.transferTo
 		}
-		t.releaseDeadline = now + 2*t.ttl
-		t.startRequest(now, c)
-		t.changePhase(Releasing, t.reason)
+		cl.releaseDeadline = now + 2*cl.ttl
+		cl.startRequest(now, c)
+		cl.changePhase(Releasing, cl.reason)
 	}
-	if t.phase == Releasing && now >= t.releaseDeadline {
-		t.pending = nil
-		t.changePhase(Over, t.reason)
+	if cl.phase == Releasing && now >= cl.releaseDeadline {
+		cl.pending = nil
+		cl.changePhase(Over, cl.reason)
 		return nil
 	}
-	if t.pending == nil || now-t.lastSent < t.retryInterval() {
+	if cl.pending == nil || now-cl.lastSent < cl.retryInterval() {
 		return nil
 	}
-	if op := t.pending.Op; (op == Acquire || op == Renew) && now-t.firstSent >= t.ttl/4 {
-		// What it is answered counts from its first sending: it would be over, or nearly, when it comes.
-		since, tries := t.pendingSince, t.attempts
-		t.startRequest(now, *t.pending)
-		t.pendingSince, t.attempts = since, tries
+	if op := cl.pending.Op; (op == Acquire || op == Renew) && now-cl.firstSent >= cl.ttl/4 {
+		// A grant counts from the first sending: after so long it would have expired, or nearly, when it arrives.
+		pendingSince, attempts := cl.pendingSince, cl.attempts
+		cl.startRequest(now, *cl.pending)
+		cl.pendingSince, cl.attempts = pendingSince, attempts
 	}
-	if !t.unreachable && now-t.pendingSince >= noAnswerTimeout {
-		t.unreachable = true
-		t.events = append(t.events, Event{Kind: Unreachable, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.validUntil})
+	if !cl.unreachable && now-cl.pendingSince >= noAnswerTimeout {
+		cl.unreachable = true
+		cl.events = append(cl.events, Event{Kind: Unreachable, Phase: cl.phase, Token: cl.guard.Token(), Until: cl.guard.validUntil})
 	}
-	t.lastSent = now
-	t.attempts++
-	return t.pending
+	cl.lastSent = now
+	cl.attempts++
+	return cl.pending
 }
 
-// Hurry has the open request sent again soon, to another voter: the last one said that it can't help.
-func (t *Client) RetrySoon(now time.Duration, seq uint64) {
-	if t.pending != nil && t.pending.Seq == seq {
-		t.lastSent = now - t.retryInterval() + min(fastRetryInterval<<min(t.attempts, 4), t.retryInterval())
+// RetrySoon shortens the wait before the pending request is sent to another voter, as the last one can't serve it.
+func (cl *Client) RetrySoon(now time.Duration, seq uint64) {
+	if cl.pending != nil && cl.pending.Seq == seq {
+		cl.lastSent = now - cl.retryInterval() + min(fastRetryInterval<<min(cl.attempts, 4), cl.retryInterval())
 	}
 }
 
-// Told takes an answer of the machine, in any order.
-func (t *Client) HandleAnswer(now time.Duration, a Answer) {
-	if t.phase == Over || a.Lease != t.lease {
+// HandleAnswer processes answers in any order.
+func (cl *Client) HandleAnswer(now time.Duration, a Answer) {
+	if cl.phase == Over || a.Lease != cl.lease {
 		return
 	}
-	if t.unreachable {
-		t.unreachable = false
-		t.events = append(t.events, Event{Kind: Reachable, Phase: t.phase})
+	if cl.unreachable {
+		cl.unreachable = false
+		cl.events = append(cl.events, Event{Kind: Reachable, Phase: cl.phase})
 	}
-	answers := t.pending != nil && a.Seq == t.pending.Seq
-	var asked Op
-	if answers {
-		asked, t.pending = t.pending.Op, nil
+	answersPending := cl.pending != nil && a.Seq == cl.pending.Seq
+	var answeredOp Op
+	if answersPending {
+		answeredOp, cl.pending = cl.pending.Op, nil
 	}
 	switch a.Outcome {
 	case Granted:
-		t.handleGrant(now, a, asked)
+		cl.handleGrant(now, a, answeredOp)
 	case Waiting:
-		if answers && (t.phase == Asking || t.phase == Queued) {
-			if t.refreshAt = now + min(t.timing.WaiterTimeout/3, t.ttl/4); t.phase != Queued || t.place != a.Place {
-				t.place = a.Place
-				t.changePhase(Queued, "")
+		if answersPending && (cl.phase == Asking || cl.phase == Queued) {
+			if cl.refreshAt = now + min(cl.timing.WaiterTimeout/3, cl.ttl/4); cl.phase != Queued || cl.place != a.Place {
+				cl.place = a.Place
+				cl.changePhase(Queued, "")
 			}
 		}
 	case Freed:
-		if answers {
-			t.changePhase(Over, t.reason)
+		if answersPending {
+			cl.changePhase(Over, cl.reason)
 		}
 	case Refused, LimitReached:
-		if !answers {
+		if !answersPending {
 			return
 		}
 		switch {
-		case t.phase == Releasing && asked == Transfer: // nobody of that name waits: it goes to the first in line
-			t.startRequest(now, Command{Op: Release, Token: t.guard.Token()})
-		case t.phase == Releasing:
-			t.changePhase(Over, t.reason)
+		case cl.phase == Releasing && answeredOp == Transfer: // the waiter has left: release to the next one
+			cl.startRequest(now, Command{Op: Release, Token: cl.guard.Token()})
+		case cl.phase == Releasing:
+			cl.changePhase(Over, cl.reason)
 		case a.Outcome == LimitReached:
-			t.changePhase(Over, "the line, or the table of leases, is full")
-		case t.phase == Holding: // the renewal: the machine gave it to another, or an operator took it
-			t.guard.Stop(now)
-			t.changePhase(Stopping, "the lease was taken away")
-		case t.phase != Stopping:
-			t.changePhase(Over, "refused")
+			cl.changePhase(Over, "the limit of waiters, leases or sessions is reached")
+		case cl.phase == Holding: // a refused renewal: the lease has expired, or an operator took it
+			cl.guard.Stop(now)
+			cl.changePhase(Stopping, "the lease has expired or was taken by an operator")
+		case cl.phase != Stopping:
+			cl.changePhase(Over, "the request was refused")
 		}
 	}
 }
 
-func (t *Client) handleGrant(now time.Duration, a Answer, asked Op) {
-	switch t.phase {
+// handleGrant processes a grant; answeredOp is the pending operation that it answers, 0 if it answers none.
+func (cl *Client) handleGrant(now time.Duration, a Answer, answeredOp Op) {
+	switch cl.phase {
 	case Asking, Queued:
-		t.guard.HandleAnswer(a)
-		if t.guard.Token() != a.Token {
-			return // its asking is not known any more
+		cl.guard.HandleAnswer(a)
+		if cl.guard.Token() != a.Token {
+			return // the guard no longer knows when the request was sent
 		}
-		if asked != Acquire { // it came by the line; what is open asks for nothing new
-			t.pending = nil
+		if answeredOp != Acquire { // granted as a waiter: the pending request is superfluous
+			cl.pending = nil
 		}
-		t.place = 0
-		t.changePhase(Holding, "")
+		cl.place = 0
+		cl.changePhase(Holding, "")
 	case Holding:
-		before := t.guard.validUntil
-		if t.guard.HandleAnswer(a); t.guard.validUntil > before {
-			t.events = append(t.events, Event{Kind: Extended, Phase: t.phase, Token: t.guard.Token(), Until: t.guard.validUntil})
+		previousEnd := cl.guard.validUntil
+		if cl.guard.HandleAnswer(a); cl.guard.validUntil > previousEnd {
+			cl.events = append(cl.events, Event{Kind: Extended, Phase: cl.phase, Token: cl.guard.Token(), Until: cl.guard.validUntil})
 		}
 	case Releasing:
-		if t.guard.Token() == 0 { // it was granted while the wish was being given up
-			t.guard.HandleAnswer(a)
-			t.guard.Stop(now)
-			t.startRequest(now, Command{Op: Release, Token: a.Token})
+		if cl.guard.Token() == 0 { // granted while the request was being given up
+			cl.guard.HandleAnswer(a)
+			cl.guard.Stop(now)
+			cl.startRequest(now, Command{Op: Release, Token: a.Token})
 		}
 	}
 }
 
-// String is the tenant on one line.
-func (t *Client) String() string {
-	return fmt.Sprintf("%s of %s/%d: %s, token %d", t.lease, t.holder.Name, t.holder.Incarnation, t.phase, t.guard.Token())
+// String describes the client on one line.
+func (cl *Client) String() string {
+	return fmt.Sprintf("%s of %s/%d: %s, token %d", cl.lease, cl.holder.Name, cl.holder.Incarnation, cl.phase, cl.guard.Token())
 }
--- a/internal/fleet/lease/client_test.go
+++ b/internal/fleet/lease/client_test.go
@@ -17,7 +17,7 @@
 	return x
 }
 
-// held is a tenant that holds under token 5, from an hour on.
+// newHoldingClient returns a client that holds its lease under token 5, as of one hour on its clock.
 func newHoldingClient(t *testing.T) *Client {
 	t.Helper()
 	x := newTestClient(t)
@@ -39,24 +39,24 @@
 	return phases
 }
 
-// A lease is renewed after a third, asked for again without an answer, and given up where none comes in time: before the
-// leader's clock can have ended it, acts included.
-func TestTenantRenewsOrStops(t *testing.T) {
+// A client renews after a third of the lease, repeats a renewal that gets no answer, and stops when none is answered
+// in time, so that its acts end before the leader's clock can expire the lease.
+func TestClientRenewsOrStops(t *testing.T) {
 	x := newHoldingClient(t)
 	at := time.Hour + testTTL/3 - 1
 	if c := x.Tick(at); c != nil {
-		t.Fatalf("too early: %+v", c)
+		t.Fatalf("renewed too early: %+v", c)
 	}
 	c := x.Tick(at + 1)
 	if c == nil || c.Op != Renew || c.Token != 5 {
 		t.Fatalf("%+v", c)
 	}
 	if again := x.Tick(at + 2); again != nil {
-		t.Fatalf("at once again: %+v", again)
+		t.Fatalf("resent without waiting: %+v", again)
 	}
 	again := x.Tick(at + x.retryInterval() + 2)
 	if again == nil || again.Seq != c.Seq {
-		t.Fatalf("the same request does not come again: %+v", again)
+		t.Fatalf("the same request is not resent: %+v", again)
 	}
 	x.HandleAnswer(at+400*time.Millisecond, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: testTTL, Seq: c.Seq})
 	until := time.Duration(0)
@@ -66,7 +66,7 @@
 		}
 	}
 	if until != at+1+x.timing.holderTTL(testTTL) {
-		t.Fatalf("it lasts until %v, and was asked for at %v", until, at+1)
+		t.Fatalf("the renewal lasts until %v, requested at %v", until, at+1)
 	}
 	if _, ok := x.BeginAct(until-time.Second, 900*time.Millisecond); !ok {
 		t.Fatal("an act within the lease is refused")
@@ -77,22 +77,22 @@
 	for now := at + time.Second; now <= until; now += 50 * time.Millisecond {
 		x.Tick(now)
 	}
-	told := phasesOf(x.Events())
-	if len(told) != 0 {
-		t.Fatal("given up before its time")
+	phases := phasesOf(x.Events())
+	if len(phases) != 0 {
+		t.Fatal("given up before the lease ended")
 	}
 	x.Tick(until + 1)
 	if p := phasesOf(x.Events()); len(p) < 1 || p[0] != Stopping || x.MaxActDuration(until+1) > 0 {
 		t.Fatal(x)
 	}
 	if c := x.Tick(until + time.Second); c == nil || c.Op != Release {
-		t.Fatalf("it is not given back: %+v", c)
+		t.Fatalf("the lease is not released: %+v", c)
 	}
 }
 
-// A grant counts from before it was asked for; one that was asked for long ago would be over when it comes, so it is asked
-// for anew.
-func TestTenantAsksAnew(t *testing.T) {
+// A grant counts from the sending of its request. After a long time without an answer the client sends a new request,
+// or the grant would have expired on arrival.
+func TestClientRenumbersOldRequests(t *testing.T) {
 	x := newTestClient(t)
 	last := uint64(0)
 	now := time.Hour
@@ -103,26 +103,27 @@
 	}
 	x.HandleAnswer(now, Answer{Outcome: Granted, Lease: "l", Token: 5, TTL: testTTL, Seq: last})
 	if left := x.MaxActDuration(now); left < testTTL/2 {
-		t.Errorf("%v of %v are left", left, testTTL)
+		t.Errorf("%v of %v left after the grant", left, testTTL)
 	}
 }
 
-// Acts that have begun go before the word that the lease is free.
-func TestTenantWaitsForItsActs(t *testing.T) {
+// The release is sent only after begun acts have ended.
+func TestClientWaitsForItsActs(t *testing.T) {
 	x := newHoldingClient(t)
 	if _, ok := x.BeginAct(time.Hour+1, 2*time.Second); !ok {
 		t.Fatal(x)
 	}
 	x.Stop(time.Hour+2, Holder{"other", 1, 9})
 	if c := x.Tick(time.Hour + time.Second); c != nil {
-		t.Fatalf("an act lasts: %+v", c)
+		t.Fatalf("released during an act: %+v", c)
 	}
 	x.ActsEnded(time.Hour + time.Second)
 	c := x.Tick(time.Hour + time.Second + 1)
 	if c == nil || c.Op != Transfer || c.To.Life != 9 {
 		t.Fatalf("%+v", c)
 	}
-	x.HandleAnswer(time.Hour+2*time.Second, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq}) // the other waits no more
+	// The receiver has left the queue.
+	x.HandleAnswer(time.Hour+2*time.Second, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq})
 	if c = x.Tick(time.Hour + 2*time.Second); c == nil || c.Op != Release {
 		t.Fatalf("%+v", c)
 	}
@@ -132,15 +133,15 @@
 	}
 }
 
-// A wish that is given up leaves the line; where the lease came meanwhile it is given back.
-func TestTenantGivesUpItsWish(t *testing.T) {
+// A client that gives up while it waits leaves the queue, and releases the lease if that was granted meanwhile.
+func TestClientLeavesQueue(t *testing.T) {
 	x := newTestClient(t)
 	c := x.Tick(time.Hour)
 	x.HandleAnswer(time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 2, Seq: c.Seq})
 	if x.Phase() != Queued || x.Events()[0].Place != 2 {
 		t.Fatal(x)
 	}
-	next := time.Hour + x.timing.WaiterTimeout/3 // asked again before it is dropped
+	next := time.Hour + x.timing.WaiterTimeout/3 // repeated before the waiter expires
 	again := x.Tick(next)
 	if again == nil || again.Op != Acquire || again.Seq <= c.Seq {
 		t.Fatalf("%+v", again)
@@ -157,8 +158,8 @@
 	}
 }
 
-// What takes the lease away is told: a renewal that is refused, an operator, a full table.
-func TestTenantLoses(t *testing.T) {
+// A refused renewal, a full table and Abandon each end the client's right to act; an invalid time to live is refused.
+func TestClientLosesLease(t *testing.T) {
 	x := newHoldingClient(t)
 	c := x.Tick(time.Hour + testTTL/2)
 	x.HandleAnswer(time.Hour+testTTL/2, Answer{Outcome: Refused, Lease: "l", Seq: c.Seq})
@@ -177,30 +178,30 @@
 		t.Fatal(z)
 	}
 	if _, err := NewClient(Timing{}, "l", Holder{"n", 1, 7}, time.Millisecond, 0); err == nil {
-		t.Error("a lease of a millisecond")
+		t.Error("a time to live of a millisecond was accepted")
 	}
 }
 
-// Nobody who answers is told once, after an election's time, and so is that somebody does again.
-func TestTenantTellsThatNobodyAnswers(t *testing.T) {
+// Unreachable is reported once, after the time of an election without an answer, and Reachable after the next answer.
+func TestClientReportsUnreachable(t *testing.T) {
 	x := newTestClient(t)
-	told, sends := 0, 0
+	reports, sends := 0, 0
 	for now := time.Hour; now < time.Hour+10*time.Second; now += 10 * time.Millisecond {
 		if c := x.Tick(now); c != nil {
 			sends++
-			x.RetrySoon(now, c.Seq) // each voter says that it can't help
+			x.RetrySoon(now, c.Seq) // each voter answers that it can't serve
 		}
 		for _, e := range x.Events() {
 			if e.Kind == Unreachable {
-				told++
+				reports++
 				if since := now - time.Hour; since < noAnswerTimeout || since > noAnswerTimeout+maxRetryInterval {
-					t.Errorf("told after %v", since)
+					t.Errorf("reported after %v", since)
 				}
 			}
 		}
 	}
-	if told != 1 || sends > 50 {
-		t.Errorf("told %d times, sent %d times", told, sends)
+	if reports != 1 || sends > 50 {
+		t.Errorf("reported %d times, sent %d times", reports, sends)
 	}
 	x.HandleAnswer(2*time.Hour, Answer{Outcome: Waiting, Lease: "l", Place: 1, Seq: 1})
 	if e := x.Events(); len(e) == 0 || e[0].Kind != Reachable {
@@ -208,19 +209,20 @@
 	}
 }
 
-// Answers in any order, of any kind, to any request: a tenant never holds longer than from before it asked, and ends.
-func TestTenantTakesAnything(t *testing.T) {
+// With random answers, in any order and to any request, a client never holds longer than its time to live from the
+// last request, and ends after Stop.
+func TestClientWithRandomAnswers(t *testing.T) {
 	for seed := range uint64(3000) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		x := newTestClient(t)
 		now := time.Hour
-		asked := map[uint64]time.Duration{}
+		sentAt := map[uint64]time.Duration{}
 		var seqs []uint64
 		for range 200 {
 			now += time.Duration(rng.IntN(400)) * time.Millisecond
 			if c := x.Tick(now); c != nil {
-				if _, again := asked[c.Seq]; !again {
-					asked[c.Seq], seqs = now, append(seqs, c.Seq)
+				if _, resent := sentAt[c.Seq]; !resent {
+					sentAt[c.Seq], seqs = now, append(seqs, c.Seq)
 				}
 			}
 			switch rng.IntN(5) {
@@ -235,11 +237,11 @@
 				x.RetrySoon(now, uint64(rng.IntN(9)))
 			}
 			last := time.Duration(0)
-			for _, at := range asked {
+			for _, at := range sentAt {
 				last = max(last, at)
 			}
 			if left := x.MaxActDuration(now); left > 0 && now+left > last+testTTL {
-				t.Fatalf("seed %d: holds until %v, and asked at %v at the latest", seed, now+left, last)
+				t.Fatalf("seed %d: holds until %v, last request sent at %v", seed, now+left, last)
 			}
 			x.Events()
 		}
@@ -254,44 +256,44 @@
 	}
 }
 
-// A command gets its grace before the lease ends, and is killed before it does, whatever it was told meanwhile.
-func TestWarden(t *testing.T) {
+// A command gets its grace time before the lease ends and is killed before the end, also after a stop or a renewal.
+func TestWatchdog(t *testing.T) {
 	const until = time.Hour + 10*time.Second
 	w := NewWatchdog(10*time.Second, 2*time.Second, until)
 	if w.NextSignal(until-2300*time.Millisecond) != None || w.Lost() {
-		t.Error("too early")
+		t.Error("signal or loss too early")
 	}
 	w.Extend(until + 5*time.Second)
-	w.Extend(until) // a late word
+	w.Extend(until) // an outdated renewal
 	if w.NextSignal(until) != None {
-		t.Error("it was extended")
+		t.Error("signal despite the renewal")
 	}
 	last := until + 5*time.Second - 200*time.Millisecond
 	if w.NextSignal(last-2*time.Second) != Term || !w.Lost() {
-		t.Error("no time to end by itself")
+		t.Error("no Term a grace time before the end")
 	}
 	if w.NextSignal(last-time.Millisecond) != None || w.NextSignal(last) != Kill || w.NextSignal(last+1) != None {
-		t.Error("not killed once, before the lease ends")
+		t.Error("not killed exactly once before the lease ends")
 	}
-	// Told to end: the grace counts from there, and never beyond the lease.
+	// After Stop the grace counts from that call, and never extends beyond the lease.
 	w = NewWatchdog(10*time.Second, 2*time.Second, until)
 	w.Stop(until - 8*time.Second)
 	if w.NextSignal(until-8*time.Second) != Term || w.NextSignal(until-6*time.Second-1) != None || w.NextSignal(until-6*time.Second) != Kill || w.Lost() {
-		t.Error("told to end")
+		t.Error("wrong signals after Stop")
 	}
 	w = NewWatchdog(10*time.Second, 2*time.Second, until)
 	w.Stop(until - time.Second)
 	if s := w.NextSignal(until - 200*time.Millisecond); s != Kill {
-		t.Errorf("%v at the lease's end", s)
+		t.Errorf("signal %v at the margin before the lease's end, want Kill", s)
 	}
-	// One that was not asked for long does not waste time on a grace.
+	// A watchdog first called after the lease's end kills without a grace time.
 	w = NewWatchdog(10*time.Second, 0, until)
 	if w.NextSignal(until+time.Minute) != Kill || !w.Lost() {
-		t.Error("woken after the end")
+		t.Error("no Kill after the lease's end")
 	}
 }
 
-// Forms are read as written, and anything can be read.
+// Encodings decode to what was encoded, and decoding survives any input.
 func FuzzForms(f *testing.F) {
 	m := NewStateMachine()
 	h := Holder{"n", 1, 9}
@@ -305,18 +307,18 @@
 		if s, err := ParseSnapshot(b); err == nil {
 			again := Restore(s).Snapshot()
 			if x, err := ParseSnapshot(AppendSnapshot(nil, &again)); err != nil || len(x.Leases) != len(again.Leases) {
-				t.Fatalf("%v: %+v", err, again)
+				t.Fatalf("restored snapshot does not decode: %v: %+v", err, again)
 			}
 		}
 		if c, err := ParseCommand(b); err == nil {
 			if d, err := ParseCommand(AppendCommand(nil, &c)); err != nil || c != d {
-				t.Fatalf("%+v, then %+v: %v", c, d, err)
+				t.Fatalf("command %+v decodes as %+v: %v", c, d, err)
 			}
 			NewStateMachine().Apply(&c)
 		}
 		if a, err := ParseAnswer(b); err == nil {
 			if d, err := ParseAnswer(AppendAnswer(nil, &a)); err != nil || a != d {
-				t.Fatalf("%+v, then %+v: %v", a, d, err)
+				t.Fatalf("answer %+v decodes as %+v: %v", a, d, err)
 			}
 		}
 	})
--- a/internal/fleet/lease/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -1,18 +1,19 @@
-// Package lease says who may do a task that one node of the fleet does at a time.
+// Package lease implements leases: exclusive, time-limited rights to a task that only one node of the fleet does at a
+// time.
 //
-// A Machine is the replicated state: commands are applied in the order of an agreed log, and
-// the same ones give the same state at each voter. It knows no time. A Keeper is the leader's
-// part: by its own clock it says which leases and waiters are over, as commands to be agreed
-// on. A Guard is the holder's part: by its own clock it says whether an act may begin.
+// A StateMachine is the replicated state. It applies commands in the order of an agreed log, so the same commands
+// give the same state on each voter, and it knows nothing of time. An ExpiryTracker runs on the leader: by its own
+// clock it finds the leases and waiters that have expired and returns commands for the log. A Guard runs at the
+// holder: by its own clock it decides whether an act may begin. A Client drives a holder's side of one lease, and a
+// Watchdog decides when a command that runs under a lease must end.
 //
-// All are pure: no I/O, no goroutine. A Machine belongs to whoever applies the log, a Keeper to
-// the leader's loop, a Guard to the task's owner. Clocks are never compared with each other;
-// that two of them run at speeds that differ by less than Drift is all that is assumed.
+// All of them are pure: no I/O, no goroutines. A StateMachine belongs to the goroutine that applies the log, an
+// ExpiryTracker to the leader's loop, a Guard to the owner of the task. Clocks are never compared with each other;
+// the only assumption is that the speeds of any two differ by less than Timing.ClockDrift.
 //
-// It must not open a socket, write a file or agree on anything: the log is another's.
+// The package opens no socket, writes no file and reaches no agreement: another package owns the log.
 //
-// Sources: Gray, Cheriton, "Leases", 1989 (terms, the holder counts from before); Burrows, "The
-// Chubby lock service", 2006 (sequencers, lock-delay); Kleppmann, "How to do distributed
-// locking", 2016 (fencing tokens); Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.3
-// (sessions, requests that come again).
+// Sources: Gray, Cheriton, "Leases", 1989 (terms; the holder counts from before its request); Burrows, "The Chubby
+// lock service", 2006 (sequencers, lock-delay); Kleppmann, "How to do distributed locking", 2016 (fencing tokens);
+// Ongaro, "Consensus: Bridging Theory and Practice", 2014, 6.3 (client sessions, repeated requests).
 package lease
--- a/internal/fleet/lease/encoding.go
+++ b/internal/fleet/lease/encoding.go
@@ -8,7 +8,7 @@
 	"curlewring/internal/fleet/protofields"
 )
 
-// AppendCommand appends a command in its form for the log and for messages.
+// AppendCommand appends a command in its encoding for the log and for messages.
 func AppendCommand(to []byte, c *Command) []byte {
 	to = protofields.AppendUint(to, 1, uint64(c.Op))
 	to = protofields.AppendString(to, 2, c.Lease)
@@ -20,13 +20,13 @@
 	return appendHolder(to, 8, c.To)
 }
 
-// ParseCommand reads a command. It checks the form alone: what makes no sense is the machine's to refuse.
+// ParseCommand decodes a command. It checks the encoding only; the state machine refuses invalid commands.
 func ParseCommand(b []byte) (c Command, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsUint && f.Number == 1:
 			if f.Uint > 255 {
-				return protofields.Errorf("operation %d", f.Uint)
+				return protofields.Errorf("operation %d is unknown", f.Uint)
 			}
 			c.Op = Op(f.Uint)
 		case !f.IsUint && f.Number == 2:
@@ -49,10 +49,10 @@
 	return c, err
 }
 
-// length takes a time span of at most MostTTL.
+// parseTTL converts a number of nanoseconds and refuses more than MaxTTL.
 func parseTTL(x uint64) (time.Duration, error) {
 	if x > uint64(MaxTTL) {
-		return 0, protofields.Errorf("a time to live of %d ns, at most %v", x, MaxTTL)
+		return 0, protofields.Errorf("time to live of %d ns exceeds %v", x, MaxTTL)
 	}
 	return time.Duration(x), nil
 }
@@ -70,7 +70,7 @@
 		switch {
 		case !f.IsUint && f.Number == 1:
 			if len(f.Bytes) > maxNameBytes {
-				return protofields.Errorf("a holder's name of %d bytes, at most %d", len(f.Bytes), maxNameBytes)
+				return protofields.Errorf("holder's name of %d bytes exceeds %d", len(f.Bytes), maxNameBytes)
 			}
 			h.Name = string(f.Bytes)
 		case f.IsUint && f.Number == 2:
@@ -83,7 +83,7 @@
 	return h, err
 }
 
-// AppendAnswer appends an answer, as it goes to its asker.
+// AppendAnswer appends an answer in its encoding for messages and snapshots.
 func AppendAnswer(to []byte, a *Answer) []byte {
 	to = protofields.AppendUint(to, 1, uint64(a.Outcome))
 	to = protofields.AppendString(to, 2, a.Lease)
@@ -93,13 +93,13 @@
 	return protofields.AppendUint(to, 6, a.Seq)
 }
 
-// ParseAnswer reads an answer.
+// ParseAnswer decodes an answer.
 func ParseAnswer(b []byte) (a Answer, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsUint && f.Number == 1:
 			if f.Uint < uint64(Granted) || f.Uint > uint64(Superseded) {
-				return protofields.Errorf("outcome %d", f.Uint)
+				return protofields.Errorf("outcome %d is unknown", f.Uint)
 			}
 			a.Outcome = Outcome(f.Uint)
 		case !f.IsUint && f.Number == 2:
@@ -110,7 +110,7 @@
 			a.TTL, err = parseTTL(f.Uint)
 		case f.IsUint && f.Number == 5:
 			if f.Uint > MaxWaiters {
-				return protofields.Errorf("place %d in line", f.Uint)
+				return protofields.Errorf("queue place %d is too high", f.Uint)
 			}
 			a.Place = int(f.Uint)
 		case f.IsUint && f.Number == 6:
@@ -119,12 +119,12 @@
 		return err
 	})
 	if err == nil && a.Outcome == 0 {
-		err = protofields.Errorf("an answer without an outcome")
+		err = protofields.Errorf("answer without an outcome")
 	}
 	return a, err
 }
 
-// AppendLease appends one lease with its line, as it stands in snapshots and lists.
+// AppendLease appends one lease with its waiters in its encoding for snapshots and lists.
 func AppendLease(to []byte, l *Lease) []byte {
 	to = protofields.AppendString(to, 1, l.Name)
 	to = appendHolder(to, 2, l.Holder)
@@ -141,7 +141,7 @@
 	return to
 }
 
-// ParseLease reads one lease.
+// ParseLease decodes one lease.
 func ParseLease(b []byte) (l Lease, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) (err error) {
 		switch {
@@ -159,7 +159,7 @@
 			l.Seq = f.Uint
 		case !f.IsUint && f.Number == 7:
 			if len(l.Waiters) == MaxWaiters {
-				return protofields.Errorf("more than %d in line", MaxWaiters)
+				return protofields.Errorf("more than %d waiters", MaxWaiters)
 			}
 			var w Waiter
 			err = protofields.ForEach(f.Bytes, func(f protofields.Field) (err error) {
@@ -180,12 +180,12 @@
 		return err
 	})
 	if err == nil && (l.Name == "" || len(l.Name) > maxNameBytes) {
-		err = protofields.Errorf("a lease with a name of %d bytes", len(l.Name))
+		err = protofields.Errorf("lease name of %d bytes is empty or too long", len(l.Name))
 	}
 	return l, err
 }
 
-// AppendSnapshot appends the whole state.
+// AppendSnapshot appends the encoding of a snapshot.
 func AppendSnapshot(to []byte, s *Snapshot) []byte {
 	to = protofields.AppendUint(to, 1, s.Tokens)
 	to = protofields.AppendUint(to, 2, s.Serials)
@@ -202,7 +202,7 @@
 	return to
 }
 
-// ParseSnapshot reads the whole state.
+// ParseSnapshot decodes a snapshot.
 func ParseSnapshot(b []byte) (s Snapshot, err error) {
 	err = protofields.ForEach(b, func(f protofields.Field) error {
 		switch {
@@ -221,7 +221,7 @@
 			return err
 		case !f.IsUint && f.Number == 5:
 			if len(s.Sessions) == MaxSessions {
-				return protofields.Errorf("more than %d lives", MaxSessions)
+				return protofields.Errorf("more than %d sessions", MaxSessions)
 			}
 			var x Session
 			err := protofields.ForEach(f.Bytes, func(f protofields.Field) (err error) {
@@ -238,7 +238,7 @@
 				return err
 			})
 			if err == nil && x.Answer.Outcome == 0 {
-				err = protofields.Errorf("a life that was told nothing")
+				err = protofields.Errorf("session without an answer")
 			}
 			s.Sessions = append(s.Sessions, x)
 			return err
--- a/internal/fleet/lease/search_test.go
+++ b/internal/fleet/lease/search_test.go
@@ -13,67 +13,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The search plays every order of what can happen to two holders, a leader that changes, the messages between them and
-// their clocks, within bounds, breadth first: what it finds, it finds on the shortest way.
+// The tests of this file are a bounded model checker. A breadth-first search goes through every order of events of
+// two holders, a changing leader, the messages between them and their clocks, and so reports the shortest path to a
+// violation.
 
-// A model's defence that is taken out.
+// faults selects the defences that the model leaves out, each on purpose, to prove that the search finds the
+// violation.
 type faults struct {
-	newLeaderExpiresAtOnce    bool // a new leader ends leases at once, without counting them anew
-	countFromAnswer   bool // holders count from the answer, not from before they asked
-	ignoreDrift   bool // nobody allows for clocks that differ
-	reuseLife   bool // a process that starts anew is the same holder
-	constantToken   bool // tokens do not grow
-	expireAnyRenewal    bool // an end does not name the renewal that it saw
-	actWhileReleasing    bool // holders go on to begin acts while they release
-	releaseDuringActs bool // holders do not wait for the end of their acts before they release
-	unboundedActs   bool // the guard is not told how long acts take
-	repeatRequests  bool // requests that come again are done again
+	newLeaderExpiresAtOnce bool // a new leader expires leases at once instead of counting them anew
+	countFromAnswer        bool // holders count a lease from its grant instead of from before the request
+	ignoreDrift            bool // no allowance for clocks of different speed
+	reuseLife              bool // a restarted process counts as the same holder
+	constantToken          bool // every grant has the same token
+	expireAnyRenewal       bool // an Expire applies to any renewal, not only to the one observed
+	actWhileReleasing      bool // holders begin acts after they have sent the release
+	releaseDuringActs      bool // holders release while acts last
+	unboundedActs          bool // the guard does not know how long acts last
+	repeatRequests         bool // repeated requests are applied again
 }
 
-// world is one state of the search.
+// modelState is one state of the search.
 type modelState struct {
-	now     int // s, true time
-	machine *StateMachine
-	expiry  *ExpiryTracker
+	now           int // s, true time
+	machine       *StateMachine
+	expiry        *ExpiryTracker
 	leaderChanges int
-	holders   [2]modelHolder
-	inFlight    []message
-	actsUntil    [2]int // until when each holder's act lasts; 0: none
-	mayAct     [2]bool
-	highestToken    uint64    // the highest token that the resource has seen ...
-	highestOwner      int       // ... and whose it was
-	expired     []Command // by the leader's clock
-	trace   *traceStep
+	holders       [2]modelHolder
+	inFlight      []message
+	actsUntil     [2]int // s, until when each holder's act lasts; 0: none
+	mayAct        [2]bool
+	highestToken  uint64    // the highest token that the resource has seen
+	highestOwner  int       // its holder's index + 1; negative after a violation
+	expired       []Command // what the leader's clock finds expired
+	trace         *traceStep
 }
 
+// traceStep is one event on the path to a state.
 type traceStep struct {
-	what string
+	what     string
 	previous *traceStep
 }
 
+// modelHolder is a process that acquires the lease.
 type modelHolder struct {
-	holder  Holder
-	guard   *Guard
-	seq     uint64
-	requests    int
-	crashes int
+	holder   Holder
+	guard    *Guard
+	seq      uint64
+	requests int
+	crashes  int
 }
 
+// message is a command or an answer in flight.
 type message struct {
-	to     int // 0, 1: an answer to that process; -1: a command
-	life   uint64
-	c      Command
-	answer Answer
-	delivered  bool // it has been delivered once
+	to        int // 0, 1: an answer to that holder; -1: a command
+	life      uint64
+	c         Command
+	answer    Answer
+	delivered bool // delivered once, and may be delivered again
 }
 
+// bounds limits the search.
 type bounds struct {
 	seconds, requests, crashes, leaderChanges, inFlight, states int
-	clockSpeeds                                     [3]int // of the holders' clocks and of the leader's, in quarters
-	ttl                                        time.Duration
-	actSeconds                                        int // s, true time, at the most
-	timing                                      Timing
-	noReleaseOrDuplicate                                      bool // nothing is released, and nothing comes twice
+	clockSpeeds                                                 [3]int // of both holders and the leader, in quarters
+	ttl                                                         time.Duration
+	actSeconds                                                  int // s, true time, at most
+	timing                                                      Timing
+	noReleaseOrDuplicate                                        bool // no releases and no duplicated messages
 }
 
 func defaultBounds() bounds {
@@ -83,6 +89,7 @@
 	}
 }
 
+// clock returns the time on a holder's clock, or on the leader's for 2.
 func (w *modelState) clock(b *bounds, i int) time.Duration {
 	return time.Duration(w.now*b.clockSpeeds[i]) * time.Second / 4
 }
@@ -110,8 +117,7 @@
 	return &x
 }
 
-// key names a state: two that have the same go on in the same ways. Times count from now, serials and tokens in the order
-// in which they stand.
+// hash identifies a state: states with the same hash have the same successors.
 func (w *modelState) hash() uint64 {
 	var buf [1024]byte
 	b := buf[:0]
@@ -132,7 +138,7 @@
 			num(int64(l.Waiters[i].Serial), int64(l.Waiters[i].Seq))
 		}
 	}
-	for life := range uint64(24) { // all that there can be, in order
+	for life := range uint64(24) { // every possible life, in order
 		for i := range w.holders {
 			h := Holder{w.holders[i].holder.Name, life/10 + 1, life}
 			if s := w.machine.sessions[h]; s != nil {
@@ -164,7 +170,7 @@
 			}
 		}
 	}
-	// Letters in any order: a sum of their hashes.
+	// The order of messages does not matter, so their hashes are added.
 	sum := uint64(0)
 	head := len(b)
 	for i := range w.inFlight {
@@ -182,7 +188,7 @@
 	return xxhash.Sum64(b)
 }
 
-// apply has the log take a command, and answers go out.
+// apply applies a command of the log and sends the answers.
 func (w *modelState) apply(x *faults, c Command, to int, life uint64) {
 	if x.expireAnyRenewal && c.Op == Expire {
 		if l, ok := w.machine.Lease(c.Lease); ok {
@@ -214,7 +220,7 @@
 	}
 }
 
-// next returns all that may follow.
+// successors returns all states that one event leads to.
 func (w *modelState) successors(b *bounds, x *faults) (all []*modelState) {
 	add := func(what string, do func(*modelState)) {
 		n := w.clone()
@@ -238,9 +244,9 @@
 		})
 	}
 	for i := range w.expired {
-		add(fmt.Sprintf("the leader ends what is over (%v)", w.expired[i].Op), func(n *modelState) { n.apply(x, w.expired[i], -1, 0) })
+		add(fmt.Sprintf("the leader's expiry is applied (%v)", w.expired[i].Op), func(n *modelState) { n.apply(x, w.expired[i], -1, 0) })
 		if c := w.expired[i]; c.Op == Expire && len(w.inFlight) < b.inFlight && !slices.ContainsFunc(w.inFlight, func(m message) bool { return m.c.Op == Expire }) {
-			add("the leader proposes an end", func(n *modelState) { n.inFlight = append(n.inFlight, message{to: -1, c: c}) })
+			add("the leader proposes an expiry", func(n *modelState) { n.inFlight = append(n.inFlight, message{to: -1, c: c}) })
 		}
 	}
 	for i := range w.holders {
@@ -267,7 +273,7 @@
 				n.inFlight = append(n.inFlight, message{to: -1, life: q.holder.Life, c: c})
 			})
 		}
-		send("asks for the lease", Acquire)
+		send("requests the lease", Acquire)
 		if p.guard.token != 0 && !p.guard.stopped {
 			if i == 0 {
 				send("renews", Renew)
@@ -276,11 +282,11 @@
 				send("releases", Release)
 			}
 		}
-		act := time.Duration(b.actSeconds*b.clockSpeeds[i]) * time.Second / 4 // what it takes by its own clock
+		act := time.Duration(b.actSeconds*b.clockSpeeds[i]) * time.Second / 4 // its duration by the holder's clock
 		if x.unboundedActs {
 			act = 0
 		}
-		// Of bert's acts it is enough that they might begin.
+		// For bert it is enough to know whether an act might begin.
 		if token, _, ok := p.guard.CanBegin(now, act); ok && i == 0 && b.actSeconds > 0 && w.actsUntil[i] <= w.now {
 			add(fmt.Sprintf("%s acts under token %d until %d s", p.holder.Name, token, w.now+b.actSeconds), func(n *modelState) {
 				n.holders[i].guard.BeginAct(now, act)
@@ -288,11 +294,11 @@
 			})
 		}
 		if p.crashes < b.crashes && p.requests > 0 && i == 0 {
-			add(p.holder.Name+" is killed and starts anew", func(n *modelState) {
+			add(p.holder.Name+" is killed and restarts", func(n *modelState) {
 				q := &n.holders[i]
 				q.crashes++
 				q.guard = NewGuard(b.timing)
-				if n.actsUntil[i] > n.now { // what it did ends with it
+				if n.actsUntil[i] > n.now { // the act ends with the process
 					n.actsUntil[i] = n.now
 				}
 				q.seq = 0
@@ -318,23 +324,23 @@
 			}
 			q := &n.holders[m.to]
 			if q.holder.Life != m.life {
-				return // for a life that is over
+				return // for an earlier life
 			}
 			if x.countFromAnswer {
 				q.guard.RequestSent(n.clock(b, m.to), m.answer.Seq)
 			}
 			q.guard.HandleAnswer(m.answer)
 		}
-		what := fmt.Sprintf("the log takes request %d of %s", m.c.Seq, m.c.Holder.Name)
+		what := fmt.Sprintf("the log applies request %d of %s", m.c.Seq, m.c.Holder.Name)
 		if m.to >= 0 {
-			what = fmt.Sprintf("%s is told: outcome %d, token %d (request %d)", w.holders[m.to].holder.Name, m.answer.Outcome, m.answer.Token, m.answer.Seq)
+			what = fmt.Sprintf("%s receives outcome %d, token %d (request %d)", w.holders[m.to].holder.Name, m.answer.Outcome, m.answer.Token, m.answer.Seq)
 		}
 		add(what, func(n *modelState) {
 			n.inFlight = slices.Delete(n.inFlight, k, k+1)
 			deliver(n)
 		})
 		if !m.delivered && m.to < 0 && !b.noReleaseOrDuplicate && len(w.inFlight) < b.inFlight {
-			add(what+", which comes once more", func(n *modelState) {
+			add(what+", which will be delivered again", func(n *modelState) {
 				n.inFlight[k].delivered = true
 				deliver(n)
 			})
@@ -343,10 +349,11 @@
 	return all
 }
 
-// look has the leader look at its clock, as it does all the time, and the resource at who might come to it.
+// observe lets the leader check for expiry, as it does all the time, and checks the tokens of possible acts at the
+// resource.
 func (w *modelState) observe(b *bounds) {
 	w.expired = w.expiry.Expired(w.clock(b, 2), w.machine)
-	for k := range w.expired { // what it has proposed it would wait for
+	for k := range w.expired { // allow every expiry to be proposed again at once
 		c := &w.expired[k]
 		if c.Op == Expire {
 			x := w.expiry.leases[c.Lease]
@@ -364,7 +371,7 @@
 		switch {
 		case !ok:
 		case token < w.highestToken || token == w.highestToken && w.highestOwner != i+1:
-			w.highestOwner = -1 - i // the resource has seen a higher one, or the same of another
+			w.highestOwner = -1 - i // the resource has seen a higher token, or this one from another holder
 		default:
 			w.highestToken, w.highestOwner = token, i+1
 		}
@@ -372,19 +379,19 @@
 	}
 }
 
-// wrong tells what must never be.
+// violation returns which safety property the state violates; "" for none.
 func (w *modelState) violation() string {
 	if (w.actsUntil[0] > w.now || w.mayAct[0]) && w.mayAct[1] {
-		return "two may act at once"
+		return "two holders may act at once"
 	}
 	if w.highestOwner < 0 {
-		return "the resource is sent a token that is not above another holder's"
+		return "the resource receives a token that is not above another holder's"
 	}
 	return ""
 }
 
-// search goes through all states within the bounds, and returns the shortest way to a wrong one.
-func search(b bounds, x faults) (found string, states, depth int, whole bool) {
+// search visits all states within the bounds and returns the shortest path to a violation, if there is one.
+func search(b bounds, x faults) (path string, states, depth int, exhaustive bool) {
 	if x.ignoreDrift {
 		b.timing.ClockDrift = 1e-9
 	}
@@ -395,7 +402,7 @@
 	seen := map[uint64]bool{}
 	level := []*modelState{first}
 	for len(level) > 0 {
-		var deeper []*modelState
+		var nextLevel []*modelState
 		for _, w := range level {
 			for _, n := range w.successors(&b, &x) {
 				if what := n.violation(); what != "" {
@@ -411,27 +418,29 @@
 					continue
 				}
 				seen[key] = true
-				deeper = append(deeper, n)
+				nextLevel = append(nextLevel, n)
 			}
 			if len(seen) > b.states {
 				return "", len(seen), depth, false
 			}
 		}
-		level = deeper
+		level = nextLevel
 		depth++
 	}
 	return "", len(seen), depth, true
 }
 
-// Within smaller bounds every state there is.
-func TestSearchToTheEnd(t *testing.T) {
+// Within smaller bounds the search covers every state.
+func TestSearchExhaustive(t *testing.T) {
 	for name, x := range map[string]struct {
-		ci   bool // the others take a slow machine a minute with the race detector
+		ci   bool // the others take a minute on a slow machine with the race detector
 		edit func(*bounds)
 	}{
 		"a leader that changes": {false, func(b *bounds) { b.crashes, b.noReleaseOrDuplicate, b.seconds, b.actSeconds = 0, true, 3, 0 }},
-		"a holder that crashes": {true, func(b *bounds) { b.leaderChanges, b.noReleaseOrDuplicate, b.seconds, b.requests, b.actSeconds = 0, true, 3, 1, 1 }},
-		"clocks that differ":    {false, func(b *bounds) { b.leaderChanges, b.crashes, b.requests, b.clockSpeeds = 0, 0, 1, [3]int{4, 4, 6} }},
+		"a holder that crashes": {true, func(b *bounds) {
+			b.leaderChanges, b.noReleaseOrDuplicate, b.seconds, b.requests, b.actSeconds = 0, true, 3, 1, 1
+		}},
+		"clocks of different speed": {false, func(b *bounds) { b.leaderChanges, b.crashes, b.requests, b.clockSpeeds = 0, 0, 1, [3]int{4, 4, 6} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !x.ci && os.Getenv("CURLEWRING_LONG") == "" {
@@ -441,17 +450,17 @@
 			b := defaultBounds()
 			b.states = 2_000_000
 			x.edit(&b)
-			begun := time.Now()
-			found, states, depth, whole := search(b, faults{})
-			t.Logf("%d states to depth %d, all of them %v, in %v", states, depth, whole, time.Since(begun).Round(time.Millisecond))
-			if found != "" || !whole {
-				t.Errorf("after %d states:\n%s", states, found)
+			started := time.Now()
+			path, states, depth, exhaustive := search(b, faults{})
+			t.Logf("%d states to depth %d, exhaustive: %v, in %v", states, depth, exhaustive, time.Since(started).Round(time.Millisecond))
+			if path != "" || !exhaustive {
+				t.Errorf("after %d states:\n%s", states, path)
 			}
 		})
 	}
 }
 
-// No order of events makes two holders act at once, or sends the resource a token that falls.
+// No order of events lets two holders act at once or sends the resource a falling token.
 func TestSearch(t *testing.T) {
 	for _, speeds := range [][3]int{{4, 4, 4}, {4, 4, 6}, {6, 4, 4}} {
 		t.Run(fmt.Sprint(speeds), func(t *testing.T) {
@@ -461,32 +470,34 @@
 			if os.Getenv("CURLEWRING_LONG") != "" {
 				b.states = 3_000_000
 			}
-			begun := time.Now()
-			found, states, depth, whole := search(b, faults{})
-			t.Logf("clocks %v quarters: %d states to depth %d, all of them %v, in %v", speeds, states, depth, whole, time.Since(begun).Round(time.Millisecond))
-			if found != "" {
-				t.Errorf("after %d states:\n%s", states, found)
+			started := time.Now()
+			path, states, depth, exhaustive := search(b, faults{})
+			t.Logf("clocks %v quarters: %d states to depth %d, exhaustive: %v, in %v", speeds, states, depth, exhaustive, time.Since(started).Round(time.Millisecond))
+			if path != "" {
+				t.Errorf("after %d states:\n%s", states, path)
 			}
 		})
 	}
 }
 
-// Each defence taken out is found, on the shortest way.
-func TestSearchFinds(t *testing.T) {
+// The search finds a violation for each defence that is left out.
+func TestSearchFindsFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		x      faults
 		speeds [3]int
 		edit   func(*bounds)
 	}{
-		"a new leader waits":                {x: faults{newLeaderExpiresAtOnce: true}, edit: func(b *bounds) { b.crashes = 0 }},
-		"the holder counts from before":     {x: faults{countFromAnswer: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
-		"clocks may differ":                 {x: faults{ignoreDrift: true}, speeds: [3]int{4, 4, 6}, edit: func(b *bounds) { b.crashes, b.leaderChanges, b.requests, b.ttl = 0, 0, 1, 4*time.Second }},
-		"a holder is a life":                {x: faults{reuseLife: true}, edit: func(b *bounds) { b.leaderChanges, b.actSeconds, b.seconds, b.noReleaseOrDuplicate = 0, 0, 3, true }},
-		"tokens grow":                       {x: faults{constantToken: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
-		"an end names the renewal":          {x: faults{expireAnyRenewal: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges, b.actSeconds, b.seconds, b.noReleaseOrDuplicate = 0, 0, 0, 3, true }},
-		"a holder stops before it releases": {x: faults{actWhileReleasing: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
-		"a holder waits for its acts":       {x: faults{releaseDuringActs: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
-		"the guard knows how long acts are": {x: faults{unboundedActs: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges, b.actSeconds = 0, 0, 2 }},
+		"a new leader waits for a full lease":       {x: faults{newLeaderExpiresAtOnce: true}, edit: func(b *bounds) { b.crashes = 0 }},
+		"the holder counts from before its request": {x: faults{countFromAnswer: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
+		"allowance for clock drift":                 {x: faults{ignoreDrift: true}, speeds: [3]int{4, 4, 6}, edit: func(b *bounds) { b.crashes, b.leaderChanges, b.requests, b.ttl = 0, 0, 1, 4*time.Second }},
+		"a restart is another holder":               {x: faults{reuseLife: true}, edit: func(b *bounds) { b.leaderChanges, b.actSeconds, b.seconds, b.noReleaseOrDuplicate = 0, 0, 3, true }},
+		"tokens grow":                               {x: faults{constantToken: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
+		"an expiry names the renewal": {x: faults{expireAnyRenewal: true}, edit: func(b *bounds) {
+			b.crashes, b.leaderChanges, b.actSeconds, b.seconds, b.noReleaseOrDuplicate = 0, 0, 0, 3, true
+		}},
+		"a holder stops before it releases":  {x: faults{actWhileReleasing: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
+		"a holder waits for its acts to end": {x: faults{releaseDuringActs: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges = 0, 0 }},
+		"the guard knows how long acts last": {x: faults{unboundedActs: true}, edit: func(b *bounds) { b.crashes, b.leaderChanges, b.actSeconds = 0, 0, 2 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -496,11 +507,11 @@
 			}
 			b.states = 900_000
 			c.edit(&b)
-			found, states, depth, whole := search(b, c.x)
-			if found == "" {
-				t.Fatalf("not found in %d states to depth %d, all of them %v", states, depth, whole)
+			path, states, depth, exhaustive := search(b, c.x)
+			if path == "" {
+				t.Fatalf("no violation found in %d states to depth %d, exhaustive: %v", states, depth, exhaustive)
 			}
-			t.Logf("found after %d states, %d steps:\n%s", states, depth, found)
+			t.Logf("violation found after %d states, %d steps:\n%s", states, depth, path)
 		})
 	}
 }
--- a/internal/fleet/lease/state_machine.go
+++ b/internal/fleet/lease/state_machine.go
@@ -7,50 +7,51 @@
 	"time"
 )
 
-// Lease is one lease as the machine has it.
+// Lease is the state of one lease.
 type Lease struct {
 	Name    string
-	Holder  Holder // Life 0: nobody holds it
+	Holder  Holder // Life 0: the lease is free
 	Token   uint64
 	TTL     time.Duration
-	Serial  uint64 // raised by the grant and by each renewal
-	Seq     uint64 // of the holder's request that it rests on
+	Serial  uint64 // set anew by the grant and by each renewal
+	Seq     uint64 // of the holder's request that the grant or renewal answers
 	Waiters []Waiter
 }
 
-// Waiter is one in line.
+// Waiter is one entry of a lease's queue.
 type Waiter struct {
 	Holder Holder
 	TTL    time.Duration
-	Serial uint64 // raised each time it asks again
+	Serial uint64 // set anew each time the waiter repeats its Acquire
 	Seq    uint64
 }
 
-// session is what a life was last told.
+// session is the last answer to one holder, kept to answer a repeated request alike.
 type session struct {
-	Holder Holder
-	Seq    uint64
-	Answer Answer
-	lastUsed   uint64 // the command that used it last: the longest unused goes first
+	Holder   Holder
+	Seq      uint64
+	Answer   Answer
+	lastUsed uint64 // number of the command that used it last; the least recently used is evicted first
 }
 
-// Machine is the replicated state.
+// StateMachine is the replicated state of all leases.
 type StateMachine struct {
-	lastToken   uint64 // the last that was given out
-	lastSerial  uint64
-	applied  uint64 // commands
-	leases   map[string]*Lease
-	sessions map[Holder]*session
-	grants   []Grant
+	lastToken  uint64 // the last fencing token granted
+	lastSerial uint64
+	applied    uint64 // number of commands applied
+	leases     map[string]*Lease
+	sessions   map[Holder]*session
+	grants     []Grant
 }
 
-// NewMachine returns an empty one.
+// NewStateMachine returns an empty state machine.
 func NewStateMachine() *StateMachine {
 	return &StateMachine{leases: map[string]*Lease{}, sessions: map[Holder]*session{}}
 }
 
-// Apply applies a command. The grants are leases that went to waiters by it, good until the next call. A request
-// that came before, and was lost on its way back, is answered as it was then; an older one is refused.
+// Apply applies a command. The returned grants are leases that passed to waiters; the slice is valid until the next
+// call. A holder's latest request that arrives again, because its answer was lost, gets the same answer; an older one
+// is refused.
 func (m *StateMachine) Apply(c *Command) (Answer, []Grant) {
 	m.grants = m.grants[:0]
 	m.applied++
@@ -80,7 +81,7 @@
 	return a, m.grants
 }
 
-// request does what a life asks for.
+// applyRequest applies a holder's request.
 func (m *StateMachine) applyRequest(c *Command) Answer {
 	refused := Answer{Outcome: Refused, Lease: c.Lease, Seq: c.Seq}
 	l := m.leases[c.Lease]
@@ -91,11 +92,11 @@
 		return refused
 	}
 	if c.Op == LeaveQueue {
-		at := l.waiterIndex(c.Holder)
-		if at < 0 {
+		i := l.waiterIndex(c.Holder)
+		if i < 0 {
 			return refused
 		}
-		l.Waiters = slices.Delete(l.Waiters, at, at+1)
+		l.Waiters = slices.Delete(l.Waiters, i, i+1)
 		m.deleteIfUnused(l)
 		return Answer{Outcome: Freed, Lease: c.Lease, Seq: c.Seq}
 	}
@@ -109,12 +110,12 @@
 		m.passOn(l)
 		return Answer{Outcome: Freed, Lease: c.Lease, Token: c.Token, Seq: c.Seq}
 	case Transfer:
-		at := l.waiterIndex(c.To)
-		if at < 0 {
+		i := l.waiterIndex(c.To)
+		if i < 0 {
 			return refused
 		}
-		w := l.Waiters[at]
-		l.Waiters = slices.Delete(l.Waiters, at, at+1)
+		w := l.Waiters[i]
+		l.Waiters = slices.Delete(l.Waiters, i, i+1)
 		m.grant(l, w)
 		return Answer{Outcome: Freed, Lease: c.Lease, Token: c.Token, Seq: c.Seq}
 	}
@@ -135,22 +136,22 @@
 	}
 	m.lastSerial++
 	w := Waiter{Holder: c.Holder, TTL: c.TTL, Serial: m.lastSerial, Seq: c.Seq}
-	if l.Holder.Life == 0 { // and nobody waits: a lease that is free goes to the first at once
+	if l.Holder.Life == 0 { // a free lease has no waiters, so it is granted at once
 		m.grant(l, w)
-		m.grants = m.grants[:0] // the answer says it
+		m.grants = m.grants[:0] // the answer already reports this grant
 		return l.answer()
 	}
-	at := l.waiterIndex(c.Holder)
+	i := l.waiterIndex(c.Holder)
 	switch {
-	case at >= 0:
-		l.Waiters[at] = w
+	case i >= 0:
+		l.Waiters[i] = w
 	case len(l.Waiters) >= MaxWaiters:
 		return Answer{Outcome: LimitReached, Lease: c.Lease, Seq: c.Seq}
 	default:
-		at = len(l.Waiters)
+		i = len(l.Waiters)
 		l.Waiters = append(l.Waiters, w)
 	}
-	return Answer{Outcome: Waiting, Lease: c.Lease, Place: at + 1, Seq: c.Seq}
+	return Answer{Outcome: Waiting, Lease: c.Lease, Place: i + 1, Seq: c.Seq}
 }
 
 func (m *StateMachine) renew(c *Command, l *Lease) Answer {
@@ -159,27 +160,27 @@
 	return l.answer()
 }
 
-// leader does what the leader's clock or an operator says.
+// applyLeaderCommand applies an expiry that the leader proposed or an operator's forced release.
 func (m *StateMachine) applyLeaderCommand(c *Command) Answer {
-	void := Answer{Outcome: Superseded, Lease: c.Lease}
+	superseded := Answer{Outcome: Superseded, Lease: c.Lease}
 	l := m.leases[c.Lease]
 	switch {
 	case l == nil:
-		return void
+		return superseded
 	case c.Op == ForceRelease:
 		if l.Holder.Life == 0 || l.Token != c.Token {
-			return void // it is another's by now: a word that comes twice takes it away once
+			return superseded // the holder has changed: a repeated command takes the lease away only once
 		}
 	case c.Op == Expire:
 		if l.Holder != c.Holder || l.Serial != c.Serial {
-			return void // it was renewed, or is another's by now
+			return superseded // renewed, or held by another by now
 		}
 	case c.Op == ExpireWaiter:
-		at := l.waiterIndex(c.Holder)
-		if at < 0 || l.Waiters[at].Serial != c.Serial {
-			return void
+		i := l.waiterIndex(c.Holder)
+		if i < 0 || l.Waiters[i].Serial != c.Serial {
+			return superseded
 		}
-		l.Waiters = slices.Delete(l.Waiters, at, at+1)
+		l.Waiters = slices.Delete(l.Waiters, i, i+1)
 		return Answer{Outcome: Freed, Lease: c.Lease}
 	}
 	token := l.Token
@@ -187,7 +188,7 @@
 	return Answer{Outcome: Freed, Lease: c.Lease, Token: token}
 }
 
-// free takes a lease from its holder and gives it to the first in line.
+// passOn takes a lease from its holder and grants it to the first waiter, if there is one.
 func (m *StateMachine) passOn(l *Lease) {
 	l.Holder = Holder{}
 	if len(l.Waiters) > 0 {
@@ -199,14 +200,14 @@
 	m.deleteIfUnused(l)
 }
 
-// tidy forgets a lease that nobody holds or waits for. Its token is not forgotten: the count is one for all.
+// deleteIfUnused deletes a lease without holder and waiters. Tokens still never repeat: all leases share one counter.
 func (m *StateMachine) deleteIfUnused(l *Lease) {
 	if l.Holder.Life == 0 && len(l.Waiters) == 0 {
 		delete(m.leases, l.Name)
 	}
 }
 
-// grant gives a lease to one, under a new token.
+// grant gives a lease to a waiter, under a new token.
 func (m *StateMachine) grant(l *Lease, w Waiter) {
 	m.lastToken++
 	m.lastSerial++
@@ -222,9 +223,10 @@
 	return slices.IndexFunc(l.Waiters, func(w Waiter) bool { return w.Holder == h })
 }
 
-// room makes room for a session: of lives that hold nothing and wait for nothing the one that was used longest ago goes.
-// What it asks for again afterwards is done anew, which for such a life harms nobody: an old Acquire of it can at most
-// take a place in line, and a Renew or Release finds nothing that it holds.
+// ensureSessionCapacity reports whether another session can be added. In a full table it evicts the least recently
+// used session among holders that hold nothing and wait for nothing. A repeated request of an evicted holder is
+// applied again, which does no harm: an old Acquire can at most join a queue, and a Renew or Release finds nothing
+// that the holder holds.
 func (m *StateMachine) ensureSessionCapacity() bool {
 	if len(m.sessions) < MaxSessions {
 		return true
@@ -238,7 +240,7 @@
 	}
 	var oldest *session
 	for h, s := range m.sessions {
-		if !busy[h] && (oldest == nil || s.lastUsed < oldest.lastUsed) { // no two were used by one command
+		if !busy[h] && (oldest == nil || s.lastUsed < oldest.lastUsed) { // unique: each command uses one session
 			oldest = s
 		}
 	}
@@ -249,7 +251,7 @@
 	return true
 }
 
-// Leases are all leases, by name; copies.
+// Leases returns copies of all leases, sorted by name.
 func (m *StateMachine) Leases() []Lease {
 	all := make([]Lease, 0, len(m.leases))
 	for _, l := range m.leases {
@@ -261,10 +263,10 @@
 	return all
 }
 
-// Len is how many leases there are.
+// Len returns the number of leases.
 func (m *StateMachine) Len() int { return len(m.leases) }
 
-// Lease is one of them; false if nobody holds it or waits for it.
+// Lease returns a copy of the named lease; false if it has neither holder nor waiters.
 func (m *StateMachine) Lease(name string) (Lease, bool) {
 	l := m.leases[name]
 	if l == nil {
@@ -275,14 +277,14 @@
 	return x, true
 }
 
-// Snapshot is the whole state, in an order that depends on nothing else.
+// Snapshot is the whole state in a canonical order.
 type Snapshot struct {
 	Tokens, Serials, Applied uint64
 	Leases                   []Lease
 	Sessions                 []Session
 }
 
-// Session is what a life was last told.
+// Session is the last answer to one holder.
 type Session struct {
 	Holder Holder
 	Seq    uint64
@@ -290,7 +292,7 @@
 	Answer Answer
 }
 
-// Snapshot copies the state.
+// Snapshot returns a copy of the state.
 func (m *StateMachine) Snapshot() Snapshot {
 	s := Snapshot{Tokens: m.lastToken, Serials: m.lastSerial, Applied: m.applied, Leases: m.Leases()}
 	for _, x := range m.sessions {
@@ -302,7 +304,7 @@
 	return s
 }
 
-// Restore makes a machine of a snapshot.
+// Restore returns a state machine with the state of a snapshot.
 func Restore(s Snapshot) *StateMachine {
 	m := NewStateMachine()
 	m.lastToken, m.lastSerial, m.applied = s.Tokens, s.Serials, s.Applied
--- a/internal/fleet/lease/watchdog.go
+++ b/internal/fleet/lease/watchdog.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Signal is what a command that runs under a lease is to get.
+// Signal is a signal to send to a command that runs under a lease.
 type Signal uint8
 
 // The signals.
 const (
 	None Signal = iota
-	Term        // it is to end, and has Grace for that
-	Kill
+	Term        // asks the command to end within its grace time
+	Kill        // ends it at once
 )
 
-// Warden says when a command that runs under a lease is to end. It goes by the clock that the lease's end is told in, and
-// must be asked often: what is not asked for Margin can't keep its word.
+// Watchdog decides when a command that runs under a lease must end. It uses the clock of the lease's Until times.
+// NextSignal must be called more often than once in the safety margin, or the command may outlive the lease.
 type Watchdog struct {
-	grace  time.Duration
-	margin time.Duration
-	leaseEnd  time.Duration
-	killAt   time.Duration // 0: none is planned
+	grace    time.Duration
+	margin   time.Duration // the command is killed this long before the lease ends
+	leaseEnd time.Duration
+	killAt   time.Duration // 0: no end is planned
 	termSent bool
 	killSent bool
-	lost   bool
+	lost     bool
 }
 
-// NewWarden watches a command under a lease of a time to live that ends at until. Grace is the time that the command has to
-// end by itself; 0: a quarter of the lease.
+// NewWatchdog returns the watchdog of a command under a lease with the given time to live that ends at until. Grace
+// is how long the command has to end by itself; 0: a quarter of the time to live.
 func NewWatchdog(ttl, grace, until time.Duration) *Watchdog {
 	if grace <= 0 {
 		grace = ttl / 4
@@ -33,27 +33,27 @@
 	return &Watchdog{grace: min(grace, ttl/2), margin: max(ttl/50, 20*time.Millisecond), leaseEnd: until}
 }
 
-// Until tells that the lease goes on until then. A word that came late changes nothing.
+// Extend records a renewal of the lease until the given time. An outdated, earlier time changes nothing.
 func (w *Watchdog) Extend(until time.Duration) { w.leaseEnd = max(w.leaseEnd, until) }
 
-// Stop has the command end: its lease is to pass on, or its operator wants that.
+// Stop makes the command end, as the lease is to pass on or an operator wants it.
 func (w *Watchdog) Stop(now time.Duration) {
 	if w.killAt == 0 {
 		w.killAt = now + w.grace
 	}
 }
 
-// Due is the signal that the command is to get now, each once. The end of the lease goes before its grace.
+// NextSignal returns the signal to send now, each at most once. The grace never extends beyond the lease.
 func (w *Watchdog) NextSignal(now time.Duration) Signal {
-	last := w.leaseEnd - w.margin
-	if now >= last-w.grace && w.killAt == 0 {
-		w.lost, w.killAt = true, last
+	deadline := w.leaseEnd - w.margin
+	if now >= deadline-w.grace && w.killAt == 0 {
+		w.lost, w.killAt = true, deadline
 	}
 	switch {
 	case w.killAt == 0:
 		return None
-	case !w.killSent && (now >= w.killAt || now >= last):
-		w.lost = w.lost || now >= last
+	case !w.killSent && (now >= w.killAt || now >= deadline):
+		w.lost = w.lost || now >= deadline
 		w.termSent, w.killSent = true, true
 		return Kill
 	case !w.termSent:
@@ -63,5 +63,5 @@
 	return None
 }
 
-// Lost tells whether the command had to end because nobody renewed its lease.
+// Lost reports whether the command had to end because its lease was not renewed.
 func (w *Watchdog) Lost() bool { return w.lost }
