--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -41,7 +41,7 @@
 	Place int           // in the queue, from 1
 	Token uint64        // from Holding on
 	Until time.Duration // Holding, Extended: every act must end by then, by the client's clock
-	Why   string        // Over
+	Why   string        // Stopping, Releasing, Over: the reason
 }
 
 // Client drives one holder's side of one lease, from the first request to the release. It returns the commands to
--- a/internal/fleet/lease/search_test.go
+++ b/internal/fleet/lease/search_test.go
@@ -159,11 +159,11 @@
 		p := &w.holders[i]
 		g := p.guard
 		holder(p.holder)
-		shut := int64(0)
+		stopped := int64(0)
 		if g.stopped {
-			shut = 1
+			stopped = 1
 		}
-		num(int64(p.seq), int64(p.requests), int64(p.crashes), int64(g.token), int64(g.validFrom), int64(g.validUntil), int64(g.lastSeq), int64(g.actsUntil), shut)
+		num(int64(p.seq), int64(p.requests), int64(p.crashes), int64(g.token), int64(g.validFrom), int64(g.validUntil), int64(g.lastSeq), int64(g.actsUntil), stopped)
 		for s := uint64(1); s <= p.seq; s++ {
 			if at, ok := g.sentAt[s]; ok {
 				num(int64(s), int64(at))
@@ -175,11 +175,11 @@
 	head := len(b)
 	for i := range w.inFlight {
 		m := &w.inFlight[i]
-		again := int64(0)
+		delivered := int64(0)
 		if m.delivered {
-			again = 1
+			delivered = 1
 		}
-		num(int64(m.to), int64(m.life), again, int64(m.c.Op), int64(m.c.Seq), int64(m.c.Token), int64(m.c.Serial), int64(m.c.Holder.Life))
+		num(int64(m.to), int64(m.life), delivered, int64(m.c.Op), int64(m.c.Seq), int64(m.c.Token), int64(m.c.Serial), int64(m.c.Holder.Life))
 		answer(&m.answer)
 		sum += xxhash.Sum64(b[head:])
 		b = b[:head]
