--- a/internal/fleet/bootstrap/size_test.go
+++ b/internal/fleet/bootstrap/size_test.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// However many nodes ask one that has no list yet, it remembers them: as many as a second allows are handed one at once.
-func TestManyThatWantAList(t *testing.T) {
+// A node without a list remembers every query, of however many nodes. Once it has a list, it replies to as many as
+// the limit per second allows.
+func TestManyPendingQueries(t *testing.T) {
 	const nodes = 21*256 + 1
-	r := New(Settings{Name: "x"}, false, 1, 0)
+	b := New(Settings{Name: "x"}, false, 1, 0)
 	for i := range nodes {
-		r.Receive(time.Second, &Message{Kind: ListQuery, From: fmt.Sprint("n", i)})
+		b.Receive(time.Second, &Message{Kind: ListQuery, From: fmt.Sprint("n", i)})
 	}
-	if len(r.wanting) != nodes {
-		t.Errorf("%d of %d are remembered", len(r.wanting), nodes)
+	if len(b.pendingQueries) != nodes {
+		t.Errorf("%d of %d queries are remembered", len(b.pendingQueries), nodes)
 	}
-	r.Take()
-	r.DiscoveryAnswered(2*time.Second, 1, "d")
-	outs, _, _ := r.Take()
-	handed := 0
-	for _, o := range outs {
+	b.Take()
+	b.DiscoveryAnswered(2*time.Second, 1, "d")
+	outgoing, _, _ := b.Take()
+	replies := 0
+	for _, o := range outgoing {
 		if o.Kind == ListReply {
-			handed++
+			replies++
 		}
 	}
-	if handed != mostHanded {
-		t.Errorf("%d are handed a list at once, want %d", handed, mostHanded)
+	if replies != maxRepliesPerSecond {
+		t.Errorf("%d replies sent at once, want %d", replies, maxRepliesPerSecond)
 	}
 }
