--- a/cmd/curlewctl/lab.go
+++ b/cmd/curlewctl/lab.go
@@ -109,27 +109,27 @@
 
 // options are the lab's from the command line.
 func (c *labCommand) options() (lab.Options, error) {
-	plan := standin.Default()
-	plan.Seed, plan.Boxes, plan.Cores, plan.Tiers = c.Seed, c.Boxes, c.Cores, c.Tiers
+	plan := standin.DefaultPlan()
+	plan.Seed, plan.Servers, plan.Cores, plan.Tiers = c.Seed, c.Boxes, c.Cores, c.Tiers
 	for i := range plan.Classes {
 		plan.Classes[i].Work = time.Duration(float64(plan.Classes[i].Work) * c.Work)
 	}
 	o := lab.Options{
 		Plan: plan, Nodes: c.Nodes, Binary: c.Binary, Operator: c.Operator, MemoryMB: c.MemoryMB, Sockets: c.Sockets,
-		Budgets: c.Budgets, Copies: c.Copies, Advice: c.Advice, Members: c.Members,
-		Traffic: standin.Traffic{Rate: c.Rate, AtOnce: c.AtOnce, For: c.For, Retries: c.Retries, Backoff: 100 * time.Millisecond, Body: 200},
+		ShareBudgets: c.Budgets, AllowHedging: c.Copies, MaxRetryAfter: c.Advice, Membership: c.Members,
+		Traffic: standin.Traffic{Rate: c.Rate, Concurrency: c.AtOnce, Duration: c.For, Retries: c.Retries, Backoff: 100 * time.Millisecond, BodyBytes: 200},
 	}
 	if c.Idle > 0 {
 		self, err := os.Executable()
 		if err != nil {
 			return o, err
 		}
-		o.Idle, o.Wake, o.Tool = c.Idle, c.Wake, self
+		o.IdleConns, o.IdleInterval, o.ToolBinary = c.Idle, c.Wake, self
 	}
 	if c.ListAge > 0 || c.StartFrom != "" {
-		arms := map[string]lab.Arm{"doubts": lab.Doubts, "trusts": lab.Trusts, "waits": lab.Waits}
-		o.Past = &lab.Past{Arm: arms[c.Arm], Age: c.ListAge, Stale: c.Stale, Out: c.Outage, Cold: c.Cold}
-		if err := o.Past.Validate(); err != nil {
+		arms := map[string]lab.OldListMode{"doubts": lab.VerifyList, "trusts": lab.TrustList, "waits": lab.DiscardList}
+		o.OldList = &lab.OldList{Mode: arms[c.Arm], Age: c.ListAge, StaleEntries: c.Stale, Outage: c.Outage, ColdServers: c.Cold}
+		if err := o.OldList.Validate(); err != nil {
 			return o, err
 		}
 		if c.StartFrom != "" {
@@ -137,7 +137,7 @@
 			if err != nil {
 				return o, err
 			}
-			if o.Past.More, err = endpoints.Parse(text); err != nil {
+			if o.OldList.Extra, err = endpoints.Parse(text); err != nil {
 				return o, fmt.Errorf("%s: %w", c.StartFrom, err)
 			}
 		}
@@ -178,14 +178,14 @@
 		if err != nil {
 			return err
 		}
-		o.Forward = []string{self, "forward"}
+		o.ForwardCommand = []string{self, "forward"}
 		say("\nthe control: plain forwarding by net/http/httputil.ReverseProxy\n")
 		if reports["control"], err = c.play(ctx, o, say); err != nil {
 			return err
 		}
 		ratio := func(x, y float64) float64 { return x / max(y, 1e-9) }
-		say("\nnode to control     CPU a request %.2f; weighted service %.2f\n", ratio(first.CPU, reports["control"].CPU),
-			ratio(first.Service, reports["control"].Service))
+		say("\nnode to control     CPU a request %.2f; weighted service %.2f\n", ratio(first.CPUMicrosPerRequest, reports["control"].CPUMicrosPerRequest),
+			ratio(first.ServedWorth, reports["control"].ServedWorth))
 		for i, row := range first.Classes {
 			other := reports["control"].Classes[i]
 			say("  %-16s p50 %.2f  p90 %.2f  p99 %.2f\n", row.Class, ratio(row.P50, other.P50), ratio(row.P90, other.P90),
@@ -203,7 +203,7 @@
 			return err
 		}
 	}
-	if !first.Kept() {
+	if !first.Passed() {
 		return errBreach
 	}
 	return nil
@@ -217,8 +217,8 @@
 	}
 	defer l.Close()
 	r, err := l.Run(ctx, func(p lab.Progress) {
-		say("%4.0fs  asked %6d  out %4d  served %6d  refused %5d  failed %4d  lost %d\n", p.At.Seconds(), p.Asked, p.Out,
-			p.Tries[judge.Served], p.Tries[judge.Refused], p.Tries[judge.Failed], p.Tries[judge.Lost]+p.Tries[judge.Left])
+		say("%4.0fs  asked %6d  out %4d  served %6d  refused %5d  failed %4d  lost %d\n", p.At.Seconds(), p.Requests, p.Pending,
+			p.Tries[judge.Served], p.Tries[judge.Refused], p.Tries[judge.Failed], p.Tries[judge.ConnectionLost]+p.Tries[judge.ClientLeft])
 	})
 	if err != nil {
 		return nil, err
--- a/cmd/curlewctl/scale.go
+++ b/cmd/curlewctl/scale.go
@@ -51,7 +51,7 @@
 // Run prints the report to standard output. A rule that was broken is an error.
 func (c *scaleRunCommand) Run(ctx context.Context) error {
 	set := scale.FleetSettings{
-		Hollow: c.Hollow, Real: c.Real, Zones: c.Zones, Settle: c.Settle, Rest: c.Rest, Load: c.Load, Rate: c.Rate, Servers: c.Servers,
+		SimulatedNodes: c.Hollow, RealNodes: c.Real, Zones: c.Zones, SettleTime: c.Settle, RestTime: c.Rest, LoadTime: c.Load, Rate: c.Rate, Servers: c.Servers,
 	}
 	report, err := scale.RunFleet(ctx, set, tellProgress)
 	if err != nil {
@@ -60,7 +60,7 @@
 	if err := report.Write(os.Stdout, scale.OperatorsPlan()); err != nil {
 		return err
 	}
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		return errBreach
 	}
 	return nil
--- a/internal/rig/lab/accepted_test.go
+++ b/internal/rig/lab/accepted_test.go
@@ -53,9 +53,9 @@
 	accepted, refused := 0, 0
 	for accepted < samples {
 		o := sidecarOptions(2 + rng.IntN(3))
-		o.Plan.Seed, o.Copies, o.Advice = rng.Uint64(), rng.IntN(2) == 0, time.Duration(rng.IntN(2))*time.Second
+		o.Plan.Seed, o.AllowHedging, o.MaxRetryAfter = rng.Uint64(), rng.IntN(2) == 0, time.Duration(rng.IntN(2))*time.Second
 		o.Routes = drawRoutes(rng, &o.Plan)
-		o.Traffic.For = 2 * time.Second
+		o.Traffic.Duration = 2 * time.Second
 		for _, text := range []string{"stuck:box=0,at=300ms,for=700ms", "reset:box=1,at=500ms,for=500ms", "crash:box=2,at=800ms,for=600ms"} {
 			f, err := standin.ParseFault(text)
 			if err != nil {
--- a/internal/rig/lab/agree_test.go
+++ b/internal/rig/lab/agree_test.go
@@ -15,17 +15,17 @@
 // twin is the lab's plan in virtual time.
 func twin(p *standin.Plan, nodes int, t standin.Traffic, advice time.Duration) virtual.Config {
 	c := virtual.Config{
-		Seed: p.Seed, Nodes: nodes, Sites: len(p.Sites), Rate: t.Rate, Length: t.For, Retries: t.Retries, Backoff: t.Backoff,
-		Advice: advice, ListDelay: p.Notice, ColdFrom: p.ColdFrom, ColdFor: p.ColdFor, Hop: 300 * time.Microsecond,
-		Cross: 300 * time.Microsecond,
+		Seed: p.Seed, Nodes: nodes, Sites: len(p.Sites), Rate: t.Rate, Duration: t.Duration, Retries: t.Retries, Backoff: t.Backoff,
+		MaxRetryAfter: advice, ListDelay: p.PublishDelay, ColdCapacity: p.ColdCapacity, WarmupTime: p.WarmupTime, SiteLatency: 300 * time.Microsecond,
+		CrossSiteLatency: 300 * time.Microsecond,
 	}
-	for i := range p.Boxes {
-		c.Kinds = append(c.Kinds, virtual.Kind{Count: 1, Cores: p.Cores, Speed: p.Speeds[i%len(p.Speeds)], Slots: p.Slots, Queue: p.Queue})
+	for i := range p.Servers {
+		c.Kinds = append(c.Kinds, virtual.ServerKind{Count: 1, Cores: p.Cores, Speed: p.Speeds[i%len(p.Speeds)], Slots: p.Slots, Queue: p.Queue})
 	}
-	effects := map[judge.Effect]decide.Idempotency{judge.Safe: decide.Idempotent, judge.Keyed: decide.Keyed, judge.Unsafe: decide.AtMostOnce}
+	effects := map[judge.Idempotency]decide.Idempotency{judge.Idempotent: decide.Idempotent, judge.Keyed: decide.Keyed, judge.AtMostOnce: decide.AtMostOnce}
 	for _, x := range p.Classes {
 		c.Classes = append(c.Classes, virtual.Class{
-			Class: decide.Class{LatencyTarget: x.Aim, Deadline: x.Deadline, Worth: x.Worth, Idempotency: effects[x.Effect], Group: decide.GroupCell, KeyTTL: x.Window},
+			Class: decide.Class{LatencyTarget: x.LatencyTarget, Deadline: x.Deadline, Worth: x.Worth, Idempotency: effects[x.Idempotency], Group: decide.GroupCell, KeyTTL: x.KeyTTL},
 			Share: x.Share, Work: x.Work, Spread: x.Spread,
 		})
 	}
@@ -46,14 +46,14 @@
 			for seed := from; seed < from+5; seed++ {
 				all.Go(func() {
 					o := options()
-					o.Plan.Seed, o.Plan.Boxes = uint64(seed+1), 8
+					o.Plan.Seed, o.Plan.Servers = uint64(seed+1), 8
 					for i := range o.Plan.Classes {
 						o.Plan.Classes[i].Work *= 25
 					}
-					o.Traffic.For = 12 * time.Second
+					o.Traffic.Duration = 12 * time.Second
 					o.Traffic.Rate = load * o.Plan.Capacity()
-					sockets[seed] = run(t, o).Service
-					virtually[seed] = virtual.Run(twin(&o.Plan, o.Nodes, o.Traffic, o.Advice)).Service
+					sockets[seed] = run(t, o).ServedWorth
+					virtually[seed] = virtual.Run(twin(&o.Plan, o.Nodes, o.Traffic, o.MaxRetryAfter)).ServedWorth
 				})
 			}
 			all.Wait()
--- a/internal/rig/lab/between.go
+++ b/internal/rig/lab/between.go
@@ -116,14 +116,14 @@
 		}
 		fmt.Fprintf(&s, "%q", seed.String())
 	}
-	fmt.Fprintf(&s, "]\npool = %v\n\n[members.via]\n", !o.Alone)
+	fmt.Fprintf(&s, "]\npool = %v\n\n[members.via]\n", !o.NoPooling)
 	for to, at := range b.addresses {
 		if to != node && len(b.relays) > 0 {
 			fmt.Fprintf(&s, "%q = %q\n", at.String(), b.relays[[2]int{node, to}].Address.String())
 		}
 	}
-	if o.Leases > 0 {
-		fmt.Fprintf(&s, "\n[leases]\nreplace_after = %q\nrecord = %v\n\n[trial]\nfolder = %q\n", o.Leases.String(), o.Record, folder+".trial")
+	if o.ReplaceVoterAfter > 0 {
+		fmt.Fprintf(&s, "\n[leases]\nreplace_after = %q\nrecord = %v\n\n[trial]\nfolder = %q\n", o.ReplaceVoterAfter.String(), o.ListFromPeers, folder+".trial")
 	}
 	return os.WriteFile(path, []byte(s.String()), 0o600)
 }
@@ -139,7 +139,7 @@
 // apply brings every relay to what the faults that are on say together.
 func (b *between) apply() {
 	for pair, r := range b.relays {
-		var w relay.Weather
+		var w relay.Conditions
 		for _, f := range b.faults {
 			if !b.is(f.From, pair[0]) || !b.is(f.To, pair[1]) {
 				continue
@@ -148,16 +148,16 @@
 			case "cut":
 				w.Cut = true
 			case "lose":
-				w.Loss = 1 - (1-w.Loss)*(1-f.By)
+				w.Loss = 1 - (1-w.Loss)*(1-f.Magnitude)
 			case "late":
-				w.Delay += time.Duration(f.By * float64(time.Second))
+				w.Delay += time.Duration(f.Magnitude * float64(time.Second))
 			case "twice":
-				w.Twice = max(w.Twice, f.By)
+				w.Duplicate = max(w.Duplicate, f.Magnitude)
 			case "damage":
-				w.Damage = max(w.Damage, f.By)
+				w.Corrupt = max(w.Corrupt, f.Magnitude)
 			}
 		}
-		r.Set(w)
+		r.SetConditions(w)
 	}
 }
 
@@ -167,7 +167,7 @@
 }
 
 // Link makes or ends a fault of the links between nodes.
-func (l *Lab) Link(f *standin.Fault, on bool) error {
+func (l *Lab) SetLinkFault(f *standin.Fault, on bool) error {
 	if l.between == nil {
 		return errors.New("nodes have links between them with members alone")
 	}
@@ -189,14 +189,14 @@
 }
 
 // Weather sets what happens between all nodes by a rule of one's own, in the place of faults.
-func (l *Lab) Weather(rule func(from, to int) relay.Weather) {
+func (l *Lab) SetLinkConditions(rule func(from, to int) relay.Conditions) {
 	for pair, r := range l.between.relays {
-		r.Set(rule(pair[0], pair[1]))
+		r.SetConditions(rule(pair[0], pair[1]))
 	}
 }
 
 // Stop has a node stand still.
-func (l *Lab) Stop(name string) error {
+func (l *Lab) Pause(name string) error {
 	p, err := l.find(name)
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 }
 
 // Cont lets it go on.
-func (l *Lab) Cont(name string) error {
+func (l *Lab) Resume(name string) error {
 	p, err := l.find(name)
 	if err != nil {
 		return err
@@ -216,7 +216,7 @@
 	err = l.to(name, syscall.SIGCONT)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Fleet.Judge.Stood(l.stopped[p.name], l.Fleet.Clock.Now(), p.name)
+	l.Fleet.Judge.NodePaused(l.stopped[p.name], l.Fleet.Clock.Now(), p.name)
 	return err
 }
 
@@ -229,14 +229,14 @@
 }
 
 // StateOf is the folder of what a node keeps.
-func (l *Lab) StateOf(node string) string { return filepath.Join(l.dir, node+".state") }
+func (l *Lab) StateFolder(node string) string { return filepath.Join(l.dir, node+".state") }
 
 // Forget removes what a node keeps. It must not run.
-func (l *Lab) Forget(node string) error { return os.RemoveAll(l.StateOf(node)) }
+func (l *Lab) RemoveState(node string) error { return os.RemoveAll(l.StateFolder(node)) }
 
 // Trial has a node fail on purpose from now on, as a file of this name in its trial's folder says; an empty text ends that.
-func (l *Lab) Trial(node, name, text string) error {
-	folder := l.StateOf(node) + ".trial"
+func (l *Lab) SetTrialFile(node, name, text string) error {
+	folder := l.StateFolder(node) + ".trial"
 	if text == "" {
 		return os.RemoveAll(filepath.Join(folder, name))
 	}
@@ -247,6 +247,6 @@
 }
 
 // MembersOf asks a node what it knows of the others.
-func (l *Lab) MembersOf(ctx context.Context, node string) (members.Report, error) {
-	return members.RequestReport(ctx, l.StateOf(node))
+func (l *Lab) MembershipOf(ctx context.Context, node string) (members.Report, error) {
+	return members.RequestReport(ctx, l.StateFolder(node))
 }
--- a/internal/rig/lab/budgets_test.go
+++ b/internal/rig/lab/budgets_test.go
@@ -14,8 +14,8 @@
 func TestAttemptsOverTwoTiers(t *testing.T) {
 	play := func(on bool) (worst int, r *Report) {
 		o := options()
-		o.Plan.Tiers, o.Plan.Boxes, o.Plan.Calls, o.Nodes, o.Budgets = 2, 4, 1, 1, on
-		o.Traffic.Rate, o.Traffic.Retries, o.Traffic.For = 60, 0, 3*time.Second
+		o.Plan.Tiers, o.Plan.Servers, o.Plan.CallsPerRequest, o.Nodes, o.ShareBudgets = 2, 4, 1, 1, on
+		o.Traffic.Rate, o.Traffic.Retries, o.Traffic.Duration = 60, 0, 3*time.Second
 		for _, box := range []string{"box-100", "box-101", "box-102", "box-103"} {
 			f, err := standin.ParseFault("error:box=" + box + ",at=500ms,for=1500ms")
 			if err != nil {
@@ -32,13 +32,13 @@
 			t.Fatal(err)
 		}
 		check(t, r)
-		worst, _ = l.Fleet.Worst()
+		worst, _ = l.Fleet.MaxCallAttempts()
 		return worst, r
 	}
 	on, with := play(true)
 	off, without := play(false)
 	t.Logf("most attempts of a call: %d with budgets, %d without; weighted service %.3f and %.3f, attempts a request %.2f and %.2f",
-		on, off, with.Service, without.Service, with.Attempts, without.Attempts)
+		on, off, with.ServedWorth, without.ServedWorth, with.AttemptsPerRequest, without.AttemptsPerRequest)
 	if on > 4 {
 		t.Errorf("a call was tried %d times, its class has 4", on)
 	}
--- a/internal/rig/lab/crossing_test.go
+++ b/internal/rig/lab/crossing_test.go
@@ -21,7 +21,7 @@
 func paced(t *testing.T, lines int, change func(o *Options), faults ...string) *Report {
 	t.Helper()
 	o := options()
-	o.Nodes, o.Plan.Boxes = 4, 8
+	o.Nodes, o.Plan.Servers = 4, 8
 	for _, text := range faults {
 		f, err := standin.ParseFault(text)
 		if err != nil {
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.Fleet.Discovery.Pace(lines)
+	l.Fleet.Discovery.SetLineRate(lines)
 	r, err := l.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 func service(r *Report) float64 {
 	served, asked := 0, 0
 	for _, c := range r.Classes {
-		served, asked = served+c.Served, asked+c.Asked
+		served, asked = served+c.Served, asked+c.Requests
 	}
 	return float64(served) / float64(max(1, asked))
 }
@@ -57,7 +57,7 @@
 // for each call: every node has to have noticed and asked anew by the time at which the drains count as told.
 func TestWatchesFallSilentThenBoxesDrain(t *testing.T) {
 	t.Parallel()
-	r := paced(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.For = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
+	r := paced(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.Duration = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
 	if part := service(r); part < 0.9 {
 		t.Errorf("%.3f served", part)
 	}
@@ -66,7 +66,7 @@
 // Discovery is down, and boxes drain as it comes back: whatever pause a node has come to by then, it has to ask in time.
 func TestBoxesDrainAtDiscoverysReturn(t *testing.T) {
 	t.Parallel()
-	r := crossing(t, func(o *Options) { o.Traffic.Rate, o.Traffic.For = 100, 12*time.Second },
+	r := crossing(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 100, 12*time.Second },
 		"outage:at=500ms,for=4s", "leave:box=1,at=4400ms,for=8s", "leave:box=5,at=4600ms,for=8s")
 	if part := service(r); part < 0.9 {
 		t.Errorf("%.3f served", part)
@@ -78,7 +78,7 @@
 func TestPushedListsAmidTroubles(t *testing.T) {
 	t.Parallel()
 	r := crossing(t, func(o *Options) {
-		o.Plan.Pushed, o.Traffic.Rate, o.Traffic.For = true, 150, 7*time.Second
+		o.Plan.PushedLists, o.Traffic.Rate, o.Traffic.Duration = true, 150, 7*time.Second
 	}, "leave:box=1,at=500ms,for=8s", "outage:at=1500ms,for=2s", "leave:box=4,at=2s,for=8s", "kill:node=1,at=2500ms,for=500ms",
 		"term:node=2,at=3s,for=2s", "leave:box=5,at=5s,for=8s")
 	if part := service(r); part < 0.8 {
@@ -95,13 +95,13 @@
 		faults = append(faults, fmt.Sprintf("term:node=%d,at=%dms,for=3500ms", n, 300+1200*n))
 	}
 	faults = append(faults, "stuck:box=2,at=400ms,for=2s", "reset:box=3,at=3s,for=2s")
-	r := crossing(t, func(o *Options) { o.Traffic.Rate, o.Traffic.For = 200, 8*time.Second }, faults...)
+	r := crossing(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 200, 8*time.Second }, faults...)
 	if part := service(r); part < 0.7 {
 		t.Errorf("%.3f served", part)
 	}
 	for _, n := range r.Nodes {
-		if n.Wrong != "" {
-			t.Errorf("%s: %s", n.Name, n.Wrong)
+		if n.Failure != "" {
+			t.Errorf("%s: %s", n.Name, n.Failure)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 func TestCallersLeaveInABurst(t *testing.T) {
 	t.Parallel()
 	r := crossing(t, func(o *Options) {
-		o.Traffic.Rate, o.Traffic.For, o.Traffic.Leave, o.Traffic.Retries = 200, 5*time.Second, 0.7, 0
+		o.Traffic.Rate, o.Traffic.Duration, o.Traffic.CancelFraction, o.Traffic.Retries = 200, 5*time.Second, 0.7, 0
 	}, "slow:site=genf,at=300ms,for=4s,by=60", "slow:site=zuerich,at=300ms,for=4s,by=60", "turnaway:box=3,at=300ms,for=4s", "reset:box=4,at=300ms,for=4s",
 		// What waits at these boxes breaks, and is tried again: for those that are still there alone.
 		"crash:box=1,at=2s,for=2s", "crash:box=2,at=2500ms,for=2s", "crash:box=5,at=3s,for=2s", "crash:box=6,at=3500ms,for=2s")
@@ -128,11 +128,11 @@
 func TestThirtyNodesBeforeAColdBox(t *testing.T) {
 	t.Parallel()
 	r := crossing(t, func(o *Options) {
-		o.Nodes, o.Plan.Boxes = 30, 4
-		o.Plan.Cores, o.Plan.Speeds, o.Plan.FallMultiple = 1, []float64{0.3}, 1 // an even share would push it over
-		o.Traffic.Rate, o.Traffic.For = 130, 6*time.Second
+		o.Nodes, o.Plan.Servers = 30, 4
+		o.Plan.Cores, o.Plan.Speeds, o.Plan.CollapseMultiple = 1, []float64{0.3}, 1 // an even share would push it over
+		o.Traffic.Rate, o.Traffic.Duration = 130, 6*time.Second
 	}, "crash:box=1,at=1s,for=1s")
-	for _, b := range r.Boxes {
+	for _, b := range r.Servers {
 		if b.Fallen {
 			t.Errorf("%+v", b)
 		}
@@ -148,8 +148,8 @@
 	t.Parallel()
 	o := options()
 	o.Sockets, o.Nodes = 256, 2
-	o.Idle, o.Wake, o.Tool = 400, 0, tool
-	o.Traffic.Rate, o.Traffic.For = 100, 7*time.Second
+	o.IdleConns, o.IdleInterval, o.ToolBinary = 400, 0, tool
+	o.Traffic.Rate, o.Traffic.Duration = 100, 7*time.Second
 	for _, text := range []string{"outage:at=300ms,for=6s", "kill:node=0,at=700ms,for=500ms", "term:node=1,at=1500ms,for=2500ms"} {
 		f, err := standin.ParseFault(text)
 		if err != nil {
--- a/internal/rig/lab/idle.go
+++ b/internal/rig/lab/idle.go
@@ -29,25 +29,25 @@
 
 // IdleRow is what the idle connections cost the nodes before the first tier.
 type IdleRow struct {
-	Held       int     `json:"held"`
-	Still      int     `json:"still_held_at_the_end"`
-	Bytes      float64 `json:"resident_bytes_a_connection"`
-	BeforeMB   float64 `json:"resident_mb_before"`
-	AfterMB    float64 `json:"resident_mb_after"`
-	QuietCores float64 `json:"cores_when_quiet"`
-	Asked      int64   `json:"asked"`
-	Served     int64   `json:"served"`
-	Lost       int64   `json:"lost"`
+	Held         int     `json:"held"`
+	HeldAtEnd    int     `json:"still_held_at_the_end"`
+	BytesPerConn float64 `json:"resident_bytes_a_connection"`
+	BeforeMB     float64 `json:"resident_mb_before"`
+	AfterMB      float64 `json:"resident_mb_after"`
+	QuietCores   float64 `json:"cores_when_quiet"`
+	Requests     int64   `json:"asked"`
+	Served       int64   `json:"served"`
+	Lost         int64   `json:"lost"`
 }
 
 // idleOptions are Options as idle connections need them: what is told to the nodes
 // must have room for them, and the operators' file let them stay.
 func (o *Options) idleOptions(dir string) error {
-	if o.Idle == 0 {
+	if o.IdleConns == 0 {
 		return nil
 	}
 	// Clients have half of the descriptors, and the traffic needs some.
-	o.Sockets = max(o.Sockets, 2*(o.Idle/o.Nodes+2048)+100)
+	o.Sockets = max(o.Sockets, 2*(o.IdleConns/o.Nodes+2048)+100)
 	if o.Operator != "" {
 		return nil
 	}
@@ -57,7 +57,7 @@
 
 // idlers hold the idle connections of a lab.
 type idlers struct {
-	own     *standin.Idlers
+	own     *standin.IdleClients
 	helpers []*exec.Cmd
 	held    int
 	row     IdleRow
@@ -71,41 +71,41 @@
 		}
 		return sum
 	}
-	i := &idlers{held: l.options.Idle}
+	i := &idlers{held: l.options.IdleConns}
 	l.idlers = i
 	// A few at first: what each node needs once is not theirs.
-	warm := standin.NewIdlers(&l.Fleet.Plan, 64, l.clients)
+	warm := standin.NewIdleClients(&l.Fleet.Plan, 64, l.clients)
 	err = warm.Connect(ctx)
 	warm.Close()
 	if err != nil {
 		return err
 	}
 	before := resident()
-	if l.options.Idle <= mostOwn {
-		i.own = standin.NewIdlers(&l.Fleet.Plan, l.options.Idle, l.clients)
+	if l.options.IdleConns <= mostOwn {
+		i.own = standin.NewIdleClients(&l.Fleet.Plan, l.options.IdleConns, l.clients)
 		if err := i.own.Connect(ctx); err != nil {
 			return err
 		}
 	} else if err := i.help(ctx, l); err != nil {
 		return err
 	}
-	cpu, begun := l.CPU(), time.Now()
+	cpu, begun := l.CPUTime(), time.Now()
 	select {
 	case <-time.After(quietFor):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	i.row.QuietCores = (l.CPU() - cpu).Seconds() / time.Since(begun).Seconds()
+	i.row.QuietCores = (l.CPUTime() - cpu).Seconds() / time.Since(begun).Seconds()
 	after := resident()
 	i.row.Held = i.held
 	i.row.BeforeMB, i.row.AfterMB = float64(before)/(1<<20), float64(after)/(1<<20)
-	i.row.Bytes = float64(after-before) / float64(i.held)
+	i.row.BytesPerConn = float64(after-before) / float64(i.held)
 	return nil
 }
 
 // help has other processes hold the connections.
 func (i *idlers) help(ctx context.Context, l *Lab) error {
-	tool := l.options.Tool
+	tool := l.options.ToolBinary
 	if tool == "" {
 		return fmt.Errorf("%d idle connections take more than one process, and the tool that holds them is not known", i.held)
 	}
@@ -153,7 +153,7 @@
 		return
 	}
 	if i.own != nil {
-		i.row.Asked, i.row.Served, i.row.Lost = i.own.Counts()
+		i.row.Requests, i.row.Served, i.row.Lost = i.own.Counts()
 		i.own.Close()
 	}
 	for _, cmd := range i.helpers {
--- a/internal/rig/lab/lab.go
+++ b/internal/rig/lab/lab.go
@@ -20,43 +20,43 @@
 
 // Options say what to run.
 type Options struct {
-	Plan     standin.Plan
-	Nodes    int // before the first tier
-	Traffic  standin.Traffic
-	Faults   []standin.Fault
-	Binary   string // the node's program; "": it is built
-	Operator string // the operators' file; "": none
-	MemoryMB int
-	Sockets  int
-	Budgets  bool          // nodes share budgets of attempts
-	Copies   bool          // the platform lets attempts of a request overlap
-	Debug    bool          // nodes log every request, attempt and call to discovery
-	Advice   time.Duration // the platform's longest Retry-After; 0: none
-	Idle     int           // connections that are held beside the traffic, over all nodes
-	Wake     time.Duration // each of them asks again so often, while the traffic runs; 0: never
-	Tool     string        // curlewctl, which holds them where they are many
+	Plan          standin.Plan
+	Nodes         int // before the first tier
+	Traffic       standin.Traffic
+	Faults        []standin.Fault
+	Binary        string // the node's program; "": it is built
+	Operator      string // the operators' file; "": none
+	MemoryMB      int
+	Sockets       int
+	ShareBudgets  bool          // nodes share budgets of attempts
+	AllowHedging  bool          // the platform lets attempts of a request overlap
+	Debug         bool          // nodes log every request, attempt and call to discovery
+	MaxRetryAfter time.Duration // the platform's longest Retry-After; 0: none
+	IdleConns     int           // connections that are held beside the traffic, over all nodes
+	IdleInterval  time.Duration // each of them asks again so often, while the traffic runs; 0: never
+	ToolBinary    string        // curlewctl, which holds them where they are many
 	// Sidecars makes each node before the first tier one beside an application of
 	// its own, started from what the operators' tool writes.
-	Sidecars bool
-	Past     *Past                           // what nodes remember at their start; nil: nothing
-	Routes   string                          // the [[route]] tables of their descriptions; "": a usual one
-	edit     func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
-	Members  bool                            // nodes before the first tier know each other; between each two a relay for each direction
-	Unlinked bool                            // with Members: no relays stand between the nodes, and there may be many
-	Seeds    []netip.AddrPort                // with Unlinked: of a larger fleet that the nodes join
-	Alone    bool                            // with Members: each goes by its own part of a cold box's budget
-	Leases   time.Duration                   // with Members: they keep leases, and a voter that is gone for so long is replaced; 0: none
-	Record   bool                            // with Leases: nodes without a list of boxes get one from each other
+	Sidecars          bool
+	OldList           *OldList                        // what nodes remember at their start; nil: nothing
+	Routes            string                          // the [[route]] tables of their descriptions; "": a usual one
+	edit              func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
+	Membership        bool                            // nodes before the first tier know each other; between each two a relay for each direction
+	NoRelays          bool                            // with Members: no relays stand between the nodes, and there may be many
+	Seeds             []netip.AddrPort                // with Unlinked: of a larger fleet that the nodes join
+	NoPooling         bool                            // with Members: each goes by its own part of a cold box's budget
+	ReplaceVoterAfter time.Duration                   // with Members: they keep leases, and a voter that is gone for so long is replaced; 0: none
+	ListFromPeers     bool                            // with Leases: nodes without a list of boxes get one from each other
 	// Forward, if set, runs in the place of each node: a control that does not
 	// balance. It gets its name, address and the boxes' addresses behind its own
 	// arguments.
-	Forward []string
+	ForwardCommand []string
 }
 
 // Lab is a fleet with its nodes.
 type Lab struct {
-	Fleet   *standin.Fleet
-	Callers *standin.Callers
+	Fleet         *standin.Fleet
+	LoadGenerator *standin.LoadGenerator
 
 	options   Options
 	dir       string
@@ -85,7 +85,7 @@
 			l.Close()
 		}
 	}()
-	if l.options.Binary == "" && len(o.Forward) == 0 {
+	if l.options.Binary == "" && len(o.ForwardCommand) == 0 {
 		if l.options.Binary, err = Build(ctx, dir); err != nil {
 			return nil, err
 		}
@@ -96,8 +96,8 @@
 	if l.Fleet, err = standin.Start(o.Plan); err != nil {
 		return nil, err
 	}
-	if o.Members {
-		if l.between, err = newBetween(o.Nodes, l.Fleet.Host(), o.Plan.Seed, !o.Unlinked); err != nil {
+	if o.Membership {
+		if l.between, err = newBetween(o.Nodes, l.Fleet.NewHost(), o.Plan.Seed, !o.NoRelays); err != nil {
 			return nil, err
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	for i := range o.Nodes {
 		p, err := l.node(standin.NodeSpec{
-			Name: fmt.Sprintf("n%d", i), Number: i, Nodes: o.Nodes, Site: o.Plan.Sites[i%len(o.Plan.Sites)],
+			Name: fmt.Sprintf("n%d", i), Index: i, TierNodes: o.Nodes, Site: o.Plan.Sites[i%len(o.Plan.Sites)],
 		})
 		if err != nil {
 			return nil, err
@@ -116,11 +116,11 @@
 		l.front = append(l.front, p)
 		l.clients = append(l.clients, standin.NewClient(p.name, p.address, &l.Fleet.Plan, l.Fleet.Clock, l.Fleet.Judge))
 	}
-	uppers := l.Fleet.Boxes
+	uppers := l.Fleet.Servers
 	for tier := 1; tier < o.Plan.Tiers; tier++ {
 		for i, b := range uppers {
 			p, err := l.node(standin.NodeSpec{
-				Name: fmt.Sprintf("n-%s", b.ID), Tier: tier, Number: i, Nodes: len(uppers), Site: b.Site,
+				Name: fmt.Sprintf("n-%s", b.ID), Tier: tier, Index: i, TierNodes: len(uppers), Site: b.Site,
 			})
 			if err != nil {
 				return nil, err
@@ -128,17 +128,17 @@
 			l.inner = append(l.inner, p)
 			l.Fleet.Attach(b, p.name, p.address)
 		}
-		uppers = l.Fleet.Lower[(tier-1)*o.Plan.Boxes : tier*o.Plan.Boxes]
+		uppers = l.Fleet.LowerServers[(tier-1)*o.Plan.Servers : tier*o.Plan.Servers]
 	}
 	if o.Sidecars {
 		if err := l.describe(o.Routes); err != nil {
 			return nil, err
 		}
 	}
-	if o.Past != nil {
-		l.Fleet.Discovery.Out(true)
-		if o.Past.Cold {
-			l.Fleet.Chill()
+	if o.OldList != nil {
+		l.Fleet.Discovery.SetDown(true)
+		if o.OldList.ColdServers {
+			l.Fleet.MakeCold()
 		}
 	}
 	for _, p := range l.processes() {
@@ -147,14 +147,14 @@
 		}
 	}
 	for _, p := range l.processes() {
-		if o.Past != nil {
+		if o.OldList != nil {
 			break // its first seconds are what is looked at
 		}
 		if err := p.waitReady(ctx); err != nil {
 			return nil, err
 		}
 	}
-	l.Callers = standin.NewCallers(&l.Fleet.Plan, l.clients)
+	l.LoadGenerator = standin.NewLoadGenerator(&l.Fleet.Plan, l.clients)
 	return l, nil
 }
 
@@ -166,23 +166,23 @@
 // node prepares a node; it does not start it.
 func (l *Lab) node(s standin.NodeSpec) (*process, error) {
 	var err error
-	if s.Listen, err = freeAddress(l.Fleet.Host()); err != nil {
+	if s.Listen, err = freeAddress(l.Fleet.NewHost()); err != nil {
 		return nil, fmt.Errorf("node %s: %w", s.Name, err)
 	}
-	if len(l.options.Forward) > 0 {
-		command := append(slices.Clone(l.options.Forward), s.Listen)
-		for _, b := range l.Fleet.Boxes {
+	if len(l.options.ForwardCommand) > 0 {
+		command := append(slices.Clone(l.options.ForwardCommand), s.Listen)
+		for _, b := range l.Fleet.Servers {
 			command = append(command, b.Address)
 		}
 		return &process{name: s.Name, command: command, address: s.Listen}, nil
 	}
 	s.MemoryMB, s.Sockets = max(32, l.options.MemoryMB), max(64, l.options.Sockets)
-	s.Copies, s.Advice, s.Budgets = l.options.Copies, l.options.Advice, l.options.Budgets
-	if l.lists[s.Name], err = l.Fleet.Endpoint(s.Name, s.Tier); err != nil {
+	s.AllowHedging, s.MaxRetryAfter, s.ShareBudgets = l.options.AllowHedging, l.options.MaxRetryAfter, l.options.ShareBudgets
+	if l.lists[s.Name], err = l.Fleet.OpenEndpoint(s.Name, s.Tier); err != nil {
 		return nil, fmt.Errorf("node %s: %w", s.Name, err)
 	}
-	if l.options.Past != nil {
-		if s.List, err = l.remember(s); err != nil {
+	if l.options.OldList != nil {
+		if s.KnownList, err = l.remember(s); err != nil {
 			return nil, fmt.Errorf("node %s: %w", s.Name, err)
 		}
 	}
@@ -197,7 +197,7 @@
 		return nil, err
 	}
 	if l.between != nil && s.Tier == 0 {
-		if err := l.between.write(s.Number, l.ownPath(s.Name), l.StateOf(s.Name), &l.options); err != nil {
+		if err := l.between.write(s.Index, l.ownPath(s.Name), l.StateFolder(s.Name), &l.options); err != nil {
 			return nil, err
 		}
 	}
@@ -208,7 +208,7 @@
 	if l.options.Debug {
 		command = append(command, "--log", "debug")
 	}
-	if l.options.Past != nil && l.options.Past.Arm == Doubts || l.between != nil && s.Tier == 0 {
+	if l.options.OldList != nil && l.options.OldList.Mode == VerifyList || l.between != nil && s.Tier == 0 {
 		command = append(command, "--settings", l.ownPath(s.Name))
 	}
 	return &process{
@@ -222,7 +222,7 @@
 func (l *Lab) writeConfig(s standin.NodeSpec) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	text, err := l.Fleet.Config(s, l.lists[s.Name])
+	text, err := l.Fleet.NodeConfig(s, l.lists[s.Name])
 	if err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 		return fmt.Errorf("fault %s: sidecars have discovery's address from files that are written once", f.Kind)
 	}
 	if f.Node == "" {
-		return l.Fleet.CheckFault(f)
+		return l.Fleet.ValidateFault(f)
 	}
 	if n, err := strconv.Atoi(strings.TrimPrefix(f.Node, "n")); err != nil || n < 0 || n >= l.options.Nodes {
 		return fmt.Errorf("no node %q; there are 0 to %d", f.Node, l.options.Nodes-1)
@@ -277,7 +277,7 @@
 	if err != nil {
 		return err
 	}
-	l.Fleet.Judge.Died(l.Fleet.Clock.Now(), p.name)
+	l.Fleet.Judge.NodeKilled(l.Fleet.Clock.Now(), p.name)
 	p.mu.Lock()
 	ended := p.ended
 	p.mu.Unlock()
@@ -285,12 +285,12 @@
 		return err
 	}
 	<-ended
-	l.Fleet.Judge.Died(l.Fleet.Clock.Now(), p.name)
+	l.Fleet.Judge.NodeKilled(l.Fleet.Clock.Now(), p.name)
 	return nil
 }
 
 // Term tells a node to end, as at a planned restart. It goes on serving for a while; Start waits for its end.
-func (l *Lab) Term(name string) error {
+func (l *Lab) Terminate(name string) error {
 	p, err := l.find(name)
 	if err != nil {
 		return err
@@ -302,8 +302,8 @@
 func (l *Lab) Start(name string) error { return l.start(name, true) }
 
 // StartBare starts a killed node without any list, as on a new machine. What else it keeps is as it was.
-func (l *Lab) StartBare(name string) error {
-	files, err := filepath.Glob(filepath.Join(l.StateOf(name), "*-*")) // of its memory of servers
+func (l *Lab) StartWithoutList(name string) error {
+	files, err := filepath.Glob(filepath.Join(l.StateFolder(name), "*-*")) // of its memory of servers
 	if err != nil {
 		return err
 	}
@@ -321,7 +321,7 @@
 		return err
 	}
 	if s, ok := l.specs[p.name]; ok && !(l.options.Sidecars && s.Tier == 0) {
-		s.Known = known
+		s.RestoreList = known
 		if err := l.writeConfig(s); err != nil {
 			return err
 		}
@@ -335,7 +335,7 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	l.Fleet.Judge.Started(l.Fleet.Clock.Now(), p.name)
+	l.Fleet.Judge.NodeStarted(l.Fleet.Clock.Now(), p.name)
 	if l.onStart != nil {
 		l.onStart(p)
 	}
@@ -353,13 +353,13 @@
 
 // Move opens another address of discovery for each node, and has all nodes read their files again. What they hear from the
 // old address meanwhile still counts.
-func (l *Lab) Move() error {
+func (l *Lab) MoveDiscovery() error {
 	for _, p := range l.processes() {
 		s, ok := l.specs[p.name]
 		if !ok {
 			continue // it does not balance
 		}
-		address, err := l.Fleet.Endpoint(s.Name, s.Tier)
+		address, err := l.Fleet.OpenEndpoint(s.Name, s.Tier)
 		if err != nil {
 			return err
 		}
@@ -385,35 +385,35 @@
 func (l *Lab) Run(ctx context.Context, watch func(Progress)) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if l.options.Idle > 0 {
+	if l.options.IdleConns > 0 {
 		if err := l.hold(ctx); err != nil {
 			return nil, err
 		}
 	}
-	before := l.CPU()
+	before := l.CPUTime()
 	begun := time.Now()
 	var parts sync.WaitGroup
 	var faultErrs []error
-	if l.options.Past != nil {
+	if l.options.OldList != nil {
 		parts.Go(func() {
 			select {
-			case <-time.After(l.options.Past.Out):
+			case <-time.After(l.options.OldList.Outage):
 			case <-ctx.Done():
 			}
-			l.Fleet.Discovery.Out(false)
+			l.Fleet.Discovery.SetDown(false)
 		})
 	}
-	parts.Go(func() { faultErrs = l.Fleet.Play(ctx, l.options.Faults, l) })
-	if l.idlers != nil && l.idlers.own != nil && l.options.Wake > 0 {
-		parts.Go(func() { l.idlers.own.Wake(ctx, l.options.Wake) })
+	parts.Go(func() { faultErrs = l.Fleet.RunFaults(ctx, l.options.Faults, l) })
+	if l.idlers != nil && l.idlers.own != nil && l.options.IdleInterval > 0 {
+		parts.Go(func() { l.idlers.own.SendPeriodically(ctx, l.options.IdleInterval) })
 	}
 	over := make(chan struct{})
 	if watch != nil {
 		parts.Go(func() { l.watch(over, begun, watch) })
 	}
-	l.Callers.Run(ctx, l.options.Traffic)
+	l.LoadGenerator.Run(ctx, l.options.Traffic)
 	took := time.Since(begun)
-	cpu := l.CPU() - before
+	cpu := l.CPUTime() - before
 	close(over)
 	cancel()
 	parts.Wait()
@@ -421,7 +421,7 @@
 		return nil, err
 	}
 	if l.idlers != nil && l.idlers.own != nil {
-		l.idlers.row.Still = l.idlers.own.Held()
+		l.idlers.row.HeldAtEnd = l.idlers.own.OpenConns()
 	}
 	// Late answers, and what boxes still do for nobody, come to their end.
 	l.stop(10 * time.Second)
@@ -430,7 +430,7 @@
 }
 
 // CPU is what the nodes before the first tier have used.
-func (l *Lab) CPU() time.Duration {
+func (l *Lab) CPUTime() time.Duration {
 	sum := time.Duration(0)
 	for _, p := range l.front {
 		sum += p.used()
@@ -440,10 +440,10 @@
 
 // Progress is how far a run is.
 type Progress struct {
-	At    time.Duration
-	Asked int64
-	Out   int64
-	Tries map[judge.Ending]int64
+	At       time.Duration
+	Requests int64
+	Pending  int64
+	Tries    map[judge.RequestOutcome]int64
 }
 
 func (l *Lab) watch(over chan struct{}, begun time.Time, watch func(Progress)) {
@@ -452,7 +452,7 @@
 	for {
 		select {
 		case <-tick.C:
-			asked, out, tries := l.Callers.Progress()
+			asked, out, tries := l.LoadGenerator.Progress()
 			watch(Progress{time.Since(begun), asked, out, tries})
 		case <-over:
 			return
--- a/internal/rig/lab/lab_test.go
+++ b/internal/rig/lab/lab_test.go
@@ -54,10 +54,10 @@
 // options are those of a small lab that any machine can carry.
 func options() Options {
 	o := Options{
-		Plan: standin.Default(), Nodes: 2, Binary: binary, MemoryMB: 192, Sockets: 1024, Advice: time.Second,
-		Traffic: standin.Traffic{Rate: 120, For: 3 * time.Second, Retries: 1, Backoff: 50 * time.Millisecond, Body: 100},
+		Plan: standin.DefaultPlan(), Nodes: 2, Binary: binary, MemoryMB: 192, Sockets: 1024, MaxRetryAfter: time.Second,
+		Traffic: standin.Traffic{Rate: 120, Duration: 3 * time.Second, Retries: 1, Backoff: 50 * time.Millisecond, BodyBytes: 100},
 	}
-	o.Plan.Boxes = 6
+	o.Plan.Servers = 6
 	return o
 }
 
@@ -79,15 +79,15 @@
 // check fails on any broken rule, and on requests that the report loses.
 func check(t *testing.T, r *Report) {
 	t.Helper()
-	if !r.Kept() {
+	if !r.Passed() {
 		var text strings.Builder
 		r.Print(&text)
 		t.Errorf("not kept:\n%s", text.String())
 	}
 	asked := 0
 	for _, c := range r.Classes {
-		asked += c.Asked
-		if c.Asked != c.Served+c.Late+c.Refused+c.Failed {
+		asked += c.Requests
+		if c.Requests != c.Served+c.Late+c.Refused+c.Failed {
 			t.Errorf("%+v does not add up", c)
 		}
 	}
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, n := range r.Nodes {
-		if n.CPU <= 0 || n.PeakMB <= 1 || n.PeakMB > 192 {
+		if n.CPUSeconds <= 0 || n.PeakMB <= 1 || n.PeakMB > 192 {
 			t.Errorf("node %+v", n)
 		}
 	}
@@ -121,7 +121,7 @@
 		t.Run(strings.ReplaceAll(strings.Join(faults, "+"), ","+when, ""), func(t *testing.T) {
 			t.Parallel()
 			o := options()
-			o.Traffic.For = 2 * time.Second
+			o.Traffic.Duration = 2 * time.Second
 			for _, text := range faults {
 				f, err := standin.ParseFault(text)
 				if err != nil {
@@ -136,7 +136,7 @@
 
 func TestTwoTiers(t *testing.T) {
 	o := options()
-	o.Plan.Tiers, o.Plan.Boxes, o.Nodes, o.Traffic.Rate = 2, 3, 1, 40
+	o.Plan.Tiers, o.Plan.Servers, o.Nodes, o.Traffic.Rate = 2, 3, 1, 40
 	f, err := standin.ParseFault("reset:box=1,at=300ms,for=1s")
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 		t.Errorf("nodes %+v", r.Nodes)
 	}
 	below := 0
-	for _, b := range r.Boxes[3:] {
+	for _, b := range r.Servers[3:] {
 		below += b.Served
 	}
 	if below == 0 {
@@ -201,8 +201,8 @@
 	write(rules(900 * time.Millisecond))
 	o := options()
 	o.Operator = path
-	o.Traffic.Rate, o.Traffic.For = rate, time.Minute // it ends with the last reload
-	o.Plan.Boxes = 8
+	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // it ends with the last reload
+	o.Plan.Servers = 8
 	l, err := Open(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -232,10 +232,10 @@
 				t.Fatal(err)
 			}
 			waitUntil(t, "the good file is taken", func() bool { return counts("msg=reloaded") == goods })
-			l.Fleet.Longest(1)
+			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			waitUntil(t, "the new bounds show", func() bool {
-				longest, n := l.Fleet.Longest(1)
+				longest, n := l.Fleet.MaxAttemptTimeout(1)
 				return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 			})
 		} else {
@@ -245,9 +245,9 @@
 				t.Fatal(err)
 			}
 			waitUntil(t, "the bad file is turned down", func() bool { return counts("the old one stays") == bads })
-			l.Fleet.Longest(1)
+			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
-			if longest, n := l.Fleet.Longest(1); n > 0 && longest > time.Duration(200+25*(i-1))*time.Millisecond {
+			if longest, n := l.Fleet.MaxAttemptTimeout(1); n > 0 && longest > time.Duration(200+25*(i-1))*time.Millisecond {
 				t.Errorf("after a bad file an attempt lasts %v", longest)
 			}
 		}
--- a/internal/rig/lab/large_test.go
+++ b/internal/rig/lab/large_test.go
@@ -34,7 +34,7 @@
 func waitHeard(t *testing.T, l *Lab) {
 	t.Helper()
 	d := l.Fleet.Discovery
-	for end := time.Now().Add(time.Minute); sampleCalls(d, 0).total.Version < d.Version(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(time.Minute); sampleCalls(d, 0).total.WrittenVersion < d.Version(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("version %d was not told to all", d.Version())
 		}
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		l.Fleet.Paper(0, n, true)
+		l.Fleet.PublishFakeServers(0, n, true)
 		waitHeard(t, l)
 		if err := l.Kill("n0"); err != nil { // it starts with the list that it last had
 			t.Fatal(err)
@@ -72,9 +72,9 @@
 		p.mu.Unlock()
 		// A change comes once the whole list has been taken in.
 		_, before := l.Fleet.Discovery.Calls()
-		l.Fleet.Paper(0, 1, false)
+		l.Fleet.PublishFakeServers(0, 1, false)
 		waitLines(t, l, before+1)
-		l.Fleet.Paper(0, 1, true)
+		l.Fleet.PublishFakeServers(0, 1, true)
 		waitLines(t, l, before+2)
 		rest := residentOf(pid)
 		// 5% of the boxes go and come for a second, in steps of 20 ms.
@@ -82,9 +82,9 @@
 		for step := 0; step < 50; step++ {
 			k := max(1, n/2000)
 			at, last := step*k%n, (step*k+n-k)%n
-			l.Fleet.Paper(at, min(n, at+k), false)
+			l.Fleet.PublishFakeServers(at, min(n, at+k), false)
 			if step > 0 {
-				l.Fleet.Paper(last, min(n, last+k), true)
+				l.Fleet.PublishFakeServers(last, min(n, last+k), true)
 			}
 			changes += 2 * k
 			time.Sleep(time.Until(begun.Add(time.Duration(step+1) * 20 * time.Millisecond)))
@@ -150,7 +150,7 @@
 		rate = 1700
 	}
 	o := options()
-	o.Nodes, o.Plan.Boxes, o.Traffic.Rate, o.Traffic.Retries = 1, 16, rate, 0
+	o.Nodes, o.Plan.Servers, o.Traffic.Rate, o.Traffic.Retries = 1, 16, rate, 0
 	l, err := Open(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	var samples []sample // of the middle: connections are there by then
 	r, err := l.Run(context.Background(), func(now Progress) {
 		if reads, writes, sleeps, ok := counters(pid); ok {
-			samples = append(samples, sample{now.Asked, reads, writes, sleeps})
+			samples = append(samples, sample{now.Requests, reads, writes, sleeps})
 		}
 	})
 	if err != nil {
--- a/internal/rig/lab/leaserun_test.go
+++ b/internal/rig/lab/leaserun_test.go
@@ -51,8 +51,8 @@
 // acting waits until so many acts have begun, and returns how many of them go on.
 func (x *leasing) acting(begun int, within time.Duration) (open int) {
 	x.t.Helper()
-	x.waitFor(fmt.Sprint(begun, " acts"), within, func() bool { return len(x.res.Acts()) >= begun })
-	for _, a := range x.res.Acts() {
+	x.waitFor(fmt.Sprint(begun, " acts"), within, func() bool { return len(x.res.History()) >= begun })
+	for _, a := range x.res.History() {
 		if a.To.IsZero() {
 			open++
 		}
@@ -118,9 +118,9 @@
 				x.waitFor("it is back", 10*time.Second, func() bool { _, ok := x.standing(a); return ok })
 			}
 		},
-		"stopped": func() func() { x.do(x.Stop(a)); return func() { x.do(x.Cont(a)) } },
+		"stopped": func() func() { x.do(x.Pause(a)); return func() { x.do(x.Resume(a)) } },
 	} {
-		n := len(x.res.Acts())
+		n := len(x.res.History())
 		first := x.begin(a, "l", []string{"--wait", "20s"}, act("30s", "--deaf")...)
 		x.acting(n+1, 20*time.Second)
 		second := x.begin(b, "l", []string{"--wait", "20s"}, act("100ms")...)
@@ -136,14 +136,14 @@
 	}
 	x.waitFor("the nodes are one again", 30*time.Second, func() bool { n, _ := x.look(x.names); return n > 0 })
 	// Handed on to one who is not first in line.
-	n := len(x.res.Acts())
+	n := len(x.res.History())
 	first = x.begin(a, "l", []string{"--wait", "20s"}, act("30s")...)
 	x.acting(n+1, 20*time.Second)
 	line := x.begin(x.seats[0], "l", []string{"--wait", "30s"}, act("1s")...)
 	x.waitFor("one in line", 5*time.Second, func() bool { return strings.Contains(line.out.String(), "place 1") })
 	last := x.begin(b, "l", []string{"--wait", "30s"}, act("1s")...)
 	x.waitFor("two in line", 5*time.Second, func() bool { return strings.Contains(last.out.String(), "place 2") })
-	if out, err := exec.Command(tool, "lease", "hand", "--folder", x.StateOf(a), "l", "--to", b).CombinedOutput(); err != nil {
+	if out, err := exec.Command(tool, "lease", "hand", "--folder", x.StateFolder(a), "l", "--to", b).CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
 	if code := x.code(first, 5*time.Second); code != 124 {
@@ -156,7 +156,7 @@
 		t.Errorf("the one in line: code %d", code)
 	}
 	// A node that is told to end has its command end, and the lease passes on at once.
-	n = len(x.res.Acts())
+	n = len(x.res.History())
 	first = x.begin(a, "l", []string{"--wait", "20s"}, act("30s")...)
 	x.acting(n+1, 20*time.Second)
 	second = x.begin(b, "l", []string{"--wait", "20s"}, act("100ms")...)
@@ -175,19 +175,19 @@
 	// Seen by operators.
 	s = x.begin(b, "seen", nil, "sleep", "5")
 	x.waitFor("it is listed", 5*time.Second, func() bool {
-		out, err := exec.Command(tool, "lease", "list", "--folder", x.StateOf(b)).CombinedOutput()
+		out, err := exec.Command(tool, "lease", "list", "--folder", x.StateFolder(b)).CombinedOutput()
 		return err == nil && regexp.MustCompile(`(?m)^seen +`+b+` `).Match(out)
 	})
-	if out, err := exec.Command(tool, "lease", "release", "--force", "--folder", x.StateOf(x.seats[1]), "seen").CombinedOutput(); err != nil {
+	if out, err := exec.Command(tool, "lease", "release", "--force", "--folder", x.StateFolder(x.seats[1]), "seen").CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
 	if code := x.code(s, labTTL); code != 124 {
 		t.Errorf("a lease that was taken away: code %d", code)
 	}
-	if out, err := exec.Command(tool, "lease", "status", "--folder", x.StateOf(x.leader())).CombinedOutput(); !strings.Contains(string(out), "leads in term") {
+	if out, err := exec.Command(tool, "lease", "status", "--folder", x.StateFolder(x.leader())).CombinedOutput(); !strings.Contains(string(out), "leads in term") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if _, err := leases.Call(context.Background(), x.StateOf(b), leases.Request{Do: "nothing"}); err == nil {
+	if _, err := leases.Call(context.Background(), x.StateFolder(b), leases.Request{Do: "nothing"}); err == nil {
 		t.Error("nothing was done")
 	}
 }
@@ -215,27 +215,27 @@
 		t.Error("token 1 is refused")
 	}
 	first.Process.Signal(syscall.SIGSTOP)
-	x.do(x.Stop("n0")) // else its node renews for it, and it is no rogue
+	x.do(x.Pause("n0")) // else its node renews for it, and it is no rogue
 	second := x.begin("n1", "l", []string{"--wait", "20s"}, tool, "act", x.res.Address, "--for", "100ms")
 	if code := x.code(second, 20*time.Second); code != 0 {
 		t.Errorf("code %d", code)
 	}
-	if len(x.res.Wrong()) == 0 {
+	if len(x.res.Violations()) == 0 {
 		t.Error("the resource has not seen two act at once")
 	}
 	if !begin(2) || begin(1) {
 		t.Error("a resource that checks tokens takes an old one, or not the new one")
 	}
-	x.do(x.Cont("n0"))
+	x.do(x.Resume("n0"))
 	first.Process.Signal(syscall.SIGCONT)
 	if code := x.code(first, 5*time.Second); code != 124 {
 		t.Errorf("the one that stood still: code %d", code)
 	}
-	had := len(x.res.Wrong())
+	had := len(x.res.Violations())
 	if a, err := resource.Begin(x.res.Address, "old", 1); err == nil {
 		a.End()
 	}
-	if len(x.res.Wrong()) == had {
+	if len(x.res.Violations()) == had {
 		t.Error("an old token is not told")
 	}
 	checks.Close()
--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -28,7 +28,7 @@
 	labReplace = 10 * time.Second
 )
 
-type weather = relay.Weather
+type weather = relay.Conditions
 
 // leasing is a lab whose nodes keep leases, with a resource and programs that contend for it.
 type leasing struct {
@@ -46,7 +46,7 @@
 
 func startLeasing(t *testing.T, nodes, voters int, seed uint64, checks bool) *leasing {
 	t.Helper()
-	x := &leasing{together: startTogetherWith(t, nodes, seed, func(o *Options) { o.Leases, o.Traffic.Rate = labReplace, 20 }), begun: time.Now()}
+	x := &leasing{together: startTogetherWith(t, nodes, seed, func(o *Options) { o.ReplaceVoterAfter, o.Traffic.Rate = labReplace, 20 }), begun: time.Now()}
 	x.served = 0.5 // it is not what is looked at
 	var err error
 	if x.res, err = resource.Start(checks); err != nil {
@@ -54,7 +54,7 @@
 	}
 	x.ctx, x.stops = context.WithCancel(context.Background())
 	x.agreed(30*time.Second, x.names...)
-	r, err := leases.Call(x.ctx, x.StateOf("n0"), leases.Request{Do: "found", Voters: voters})
+	r, err := leases.Call(x.ctx, x.StateFolder("n0"), leases.Request{Do: "found", Voters: voters})
 	if err != nil {
 		t.Fatalf("founding: %v", err)
 	}
@@ -69,7 +69,7 @@
 	x.t.Helper()
 	x.stops()
 	x.parts.Wait()
-	for _, w := range x.res.Wrong() {
+	for _, w := range x.res.Violations() {
 		x.t.Error(w)
 	}
 	x.res.Close()
@@ -91,7 +91,7 @@
 func (x *leasing) standing(node string) (leaselog.Status, bool) {
 	ctx, cancel := context.WithTimeout(x.ctx, time.Second)
 	defer cancel()
-	r, err := leases.Call(ctx, x.StateOf(node), leases.Request{Do: "standing"})
+	r, err := leases.Call(ctx, x.StateFolder(node), leases.Request{Do: "standing"})
 	if err != nil || r.Standing == nil {
 		return leaselog.Status{}, false
 	}
@@ -190,7 +190,7 @@
 }
 
 func (x *leasing) turn(client int, node, name string, rng *rand.Rand) {
-	h, err := leases.Acquire(x.ctx, x.StateOf(node), name, labTTL)
+	h, err := leases.Acquire(x.ctx, x.StateFolder(node), name, labTTL)
 	if err != nil {
 		return // the node is down
 	}
@@ -246,7 +246,7 @@
 
 // run starts curlewctl lease run.
 func (x *leasing) run(node, name string, flags []string, command ...string) *exec.Cmd {
-	args := append([]string{"lease", "run", "--folder", x.StateOf(node), "--ttl", labTTL.String()}, flags...)
+	args := append([]string{"lease", "run", "--folder", x.StateFolder(node), "--ttl", labTTL.String()}, flags...)
 	cmd := exec.Command(tool, append(append(args, name, "--"), command...)...)
 	return cmd
 }
@@ -282,16 +282,16 @@
 	again("the leader's end", bound)
 	back()
 	leader = x.leader()
-	x.do(x.Stop(leader))
+	x.do(x.Pause(leader))
 	again("the leader stands still", bound)
-	x.do(x.Cont(leader))
+	x.do(x.Resume(leader))
 	again("and goes on", bound)
 	back = kill(others[0])
 	again("a contender's node's end", bound)
 	back()
-	x.do(x.Stop(others[1]))
+	x.do(x.Pause(others[1]))
 	again("a contender's node stands still", bound)
-	x.do(x.Cont(others[1]))
+	x.do(x.Resume(others[1]))
 	var backs []func()
 	for _, n := range x.seats {
 		backs = append(backs, kill(n))
@@ -338,7 +338,7 @@
 	before := numbers()
 	lost := x.seats[0]
 	x.do(x.Kill(lost))
-	x.do(x.Forget(lost))
+	x.do(x.RemoveState(lost))
 	x.do(x.Start(lost))
 	took := x.waitFor("the seat of a lost disk under a new number", 30*time.Second, func() bool {
 		now := numbers()
@@ -419,7 +419,7 @@
 	t.Logf("seed %d: %s", seed, strings.Join(told, ", "))
 	before := x.granted()
 	took := x.waitFor("a grant after all faults", 2*labTTL+20*time.Second, func() bool { return x.granted() > before })
-	t.Logf("seed %d: %d grants, %d acts, a grant %v after the last fault", seed, x.granted(), len(x.res.Acts()), took)
+	t.Logf("seed %d: %d grants, %d acts, a grant %v after the last fault", seed, x.granted(), len(x.res.History()), took)
 }
 
 // fault begins one that is drawn, and returns how it ends.
@@ -432,38 +432,38 @@
 		node = l
 	}
 	at := slices.Index(x.names, node)
-	calm := func() { x.Weather(clear) }
+	calm := func() { x.SetLinkConditions(clear) }
 	switch rng.IntN(10) {
 	case 0:
 		x.do(x.Kill(node))
 		return "kill " + node, func() { x.do(x.Start(node)) }
 	case 1:
-		x.do(x.Stop(node))
-		return "stop " + node, func() { x.do(x.Cont(node)) }
+		x.do(x.Pause(node))
+		return "stop " + node, func() { x.do(x.Resume(node)) }
 	case 2:
 		n := 1 + rng.IntN(len(x.names)-1)
-		x.Weather(func(from, to int) (w weather) { w.Cut = (from < n) != (to < n); return w })
+		x.SetLinkConditions(func(from, to int) (w weather) { w.Cut = (from < n) != (to < n); return w })
 		return fmt.Sprint("split at ", n), calm
 	case 3:
-		x.Weather(func(from, _ int) (w weather) { w.Cut = from == at; return w })
+		x.SetLinkConditions(func(from, _ int) (w weather) { w.Cut = from == at; return w })
 		return "mute " + node, calm
 	case 4:
-		x.Weather(func(_, to int) (w weather) { w.Cut = to == at; return w })
+		x.SetLinkConditions(func(_, to int) (w weather) { w.Cut = to == at; return w })
 		return "deaf " + node, calm
 	case 5:
-		x.Weather(func(_, _ int) weather {
-			return weather{Loss: 0.3, Twice: 0.2, Damage: 0.05, Delay: 60 * time.Millisecond}
+		x.SetLinkConditions(func(_, _ int) weather {
+			return weather{Loss: 0.3, Duplicate: 0.2, Corrupt: 0.05, Delay: 60 * time.Millisecond}
 		})
 		return "bad links", calm
 	case 9:
-		x.Weather(func(_, _ int) weather { return weather{Delay: labTTL + labTTL/4} })
+		x.SetLinkConditions(func(_, _ int) weather { return weather{Delay: labTTL + labTTL/4} })
 		return "all later than a lease", calm
 	case 6:
-		x.do(x.Trial(node, "disk-slow", "400ms"))
-		return "slow disk " + node, func() { x.do(x.Trial(node, "disk-slow", "")) }
+		x.do(x.SetTrialFile(node, "disk-slow", "400ms"))
+		return "slow disk " + node, func() { x.do(x.SetTrialFile(node, "disk-slow", "")) }
 	case 7:
-		x.do(x.Trial(node, "disk-full", "yes"))
-		return "full disk " + node, func() { x.do(x.Trial(node, "disk-full", "")) }
+		x.do(x.SetTrialFile(node, "disk-full", "yes"))
+		return "full disk " + node, func() { x.do(x.SetTrialFile(node, "disk-full", "")) }
 	default:
 		for _, n := range x.seats {
 			x.do(x.Kill(n))
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -24,7 +24,7 @@
 	others := x.but(x.seats...)
 	hold := func(node, name string, ttl time.Duration) (*leases.ClientLease, time.Duration) {
 		begun := time.Now()
-		h, err := leases.Acquire(x.ctx, x.StateOf(node), name, ttl)
+		h, err := leases.Acquire(x.ctx, x.StateFolder(node), name, ttl)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 	t.Logf("from a node without a seat: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
 	disk := func() (syncs, bytes int64) {
 		for _, n := range x.seats {
-			if r, err := leases.Call(x.ctx, x.StateOf(n), leases.Request{Do: "standing"}); err == nil {
+			if r, err := leases.Call(x.ctx, x.StateFolder(n), leases.Request{Do: "standing"}); err == nil {
 				syncs, bytes = syncs+r.Syncs, bytes+r.Written
 			}
 		}
@@ -92,13 +92,13 @@
 		}
 		extended.Store(0)
 		syncs, bytes := disk()
-		cpu := x.CPU()
+		cpu := x.CPUTime()
 		begun := time.Now()
 		time.Sleep(10 * time.Second) // what is measured
 		length := time.Since(begun).Seconds()
 		syncsNow, bytesNow := disk()
 		t.Logf("%4d leases of 1 s: %6.1f renewals a second, %.1f syncs a voter a second, %.0f bytes, %.2f%% of a core a node",
-			n, float64(extended.Load())/length, float64(syncsNow-syncs)/length/3, float64(bytesNow-bytes)/length/3, 100*(x.CPU()-cpu).Seconds()/length/5)
+			n, float64(extended.Load())/length, float64(syncsNow-syncs)/length/3, float64(bytesNow-bytes)/length/3, 100*(x.CPUTime()-cpu).Seconds()/length/5)
 		for _, h := range held {
 			h.ConfirmStopped()
 		}
@@ -158,11 +158,11 @@
 	for round := range rounds {
 		on := round%2 == 1
 		o := options()
-		o.Nodes, o.Members, o.Plan.Boxes = 5, true, 16
+		o.Nodes, o.Membership, o.Plan.Servers = 5, true, 16
 		if on {
-			o.Leases = time.Minute
+			o.ReplaceVoterAfter = time.Minute
 		}
-		o.Traffic = standin.Traffic{Rate: 1500, For: 6 * time.Second, Backoff: 50 * time.Millisecond, Body: 100}
+		o.Traffic = standin.Traffic{Rate: 1500, Duration: 6 * time.Second, Backoff: 50 * time.Millisecond, BodyBytes: 100}
 		l, err := Open(t.Context(), o)
 		if err != nil {
 			t.Fatal(err)
@@ -174,11 +174,11 @@
 		x.agreed(30*time.Second, x.names...)
 		var held []*leases.ClientLease
 		if on {
-			if _, err := leases.Call(t.Context(), l.StateOf("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
+			if _, err := leases.Call(t.Context(), l.StateFolder("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 100 {
-				h, err := leases.Acquire(t.Context(), l.StateOf(x.names[i%5]), fmt.Sprint("l", i), 10*time.Second)
+				h, err := leases.Acquire(t.Context(), l.StateFolder(x.names[i%5]), fmt.Sprint("l", i), 10*time.Second)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -203,8 +203,8 @@
 			worst += c.P99 / float64(len(r.Classes))
 		}
 		s := sum[on]
-		sum[on] = [2]float64{s[0] + r.CPU/(rounds/2), s[1] + worst/(rounds/2)}
-		t.Logf("leases %v: %.0f us of CPU a request, p99 %.2f ms", on, r.CPU, worst)
+		sum[on] = [2]float64{s[0] + r.CPUMicrosPerRequest/(rounds/2), s[1] + worst/(rounds/2)}
+		t.Logf("leases %v: %.0f us of CPU a request, p99 %.2f ms", on, r.CPUMicrosPerRequest, worst)
 	}
 	t.Logf("on to off: CPU a request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/lies_test.go
+++ b/internal/rig/lab/lies_test.go
@@ -12,16 +12,16 @@
 // good news hold is package endpoints's own test: a node that believed all at once would pass here too.
 func TestListsThatLie(t *testing.T) {
 	o := options()
-	o.Traffic = standin.Traffic{Rate: 150, For: 8 * time.Second, Retries: 1, Backoff: 100 * time.Millisecond, Body: 50}
+	o.Traffic = standin.Traffic{Rate: 150, Duration: 8 * time.Second, Retries: 1, Backoff: 100 * time.Millisecond, BodyBytes: 50}
 	o.Faults = []standin.Fault{
-		{Kind: "empty", At: 1500 * time.Millisecond, For: time.Second},
-		{Kind: "drain", Box: "1", At: 4 * time.Second, For: 3 * time.Second},
-		{Kind: "backup", At: 5 * time.Second, For: time.Second, By: 3},
+		{Kind: "empty", At: 1500 * time.Millisecond, Duration: time.Second},
+		{Kind: "drain", Server: "1", At: 4 * time.Second, Duration: 3 * time.Second},
+		{Kind: "backup", At: 5 * time.Second, Duration: time.Second, Magnitude: 3},
 	}
 	r := run(t, o)
 	served, asked := 0, 0
 	for _, c := range r.Classes {
-		served, asked = served+c.Served, asked+c.Asked
+		served, asked = served+c.Served, asked+c.Requests
 	}
 	if served*10 < asked*7 {
 		t.Errorf("%d of %d served", served, asked)
--- a/internal/rig/lab/members_test.go
+++ b/internal/rig/lab/members_test.go
@@ -30,8 +30,8 @@
 func startTogetherWith(t *testing.T, nodes int, seed uint64, edit func(*Options)) *together {
 	t.Helper()
 	o := options()
-	o.Nodes, o.Members, o.Plan.Seed = nodes, true, seed
-	o.Traffic = standin.Traffic{Rate: 60, For: 5 * time.Minute, Retries: 1, Backoff: 100 * time.Millisecond}
+	o.Nodes, o.Membership, o.Plan.Seed = nodes, true, seed
+	o.Traffic = standin.Traffic{Rate: 60, Duration: 5 * time.Minute, Retries: 1, Backoff: 100 * time.Millisecond}
 	if edit != nil {
 		edit(&o)
 	}
@@ -64,12 +64,12 @@
 	if r == nil {
 		return
 	}
-	if !r.Kept() {
+	if !r.Passed() {
 		x.t.Errorf("a rule was broken: %+v", r.Breaches)
 	}
 	asked, served := 0, 0
 	for _, c := range r.Classes {
-		asked, served = asked+c.Asked, served+c.Served
+		asked, served = asked+c.Requests, served+c.Served
 	}
 	if asked == 0 || float64(served) < x.served*float64(asked) {
 		x.t.Errorf("%d of %d requests served in time", served, asked)
@@ -103,7 +103,7 @@
 	var all []string
 	same := map[string]bool{}
 	for _, n := range names {
-		r, err := x.MembersOf(context.Background(), n)
+		r, err := x.MembershipOf(context.Background(), n)
 		if err != nil {
 			return 0, fmt.Sprintf("%s: %v", n, err)
 		}
@@ -151,7 +151,7 @@
 	}
 }
 
-func clear(int, int) relay.Weather { return relay.Weather{} }
+func clear(int, int) relay.Conditions { return relay.Conditions{} }
 
 // A killed process is out of every view, one that starts anew is a new life of the same name, with and without what
 // it kept, and one that is told to end is let go at once.
@@ -172,13 +172,13 @@
 	for _, kept := range []bool{true, false} {
 		if !kept {
 			x.do(x.Kill("n4"))
-			x.do(x.Forget("n4"))
+			x.do(x.RemoveState("n4"))
 		}
 		x.do(x.Start("n4"))
 		if _, took = x.agreed(15*time.Second, x.names...); took > 10*time.Second {
 			t.Errorf("back after %v", took)
 		}
-		r, err := x.MembersOf(context.Background(), "n4")
+		r, err := x.MembershipOf(context.Background(), "n4")
 		x.do(err)
 		t.Logf("back after %v, incarnation %d", took, r.Standing.Self.Incarnation)
 		if r.Standing.Self.Incarnation <= incarnation {
@@ -202,27 +202,27 @@
 	x := startTogether(t, 6, 2)
 	defer x.end()
 	number, _ := x.agreed(30*time.Second, x.names...)
-	x.do(x.Stop("n5"))
+	x.do(x.Pause("n5"))
 	time.Sleep(3 * time.Second) // the pause that must be borne
-	x.do(x.Cont("n5"))
+	x.do(x.Resume("n5"))
 	x.stays(number, "a pause of 3 s", 2*time.Second)
-	r, err := x.MembersOf(context.Background(), "n5")
+	r, err := x.MembershipOf(context.Background(), "n5")
 	x.do(err)
 	if r.Standing.Stalls == 0 || r.Standing.Stats.Accusations > 0 {
 		t.Errorf("the one that stood still: %+v", r.Standing)
 	}
-	x.Weather(func(from, to int) relay.Weather { return relay.Weather{Cut: from == 1 && to == 2} })
+	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: from == 1 && to == 2} })
 	x.stays(number, "one does not hear one other", 8*time.Second)
-	x.Weather(func(from, to int) relay.Weather {
-		return relay.Weather{Loss: 0.3, Damage: 0.1, Twice: 0.1, Delay: 30 * time.Millisecond}
+	x.SetLinkConditions(func(from, to int) relay.Conditions {
+		return relay.Conditions{Loss: 0.3, Corrupt: 0.1, Duplicate: 0.1, Delay: 30 * time.Millisecond}
 	})
 	x.stays(number, "30% lost, 10% damaged, 10% doubled, out of order", 10*time.Second)
-	r, err = x.MembersOf(context.Background(), "n0")
+	r, err = x.MembershipOf(context.Background(), "n0")
 	x.do(err)
 	if r.Passed == 0 {
 		t.Error("no damaged datagram was passed over")
 	}
-	x.Weather(clear)
+	x.SetLinkConditions(clear)
 	x.stays(number, "all is well again", time.Second)
 }
 
@@ -232,7 +232,7 @@
 	x := startTogether(t, 7, 3)
 	defer x.end()
 	first, _ := x.agreed(30*time.Second, x.names...)
-	x.Weather(func(_, to int) relay.Weather { return relay.Weather{Cut: to == 4} })
+	x.SetLinkConditions(func(_, to int) relay.Conditions { return relay.Conditions{Cut: to == 4} })
 	second, took := x.agreed(9*time.Second, x.but("n4")...)
 	t.Logf("one that hears nobody is out after %v", took)
 	if second != first+1 {
@@ -242,19 +242,19 @@
 	if now, _ := x.look(x.but("n4")); now != second {
 		t.Errorf("view %d, then %d, with the same fault", second, now)
 	}
-	x.Weather(clear)
+	x.SetLinkConditions(clear)
 	third, took := x.agreed(20*time.Second, x.names...)
 	t.Logf("and back after %v", took)
 	// Three of seven on their own.
-	x.Weather(func(from, to int) relay.Weather { return relay.Weather{Cut: (from < 4) != (to < 4)} })
+	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 4) != (to < 4)} })
 	_, took = x.agreed(12*time.Second, "n0", "n1", "n2", "n3")
 	t.Logf("the majority is by itself after %v", took)
 	for _, n := range []string{"n4", "n5", "n6"} {
-		if r, err := x.MembersOf(context.Background(), n); err != nil || r.Standing.Number != third {
+		if r, err := x.MembershipOf(context.Background(), n); err != nil || r.Standing.Number != third {
 			t.Errorf("%s, in the minority, is in view %d, not %d: %v", n, r.Standing.Number, third, err)
 		}
 	}
-	x.Weather(clear)
+	x.SetLinkConditions(clear)
 	_, took = x.agreed(30*time.Second, x.names...)
 	t.Logf("one again after %v", took)
 }
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		o := options()
-		o.Members, o.Faults, o.Traffic.For = members, []standin.Fault{f}, time.Second
+		o.Membership, o.Faults, o.Traffic.Duration = members, []standin.Fault{f}, time.Second
 		if members {
 			run(t, o)
 			continue
--- a/internal/rig/lab/memberscost_test.go
+++ b/internal/rig/lab/memberscost_test.go
@@ -17,17 +17,17 @@
 	for round := range 8 {
 		on := round%2 == 1
 		o := options()
-		o.Nodes, o.Members = 5, on
-		o.Traffic = standin.Traffic{Rate: 1500, For: 6 * time.Second, Backoff: 50 * time.Millisecond, Body: 100}
-		o.Plan.Boxes = 16
+		o.Nodes, o.Membership = 5, on
+		o.Traffic = standin.Traffic{Rate: 1500, Duration: 6 * time.Second, Backoff: 50 * time.Millisecond, BodyBytes: 100}
+		o.Plan.Servers = 16
 		r := run(t, o)
 		worst := 0.0
 		for _, c := range r.Classes {
 			worst += c.P99 / float64(len(r.Classes))
 		}
 		x := sum[on]
-		sum[on] = [2]float64{x[0] + r.CPU/4, x[1] + worst/4}
-		t.Logf("members %v: %.0f us of CPU a request, p99 %.1f ms, attempts %.2f", on, r.CPU, worst, r.Service)
+		sum[on] = [2]float64{x[0] + r.CPUMicrosPerRequest/4, x[1] + worst/4}
+		t.Logf("members %v: %.0f us of CPU a request, p99 %.1f ms, attempts %.2f", on, r.CPUMicrosPerRequest, worst, r.ServedWorth)
 	}
 	t.Logf("on to off: CPU a request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/memberspairs_test.go
+++ b/internal/rig/lab/memberspairs_test.go
@@ -17,7 +17,7 @@
 // trouble is a fault among nodes that know each other: the weather that it makes, and what it does to processes.
 type trouble struct {
 	name    string
-	weather func(w *relay.Weather, from, to int)
+	weather func(w *relay.Conditions, from, to int)
 	begin   func(x *together)
 	end     func(x *together)
 	out     []string // who is out of all views while it lasts
@@ -27,14 +27,14 @@
 	return []trouble{
 		{name: "one killed", out: []string{"n5"}, begin: func(x *together) { x.do(x.Kill("n5")) }, end: func(x *together) { x.do(x.Start("n5")) }},
 		{name: "a pause of 2.5 s", begin: func(x *together) {
-			x.do(x.Stop("n1"))
-			time.AfterFunc(2500*time.Millisecond, func() { x.do(x.Cont("n1")) })
+			x.do(x.Pause("n1"))
+			time.AfterFunc(2500*time.Millisecond, func() { x.do(x.Resume("n1")) })
 		}},
-		{name: "one does not hear one other", weather: func(w *relay.Weather, from, to int) { w.Cut = w.Cut || from == 2 && to == 3 }},
-		{name: "one hears nobody", out: []string{"n4"}, weather: func(w *relay.Weather, _, to int) { w.Cut = w.Cut || to == 4 }},
-		{name: "a quarter lost", weather: func(w *relay.Weather, _, _ int) { w.Loss = 0.25 }},
-		{name: "200 ms late", weather: func(w *relay.Weather, _, _ int) { w.Delay = 200 * time.Millisecond }},
-		{name: "doubled and damaged", weather: func(w *relay.Weather, _, _ int) { w.Twice, w.Damage = 0.2, 0.1 }},
+		{name: "one does not hear one other", weather: func(w *relay.Conditions, from, to int) { w.Cut = w.Cut || from == 2 && to == 3 }},
+		{name: "one hears nobody", out: []string{"n4"}, weather: func(w *relay.Conditions, _, to int) { w.Cut = w.Cut || to == 4 }},
+		{name: "a quarter lost", weather: func(w *relay.Conditions, _, _ int) { w.Loss = 0.25 }},
+		{name: "200 ms late", weather: func(w *relay.Conditions, _, _ int) { w.Delay = 200 * time.Millisecond }},
+		{name: "doubled and damaged", weather: func(w *relay.Conditions, _, _ int) { w.Duplicate, w.Corrupt = 0.2, 0.1 }},
 	}
 }
 
@@ -67,7 +67,7 @@
 		out, names = append(out, all[k].out...), append(names, all[k].name)
 	}
 	name := strings.Join(names, " and ")
-	x.Weather(func(from, to int) (w relay.Weather) {
+	x.SetLinkConditions(func(from, to int) (w relay.Conditions) {
 		for _, k := range pair {
 			if all[k].weather != nil {
 				all[k].weather(&w, from, to)
@@ -86,7 +86,7 @@
 		x.stays(first, name, 6*time.Second)
 	}
 	time.Sleep(max(0, 3*time.Second-time.Since(begun))) // the pause's own length
-	x.Weather(clear)
+	x.SetLinkConditions(clear)
 	for _, k := range pair {
 		if all[k].end != nil {
 			all[k].end(x)
@@ -115,9 +115,9 @@
 	go func() { // ends with stop
 		defer close(crawled)
 		for ctx.Err() == nil {
-			x.do(x.Stop("n6"))
+			x.do(x.Pause("n6"))
 			time.Sleep(198 * time.Millisecond) // runs for a hundredth of the time
-			x.do(x.Cont("n6"))
+			x.do(x.Resume("n6"))
 			time.Sleep(2 * time.Millisecond)
 		}
 	}()
@@ -150,7 +150,7 @@
 	for begun := time.Now(); ; <-look.C {
 		views := map[string]bool{}
 		for _, n := range names {
-			r, err := x.MembersOf(context.Background(), n)
+			r, err := x.MembershipOf(context.Background(), n)
 			if err != nil {
 				views[err.Error()] = true
 				continue
@@ -182,14 +182,14 @@
 	x := startTogether(t, 5, 7)
 	defer x.end()
 	number, _ := x.agreed(30*time.Second, x.names...)
-	host := x.Fleet.Host()
+	host := x.Fleet.NewHost()
 	at, err := freePort(host)
 	x.do(err)
 	serves, err := freeAddress(host)
 	x.do(err)
 	state, own := filepath.Join(x.dir, "image.state"), filepath.Join(x.dir, "image.toml")
-	x.do(filepath.WalkDir(x.StateOf("n4"), func(path string, d os.DirEntry, err error) error {
-		rest, _ := filepath.Rel(x.StateOf("n4"), path)
+	x.do(filepath.WalkDir(x.StateFolder("n4"), func(path string, d os.DirEntry, err error) error {
+		rest, _ := filepath.Rel(x.StateFolder("n4"), path)
 		switch {
 		case err != nil:
 			return err
@@ -206,7 +206,7 @@
 	}))
 	text, err := os.ReadFile(x.ownPath("n4"))
 	x.do(err)
-	changed := strings.Replace(string(text), x.StateOf("n4"), state, 1)
+	changed := strings.Replace(string(text), x.StateFolder("n4"), state, 1)
 	changed = strings.Replace(changed, x.between.addresses[4].String(), at.String(), 1)
 	x.do(os.WriteFile(own, []byte(changed), 0o600))
 	config, err := os.ReadFile(x.ConfigPath("n4"))
--- a/internal/rig/lab/overload_test.go
+++ b/internal/rig/lab/overload_test.go
@@ -28,35 +28,35 @@
 // capacity is what discovery can bear. It keeps more calls waiting than it can answer in time.
 func (o *overload) capacity() registry.Settings {
 	return registry.Settings{
-		LinesPerSecond: float64(o.nodes) * callLines / o.allCalls.Seconds(), CallLines: callLines,
-		QueueTimeout: 2 * time.Second, Overbook: 2,
+		LinesPerSecond: float64(o.nodes) * callLines / o.allCalls.Seconds(), LinesPerCall: callLines,
+		QueueTimeout: 2 * time.Second, BacklogFactor: 2,
 	}
 }
 
 // callSample is what discovery has counted at a time.
 type callSample struct {
 	at    time.Duration
-	total standin.NodeCalls // Version is the oldest that a node has
+	total standin.CallCounts // Version is the oldest that a node has
 }
 
 func (s callSample) String() string {
 	c := s.total
 	return fmt.Sprintf("%5.1f s: offered %4d, answered %4d, timed out %4d, rejected %4d, failed %4d, open %2d, version %d",
-		s.at.Seconds(), c.Offered, c.Answered, c.TimedOut, c.Rejected, c.Failed, c.Open, c.Version)
+		s.at.Seconds(), c.Received, c.Answered, c.TimedOut, c.Rejected, c.Failed, c.OpenPolls, c.WrittenVersion)
 }
 
 // sampleCalls adds the counts of all nodes up.
 func sampleCalls(d *standin.Discovery, at time.Duration) callSample {
 	s := callSample{at: at}
-	s.total.Version = d.Version()
+	s.total.WrittenVersion = d.Version()
 	for _, c := range d.CallsByNode() {
-		s.total.Offered += c.Offered
+		s.total.Received += c.Received
 		s.total.Answered += c.Answered
 		s.total.TimedOut += c.TimedOut
 		s.total.Rejected += c.Rejected
 		s.total.Failed += c.Failed
-		s.total.Open += c.Open
-		s.total.Version = min(s.total.Version, c.Version)
+		s.total.OpenPolls += c.OpenPolls
+		s.total.WrittenVersion = min(s.total.WrittenVersion, c.WrittenVersion)
 	}
 	return s
 }
@@ -71,7 +71,7 @@
 	}
 	t.Cleanup(l.Close)
 	d := l.Fleet.Discovery
-	if err := d.Limit(capacity); err != nil {
+	if err := d.SetCapacity(capacity); err != nil {
 		t.Fatal(err)
 	}
 	var samples []callSample
@@ -82,7 +82,7 @@
 	for _, s := range samples {
 		t.Log(s)
 	}
-	t.Logf("%d boxes, %d nodes: %.3f served, %d breaches", o.Plan.Boxes, o.Nodes, service(r), len(r.Breaches))
+	t.Logf("%d boxes, %d nodes: %.3f served, %d breaches", o.Plan.Servers, o.Nodes, service(r), len(r.Breaches))
 	check(t, r)
 	return l, r, samples
 }
@@ -91,9 +91,9 @@
 func (o *overload) play(t *testing.T, faults ...string) {
 	t.Helper()
 	options := options()
-	options.Nodes, options.Plan.Boxes = o.nodes, 14
-	options.Plan.Registry.QueueTimeout, options.Plan.OutageAnswers = o.capacity().QueueTimeout, true
-	options.Traffic.Rate, options.Traffic.For = 120, o.settled+o.recovery+o.quiet
+	options.Nodes, options.Plan.Servers = o.nodes, 14
+	options.Plan.Registry.QueueTimeout, options.Plan.AnswerInOutage = o.capacity().QueueTimeout, true
+	options.Traffic.Rate, options.Traffic.Duration = 120, o.settled+o.recovery+o.quiet
 	for _, text := range faults {
 		f, err := standin.ParseFault(text)
 		if err != nil {
@@ -125,7 +125,7 @@
 	recovered := time.Duration(0)
 	var from callSample
 	for _, s := range samples {
-		if recovered == 0 && s.total.Version == newest {
+		if recovered == 0 && s.total.WrittenVersion == newest {
 			recovered = s.at
 		}
 		if s.at <= bound {
@@ -135,7 +135,7 @@
 	if recovered == 0 || recovered > bound {
 		t.Errorf("all nodes have the newest list at %v (0s: never), want %v at the latest", recovered, bound)
 	}
-	offered := float64(last.total.Offered-from.total.Offered) / (last.at - from.at).Seconds()
+	offered := float64(last.total.Received-from.total.Received) / (last.at - from.at).Seconds()
 	if most := o.capacity().LinesPerSecond / callLines; offered >= most {
 		t.Errorf("%.1f calls a second at the end, discovery can take %.1f", offered, most)
 	}
--- a/internal/rig/lab/past.go
+++ b/internal/rig/lab/past.go
@@ -17,23 +17,23 @@
 )
 
 // Arm is what a node makes of an old list.
-type Arm int
+type OldListMode int
 
 // The arms.
 const (
-	Doubts Arm = iota // it remembers, and doubts by age
-	Trusts            // control: it has the list as if it were of now
-	Waits             // control: it has none
+	VerifyList  OldListMode = iota // it remembers, and doubts by age
+	TrustList                      // control: it has the list as if it were of now
+	DiscardList                    // control: it has none
 )
 
 // Past is what nodes remember at their start, while discovery is out.
-type Past struct {
-	Arm   Arm
-	Age   time.Duration   // of the list
-	Stale int             // entries beside the boxes: half refuse, a quarter hang, at the others something else answers
-	More  *endpoints.List // further entries; nil: none
-	Out   time.Duration   // how long discovery stays out
-	Cold  bool            // the boxes have just started
+type OldList struct {
+	Mode         OldListMode
+	Age          time.Duration   // of the list
+	StaleEntries int             // entries beside the boxes: half refuse, a quarter hang, at the others something else answers
+	Extra        *endpoints.List // further entries; nil: none
+	Outage       time.Duration   // how long discovery stays out
+	ColdServers  bool            // the boxes have just started
 }
 
 // strangers stand where boxes are no more.
@@ -51,7 +51,7 @@
 // open makes so many addresses.
 func (s *strangers) open(f *standin.Fleet, n int) error {
 	for i := len(s.addresses); i < n; i++ {
-		l, err := net.Listen("tcp", net.JoinHostPort(f.Host(), "0"))
+		l, err := net.Listen("tcp", net.JoinHostPort(f.NewHost(), "0"))
 		if err != nil {
 			return err
 		}
@@ -81,13 +81,13 @@
 
 // remember writes what a node has of its last life, and returns the list that its configuration brings.
 func (l *Lab) remember(s standin.NodeSpec) (json.RawMessage, error) {
-	p := l.options.Past
-	if err := l.strangers.open(l.Fleet, p.Stale); err != nil {
+	p := l.options.OldList
+	if err := l.strangers.open(l.Fleet, p.StaleEntries); err != nil {
 		return nil, err
 	}
 	then := time.Now().Add(-p.Age)
 	var all []serverdb.Server
-	for _, b := range l.Fleet.Boxes {
+	for _, b := range l.Fleet.Servers {
 		all = append(all, serverdb.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, StateSince: then})
 	}
 	for i, address := range l.strangers.addresses {
@@ -96,8 +96,8 @@
 			ID: fmt.Sprintf("old-%04d", i), Address: address, Zone: l.options.Plan.Sites[site], Cell: 900_000 + i/4, Weight: 1, StateSince: then,
 		})
 	}
-	if p.More != nil {
-		for _, e := range p.More.Entries {
+	if p.Extra != nil {
+		for _, e := range p.Extra.Entries {
 			if e.Health == decide.Healthy {
 				all = append(all, serverdb.Server{
 					ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Started: e.Started, StateSince: then,
@@ -105,10 +105,10 @@
 			}
 		}
 	}
-	switch p.Arm {
-	case Waits:
+	switch p.Mode {
+	case DiscardList:
 		return nil, nil
-	case Trusts:
+	case TrustList:
 		instances := make([]map[string]any, len(all))
 		for i, x := range all {
 			instances[i] = map[string]any{
@@ -129,9 +129,9 @@
 }
 
 // Validate tells what of it makes no sense.
-func (p *Past) Validate() error {
-	if p.Stale < 0 || p.Stale > mostStale {
-		return fmt.Errorf("%d stale entries, allowed: 0 to %d", p.Stale, mostStale)
+func (p *OldList) Validate() error {
+	if p.StaleEntries < 0 || p.StaleEntries > mostStale {
+		return fmt.Errorf("%d stale entries, allowed: 0 to %d", p.StaleEntries, mostStale)
 	}
 	if p.Age < 0 || p.Age > mostAge {
 		return fmt.Errorf("a list of %v, allowed: 0 to %v", p.Age, mostAge)
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -14,18 +14,18 @@
 
 // coldPlan is a fleet of boxes whose whole cold budget is a few requests, some a third of the others.
 func coldPlan(p *standin.Plan) {
-	p.Boxes, p.Cores, p.RackSize, p.Speeds = 12, 1, 3, []float64{1.2, 1.2, 0.4}
+	p.Servers, p.Cores, p.RackSize, p.Speeds = 12, 1, 3, []float64{1.2, 1.2, 0.4}
 	for i := range p.Classes {
 		p.Classes[i].Work, p.Classes[i].Spread = 40*time.Millisecond, 0
 	}
-	p.ColdFrom, p.ColdFor = 0.4, 6*time.Second
+	p.ColdCapacity, p.WarmupTime = 0.4, 6*time.Second
 }
 
 // startCold starts nodes before such a fleet at some part of its capacity.
 func startCold(t *testing.T, nodes int, seed uint64, load float64, alone bool) *together {
 	return startTogetherWith(t, nodes, seed, func(o *Options) {
 		coldPlan(&o.Plan)
-		o.Alone = alone
+		o.NoPooling = alone
 		o.Traffic.Rate = load * o.Plan.Capacity()
 	})
 }
@@ -35,9 +35,9 @@
 	x.t.Helper()
 	var faults []standin.Fault
 	for i, b := range boxes {
-		faults = append(faults, standin.Fault{Kind: "crash", Box: fmt.Sprint(b), At: time.Duration(i) * each, For: 300 * time.Millisecond})
+		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(b), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
 	}
-	for _, err := range x.Fleet.Play(context.Background(), faults, x.Lab) {
+	for _, err := range x.Fleet.RunFaults(context.Background(), faults, x.Lab) {
 		x.do(err)
 	}
 }
@@ -56,7 +56,7 @@
 		}
 		n := int64(0)
 		for _, name := range x.names {
-			r, err := x.MembersOf(ctx, name)
+			r, err := x.MembershipOf(ctx, name)
 			if err != nil {
 				continue
 			}
@@ -89,16 +89,16 @@
 	x.do(x.Kill("n3")) // a dealer of some of them
 	x.restarts([]int{1, 3, 11}, 600*time.Millisecond)
 	x.do(x.Start("n3"))
-	x.do(x.Stop("n4"))
+	x.do(x.Pause("n4"))
 	x.restarts([]int{4, 6}, 600*time.Millisecond)
-	x.do(x.Cont("n4"))
-	x.Weather(func(from, to int) relay.Weather { return relay.Weather{Cut: (from < 2) != (to < 2)} })
+	x.do(x.Resume("n4"))
+	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 2) != (to < 2)} })
 	x.restarts([]int{2, 7, 9}, 600*time.Millisecond)
-	x.Weather(func(int, int) relay.Weather {
-		return relay.Weather{Loss: 0.3, Twice: 0.1, Delay: 60 * time.Millisecond}
+	x.SetLinkConditions(func(int, int) relay.Conditions {
+		return relay.Conditions{Loss: 0.3, Duplicate: 0.1, Delay: 60 * time.Millisecond}
 	})
 	x.restarts([]int{5, 10}, 600*time.Millisecond)
-	x.Weather(clear)
+	x.SetLinkConditions(clear)
 	stop()
 	<-watched
 	t.Logf("at most %d pools at once, of up to %d nodes each; %d dealt sends seen", p.most.Load(), p.lenders.Load(), p.used.Load())
@@ -128,7 +128,7 @@
 						fell++
 					}
 				}
-				t.Logf("load %.1f seed %d, each by itself %v: %d of 9 fell, %d rules broken in all, service %.3f", load, seed+1, alone, fell, len(r.Breaches), r.Service)
+				t.Logf("load %.1f seed %d, each by itself %v: %d of 9 fell, %d rules broken in all, service %.3f", load, seed+1, alone, fell, len(r.Breaches), r.ServedWorth)
 			}
 		}
 	}
--- a/internal/rig/lab/record_test.go
+++ b/internal/rig/lab/record_test.go
@@ -21,20 +21,20 @@
 	}
 	for _, record := range arms {
 		x := startTogetherWith(t, nodes, 61, func(o *Options) {
-			o.Leases, o.Record = time.Minute, record
-			o.Plan.Boxes = 40
-			o.Faults = []standin.Fault{{Kind: "drain", Box: "3", At: 12 * time.Second, For: 20 * time.Second}}
+			o.ReplaceVoterAfter, o.ListFromPeers = time.Minute, record
+			o.Plan.Servers = 40
+			o.Faults = []standin.Fault{{Kind: "drain", Server: "3", At: 12 * time.Second, Duration: 20 * time.Second}}
 		})
 		x.served = 0
 		x.agreed(60*time.Second, x.names...)
 		for _, n := range x.names {
 			x.do(x.Kill(n))
 		}
-		x.Fleet.Discovery.Pace(lines)
+		x.Fleet.Discovery.SetLineRate(lines)
 		_, before := x.Fleet.Discovery.Calls()
 		begun := time.Now()
 		for _, n := range x.names {
-			x.do(x.StartBare(n))
+			x.do(x.StartWithoutList(n))
 		}
 		for _, n := range x.names {
 			p, err := x.find(n)
--- a/internal/rig/lab/release_test.go
+++ b/internal/rig/lab/release_test.go
@@ -29,19 +29,19 @@
 func (z zoneRelease) play(t *testing.T) {
 	t.Helper()
 	o := options()
-	o.Nodes, o.Plan.Boxes = releaseNodes, z.boxes
+	o.Nodes, o.Plan.Servers = releaseNodes, z.boxes
 	o.Plan.Registry = registry.Settings{} // until all are ready
 	o.Plan.PublishEvery = 400 * time.Millisecond
-	o.Traffic.Rate, o.Traffic.For = nodeRate*releaseNodes, releaseAt+releaseSteps*releaseEvery+z.replaced+6*time.Second
+	o.Traffic.Rate, o.Traffic.Duration = nodeRate*releaseNodes, releaseAt+releaseSteps*releaseEvery+z.replaced+6*time.Second
 	sites := len(o.Plan.Sites)
 	zone := z.boxes / sites
 	for i := range zone {
 		step := i * releaseSteps / zone
 		o.Faults = append(o.Faults, standin.Fault{
-			Kind: z.fault, Box: fmt.Sprint(i * sites), At: releaseAt + time.Duration(step)*releaseEvery, For: z.replaced,
+			Kind: z.fault, Server: fmt.Sprint(i * sites), At: releaseAt + time.Duration(step)*releaseEvery, Duration: z.replaced,
 		})
 	}
-	capacity := registry.Settings{LinesPerSecond: z.lines, CallLines: callLines, QueueTimeout: 2 * time.Second, Overbook: 1}
+	capacity := registry.Settings{LinesPerSecond: z.lines, LinesPerCall: callLines, QueueTimeout: 2 * time.Second, BacklogFactor: 1}
 	_, r, _ := runLimited(t, o, capacity)
 	if part := service(r); part < leastServed {
 		t.Errorf("%.3f served, want %.2f", part, leastServed)
--- a/internal/rig/lab/report.go
+++ b/internal/rig/lab/report.go
@@ -12,90 +12,90 @@
 
 // Report is what came of a run.
 type Report struct {
-	Seconds     float64            `json:"seconds"`
-	Classes     []ClassRow         `json:"classes"`
-	Service     float64            `json:"weighted_service"`
-	Attempts    float64            `json:"attempts_a_request"`
-	MostTries   int                `json:"most_attempts"`
-	CPU         float64            `json:"node_cpu_us_a_request"`
-	Cores       float64            `json:"node_cores"`
-	Nodes       []NodeRow          `json:"nodes"`
-	Boxes       []standin.BoxState `json:"boxes"`
-	Breaches    []judge.Breach     `json:"breaches"`
-	Excused     int                `json:"excused_by_machine_delay"`
-	WorstLag    float64            `json:"worst_machine_delay_ms"`
-	ListCalls   int                `json:"discovery_calls"`
-	Connections int                `json:"connections_to_nodes"`
-	Idle        *IdleRow           `json:"idle,omitempty"`
+	Seconds             float64               `json:"seconds"`
+	Classes             []ClassRow            `json:"classes"`
+	ServedWorth         float64               `json:"weighted_service"`
+	AttemptsPerRequest  float64               `json:"attempts_a_request"`
+	MaxAttempts         int                   `json:"most_attempts"`
+	CPUMicrosPerRequest float64               `json:"node_cpu_us_a_request"`
+	Cores               float64               `json:"node_cores"`
+	Nodes               []NodeRow             `json:"nodes"`
+	Servers             []standin.ServerState `json:"boxes"`
+	Breaches            []judge.Breach        `json:"breaches"`
+	Excused             int                   `json:"excused_by_machine_delay"`
+	MaxMachineDelay     float64               `json:"worst_machine_delay_ms"`
+	ListCalls           int                   `json:"discovery_calls"`
+	Connections         int                   `json:"connections_to_nodes"`
+	Idle                *IdleRow              `json:"idle,omitempty"`
 }
 
 // ClassRow is one class of requests. Times are in milliseconds.
 type ClassRow struct {
-	Class   string  `json:"class"`
-	Worth   float64 `json:"worth"`
-	Asked   int     `json:"asked"`
-	Served  int     `json:"served_in_time"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Tries   int     `json:"tries"`
-	P50     float64 `json:"p50_ms"`
-	P90     float64 `json:"p90_ms"`
-	P99     float64 `json:"p99_ms"`
-	P999    float64 `json:"p999_ms"`
-	Max     float64 `json:"max_ms"`
+	Class    string  `json:"class"`
+	Worth    float64 `json:"worth"`
+	Requests int     `json:"asked"`
+	Served   int     `json:"served_in_time"`
+	Late     int     `json:"late"`
+	Refused  int     `json:"refused"`
+	Failed   int     `json:"failed"`
+	Tries    int     `json:"tries"`
+	P50      float64 `json:"p50_ms"`
+	P90      float64 `json:"p90_ms"`
+	P99      float64 `json:"p99_ms"`
+	P999     float64 `json:"p999_ms"`
+	Max      float64 `json:"max_ms"`
 	// Attempts a try, callers' retries being tries of their own.
-	Attempts float64 `json:"attempts_a_request"`
+	AttemptsPerTry float64 `json:"attempts_a_request"`
 }
 
 // NodeRow is one node.
 type NodeRow struct {
-	Name   string  `json:"name"`
-	CPU    float64 `json:"cpu_seconds"`
-	PeakMB float64 `json:"peak_mb"`
-	Wrong  string  `json:"wrong,omitempty"` // how it ended, if that was not wanted
+	Name       string  `json:"name"`
+	CPUSeconds float64 `json:"cpu_seconds"`
+	PeakMB     float64 `json:"peak_mb"`
+	Failure    string  `json:"wrong,omitempty"` // how it ended, if that was not wanted
 }
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func (l *Lab) report(took, cpu time.Duration) *Report {
-	classes := l.Callers.Report()
-	l.Fleet.Settle()
-	v := l.Fleet.Judge.Judge(l.Fleet.Clock.Now())
+	classes := l.LoadGenerator.Report()
+	l.Fleet.ReportDeliveries()
+	v := l.Fleet.Judge.Check(l.Fleet.Clock.Now())
 	r := &Report{
-		Seconds: took.Seconds(), Service: standin.Service(classes), MostTries: v.MostTries, Breaches: v.Breaches,
-		Excused: v.Excused, WorstLag: ms(v.WorstLag), Cores: cpu.Seconds() / took.Seconds(),
+		Seconds: took.Seconds(), ServedWorth: standin.ServedWorth(classes), MaxAttempts: v.MaxAttempts, Breaches: v.Breaches,
+		Excused: v.Excused, MaxMachineDelay: ms(v.MaxMachineDelay), Cores: cpu.Seconds() / took.Seconds(),
 	}
 	tries := 0
 	for i, c := range classes {
 		tries += c.Tries
 		r.Classes = append(r.Classes, ClassRow{
-			c.Name, c.Worth, c.Asked, c.Served, c.Late, c.Refused, c.Failed, c.Tries,
+			c.Name, c.Worth, c.Requests, c.Served, c.Late, c.Refused, c.Failed, c.Tries,
 			ms(c.P50), ms(c.P90), ms(c.P99), ms(c.P999), ms(c.Max),
 			float64(v.ByClass[i].Attempts) / float64(max(1, v.ByClass[i].Requests)),
 		})
 	}
 	if v.Requests > 0 {
-		r.Attempts = float64(v.Attempts) / float64(v.Requests)
+		r.AttemptsPerRequest = float64(v.Attempts) / float64(v.Requests)
 	}
 	if tries > 0 {
-		r.CPU = float64(cpu.Microseconds()) / float64(tries)
+		r.CPUMicrosPerRequest = float64(cpu.Microseconds()) / float64(tries)
 	}
 	for _, p := range l.processes() {
 		p.mu.Lock()
-		row := NodeRow{Name: p.name, CPU: p.cpu.Seconds(), PeakMB: float64(p.peak) / (1 << 20)}
+		row := NodeRow{Name: p.name, CPUSeconds: p.cpu.Seconds(), PeakMB: float64(p.peak) / (1 << 20)}
 		if p.wrong != nil {
-			row.Wrong = p.wrong.Error()
+			row.Failure = p.wrong.Error()
 		}
 		p.mu.Unlock()
 		r.Nodes = append(r.Nodes, row)
 	}
-	for _, b := range append(append([]*standin.Box{}, l.Fleet.Boxes...), l.Fleet.Lower...) {
-		r.Boxes = append(r.Boxes, b.State())
+	for _, b := range append(append([]*standin.Server{}, l.Fleet.Servers...), l.Fleet.LowerServers...) {
+		r.Servers = append(r.Servers, b.State())
 	}
 	r.ListCalls, _ = l.Fleet.Discovery.Calls()
 	for _, c := range l.clients {
-		r.Connections += c.Opened()
+		r.Connections += c.ConnsOpened()
 	}
 	if l.idlers != nil {
 		r.Idle = &l.idlers.row
@@ -104,9 +104,9 @@
 }
 
 // Kept tells whether all rules were kept and all nodes ended as they should.
-func (r *Report) Kept() bool {
+func (r *Report) Passed() bool {
 	for _, n := range r.Nodes {
-		if n.Wrong != "" {
+		if n.Failure != "" {
 			return false
 		}
 	}
@@ -121,28 +121,28 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tworth\tasked\tin time\tlate\trefused\tfailed\tp50 ms\tp90\tp99\tp99.9\tmax\tattempts\t")
 	for _, c := range r.Classes {
-		fmt.Fprintf(t, "%s\t%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t\n", c.Class, c.Worth, c.Asked, c.Served,
-			c.Late, c.Refused, c.Failed, c.P50, c.P90, c.P99, c.P999, c.Max, c.Attempts)
+		fmt.Fprintf(t, "%s\t%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t\n", c.Class, c.Worth, c.Requests, c.Served,
+			c.Late, c.Refused, c.Failed, c.P50, c.P90, c.P99, c.P999, c.Max, c.AttemptsPerTry)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "\nweighted service    %.4f\n", r.Service)
-	fmt.Fprintf(w, "attempts a request  %.3f, at most %d\n", r.Attempts, r.MostTries)
+	fmt.Fprintf(w, "\nweighted service    %.4f\n", r.ServedWorth)
+	fmt.Fprintf(w, "attempts a request  %.3f, at most %d\n", r.AttemptsPerRequest, r.MaxAttempts)
 	peak := 0.0
 	for _, n := range r.Nodes {
 		peak = max(peak, n.PeakMB)
 	}
-	fmt.Fprintf(w, "nodes               %.0f us of CPU a request, %.2f cores in all, %.1f MB at the peak of one\n", r.CPU, r.Cores, peak)
+	fmt.Fprintf(w, "nodes               %.0f us of CPU a request, %.2f cores in all, %.1f MB at the peak of one\n", r.CPUMicrosPerRequest, r.Cores, peak)
 	fmt.Fprintf(w, "connections         %d from callers; discovery answered %d calls\n", r.Connections, r.ListCalls)
 	if i := r.Idle; i != nil {
-		fmt.Fprintf(w, "idle connections    %d, %.0f resident bytes each (%.1f to %.1f MB); %.4f cores when all is quiet\n", i.Held, i.Bytes,
+		fmt.Fprintf(w, "idle connections    %d, %.0f resident bytes each (%.1f to %.1f MB); %.4f cores when all is quiet\n", i.Held, i.BytesPerConn,
 			i.BeforeMB, i.AfterMB, i.QuietCores)
-		if i.Asked > 0 {
-			fmt.Fprintf(w, "                    they asked %d times: %d served, %d lost; %d are still held\n", i.Asked, i.Served, i.Lost, i.Still)
+		if i.Requests > 0 {
+			fmt.Fprintf(w, "                    they asked %d times: %d served, %d lost; %d are still held\n", i.Requests, i.Served, i.Lost, i.HeldAtEnd)
 		}
 	}
 	for _, n := range r.Nodes {
-		if n.Wrong != "" {
-			fmt.Fprintf(w, "node %s\n", n.Wrong)
+		if n.Failure != "" {
+			fmt.Fprintf(w, "node %s\n", n.Failure)
 		}
 	}
 	if len(r.Breaches) == 0 {
@@ -151,7 +151,7 @@
 		fmt.Fprintf(w, "judge               %d BREACHES", len(r.Breaches))
 	}
 	if r.Excused > 0 {
-		fmt.Fprintf(w, " (%d time limits missed by no more than this machine's own delay, %.0f ms at worst)", r.Excused, r.WorstLag)
+		fmt.Fprintf(w, " (%d time limits missed by no more than this machine's own delay, %.0f ms at worst)", r.Excused, r.MaxMachineDelay)
 	}
 	fmt.Fprintln(w)
 	for i, b := range r.Breaches {
--- a/internal/rig/lab/room_test.go
+++ b/internal/rig/lab/room_test.go
@@ -12,12 +12,12 @@
 func atOnce(t *testing.T, callers int, took time.Duration) *Report {
 	t.Helper()
 	o := options()
-	o.Nodes, o.Plan.Boxes, o.Plan.Cores, o.Plan.Speeds = 1, 8, 16, []float64{1}
-	o.Plan.Slots, o.Plan.Queue, o.Plan.MostConn, o.Sockets = 64, 64, 1000, 4096
+	o.Nodes, o.Plan.Servers, o.Plan.Cores, o.Plan.Speeds = 1, 8, 16, []float64{1}
+	o.Plan.Slots, o.Plan.Queue, o.Plan.MaxConns, o.Sockets = 64, 64, 1000, 4096
 	for i := range o.Plan.Classes {
 		o.Plan.Classes[i].Work, o.Plan.Classes[i].Spread = took, 0
 	}
-	o.Traffic = standin.Traffic{AtOnce: callers, For: 3 * time.Second, Backoff: 50 * time.Millisecond}
+	o.Traffic = standin.Traffic{Concurrency: callers, Duration: 3 * time.Second, Backoff: 50 * time.Millisecond}
 	return run(t, o)
 }
 
--- a/internal/rig/lab/sidecars.go
+++ b/internal/rig/lab/sidecars.go
@@ -24,20 +24,20 @@
 	p := &l.Fleet.Plan
 	var b strings.Builder
 	words := func(all []string) string { return `["` + strings.Join(all, `", "`) + `"]` }
-	effects := map[judge.Effect]string{judge.Safe: "repeatable", judge.Keyed: "keyed", judge.Unsafe: "once"}
-	groups := map[judge.Group]string{judge.All: "all", judge.Site: "site", judge.Rack: "rack"}
+	effects := map[judge.Idempotency]string{judge.Idempotent: "repeatable", judge.Keyed: "keyed", judge.AtMostOnce: "once"}
+	groups := map[judge.Group]string{judge.GroupAll: "all", judge.GroupSite: "site", judge.GroupRack: "rack"}
 	// The lab's ports are those that were free, which ephemeral ones are.
 	fmt.Fprintf(&b, "schema = 1\nname = \"lab\"\nsites = %s\nephemeral_from = 65535\nephemeral_to = 65535\n", words(p.Sites))
 	fmt.Fprintf(&b, "[sidecar]\nmemory_mb = %d\ndescriptors = %d\n", max(32, l.options.MemoryMB), max(64, l.options.Sockets))
-	fmt.Fprintf(&b, "[limits]\nretry_after = %q\nsecond_copies = %v\nbudgets = %v\n", l.options.Advice, l.options.Copies,
-		l.options.Budgets)
-	fmt.Fprintf(&b, "[cold]\nfrom = %v\nfor = %q\nfall_multiple = %v\nfall_for = %q\n", p.ColdFrom, p.ColdFor, p.FallMultiple, p.FallFor)
+	fmt.Fprintf(&b, "[limits]\nretry_after = %q\nsecond_copies = %v\nbudgets = %v\n", l.options.MaxRetryAfter, l.options.AllowHedging,
+		l.options.ShareBudgets)
+	fmt.Fprintf(&b, "[cold]\nfrom = %v\nfor = %q\nfall_multiple = %v\nfall_for = %q\n", p.ColdCapacity, p.WarmupTime, p.CollapseMultiple, p.CollapseWindow)
 	var classes []string
 	for _, c := range p.Classes {
 		classes = append(classes, c.Name)
-		fmt.Fprintf(&b, "[[class]]\nname = %q\naim = %q\ndeadline = %q\nworth = %v\neffect = %q\n", c.Name, c.Aim, c.Deadline, c.Worth, effects[c.Effect])
-		if c.Effect == judge.Keyed {
-			fmt.Fprintf(&b, "group = %q\nwindow = %q\n", groups[c.Group], c.Window)
+		fmt.Fprintf(&b, "[[class]]\nname = %q\naim = %q\ndeadline = %q\nworth = %v\neffect = %q\n", c.Name, c.LatencyTarget, c.Deadline, c.Worth, effects[c.Idempotency])
+		if c.Idempotency == judge.Keyed {
+			fmt.Fprintf(&b, "group = %q\nwindow = %q\n", groups[c.Group], c.KeyTTL)
 		}
 	}
 	for _, s := range p.Sites {
@@ -107,7 +107,7 @@
 
 // Roll writes the sidecars' configurations with other routes, and makes them read
 // these one after another, each once the one before has taken them.
-func (l *Lab) Roll(ctx context.Context, routes string) error {
+func (l *Lab) RollOutRoutes(ctx context.Context, routes string) error {
 	if !l.options.Sidecars {
 		return errors.New("only sidecars are rolled")
 	}
--- a/internal/rig/lab/sidecars_test.go
+++ b/internal/rig/lab/sidecars_test.go
@@ -27,7 +27,7 @@
 		n = 40
 	}
 	o := sidecarOptions(n)
-	o.Traffic.For = time.Minute // it ends with the last reload
+	o.Traffic.Duration = time.Minute // it ends with the last reload
 	l, err := Open(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -41,12 +41,12 @@
 	running.Go(func() { report, runErr = l.Run(ctx, nil) })
 	for i := range 4 {
 		timeout := time.Duration(300+100*i) * time.Millisecond
-		if err := l.Roll(ctx, fmt.Sprintf("[[route]]\nclass = \"zustand\"\nattempt_timeout = %q\nattempts = 2\n", timeout)); err != nil {
+		if err := l.RollOutRoutes(ctx, fmt.Sprintf("[[route]]\nclass = \"zustand\"\nattempt_timeout = %q\nattempts = 2\n", timeout)); err != nil {
 			t.Fatal(err)
 		}
-		l.Fleet.Longest(1)
+		l.Fleet.MaxAttemptTimeout(1)
 		waitUntil(t, "the new bounds show", func() bool {
-			longest, n := l.Fleet.Longest(1)
+			longest, n := l.Fleet.MaxAttemptTimeout(1)
 			return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 		})
 	}
@@ -62,7 +62,7 @@
 		}
 	}
 	// A set that no sidecar would take is not written, and nobody is told.
-	if err := l.Roll(context.Background(), "[[route]]\nclass = \"zustand\"\nattempts = 9\n"); err == nil {
+	if err := l.RollOutRoutes(context.Background(), "[[route]]\nclass = \"zustand\"\nattempts = 9\n"); err == nil {
 		t.Error("a bad set was rolled out")
 	}
 }
@@ -81,7 +81,7 @@
 	}
 	r := run(t, o)
 	for _, c := range r.Classes {
-		if c.Served != c.Asked {
+		if c.Served != c.Requests {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -105,12 +105,12 @@
 		for _, sidecars := range []bool{false, true} {
 			for seed := range uint64(2) {
 				o := options()
-				o.Plan.Seed, o.Plan.Boxes = seed+1, 8
+				o.Plan.Seed, o.Plan.Servers = seed+1, 8
 				o.Nodes, o.MemoryMB, o.Sockets = 3, 192, 1024
 				if sidecars {
 					o.Nodes, o.Sidecars, o.MemoryMB, o.Sockets = 40, true, 32, 256
 				}
-				o.Traffic.Rate, o.Traffic.For = o.Plan.Capacity()*load, 8*time.Second
+				o.Traffic.Rate, o.Traffic.Duration = o.Plan.Capacity()*load, 8*time.Second
 				l, err := Open(context.Background(), o)
 				if err != nil {
 					t.Fatal(err)
@@ -126,7 +126,7 @@
 				conns, busy := 0, int64(0)
 				r, err := l.Run(context.Background(), func(Progress) {
 					n, m := 0, int64(0)
-					for _, b := range l.Fleet.Boxes {
+					for _, b := range l.Fleet.Servers {
 						n += b.State().Conns
 					}
 					for _, pid := range pids {
@@ -143,8 +143,8 @@
 				if sidecars {
 					name = "40 sidecars"
 				}
-				t.Logf("| %.1f | %s | %d | %.4f | %.2f | %.1f | %.1f MB | %.1f MB | %.0f us |", load, name, seed+1, r.Service, r.Attempts,
-					float64(conns)/float64(len(l.Fleet.Boxes)), float64(idle)/(1<<20), float64(busy)/(1<<20), r.CPU)
+				t.Logf("| %.1f | %s | %d | %.4f | %.2f | %.1f | %.1f MB | %.1f MB | %.0f us |", load, name, seed+1, r.ServedWorth, r.AttemptsPerRequest,
+					float64(conns)/float64(len(l.Fleet.Servers)), float64(idle)/(1<<20), float64(busy)/(1<<20), r.CPUMicrosPerRequest)
 			}
 		}
 	}
@@ -154,8 +154,8 @@
 // refusals for the rest, within the memory that the sidecar is told of.
 func TestFloodedSidecar(t *testing.T) {
 	o := sidecarOptions(1)
-	o.Plan.Boxes = 8
-	o.Traffic.AtOnce, o.Traffic.Retries = 500, 0
+	o.Plan.Servers = 8
+	o.Traffic.Concurrency, o.Traffic.Retries = 500, 0
 	r := run(t, o)
 	served, refused := 0, 0
 	for _, c := range r.Classes {
@@ -175,8 +175,8 @@
 		n = 40
 	}
 	o := sidecarOptions(n)
-	o.Plan.Boxes = 8
-	o.Traffic.Rate, o.Traffic.For = o.Plan.Capacity()*0.4, 6*time.Second
+	o.Plan.Servers = 8
+	o.Traffic.Rate, o.Traffic.Duration = o.Plan.Capacity()*0.4, 6*time.Second
 	for _, text := range []string{"crash:box=1,at=1s,for=1s", "drain:box=2,at=1500ms,for=1s", "crash:box=3,at=2s,for=800ms"} {
 		f, err := standin.ParseFault(text)
 		if err != nil {
@@ -185,14 +185,14 @@
 		o.Faults = append(o.Faults, f)
 	}
 	r := run(t, o) // which checks the rules
-	for _, b := range r.Boxes {
+	for _, b := range r.Servers {
 		if b.Fallen {
 			t.Errorf("box %s was pushed over", b.ID)
 		}
 	}
-	t.Logf("%d sidecars: weighted service %.4f, %.3f attempts a request", n, r.Service, r.Attempts)
+	t.Logf("%d sidecars: weighted service %.4f, %.3f attempts a request", n, r.ServedWorth, r.AttemptsPerRequest)
 	// On a machine that is late itself, what is served in time is the machine's; the rules hold all the same.
-	if r.Service < 0.95 && r.WorstLag < 50 {
-		t.Errorf("weighted service %.4f, the machine late by %.0f ms at worst", r.Service, r.WorstLag)
+	if r.ServedWorth < 0.95 && r.MaxMachineDelay < 50 {
+		t.Errorf("weighted service %.4f, the machine late by %.0f ms at worst", r.ServedWorth, r.MaxMachineDelay)
 	}
 }
--- a/internal/rig/lab/zone_test.go
+++ b/internal/rig/lab/zone_test.go
@@ -31,16 +31,16 @@
 func (z zoneLoss) play(t *testing.T) {
 	t.Helper()
 	o := options()
-	o.Nodes, o.Plan.Boxes = z.nodes, z.boxes
+	o.Nodes, o.Plan.Servers = z.nodes, z.boxes
 	o.Plan.Registry = registry.Settings{} // until all are ready
-	o.Plan.LossNotice, o.Plan.Notice, o.Plan.PublishEvery = z.noticed, zoneReturned, z.publishEvery
-	o.Traffic.Rate, o.Traffic.For = nodeRate*float64(z.nodes), zoneLostAt+zoneLostFor+z.noticed+8*time.Second
+	o.Plan.CrashPublishDelay, o.Plan.PublishDelay, o.Plan.PublishEvery = z.noticed, zoneReturned, z.publishEvery
+	o.Traffic.Rate, o.Traffic.Duration = nodeRate*float64(z.nodes), zoneLostAt+zoneLostFor+z.noticed+8*time.Second
 	lost := o.Plan.Sites[0]
-	o.Faults = append(o.Faults, standin.Fault{Kind: "crash", Site: lost, At: zoneLostAt, For: zoneLostFor})
+	o.Faults = append(o.Faults, standin.Fault{Kind: "crash", Site: lost, At: zoneLostAt, Duration: zoneLostFor})
 	for i := 0; i < z.nodes; i += len(o.Plan.Sites) { // the nodes of that site
-		o.Faults = append(o.Faults, standin.Fault{Kind: "kill", Node: fmt.Sprint(i), At: zoneLostAt, For: zoneLostFor})
+		o.Faults = append(o.Faults, standin.Fault{Kind: "kill", Node: fmt.Sprint(i), At: zoneLostAt, Duration: zoneLostFor})
 	}
-	capacity := registry.Settings{LinesPerSecond: z.lines, CallLines: callLines, QueueTimeout: 2 * time.Second, Overbook: 2}
+	capacity := registry.Settings{LinesPerSecond: z.lines, LinesPerCall: callLines, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
 	_, r, _ := runLimited(t, o, capacity)
 	if part := service(r); part < leastServed {
 		t.Errorf("%.3f served, want %.2f", part, leastServed)
--- a/internal/rig/leases/cost.go
+++ b/internal/rig/leases/cost.go
@@ -17,7 +17,7 @@
 func (p *peer) count(m *leaselog.Message) {
 	text, err := leaselog.AppendMessage(nil, m)
 	if err != nil {
-		p.s.Wrong = append(p.s.Wrong, fmt.Sprintf("%s sends what has no form: %v", p.name, err))
+		p.s.Violations = append(p.s.Violations, fmt.Sprintf("%s sends what has no form: %v", p.name, err))
 		return
 	}
 	p.sent.Messages++
@@ -41,12 +41,12 @@
 		measure = 10 * time.Second
 	)
 	s := New(seed, nodes, voters)
-	s.Wants = each
+	s.OwnLeases = each
 	s.run(settle)
 	seats, leader := s.voters()
 	cost := Cost{Nodes: nodes, Leases: nodes * each}
-	if leader == nil || len(s.Wrong) > 0 {
-		return cost, fmt.Errorf("%d nodes with %d voters: no leader after %v, %v", nodes, voters, settle, s.Wrong)
+	if leader == nil || len(s.Violations) > 0 {
+		return cost, fmt.Errorf("%d nodes with %d voters: no leader after %v, %v", nodes, voters, settle, s.Violations)
 	}
 	if st := leader.council.Status(); st.Leases != cost.Leases {
 		return cost, fmt.Errorf("%d nodes: %d of %d leases are held after %v", nodes, st.Leases, cost.Leases, settle)
--- a/internal/rig/leases/faults.go
+++ b/internal/rig/leases/faults.go
@@ -124,25 +124,25 @@
 
 // check goes through the resource's history.
 func (s *Sim) check() {
-	slices.SortStableFunc(s.Acts, func(a, b Act) int { return int(a.from - b.from) })
-	last := Act{}
+	slices.SortStableFunc(s.Accesses, func(a, b Access) int { return int(a.from - b.from) })
+	last := Access{}
 	highest := uint64(0)
-	for _, a := range s.Acts {
+	for _, a := range s.Accesses {
 		if a.from < last.to && a.token != last.token {
-			s.Wrong = append(s.Wrong, fmt.Sprintf("%v: %s acts under token %d while %s acts under %d until %v", a.from, a.who, a.token, last.who, last.token, last.to))
+			s.Violations = append(s.Violations, fmt.Sprintf("%v: %s acts under token %d while %s acts under %d until %v", a.from, a.who, a.token, last.who, last.token, last.to))
 		}
 		if a.token < highest {
-			s.Wrong = append(s.Wrong, fmt.Sprintf("%v: %s comes with token %d after %d", a.from, a.who, a.token, highest))
+			s.Violations = append(s.Violations, fmt.Sprintf("%v: %s comes with token %d after %d", a.from, a.who, a.token, highest))
 		}
 		highest = max(highest, a.token)
 		if a.to > last.to || a.token != last.token {
 			last = a
 		}
 	}
-	for i, a := range s.Acts { // one token is one life's
-		for _, b := range s.Acts[max(0, i-200):i] {
+	for i, a := range s.Accesses { // one token is one life's
+		for _, b := range s.Accesses[max(0, i-200):i] {
 			if a.token == b.token && a.who != b.who {
-				s.Wrong = append(s.Wrong, fmt.Sprintf("token %d is both %s's and %s's", a.token, b.who, a.who))
+				s.Violations = append(s.Violations, fmt.Sprintf("token %d is both %s's and %s's", a.token, b.who, a.who))
 				return
 			}
 		}
@@ -151,10 +151,10 @@
 
 // whole tells whether each seat has its number at its node, and all of it: one of their disks may be lost then.
 func (s *Sim) whole(voters int) bool {
-	before := len(s.Wrong)
+	before := len(s.Violations)
 	s.settled(voters)
-	wrong := len(s.Wrong) > before
-	s.Wrong = s.Wrong[:before]
+	wrong := len(s.Violations) > before
+	s.Violations = s.Violations[:before]
 	_, leader := s.voters()
 	if wrong || leader == nil {
 		return false
@@ -172,7 +172,7 @@
 func (s *Sim) settled(voters int) {
 	all, leader := s.voters()
 	if leader == nil || len(all) != voters {
-		s.Wrong = append(s.Wrong, fmt.Sprintf("%d voters at the end, of %d, leader %v", len(all), voters, leader != nil))
+		s.Violations = append(s.Violations, fmt.Sprintf("%d voters at the end, of %d, leader %v", len(all), voters, leader != nil))
 		return
 	}
 	seats := leader.council.Status().Seats
@@ -184,7 +184,7 @@
 			}
 		}
 		if id != 0 && st.ID != id || id == 0 && st.ID != 0 && st.Seats.Index < seats.Index {
-			s.Wrong = append(s.Wrong, fmt.Sprintf("%s has number %x, and its seat's is %x", p.name, st.ID, id))
+			s.Violations = append(s.Violations, fmt.Sprintf("%s has number %x, and its seat's is %x", p.name, st.ID, id))
 		}
 	}
 }
@@ -219,14 +219,14 @@
 			p.start()
 		}
 	}
-	before := len(s.Acts)
+	before := len(s.Accesses)
 	s.run(s.now + 15*time.Second)
 	s.check()
 	s.settled(voters)
-	if len(s.Wrong) > 0 {
-		return s, s.Wrong[0]
+	if len(s.Violations) > 0 {
+		return s, s.Violations[0]
 	}
-	if len(s.Acts) == before {
+	if len(s.Accesses) == before {
 		return s, "nobody holds 15 s after all was well"
 	}
 	return s, ""
--- a/internal/rig/leases/leases_test.go
+++ b/internal/rig/leases/leases_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("schedule %d: %s", seed, wrong)
 			break
 		}
-		acts, grants, numbers = acts+len(s.Acts), grants+s.Grants, numbers+len(s.numbers)
+		acts, grants, numbers = acts+len(s.Accesses), grants+s.Grants, numbers+len(s.numbers)
 	}
 	t.Logf("%d schedules: %d acts under %d grants, %d numbers voted", played, acts, grants, numbers)
 	if grants < int(n)*5 || numbers < int(n)*4 {
@@ -34,8 +34,8 @@
 // What the search can't see, as it has no voters: one that answers before its disk has it votes twice after a crash.
 func TestLeaseSchedulesFind(t *testing.T) {
 	for name, edit := range map[string]func(*Sim){
-		"the disk before the answer": func(s *Sim) { s.Early = true },
-		"tenants stop in time":       func(s *Sim) { s.Rash = true },
+		"the disk before the answer": func(s *Sim) { s.SendBeforeSync = true },
+		"tenants stop in time":       func(s *Sim) { s.ActAfterExpiry = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -66,11 +66,11 @@
 		nodes = 300
 	}
 	s := New(1, nodes, 3)
-	s.Wants = each
+	s.OwnLeases = each
 	s.run(20 * time.Second)
 	_, leader := s.voters()
-	if leader == nil || len(s.Wrong) > 0 {
-		t.Fatalf("%v", s.Wrong)
+	if leader == nil || len(s.Violations) > 0 {
+		t.Fatalf("%v", s.Violations)
 	}
 	st := leader.council.Status()
 	t.Logf("%d leases of %v, %d grants, %d entries in the log, %d saves at the leader", st.Leases, simTTL, s.Grants, st.Applied, leader.syncs)
--- a/internal/rig/leases/sim.go
+++ b/internal/rig/leases/sim.go
@@ -14,28 +14,28 @@
 // Sim plays nodes with disks and clocks of their own, some of them voters, tenants on them that all want one lease, a network
 // that loses, doubles, holds up and cuts, and a resource that keeps its own history and hears nobody's opinion.
 type Sim struct {
-	rng     *rand.Rand
-	now     time.Duration
-	events  timeline.Events
-	terms   lease.Timing
-	peers   []*peer
-	byName  map[string]*peer
-	Acts    []Act
-	Grants  int
-	numbers map[uint64]bool // that ever voted
-	loss    float64
-	twice   float64
-	late    time.Duration
-	cut     func(from, to *peer) bool
-	slow    time.Duration // a sync takes up to so long
-	Wrong   []string
-	Wants   int  // each node holds so many leases of its own for good, in the place of all contending for one; 0: they contend
-	Early   bool // what a voter sends does not wait for its disk: a defence taken out
-	Rash    bool // tenants act on after the end of their lease: another one
+	rng            *rand.Rand
+	now            time.Duration
+	events         timeline.Events
+	terms          lease.Timing
+	peers          []*peer
+	byName         map[string]*peer
+	Accesses       []Access
+	Grants         int
+	numbers        map[uint64]bool // that ever voted
+	loss           float64
+	twice          float64
+	late           time.Duration
+	cut            func(from, to *peer) bool
+	slow           time.Duration // a sync takes up to so long
+	Violations     []string
+	OwnLeases      int  // each node holds so many leases of its own for good, in the place of all contending for one; 0: they contend
+	SendBeforeSync bool // what a voter sends does not wait for its disk: a defence taken out
+	ActAfterExpiry bool // tenants act on after the end of their lease: another one
 }
 
 // Act is one act at the resource, in true time.
-type Act struct {
+type Access struct {
 	from, to time.Duration
 	token    uint64
 	who      string
@@ -180,7 +180,7 @@
 			p.syncs++
 		}
 		wait := time.Millisecond + time.Duration(p.s.rng.Int64N(int64(p.s.slow)+1))
-		if p.s.Early {
+		if p.s.SendBeforeSync {
 			p.s.after(wait+200*time.Millisecond, func() { p.on(life, put) })
 			c.Saved(p.clock())
 		} else {
@@ -247,10 +247,10 @@
 		p.council.SetMembers(p.clock(), s.view())
 		if err := p.council.FoundLog(p.clock(), nil, voters, 0, func(_ leaselog.VoterSet, err error) {
 			if err != nil {
-				s.Wrong = append(s.Wrong, "founding: "+err.Error())
+				s.Violations = append(s.Violations, "founding: "+err.Error())
 			}
 		}); err != nil {
-			s.Wrong = append(s.Wrong, "founding: "+err.Error())
+			s.Violations = append(s.Violations, "founding: "+err.Error())
 		}
 		p.carry()
 	})
--- a/internal/rig/leases/tenant.go
+++ b/internal/rig/leases/tenant.go
@@ -19,15 +19,15 @@
 // act has the tenants of a node act, and the node begin anew with one where there is none.
 func (p *peer) act() {
 	now := p.clock()
-	if len(p.tenants) < max(1, p.s.Wants) && p.s.rng.IntN(10) == 0 {
+	if len(p.tenants) < max(1, p.s.OwnLeases) && p.s.rng.IntN(10) == 0 {
 		name, until := "l", now+time.Duration(5+p.s.rng.IntN(20))*time.Second
-		if p.s.Wants > 0 {
+		if p.s.OwnLeases > 0 {
 			name, until = fmt.Sprint(p.name, "/", len(p.tenants)), now+time.Hour
 		}
 		h := lease.Holder{Name: p.name, Incarnation: uint64(p.life), Life: p.s.rng.Uint64() | 1}
 		t, err := lease.NewClient(p.s.terms, name, h, simTTL, now)
 		if err != nil {
-			p.s.Wrong = append(p.s.Wrong, err.Error())
+			p.s.Violations = append(p.s.Violations, err.Error())
 			return
 		}
 		p.tenants[h.Life] = &tenant{t: t, until: until, hand: p.s.rng.IntN(3) == 0}
@@ -44,12 +44,12 @@
 func (p *peer) turn(x *tenant, now time.Duration) {
 	act := time.Duration(20+p.s.rng.IntN(200)) * time.Millisecond
 	token, ok := x.t.BeginAct(now, act)
-	if p.s.Rash && x.held != 0 {
+	if p.s.ActAfterExpiry && x.held != 0 {
 		token, ok = x.held, true
 	}
 	if ok {
 		took := time.Duration(p.s.rng.Float64() * float64(act) / p.skew)
-		p.s.Acts = append(p.s.Acts, Act{p.s.now, p.s.now + took, token, fmt.Sprint(p.name, "/", p.life, "/", x.t.Holder().Life%1000)})
+		p.s.Accesses = append(p.s.Accesses, Access{p.s.now, p.s.now + took, token, fmt.Sprint(p.name, "/", p.life, "/", x.t.Holder().Life%1000)})
 	}
 	if ph := x.t.Phase(); now > x.until && ph != lease.Stopping && ph != lease.Releasing {
 		var to lease.Holder
@@ -66,7 +66,7 @@
 		if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
 			p.s.Grants++
 			x.held = e.Token
-			if p.s.Wants == 0 {
+			if p.s.OwnLeases == 0 {
 				x.until = now + time.Duration(1+p.s.rng.IntN(6))*time.Second
 			}
 		}
--- a/internal/rig/members/compare_test.go
+++ b/internal/rig/members/compare_test.go
@@ -17,13 +17,13 @@
 func arms() []arm {
 	return []arm{
 		{"this", func(nodes int, seed uint64) *Net {
-			n := New(Config{Seed: seed, Nodes: nodes, Sites: 4, Seeds: 3, Weigh: nodes <= 100, Shared: true})
+			n := New(Config{Seed: seed, Nodes: nodes, Sites: 4, SeedCount: 3, CountBytes: nodes <= 100, ShareViews: true})
 			n.StartAll()
-			n.Until(60*time.Second, func() bool { return n.Agreed(n.Living()...) })
+			n.RunUntil(60*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) })
 			return n
 		}},
 		{"plain SWIM", func(nodes int, seed uint64) *Net {
-			n := New(Config{Seed: seed, Nodes: nodes, Sites: 4, Weigh: true, Make: func(n *Net, i, _ int) Core { return NewSwim(n, i) }})
+			n := New(Config{Seed: seed, Nodes: nodes, Sites: 4, CountBytes: true, NewCore: func(n *Net, i, _ int) Core { return NewSwim(n, i) }})
 			n.StartAll()
 			n.Run(n.Now + 5*time.Second)
 			return n
@@ -33,8 +33,8 @@
 
 // sees counts the living nodes that hold another to be alive.
 func sees(n *Net, name string) (all int) {
-	for _, i := range n.Living() {
-		if names, _ := n.Nodes[i].Core.Believes(); names[name] && n.Nodes[i].Name != name {
+	for _, i := range n.RunningNodes() {
+		if names, _ := n.Nodes[i].Core.LiveMembers(); names[name] && n.Nodes[i].Name != name {
 			all++
 		}
 	}
@@ -50,12 +50,12 @@
 	}
 	for end := n.Now + lasts; n.Now < end; {
 		n.Run(n.Now + time.Second)
-		for _, i := range n.Living() {
+		for _, i := range n.RunningNodes() {
 			if i == sick {
 				continue
 			}
-			names, _ := n.Nodes[i].Core.Believes()
-			for _, j := range n.Living() {
+			names, _ := n.Nodes[i].Core.LiveMembers()
+			for _, j := range n.RunningNodes() {
 				if j != sick && i != j && len(names) > 0 && !names[n.Nodes[j].Name] && n.usable(n.Nodes[i]) && n.usable(n.Nodes[j]) {
 					pairs++
 				}
@@ -101,7 +101,7 @@
 			sum -= from
 			at := n.Now
 			n.Kill(7)
-			n.Until(time.Minute, func() bool { return sees(n, n.Nodes[7].Name) == 0 })
+			n.RunUntil(time.Minute, func() bool { return sees(n, n.Nodes[7].Name) == 0 })
 			took = append(took, n.Now-at)
 		}
 		bytes = sum / nodes / 10 / int(seeds)
@@ -124,11 +124,11 @@
 			pairs, changes := 0, 0
 			for seed := range seeds {
 				n := a.start(nodes, seed+1)
-				n.Links(x.link)
+				n.SetLinks(x.link)
 				if x.stop {
 					for k := range time.Duration(6) {
-						n.At(n.Now+k*10*time.Second, func() { n.Stop(3) })
-						n.At(n.Now+k*10*time.Second+3*time.Second, func() { n.Cont(3) })
+						n.At(n.Now+k*10*time.Second, func() { n.Pause(3) })
+						n.At(n.Now+k*10*time.Second+3*time.Second, func() { n.Resume(3) })
 					}
 				}
 				p, c := wrong(n, time.Minute, x.sick)
@@ -156,15 +156,15 @@
 	}
 	var took []time.Duration
 	for seed := range uint64(5) {
-		n := New(Config{Seed: seed + 1, Nodes: 1000, Sites: 4, Seeds: 3, Shared: true})
+		n := New(Config{Seed: seed + 1, Nodes: 1000, Sites: 4, SeedCount: 3, ShareViews: true})
 		n.StartAll()
-		if !n.Until(60*time.Second, func() bool { return n.Agreed(n.Living()...) }) {
+		if !n.RunUntil(60*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 			t.Fatalf("seed %d: no agreement", n.Seed)
 		}
 		for _, dead := range []int{7, 500, 801} {
 			at := n.Now
 			n.Kill(dead)
-			if !n.Until(30*time.Second, func() bool { return n.Agreed(n.Living()...) }) {
+			if !n.RunUntil(30*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 				t.Errorf("seed %d: no agreement without %d", n.Seed, dead)
 			}
 			took = append(took, n.Now-at)
@@ -176,16 +176,16 @@
 					n.Kill(i)
 				}
 			}
-			ok := n.Until(30*time.Second, func() bool { return n.Agreed(n.Living()...) })
+			ok := n.RunUntil(30*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) })
 			t.Logf("40%% of 1,000 killed at once: out of all views %v after %v, %d views", ok, n.Now-at, views(n)-before)
 		}
 	}
 	mid, worst := median(took)
 	t.Logf("1,000 nodes, a crash told to all, 15 of them: median %v, worst %v", mid, worst)
 	for _, nodes := range []int{10, 100, 1000} {
-		n := New(Config{Seed: 1, Nodes: nodes, Sites: 4, Seeds: 3, Shared: true, Weigh: nodes <= 1000})
+		n := New(Config{Seed: 1, Nodes: nodes, Sites: 4, SeedCount: 3, ShareViews: true, CountBytes: nodes <= 1000})
 		n.StartAll()
-		if !n.Until(90*time.Second, func() bool { return n.Agreed(n.Living()...) }) {
+		if !n.RunUntil(90*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 			t.Errorf("%d nodes: no agreement after %v", nodes, n.Now)
 		}
 		ready := n.Now
@@ -201,7 +201,7 @@
 		}
 		at := n.Now
 		n.Kill(nodes / 2)
-		ok := n.Until(30*time.Second, func() bool { return n.Agreed(n.Living()...) })
+		ok := n.RunUntil(30*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) })
 		t.Logf("%s", fmt.Sprintf("| %d | %.1f s | %d | %.1f | %.3f%% | %v, %.1f s |", nodes, (ready-time.Second).Seconds(), -from/nodes/5, float64(-sent)/float64(nodes)/5,
 			100*wall.Seconds()/5/float64(nodes), ok, (n.Now-at).Seconds()))
 	}
--- a/internal/rig/members/faults_test.go
+++ b/internal/rig/members/faults_test.go
@@ -12,15 +12,15 @@
 // fleet starts nodes and waits until they agree.
 func fleet(t *testing.T, c Config) *Net {
 	t.Helper()
-	if c.Seeds == 0 {
-		c.Seeds = min(3, c.Nodes)
+	if c.SeedCount == 0 {
+		c.SeedCount = min(3, c.Nodes)
 	}
 	if c.Sites == 0 {
 		c.Sites = 4
 	}
 	n := New(c)
 	n.StartAll()
-	if !n.Until(60*time.Second, func() bool { return n.Agreed(n.Living()...) }) {
+	if !n.RunUntil(60*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 		t.Fatalf("%d nodes, seed %d: no agreement after a minute", c.Nodes, c.Seed)
 	}
 	return n
@@ -30,9 +30,9 @@
 func heal(t *testing.T, n *Net, most time.Duration) time.Duration {
 	t.Helper()
 	at := n.Now
-	if !n.Until(most, func() bool { return n.Agreed(n.Living()...) }) {
+	if !n.RunUntil(most, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 		in := map[string]int{}
-		for _, i := range n.Living() {
+		for _, i := range n.RunningNodes() {
 			if v := n.View(i); v == nil {
 				in["no view"]++
 			} else {
@@ -40,7 +40,7 @@
 			}
 		}
 		t.Log(in)
-		t.Errorf("seed %d: %d nodes don't agree %v later", n.Seed, len(n.Living()), most)
+		t.Errorf("seed %d: %d nodes don't agree %v later", n.Seed, len(n.RunningNodes()), most)
 	}
 	return n.Now - at
 }
@@ -86,49 +86,49 @@
 		lasts  time.Duration
 	}{
 		{"30% of everything is lost for two minutes", []int{5, 9, 50}, 0, 0, time.Second,
-			func(n *Net) { n.Links(func(*Node, *Node) Link { return Link{Loss: 0.3} }) }, nil, 2 * time.Minute},
+			func(n *Net) { n.SetLinks(func(*Node, *Node) Link { return Link{Loss: 0.3} }) }, nil, 2 * time.Minute},
 		{"a pause of 3 s", []int{5, 9, 50}, 0, 0, time.Second,
-			func(n *Net) { n.Stop(1) }, func(n *Net) { n.Cont(1) }, 3 * time.Second},
+			func(n *Net) { n.Pause(1) }, func(n *Net) { n.Resume(1) }, 3 * time.Second},
 		{"pauses of 3 s at a third of the nodes, one after another", []int{9, 50}, 0, 0, time.Second,
 			func(n *Net) {
 				for i := range n.Nodes {
 					if i%3 == 0 {
 						at := n.Now + time.Duration(i)*200*time.Millisecond
-						n.At(at, func() { n.Stop(i) })
-						n.At(at+3*time.Second, func() { n.Cont(i) })
+						n.At(at, func() { n.Pause(i) })
+						n.At(at+3*time.Second, func() { n.Resume(i) })
 					}
 				}
 			}, nil, 20 * time.Second},
 		{"a pause of 20 s", []int{5, 9, 50}, 1, 2, 12 * time.Second,
-			func(n *Net) { n.Stop(1) }, func(n *Net) { n.Cont(1) }, 20 * time.Second},
+			func(n *Net) { n.Pause(1) }, func(n *Net) { n.Resume(1) }, 20 * time.Second},
 		{"one does not hear one other", []int{5, 9, 50}, 0, 0, time.Second,
 			func(n *Net) {
-				n.Links(func(from, to *Node) Link { return Link{Cut: from.Index == 1 && to.Index == 2} })
+				n.SetLinks(func(from, to *Node) Link { return Link{Cut: from.Index == 1 && to.Index == 2} })
 			}, nil, long},
 		{"one is deaf to all", []int{5, 9, 50}, 1, 2, 12 * time.Second,
-			func(n *Net) { n.Links(func(_, to *Node) Link { return Link{Cut: to.Index == 2} }) }, nil, long},
+			func(n *Net) { n.SetLinks(func(_, to *Node) Link { return Link{Cut: to.Index == 2} }) }, nil, long},
 		{"one is mute to all", []int{5, 9, 50}, 1, 2, 12 * time.Second,
-			func(n *Net) { n.Links(func(from, _ *Node) Link { return Link{Cut: from.Index == 2} }) }, nil, long},
+			func(n *Net) { n.SetLinks(func(from, _ *Node) Link { return Link{Cut: from.Index == 2} }) }, nil, long},
 		{"half of the fleet can't use one", []int{9, 50}, 1, 2, 25 * time.Second,
 			func(n *Net) {
-				n.Links(func(from, to *Node) Link {
+				n.SetLinks(func(from, to *Node) Link {
 					return Link{Cut: from.Index == 2 && to.Index/4%2 == 0 || to.Index == 2 && from.Index/4%2 == 0}
 				})
 			}, nil, 3 * time.Minute},
 		{"a cut between two sites of four", []int{9, 50}, 0, 0, time.Second,
 			func(n *Net) {
 				a, b := site("s0"), site("s1")
-				n.Links(func(from, to *Node) Link { return Link{Cut: a(from) && b(to) || b(from) && a(to)} })
+				n.SetLinks(func(from, to *Node) Link { return Link{Cut: a(from) && b(to) || b(from) && a(to)} })
 			}, nil, long},
 		{"a cut between two sites in one direction", []int{9, 50}, 0, 0, time.Second,
 			func(n *Net) {
 				a, b := site("s0"), site("s1")
-				n.Links(func(from, to *Node) Link { return Link{Cut: a(from) && b(to)} })
+				n.SetLinks(func(from, to *Node) Link { return Link{Cut: a(from) && b(to)} })
 			}, nil, long},
 		{"30% lost between two sites in one direction", []int{9, 50}, 0, 0, time.Second,
 			func(n *Net) {
 				a, b := site("s0"), site("s1")
-				n.Links(func(from, to *Node) Link {
+				n.SetLinks(func(from, to *Node) Link {
 					if a(from) && b(to) {
 						return Link{Loss: 0.3}
 					}
@@ -136,22 +136,22 @@
 				})
 			}, nil, long},
 		{"a split in halves", []int{8, 48}, 0, 0, 3 * time.Second,
-			func(n *Net) { n.Links(cutOff(site("s0", "s1"))) }, nil, 2 * time.Minute},
+			func(n *Net) { n.SetLinks(cutOff(site("s0", "s1"))) }, nil, 2 * time.Minute},
 		{"a split in thirds", []int{9, 51}, 0, 0, 3 * time.Second,
-			func(n *Net) { n.Links(func(from, to *Node) Link { return Link{Cut: from.Index%3 != to.Index%3} }) }, nil, 2 * time.Minute},
+			func(n *Net) { n.SetLinks(func(from, to *Node) Link { return Link{Cut: from.Index%3 != to.Index%3} }) }, nil, 2 * time.Minute},
 		{"halves with a bridge of one node", []int{9, 51}, 0, 0, 3 * time.Second,
 			func(n *Net) {
-				n.Links(func(from, to *Node) Link {
+				n.SetLinks(func(from, to *Node) Link {
 					return Link{Cut: from.Index != 0 && to.Index != 0 && from.Index%2 != to.Index%2}
 				})
 			}, nil, long},
 		{"a site of four cut off", []int{9, 50}, 2, 4, 15 * time.Second,
-			func(n *Net) { n.Links(cutOff(site("s1"))) }, nil, long},
+			func(n *Net) { n.SetLinks(cutOff(site("s1"))) }, nil, long},
 		{"a split that heals while another begins", []int{9, 50}, 8, 16, 20 * time.Second,
 			func(n *Net) {
-				n.Links(cutOff(site("s0", "s1")))
-				n.At(n.Now+20*time.Second, func() { n.Links(cutOff(site("s1", "s2"))) })
-				n.At(n.Now+40*time.Second, func() { n.Links(cutOff(site("s3"))) })
+				n.SetLinks(cutOff(site("s0", "s1")))
+				n.At(n.Now+20*time.Second, func() { n.SetLinks(cutOff(site("s1", "s2"))) })
+				n.At(n.Now+40*time.Second, func() { n.SetLinks(cutOff(site("s3"))) })
 			}, nil, long},
 		{"40% killed at once", []int{5, 10, 50}, 2, 2, time.Second,
 			func(n *Net) {
@@ -170,11 +170,11 @@
 		{"restarted in tenths, with what they kept", []int{10, 50}, 60, 60, 10 * time.Second, func(n *Net) { tenths(n, true) }, nil, 30 * time.Second},
 		{"restarted in tenths, with nothing kept", []int{10, 50}, 60, 60, 10 * time.Second, func(n *Net) { tenths(n, false) }, nil, 30 * time.Second},
 		{"one slowed until its steps take 2 s", []int{9, 50}, 0, 0, 5 * time.Second,
-			func(n *Net) { n.Slow(1, 2*time.Second) }, func(n *Net) { n.Slow(1, 0) }, long},
+			func(n *Net) { n.SetTickDelay(1, 2*time.Second) }, func(n *Net) { n.SetTickDelay(1, 0) }, long},
 		{"messages doubled, late and out of order", []int{9, 50}, 0, 0, time.Second,
 			func(n *Net) {
-				n.Links(func(*Node, *Node) Link {
-					return Link{Twice: 0.3, Delay: time.Duration(n.rng.IntN(400)) * time.Millisecond}
+				n.SetLinks(func(*Node, *Node) Link {
+					return Link{Duplicate: 0.3, Delay: time.Duration(n.rng.IntN(400)) * time.Millisecond}
 				})
 			}, nil, long},
 		{"all killed and started anew, with what they kept", []int{5, 50}, 20, 20, 20 * time.Second,
@@ -197,12 +197,12 @@
 			}
 			for _, nodes := range x.nodes {
 				for seed := range seeds {
-					n := fleet(t, Config{Seed: seed + 1, Nodes: nodes, Wire: true})
+					n := fleet(t, Config{Seed: seed + 1, Nodes: nodes, EncodeMessages: true})
 					before := views(n)
 					x.do(n)
 					n.Run(n.Now + x.lasts)
 					during := views(n)
-					n.Links(whole)
+					n.SetLinks(whole)
 					if x.undo != nil {
 						x.undo(n)
 					}
@@ -216,8 +216,8 @@
 							t.Log(r)
 						}
 					}
-					if len(n.Wrong) > 0 {
-						t.Errorf("%d nodes, seed %d: %s", nodes, n.Seed, n.Wrong)
+					if len(n.Violations) > 0 {
+						t.Errorf("%d nodes, seed %d: %s", nodes, n.Seed, n.Violations)
 					}
 				}
 			}
@@ -247,7 +247,7 @@
 
 // Two processes claim one name, as after a restored machine image: the later gives way, and is told.
 func TestTwoOfOneName(t *testing.T) {
-	n := fleet(t, Config{Seed: 1, Nodes: 6, Wire: true})
+	n := fleet(t, Config{Seed: 1, Nodes: 6, EncodeMessages: true})
 	late := n.Nodes[5]
 	n.Kill(5)
 	heal(t, n, 10*time.Second)
@@ -278,13 +278,13 @@
 // A planned leave is told, not detected.
 func TestLeave(t *testing.T) {
 	for _, nodes := range []int{2, 3, 5, 50} {
-		n := fleet(t, Config{Seed: 1, Nodes: nodes, Wire: true})
+		n := fleet(t, Config{Seed: 1, Nodes: nodes, EncodeMessages: true})
 		at := n.Now
 		leaver := n.Nodes[nodes/2]
 		r := leaver.Core.(*real)
 		r.Leave(n.Now, 3*time.Second)
 		n.out(leaver)
-		if !n.Until(3*time.Second, func() bool { return r.Phase() == membership.Gone }) {
+		if !n.RunUntil(3*time.Second, func() bool { return r.Phase() == membership.Gone }) {
 			t.Errorf("%d nodes: not gone after %v", nodes, n.Now-at)
 		}
 		n.Kill(leaver.Index)
@@ -323,15 +323,15 @@
 			})
 		}
 		n.Run(n.Now + 30*time.Second)
-		if now := views(n); now != before || len(n.Wrong) > 0 {
-			t.Errorf("%d nodes: %d views, %v", nodes, now-before, n.Wrong)
+		if now := views(n); now != before || len(n.Violations) > 0 {
+			t.Errorf("%d nodes: %d views, %v", nodes, now-before, n.Violations)
 		}
 	}
 }
 
 // The incarnation of a name grows with each life, also where nothing was kept: the fleet remembers.
 func TestIncarnationsGrow(t *testing.T) {
-	n := fleet(t, Config{Seed: 1, Nodes: 5, Wire: true})
+	n := fleet(t, Config{Seed: 1, Nodes: 5, EncodeMessages: true})
 	for want := uint64(2); want <= 4; want++ {
 		n.Kill(4)
 		if want == 3 { // once after the others have let it go, too
--- a/internal/rig/members/net.go
+++ b/internal/rig/members/net.go
@@ -15,40 +15,40 @@
 type Core interface {
 	Tick(now time.Duration)
 	Receive(now time.Duration, m any)
-	Take() []Packet
+	TakePackets() []Packet
 	// Believes tells which names it holds to be alive, and the number of its view, if it has such.
-	Believes() (names map[string]bool, view uint64)
+	LiveMembers() (names map[string]bool, view uint64)
 }
 
 // Packet is a message on its way.
 type Packet struct {
-	To     netip.AddrPort
-	M      any
-	Bytes  int
-	Stream bool
+	To      netip.AddrPort
+	Message any
+	Bytes   int
+	Stream  bool
 }
 
 // Link is what happens to messages from one node to another.
 type Link struct {
-	Cut   bool
-	Loss  float64 // part of the datagrams; a stream is tried again and takes longer
-	Delay time.Duration
-	Twice float64 // part of the datagrams that come twice
+	Cut       bool
+	Loss      float64 // part of the datagrams; a stream is tried again and takes longer
+	Delay     time.Duration
+	Duplicate float64 // part of the datagrams that come twice
 }
 
 // Config describes a net.
 type Config struct {
-	Seed   uint64
-	Nodes  int
-	Sites  int
-	Seeds  int           // the first so many nodes are the list of seeds
-	Tick   time.Duration // of each core; 0: 100 ms
-	Delay  time.Duration // one way; up to half as much again
-	Wire   bool          // messages go through their form and back
-	Weigh  bool          // bytes are counted
-	Tune   func(*membership.Settings)
-	Make   func(n *Net, i int, life int) Core // nil: the real core
-	Shared bool                               // views are made once for all
+	Seed           uint64
+	Nodes          int
+	Sites          int
+	SeedCount      int           // the first so many nodes are the list of seeds
+	Tick           time.Duration // of each core; 0: 100 ms
+	Delay          time.Duration // one way; up to half as much again
+	EncodeMessages bool          // messages go through their form and back
+	CountBytes     bool          // bytes are counted
+	EditSettings   func(*membership.Settings)
+	NewCore        func(n *Net, i int, life int) Core // nil: the real core
+	ShareViews     bool                               // views are made once for all
 }
 
 // Node is one process.
@@ -68,7 +68,7 @@
 	known       []netip.AddrPort
 	Sent, Bytes int
 	Views       int // changes that it has seen
-	Outs        int
+	Evictions   int
 }
 
 // Net is nodes and the network between them.
@@ -78,20 +78,20 @@
 	Nodes []*Node
 	Log   func(format string, args ...any)
 
-	rng     *rand.Rand
-	events  timeline.Events
-	link    func(from, to *Node) Link
-	byAddr  map[netip.AddrPort]*Node
-	views   map[viewKey]*membership.View
-	shared  map[nextKey]*membership.View
-	Wrong   []string // promises that were broken
-	Changes []Change
-	Reasons []string // of each view, once
-	Deaths  int      // of nodes that lived and could be used
+	rng        *rand.Rand
+	events     timeline.Events
+	link       func(from, to *Node) Link
+	byAddr     map[netip.AddrPort]*Node
+	views      map[viewKey]*membership.View
+	shared     map[nextKey]*membership.View
+	Violations []string // promises that were broken
+	Changes    []ViewChange
+	Reasons    []string // of each view, once
+	Deaths     int      // of nodes that lived and could be used
 }
 
 // Change is a view that a node began.
-type Change struct {
+type ViewChange struct {
 	At   time.Duration
 	Node int
 	View *membership.View
@@ -131,7 +131,7 @@
 }
 
 // Links says from now on what happens between nodes.
-func (n *Net) Links(link func(from, to *Node) Link) { n.link = link }
+func (n *Net) SetLinks(link func(from, to *Node) Link) { n.link = link }
 
 // Start starts a node; with what it kept of its last life, or without.
 func (n *Net) Start(i int, kept bool) {
@@ -144,8 +144,8 @@
 	}
 	x.life++
 	x.Dead, x.stopped, x.waiting = false, false, nil
-	if n.Make != nil {
-		x.Core = n.Make(n, i, x.life)
+	if n.NewCore != nil {
+		x.Core = n.NewCore(n, i, x.life)
 	} else {
 		x.Core = n.real(x)
 	}
@@ -167,7 +167,7 @@
 }
 
 // Stop has a node stand still, as SIGSTOP does: what comes waits.
-func (n *Net) Stop(i int) {
+func (n *Net) Pause(i int) {
 	x := n.Nodes[i]
 	if !x.Dead && !x.stopped {
 		x.stopped, x.stoppedAt = true, n.Now
@@ -175,10 +175,10 @@
 }
 
 // Slow has each of a node's steps come so much later.
-func (n *Net) Slow(i int, by time.Duration) { n.Nodes[i].slow = by }
+func (n *Net) SetTickDelay(i int, by time.Duration) { n.Nodes[i].slow = by }
 
 // Cont lets it go on.
-func (n *Net) Cont(i int) {
+func (n *Net) Resume(i int) {
 	x := n.Nodes[i]
 	if !x.stopped {
 		return
@@ -223,7 +223,7 @@
 
 // out carries what a node sends.
 func (n *Net) out(x *Node) {
-	for _, p := range x.Core.Take() {
+	for _, p := range x.Core.TakePackets() {
 		x.Sent++
 		x.Bytes += p.Bytes + 28 // with the heads of UDP and IP
 		y := n.byAddr[p.To]
@@ -243,12 +243,12 @@
 			}
 		} else if n.rng.Float64() < l.Loss {
 			continue
-		} else if n.rng.Float64() < l.Twice {
+		} else if n.rng.Float64() < l.Duplicate {
 			copies = 2
 		}
 		for range copies {
 			at := n.Now + wait + l.Delay + time.Duration((1+n.rng.Float64()/2)*float64(n.Delay)) + x.slow/2 + y.slow/2
-			m, life := p.M, y.life
+			m, life := p.Message, y.life
 			n.At(at, func() {
 				if !n.link(x, y).Cut {
 					n.on(y, life, func() { y.Core.Receive(n.Now, m) })
@@ -262,7 +262,7 @@
 func (n *Net) Run(until time.Duration) { n.events.Run(until, &n.Now) }
 
 // Until goes on until something holds, looked at every tick; false if it does not by then.
-func (n *Net) Until(most time.Duration, ok func() bool) bool {
+func (n *Net) RunUntil(most time.Duration, ok func() bool) bool {
 	for end := n.Now + most; n.Now < end; {
 		if ok() {
 			return true
@@ -285,13 +285,13 @@
 		Self:        membership.Member{Name: x.Name, Site: x.Site, Addr: x.Addr},
 		Incarnation: x.incarnation, LastViewNumber: x.number, KnownAddrs: x.known, GossipInterval: n.Tick,
 	}
-	for i := range max(1, n.Seeds) {
+	for i := range max(1, n.SeedCount) {
 		s.Seeds = append(s.Seeds, n.Nodes[i].Addr)
 	}
-	if n.Tune != nil {
-		n.Tune(&s)
+	if n.EditSettings != nil {
+		n.EditSettings(&s)
 	}
-	if n.Shared {
+	if n.ShareViews {
 		k := s.Default().WatchersPerMember
 		s.NextView = func(v *membership.View, p *membership.Proposal) (*membership.View, error) {
 			key := nextKey{v.Digest, p.Hash()}
@@ -311,7 +311,7 @@
 	case []byte:
 		parsed, err := wire.Parse(m, r.fleet, 10)
 		if err != nil {
-			r.net.Wrong = append(r.net.Wrong, fmt.Sprintf("%s cannot read what was sent: %v", r.node.Name, err))
+			r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s cannot read what was sent: %v", r.node.Name, err))
 			return
 		}
 		r.Node.Receive(now, parsed)
@@ -320,22 +320,22 @@
 	}
 }
 
-func (r *real) Take() []Packet {
+func (r *real) TakePackets() []Packet {
 	sends, events := r.Node.TakeOutput()
 	for _, e := range events {
 		r.net.note(r.node, e)
 	}
 	packets := make([]Packet, 0, len(sends))
 	for _, s := range sends {
-		p := Packet{To: s.To, M: s.Message, Stream: s.Stream}
-		if r.net.Wire || r.net.Weigh {
+		p := Packet{To: s.To, Message: s.Message, Stream: s.Stream}
+		if r.net.EncodeMessages || r.net.CountBytes {
 			b := wire.Append(nil, r.fleet, s.Message)
 			p.Bytes = len(b)
 			if len(b) > wire.MaxDatagram && !s.Stream {
-				r.net.Wrong = append(r.net.Wrong, fmt.Sprintf("%s sends a datagram of %d bytes, kind %d", r.node.Name, len(b), s.Message.Kind))
+				r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s sends a datagram of %d bytes, kind %d", r.node.Name, len(b), s.Message.Kind))
 			}
-			if r.net.Wire {
-				p.M = b
+			if r.net.EncodeMessages {
+				p.Message = b
 			}
 		}
 		packets = append(packets, p)
@@ -343,7 +343,7 @@
 	return packets
 }
 
-func (r *real) Believes() (map[string]bool, uint64) {
+func (r *real) LiveMembers() (map[string]bool, uint64) {
 	v := r.View()
 	if v == nil {
 		return nil, 0
@@ -361,7 +361,7 @@
 	case membership.ViewChanged, membership.Founded:
 		if e.Kind == membership.ViewChanged {
 			x.Views++
-			n.Changes = append(n.Changes, Change{n.Now, x.Index, e.View, e.Detail})
+			n.Changes = append(n.Changes, ViewChange{n.Now, x.Index, e.View, e.Detail})
 		}
 		key := viewKey{e.View.FleetID, e.View.Number}
 		if first := n.views[key]; first == nil {
@@ -371,10 +371,10 @@
 				n.deaths(before, e.View)
 			}
 		} else if first.Digest != e.View.Digest {
-			n.Wrong = append(n.Wrong, fmt.Sprintf("%v: %s has another view %d than a node before it", n.Now, x.Name, e.View.Number))
+			n.Violations = append(n.Violations, fmt.Sprintf("%v: %s has another view %d than a node before it", n.Now, x.Name, e.View.Number))
 		}
 		if e.View.Number < x.number && e.Kind == membership.ViewChanged && x.incarnation > 0 {
-			n.Wrong = append(n.Wrong, fmt.Sprintf("%v: %s went from view %d back to %d", n.Now, x.Name, x.number, e.View.Number))
+			n.Violations = append(n.Violations, fmt.Sprintf("%v: %s went from view %d back to %d", n.Now, x.Name, x.number, e.View.Number))
 		}
 		x.number = e.View.Number
 		x.known = nil
@@ -387,7 +387,7 @@
 	case membership.NewIncarnation:
 		x.incarnation = e.Member.Incarnation
 	case membership.Evicted:
-		x.Outs++
+		x.Evictions++
 	}
 	if n.Log != nil {
 		n.Log("%v %s: kind %d %s %s", n.Now.Round(time.Millisecond), x.Name, e.Kind, e.Member.Name, e.Detail)
@@ -404,17 +404,17 @@
 		x := n.byAddr[m.Addr]
 		if r, ok := x.Core.(*real); ok && !x.Dead && r.Self().Life == m.Life && r.Phase() != membership.Leaving && n.usable(x) {
 			n.Deaths++
-			n.Wrong = append(n.Wrong, fmt.Sprintf("%v: view %d lacks %s, which lives and can be used", n.Now, now.Number, x.Name))
+			n.Violations = append(n.Violations, fmt.Sprintf("%v: view %d lacks %s, which lives and can be used", n.Now, now.Number, x.Name))
 		}
 	}
 }
 
 // Bearable is how long a node may stand still and count as one that can be used.
-const Bearable = 3 * time.Second
+const MaxUsablePause = 3 * time.Second
 
 // usable tells whether a node runs, and more than half of the others can reach it and be reached.
 func (n *Net) usable(x *Node) bool {
-	if x.stopped && n.Now-x.stoppedAt > Bearable {
+	if x.stopped && n.Now-x.stoppedAt > MaxUsablePause {
 		return false
 	}
 	all, good := 0, 0
@@ -455,7 +455,7 @@
 }
 
 // Living are the nodes that run.
-func (n *Net) Living() (all []int) {
+func (n *Net) RunningNodes() (all []int) {
 	for i, x := range n.Nodes {
 		if !x.Dead {
 			all = append(all, i)
--- a/internal/rig/members/net_test.go
+++ b/internal/rig/members/net_test.go
@@ -7,16 +7,16 @@
 
 func TestStart(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 5, 9, 50, 300} {
-		n := New(Config{Seed: 1, Nodes: nodes, Sites: 4, Seeds: min(3, nodes), Wire: nodes < 100, Weigh: true, Shared: nodes >= 100})
+		n := New(Config{Seed: 1, Nodes: nodes, Sites: 4, SeedCount: min(3, nodes), EncodeMessages: nodes < 100, CountBytes: true, ShareViews: nodes >= 100})
 		n.StartAll()
-		ok := n.Until(60*time.Second, func() bool { return n.Agreed(n.Living()...) })
+		ok := n.RunUntil(60*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) })
 		bytes := 0
 		for _, x := range n.Nodes {
 			bytes = max(bytes, x.Bytes)
 		}
 		t.Logf("%d nodes: agreed %v after %v, %d views, most bytes %d", nodes, ok, n.Now, len(n.views), bytes)
-		if !ok || len(n.Wrong) > 0 {
-			t.Errorf("%d nodes: %v", nodes, n.Wrong)
+		if !ok || len(n.Violations) > 0 {
+			t.Errorf("%d nodes: %v", nodes, n.Violations)
 		}
 		from := make([]int, nodes)
 		for i, x := range n.Nodes {
@@ -34,7 +34,7 @@
 		dead := nodes - 1
 		n.Kill(dead)
 		at := n.Now
-		ok = n.Until(30*time.Second, func() bool { return n.Agreed(n.Living()...) })
+		ok = n.RunUntil(30*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) })
 		t.Logf("  one killed: agreed %v after %v", ok, n.Now-at)
 		if !ok {
 			t.Errorf("no agreement")
--- a/internal/rig/members/random_test.go
+++ b/internal/rig/members/random_test.go
@@ -32,22 +32,22 @@
 	if rng.IntN(3) > 0 {
 		nodes = 5 + rng.IntN(8)
 	}
-	n := New(Config{Seed: seed, Nodes: nodes, Sites: 1 + rng.IntN(4), Seeds: 1 + rng.IntN(3), Wire: rng.IntN(4) == 0})
+	n := New(Config{Seed: seed, Nodes: nodes, Sites: 1 + rng.IntN(4), SeedCount: 1 + rng.IntN(3), EncodeMessages: rng.IntN(4) == 0})
 	n.StartAll()
-	if !n.Until(60*time.Second, func() bool { return n.Agreed(n.Living()...) }) {
+	if !n.RunUntil(60*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 		return []string{"no start"}
 	}
 	begun := n.Now
 	var cuts []func(from, to *Node) Link
 	link := func() {
 		now := append([]func(from, to *Node) Link(nil), cuts...)
-		n.Links(func(from, to *Node) (all Link) {
+		n.SetLinks(func(from, to *Node) (all Link) {
 			for _, c := range now {
 				l := c(from, to)
 				all.Cut = all.Cut || l.Cut
 				all.Loss = 1 - (1-all.Loss)*(1-l.Loss)
 				all.Delay += l.Delay
-				all.Twice = max(all.Twice, l.Twice)
+				all.Duplicate = max(all.Duplicate, l.Duplicate)
 			}
 			return all
 		})
@@ -81,17 +81,17 @@
 				}
 			case 2:
 				add(func(from, to *Node) Link {
-					return Link{Delay: time.Duration(from.Index%3) * 40 * time.Millisecond, Twice: 0.2}
+					return Link{Delay: time.Duration(from.Index%3) * 40 * time.Millisecond, Duplicate: 0.2}
 				}, lasts)
 			case 3:
 				if stopped < 0 && !n.Nodes[a].Dead {
 					stopped = a
 					if bearable {
-						lasts = min(lasts, Bearable)
+						lasts = min(lasts, MaxUsablePause)
 					}
-					n.Stop(a)
+					n.Pause(a)
 					n.At(n.Now+lasts, func() {
-						n.Cont(a)
+						n.Resume(a)
 						stopped = -1
 					})
 				}
@@ -126,16 +126,16 @@
 	}
 	n.Run(begun + 80*time.Second)
 	for i, x := range n.Nodes {
-		n.Cont(i)
+		n.Resume(i)
 		if x.Dead {
 			n.Start(i, true)
 		}
 	}
-	n.Links(whole)
-	if at := n.Now; !n.Until(2*time.Minute, func() bool { return n.Agreed(n.Living()...) }) {
+	n.SetLinks(whole)
+	if at := n.Now; !n.RunUntil(2*time.Minute, func() bool { return n.Agreed(n.RunningNodes()...) }) {
 		wrong = append(wrong, fmt.Sprintf("%d nodes don't agree %v after all is whole: %v", nodes, n.Now-at, n.Reasons))
 	}
-	for _, w := range n.Wrong {
+	for _, w := range n.Violations {
 		if bearable || !strings.Contains(w, "lives and can be used") {
 			wrong = append(wrong, w)
 		}
--- a/internal/rig/members/swim.go
+++ b/internal/rig/members/swim.go
@@ -96,7 +96,7 @@
 			delete(s.news, i)
 		}
 	}
-	s.out = append(s.out, Packet{To: s.addrs[to], M: m, Bytes: 24 + 10*len(m.news)})
+	s.out = append(s.out, Packet{To: s.addrs[to], Message: m, Bytes: 24 + 10*len(m.news)})
 }
 
 // Tick is called every 100 ms.
@@ -196,14 +196,14 @@
 }
 
 // Take hands over what is to be sent.
-func (s *Swim) Take() []Packet {
+func (s *Swim) TakePackets() []Packet {
 	out := s.out
 	s.out = nil
 	return out
 }
 
 // Believes names those that are not held to be dead.
-func (s *Swim) Believes() (map[string]bool, uint64) {
+func (s *Swim) LiveMembers() (map[string]bool, uint64) {
 	all := map[string]bool{}
 	for i, p := range s.peers {
 		if p.state != swimDead {
--- a/internal/rig/registry/queue.go
+++ b/internal/rig/registry/queue.go
@@ -5,12 +5,12 @@
 // Settings are the capacity of a registry, and what a call costs it.
 type Settings struct {
 	LinesPerSecond float64       // capacity; 0: unlimited, and every call is answered at once
-	CallLines      float64       // cost of each call, on top of the lines of its answer
+	LinesPerCall   float64       // cost of each call, on top of the lines of its answer
 	QueueTimeout   time.Duration // a call that is not worked through by then fails; 0: none does
-	Overbook       float64       // with more than this many time-outs of work queued a call is rejected; 0: none is
+	BacklogFactor  float64       // with more than this many time-outs of work queued a call is rejected; 0: none is
 	// OtherLinesPerSecond is the work offered by callers outside the fleet. It arrives evenly, takes its place in the
 	// queue, and is rejected like any other call.
-	OtherLinesPerSecond float64
+	ExternalLinesPerSecond float64
 }
 
 // Outcome is what becomes of a call.
@@ -38,7 +38,7 @@
 // Admission is what becomes of a call, and when the caller learns it.
 type Admission struct {
 	Outcome Outcome
-	At      time.Duration
+	DoneAt  time.Duration
 }
 
 // Queue is the work that a registry has still to do. Times given to its methods must not decrease.
@@ -52,7 +52,7 @@
 func New(settings Settings) *Queue { return &Queue{settings: settings} }
 
 // Call queues a call for which so many lines are known now: none for a long poll that finds nothing new yet.
-func (q *Queue) Call(now time.Duration, entries int) Admission {
+func (q *Queue) EnqueueCall(now time.Duration, entries int) Admission {
 	q.advance(now)
 	if q.settings.LinesPerSecond <= 0 {
 		return Admission{Answered, now}
@@ -60,7 +60,7 @@
 	if limit, limited := q.limit(); limited && q.backlog > limit {
 		return Admission{Rejected, now}
 	}
-	q.backlog += q.work(q.settings.CallLines + float64(entries))
+	q.backlog += q.work(q.settings.LinesPerCall + float64(entries))
 	if timeout := q.settings.QueueTimeout; timeout > 0 && q.backlog > timeout {
 		return Admission{TimedOut, now + timeout}
 	}
@@ -69,7 +69,7 @@
 
 // Write queues so many lines of the answer to a long poll that is open already, and returns when they are written. It
 // is never rejected.
-func (q *Queue) Write(now time.Duration, entries int) time.Duration {
+func (q *Queue) EnqueueLines(now time.Duration, entries int) time.Duration {
 	q.advance(now)
 	q.backlog += q.work(float64(entries))
 	return now + q.backlog
@@ -82,7 +82,7 @@
 }
 
 // Restart drops all queued work, as a registry does that starts anew.
-func (q *Queue) Restart(now time.Duration) {
+func (q *Queue) Clear(now time.Duration) {
 	q.advance(now)
 	q.backlog = 0
 }
@@ -97,8 +97,8 @@
 
 // limit is the backlog above which calls are rejected, if there is one.
 func (q *Queue) limit() (time.Duration, bool) {
-	limited := q.settings.Overbook > 0 && q.settings.QueueTimeout > 0
-	return time.Duration(q.settings.Overbook * float64(q.settings.QueueTimeout)), limited
+	limited := q.settings.BacklogFactor > 0 && q.settings.QueueTimeout > 0
+	return time.Duration(q.settings.BacklogFactor * float64(q.settings.QueueTimeout)), limited
 }
 
 // advance works the queue off up to a time, while work from outside the fleet arrives.
@@ -120,7 +120,7 @@
 			return
 		}
 	}
-	arriving := q.settings.OtherLinesPerSecond / q.settings.LinesPerSecond
+	arriving := q.settings.ExternalLinesPerSecond / q.settings.LinesPerSecond
 	q.backlog = max(0, q.backlog+time.Duration((arriving-1)*float64(elapsed)))
 	if limited {
 		q.backlog = min(q.backlog, limit)
--- a/internal/rig/registry/queue_test.go
+++ b/internal/rig/registry/queue_test.go
@@ -7,7 +7,7 @@
 
 // fortyCalls is a registry that works through 40 empty calls a second.
 func fortyCalls() Settings {
-	return Settings{LinesPerSecond: 1200, CallLines: 30, QueueTimeout: 2 * time.Second, Overbook: 2}
+	return Settings{LinesPerSecond: 1200, LinesPerCall: 30, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
 }
 
 // tally counts outcomes of calls in a time.
@@ -18,7 +18,7 @@
 	counted := tally{}
 	step := time.Duration(float64(time.Second) / perSecond)
 	for now := from; now < until; now += step {
-		admission := q.Call(now, 0)
+		admission := q.EnqueueCall(now, 0)
 		if now >= until-last {
 			counted[admission.Outcome]++
 		}
@@ -27,13 +27,13 @@
 }
 
 func TestUnlimitedRegistryAnswersAtOnce(t *testing.T) {
-	q := New(Settings{CallLines: 30, QueueTimeout: time.Second, Overbook: 1, OtherLinesPerSecond: 1000})
+	q := New(Settings{LinesPerCall: 30, QueueTimeout: time.Second, BacklogFactor: 1, ExternalLinesPerSecond: 1000})
 	for now := range 1000 * time.Nanosecond {
-		if a := q.Call(now, 500); a != (Admission{Answered, now}) {
+		if a := q.EnqueueCall(now, 500); a != (Admission{Answered, now}) {
 			t.Fatalf("call at %v: %v", now, a)
 		}
 	}
-	if at := q.Write(time.Second, 500); at != time.Second {
+	if at := q.EnqueueLines(time.Second, 500); at != time.Second {
 		t.Errorf("written at %v", at)
 	}
 }
@@ -41,19 +41,19 @@
 func TestCallsAreWorkedThroughInTurn(t *testing.T) {
 	q := New(fortyCalls())
 	for i, want := range []time.Duration{25, 50, 75} {
-		if a := q.Call(0, 0); a != (Admission{Answered, want * time.Millisecond}) {
+		if a := q.EnqueueCall(0, 0); a != (Admission{Answered, want * time.Millisecond}) {
 			t.Errorf("call %d: %v", i, a)
 		}
 	}
 	// 65 ms of work are left after 10 ms; 30 lines of an answer take as long as the call itself.
-	if a := q.Call(10*time.Millisecond, 30); a != (Admission{Answered, 125 * time.Millisecond}) {
+	if a := q.EnqueueCall(10*time.Millisecond, 30); a != (Admission{Answered, 125 * time.Millisecond}) {
 		t.Errorf("call with an answer: %v", a)
 	}
-	if at := q.Write(10*time.Millisecond, 12); at != 135*time.Millisecond {
+	if at := q.EnqueueLines(10*time.Millisecond, 12); at != 135*time.Millisecond {
 		t.Errorf("written at %v", at)
 	}
 	// The queue is empty by then, and work is not done ahead.
-	if a := q.Call(time.Second, 0); a != (Admission{Answered, 1025 * time.Millisecond}) {
+	if a := q.EnqueueCall(time.Second, 0); a != (Admission{Answered, 1025 * time.Millisecond}) {
 		t.Errorf("call at an empty queue: %v", a)
 	}
 }
@@ -61,7 +61,7 @@
 func TestWaitingCallsTimeOutAndSpendTheirWork(t *testing.T) {
 	q := New(fortyCalls())
 	for i := range 200 { // 80 are worked through within 2 s, and 81 more are queued up to 4 s of work
-		a := q.Call(0, 0)
+		a := q.EnqueueCall(0, 0)
 		want := Admission{Answered, time.Duration(i+1) * 25 * time.Millisecond}
 		switch {
 		case i >= 161:
@@ -94,7 +94,7 @@
 
 func TestPersistentOverloadAnswersAtCapacityWhereNotOverbooked(t *testing.T) {
 	settings := fortyCalls()
-	settings.Overbook = 0.9
+	settings.BacklogFactor = 0.9
 	counted := offer(New(settings), 0, 20*time.Second, 80, 10*time.Second)
 	if counted[Answered] < 390 || counted[TimedOut] != 0 {
 		t.Errorf("%v", counted)
@@ -119,7 +119,7 @@
 
 func TestOtherCallersTakeTheirShare(t *testing.T) {
 	settings := fortyCalls()
-	settings.OtherLinesPerSecond = 600
+	settings.ExternalLinesPerSecond = 600
 	q := New(settings)
 	if counted := offer(q, 0, 20*time.Second, 18, 20*time.Second); counted[Answered] != 361 {
 		t.Errorf("%v under half of the capacity", counted)
@@ -131,12 +131,12 @@
 
 func TestOtherCallersAloneFillTheQueueUpToItsLimit(t *testing.T) {
 	settings := fortyCalls()
-	settings.OtherLinesPerSecond = 3000
+	settings.ExternalLinesPerSecond = 3000
 	q := New(settings)
 	if left := q.Backlog(time.Minute); left != 4*time.Second {
 		t.Errorf("%v of work", left)
 	}
-	q.Restart(time.Minute)
+	q.Clear(time.Minute)
 	if left := q.Backlog(time.Minute); left != 0 {
 		t.Errorf("%v of work in a registry that started anew", left)
 	}
--- a/internal/rig/relay/relay.go
+++ b/internal/rig/relay/relay.go
@@ -21,29 +21,29 @@
 )
 
 // Weather is what happens on the way.
-type Weather struct {
-	Cut    bool
-	Loss   float64       // part of the datagrams
-	Delay  time.Duration // of each, up to half as much again, so that they overtake each other
-	Twice  float64       // part that comes twice
-	Damage float64       // part of which a byte is changed
+type Conditions struct {
+	Cut       bool
+	Loss      float64       // part of the datagrams
+	Delay     time.Duration // of each, up to half as much again, so that they overtake each other
+	Duplicate float64       // part that comes twice
+	Corrupt   float64       // part of which a byte is changed
 }
 
 // Relay carries what comes to Address on to a target.
 type Relay struct {
 	Address netip.AddrPort
 
-	target  netip.AddrPort
-	udp     *net.UDPConn
-	out     *net.UDPConn
-	tcp     net.Listener
-	stop    context.CancelFunc
-	ctx     context.Context
-	parts   sync.WaitGroup
-	Carried atomic.Int64 // bytes of datagrams that went on
+	target         netip.AddrPort
+	udp            *net.UDPConn
+	out            *net.UDPConn
+	tcp            net.Listener
+	stop           context.CancelFunc
+	ctx            context.Context
+	parts          sync.WaitGroup
+	ForwardedBytes atomic.Int64 // bytes of datagrams that went on
 
 	mu      sync.Mutex // guards what follows
-	weather Weather
+	weather Conditions
 	rng     *rand.Rand
 	timers  map[*time.Timer]struct{}
 	closed  bool
@@ -87,7 +87,7 @@
 }
 
 // Set says what happens from now on.
-func (r *Relay) Set(w Weather) {
+func (r *Relay) SetConditions(w Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.weather = w
@@ -130,11 +130,11 @@
 		return
 	}
 	copies := 1
-	if r.rng.Float64() < w.Twice {
+	if r.rng.Float64() < w.Duplicate {
 		copies = 2
 	}
 	b = append([]byte(nil), b...)
-	if len(b) > 0 && r.rng.Float64() < w.Damage {
+	if len(b) > 0 && r.rng.Float64() < w.Corrupt {
 		b[r.rng.IntN(len(b))] ^= byte(1 + r.rng.IntN(255))
 	}
 	for range copies {
@@ -157,7 +157,7 @@
 
 func (r *Relay) send(b []byte) {
 	if _, err := r.out.Write(b); err == nil { // nobody may listen there
-		r.Carried.Add(int64(len(b)))
+		r.ForwardedBytes.Add(int64(len(b)))
 	}
 }
 
--- a/internal/rig/resource/resource.go
+++ b/internal/rig/resource/resource.go
@@ -20,8 +20,8 @@
 )
 
 // Act is one act, as the resource saw it.
-type Act struct {
-	Who      string
+type Access struct {
+	Holder   string
 	Token    uint64
 	From, To time.Time // To is zero while it lasts
 	Refused  bool      // for its token, where the resource checks them
@@ -36,8 +36,8 @@
 	parts    sync.WaitGroup
 
 	mu      sync.Mutex // guards what follows
-	acts    []*Act
-	open    map[*Act]*net.TCPConn
+	acts    []*Access
+	open    map[*Access]*net.TCPConn
 	highest uint64
 	wrong   []string
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("resource: %w", err)
 	}
-	r := &Resource{Address: l.Addr().String(), checks: checks, listener: l, open: map[*Act]*net.TCPConn{}}
+	r := &Resource{Address: l.Addr().String(), checks: checks, listener: l, open: map[*Access]*net.TCPConn{}}
 	r.parts.Go(r.accept)
 	return r, nil
 }
@@ -90,7 +90,7 @@
 	if err != nil {
 		return
 	}
-	a := &Act{Who: who, Token: token, From: time.Now()}
+	a := &Access{Holder: who, Token: token, From: time.Now()}
 	if !r.begin(a, c) {
 		fmt.Fprintln(c, "refused")
 		return
@@ -104,7 +104,7 @@
 }
 
 // begin notes an act, and what is wrong with it.
-func (r *Resource) begin(a *Act, c *net.TCPConn) bool {
+func (r *Resource) begin(a *Access, c *net.TCPConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.acts) < mostActs {
@@ -115,14 +115,14 @@
 			a.Refused, a.To = true, a.From
 			return false
 		}
-		r.wrong = append(r.wrong, fmt.Sprintf("%s comes with token %d after %d", a.Who, a.Token, r.highest))
+		r.wrong = append(r.wrong, fmt.Sprintf("%s comes with token %d after %d", a.Holder, a.Token, r.highest))
 	}
 	r.highest = max(r.highest, a.Token)
 	for x, other := range r.open {
-		if x.Token == a.Token && x.Who == a.Who || ended(other) {
+		if x.Token == a.Token && x.Holder == a.Holder || ended(other) {
 			continue
 		}
-		r.wrong = append(r.wrong, fmt.Sprintf("%s begins under token %d while %s acts under %d since %v", a.Who, a.Token, x.Who, x.Token, a.From.Sub(x.From)))
+		r.wrong = append(r.wrong, fmt.Sprintf("%s begins under token %d while %s acts under %d since %v", a.Holder, a.Token, x.Holder, x.Token, a.From.Sub(x.From)))
 	}
 	r.open[a] = c
 	return true
@@ -145,10 +145,10 @@
 }
 
 // Acts is the history so far.
-func (r *Resource) Acts() []Act {
+func (r *Resource) History() []Access {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]Act, 0, len(r.acts))
+	all := make([]Access, 0, len(r.acts))
 	for _, a := range r.acts {
 		all = append(all, *a)
 	}
@@ -156,17 +156,17 @@
 }
 
 // Wrong is all that must not have happened.
-func (r *Resource) Wrong() []string {
+func (r *Resource) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.wrong...)
 }
 
 // Acting is an act that goes on.
-type Acting struct{ conn net.Conn }
+type ActiveAccess struct{ conn net.Conn }
 
 // Begin begins an act, as a program does. An error says that it was refused, or that there is no resource.
-func Begin(address, who string, token uint64) (*Acting, error) {
+func Begin(address, who string, token uint64) (*ActiveAccess, error) {
 	c, err := net.DialTimeout("tcp", address, 2*time.Second)
 	if err != nil {
 		return nil, err
@@ -179,8 +179,8 @@
 		return nil, fmt.Errorf("the resource does not take token %d: %q, %v", token, strings.TrimSpace(line), err)
 	}
 	c.SetDeadline(time.Time{})
-	return &Acting{c}, nil
+	return &ActiveAccess{c}, nil
 }
 
 // End ends the act.
-func (a *Acting) End() { a.conn.Close() }
+func (a *ActiveAccess) End() { a.conn.Close() }
--- a/internal/rig/resource/resource_test.go
+++ b/internal/rig/resource/resource_test.go
@@ -19,7 +19,7 @@
 	return r
 }
 
-func begin(t *testing.T, r *Resource, who string, token uint64) *Acting {
+func begin(t *testing.T, r *Resource, who string, token uint64) *ActiveAccess {
 	t.Helper()
 	a, err := Begin(r.Address, who, token)
 	if err != nil {
@@ -36,7 +36,7 @@
 		begin(t, r, "a", 2*i+1).End()
 		begin(t, r, "b", 2*i+2).End()
 	}
-	if w := r.Wrong(); len(w) > 0 {
+	if w := r.Violations(); len(w) > 0 {
 		t.Fatalf("one after another: %v", w)
 	}
 	for name, rogue := range map[string]func(r *Resource){
@@ -51,7 +51,7 @@
 		a := begin(t, r, "a", 5)
 		rogue(r)
 		a.End()
-		if len(r.Wrong()) == 0 {
+		if len(r.Violations()) == 0 {
 			t.Errorf("%s: not told", name)
 		}
 	}
@@ -65,11 +65,11 @@
 		t.Error("a lower token was taken")
 	}
 	begin(t, r, "c", 6).End()
-	if w := r.Wrong(); len(w) > 0 {
+	if w := r.Violations(); len(w) > 0 {
 		t.Error(w)
 	}
-	acts := r.Acts()
-	for end := time.Now().Add(5 * time.Second); len(acts) != 3 || acts[2].To.IsZero(); acts = r.Acts() {
+	acts := r.History()
+	for end := time.Now().Add(5 * time.Second); len(acts) != 3 || acts[2].To.IsZero(); acts = r.History() {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", acts)
 		}
--- a/internal/rig/scale/fit.go
+++ b/internal/rig/scale/fit.go
@@ -93,7 +93,7 @@
 func (f Fit) At(size int) float64 { return f.Base + f.Slope*f.Growth.at(size) }
 
 // Breaks is the size from which on the fit exceeds what is allowed; 0: not up to a million.
-func (f Fit) Breaks(allowed float64) int {
+func (f Fit) LimitExceededAt(allowed float64) int {
 	const most = 1_000_000
 	if f.At(most) <= allowed {
 		return 0
--- a/internal/rig/scale/fleet.go
+++ b/internal/rig/scale/fleet.go
@@ -13,14 +13,14 @@
 
 // FleetSettings describe a run of real nodes among hollow ones.
 type FleetSettings struct {
-	Hollow  int
-	Real    int
-	Zones   int           // of the hollow nodes
-	Settle  time.Duration // after all have one view: rumours of the start go on for a while
-	Rest    time.Duration // over which control is measured with nothing happening
-	Load    time.Duration // over which calls are sent, straight to the servers and through the nodes
-	Rate    float64       // calls a second at each real node
-	Servers int
+	SimulatedNodes int
+	RealNodes      int
+	Zones          int           // of the hollow nodes
+	SettleTime     time.Duration // after all have one view: rumours of the start go on for a while
+	RestTime       time.Duration // over which control is measured with nothing happening
+	LoadTime       time.Duration // over which calls are sent, straight to the servers and through the nodes
+	Rate           float64       // calls a second at each real node
+	Servers        int
 }
 
 // Bounds of a run.
@@ -36,13 +36,13 @@
 
 // SettingError is a setting of a run or a report that is not allowed.
 type SettingError struct {
-	Key         string
-	Value       any
-	Least, Most any
+	Key      string
+	Value    any
+	Min, Max any
 }
 
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("%s: %v is not allowed, %v to %v are", e.Key, e.Value, e.Least, e.Most)
+	return fmt.Sprintf("%s: %v is not allowed, %v to %v are", e.Key, e.Value, e.Min, e.Max)
 }
 
 // Validate tells what is wrong with the settings.
@@ -52,8 +52,8 @@
 		value       int
 		least, most int
 	}{
-		{"hollow", s.Hollow, 0, mostHollow},
-		{"real", s.Real, 1, mostReal},
+		{"hollow", s.SimulatedNodes, 0, mostHollow},
+		{"real", s.RealNodes, 1, mostReal},
 		{"zones", s.Zones, 1, mostZones},
 		{"servers", s.Servers, 1, mostServers},
 	} {
@@ -61,13 +61,13 @@
 			return &SettingError{x.key, x.value, x.least, x.most}
 		}
 	}
-	if s.Hollow > 0 && s.Hollow < max(seedCount, s.Zones) {
-		return &SettingError{"hollow", s.Hollow, max(seedCount, s.Zones), mostHollow}
+	if s.SimulatedNodes > 0 && s.SimulatedNodes < max(seedCount, s.Zones) {
+		return &SettingError{"hollow", s.SimulatedNodes, max(seedCount, s.Zones), mostHollow}
 	}
 	for _, x := range []struct {
 		key   string
 		value time.Duration
-	}{{"settle", s.Settle}, {"rest", s.Rest}, {"load", s.Load}} {
+	}{{"settle", s.SettleTime}, {"rest", s.RestTime}, {"load", s.LoadTime}} {
 		if x.value < leastLength || x.value > mostLength {
 			return &SettingError{x.key, x.value, leastLength, mostLength}
 		}
@@ -80,17 +80,17 @@
 
 // FleetReport is what was measured at the real nodes.
 type FleetReport struct {
-	Nodes     int
-	Agreed    time.Duration // from the start of the real nodes until all have one view
-	Bytes     float64       // sent for membership by a real node in a second, at rest
-	Messages  float64
-	Core      float64 // part of a core of a real node at rest, all that it does included
-	CrashTold time.Duration
-	ZoneTold  time.Duration // a zone of hollow nodes killed at once, until no real node's view has any of it; 0: there is none
-	ZoneBack  time.Duration // the same zone started at once, until all have one view again
-	RealTold  time.Duration // a real node killed, until all others know; 0: there is one only
-	Latency   LatencyCost
-	Broken    []string // rules
+	Nodes             int
+	Convergence       time.Duration // from the start of the real nodes until all have one view
+	Bytes             float64       // sent for membership by a real node in a second, at rest
+	Messages          float64
+	Core              float64 // part of a core of a real node at rest, all that it does included
+	CrashDetection    time.Duration
+	ZoneLossDetection time.Duration // a zone of hollow nodes killed at once, until no real node's view has any of it; 0: there is none
+	ZoneReturn        time.Duration // the same zone started at once, until all have one view again
+	RealNodeDetection time.Duration // a real node killed, until all others know; 0: there is one only
+	Latency           LatencyCost
+	Violations        []string // rules
 }
 
 // Write prints the report as Markdown, with what the plan allows.
@@ -102,22 +102,22 @@
 		{"sent for membership at rest", BytesPerSecond.format(r.Bytes), BytesPerSecond.format(plan.Control.BytesPerSecond)},
 		{"messages sent at rest", PerSecond.format(r.Messages), "-"},
 		{"processor time at rest, all of the node", Core.format(r.Core), Core.format(plan.Control.Core)},
-		{"all started, until all agree", rounded(r.Agreed), "-"},
-		{"a crash, until all know", rounded(r.CrashTold), "-"},
-		{"a zone killed at once, until all know", rounded(r.ZoneTold), "-"},
-		{"the zone back, until all agree", rounded(r.ZoneBack), "-"},
-		{"a real node killed, until all know", rounded(r.RealTold), "-"},
+		{"all started, until all agree", rounded(r.Convergence), "-"},
+		{"a crash, until all know", rounded(r.CrashDetection), "-"},
+		{"a zone killed at once, until all know", rounded(r.ZoneLossDetection), "-"},
+		{"the zone back, until all agree", rounded(r.ZoneReturn), "-"},
+		{"a real node killed, until all know", rounded(r.RealNodeDetection), "-"},
 		{"a call straight to a server, median", rounded(r.Latency.DirectMedian), "-"},
-		{"a call through a node, median", rounded(r.Latency.ThroughMedian), "-"},
+		{"a call through a node, median", rounded(r.Latency.ProxiedMedian), "-"},
 		{
 			"added at p99, median of the rounds", fmt.Sprintf("%v (%v to %v)", rounded(added), rounded(least), rounded(most)),
 			rounded(plan.AddedLatency),
 		},
-		{"rules broken", fmt.Sprint(len(r.Broken)), "0"},
+		{"rules broken", fmt.Sprint(len(r.Violations)), "0"},
 	} {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", row.name, row.measured, row.allowed)
 	}
-	for _, broken := range r.Broken {
+	for _, broken := range r.Violations {
 		fmt.Fprintf(&b, "\nbroken: %s\n", broken)
 	}
 	_, err := io.WriteString(w, b.String())
@@ -160,7 +160,7 @@
 	if err := f.start(ctx, progress); err != nil {
 		return nil, err
 	}
-	r := &FleetReport{Nodes: set.Hollow + set.Real}
+	r := &FleetReport{Nodes: set.SimulatedNodes + set.RealNodes}
 	for _, part := range []struct {
 		name string
 		do   func(context.Context, *FleetReport) error
@@ -172,24 +172,24 @@
 			return nil, fmt.Errorf("%s: %w", part.name, err)
 		}
 	}
-	for _, breach := range f.lab.Fleet.Judge.Judge(f.lab.Fleet.Clock.Now()).Breaches {
-		r.Broken = append(r.Broken, breach.String())
+	for _, breach := range f.lab.Fleet.Judge.Check(f.lab.Fleet.Clock.Now()).Breaches {
+		r.Violations = append(r.Violations, breach.String())
 	}
 	return r, nil
 }
 
 func (f *fleet) start(ctx context.Context, progress func(string)) (err error) {
-	progress(fmt.Sprintf("%d hollow nodes", f.set.Hollow))
-	if f.hollows, err = startHollows(f.set.Hollow, f.set.Zones); err != nil {
+	progress(fmt.Sprintf("%d hollow nodes", f.set.SimulatedNodes))
+	if f.hollows, err = startHollows(f.set.SimulatedNodes, f.set.Zones); err != nil {
 		return err
 	}
-	plan := standin.Default()
-	plan.Boxes, plan.Speeds = f.set.Servers, []float64{1}
+	plan := standin.DefaultPlan()
+	plan.Servers, plan.Speeds = f.set.Servers, []float64{1}
 	for i := range plan.Classes {
 		plan.Classes[i].Work, plan.Classes[i].Spread = latencyWork, 0
 	}
-	progress(fmt.Sprintf("%d real nodes", f.set.Real))
-	f.lab, err = lab.Open(ctx, lab.Options{Plan: plan, Nodes: f.set.Real, Members: true, Unlinked: true, Seeds: f.hollows.seeds})
+	progress(fmt.Sprintf("%d real nodes", f.set.RealNodes))
+	f.lab, err = lab.Open(ctx, lab.Options{Plan: plan, Nodes: f.set.RealNodes, Membership: true, NoRelays: true, Seeds: f.hollows.seeds})
 	return err
 }
 
@@ -201,7 +201,7 @@
 }
 
 // living is how many nodes run.
-func (f *fleet) living() int { return f.hollows.living() + f.set.Real - f.down }
+func (f *fleet) living() int { return f.hollows.living() + f.set.RealNodes - f.down }
 
 // await waits until all nodes that run have one view of each other and nobody else, and returns how long that took.
 func (f *fleet) await(ctx context.Context) (time.Duration, error) {
@@ -229,8 +229,8 @@
 		return false
 	}
 	number := uint64(0)
-	for i := range f.set.Real - f.down {
-		report, err := f.lab.MembersOf(ctx, realName(i))
+	for i := range f.set.RealNodes - f.down {
+		report, err := f.lab.MembershipOf(ctx, realName(i))
 		standing := report.Standing
 		if err != nil || len(standing.Members) != f.living() || i > 0 && standing.Number != number {
 			return false
@@ -244,7 +244,7 @@
 func realName(i int) string { return fmt.Sprintf("n%d", i) }
 
 func (f *fleet) agreed(ctx context.Context, r *FleetReport) (err error) {
-	r.Agreed, err = f.await(ctx)
+	r.Convergence, err = f.await(ctx)
 	return err
 }
 
@@ -262,8 +262,8 @@
 
 // sent sums up what the real nodes have sent for membership.
 func (f *fleet) sent(ctx context.Context) (messages, bytes int64, err error) {
-	for i := range f.set.Real {
-		report, err := f.lab.MembersOf(ctx, realName(i))
+	for i := range f.set.RealNodes {
+		report, err := f.lab.MembershipOf(ctx, realName(i))
 		if err != nil {
 			return 0, 0, err
 		}
@@ -273,19 +273,19 @@
 }
 
 func (f *fleet) rest(ctx context.Context, r *FleetReport) error {
-	if err := pass(ctx, f.set.Settle); err != nil {
+	if err := pass(ctx, f.set.SettleTime); err != nil {
 		return err
 	}
 	messages, bytes, err := f.sent(ctx)
 	if err != nil {
 		return err
 	}
-	begun, used := time.Now(), f.lab.CPU()
-	if err := pass(ctx, f.set.Rest); err != nil {
+	begun, used := time.Now(), f.lab.CPUTime()
+	if err := pass(ctx, f.set.RestTime); err != nil {
 		return err
 	}
-	seconds := time.Since(begun).Seconds() * float64(f.set.Real)
-	r.Core = (f.lab.CPU() - used).Seconds() / seconds
+	seconds := time.Since(begun).Seconds() * float64(f.set.RealNodes)
+	r.Core = (f.lab.CPUTime() - used).Seconds() / seconds
 	messagesAfter, bytesAfter, err := f.sent(ctx)
 	r.Messages, r.Bytes = float64(messagesAfter-messages)/seconds, float64(bytesAfter-bytes)/seconds
 	return err
@@ -293,27 +293,27 @@
 
 func (f *fleet) load(ctx context.Context, r *FleetReport) (err error) {
 	const rounds = 3
-	set := LatencySettings{Rounds: rounds, Length: f.set.Load / (2 * rounds), Rate: f.set.Rate, Nodes: f.set.Real}
+	set := LatencySettings{Rounds: rounds, RoundTime: f.set.LoadTime / (2 * rounds), Rate: f.set.Rate, Nodes: f.set.RealNodes}
 	r.Latency, err = latencyIn(ctx, f.lab, set)
 	return err
 }
 
 func (f *fleet) crash(ctx context.Context, r *FleetReport) (err error) {
-	if f.set.Hollow <= seedCount {
+	if f.set.SimulatedNodes <= seedCount {
 		return nil
 	}
-	f.hollows.kill(f.hollows.nodes[f.set.Hollow-1:])
-	r.CrashTold, err = f.await(ctx)
+	f.hollows.kill(f.hollows.nodes[f.set.SimulatedNodes-1:])
+	r.CrashDetection, err = f.await(ctx)
 	return err
 }
 
 func (f *fleet) zone(ctx context.Context, r *FleetReport) (err error) {
-	if f.set.Hollow == 0 || f.set.Zones < 2 {
+	if f.set.SimulatedNodes == 0 || f.set.Zones < 2 {
 		return nil
 	}
 	zone := f.hollows.inZone(f.hollows.nodes[f.set.Zones-1].zone) // none of the seeds, if there are zones enough
 	f.hollows.kill(zone)
-	if r.ZoneTold, err = f.await(ctx); err != nil {
+	if r.ZoneLossDetection, err = f.await(ctx); err != nil {
 		return err
 	}
 	for _, n := range zone {
@@ -321,18 +321,18 @@
 			return err
 		}
 	}
-	r.ZoneBack, err = f.await(ctx)
+	r.ZoneReturn, err = f.await(ctx)
 	return err
 }
 
 func (f *fleet) killReal(ctx context.Context, r *FleetReport) (err error) {
-	if f.set.Real < 2 {
+	if f.set.RealNodes < 2 {
 		return nil
 	}
-	if err := f.lab.Kill(realName(f.set.Real - 1)); err != nil {
+	if err := f.lab.Kill(realName(f.set.RealNodes - 1)); err != nil {
 		return err
 	}
 	f.down++
-	r.RealTold, err = f.await(ctx)
+	r.RealNodeDetection, err = f.await(ctx)
 	return err
 }
--- a/internal/rig/scale/fleet_test.go
+++ b/internal/rig/scale/fleet_test.go
@@ -20,7 +20,7 @@
 // out of all views, the zone comes back into them, and the real nodes serve meanwhile with all rules kept.
 func TestRealNodesAmongHollowOnes(t *testing.T) {
 	set := FleetSettings{
-		Hollow: 24, Real: 3, Zones: 4, Settle: leastLength, Rest: time.Second, Load: time.Second, Rate: 50, Servers: 6,
+		SimulatedNodes: 24, RealNodes: 3, Zones: 4, SettleTime: leastLength, RestTime: time.Second, LoadTime: time.Second, Rate: 50, Servers: 6,
 	}
 	r, err := RunFleet(t.Context(), set, func(part string) { t.Log(part) })
 	if err != nil {
@@ -31,17 +31,17 @@
 		t.Errorf("measured %+v", r)
 	}
 	for name, took := range map[string]time.Duration{
-		"agreed": r.Agreed, "crash": r.CrashTold, "zone": r.ZoneTold, "zone back": r.ZoneBack, "real node": r.RealTold,
+		"agreed": r.Convergence, "crash": r.CrashDetection, "zone": r.ZoneLossDetection, "zone back": r.ZoneReturn, "real node": r.RealNodeDetection,
 	} {
 		if took <= 0 {
 			t.Errorf("%s: not measured", name)
 		}
 	}
-	if len(r.Latency.Direct) == 0 || r.Latency.DirectMedian < latencyWork || r.Latency.ThroughMedian < r.Latency.DirectMedian {
+	if len(r.Latency.Direct) == 0 || r.Latency.DirectMedian < latencyWork || r.Latency.ProxiedMedian < r.Latency.DirectMedian {
 		t.Errorf("latency %+v", r.Latency)
 	}
-	if len(r.Broken) > 0 {
-		t.Errorf("broken: %v", r.Broken)
+	if len(r.Violations) > 0 {
+		t.Errorf("broken: %v", r.Violations)
 	}
 	var text strings.Builder
 	if err := r.Write(&text, OperatorsPlan()); err != nil || strings.Count(text.String(), "\n") < 12 {
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	set := FleetSettings{
-		Hollow: 6, Real: 2, Zones: 2, Settle: leastLength, Rest: time.Second, Load: time.Second, Rate: 10, Servers: 2,
+		SimulatedNodes: 6, RealNodes: 2, Zones: 2, SettleTime: leastLength, RestTime: time.Second, LoadTime: time.Second, Rate: 10, Servers: 2,
 	}
 	_, err := RunFleet(ctx, set, func(part string) {
 		if part == "until all agree" { // all have started
@@ -64,7 +64,7 @@
 	if !errors.Is(err, context.Canceled) {
 		t.Errorf("ended with %v", err)
 	}
-	for i := range set.Hollow {
+	for i := range set.SimulatedNodes {
 		at := hollowAddress(i)
 		socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 		if err != nil {
@@ -84,14 +84,14 @@
 	if long {
 		nodes, rest = 50, time.Minute
 	}
-	set := FleetSettings{Real: nodes, Zones: zones, Settle: 2 * time.Second, Rest: rest, Load: time.Second, Rate: 10, Servers: 8}
+	set := FleetSettings{RealNodes: nodes, Zones: zones, SettleTime: 2 * time.Second, RestTime: rest, LoadTime: time.Second, Rate: 10, Servers: 8}
 	real, err := RunFleet(t.Context(), set, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Real, set.Hollow = 3, nodes-3
+	set.RealNodes, set.SimulatedNodes = 3, nodes-3
 	if long {
-		set.Real, set.Hollow = 5, nodes-5
+		set.RealNodes, set.SimulatedNodes = 5, nodes-5
 	}
 	mixed, err := RunFleet(t.Context(), set, func(string) {})
 	if err != nil {
@@ -110,22 +110,22 @@
 }
 
 func TestBadSettingsOfARunAreRefused(t *testing.T) {
-	good := FleetSettings{Hollow: 20, Real: 2, Zones: 4, Settle: time.Second, Rest: time.Second, Load: time.Second, Rate: 10, Servers: 4}
+	good := FleetSettings{SimulatedNodes: 20, RealNodes: 2, Zones: 4, SettleTime: time.Second, RestTime: time.Second, LoadTime: time.Second, Rate: 10, Servers: 4}
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	var keys []string
 	for _, spoil := range []func(s *FleetSettings){
-		func(s *FleetSettings) { s.Hollow = mostHollow + 1 }, func(s *FleetSettings) { s.Real = 0 },
+		func(s *FleetSettings) { s.SimulatedNodes = mostHollow + 1 }, func(s *FleetSettings) { s.RealNodes = 0 },
 		func(s *FleetSettings) { s.Zones = 21 }, func(s *FleetSettings) { s.Zones = 0 },
-		func(s *FleetSettings) { s.Servers = 0 }, func(s *FleetSettings) { s.Rest = time.Hour },
-		func(s *FleetSettings) { s.Load = 0 }, func(s *FleetSettings) { s.Settle = -1 },
+		func(s *FleetSettings) { s.Servers = 0 }, func(s *FleetSettings) { s.RestTime = time.Hour },
+		func(s *FleetSettings) { s.LoadTime = 0 }, func(s *FleetSettings) { s.SettleTime = -1 },
 		func(s *FleetSettings) { s.Rate = math.NaN() },
 	} {
 		bad := good
 		spoil(&bad)
 		var wrong *SettingError
-		if err := bad.Validate(); !errors.As(err, &wrong) || wrong.Least == nil || wrong.Most == nil {
+		if err := bad.Validate(); !errors.As(err, &wrong) || wrong.Min == nil || wrong.Max == nil {
 			t.Errorf("%+v: %v", bad, err)
 			continue
 		}
--- a/internal/rig/scale/membership.go
+++ b/internal/rig/scale/membership.go
@@ -16,12 +16,12 @@
 	RestMessages float64
 	RestCore     float64 // part of a core that the core package takes, on this machine
 
-	LostBytes     float64       // sent by a node in a second, over the 10 s in which a zone is lost
-	ReturnedBytes float64       // the same as it comes back
-	ReleaseBytes  float64       // the same while all nodes are restarted one after another within an hour
-	Agreed        time.Duration // all started at once, until all have one view
-	CrashTold     time.Duration // until a crashed node is out of all views
-	ZoneTold      time.Duration // until a lost zone is
+	ZoneLossBytes     float64       // sent by a node in a second, over the 10 s in which a zone is lost
+	ZoneReturnBytes   float64       // the same as it comes back
+	ReleaseBytes      float64       // the same while all nodes are restarted one after another within an hour
+	Convergence       time.Duration // all started at once, until all have one view
+	CrashDetection    time.Duration // until a crashed node is out of all views
+	ZoneLossDetection time.Duration // until a lost zone is
 }
 
 // Times of a run.
@@ -34,14 +34,14 @@
 
 // MeasureMembership plays a fleet of one size: it starts, rests, loses one node, loses a zone and gets it back.
 func MeasureMembership(nodes, zones int, seed uint64) (MembershipCost, error) {
-	net := members.New(members.Config{Seed: seed, Nodes: nodes, Sites: zones, Seeds: min(3, nodes), Weigh: true, Shared: true})
+	net := members.New(members.Config{Seed: seed, Nodes: nodes, Sites: zones, SeedCount: min(3, nodes), CountBytes: true, ShareViews: true})
 	cost := MembershipCost{Nodes: nodes}
 	begun := net.Now
 	net.StartAll()
-	if !net.Until(agreeWithin, agreed(net)) {
+	if !net.RunUntil(agreeWithin, agreed(net)) {
 		return cost, fmt.Errorf("%d nodes have no common view after %v", nodes, agreeWithin)
 	}
-	cost.Agreed = net.Now - begun
+	cost.Convergence = net.Now - begun
 
 	wall := time.Now()
 	rest := traffic(net, restFor)
@@ -50,10 +50,10 @@
 
 	begun = net.Now
 	net.Kill(nodes / 2)
-	if !net.Until(toldWithin, agreed(net)) {
+	if !net.RunUntil(toldWithin, agreed(net)) {
 		return cost, fmt.Errorf("%d nodes: a crash is not in all views after %v", nodes, toldWithin)
 	}
-	cost.CrashTold = net.Now - begun
+	cost.CrashDetection = net.Now - begun
 
 	var zone []int
 	for i := range nodes {
@@ -65,16 +65,16 @@
 	for _, i := range zone {
 		net.Kill(i)
 	}
-	cost.LostBytes = traffic(net, busyFor).bytes
-	if !net.Until(toldWithin, agreed(net)) {
+	cost.ZoneLossBytes = traffic(net, busyFor).bytes
+	if !net.RunUntil(toldWithin, agreed(net)) {
 		return cost, fmt.Errorf("%d nodes: a lost zone is not in all views after %v", nodes, toldWithin)
 	}
-	cost.ZoneTold = net.Now - begun // busyFor at the least
+	cost.ZoneLossDetection = net.Now - begun // busyFor at the least
 	for _, i := range zone {
 		net.Start(i, true)
 	}
-	cost.ReturnedBytes = traffic(net, busyFor).bytes
-	if !net.Until(toldWithin, agreed(net)) {
+	cost.ZoneReturnBytes = traffic(net, busyFor).bytes
+	if !net.RunUntil(toldWithin, agreed(net)) {
 		return cost, fmt.Errorf("%d nodes: a returned zone is not in all views after %v", nodes, toldWithin)
 	}
 	cost.ReleaseBytes = release(net)
@@ -101,7 +101,7 @@
 }
 
 func agreed(net *members.Net) func() bool {
-	return func() bool { return net.Agreed(net.Living()...) }
+	return func() bool { return net.Agreed(net.RunningNodes()...) }
 }
 
 // flow is what a living node sends in a second.
@@ -112,7 +112,7 @@
 	bytes, messages := sums(net)
 	net.Run(net.Now + lasts)
 	bytesAfter, messagesAfter := sums(net)
-	per := lasts.Seconds() * float64(len(net.Living()))
+	per := lasts.Seconds() * float64(len(net.RunningNodes()))
 	return flow{float64(bytesAfter-bytes) / per, float64(messagesAfter-messages) / per}
 }
 
@@ -127,9 +127,9 @@
 // MeasureMembershipState returns the heap that one node's membership holds in a fleet of one size.
 func MeasureMembershipState(nodes int, seed uint64) (bytesPerNode float64, err error) {
 	before := heapInUse()
-	net := members.New(members.Config{Seed: seed, Nodes: nodes, Sites: 4, Seeds: min(3, nodes)})
+	net := members.New(members.Config{Seed: seed, Nodes: nodes, Sites: 4, SeedCount: min(3, nodes)})
 	net.StartAll()
-	if !net.Until(agreeWithin, agreed(net)) {
+	if !net.RunUntil(agreeWithin, agreed(net)) {
 		return 0, fmt.Errorf("%d nodes have no common view after %v", nodes, agreeWithin)
 	}
 	after := heapInUse()
--- a/internal/rig/scale/report.go
+++ b/internal/rig/scale/report.go
@@ -65,13 +65,13 @@
 
 // The verdicts.
 const (
-	Holds      Verdict = "holds"
-	DoesNot    Verdict = "does not hold"
-	NotLimited Verdict = "no limit is stated"
+	WithinLimit Verdict = "holds"
+	OverLimit   Verdict = "does not hold"
+	NoLimit     Verdict = "no limit is stated"
 )
 
 // Judge compares what the fit gives at the planned size with what is allowed there.
-func (f *Figure) Judge(plan Plan) (fit Fit, planned float64, verdict Verdict) {
+func (f *Figure) Evaluate(plan Plan) (fit Fit, planned float64, verdict Verdict) {
 	fit = NewFit(f.Samples)
 	planned = fit.At(plan.Nodes)
 	if largest := f.Samples[len(f.Samples)-1]; largest.Size == plan.Nodes {
@@ -79,25 +79,25 @@
 	}
 	switch {
 	case f.Allowed == 0:
-		verdict = NotLimited
+		verdict = NoLimit
 	case planned <= f.Allowed:
-		verdict = Holds
+		verdict = WithinLimit
 	default:
-		verdict = DoesNot
+		verdict = OverLimit
 	}
 	return fit, planned, verdict
 }
 
 // Report is all figures of one run.
 type Report struct {
-	Plan    Plan
-	Figures []Figure
-	Missing []Missing
-	Path    []PathRow
+	Plan       Plan
+	Figures    []Figure
+	Unmeasured []Unmeasured
+	Path       []PathRow
 }
 
 // Missing is a requirement that no run answers.
-type Missing struct {
+type Unmeasured struct {
 	Requirement string
 	Verdict     string
 	Reason      string
@@ -121,7 +121,7 @@
 }
 
 // MostNodes bounds the sizes of a report.
-const MostNodes = 20_000
+const MaxNodes = 20_000
 
 // leastSizes is how many sizes a slope needs.
 const leastSizes = 4
@@ -133,12 +133,12 @@
 		sizes []int
 	}{{"membership", s.Membership}, {"state", s.State}, {"servers", s.Servers}, {"discovery", s.Discovery}, {"leases", s.Leases}} {
 		if len(list.sizes) < leastSizes {
-			return &SettingError{list.key + " (number of sizes)", len(list.sizes), leastSizes, MostNodes}
+			return &SettingError{list.key + " (number of sizes)", len(list.sizes), leastSizes, MaxNodes}
 		}
 		before := 2*zones - 1 // two in each zone
 		for _, size := range list.sizes {
-			if size <= before || size > MostNodes {
-				return &SettingError{list.key, size, before + 1, MostNodes}
+			if size <= before || size > MaxNodes {
+				return &SettingError{list.key, size, before + 1, MaxNodes}
 			}
 			before = size
 		}
@@ -151,7 +151,7 @@
 	if err := sizes.Validate(plan.Zones); err != nil {
 		return nil, err
 	}
-	r := &Report{Plan: plan, Missing: missing(plan)}
+	r := &Report{Plan: plan, Unmeasured: missing(plan)}
 	if err := r.membership(sizes, seed, progress); err != nil {
 		return nil, err
 	}
@@ -191,8 +191,8 @@
 			return err
 		}
 		for i, value := range []float64{
-			c.RestBytes, c.RestMessages, c.RestCore, c.LostBytes, c.ReturnedBytes, c.ReleaseBytes,
-			c.Agreed.Seconds(), c.CrashTold.Seconds(), c.ZoneTold.Seconds(),
+			c.RestBytes, c.RestMessages, c.RestCore, c.ZoneLossBytes, c.ZoneReturnBytes, c.ReleaseBytes,
+			c.Convergence.Seconds(), c.CrashDetection.Seconds(), c.ZoneLossDetection.Seconds(),
 		} {
 			figures[i].Samples = append(figures[i].Samples, Sample{size, value})
 		}
@@ -268,20 +268,20 @@
 	f := Figure{
 		Role: "watcher of one service", Name: "one change, until all watch again, 165 calls a second", Unit: Seconds,
 		Mechanism: "`endpoints.Pace`: each node calls discovery once for each change of a list that it watches",
-		Allowed:   r.Plan.ConfiguredAfter.Seconds(),
+		Allowed:   r.Plan.ConfigDelay.Seconds(),
 	}
 	for _, size := range sizes.Discovery {
 		progress(fmt.Sprintf("%d watchers", size))
-		f.Samples = append(f.Samples, Sample{size, MeasureWatchersBack(size, TodaysDiscovery()).Seconds()})
+		f.Samples = append(f.Samples, Sample{size, MeasureWatcherReconnect(size, CurrentDiscovery()).Seconds()})
 	}
 	r.Figures = append(r.Figures, f)
 }
 
 // missing are the requirements of the plan that no run of this package answers.
-func missing(plan Plan) []Missing {
-	return []Missing{
+func missing(plan Plan) []Unmeasured {
+	return []Unmeasured{
 		{
-			fmt.Sprintf("%d changes of configuration a day, in force everywhere within %v", plan.Configurations, plan.ConfiguredAfter),
+			fmt.Sprintf("%d changes of configuration a day, in force everywhere within %v", plan.ConfigChanges, plan.ConfigDelay),
 			"does not hold", "nothing distributes configuration: files and SIGHUP, node by node",
 		},
 		{
@@ -319,7 +319,7 @@
 		fmt.Fprintf(&b, "| %d | %d | %d | %s |\n", p.Hops, p.NameBytes, p.Length, taken)
 	}
 	b.WriteString("\n| requirement | verdict | why |\n| --- | --- | --- |\n")
-	for _, m := range r.Missing {
+	for _, m := range r.Unmeasured {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", m.Requirement, m.Verdict, m.Reason)
 	}
 	_, err := io.WriteString(w, b.String())
@@ -327,7 +327,7 @@
 }
 
 func (f *Figure) write(b *strings.Builder, plan Plan) {
-	fit, planned, verdict := f.Judge(plan)
+	fit, planned, verdict := f.Evaluate(plan)
 	samples := make([]string, len(f.Samples))
 	for i, s := range f.Samples {
 		samples[i] = fmt.Sprintf("%d: %s", s.Size, f.Unit.format(s.Value))
@@ -339,7 +339,7 @@
 	allowed, breaks := "-", "-"
 	if f.Allowed > 0 {
 		allowed = f.Unit.format(f.Allowed)
-		if at := fit.Breaks(f.Allowed); at > 0 {
+		if at := fit.LimitExceededAt(f.Allowed); at > 0 {
 			breaks = fmt.Sprint(at)
 		}
 	}
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -31,10 +31,10 @@
 			t.Errorf("%v: fitted as %+v", growth, fit)
 		}
 		limit := law(5400)
-		if at := fit.Breaks(1.2 * limit); growth != Constant && (at < 5000 || growth > Logarithmic && at > 8000) {
+		if at := fit.LimitExceededAt(1.2 * limit); growth != Constant && (at < 5000 || growth > Logarithmic && at > 8000) {
 			t.Errorf("%v: breaks at %d", growth, at)
 		}
-		if at := fit.Breaks(math.Inf(1)); at != 0 {
+		if at := fit.LimitExceededAt(math.Inf(1)); at != 0 {
 			t.Errorf("%v: breaks without a limit, at %d", growth, at)
 		}
 	}
@@ -51,13 +51,13 @@
 		verdict Verdict
 		planned float64
 	}{
-		"extrapolated":          {samplesOf(linear, 10, 20, 40, 80), 1000, DoesNot, 5400},
-		"measured":              {append(samplesOf(linear, 10, 20, 40), Sample{plan.Nodes, 900}), 1000, Holds, 900},
-		"without an allowance":  {samplesOf(linear, 10, 20, 40, 80), 0, NotLimited, 5400},
-		"far under the ceiling": {samplesOf(linear, 10, 20, 40, 80), 1e6, Holds, 5400},
+		"extrapolated":          {samplesOf(linear, 10, 20, 40, 80), 1000, OverLimit, 5400},
+		"measured":              {append(samplesOf(linear, 10, 20, 40), Sample{plan.Nodes, 900}), 1000, WithinLimit, 900},
+		"without an allowance":  {samplesOf(linear, 10, 20, 40, 80), 0, NoLimit, 5400},
+		"far under the ceiling": {samplesOf(linear, 10, 20, 40, 80), 1e6, WithinLimit, 5400},
 	} {
 		f := Figure{Samples: c.samples, Allowed: c.allowed}
-		_, planned, verdict := f.Judge(plan)
+		_, planned, verdict := f.Evaluate(plan)
 		if verdict != c.verdict || math.Abs(planned-c.planned) > c.planned/10 {
 			t.Errorf("%s: %v at %.0f, want %v at about %.0f", name, verdict, planned, c.verdict, c.planned)
 		}
@@ -80,12 +80,12 @@
 		"no nodes":          func(s *Sizes) { s.State[0] = 0 },
 		"a zone without":    func(s *Sizes) { s.Membership[0] = zones },
 		"not growing":       func(s *Sizes) { s.Servers[2] = s.Servers[1] },
-		"more than allowed": func(s *Sizes) { s.Discovery[3] = MostNodes + 1 },
+		"more than allowed": func(s *Sizes) { s.Discovery[3] = MaxNodes + 1 },
 	} {
 		sizes := good()
 		spoil(&sizes)
 		var wrong *SettingError
-		if err := sizes.Validate(zones); !errors.As(err, &wrong) || wrong.Key == "" || wrong.Most != MostNodes {
+		if err := sizes.Validate(zones); !errors.As(err, &wrong) || wrong.Key == "" || wrong.Max != MaxNodes {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -94,8 +94,8 @@
 // Discovery of a fixed capacity needs the longer the more nodes watch a list, and beyond its time-out calls fail and come
 // again: the report rests on the real pauses.
 func TestWatchersBackAfterAChange(t *testing.T) {
-	set := TodaysDiscovery()
-	few, many := MeasureWatchersBack(100, set), MeasureWatchersBack(3000, set)
+	set := CurrentDiscovery()
+	few, many := MeasureWatcherReconnect(100, set), MeasureWatcherReconnect(3000, set)
 	if few > time.Second {
 		t.Errorf("100 watchers are back after %v", few)
 	}
--- a/internal/rig/standin/answer.go
+++ b/internal/rig/standin/answer.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	d := e.discovery
-	e.count(func(*NodeCalls) { e.falsehoods = a.falsehoods }) // before the node can call again
+	e.count(func(*CallCounts) { e.falsehoods = a.falsehoods }) // before the node can call again
 	w.Header().Set("Content-Type", "application/json")
 	writing := d.clock.Now()
 	if _, err := w.Write(text); err != nil || http.NewResponseController(w).Flush() != nil {
@@ -69,9 +69,9 @@
 
 // delivered reports to the judge what was written between two times.
 func (e *discoveryEndpoint) delivered(a *listAnswer, writing, written time.Duration) {
-	e.count(func(c *NodeCalls) { c.Version = max(c.Version, a.Generation) })
+	e.count(func(c *CallCounts) { c.WrittenVersion = max(c.WrittenVersion, a.Generation) })
 	report := func(at time.Duration, box string, state judge.State) {
-		e.discovery.judge.Known(at, e.node, box, state, a.Generation, false)
+		e.discovery.judge.StateDelivered(at, e.node, box, state, a.Generation, false)
 	}
 	for i := range a.Instances {
 		box := &a.Instances[i]
--- a/internal/rig/standin/box.go
+++ b/internal/rig/standin/box.go
@@ -61,7 +61,7 @@
 }
 
 // Box is one box on a real socket.
-type Box struct {
+type Server struct {
 	ID      string
 	Site    string
 	Rack    int
@@ -110,7 +110,7 @@
 }
 
 // listen opens the box's socket, at its own address if it has one already.
-func (b *Box) listen(host string) error {
+func (b *Server) listen(host string) error {
 	if b.Address != "" {
 		host = b.Address
 	} else {
@@ -153,7 +153,7 @@
 }
 
 // close ends the box's process: connections are reset, new ones refused.
-func (b *Box) close() {
+func (b *Server) close() {
 	b.mu.Lock()
 	server, ended := b.server, b.ended
 	b.server = nil
@@ -173,7 +173,7 @@
 }
 
 // hush ends a silence: what was sent into it never came, so its connections end.
-func (b *Box) hush() {
+func (b *Server) hush() {
 	if b.quiet != nil {
 		close(b.quiet)
 		b.quiet = nil
@@ -183,7 +183,7 @@
 // boxListener counts a box's connections and turns back those over its cap.
 type boxListener struct {
 	net.Listener
-	box *Box
+	box *Server
 }
 
 func (l *boxListener) Accept() (net.Conn, error) {
@@ -194,7 +194,7 @@
 		}
 		tc, b := c.(*net.TCPConn), l.box
 		b.mu.Lock()
-		if len(b.conns) >= b.plan.MostConn {
+		if len(b.conns) >= b.plan.MaxConns {
 			b.refused++
 			b.mu.Unlock()
 			tc.SetLinger(0)
@@ -211,7 +211,7 @@
 // boxConn is a connection of a box, which may fall silent.
 type boxConn struct {
 	*net.TCPConn
-	box *Box
+	box *Server
 }
 
 // Read takes what came, unless the box is silent: then it waits for the end of
@@ -251,15 +251,17 @@
 
 // visit is an attempt at a box.
 type visit struct {
-	box    *Box
+	box    *Server
 	id     string
 	number int
 }
 
-func (v *visit) ended(how judge.How) { v.box.judge.Ended(v.box.clock.Now(), v.id, v.number, how) }
+func (v *visit) ended(how judge.AttemptOutcome) {
+	v.box.judge.AttemptEnded(v.box.clock.Now(), v.id, v.number, how)
+}
 
 // ServeHTTP answers one attempt.
-func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
 		return
@@ -270,13 +272,13 @@
 		return
 	}
 	now := b.clock.Now()
-	v := &visit{b, id, b.judge.Arrived(now, id, b.ID, key)}
+	v := &visit{b, id, b.judge.AttemptArrived(now, id, b.ID, key)}
 	b.trees.arrived(id)
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	index, ok := b.plan.class(name)
 	ms, err := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 64)
 	if !ok || err != nil {
-		v.ended(judge.TurnedAway)
+		v.ended(judge.Rejected)
 		http.Error(w, "not a request of this service", http.StatusBadRequest)
 		return
 	}
@@ -298,15 +300,15 @@
 	b.mu.Unlock()
 	switch {
 	case trouble == down:
-		v.ended(judge.Cut)
+		v.ended(judge.ConnectionCut)
 		b.cut(w)
 		return
 	case trouble == stuck:
 		<-r.Context().Done()
-		v.ended(judge.GivenUp)
+		v.ended(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	case trouble == errs:
-		v.ended(judge.Erred)
+		v.ended(judge.Errored)
 		http.Error(w, "trouble", http.StatusInternalServerError)
 		return
 	case full || draining || trouble == turnsAway:
@@ -327,13 +329,13 @@
 }
 
 func (v *visit) turnAway(w http.ResponseWriter) {
-	v.ended(judge.TurnedAway)
+	v.ended(judge.Rejected)
 	w.Header().Set("X-Turned-Away", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // work runs an attempt on a core, and answers.
-func (b *Box) work(w http.ResponseWriter, r *http.Request, v *visit, class *Class, j *job) {
+func (b *Server) work(w http.ResponseWriter, r *http.Request, v *visit, class *Class, j *job) {
 	ctx := r.Context()
 	b.mu.Lock()
 	b.waiting++
@@ -347,21 +349,21 @@
 	case b.slots <- struct{}{}:
 		defer func() { <-b.slots }()
 	case <-ctx.Done():
-		v.ended(judge.GivenUp)
+		v.ended(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	}
 	if b.clock.Now() >= j.until { // over before it began
 		v.turnAway(w)
 		return
 	}
-	if class.Effect != judge.Keyed || b.rack.first(j.key, b.clock.Now(), class.Window) {
-		b.judge.Ran(b.clock.Now(), v.id, v.number)
+	if class.Idempotency != judge.Keyed || b.rack.first(j.key, b.clock.Now(), class.KeyTTL) {
+		b.judge.AttemptExecuted(b.clock.Now(), v.id, v.number)
 	}
 	b.mu.Lock()
 	life := b.life
 	b.mu.Unlock()
 	if !b.hold(time.Duration(float64(j.work)*j.slower/2), life) {
-		v.ended(judge.Cut)
+		v.ended(judge.ConnectionCut)
 		panic(http.ErrAbortHandler)
 	}
 	good, spent := true, ""
@@ -372,25 +374,25 @@
 		w.Header().Set(budget.SpentHeaderName, spent)
 	}
 	if !good {
-		v.ended(judge.Erred)
+		v.ended(judge.Errored)
 		http.Error(w, "the tier below failed", http.StatusInternalServerError)
 		return
 	}
 	if !b.hold(time.Duration(float64(j.work)*j.slower/2), life) {
-		v.ended(judge.Cut)
+		v.ended(judge.ConnectionCut)
 		panic(http.ErrAbortHandler)
 	}
 	if ctx.Err() != nil { // it ran to its end for nobody
-		v.ended(judge.GivenUp)
+		v.ended(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	}
 	switch j.trouble {
 	case resets:
-		v.ended(judge.Cut)
+		v.ended(judge.ConnectionCut)
 		b.cut(w)
 		return
 	case garbles:
-		v.ended(judge.Spoilt)
+		v.ended(judge.Malformed)
 		b.noise(w)
 		return
 	}
@@ -398,7 +400,7 @@
 	b.served++
 	b.mu.Unlock()
 	// Noted before it is written: the node may pass it on before this goroutine runs again.
-	v.ended(judge.Done)
+	v.ended(judge.Succeeded)
 	text := answerText(b.ID, v.id)
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -409,10 +411,10 @@
 func answerText(box, id string) string { return box + " " + id + "\n" }
 
 // call asks the tier below, one call after another, through this box's own node.
-func (b *Box) call(ctx context.Context, class *Class, r *http.Request, j *job) (good bool, spent string) {
+func (b *Server) call(ctx context.Context, class *Class, r *http.Request, j *job) (good bool, spent string) {
 	b.mu.Lock()
-	calls := int(b.plan.Calls)
-	if b.rng.Float64() < b.plan.Calls-float64(calls) {
+	calls := int(b.plan.CallsPerRequest)
+	if b.rng.Float64() < b.plan.CallsPerRequest-float64(calls) {
 		calls++
 	}
 	ids := make([]string, calls)
@@ -431,12 +433,12 @@
 		}
 		b.trees.call(id, r.Header.Get("X-Txn"), i)
 		index, _ := b.plan.class(class.Name)
-		a := b.below.Do(ctx, Ask{
-			ID: id, Class: index, Path: r.URL.EscapedPath(), Key: key, Wait: left, Body: j.body,
-			Budget: r.Header.Get(budget.HeaderName),
+		a := b.below.Do(ctx, Request{
+			ID: id, Class: index, Path: r.URL.EscapedPath(), Key: key, Timeout: left, Body: j.body,
+			BudgetHeader: r.Header.Get(budget.HeaderName),
 		})
-		spent = a.Spent
-		if a.Ending != judge.Served {
+		spent = a.SpentHeader
+		if a.Outcome != judge.Served {
 			return false, spent
 		}
 	}
@@ -444,7 +446,7 @@
 }
 
 // hold keeps a core busy for the time that work takes here and now; false if the process ends before.
-func (b *Box) hold(work time.Duration, life <-chan struct{}) bool {
+func (b *Server) hold(work time.Duration, life <-chan struct{}) bool {
 	select {
 	case b.cores <- struct{}{}:
 	case <-life:
@@ -465,18 +467,18 @@
 }
 
 // warmth is the part of its capacity that the box has.
-func (b *Box) warmth(now time.Duration) float64 {
-	if b.started == 0 || b.plan.ColdFor <= 0 {
+func (b *Server) warmth(now time.Duration) float64 {
+	if b.started == 0 || b.plan.WarmupTime <= 0 {
 		return 1
 	}
-	age := float64(now-b.started) / float64(b.plan.ColdFor)
-	return min(1, b.plan.ColdFrom+(1-b.plan.ColdFrom)*age)
+	age := float64(now-b.started) / float64(b.plan.WarmupTime)
+	return min(1, b.plan.ColdCapacity+(1-b.plan.ColdCapacity)*age)
 }
 
 // tooMuch books work sent to a cold box, and tells whether it has fallen over.
 // It falls when what came within any window is over the multiple of what it
 // could do in that time, with a little room for chance.
-func (b *Box) tooMuch(now, work time.Duration) bool {
+func (b *Server) tooMuch(now, work time.Duration) bool {
 	if b.fallen {
 		return true
 	}
@@ -486,19 +488,19 @@
 	}
 	b.arrivals = append(b.arrivals, arrival{now, work})
 	sum := time.Duration(0)
-	for i := len(b.arrivals) - 1; i >= 0 && now-b.arrivals[i].at < b.plan.FallFor; i-- {
+	for i := len(b.arrivals) - 1; i >= 0 && now-b.arrivals[i].at < b.plan.CollapseWindow; i-- {
 		sum += b.arrivals[i].work
 	}
-	can := time.Duration(float64(b.plan.FallFor) * float64(b.plan.Cores) * b.speed * b.warmth(now))
-	if room := time.Duration(b.plan.FallMultiple * float64(can)); sum > room+room/10 {
+	can := time.Duration(float64(b.plan.CollapseWindow) * float64(b.plan.Cores) * b.speed * b.warmth(now))
+	if room := time.Duration(b.plan.CollapseMultiple * float64(can)); sum > room+room/10 {
 		b.fallen = true
-		b.judge.Fell(now, b.ID, fmt.Sprintf("%v of work in %v, it could do %v", sum, b.plan.FallFor, can))
+		b.judge.ServerCollapsed(now, b.ID, fmt.Sprintf("%v of work in %v, it could do %v", sum, b.plan.CollapseWindow, can))
 	}
 	return b.fallen
 }
 
 // spread draws a factor of mean 1.
-func (b *Box) spread(cv float64) float64 {
+func (b *Server) spread(cv float64) float64 {
 	if cv <= 0 {
 		return 1
 	}
@@ -507,7 +509,7 @@
 }
 
 // cut ends a connection in the middle.
-func (b *Box) cut(w http.ResponseWriter) {
+func (b *Server) cut(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		c.(*boxConn).SetLinger(0)
@@ -516,7 +518,7 @@
 }
 
 // noise answers what no client can read.
-func (b *Box) noise(w http.ResponseWriter) {
+func (b *Server) noise(w http.ResponseWriter) {
 	c, buf, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		garble(buf.Writer)
@@ -530,7 +532,7 @@
 }
 
 // set changes what is wrong with the box.
-func (b *Box) set(t trouble, slower float64) {
+func (b *Server) set(t trouble, slower float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.trouble == silent && t != silent {
@@ -543,14 +545,14 @@
 }
 
 // drain makes the box turn away what is new, or ends that.
-func (b *Box) drain(on bool) {
+func (b *Server) drain(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = on
 }
 
 // restart begins a new process, which is cold.
-func (b *Box) restart() error {
+func (b *Server) restart() error {
 	b.mu.Lock()
 	b.trouble, b.slower, b.draining, b.fallen, b.arrivals = healthy, 1, false, false, nil
 	b.started = max(1, b.clock.Now())
@@ -559,7 +561,7 @@
 }
 
 // BoxState is what a box has seen so far.
-type BoxState struct {
+type ServerState struct {
 	ID      string
 	Site    string
 	Speed   float64
@@ -570,8 +572,8 @@
 }
 
 // State tells how the box fares.
-func (b *Box) State() BoxState {
+func (b *Server) State() ServerState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return BoxState{b.ID, b.Site, b.speed, b.served, len(b.conns), b.refused, b.fallen}
+	return ServerState{b.ID, b.Site, b.speed, b.served, len(b.conns), b.refused, b.fallen}
 }
