--- a/internal/rig/standin/callers.go
+++ b/internal/rig/standin/callers.go
@@ -15,33 +15,33 @@
 
 // Traffic is what callers ask for.
 type Traffic struct {
-	Rate    float64       // first tries a second
-	AtOnce  int           // if above 0, so many callers ask one request after another instead
-	For     time.Duration // arrivals stop after this
-	Retries int           // of one request, by its caller
-	Backoff time.Duration // before a retry without advice
-	Mix     []float64     // shares by class; nil: the plan's
-	Body    int           // bytes of a body, where a request has one
-	Leave   float64       // part of the tries whose callers leave early, within their class's aim
+	Rate           float64       // first tries a second
+	Concurrency    int           // if above 0, so many callers ask one request after another instead
+	Duration       time.Duration // arrivals stop after this
+	Retries        int           // of one request, by its caller
+	Backoff        time.Duration // before a retry without advice
+	Mix            []float64     // shares by class; nil: the plan's
+	BodyBytes      int           // bytes of a body, where a request has one
+	CancelFraction float64       // part of the tries whose callers leave early, within their class's aim
 }
 
 // ClassReport is what became of a class's requests.
 type ClassReport struct {
-	Name    string
-	Worth   float64
-	Asked   int // first tries
-	Served  int // within the aim, retries counted with their first try
-	Late    int
-	Refused int // by the last try
-	Failed  int // by the last try, lost ones and those without answer included
-	Tries   int // with the callers' retries
+	Name     string
+	Worth    float64
+	Requests int // first tries
+	Served   int // within the aim, retries counted with their first try
+	Late     int
+	Refused  int // by the last try
+	Failed   int // by the last try, lost ones and those without answer included
+	Tries    int // with the callers' retries
 	// Latency of what was served, from the first try on.
 	P50, P90, P99, P999, Max time.Duration
 	histogram                *hdrhistogram.Histogram
 }
 
 // Callers send a plan's traffic to nodes. Arrivals do not wait for answers.
-type Callers struct {
+type LoadGenerator struct {
 	plan    *Plan
 	clients []*Client
 
@@ -53,8 +53,8 @@
 }
 
 // NewCallers returns callers that spread their connections over these nodes.
-func NewCallers(plan *Plan, clients []*Client) *Callers {
-	c := &Callers{plan: plan, clients: clients, classes: make([]ClassReport, len(plan.Classes))}
+func NewLoadGenerator(plan *Plan, clients []*Client) *LoadGenerator {
+	c := &LoadGenerator{plan: plan, clients: clients, classes: make([]ClassReport, len(plan.Classes))}
 	for i, class := range plan.Classes {
 		c.classes[i] = ClassReport{
 			Name: class.Name, Worth: class.Worth,
@@ -65,17 +65,17 @@
 }
 
 // Progress tells first tries so far, those without an end, and tries by ending.
-func (c *Callers) Progress() (asked, out int64, tries map[judge.Ending]int64) {
-	tries = map[judge.Ending]int64{}
+func (c *LoadGenerator) Progress() (asked, out int64, tries map[judge.RequestOutcome]int64) {
+	tries = map[judge.RequestOutcome]int64{}
 	for e := range c.seen {
-		tries[judge.Ending(e)] = c.seen[e].Load()
+		tries[judge.RequestOutcome(e)] = c.seen[e].Load()
 	}
 	return c.asked.Load(), c.out.Load(), tries
 }
 
 // Run sends the traffic, and returns once all of it has ended. Ending the
 // context stops arrivals; what is out has its time.
-func (c *Callers) Run(ctx context.Context, t Traffic) {
+func (c *LoadGenerator) Run(ctx context.Context, t Traffic) {
 	rng := c.plan.draw("callers", 0)
 	mix := t.Mix
 	if mix == nil {
@@ -90,22 +90,22 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	begun := time.Now()
-	for range t.AtOnce {
+	for range t.Concurrency {
 		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		all.Go(func() {
-			for time.Since(begun) < t.For && ctx.Err() == nil {
+			for time.Since(begun) < t.Duration && ctx.Err() == nil {
 				c.request(ctx, &t, draw(mix, sum, own), own)
 			}
 		})
 	}
-	if t.AtOnce > 0 {
+	if t.Concurrency > 0 {
 		return
 	}
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / t.Rate * float64(time.Second))
-		if at >= t.For {
+		if at >= t.Duration {
 			return
 		}
 		if wait := at - time.Since(begun); wait > 0 {
@@ -135,38 +135,38 @@
 }
 
 // request plays one request with its retries.
-func (c *Callers) request(ctx context.Context, t *Traffic, index int, rng *rand.Rand) {
+func (c *LoadGenerator) request(ctx context.Context, t *Traffic, index int, rng *rand.Rand) {
 	class := &c.plan.Classes[index]
 	c.asked.Add(1)
 	c.out.Add(1)
 	defer c.out.Add(-1)
 	begun := time.Now()
-	a := Ask{
+	a := Request{
 		Class: index, Path: fmt.Sprintf("/%s/%s/%d", class.Name, c.plan.Sites[rng.IntN(len(c.plan.Sites))], rng.IntN(5000)),
-		Key: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Body: make([]byte, t.Body),
+		Key: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Body: make([]byte, t.BodyBytes),
 	}
 	for i := range a.Body {
 		a.Body[i] = 'x'
 	}
 	node := rng.IntN(len(c.clients))
 	tries := 0
-	var answer Answer
+	var answer Response
 	for {
 		left := class.Deadline - time.Since(begun)
 		if left < time.Millisecond {
 			break
 		}
-		a.ID, a.Wait, a.Resent = fmt.Sprintf("%016x", rng.Uint64()), left, tries > 0
+		a.ID, a.Timeout, a.IsRetry = fmt.Sprintf("%016x", rng.Uint64()), left, tries > 0
 		// A request under way is not given up when arrivals stop.
 		stays, leave := context.WithCancel(context.WithoutCancel(ctx))
-		if t.Leave > 0 && rng.Float64() < t.Leave {
-			time.AfterFunc(time.Duration(rng.Float64()*float64(class.Aim)), leave)
+		if t.CancelFraction > 0 && rng.Float64() < t.CancelFraction {
+			time.AfterFunc(time.Duration(rng.Float64()*float64(class.LatencyTarget)), leave)
 		}
 		answer = c.clients[node%len(c.clients)].Do(stays, a)
 		leave()
-		c.seen[answer.Ending].Add(1)
+		c.seen[answer.Outcome].Add(1)
 		tries++
-		if answer.Ending == judge.Served || tries > t.Retries {
+		if answer.Outcome == judge.Served || tries > t.Retries {
 			break
 		}
 		wait := time.Duration((0.5 + rng.Float64()) * float64(t.Backoff))
@@ -181,25 +181,25 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := &c.classes[index]
-	r.Asked++
+	r.Requests++
 	r.Tries += tries
 	switch {
-	case answer.Ending == judge.Served && took <= class.Aim:
+	case answer.Outcome == judge.Served && took <= class.LatencyTarget:
 		r.Served++
-	case answer.Ending == judge.Served:
+	case answer.Outcome == judge.Served:
 		r.Late++
-	case answer.Ending == judge.Refused:
+	case answer.Outcome == judge.Refused:
 		r.Refused++
 	default:
 		r.Failed++
 	}
-	if answer.Ending == judge.Served {
+	if answer.Outcome == judge.Served {
 		r.histogram.RecordValue(int64(took / time.Microsecond))
 	}
 }
 
 // Report is what became of all requests so far.
-func (c *Callers) Report() []ClassReport {
+func (c *LoadGenerator) Report() []ClassReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reports := make([]ClassReport, len(c.classes))
@@ -215,10 +215,10 @@
 }
 
 // Service is the worth served in time over the worth asked for.
-func Service(reports []ClassReport) float64 {
+func ServedWorth(reports []ClassReport) float64 {
 	asked, served := 0.0, 0.0
 	for _, r := range reports {
-		asked += r.Worth * float64(r.Asked)
+		asked += r.Worth * float64(r.Requests)
 		served += r.Worth * float64(r.Served)
 	}
 	if asked == 0 {
--- a/internal/rig/standin/calls.go
+++ b/internal/rig/standin/calls.go
@@ -1,18 +1,18 @@
 package standin
 
 // NodeCalls are the calls of one node, and what became of them.
-type NodeCalls struct {
-	Offered  int // all that came
-	Answered int // a list was written
-	TimedOut int // 503, having waited in the queue for too long
-	Rejected int // 503 at once, the queue being too long
-	Failed   int // cut off by an outage, or answered 503 in one
-	Open     int // long polls that wait for a change now
-	Version  int // the newest of the list that was written
+type CallCounts struct {
+	Received       int // all that came
+	Answered       int // a list was written
+	TimedOut       int // 503, having waited in the queue for too long
+	Rejected       int // 503 at once, the queue being too long
+	Failed         int // cut off by an outage, or answered 503 in one
+	OpenPolls      int // long polls that wait for a change now
+	WrittenVersion int // the newest of the list that was written
 }
 
 // add counts a call that has ended.
-func (c *NodeCalls) add(err error) {
+func (c *CallCounts) add(err error) {
 	switch err {
 	case nil:
 		c.Answered++
@@ -33,10 +33,10 @@
 }
 
 // CallsByNode returns the calls of each node.
-func (d *Discovery) CallsByNode() map[string]NodeCalls {
+func (d *Discovery) CallsByNode() map[string]CallCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := map[string]NodeCalls{}
+	all := map[string]CallCounts{}
 	for _, e := range d.endpoints {
 		all[e.node] = e.counts
 	}
@@ -52,7 +52,7 @@
 }
 
 // count adds to the counts of an endpoint.
-func (e *discoveryEndpoint) count(add func(c *NodeCalls)) {
+func (e *discoveryEndpoint) count(add func(c *CallCounts)) {
 	e.discovery.mu.Lock()
 	defer e.discovery.mu.Unlock()
 	add(&e.counts)
--- a/internal/rig/standin/capacity.go
+++ b/internal/rig/standin/capacity.go
@@ -16,14 +16,14 @@
 
 // SettingError is a setting out of its bounds.
 type SettingError struct {
-	Key         string
-	Value       any
-	Least, Most any
-	Reason      string // of the bounds, where they are not plain
+	Key      string
+	Value    any
+	Min, Max any
+	Reason   string // of the bounds, where they are not plain
 }
 
 func (e *SettingError) Error() string {
-	text := fmt.Sprintf("%s is %v, allowed: %v to %v", e.Key, e.Value, e.Least, e.Most)
+	text := fmt.Sprintf("%s is %v, allowed: %v to %v", e.Key, e.Value, e.Min, e.Max)
 	if e.Reason != "" {
 		text += ": " + e.Reason
 	}
@@ -38,16 +38,16 @@
 		most  float64
 	}{
 		{"registry.lines_per_second", s.LinesPerSecond, mostLines},
-		{"registry.call_lines", s.CallLines, mostLines},
-		{"registry.overbook", s.Overbook, mostOverbook},
-		{"registry.other_lines_per_second", s.OtherLinesPerSecond, mostLines},
+		{"registry.call_lines", s.LinesPerCall, mostLines},
+		{"registry.overbook", s.BacklogFactor, mostOverbook},
+		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, mostLines},
 	} {
 		if !(x.value >= 0 && x.value <= x.most) { // NaN is neither
-			return &SettingError{Key: x.key, Value: x.value, Least: 0, Most: x.most}
+			return &SettingError{Key: x.key, Value: x.value, Min: 0, Max: x.most}
 		}
 	}
 	if s.QueueTimeout < 0 || s.QueueTimeout > mostQueueTimeout {
-		return &SettingError{Key: "registry.queue_timeout", Value: s.QueueTimeout, Least: time.Duration(0), Most: mostQueueTimeout}
+		return &SettingError{Key: "registry.queue_timeout", Value: s.QueueTimeout, Min: time.Duration(0), Max: mostQueueTimeout}
 	}
 	return nil
 }
@@ -57,9 +57,9 @@
 	if err := validateCapacity(p.Registry); err != nil {
 		return err
 	}
-	if p.OutageAnswers && p.Registry.QueueTimeout == 0 {
+	if p.AnswerInOutage && p.Registry.QueueTimeout == 0 {
 		return &SettingError{
-			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Least: time.Nanosecond, Most: mostQueueTimeout,
+			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Min: time.Nanosecond, Max: mostQueueTimeout,
 			Reason: "a call that comes while discovery is down is answered after it",
 		}
 	}
--- a/internal/rig/standin/client.go
+++ b/internal/rig/standin/client.go
@@ -18,26 +18,26 @@
 )
 
 // Ask is one request to a node.
-type Ask struct {
-	ID     string
-	Class  int
-	Path   string
-	Key    string
-	Wait   time.Duration // X-Remaining-Ms; the caller leaves a little later
-	Body   []byte
-	Resent bool
-	Tenant string
-	Budget string // curlewring's budget header, handed on; "": none
+type Request struct {
+	ID           string
+	Class        int
+	Path         string
+	Key          string
+	Timeout      time.Duration // X-Remaining-Ms; the caller leaves a little later
+	Body         []byte
+	IsRetry      bool
+	Tenant       string
+	BudgetHeader string // curlewring's budget header, handed on; "": none
 }
 
 // Answer is how a request ended for its caller.
-type Answer struct {
-	Ending     judge.Ending
-	RetryAfter time.Duration
-	Took       time.Duration
-	Status     int
-	Untaken    bool   // no node has taken it
-	Spent      string // curlewring's word of what was spent of a budget
+type Response struct {
+	Outcome     judge.RequestOutcome
+	RetryAfter  time.Duration
+	Took        time.Duration
+	Status      int
+	NotSent     bool   // no node has taken it
+	SpentHeader string // curlewring's word of what was spent of a budget
 }
 
 // patience is how long a caller listens after its time is up, to find out
@@ -113,25 +113,25 @@
 }
 
 // encode writes a request as it stands on the wire.
-func (c *Client) encode(a *Ask) []byte {
+func (c *Client) encode(a *Request) []byte {
 	class := &c.plan.Classes[a.Class]
 	var b strings.Builder
 	method := "POST"
-	if class.Effect == judge.Safe {
+	if class.Idempotency == judge.Idempotent {
 		method = "GET"
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\n",
-		method, a.Path, a.ID, class.Name, max(1, a.Wait.Milliseconds()))
+		method, a.Path, a.ID, class.Name, max(1, a.Timeout.Milliseconds()))
 	if a.Tenant != "" {
 		fmt.Fprintf(&b, "X-Org: %s\r\n", a.Tenant)
 	}
-	if a.Budget != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", budget.HeaderName, a.Budget)
+	if a.BudgetHeader != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n", budget.HeaderName, a.BudgetHeader)
 	}
-	if a.Resent {
+	if a.IsRetry {
 		b.WriteString("X-Resent: 1\r\n")
 	}
-	if class.Effect == judge.Keyed {
+	if class.Idempotency == judge.Keyed {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.Key)
 	}
 	if method == "POST" {
@@ -146,14 +146,14 @@
 
 // Do asks once and tells the judge what became of it. Ending the context makes
 // the caller leave.
-func (c *Client) Do(ctx context.Context, a Ask) Answer {
+func (c *Client) Do(ctx context.Context, a Request) Response {
 	begun := c.clock.Now()
 	answer, maker := c.once(ctx, &a)
 	answer.Took = c.clock.Now() - begun
-	if answer.Untaken {
-		c.judge.Untaken(a.ID)
+	if answer.NotSent {
+		c.judge.RequestNotSent(a.ID)
 	} else {
-		c.judge.Answered(c.clock.Now(), a.ID, answer.Ending, maker)
+		c.judge.RequestEnded(c.clock.Now(), a.ID, answer.Outcome, maker)
 	}
 	return answer
 }
@@ -167,78 +167,78 @@
 // no room for connections may turn them back so.
 var errDoor = errors.New("the node closed a new connection")
 
-func (c *Client) once(ctx context.Context, a *Ask) (Answer, string) {
+func (c *Client) once(ctx context.Context, a *Request) (Response, string) {
 	message := c.encode(a)
 	for {
 		conn, err := c.get(ctx)
 		if err != nil {
-			return Answer{Ending: judge.Lost, Untaken: true}, ""
+			return Response{Outcome: judge.ConnectionLost, NotSent: true}, ""
 		}
 		answer, maker, err := c.on(ctx, conn, a, message)
 		if err == nil {
 			return answer, maker
 		}
 		conn.Close()
-		if errors.Is(err, errCrossed) && !c.judge.Reached(a.ID) {
+		if errors.Is(err, errCrossed) && !c.judge.ReachedServer(a.ID) {
 			continue
 		}
-		if errors.Is(err, errDoor) && !c.judge.Reached(a.ID) {
-			return Answer{Ending: judge.Failed}, ""
+		if errors.Is(err, errDoor) && !c.judge.ReachedServer(a.ID) {
+			return Response{Outcome: judge.Failed}, ""
 		}
 		var timeout net.Error
 		if ctx.Err() != nil || errors.As(err, &timeout) && timeout.Timeout() {
-			return Answer{Ending: judge.Left}, ""
+			return Response{Outcome: judge.ClientLeft}, ""
 		}
-		return Answer{Ending: judge.Lost}, ""
+		return Response{Outcome: judge.ConnectionLost}, ""
 	}
 }
 
 // on makes a request on a connection.
-func (c *Client) on(ctx context.Context, conn *callerConn, a *Ask, message []byte) (Answer, string, error) {
+func (c *Client) on(ctx context.Context, conn *callerConn, a *Request, message []byte) (Response, string, error) {
 	used := conn.used
-	conn.SetDeadline(time.Now().Add(a.Wait + patience))
+	conn.SetDeadline(time.Now().Add(a.Timeout + patience))
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	c.judge.Asked(c.clock.Now(), a.ID, a.Class, c.Node, a.Wait)
+	c.judge.RequestSent(c.clock.Now(), a.ID, a.Class, c.Node, a.Timeout)
 	if _, err := conn.Write(message); err != nil {
 		if used {
-			return Answer{}, "", errCrossed
+			return Response{}, "", errCrossed
 		}
-		return Answer{}, "", fmt.Errorf("writing: %w", err)
+		return Response{}, "", fmt.Errorf("writing: %w", err)
 	}
 	if _, err := conn.reader.Peek(1); err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			return Answer{}, "", fmt.Errorf("reading: %w", err)
+			return Response{}, "", fmt.Errorf("reading: %w", err)
 		}
 		if used {
-			return Answer{}, "", errCrossed
+			return Response{}, "", errCrossed
 		}
-		return Answer{}, "", errDoor
+		return Response{}, "", errDoor
 	}
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		return Answer{}, "", fmt.Errorf("reading: %w", err)
+		return Response{}, "", fmt.Errorf("reading: %w", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{}, "", fmt.Errorf("reading the body: %w", err)
+		return Response{}, "", fmt.Errorf("reading the body: %w", err)
 	}
-	answer := Answer{Status: resp.StatusCode, Spent: resp.Header.Get(budget.SpentHeaderName)}
+	answer := Response{Status: resp.StatusCode, SpentHeader: resp.Header.Get(budget.SpentHeaderName)}
 	maker := ""
 	switch resp.StatusCode {
 	case http.StatusOK:
-		answer.Ending = judge.Served
+		answer.Outcome = judge.Served
 		if box, id, _ := strings.Cut(strings.TrimSuffix(string(body), "\n"), " "); id == a.ID {
 			maker = box
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		answer.Ending = judge.Refused
+		answer.Outcome = judge.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 			answer.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	default:
-		answer.Ending = judge.Failed
+		answer.Outcome = judge.Failed
 	}
 	if resp.Close || !stop() {
 		conn.Close()
@@ -249,7 +249,7 @@
 }
 
 // Opened is how many connections it has opened.
-func (c *Client) Opened() int {
+func (c *Client) ConnsOpened() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened
--- a/internal/rig/standin/delivered.go
+++ b/internal/rig/standin/delivered.go
@@ -27,13 +27,13 @@
 
 // Settle reports to the judge from when each change counts as delivered whether or not it was written. Nothing may be
 // written after it.
-func (d *Discovery) Settle() {
+func (d *Discovery) ReportDeliveries() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.noteFault(false)
 	for n, c := range d.changes {
 		for _, e := range d.endpoints {
-			d.judge.Known(e.countsFrom(c.visible), e.node, c.ID, c.state(), n+1, true)
+			d.judge.StateDelivered(e.countsFrom(c.visible), e.node, c.ID, c.state(), n+1, true)
 		}
 	}
 }
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -75,13 +75,13 @@
 // newDiscovery returns a service with an empty list, as a plan has it.
 func newDiscovery(clock Clock, j *judge.Judge, p *Plan) *Discovery {
 	d := &Discovery{
-		clock: clock, judge: j, publishDelay: p.Notice, publishEvery: p.PublishEvery, pushed: p.Pushed, changed: make(chan struct{}),
+		clock: clock, judge: j, publishDelay: p.PublishDelay, publishEvery: p.PublishEvery, pushed: p.PushedLists, changed: make(chan struct{}),
 	}
-	if p.OutageAnswers {
+	if p.AnswerInOutage {
 		d.outageError = p.Registry.QueueTimeout
 	}
 	capacity := p.Registry
-	if p.Pushed {
+	if p.PushedLists {
 		capacity = registry.Settings{}
 	}
 	d.limit(capacity)
@@ -89,7 +89,7 @@
 }
 
 // Endpoint opens an address for one node; one that has an address already has both.
-func (d *Discovery) Endpoint(node, host string) (string, error) {
+func (d *Discovery) OpenEndpoint(node, host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
@@ -136,18 +136,18 @@
 }
 
 // Put publishes a box's state after the usual delay, or at once.
-func (d *Discovery) Put(e entry, atOnce bool) {
+func (d *Discovery) Publish(e entry, atOnce bool) {
 	delay := time.Duration(0)
 	if !atOnce {
 		d.mu.Lock()
 		delay = d.publishDelay
 		d.mu.Unlock()
 	}
-	d.PutAfter(e, delay)
+	d.PublishAfter(e, delay)
 }
 
 // PutAfter publishes a box's state after a delay.
-func (d *Discovery) PutAfter(e entry, delay time.Duration) {
+func (d *Discovery) PublishAfter(e entry, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := d.clock.Now() + delay
@@ -168,19 +168,19 @@
 }
 
 // Lag changes how long after it happened a change is published.
-func (d *Discovery) Lag(publishDelay time.Duration) {
+func (d *Discovery) SetPublishDelay(publishDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.publishDelay = publishDelay
 }
 
 // Out puts discovery out of order, or ends that. All calls under way fail with it, and their work is dropped.
-func (d *Discovery) Out(on bool) {
+func (d *Discovery) SetDown(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if on && !d.down {
 		d.outages++
-		d.queue.Restart(d.clock.Now())
+		d.queue.Clear(d.clock.Now())
 	}
 	d.down = on
 	d.noteFault(on)
@@ -188,7 +188,7 @@
 }
 
 // Swallow has all open long polls fall silent, as a network may: their connections stay, and nothing comes any more.
-func (d *Discovery) Swallow() {
+func (d *Discovery) SilencePolls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silences++
@@ -196,7 +196,7 @@
 }
 
 // Empty has discovery answer that there is no box, as a whole list and of no generation's own, or ends that.
-func (d *Discovery) Empty(on bool) {
+func (d *Discovery) SetEmpty(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.empty = on
@@ -207,7 +207,7 @@
 
 // Back has discovery go on from a backup of that age: its generations run backwards, and its answers hold what was true
 // then. 0 ends that.
-func (d *Discovery) Back(age time.Duration) {
+func (d *Discovery) RestoreBackup(age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.backupAt = 0
@@ -220,21 +220,21 @@
 }
 
 // Pace sets how many lines a second it can send from now on, where a call costs one; 0: any number.
-func (d *Discovery) Pace(linesPerSecond int) {
+func (d *Discovery) SetLineRate(linesPerSecond int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limit(registry.Settings{LinesPerSecond: float64(linesPerSecond), CallLines: 1})
+	d.limit(registry.Settings{LinesPerSecond: float64(linesPerSecond), LinesPerCall: 1})
 }
 
 // Crowd queues so much work of callers outside the fleet at once. Without a bound on its capacity there is no queue.
-func (d *Discovery) Crowd(work time.Duration) {
+func (d *Discovery) AddBacklog(work time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queue.Write(d.clock.Now(), int(d.capacity.LinesPerSecond*work.Seconds()))
+	d.queue.EnqueueLines(d.clock.Now(), int(d.capacity.LinesPerSecond*work.Seconds()))
 }
 
 // Limit sets its capacity from now on.
-func (d *Discovery) Limit(capacity registry.Settings) error {
+func (d *Discovery) SetCapacity(capacity registry.Settings) error {
 	if err := validateCapacity(capacity); err != nil {
 		return err
 	}
@@ -247,7 +247,7 @@
 // limit begins with an empty queue; d.mu is held, or nobody else has d yet.
 func (d *Discovery) limit(capacity registry.Settings) {
 	d.capacity, d.queue = capacity, registry.New(capacity)
-	d.queue.Restart(d.clock.Now())
+	d.queue.Clear(d.clock.Now())
 }
 
 // version is the newest published one, and how long until the next is; d.mu is held.
@@ -302,7 +302,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n, _ := d.version(d.clock.Now())
-	if had := e.counts.Version; had > 0 {
+	if had := e.counts.WrittenVersion; had > 0 {
 		n = min(n, had)
 	}
 	list := listAnswer{Generation: n, Whole: true, Instances: withoutDeleted(d.upTo(0, n))}
--- a/internal/rig/standin/discovery_test.go
+++ b/internal/rig/standin/discovery_test.go
@@ -18,7 +18,7 @@
 // delay, and report to the judge what it delivered to whom.
 func TestDiscovery(t *testing.T) {
 	f := start(t, small())
-	address, err := f.Discovery.Endpoint("n", "127.0.0.1")
+	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,9 +43,9 @@
 	}
 	got := make(chan list, 1)
 	go func() { got <- ask("?since=4&timeout_ms=10000") }()
-	f.Discovery.Lag(200 * ms)
+	f.Discovery.SetPublishDelay(200 * ms)
 	before := f.Clock.Now()
-	f.publish(f.Boxes[2], "DRAINING", false)
+	f.publish(f.Servers[2], "DRAINING", false)
 	l = <-got
 	if f.Clock.Now()-before < 200*ms {
 		t.Error("published before its delay was over")
@@ -53,17 +53,17 @@
 	if l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "DRAINING" || l.Generation != 5 {
 		t.Errorf("a change: %+v", l)
 	}
-	f.publish(f.Boxes[2], "DELETED", true)
+	f.publish(f.Servers[2], "DELETED", true)
 	if l = ask(""); len(l.Instances) != 3 {
 		t.Errorf("a whole list with one gone: %+v", l)
 	}
-	f.Discovery.Out(true)
+	f.Discovery.SetDown(true)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Get("http://" + address + "/v1/endpoints"); err == nil {
 		t.Errorf("out of order it answers %s", resp.Status)
 		resp.Body.Close()
 	}
-	f.Discovery.Out(false)
+	f.Discovery.SetDown(false)
 	for _, query := range []string{"?since=x", "?since=1&timeout_ms=70000", "?since=-1&timeout_ms=1"} {
 		resp, err := client.Get("http://" + address + "/v1/endpoints" + query)
 		if err != nil {
@@ -80,7 +80,7 @@
 	plan := small()
 	plan.Registry.LinesPerSecond = 50
 	f := start(t, plan)
-	address, err := f.Discovery.Endpoint("n", "127.0.0.1")
+	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,10 +153,10 @@
 func limited(t *testing.T, linesPerSecond float64, outageAnswers bool) (f *Fleet, url string) {
 	t.Helper()
 	plan := small()
-	plan.Registry = registry.Settings{LinesPerSecond: linesPerSecond, CallLines: 10, QueueTimeout: 400 * ms, Overbook: 2}
-	plan.OutageAnswers = outageAnswers
+	plan.Registry = registry.Settings{LinesPerSecond: linesPerSecond, LinesPerCall: 10, QueueTimeout: 400 * ms, BacklogFactor: 2}
+	plan.AnswerInOutage = outageAnswers
 	f = start(t, plan)
-	address, err := f.Discovery.Endpoint("n", "127.0.0.1")
+	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,11 +167,11 @@
 // queue that is too long is answered 503 at once.
 func TestCallsTimeOutInTheQueue(t *testing.T) {
 	f, url := limited(t, 40.0/3, false) // an empty call takes 0.75 s
-	calls := func() NodeCalls { return f.Discovery.CallsByNode()["n"] }
+	calls := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
 	var ended []<-chan answered
 	for i := range 3 {
 		ended = append(ended, callAsync(t, url+"?since=4&timeout_ms=0"))
-		waitFor(t, "the call is queued", func() bool { return calls().Offered == i+1 })
+		waitFor(t, "the call is queued", func() bool { return calls().Received == i+1 })
 	}
 	rejected := <-ended[2] // behind 1.5 s of work: more than two time-outs
 	if rejected.status != http.StatusServiceUnavailable || rejected.took >= 400*ms {
@@ -183,7 +183,7 @@
 		}
 	}
 	waitFor(t, "both are counted", func() bool { return calls().TimedOut == 2 })
-	if c := calls(); c != (NodeCalls{Offered: 3, TimedOut: 2, Rejected: 1}) {
+	if c := calls(); c != (CallCounts{Received: 3, TimedOut: 2, Rejected: 1}) {
 		t.Errorf("counted %+v", c)
 	}
 	if calls, lines := f.Discovery.Calls(); calls != 0 || lines != 0 {
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if errs := f.Play(t.Context(), []Fault{fault}, nil); len(errs) > 0 {
+	if errs := f.RunFaults(t.Context(), []Fault{fault}, nil); len(errs) > 0 {
 		t.Fatal(errs)
 	}
 	if e := <-callAsync(t, url+"?since=4&timeout_ms=0"); e.status != http.StatusServiceUnavailable || e.took < 400*ms {
@@ -209,17 +209,17 @@
 // A long poll that finds nothing new opens when its turn has come, and what it then has to tell goes through the queue.
 func TestLongPollsGoThroughTheQueue(t *testing.T) {
 	f, url := limited(t, 100, false) // an empty call takes 0.1 s
-	calls := func() NodeCalls { return f.Discovery.CallsByNode()["n"] }
+	calls := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
 	queued := time.Now()
 	poll := callAsync(t, url+"?since=4&timeout_ms=20000")
-	waitFor(t, "the poll is open", func() bool { return calls().Open == 1 })
+	waitFor(t, "the poll is open", func() bool { return calls().OpenPolls == 1 })
 	if took := time.Since(queued); took < 100*ms {
 		t.Errorf("open after %v, before its turn", took)
 	}
 	busy := time.Now()
 	other := callAsync(t, url+"?since=4&timeout_ms=0")
-	waitFor(t, "the other call is queued", func() bool { return calls().Offered == 2 })
-	f.publish(f.Boxes[2], "DRAINING", true)
+	waitFor(t, "the other call is queued", func() bool { return calls().Received == 2 })
+	f.publish(f.Servers[2], "DRAINING", true)
 	if e := <-poll; e.status != http.StatusOK || !strings.Contains(e.body, "DRAINING") || time.Since(busy) < 110*ms {
 		t.Errorf("the open poll: %+v, %v after 0.11 s of work began", e, time.Since(busy))
 	}
@@ -227,7 +227,7 @@
 		t.Errorf("the other call: %+v", e)
 	}
 	waitFor(t, "both are counted", func() bool { return calls().Answered == 2 })
-	if c := calls(); c != (NodeCalls{Offered: 2, Answered: 2, Version: 5}) {
+	if c := calls(); c != (CallCounts{Received: 2, Answered: 2, WrittenVersion: 5}) {
 		t.Errorf("counted %+v", c)
 	}
 }
@@ -236,16 +236,16 @@
 // the plan says so.
 func TestCallsAmidAnOutage(t *testing.T) {
 	f, url := limited(t, 100, true)
-	calls := func() NodeCalls { return f.Discovery.CallsByNode()["n"] }
+	calls := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
 	poll := callAsync(t, url+"?since=4&timeout_ms=20000")
-	waitFor(t, "the poll is open", func() bool { return calls().Open == 1 })
-	f.Discovery.Out(true)
+	waitFor(t, "the poll is open", func() bool { return calls().OpenPolls == 1 })
+	f.Discovery.SetDown(true)
 	if e := <-poll; e.status != 0 {
 		t.Errorf("the open poll: %+v", e)
 	}
 	during := callAsync(t, url)
-	waitFor(t, "the call has come", func() bool { return calls().Offered == 2 })
-	f.Discovery.Out(false) // too late for it
+	waitFor(t, "the call has come", func() bool { return calls().Received == 2 })
+	f.Discovery.SetDown(false) // too late for it
 	if e := <-during; e.status != http.StatusServiceUnavailable || e.took < 400*ms {
 		t.Errorf("a call amid the outage: %+v", e)
 	}
@@ -258,7 +258,7 @@
 // A node may have two addresses of discovery, as while that moves: it is one node to the judge and in the counts.
 func TestTwoAddressesOfANode(t *testing.T) {
 	f, first := limited(t, 0, false)
-	address, err := f.Discovery.Endpoint("n", "127.0.0.1")
+	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -280,11 +280,11 @@
 		want   string
 	}{
 		{func(p *Plan) { p.Registry.LinesPerSecond = -1 }, "registry.lines_per_second is -1, allowed: 0 to 1e+06"},
-		{func(p *Plan) { p.Registry.CallLines = math.NaN() }, "registry.call_lines is NaN, allowed: 0 to 1e+06"},
-		{func(p *Plan) { p.Registry.Overbook = math.Inf(1) }, "registry.overbook is +Inf, allowed: 0 to 1000"},
-		{func(p *Plan) { p.Registry.OtherLinesPerSecond = 2e6 }, "registry.other_lines_per_second is 2e+06, allowed: 0 to 1e+06"},
+		{func(p *Plan) { p.Registry.LinesPerCall = math.NaN() }, "registry.call_lines is NaN, allowed: 0 to 1e+06"},
+		{func(p *Plan) { p.Registry.BacklogFactor = math.Inf(1) }, "registry.overbook is +Inf, allowed: 0 to 1000"},
+		{func(p *Plan) { p.Registry.ExternalLinesPerSecond = 2e6 }, "registry.other_lines_per_second is 2e+06, allowed: 0 to 1e+06"},
 		{func(p *Plan) { p.Registry.QueueTimeout = -time.Second }, "registry.queue_timeout is -1s, allowed: 0s to 1m0s"},
-		{func(p *Plan) { p.OutageAnswers = true }, "registry.queue_timeout is 0s, allowed: 1ns to 1m0s: a call"},
+		{func(p *Plan) { p.AnswerInOutage = true }, "registry.queue_timeout is 0s, allowed: 1ns to 1m0s: a call"},
 	} {
 		plan := small()
 		c.change(&plan)
@@ -298,7 +298,7 @@
 		}
 	}
 	f := start(t, small())
-	if err := f.Discovery.Limit(registry.Settings{CallLines: -3}); err == nil || !strings.Contains(err.Error(), "registry.call_lines is -3") {
+	if err := f.Discovery.SetCapacity(registry.Settings{LinesPerCall: -3}); err == nil || !strings.Contains(err.Error(), "registry.call_lines is -3") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/rig/standin/endpoint.go
+++ b/internal/rig/standin/endpoint.go
@@ -19,7 +19,7 @@
 	addresses   []address
 	falsehoods  int             // that its node has been answered since
 	silentUntil []time.Duration // until when what a silent long poll missed does not count as delivered
-	counts      NodeCalls
+	counts      CallCounts
 }
 
 // address is one at which an endpoint is served.
@@ -88,7 +88,7 @@
 // serve works through a call, and ends it as one that failed if it gets no list.
 func (e *discoveryEndpoint) serve(w http.ResponseWriter, r *http.Request, call listCall) {
 	err := e.work(r.Context(), w, &call)
-	e.count(func(c *NodeCalls) { c.add(err) })
+	e.count(func(c *CallCounts) { c.add(err) })
 	switch err {
 	case nil, errCallerLeft:
 	case errSilenced:
@@ -142,7 +142,7 @@
 	defer d.mu.Unlock()
 	now := d.clock.Now()
 	call.end, call.silences, call.outages = now+call.wait, d.silences, d.outages
-	e.counts.Offered++
+	e.counts.Received++
 	if d.down && d.outageError > 0 && !d.pushed {
 		return admission{}, errUnavailable
 	}
@@ -156,7 +156,7 @@
 		entries = len(a.answer.Instances)
 	}
 	call.listening = a.answer == nil
-	queued := d.queue.Call(now, entries)
+	queued := d.queue.EnqueueCall(now, entries)
 	switch queued.Outcome {
 	case registry.Rejected:
 		return admission{}, errOverloaded
@@ -165,7 +165,7 @@
 	case registry.Answered:
 		d.countAnswer(a.answer)
 	}
-	a.at = queued.At
+	a.at = queued.DoneAt
 	return a, nil
 }
 
@@ -216,8 +216,8 @@
 
 // listen keeps a long poll open until there is something to answer, and that is its turn.
 func (e *discoveryEndpoint) listen(ctx context.Context, call *listCall) (*listAnswer, error) {
-	e.count(func(c *NodeCalls) { c.Open++ })
-	defer e.count(func(c *NodeCalls) { c.Open-- })
+	e.count(func(c *CallCounts) { c.OpenPolls++ })
+	defer e.count(func(c *CallCounts) { c.OpenPolls-- })
 	for {
 		found, err := e.look(call)
 		if err != nil {
@@ -256,7 +256,7 @@
 	call.listening = false
 	answer := e.compose(call.since, n)
 	d.countAnswer(answer)
-	return pollState{answer: answer, at: d.queue.Write(now, len(answer.Instances))}, nil
+	return pollState{answer: answer, at: d.queue.EnqueueLines(now, len(answer.Instances))}, nil
 }
 
 // sleep waits for a change or an alarm, and tells whether the caller is still there.
--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -11,15 +11,15 @@
 
 // Fault is one thing that goes wrong: what, where, when and for how long.
 type Fault struct {
-	Kind string
-	Box  string // its id, or a number; with Site and Node empty
-	Site string // all boxes of a site
-	Node string // a node's name or number
-	From string // of a link between nodes; "": any
-	To   string
-	At   time.Duration
-	For  time.Duration
-	By   float64 // slow: times slower; lag: seconds more; backup: seconds back; backlog: seconds of work; lose, twice, damage: part; late: seconds
+	Kind      string
+	Server    string // its id, or a number; with Site and Node empty
+	Site      string // all boxes of a site
+	Node      string // a node's name or number
+	From      string // of a link between nodes; "": any
+	To        string
+	At        time.Duration
+	Duration  time.Duration
+	Magnitude float64 // slow: times slower; lag: seconds more; backup: seconds back; backlog: seconds of work; lose, twice, damage: part; late: seconds
 }
 
 // faultKinds are the kinds, and what they happen to.
@@ -47,10 +47,10 @@
 // ParseFault reads a fault, as slow:box=2,at=3s,for=5s,by=8.
 func ParseFault(text string) (Fault, error) {
 	kind, rest, _ := strings.Cut(text, ":")
-	f := Fault{Kind: kind, At: 2 * time.Second, For: 3 * time.Second, By: 8}
+	f := Fault{Kind: kind, At: 2 * time.Second, Duration: 3 * time.Second, Magnitude: 8}
 	what, ok := faultKinds()[kind]
 	if what == "links" {
-		f.By = 0.3
+		f.Magnitude = 0.3
 	}
 	if !ok {
 		return f, fmt.Errorf("fault %q: no such kind; there are %s", text, strings.Join(FaultKinds(), ", "))
@@ -65,7 +65,7 @@
 		case !found || value == "":
 			err = fmt.Errorf("want key=value, got %q", part)
 		case key == "box" && what == "boxes":
-			f.Box = value
+			f.Server = value
 		case key == "site" && what == "boxes":
 			f.Site = value
 		case key == "node" && what == "node":
@@ -77,10 +77,10 @@
 		case key == "at":
 			f.At, err = span(value)
 		case key == "for":
-			f.For, err = span(value)
+			f.Duration, err = span(value)
 		case key == "by":
-			f.By, err = strconv.ParseFloat(value, 64)
-			if err == nil && !(f.By > 0 && f.By <= 1000) {
+			f.Magnitude, err = strconv.ParseFloat(value, 64)
+			if err == nil && !(f.Magnitude > 0 && f.Magnitude <= 1000) {
 				err = fmt.Errorf("by: %s is not in 0 to 1000", value)
 			}
 		default:
@@ -90,11 +90,11 @@
 			return f, fmt.Errorf("fault %q: %w", text, err)
 		}
 	}
-	if what == "boxes" && (f.Box == "") == (f.Site == "") {
+	if what == "boxes" && (f.Server == "") == (f.Site == "") {
 		return f, fmt.Errorf("fault %q: name a box or a site", text)
 	}
-	if what == "links" && kind != "late" && kind != "cut" && f.By > 1 {
-		return f, fmt.Errorf("fault %q: by: %v is no part, 0 to 1", text, f.By)
+	if what == "links" && kind != "late" && kind != "cut" && f.Magnitude > 1 {
+		return f, fmt.Errorf("fault %q: by: %v is no part, 0 to 1", text, f.Magnitude)
 	}
 	if what == "node" && f.Node == "" {
 		return f, fmt.Errorf("fault %q: name a node", text)
@@ -111,35 +111,35 @@
 }
 
 // hit lists the boxes that a fault is about.
-func (f *Fleet) hit(x *Fault) ([]*Box, error) {
+func (f *Fleet) hit(x *Fault) ([]*Server, error) {
 	if x.Site != "" {
 		if !slices.Contains(f.Plan.Sites, x.Site) {
 			return nil, fmt.Errorf("no site %q; there are %s", x.Site, strings.Join(f.Plan.Sites, ", "))
 		}
-		var all []*Box
-		for _, b := range f.Boxes {
+		var all []*Server
+		for _, b := range f.Servers {
 			if b.Site == x.Site {
 				all = append(all, b)
 			}
 		}
 		return all, nil
 	}
-	for i, b := range f.Boxes {
-		if b.ID == x.Box || strconv.Itoa(i) == x.Box {
-			return []*Box{b}, nil
+	for i, b := range f.Servers {
+		if b.ID == x.Server || strconv.Itoa(i) == x.Server {
+			return []*Server{b}, nil
 		}
 	}
-	for _, b := range f.Lower { // of lower tiers by name alone
-		if b.ID == x.Box {
-			return []*Box{b}, nil
+	for _, b := range f.LowerServers { // of lower tiers by name alone
+		if b.ID == x.Server {
+			return []*Server{b}, nil
 		}
 	}
-	return nil, fmt.Errorf("no box %q; there are 0 to %d, and lower ones by name, as box-100", x.Box, len(f.Boxes)-1)
+	return nil, fmt.Errorf("no box %q; there are 0 to %d, and lower ones by name, as box-100", x.Server, len(f.Servers)-1)
 }
 
 // CheckFault tells whether a fault is about something that the fleet has. Nodes
 // are their owner's.
-func (f *Fleet) CheckFault(x Fault) error {
+func (f *Fleet) ValidateFault(x Fault) error {
 	if faultKinds()[x.Kind] != "boxes" {
 		return nil
 	}
@@ -148,21 +148,21 @@
 }
 
 // Nodes is what a fault may do to nodes; whoever runs them provides it.
-type Nodes interface {
+type NodeController interface {
 	Kill(name string) error
-	Term(name string) error // it is told to end, and has its time for that
+	Terminate(name string) error // it is told to end, and has its time for that
 	Start(name string) error
-	Stop(name string) error // it stands still ...
-	Cont(name string) error // ... and goes on
+	Pause(name string) error  // it stands still ...
+	Resume(name string) error // ... and goes on
 	// Move has discovery at another address from now on, of which nodes hear as of any change of their configuration.
-	Move() error
+	MoveDiscovery() error
 	// Link makes or ends a fault of the links between nodes.
-	Link(f *Fault, on bool) error
+	SetLinkFault(f *Fault, on bool) error
 }
 
 // Play plays faults until all are over or the context ends; then what is still
 // wrong is put right. An error of one fault does not stop the others.
-func (f *Fleet) Play(ctx context.Context, faults []Fault, nodes Nodes) []error {
+func (f *Fleet) RunFaults(ctx context.Context, faults []Fault, nodes NodeController) []error {
 	type step struct {
 		at  time.Duration
 		do  func() error
@@ -173,7 +173,7 @@
 		x := faults[i]
 		steps = append(steps,
 			step{x.At, func() error { return f.begin(&x, nodes) }, false},
-			step{x.At + x.For, func() error { return f.end(&x, nodes) }, true})
+			step{x.At + x.Duration, func() error { return f.end(&x, nodes) }, true})
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	var errs []error
@@ -200,36 +200,36 @@
 }
 
 // begin makes a fault happen.
-func (f *Fleet) begin(x *Fault, nodes Nodes) error {
+func (f *Fleet) begin(x *Fault, nodes NodeController) error {
 	switch x.Kind {
 	case "lag":
-		f.Discovery.Lag(f.Plan.Notice + time.Duration(x.By*float64(time.Second)))
+		f.Discovery.SetPublishDelay(f.Plan.PublishDelay + time.Duration(x.Magnitude*float64(time.Second)))
 		return nil
 	case "outage":
-		f.Discovery.Out(true)
+		f.Discovery.SetDown(true)
 		return nil
 	case "empty":
-		f.Discovery.Empty(true)
+		f.Discovery.SetEmpty(true)
 		return nil
 	case "backup":
-		f.Discovery.Back(time.Duration(x.By * float64(time.Second)))
+		f.Discovery.RestoreBackup(time.Duration(x.Magnitude * float64(time.Second)))
 		return nil
 	case "blackhole":
-		f.Discovery.Swallow()
+		f.Discovery.SilencePolls()
 		return nil
 	case "backlog":
-		f.Discovery.Crowd(time.Duration(x.By * float64(time.Second)))
+		f.Discovery.AddBacklog(time.Duration(x.Magnitude * float64(time.Second)))
 		return nil
 	case "move":
-		return nodes.Move()
+		return nodes.MoveDiscovery()
 	case "kill":
 		return nodes.Kill(x.Node)
 	case "term":
-		return nodes.Term(x.Node)
+		return nodes.Terminate(x.Node)
 	case "stop":
-		return nodes.Stop(x.Node)
+		return nodes.Pause(x.Node)
 	case "cut", "lose", "late", "twice", "damage":
-		return nodes.Link(x, true)
+		return nodes.SetLinkFault(x, true)
 	}
 	boxes, err := f.hit(x)
 	if err != nil {
@@ -238,7 +238,7 @@
 	for _, b := range boxes {
 		switch x.Kind {
 		case "slow":
-			b.set(healthy, x.By)
+			b.set(healthy, x.Magnitude)
 		case "stuck":
 			b.set(stuck, 1)
 		case "reset":
@@ -269,28 +269,28 @@
 }
 
 // end puts a fault right.
-func (f *Fleet) end(x *Fault, nodes Nodes) error {
+func (f *Fleet) end(x *Fault, nodes NodeController) error {
 	switch x.Kind {
 	case "lag":
-		f.Discovery.Lag(f.Plan.Notice)
+		f.Discovery.SetPublishDelay(f.Plan.PublishDelay)
 		return nil
 	case "outage":
-		f.Discovery.Out(false)
+		f.Discovery.SetDown(false)
 		return nil
 	case "empty":
-		f.Discovery.Empty(false)
+		f.Discovery.SetEmpty(false)
 		return nil
 	case "backup":
-		f.Discovery.Back(0)
+		f.Discovery.RestoreBackup(0)
 		return nil
 	case "blackhole", "backlog", "move": // what was swallowed stays so, the queue is worked off, and nothing moves back
 		return nil
 	case "kill", "term":
 		return nodes.Start(x.Node)
 	case "stop":
-		return nodes.Cont(x.Node)
+		return nodes.Resume(x.Node)
 	case "cut", "lose", "late", "twice", "damage":
-		return nodes.Link(x, false)
+		return nodes.SetLinkFault(x, false)
 	}
 	boxes, err := f.hit(x)
 	if err != nil {
--- a/internal/rig/standin/idlers.go
+++ b/internal/rig/standin/idlers.go
@@ -13,7 +13,7 @@
 
 // Idlers are controllers that each keep one connection to a node, and ask for
 // something now and then.
-type Idlers struct {
+type IdleClients struct {
 	plan    *Plan
 	clients []*Client
 	class   int
@@ -27,8 +27,8 @@
 
 // NewIdlers makes count of them, spread over nodes, which ask for the plan's class
 // that is worth least.
-func NewIdlers(plan *Plan, count int, nodes []*Client) *Idlers {
-	i := &Idlers{plan: plan, rng: plan.draw("idlers", 0)}
+func NewIdleClients(plan *Plan, count int, nodes []*Client) *IdleClients {
+	i := &IdleClients{plan: plan, rng: plan.draw("idlers", 0)}
 	for k := range plan.Classes {
 		if plan.Classes[k].Worth < plan.Classes[i.class].Worth {
 			i.class = k
@@ -42,12 +42,12 @@
 }
 
 // Connect has each ask once, and returns when all have had an answer.
-func (i *Idlers) Connect(ctx context.Context) error {
+func (i *IdleClients) Connect(ctx context.Context) error {
 	i.each(ctx, 0)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if held := i.Held(); held < len(i.clients) {
+	if held := i.OpenConns(); held < len(i.clients) {
 		return fmt.Errorf("%d of %d idle connections could be opened", held, len(i.clients))
 	}
 	return nil
@@ -55,14 +55,14 @@
 
 // Wake has each ask again every so often, in the order in which they connected and
 // spread over the time, until the context ends.
-func (i *Idlers) Wake(ctx context.Context, every time.Duration) {
+func (i *IdleClients) SendPeriodically(ctx context.Context, every time.Duration) {
 	for ctx.Err() == nil {
 		i.each(ctx, every)
 	}
 }
 
 // each has each ask once, spread over a time.
-func (i *Idlers) each(ctx context.Context, over time.Duration) {
+func (i *IdleClients) each(ctx context.Context, over time.Duration) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	turn := make(chan *Client)
@@ -93,25 +93,25 @@
 	}
 }
 
-func (i *Idlers) ask(c *Client, rng *rand.Rand) {
+func (i *IdleClients) ask(c *Client, rng *rand.Rand) {
 	class := &i.plan.Classes[i.class]
 	i.asked.Add(1)
-	answer := c.Do(context.Background(), Ask{
-		ID: fmt.Sprintf("%016x", rng.Uint64()), Class: i.class, Wait: class.Deadline,
+	answer := c.Do(context.Background(), Request{
+		ID: fmt.Sprintf("%016x", rng.Uint64()), Class: i.class, Timeout: class.Deadline,
 		Path: fmt.Sprintf("/%s/%s/%d", class.Name, i.plan.Sites[rng.IntN(len(i.plan.Sites))], rng.IntN(5000)),
 		Key:  fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()),
 	})
-	switch answer.Ending {
+	switch answer.Outcome {
 	case judge.Served:
 		i.served.Add(1)
-	case judge.Lost, judge.Left:
+	case judge.ConnectionLost, judge.ClientLeft:
 		i.lost.Add(1)
 	}
 }
 
 // Held is how many connections they have, as far as they know, and Opened how many
 // they have opened in all.
-func (i *Idlers) Held() (n int) {
+func (i *IdleClients) OpenConns() (n int) {
 	for _, c := range i.clients {
 		c.mu.Lock()
 		n += len(c.idle)
@@ -120,20 +120,20 @@
 	return n
 }
 
-func (i *Idlers) Opened() (n int) {
+func (i *IdleClients) ConnsOpened() (n int) {
 	for _, c := range i.clients {
-		n += c.Opened()
+		n += c.ConnsOpened()
 	}
 	return n
 }
 
 // Counts are the requests so far: asked, served, and without an answer.
-func (i *Idlers) Counts() (asked, served, lost int64) {
+func (i *IdleClients) Counts() (asked, served, lost int64) {
 	return i.asked.Load(), i.served.Load(), i.lost.Load()
 }
 
 // Close ends all their connections.
-func (i *Idlers) Close() {
+func (i *IdleClients) Close() {
 	for _, c := range i.clients {
 		c.Close()
 	}
--- a/internal/rig/standin/judge/judge.go
+++ b/internal/rig/standin/judge/judge.go
@@ -9,13 +9,13 @@
 )
 
 // Effect says whether a request may run more than once.
-type Effect int
+type Idempotency int
 
 // The three effects.
 const (
-	Safe Effect = iota
+	Idempotent Idempotency = iota
 	Keyed
-	Unsafe
+	AtMostOnce
 )
 
 // Group says which boxes drop the repeats of a keyed request.
@@ -23,66 +23,66 @@
 
 // The three groups.
 const (
-	All Group = iota
-	Site
-	Rack
+	GroupAll Group = iota
+	GroupSite
+	GroupRack
 )
 
 // Class is what the rules need of a class of requests.
 type Class struct {
-	Name   string
-	Effect Effect
-	Group  Group
-	Window time.Duration // Keyed: how long boxes drop repeats
+	Name        string
+	Idempotency Idempotency
+	Group       Group
+	KeyTTL      time.Duration // Keyed: how long boxes drop repeats
 }
 
 // Rules are the figures that the rules go by.
 type Rules struct {
 	Classes      []Class
-	MostAttempts int
-	SecondCopies bool          // two attempts may be out at once, where the class is safe
+	MaxAttempts  int
+	AllowHedging bool          // two attempts may be out at once, where the class is safe
 	DrainGrace   time.Duration // nothing new to a box later than this after it was notified
-	Slack        time.Duration // added to each time limit
+	Tolerance    time.Duration // added to each time limit
 }
 
 // Place is where a box stands, for the groups.
-type Place struct {
+type Location struct {
 	Site string
 	Rack int
 }
 
 // How says how an attempt ended at its box.
-type How int
+type AttemptOutcome int
 
 // The ends of an attempt.
 const (
-	Open       How = iota // it has not
-	Done                  // answered 200
-	TurnedAway            // answered that it never ran
-	Erred                 // answered with an error
-	Cut                   // the box or its machine ended the connection
-	GivenUp               // the node ended the connection
-	Spoilt                // answered with what can't be read
+	InProgress    AttemptOutcome = iota // it has not
+	Succeeded                           // answered 200
+	Rejected                            // answered that it never ran
+	Errored                             // answered with an error
+	ConnectionCut                       // the box or its machine ended the connection
+	Abandoned                           // the node ended the connection
+	Malformed                           // answered with what can't be read
 )
 
-func (h How) String() string {
+func (h AttemptOutcome) String() string {
 	return [...]string{"still open", "answered", "turned away", "erred", "cut", "given up", "spoilt"}[h]
 }
 
 // Ending is the final answer that a caller read.
-type Ending int
+type RequestOutcome int
 
 // The endings.
 const (
-	Waiting Ending = iota
+	Unanswered RequestOutcome = iota
 	Served
 	Refused
 	Failed
-	Lost // the connection ended without a whole answer
-	Left // the caller ended the connection itself
+	ConnectionLost // the connection ended without a whole answer
+	ClientLeft     // the caller ended the connection itself
 )
 
-func (e Ending) String() string {
+func (e RequestOutcome) String() string {
 	return [...]string{"no answer", "served", "refused", "failed", "lost", "left by its caller"}[e]
 }
 
@@ -116,7 +116,7 @@
 	at      time.Duration // its last byte came
 	key     string
 	ended   time.Duration
-	how     How
+	how     AttemptOutcome
 	effects int // 1: it had its effect; repeats that were dropped have none
 	ranAt   time.Duration
 }
@@ -127,7 +127,7 @@
 	node     string
 	asked    time.Duration
 	wait     time.Duration
-	ending   Ending
+	ending   RequestOutcome
 	ended    time.Duration
 	maker    string // the box that made the answer, as its body says
 	attempts []attempt
@@ -141,7 +141,7 @@
 
 	mu            sync.Mutex
 	requests      map[string]*request
-	places        map[string]Place
+	places        map[string]Location
 	notifications map[string]map[string][]notification // by node, by box
 	deaths        map[string][]time.Duration
 	starts        map[string][]time.Duration    // of processes that took the place of dead ones
@@ -154,13 +154,13 @@
 // New returns an empty ledger.
 func New(r Rules) *Judge {
 	return &Judge{
-		rules: r, requests: map[string]*request{}, places: map[string]Place{},
+		rules: r, requests: map[string]*request{}, places: map[string]Location{},
 		notifications: map[string]map[string][]notification{}, deaths: map[string][]time.Duration{}, starts: map[string][]time.Duration{}, stood: map[string][][2]time.Duration{},
 	}
 }
 
 // Box says where a box stands; it must be told before the box's first request.
-func (j *Judge) Box(id string, p Place) {
+func (j *Judge) AddServer(id string, p Location) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.places[id] = p
@@ -168,14 +168,14 @@
 
 // Asked says that a caller has written the last byte of a request to a node, and
 // how long it will wait.
-func (j *Judge) Asked(at time.Duration, id string, class int, node string, wait time.Duration) {
+func (j *Judge) RequestSent(at time.Duration, id string, class int, node string, wait time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.requests[id] = &request{id: id, class: class, node: node, asked: at, wait: wait}
 }
 
 // Untaken says that a request never reached a node: it is owed nothing.
-func (j *Judge) Untaken(id string) {
+func (j *Judge) RequestNotSent(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if r := j.requests[id]; r != nil && len(r.attempts) == 0 {
@@ -184,7 +184,7 @@
 }
 
 // Reached tells whether a request has come to any box.
-func (j *Judge) Reached(id string) bool {
+func (j *Judge) ReachedServer(id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
@@ -193,14 +193,14 @@
 
 // Answered says how a request ended for its caller. Of one that was served,
 // maker is the box that the body names.
-func (j *Judge) Answered(at time.Duration, id string, e Ending, maker string) {
+func (j *Judge) RequestEnded(at time.Duration, id string, e RequestOutcome, maker string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
 	switch {
 	case r == nil:
 		j.strays = append(j.strays, Breach{Rule: 1, What: "an answer to what nobody asked", Request: id, At: at})
-	case r.ending != Waiting:
+	case r.ending != Unanswered:
 		j.strays = append(j.strays, Breach{Rule: 1, What: fmt.Sprintf("a second final answer: %v after %v", e, r.ending),
 			Request: id, At: at, History: r.history()})
 	default:
@@ -210,7 +210,7 @@
 
 // Arrived says that the last byte of an attempt has come to a box, and returns
 // its number for Ran and Ended.
-func (j *Judge) Arrived(at time.Duration, id, box, key string) int {
+func (j *Judge) AttemptArrived(at time.Duration, id, box, key string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
@@ -223,7 +223,7 @@
 }
 
 // Ran says that an attempt had its effect. A repeat that was dropped has none.
-func (j *Judge) Ran(at time.Duration, id string, number int) {
+func (j *Judge) AttemptExecuted(at time.Duration, id string, number int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if a := j.attempt(id, number); a != nil {
@@ -233,10 +233,10 @@
 }
 
 // Ended says that an attempt is no longer out.
-func (j *Judge) Ended(at time.Duration, id string, number int, how How) {
+func (j *Judge) AttemptEnded(at time.Duration, id string, number int, how AttemptOutcome) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if a := j.attempt(id, number); a != nil && a.how == Open {
+	if a := j.attempt(id, number); a != nil && a.how == InProgress {
 		a.ended, a.how = at, how
 	}
 }
@@ -250,14 +250,14 @@
 
 // Died says that a node was killed: what it held is its callers' to ask again.
 // It starts again with what it was told before, so what it was notified of goes on counting.
-func (j *Judge) Died(at time.Duration, node string) {
+func (j *Judge) NodeKilled(at time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.deaths[node] = append(j.deaths[node], at)
 }
 
 // Started says that a node that had died runs again.
-func (j *Judge) Started(at time.Duration, node string) {
+func (j *Judge) NodeStarted(at time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts[node] = append(j.starts[node], at)
@@ -265,14 +265,14 @@
 
 // Stood says that a node's process stood still from one time to another: what it held then may be answered late, or
 // be given up by its caller, but nothing is sent for it after its time.
-func (j *Judge) Stood(from, to time.Duration, node string) {
+func (j *Judge) NodePaused(from, to time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.stood[node] = append(j.stood[node], [2]time.Duration{from, to})
 }
 
 // Fell says that a cold box was sent too much and fell over.
-func (j *Judge) Fell(at time.Duration, box, why string) {
+func (j *Judge) ServerCollapsed(at time.Duration, box, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.fallen = append(j.fallen, Breach{Rule: 4, What: "cold box " + box + " fell over: " + why, At: at})
@@ -280,7 +280,7 @@
 
 // Lag says that this machine was late by so long: whoever should have run at this
 // time ran later. Time limits near it are widened.
-func (j *Judge) Lag(at, long time.Duration) {
+func (j *Judge) MachineDelayed(at, long time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.lags = append(j.lags, delay{at, long})
@@ -288,28 +288,28 @@
 
 // Verdict is what the ledger holds.
 type Verdict struct {
-	Requests  int
-	Attempts  int
-	MostTries int // attempts of any one request
-	ByClass   []Count
-	Answers   map[Ending]int
-	Breaches  []Breach
-	Excused   int           // time limits missed by no more than the machine's own delay
-	WorstLag  time.Duration // of the machine
+	Requests        int
+	Attempts        int
+	MaxAttempts     int // attempts of any one request
+	ByClass         []ClassCount
+	Outcomes        map[RequestOutcome]int
+	Breaches        []Breach
+	Excused         int           // time limits missed by no more than the machine's own delay
+	MaxMachineDelay time.Duration // of the machine
 }
 
 // Count is the requests of a class, callers' retries included, and their attempts.
-type Count struct{ Requests, Attempts int }
+type ClassCount struct{ Requests, Attempts int }
 
 // Judge goes through the ledger. Nothing further may be reported: what has no answer now
 // will have none.
-func (j *Judge) Judge(now time.Duration) Verdict {
+func (j *Judge) Check(now time.Duration) Verdict {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	v := Verdict{Requests: len(j.requests), Answers: map[Ending]int{}, ByClass: make([]Count, len(j.rules.Classes))}
+	v := Verdict{Requests: len(j.requests), Outcomes: map[RequestOutcome]int{}, ByClass: make([]ClassCount, len(j.rules.Classes))}
 	slices.SortFunc(j.lags, func(x, y delay) int { return cmp.Compare(x.at, y.at) })
 	for _, l := range j.lags {
-		v.WorstLag = max(v.WorstLag, l.long)
+		v.MaxMachineDelay = max(v.MaxMachineDelay, l.long)
 	}
 	v.Breaches = append(v.Breaches, j.fallen...)
 	v.Breaches = append(v.Breaches, j.strays...)
@@ -318,8 +318,8 @@
 		v.Attempts += len(r.attempts)
 		v.ByClass[r.class].Requests++
 		v.ByClass[r.class].Attempts += len(r.attempts)
-		v.MostTries = max(v.MostTries, len(r.attempts))
-		v.Answers[r.ending]++
+		v.MaxAttempts = max(v.MaxAttempts, len(r.attempts))
+		v.Outcomes[r.ending]++
 		c.request = r
 		c.answer()
 		c.effects()
@@ -343,11 +343,11 @@
 		if a.effects > 0 {
 			lines = append(lines, line{a.ranAt, fmt.Sprintf("attempt %d had its effect", i)})
 		}
-		if a.how != Open {
+		if a.how != InProgress {
 			lines = append(lines, line{a.ended, fmt.Sprintf("attempt %d %v", i, a.how)})
 		}
 	}
-	if r.ending != Waiting {
+	if r.ending != Unanswered {
 		lines = append(lines, line{r.ended, r.ending.String()})
 	}
 	slices.SortStableFunc(lines, func(x, y line) int { return cmp.Compare(x.at, y.at) })
--- a/internal/rig/standin/judge/notifications.go
+++ b/internal/rig/standin/judge/notifications.go
@@ -11,7 +11,7 @@
 }
 
 // Told says that discovery has written a box's state to a node.
-func (j *Judge) Told(at time.Duration, node, box string, s State) {
+func (j *Judge) StateWritten(at time.Duration, node, box string, s State) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	boxes := j.notificationsOf(node)
@@ -32,7 +32,7 @@
 
 // Known says that a box's state counts as told to a node from a time on, as of a version of the list: it has been written
 // then, or, if due, discovery has had it and could be reached for as long as a node may take to ask.
-func (j *Judge) Known(at time.Duration, node, box string, s State, version int, due bool) {
+func (j *Judge) StateDelivered(at time.Duration, node, box string, s State, version int, due bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	boxes := j.notificationsOf(node)
--- a/internal/rig/standin/judge/request.go
+++ b/internal/rig/standin/judge/request.go
@@ -24,7 +24,7 @@
 // late tells whether an event came after its limit, by more than the slack and
 // what the machine itself was late by.
 func (c *requestCheck) late(limit, at time.Duration) bool {
-	over := at - limit - c.rules.Slack
+	over := at - limit - c.rules.Tolerance
 	if over <= 0 {
 		return false
 	}
@@ -49,38 +49,38 @@
 func (c *requestCheck) answer() {
 	died := false
 	end := c.ended
-	if c.ending == Waiting {
+	if c.ending == Unanswered {
 		end = c.now
 	}
 	for _, at := range c.deaths[c.node] {
-		died = died || at >= c.asked-c.rules.Slack && at <= end+c.rules.Slack
+		died = died || at >= c.asked-c.rules.Tolerance && at <= end+c.rules.Tolerance
 	}
 	limit := c.asked + c.wait
 	stood := false
 	for _, x := range c.stood[c.node] {
-		stood = stood || x[0] <= end+c.rules.Slack && x[1] >= c.asked-c.rules.Slack
+		stood = stood || x[0] <= end+c.rules.Tolerance && x[1] >= c.asked-c.rules.Tolerance
 	}
 	switch {
 	case died:
-	case stood && (c.ending == Left || c.ending != Waiting && c.ending != Lost && c.ended > limit):
+	case stood && (c.ending == ClientLeft || c.ending != Unanswered && c.ending != ConnectionLost && c.ended > limit):
 		c.verdict.Excused++
-	case c.ending == Waiting:
+	case c.ending == Unanswered:
 		if c.late(limit, c.now) {
 			c.breach(1, c.now, "no final answer")
 		}
-	case c.ending == Lost:
+	case c.ending == ConnectionLost:
 		c.breach(1, c.ended, "the connection ended without a whole answer")
-	case c.ending == Left && c.late(limit, c.ended):
+	case c.ending == ClientLeft && c.late(limit, c.ended):
 		c.breach(1, c.ended, "no final answer in %v: the caller gave up", c.wait)
 	case c.late(limit, c.ended):
 		c.breach(1, c.ended, "answered %v after %v, its caller waits for %v", c.ending, c.ended-c.asked, c.wait)
 	}
 	if c.ending == Served && !slices.ContainsFunc(c.attempts, func(a attempt) bool {
-		return a.box == c.maker && a.how == Done
+		return a.box == c.maker && a.how == Succeeded
 	}) {
 		c.breach(1, c.ended, "served with an answer of box %q, which answered no attempt of it", c.maker)
 	}
-	if c.ending == Waiting || c.ending == Lost || died {
+	if c.ending == Unanswered || c.ending == ConnectionLost || died {
 		return
 	}
 	for _, a := range c.attempts {
@@ -93,45 +93,45 @@
 // effects checks rule 2.
 func (c *requestCheck) effects() {
 	class := c.rules.Classes[c.class]
-	if len(c.attempts) > c.rules.MostAttempts {
-		c.breach(2, c.attempts[len(c.attempts)-1].at, "%d attempts, at most %d are allowed", len(c.attempts), c.rules.MostAttempts)
+	if len(c.attempts) > c.rules.MaxAttempts {
+		c.breach(2, c.attempts[len(c.attempts)-1].at, "%d attempts, at most %d are allowed", len(c.attempts), c.rules.MaxAttempts)
 	}
 	ran := 0
 	may := -1 // the first that may have run
 	for i, a := range c.attempts {
 		for _, b := range c.attempts[:i] {
-			out := b.how == Open || b.ended > a.at && c.late(a.at, b.ended)
-			if out && !(c.rules.SecondCopies && class.Effect == Safe) {
+			out := b.how == InProgress || b.ended > a.at && c.late(a.at, b.ended)
+			if out && !(c.rules.AllowHedging && class.Idempotency == Idempotent) {
 				c.breach(2, a.at, "two attempts out at once: at %s and %s", b.box, a.box)
 			}
 		}
 		if may >= 0 {
 			c.again(class, &c.attempts[may], &a)
 		}
-		if a.how != TurnedAway && may < 0 {
+		if a.how != Rejected && may < 0 {
 			may = i
 		}
-		if ran += a.effects; a.effects > 0 && ran > 1 && class.Effect != Safe {
+		if ran += a.effects; a.effects > 0 && ran > 1 && class.Idempotency != Idempotent {
 			c.breach(2, a.ranAt, "its effect happened %d times", ran)
 		}
 	}
 	if c.ending == Refused && may >= 0 &&
-		(class.Effect == Unsafe || class.Effect == Keyed && class.Group != All) {
+		(class.Idempotency == AtMostOnce || class.Idempotency == Keyed && class.Group != GroupAll) {
 		c.breach(2, c.ended, "refused though the attempt at %s may have run", c.attempts[may].box)
 	}
 }
 
 // again checks an attempt after one that may have run.
 func (c *requestCheck) again(class Class, first, a *attempt) {
-	switch class.Effect {
-	case Unsafe:
+	switch class.Idempotency {
+	case AtMostOnce:
 		c.breach(2, a.at, "sent to %s though the attempt at %s may have run", a.box, first.box)
 	case Keyed:
-		if c.late(first.at+class.Window, a.at) {
-			c.breach(2, a.at, "repeated %v after the first, boxes drop repeats for %v", a.at-first.at, class.Window)
+		if c.late(first.at+class.KeyTTL, a.at) {
+			c.breach(2, a.at, "repeated %v after the first, boxes drop repeats for %v", a.at-first.at, class.KeyTTL)
 		}
 		here, there := c.places[first.box], c.places[a.box]
-		if class.Group == Site && here.Site != there.Site || class.Group == Rack && here != there {
+		if class.Group == GroupSite && here.Site != there.Site || class.Group == GroupRack && here != there {
 			c.breach(2, a.at, "repeated at %s, which does not drop repeats of what ran at %s", a.box, first.box)
 		}
 	}
--- a/internal/rig/standin/standin_test.go
+++ b/internal/rig/standin/standin_test.go
@@ -39,12 +39,12 @@
 
 // small is a fleet of four boxes in two sites and two racks each.
 func small() Plan {
-	p := Default()
-	p.Boxes, p.RackSize, p.Notice = 4, 1, 0
+	p := DefaultPlan()
+	p.Servers, p.RackSize, p.PublishDelay = 4, 1, 0
 	for i := range p.Classes {
 		p.Classes[i].Work, p.Classes[i].Spread = 2*ms, 0
 	}
-	p.Classes = append(p.Classes, Class{"auftrag", 0.1, 2 * ms, 0, time.Second, 2 * time.Second, 1, judge.Unsafe, 0, 0})
+	p.Classes = append(p.Classes, Class{"auftrag", 0.1, 2 * ms, 0, time.Second, 2 * time.Second, 1, judge.AtMostOnce, 0, 0})
 	return p
 }
 
@@ -92,7 +92,7 @@
 
 // forward sends a request to a box and gives its answer back.
 func (n *rogue) forward(ctx context.Context, r *http.Request, box int) (int, string, bool) {
-	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+n.fleet.Boxes[box].Address+r.URL.RequestURI(), nil)
+	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+n.fleet.Servers[box].Address+r.URL.RequestURI(), nil)
 	if err != nil {
 		return 0, "", false
 	}
@@ -122,7 +122,7 @@
 // list asks discovery in the rogue's name, so that the list counts as delivered.
 func (n *rogue) list(t *testing.T) {
 	t.Helper()
-	address, err := n.fleet.Discovery.Endpoint("rogue", "127.0.0.1")
+	address, err := n.fleet.Discovery.OpenEndpoint("rogue", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,10 +146,10 @@
 	return string(body)
 }
 
-func (n *rogue) ask(class string, wait time.Duration) Answer {
+func (n *rogue) ask(class string, wait time.Duration) Response {
 	index, _ := n.fleet.Plan.class(class)
-	return n.client.Do(context.Background(), Ask{
-		ID: fmt.Sprintf("%016x", time.Now().UnixNano()), Class: index, Path: "/" + class + "/genf/1", Key: "k1", Wait: wait,
+	return n.client.Do(context.Background(), Request{
+		ID: fmt.Sprintf("%016x", time.Now().UnixNano()), Class: index, Path: "/" + class + "/genf/1", Key: "k1", Timeout: wait,
 	})
 }
 
@@ -232,13 +232,13 @@
 		}, nil},
 		{"sends to a drained box", 3, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) },
 			func(t *testing.T, n *rogue) {
-				n.fleet.publish(n.fleet.Boxes[0], "DRAINING", true)
+				n.fleet.publish(n.fleet.Servers[0], "DRAINING", true)
 				n.list(t)
 				time.Sleep(n.fleet.Plan.DrainGrace + 200*ms) // what it waits for is time itself
 			}},
 		{"sends to a drained box in the grace", 0, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) },
 			func(t *testing.T, n *rogue) {
-				n.fleet.publish(n.fleet.Boxes[0], "DRAINING", true)
+				n.fleet.publish(n.fleet.Servers[0], "DRAINING", true)
 				n.list(t)
 			}},
 	} {
@@ -255,7 +255,7 @@
 			n.ask(c.class, 600*ms)
 			var v judge.Verdict
 			broken := func() bool {
-				v = f.Judge.Judge(f.Clock.Now())
+				v = f.Judge.Check(f.Clock.Now())
 				return slices.ContainsFunc(v.Breaches, func(b judge.Breach) bool { return b.Rule == c.rule })
 			}
 			if c.rule > 0 {
@@ -278,22 +278,22 @@
 // A node that sends all it has to a box that has just started must push it over.
 func TestJudgeSeesAColdBoxFall(t *testing.T) {
 	plan := small()
-	plan.Slots, plan.Queue, plan.MostConn = 1000, 1000, 1000
+	plan.Slots, plan.Queue, plan.MaxConns = 1000, 1000, 1000
 	plan.Classes[1].Work = 50 * ms
-	plan.ColdFor = 30 * time.Second
+	plan.WarmupTime = 30 * time.Second
 	f := start(t, plan)
 	n := newRogue(t, f, func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 1) })
-	b := f.Boxes[1]
+	b := f.Servers[1]
 	b.close()
 	if err := b.restart(); err != nil {
 		t.Fatal(err)
 	}
 	// It can do two cores x 0.4 x its speed of 1 in a second: 0.8 s of work, and falls
 	// at 2.5 times that, 40 requests of 50 ms.
-	ended := make(chan Answer, 120)
+	ended := make(chan Response, 120)
 	for i := range 120 {
 		go func() {
-			ended <- n.client.Do(context.Background(), Ask{ID: fmt.Sprintf("%016x", i), Class: 1, Path: "/zustand/1", Wait: 5 * time.Second})
+			ended <- n.client.Do(context.Background(), Request{ID: fmt.Sprintf("%016x", i), Class: 1, Path: "/zustand/1", Timeout: 5 * time.Second})
 		}()
 	}
 	for range 120 {
@@ -302,7 +302,7 @@
 	if !b.State().Fallen {
 		t.Error("the box stands")
 	}
-	v := f.Judge.Judge(f.Clock.Now())
+	v := f.Judge.Check(f.Clock.Now())
 	if !slices.ContainsFunc(v.Breaches, func(b judge.Breach) bool { return b.Rule == 4 }) {
 		t.Errorf("found %v", v.Breaches)
 	}
@@ -329,7 +329,7 @@
 				status.Store(int64(got))
 				w.WriteHeader(http.StatusBadGateway)
 			})
-			fault := Fault{Kind: c.kind, Box: "0", By: 2}
+			fault := Fault{Kind: c.kind, Server: "0", Magnitude: 2}
 			if err := f.begin(&fault, nil); err != nil {
 				t.Fatal(err)
 			}
@@ -344,7 +344,7 @@
 			if got := status.Load(); got != 200 {
 				t.Errorf("answered %d afterwards", got)
 			}
-			v := f.Judge.Judge(f.Clock.Now())
+			v := f.Judge.Check(f.Clock.Now())
 			if len(v.Breaches) > 0 {
 				t.Errorf("found %v", v.Breaches)
 			}
@@ -372,9 +372,9 @@
 
 func TestConnectionCap(t *testing.T) {
 	plan := small()
-	plan.MostConn = 3
+	plan.MaxConns = 3
 	f := start(t, plan)
-	b := f.Boxes[0]
+	b := f.Servers[0]
 	for range 5 {
 		c, err := net.Dial("tcp", b.Address)
 		if errors.Is(err, syscall.ECONNRESET) {
@@ -402,13 +402,13 @@
 		}
 		n.pass(w, r, 0)
 	})
-	c := NewCallers(&f.Plan, []*Client{n.client})
+	c := NewLoadGenerator(&f.Plan, []*Client{n.client})
 	begun := time.Now()
-	c.Run(context.Background(), Traffic{Rate: 200, For: 500 * ms, Retries: 1, Backoff: ms, Mix: []float64{0, 1, 0, 0}})
+	c.Run(context.Background(), Traffic{Rate: 200, Duration: 500 * ms, Retries: 1, Backoff: ms, Mix: []float64{0, 1, 0, 0}})
 	took := time.Since(begun)
 	r := c.Report()[1]
-	if r.Asked < 50 || r.Asked > 200 || r.Served+r.Late+r.Refused+r.Failed != r.Asked || r.Tries != int(tries.Load()) ||
-		r.Tries != 2*r.Asked {
+	if r.Requests < 50 || r.Requests > 200 || r.Served+r.Late+r.Refused+r.Failed != r.Requests || r.Tries != int(tries.Load()) ||
+		r.Tries != 2*r.Requests {
 		t.Errorf("got %+v with %d tries", r, tries.Load())
 	}
 	if r.P50 < 150*ms {
@@ -417,14 +417,14 @@
 	if took > 5*time.Second {
 		t.Errorf("took %v: arrivals waited for answers", took)
 	}
-	if s := Service(c.Report()); s <= 0 || s > 1 {
+	if s := ServedWorth(c.Report()); s <= 0 || s > 1 {
 		t.Errorf("service %v", s)
 	}
 }
 
 func TestParseFault(t *testing.T) {
 	f, err := ParseFault("slow:box=2,at=3s,for=500ms,by=4")
-	if err != nil || f != (Fault{Kind: "slow", Box: "2", At: 3 * time.Second, For: 500 * ms, By: 4}) {
+	if err != nil || f != (Fault{Kind: "slow", Server: "2", At: 3 * time.Second, Duration: 500 * ms, Magnitude: 4}) {
 		t.Errorf("got %+v, %v", f, err)
 	}
 	for _, text := range []string{
@@ -436,19 +436,19 @@
 		}
 	}
 	fleet := start(t, small())
-	for _, x := range []Fault{{Kind: "slow", Box: "9"}, {Kind: "slow", Site: "bern"}} {
-		if err := fleet.CheckFault(x); err == nil {
+	for _, x := range []Fault{{Kind: "slow", Server: "9"}, {Kind: "slow", Site: "bern"}} {
+		if err := fleet.ValidateFault(x); err == nil {
 			t.Errorf("%+v was taken", x)
 		}
 	}
-	if err := fleet.CheckFault(Fault{Kind: "slow", Box: "box-003"}); err != nil {
+	if err := fleet.ValidateFault(Fault{Kind: "slow", Server: "box-003"}); err != nil {
 		t.Error(err)
 	}
 }
 
 // The same seed must draw the same traffic and the same work.
 func TestSeeded(t *testing.T) {
-	p := Default()
+	p := DefaultPlan()
 	a, b, c := p.draw("box", 1), p.draw("box", 1), p.draw("box", 2)
 	if x, y, z := a.Uint64(), b.Uint64(), c.Uint64(); x != y || x == z {
 		t.Errorf("drew %x, %x and %x", x, y, z)
@@ -473,8 +473,8 @@
 		})
 	}
 	for range 200 {
-		f.Boxes[0].close()
-		if err := f.Boxes[0].restart(); err != nil {
+		f.Servers[0].close()
+		if err := f.Servers[0].restart(); err != nil {
 			t.Error(err)
 			break
 		}
--- a/internal/rig/standin/trees.go
+++ b/internal/rig/standin/trees.go
@@ -44,7 +44,7 @@
 
 // Worst is the most attempts of any one call of a graph, and how many attempts
 // there were of all.
-func (f *Fleet) Worst() (most, all int) {
+func (f *Fleet) MaxCallAttempts() (most, all int) {
 	f.trees.mu.Lock()
 	defer f.trees.mu.Unlock()
 	return f.trees.worst, f.trees.all
--- a/internal/rig/virtual/boxes.go
+++ b/internal/rig/virtual/boxes.go
@@ -19,16 +19,16 @@
 	b.sent++
 	b.second++
 	if t.call.key != "" {
-		t.arrived = r.judge.Arrived(r.now, t.call.key, b.id, t.call.key)
+		t.arrived = r.judge.AttemptArrived(r.now, t.call.key, b.id, t.call.key)
 	}
 	t.life = b.life
 	switch {
 	case b.errs:
-		r.end(t, judge.Erred)
+		r.end(t, judge.Errored)
 		r.after(way, func() { r.outcome(t, life, decide.Errored) })
 		return
 	case b.turns || b.held >= b.room || t.left:
-		r.end(t, judge.TurnedAway)
+		r.end(t, judge.Rejected)
 		r.after(way, func() { r.outcome(t, life, decide.Rejected) })
 		return
 	}
@@ -42,7 +42,7 @@
 	b.backlog += t.work
 	t.below = 0
 	if b.node != nil {
-		t.below = r.c.Calls
+		t.below = r.c.CallsPerRequest
 	}
 	b.waiting = append(b.waiting, t)
 	r.work(b, way, life)
@@ -62,7 +62,7 @@
 		if !t.begun {
 			t.begun = true
 			if t.arrived >= 0 && r.first(t) {
-				r.judge.Ran(r.now, t.call.key, t.arrived)
+				r.judge.AttemptExecuted(r.now, t.call.key, t.arrived)
 			}
 		}
 		b.busy++
@@ -115,7 +115,7 @@
 		})
 		return
 	}
-	r.ask(b.node, t.call.class, t.call.work, left, false, func(e judge.Ending, _ time.Duration) {
+	r.ask(b.node, t.call.class, t.call.work, left, false, func(e judge.RequestOutcome, _ time.Duration) {
 		if b.life != process {
 			return
 		}
@@ -137,9 +137,9 @@
 	r.mean(b)
 	b.held--
 	b.backlog -= t.work
-	result, how := decide.Served, judge.Done
+	result, how := decide.Served, judge.Succeeded
 	if !good {
-		result, how = decide.Errored, judge.Erred
+		result, how = decide.Errored, judge.Errored
 	}
 	r.end(t, how)
 	switch {
@@ -153,33 +153,33 @@
 
 // warmth is the part of its capacity that a box has.
 func (r *run) warmth(b *box) float64 {
-	if b.started == 0 || r.c.ColdFor <= 0 {
+	if b.started == 0 || r.c.WarmupTime <= 0 {
 		return 1
 	}
-	age := float64(r.start(r.now)-b.started) / float64(r.c.ColdFor)
-	return min(1, r.c.ColdFrom+(1-r.c.ColdFrom)*age)
+	age := float64(r.start(r.now)-b.started) / float64(r.c.WarmupTime)
+	return min(1, r.c.ColdCapacity+(1-r.c.ColdCapacity)*age)
 }
 
 // slow is how many times slower a box is now.
 func (b *box) slow(r *run) float64 {
 	if b.choked > r.now {
-		return b.slower * r.c.Choke.Slower
+		return b.slower * r.c.Congestion.Slowdown
 	}
 	return b.slower
 }
 
 // mean follows what a box holds, and chokes it.
 func (r *run) mean(b *box) {
-	c := r.c.Choke
+	c := r.c.Congestion
 	if c == nil {
 		return
 	}
-	part := math.Exp(-float64(r.now-b.meanAt) / float64(c.Over))
+	part := math.Exp(-float64(r.now-b.meanAt) / float64(c.AveragingTime))
 	b.meanHeld = b.meanHeld*part + float64(b.held)*(1-part)
 	b.meanAt = r.now
-	limit := float64(b.cores) + c.At*math.Sqrt(float64(b.cores))
+	limit := float64(b.cores) + c.Threshold*math.Sqrt(float64(b.cores))
 	if b.choked <= r.now && b.meanHeld > limit {
-		b.choked = r.now + c.Most
+		b.choked = r.now + c.MaxDuration
 	} else if b.choked > r.now && b.meanHeld < float64(b.cores)*0.3 {
 		b.choked = r.now
 	}
@@ -193,7 +193,7 @@
 		b.fall = nil
 		return false
 	}
-	r.result.ToCold++
+	r.result.ColdAttempts++
 	b.fall = append(b.fall, arrival{r.now, work})
 	sum := time.Duration(0)
 	for i := len(b.fall) - 1; i >= 0 && r.now-b.fall[i].at < r.set.CollapseWindow; i-- {
@@ -201,12 +201,12 @@
 	}
 	can := float64(r.set.CollapseWindow) * float64(b.cores) * b.speed * r.warmth(b)
 	calls := r.set.CollapseMultiple * can / float64(r.c.meanWork())
-	r.result.ColdWindow = max(r.result.ColdWindow, float64(sum)/float64(r.c.meanWork())/(calls+2*math.Sqrt(calls)+2))
-	r.result.Crowded = max(r.result.Crowded, float64(sum)/(1.1*r.set.CollapseMultiple*can+float64(2*work)))
+	r.result.ColdRequestRatio = max(r.result.ColdRequestRatio, float64(sum)/float64(r.c.meanWork())/(calls+2*math.Sqrt(calls)+2))
+	r.result.ColdWorkRatio = max(r.result.ColdWorkRatio, float64(sum)/(1.1*r.set.CollapseMultiple*can+float64(2*work)))
 	if float64(sum) > 1.1*r.set.CollapseMultiple*can+float64(2*work) {
 		b.fallen = true
-		r.result.Fallen++
-		r.judge.Fell(r.now, b.id, fmt.Sprintf("%v of work in %v", sum, r.set.CollapseWindow))
+		r.result.Collapsed++
+		r.judge.ServerCollapsed(r.now, b.id, fmt.Sprintf("%v of work in %v", sum, r.set.CollapseWindow))
 		return true
 	}
 	return false
@@ -241,10 +241,10 @@
 }
 
 func (r *run) cut(t *task) {
-	r.end(t, judge.Cut)
+	r.end(t, judge.ConnectionCut)
 	t.arrived = min(t.arrived, -2)
 	life := t.node.life
-	r.after(r.c.Hop, func() { r.outcome(t, life, decide.ConnectionLost) })
+	r.after(r.c.SiteLatency, func() { r.outcome(t, life, decide.ConnectionLost) })
 }
 
 // up starts a box's process again, cold.
--- a/internal/rig/virtual/callers.go
+++ b/internal/rig/virtual/callers.go
@@ -12,7 +12,7 @@
 // arrive plans the next first try.
 func (r *run) arrive() {
 	wait := time.Duration(r.rng.ExpFloat64() / (r.c.Rate * r.rate) * float64(time.Second))
-	if r.now+wait >= r.c.Length {
+	if r.now+wait >= r.c.Duration {
 		return
 	}
 	r.after(wait, func() {
@@ -38,17 +38,17 @@
 		work *= math.Exp(r.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 	}
 	if r.rng.Float64() < k.HeavyShare {
-		work *= k.HeavyTimes
+		work *= k.HeavyFactor
 	}
 	count := &r.result.Classes[class]
-	count.Asked++
+	count.Requests++
 	r.open++
 	begun, tries := r.now, 0
 	at := r.rng.IntN(len(r.nodes))
 	site := &r.sites[r.nodes[at].site]
 	site[1] += k.Worth
 	var try func()
-	end := func(e judge.Ending) {
+	end := func(e judge.RequestOutcome) {
 		r.open--
 		took := r.now - begun
 		switch {
@@ -79,16 +79,16 @@
 		tries++
 		count.Tries++
 		again := tries > 1
-		r.ask(n, class, time.Duration(work), left, again, func(e judge.Ending, advice time.Duration) {
+		r.ask(n, class, time.Duration(work), left, again, func(e judge.RequestOutcome, advice time.Duration) {
 			if e == judge.Refused && r.wouldDo(n, class, time.Duration(work), begun) {
-				count.Wrong++
+				count.WrongRefusals++
 			}
 			if e == judge.Served || tries > r.c.Retries {
 				end(e)
 				return
 			}
 			wait := r.c.Backoff
-			if !r.c.InStep {
+			if !r.c.NoJitter {
 				wait = time.Duration((0.5 + r.rng.Float64()) * float64(wait))
 			}
 			wait = max(wait, advice)
@@ -116,12 +116,12 @@
 }
 
 // ask gives a request to a node.
-func (r *run) ask(n *node, class int, work, ttl time.Duration, again bool, done func(judge.Ending, time.Duration)) {
+func (r *run) ask(n *node, class int, work, ttl time.Duration, again bool, done func(judge.RequestOutcome, time.Duration)) {
 	n.nextID++
 	c := &call{id: n.nextID, class: class, work: work, asked: r.now, ttl: ttl, done: done}
-	if r.nextKey++; r.c.JudgeOne <= 1 || r.nextKey%uint64(r.c.JudgeOne) == 0 {
+	if r.nextKey++; r.c.JudgeEvery <= 1 || r.nextKey%uint64(r.c.JudgeEvery) == 0 {
 		c.key = strconv.FormatUint(r.nextKey, 36)
-		r.judge.Asked(r.now, c.key, class, n.name, ttl)
+		r.judge.RequestSent(r.now, c.key, class, n.name, ttl)
 	}
 	n.calls[c.id] = c
 	const margin = 10 * time.Millisecond
@@ -140,14 +140,14 @@
 }
 
 // answer ends a request.
-func (r *run) answer(n *node, c *call, e judge.Ending, advice time.Duration, maker string) {
+func (r *run) answer(n *node, c *call, e judge.RequestOutcome, advice time.Duration, maker string) {
 	if c.answered {
 		return
 	}
 	c.answered = true
 	delete(n.calls, c.id)
 	if c.key != "" {
-		r.judge.Answered(r.now, c.key, e, maker)
+		r.judge.RequestEnded(r.now, c.key, e, maker)
 	}
 	c.done(e, advice)
 }
--- a/internal/rig/virtual/cold_test.go
+++ b/internal/rig/virtual/cold_test.go
@@ -7,16 +7,16 @@
 )
 
 // lull is a day on which boxes start cold in a lull, after which all traffic is back at once.
-func lull(nodes int, kinds []Kind, part float64, seed uint64) Config {
+func lull(nodes int, kinds []ServerKind, part float64, seed uint64) Config {
 	c := mass()
 	c.Seed, c.Nodes = seed, nodes
 	if kinds != nil {
 		c.Kinds = kinds
 	}
 	c.Rate = c.Capacity() * 0.6
-	c.Length = 11 * time.Second
-	c.Steps = append(replaced(part, 3*time.Second, time.Second, 1), Step{At: 4500 * time.Millisecond, Rate: 0.03},
-		Step{At: 7 * time.Second, Rate: 1.3})
+	c.Duration = 11 * time.Second
+	c.Steps = append(replaced(part, 3*time.Second, time.Second, 1), Step{At: 4500 * time.Millisecond, RateFactor: 0.03},
+		Step{At: 7 * time.Second, RateFactor: 1.3})
 	return c
 }
 
@@ -24,13 +24,13 @@
 // right after a lull: chances that nobody used are not saved up by every node, to be used by all of them at once. The
 // small boxes may be sent less than one request a node.
 func TestColdBoxesAfterALull(t *testing.T) {
-	usual := []Kind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 10, Cores: 2, Speed: 0.97}, {Count: 8, Cores: 2, Speed: 0.6}}
-	small := []Kind{{Count: 12, Cores: 1, Speed: 0.5}}
-	among := []Kind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 6, Cores: 1, Speed: 0.3}}
+	usual := []ServerKind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 10, Cores: 2, Speed: 0.97}, {Count: 8, Cores: 2, Speed: 0.6}}
+	small := []ServerKind{{Count: 12, Cores: 1, Speed: 0.5}}
+	among := []ServerKind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 6, Cores: 1, Speed: 0.3}}
 	for _, day := range []struct {
 		name  string
 		nodes int
-		kinds []Kind
+		kinds []ServerKind
 		part  float64 // of the boxes that start anew
 		ci    bool    // played there, too
 	}{
@@ -59,9 +59,9 @@
 		for seed := range seeds {
 			c := lull(day.nodes, day.kinds, day.part, uint64(seed)+1)
 			r := Run(c)
-			worst = append(worst, r.ColdWindow)
-			toCold += r.ToCold
-			service += r.Service / float64(seeds)
+			worst = append(worst, r.ColdRequestRatio)
+			toCold += r.ColdAttempts
+			service += r.ServedWorth / float64(seeds)
 		}
 		slices.Sort(worst)
 		t.Logf("| %s | %.2f | %.2f | %d | %.4f |", day.name, worst[len(worst)-1], worst[len(worst)/2], toCold/seeds, service)
--- a/internal/rig/virtual/faults.go
+++ b/internal/rig/virtual/faults.go
@@ -8,28 +8,28 @@
 )
 
 func (r *run) step(s Step) {
-	if s.Rate > 0 {
-		r.rate = s.Rate
+	if s.RateFactor > 0 {
+		r.rate = s.RateFactor
 	}
 	if s.Cut != nil {
 		r.apart = s.Cut
 	}
-	if s.Mute != nil {
-		r.mute = *s.Mute
+	if s.AnswerLoss != nil {
+		r.mute = *s.AnswerLoss
 	}
-	if s.Resets != nil {
-		r.resets = *s.Resets
+	if s.ResetShare != nil {
+		r.resets = *s.ResetShare
 	}
 	for i, b := range r.boxes[0] {
-		if s.Boxes == nil || !s.Boxes(i, b.site) {
+		if s.Servers == nil || !s.Servers(i, b.site) {
 			continue
 		}
-		if s.Slower > 0 {
-			b.slower = s.Slower
+		if s.Slowdown > 0 {
+			b.slower = s.Slowdown
 		}
-		b.turns = (b.turns || s.Turns) && !s.Takes
-		b.errs = (b.errs || s.Errs) && !s.Takes
-		b.stuck = (b.stuck || s.Stuck) && !s.Takes
+		b.turns = (b.turns || s.RejectAll) && !s.AcceptAll
+		b.errs = (b.errs || s.FailFast) && !s.AcceptAll
+		b.stuck = (b.stuck || s.Stuck) && !s.AcceptAll
 		if s.Down {
 			r.down(b)
 		}
@@ -44,10 +44,10 @@
 		if s.Nodes == nil || !s.Nodes(i) {
 			continue
 		}
-		if s.Dies && !n.dead {
+		if s.KillNodes && !n.dead {
 			r.die(n)
 		}
-		if s.Lives && n.dead {
+		if s.StartNodes && n.dead {
 			r.begin(n)
 		}
 	}
@@ -55,7 +55,7 @@
 
 // die kills a node: what it held is its callers' to ask again.
 func (r *run) die(n *node) {
-	r.judge.Died(r.now, n.name)
+	r.judge.NodeKilled(r.now, n.name)
 	n.dead = true
 	n.life++
 	r.unroll(n)
@@ -65,9 +65,9 @@
 		c := calls[id]
 		for _, t := range c.tries {
 			t.left = true
-			r.end(t, judge.GivenUp)
+			r.end(t, judge.Abandoned)
 		}
-		r.answer(n, c, judge.Lost, 0, "")
+		r.answer(n, c, judge.ConnectionLost, 0, "")
 	}
 }
 
@@ -75,16 +75,16 @@
 func (r *run) replace(i int) {
 	old := r.boxes[0][i]
 	r.tell(old, decide.Draining)
-	r.after(r.c.DrainFor, func() { r.down(old) })
+	r.after(r.c.DrainTime, func() { r.down(old) })
 	r.succeed(old, i)
 }
 
 // succeed starts a new box where an old one stood.
 func (r *run) succeed(old *box, i int) {
-	b := r.newBox(0, Kind{Cores: old.cores, Speed: old.speed, Slots: old.slots, Queue: old.room - old.slots}, old.site)
+	b := r.newBox(0, ServerKind{Cores: old.cores, Speed: old.speed, Slots: old.slots, Queue: old.room - old.slots}, old.site)
 	r.boxes[0] = r.boxes[0][:len(r.boxes[0])-1]
 	b.index = i
-	r.judge.Box(b.id, r.place(b)) // it stands where the old one stood
+	r.judge.AddServer(b.id, r.place(b)) // it stands where the old one stood
 	r.boxes[0][i] = b
 	b.started = r.start(r.now)
 	b.node = old.node
@@ -100,7 +100,7 @@
 func (r *run) churn() {
 	wait := time.Duration(float64(time.Second) / (r.c.Churn * float64(len(r.boxes[0]))))
 	r.after(wait, func() {
-		if r.now > r.c.Length {
+		if r.now > r.c.Duration {
 			return
 		}
 		i := r.rng.IntN(len(r.boxes[0]))
--- a/internal/rig/virtual/hard_test.go
+++ b/internal/rig/virtual/hard_test.go
@@ -19,7 +19,7 @@
 	for i := range seeds {
 		wg.Go(func() {
 			c := c
-			c.Seed, c.Room = uint64(i)+1, rule
+			c.Seed, c.LimitMode = uint64(i)+1, rule
 			all[i] = Run(c)
 		})
 	}
@@ -49,31 +49,31 @@
 		set   func(c *Config)
 	}{
 		{"a slowness of all boxes for 6 s, four times", 0.88, func(c *Config) {
-			c.Steps = []Step{{At: 6 * time.Second, Boxes: everyBox, Slower: 4}, {At: 12 * time.Second, Boxes: everyBox, Slower: 1}}
+			c.Steps = []Step{{At: 6 * time.Second, Servers: everyBox, Slowdown: 4}, {At: 12 * time.Second, Servers: everyBox, Slowdown: 1}}
 		}},
 		{"slow from the start, usual after 8 s", 0.86, func(c *Config) {
-			c.Steps = []Step{{At: 0, Boxes: everyBox, Slower: 4}, {At: 8 * time.Second, Boxes: everyBox, Slower: 1}}
+			c.Steps = []Step{{At: 0, Servers: everyBox, Slowdown: 4}, {At: 8 * time.Second, Servers: everyBox, Slowdown: 1}}
 		}},
 		{"the first second after a start, load 0.9", 0.97, func(c *Config) {
-			c.Length, c.Rate = time.Second, c.Capacity()*0.9
+			c.Duration, c.Rate = time.Second, c.Capacity()*0.9
 		}},
 		{"the first second after a start, load 2", 0.8, func(c *Config) {
-			c.Length, c.Rate = time.Second, c.Capacity()*2
+			c.Duration, c.Rate = time.Second, c.Capacity()*2
 		}},
 		{"boxes twice as fast after a release, and twice the traffic", 0.97, func(c *Config) {
 			c.Rate = c.Capacity() * 0.7
-			c.Steps = []Step{{At: 8 * time.Second, Boxes: everyBox, Slower: 0.5}, {At: 9 * time.Second, Rate: 2}}
+			c.Steps = []Step{{At: 8 * time.Second, Servers: everyBox, Slowdown: 0.5}, {At: 9 * time.Second, RateFactor: 2}}
 		}},
 		{"0.85% of a class cost 29 times the usual", 0.97, func(c *Config) {
-			c.Classes[1].HeavyShare, c.Classes[1].HeavyTimes = 0.0085, 29
+			c.Classes[1].HeavyShare, c.Classes[1].HeavyFactor = 0.0085, 29
 			c.Rate = c.Capacity() * 0.6
 		}},
 		{"2.4% of a class cost 9.6 times the usual", 0.97, func(c *Config) {
-			c.Classes[1].HeavyShare, c.Classes[1].HeavyTimes = 0.024, 9.6
+			c.Classes[1].HeavyShare, c.Classes[1].HeavyFactor = 0.024, 9.6
 			c.Rate = c.Capacity() * 0.6
 		}},
 		{"refused clients come back in step, load 1.5", 0.84, func(c *Config) {
-			c.Rate, c.InStep, c.Retries, c.Advice = c.Capacity()*1.5, true, 3, time.Second
+			c.Rate, c.NoJitter, c.Retries, c.MaxRetryAfter = c.Capacity()*1.5, true, 3, time.Second
 		}},
 		{"one class only, load 0.8", 0.97, func(c *Config) {
 			c.Classes = c.Classes[1:]
@@ -84,28 +84,28 @@
 			c.Rate = c.Capacity() * 1.5
 		}},
 		{"the tier below short, the first idle", 0.77, func(c *Config) {
-			c.Kinds[0].Count, c.Below, c.Calls = 24, []Kind{{Count: 8, Cores: 2, Speed: 1}}, 1
+			c.Kinds[0].Count, c.LowerKinds, c.CallsPerRequest = 24, []ServerKind{{Count: 8, Cores: 2, Speed: 1}}, 1
 			c.Rate = c.Capacity() * 0.5 // one and a half times what the tier below can do
 		}},
 		{"no number of nodes told, load 0.8", 0.97, func(c *Config) {
-			c.TellNodes, c.Rate = -1, c.Capacity()*0.8
+			c.ReportedNodes, c.Rate = -1, c.Capacity()*0.8
 		}},
 		{"no number of nodes told, load 1.5", 0.8, func(c *Config) {
-			c.TellNodes, c.Rate = -1, c.Capacity()*1.5
+			c.ReportedNodes, c.Rate = -1, c.Capacity()*1.5
 		}},
 		{"all nodes start anew in the midst of load 1.6", 0.82, func(c *Config) {
 			c.Rate = c.Capacity() * 1.6
 			all := func(int) bool { return true }
-			c.Steps = []Step{{At: 6 * time.Second, Nodes: all, Dies: true}, {At: 6100 * time.Millisecond, Nodes: all, Lives: true},
-				{At: 12 * time.Second, Nodes: all, Dies: true}, {At: 12100 * time.Millisecond, Nodes: all, Lives: true}}
+			c.Steps = []Step{{At: 6 * time.Second, Nodes: all, KillNodes: true}, {At: 6100 * time.Millisecond, Nodes: all, StartNodes: true},
+				{At: 12 * time.Second, Nodes: all, KillNodes: true}, {At: 12100 * time.Millisecond, Nodes: all, StartNodes: true}}
 		}},
 		{"two requests a second at one node", 0.99, func(c *Config) {
-			c.Nodes, c.Rate, c.Length = 1, 2, 60*time.Second
+			c.Nodes, c.Rate, c.Duration = 1, 2, 60*time.Second
 		}},
 	} {
 		c := Default()
 		x.set(&c)
-		service := func(r *Result) float64 { return r.Service }
+		service := func(r *Result) float64 { return r.ServedWorth }
 		learned, breaches := over(c, decide.LimitLearned, seeds, service)
 		presumed, _ := over(c, decide.LimitFixed, seeds, service)
 		alone, _ := over(c, decide.LimitNone, seeds, service)
@@ -130,12 +130,14 @@
 		load, least float64 // weighted service of the other sites
 	}{{0.5, 0.99}, {0.7, 0.98}, {0.9, 0.94}, {1.1, 0.88}} {
 		c := Default()
-		c.Nodes, c.Sites, c.Kinds = 8, 4, []Kind{{Count: 40, Cores: 2, Speed: 1}}
+		c.Nodes, c.Sites, c.Kinds = 8, 4, []ServerKind{{Count: 40, Cores: 2, Speed: 1}}
 		c.Rate = c.Capacity() * x.load
-		others := func(r *Result) float64 { return (r.Sites[0] + r.Sites[2] + r.Sites[3]) / 3 }
-		hurt := func(r *Result) float64 { return r.Sites[1] }
+		others := func(r *Result) float64 {
+			return (r.ServedWorthBySite[0] + r.ServedWorthBySite[2] + r.ServedWorthBySite[3]) / 3
+		}
+		hurt := func(r *Result) float64 { return r.ServedWorthBySite[1] }
 		before, _ := over(c, decide.LimitLearned, seeds, others)
-		c.Steps = []Step{{At: 4 * time.Second, Boxes: func(i, site int) bool { return site == 1 && i%20 != 1 }, Down: true}}
+		c.Steps = []Step{{At: 4 * time.Second, Servers: func(i, site int) bool { return site == 1 && i%20 != 1 }, Down: true}}
 		after, breaches := over(c, decide.LimitLearned, seeds, others)
 		own, _ := over(c, decide.LimitLearned, seeds, hurt)
 		t.Logf("| %.1f | %.3f | %.3f (%.3f to %.3f) | %.3f (%.3f to %.3f) |", x.load, before.mean, after.mean, after.least, after.most,
@@ -153,20 +155,20 @@
 // time is up: they must get little of it.
 func TestStuckSecondTier(t *testing.T) {
 	c := Default()
-	c.Below, c.Calls = []Kind{{Count: 24, Cores: 2, Speed: 1}}, 1
+	c.LowerKinds, c.CallsPerRequest = []ServerKind{{Count: 24, Cores: 2, Speed: 1}}, 1
 	c.Rate = c.Capacity() * 0.5
-	c.Steps = []Step{{At: 2 * time.Second, Boxes: func(i, _ int) bool { return i < 2 }, Stuck: true}}
+	c.Steps = []Step{{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, Stuck: true}}
 	r := Run(c)
 	bad, all := 0, 0
-	for i, n := range r.Sent {
+	for i, n := range r.AttemptsByServer {
 		all += n
 		if i < 2 {
 			bad += n
 		}
 	}
 	share := float64(bad) / float64(all)
-	t.Logf("two of twelve boxes with a stuck second tier: service %.3f, %.3f of the attempts at them", r.Service, share)
-	if r.Service < 0.9 || share > 0.1 || len(r.Breaches) > 0 {
-		t.Errorf("service %.3f, share %.3f, %v", r.Service, share, r.Breaches)
+	t.Logf("two of twelve boxes with a stuck second tier: service %.3f, %.3f of the attempts at them", r.ServedWorth, share)
+	if r.ServedWorth < 0.9 || share > 0.1 || len(r.Breaches) > 0 {
+		t.Errorf("service %.3f, share %.3f, %v", r.ServedWorth, share, r.Breaches)
 	}
 }
--- a/internal/rig/virtual/nodes.go
+++ b/internal/rig/virtual/nodes.go
@@ -49,9 +49,9 @@
 	t := &task{call: c, node: n, number: len(c.tries), box: b, sent: r.now, arrived: -1, work: c.work}
 	c.tries = append(c.tries, t)
 	r.result.Attempts++
-	way := r.c.Hop
+	way := r.c.SiteLatency
 	if b.site != n.site {
-		way = r.c.Cross
+		way = r.c.CrossSiteLatency
 	}
 	life := n.life
 	if b.stale > 0 {
@@ -70,7 +70,7 @@
 	r.after(a.Wait, func() { // the node stops waiting
 		if !t.over {
 			t.left = true
-			r.end(t, judge.GivenUp)
+			r.end(t, judge.Abandoned)
 			r.outcome(t, life, decide.TimedOut)
 		}
 	})
@@ -116,9 +116,9 @@
 	r.weigh(n, t.box.id, result)
 }
 
-func (r *run) end(t *task, how judge.How) {
+func (r *run) end(t *task, how judge.AttemptOutcome) {
 	if t.arrived >= 0 && !t.ended {
 		t.ended = true
-		r.judge.Ended(r.now, t.call.key, t.arrived, how)
+		r.judge.AttemptEnded(r.now, t.call.key, t.arrived, how)
 	}
 }
--- a/internal/rig/virtual/past.go
+++ b/internal/rig/virtual/past.go
@@ -9,22 +9,22 @@
 )
 
 // Arm is what nodes make of an old list.
-type Arm int
+type OldListMode int
 
 // The arms.
 const (
-	Doubts Arm = iota // as a node with a memory does
-	Trusts            // control: all of it is as the list says
-	Waits             // control: there is none
+	VerifyList  OldListMode = iota // as a node with a memory does
+	TrustList                      // control: all of it is as the list says
+	DiscardList                    // control: there is none
 )
 
 // Past has all nodes of the first tier start at once on an old list, while discovery is out.
-type Past struct {
-	Arm   Arm
-	Age   time.Duration
-	Stale int           // entries beside the boxes: half refuse, a quarter hang, at the others something else answers
-	Out   time.Duration // until discovery answers, to each node within 300 ms
-	Cold  bool          // the boxes have just started
+type OldList struct {
+	Mode         OldListMode
+	Age          time.Duration
+	StaleEntries int           // entries beside the boxes: half refuse, a quarter hang, at the others something else answers
+	Outage       time.Duration // until discovery answers, to each node within 300 ms
+	ColdServers  bool          // the boxes have just started
 }
 
 // What stands at the address of a box that is no more.
@@ -36,17 +36,17 @@
 
 // remember makes the entries that are no more.
 func (r *run) remember() {
-	p := r.c.Past
+	p := r.c.OldList
 	if p == nil {
 		return
 	}
-	for i := range p.Stale {
+	for i := range p.StaleEntries {
 		b := &box{id: fmt.Sprintf("old-%05d-%08x", i, r.rng.Uint32()), site: i % max(1, r.c.Sites), index: 1_000_000 + i}
 		b.stale = [...]int{nobody, nobody, silence, stranger}[i%4]
 		r.byID[0][b.id] = b
 		r.old = append(r.old, b)
 	}
-	if p.Cold {
+	if p.ColdServers {
 		for _, b := range r.boxes[0] {
 			b.started = r.start(0)
 		}
@@ -55,7 +55,7 @@
 
 // beginOld starts a node on what it remembers.
 func (r *run) beginOld(n *node) {
-	p := r.c.Past
+	p := r.c.OldList
 	n.past = map[string]decide.Server{}
 	var all []decide.Server
 	var known []stalelist.Server
@@ -66,10 +66,10 @@
 		known = append(known, stalelist.Server{ID: b.id, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
 		n.past[b.id] = e
 	}
-	switch p.Arm {
-	case Trusts:
+	switch p.Mode {
+	case TrustList:
 		r.listed(n, decide.ListUpdate{Kind: decide.ListStored, Servers: all})
-	case Waits:
+	case DiscardList:
 		r.listed(n, decide.ListUpdate{Kind: decide.ListStored})
 	default:
 		work, share := 0.0, 0.0
@@ -81,7 +81,7 @@
 		r.offer(n, n.doubts.OfferFirst(r.now), decide.ListStored)
 	}
 	life := n.life
-	r.at(r.now+p.Out+time.Duration(r.rng.Float64()*float64(300*time.Millisecond)), func() {
+	r.at(r.now+p.Outage+time.Duration(r.rng.Float64()*float64(300*time.Millisecond)), func() {
 		if n.dead || n.life != life {
 			return
 		}
@@ -160,14 +160,14 @@
 // sendOld is an attempt at an address where no box is any more.
 func (r *run) sendOld(t *task, wait, way time.Duration) {
 	life := t.node.life
-	r.result.Misses++
+	r.result.StaleAttempts++
 	switch t.box.stale {
 	case nobody:
 		r.after(2*way, func() { r.outcome(t, life, decide.ConnectFailed) })
 	case stranger:
-		r.result.Strangers++
+		r.result.WrongProcessAttempts++
 		if r.c.Classes[t.call.class].Idempotency == decide.AtMostOnce {
-			r.result.Unsafe++
+			r.result.UnsafeMisdeliveries++
 		}
 		r.after(2*way, func() { r.outcome(t, life, decide.Errored) })
 	default:
--- a/internal/rig/virtual/pool.go
+++ b/internal/rig/virtual/pool.go
@@ -13,8 +13,8 @@
 // nodes. Who is a member is told to all alike, so long after it is so; what membership itself does under faults is
 // played in package members.
 type Pool struct {
-	Detect time.Duration // after a node's death all know it
-	Lose   float64       // part of the messages between nodes that are lost
+	DetectionTime time.Duration // after a node's death all know it
+	MessageLoss   float64       // part of the messages between nodes that are lost
 }
 
 // poolTick is what the real node has.
@@ -53,7 +53,7 @@
 	if r.now == 0 { // the fleet has long agreed
 		join()
 	} else {
-		r.after(r.c.Pool.Detect/2, join)
+		r.after(r.c.Pool.DetectionTime/2, join)
 	}
 	var tick func()
 	tick = func() {
@@ -61,7 +61,7 @@
 			return
 		}
 		r.poolStep(n)
-		if r.now < r.c.Length {
+		if r.now < r.c.Duration {
 			r.after(poolTick, tick)
 		}
 	}
@@ -74,7 +74,7 @@
 		return
 	}
 	gone := n.pool.member
-	r.after(r.c.Pool.Detect, func() {
+	r.after(r.c.Pool.DetectionTime, func() {
 		r.roll = slices.DeleteFunc(r.roll, func(m allowance.Member) bool { return m.Life == gone })
 	})
 }
@@ -103,7 +103,7 @@
 				now := r.start(r.now)
 				if deals := n.pool.holder.HandleGrant(now, from, &g); len(deals) > 0 {
 					for _, x := range deals {
-						r.result.Dealt += x.Sends
+						r.result.GrantedSends += x.Sends
 					}
 					r.carry(n, n.b.HandleGrants(now, deals, n.buf[:0]))
 				}
@@ -115,13 +115,13 @@
 // word brings a message from one node to another's life.
 func (r *run) word(from *node, to uint64, do func(*node)) {
 	i := int(to>>20) - 1
-	if i < 0 || i >= len(r.nodes) || r.rng.Float64() < r.c.Pool.Lose {
+	if i < 0 || i >= len(r.nodes) || r.rng.Float64() < r.c.Pool.MessageLoss {
 		return
 	}
 	n := r.nodes[i]
-	way := r.c.Hop
+	way := r.c.SiteLatency
 	if n.site != from.site {
-		way = r.c.Cross
+		way = r.c.CrossSiteLatency
 	}
 	r.after(way, func() {
 		if n.dead || n.pool == nil || n.pool.member != to || n.site != from.site && r.apart != nil && (r.apart(n.site, from.site) || r.apart(from.site, n.site)) {
--- a/internal/rig/virtual/pool_test.go
+++ b/internal/rig/virtual/pool_test.go
@@ -24,22 +24,22 @@
 		}},
 		{"the same, half of the nodes killed and back", false, func(c *Config) {
 			half := func(i int) bool { return i%2 == 0 }
-			c.Steps = append(gone[:len(gone):len(gone)], Step{At: 5 * time.Second, Nodes: half, Dies: true}, Step{At: 7 * time.Second, Nodes: half, Lives: true})
+			c.Steps = append(gone[:len(gone):len(gone)], Step{At: 5 * time.Second, Nodes: half, KillNodes: true}, Step{At: 7 * time.Second, Nodes: half, StartNodes: true})
 		}},
 		{"the same, nodes restarted by tenths, a fifth of their word lost", false, func(c *Config) {
 			c.Steps = append(gone[:len(gone):len(gone)], restarted(2*time.Second, 8*time.Second)...)
 			if c.Pool != nil {
-				c.Pool.Lose = 0.2
+				c.Pool.MessageLoss = 0.2
 			}
 		}},
 		{"small boxes among them: one slow core, a sixth of the others", true, func(c *Config) {
-			c.Kinds = []Kind{{Count: 100, Cores: 2, Speed: 1.2}, {Count: 60, Cores: 1, Speed: 0.4}}
+			c.Kinds = []ServerKind{{Count: 100, Cores: 2, Speed: 1.2}, {Count: 60, Cores: 1, Speed: 0.4}}
 			c.Rate = c.Capacity() * c.Rate / usual.Capacity()
 			c.Steps = gone
 		}},
 		{"six nodes, small boxes", true, func(c *Config) {
 			c.Nodes, c.Sites = 6, 2
-			c.Kinds = []Kind{{Count: 12, Cores: 2, Speed: 1}, {Count: 12, Cores: 1, Speed: 0.3}}
+			c.Kinds = []ServerKind{{Count: 12, Cores: 2, Speed: 1}, {Count: 12, Cores: 1, Speed: 0.3}}
 			c.Rate = c.Capacity() * c.Rate / usual.Capacity()
 			c.Steps = gone
 		}},
@@ -66,13 +66,13 @@
 					c.Seed = uint64(seed) + 1
 					c.Rate = c.Capacity() * load
 					if arm == 1 {
-						c.Pool = &Pool{Detect: 5 * time.Second}
+						c.Pool = &Pool{DetectionTime: 5 * time.Second}
 					}
 					day.set(&c)
 					r := Run(c)
-					service[arm] += r.Service / float64(seeds)
-					fallen[arm], toCold[arm], claims[arm] = fallen[arm]+r.Fallen, toCold[arm]+r.ToCold, claims[arm]+r.Claims
-					if len(r.Breaches) > r.Fallen {
+					service[arm] += r.ServedWorth / float64(seeds)
+					fallen[arm], toCold[arm], claims[arm] = fallen[arm]+r.Collapsed, toCold[arm]+r.ColdAttempts, claims[arm]+r.Claims
+					if len(r.Breaches) > r.Collapsed {
 						t.Errorf("%s, load %.1f, seed %d: more broken than budgets: %s", day.name, load, seed+1, first(r.Breaches))
 					}
 				}
--- a/internal/rig/virtual/registry_fleet_test.go
+++ b/internal/rig/virtual/registry_fleet_test.go
@@ -96,8 +96,8 @@
 		r.wall += r.draw(wallVaries)
 	}
 	r.queue = registry.New(registry.Settings{
-		LinesPerSecond: day.capacity(), CallLines: emptyCallLines, QueueTimeout: cmp.Or(day.timeout, usualTimeout), Overbook: day.overbook,
-		OtherLinesPerSecond: day.others * day.capacity(),
+		LinesPerSecond: day.capacity(), LinesPerCall: emptyCallLines, QueueTimeout: cmp.Or(day.timeout, usualTimeout), BacklogFactor: day.overbook,
+		ExternalLinesPerSecond: day.others * day.capacity(),
 	})
 	r.people()
 	r.plan()
@@ -161,7 +161,7 @@
 		}
 	}
 	for _, c := range r.day.crowds {
-		r.at(c.at, func() { r.queue.Write(r.now, int(r.day.capacity()*c.work.Seconds())) })
+		r.at(c.at, func() { r.queue.EnqueueLines(r.now, int(r.day.capacity()*c.work.Seconds())) })
 	}
 	for _, when := range r.day.silent {
 		r.at(when, r.silence)
--- a/internal/rig/virtual/registry_service_test.go
+++ b/internal/rig/virtual/registry_service_test.go
@@ -119,9 +119,9 @@
 	if c.whole {
 		lines = list.servers
 	}
-	admission := s.queue.Call(s.now, lines)
+	admission := s.queue.EnqueueCall(s.now, lines)
 	s.calls = append(s.calls, offered{at: s.now, lines: s.callLines + float64(lines), outcome: admission.Outcome})
-	wait := admission.At - s.now
+	wait := admission.DoneAt - s.now
 	switch admission.Outcome {
 	case registry.Rejected:
 		s.after(networkDelay, func() { s.fail(c, refusedByStatus) })
@@ -162,7 +162,7 @@
 	}
 	c.written = true
 	version := len(list.changes)
-	s.events.At(s.queue.Write(s.now, lines), func() { s.answer(c, version) })
+	s.events.At(s.queue.EnqueueLines(s.now, lines), func() { s.answer(c, version) })
 }
 
 // answer ends a call with the list up to a version.
@@ -193,7 +193,7 @@
 func (s *service) goDown(kind outageKind) {
 	s.settle()
 	s.outage = kind
-	s.queue.Restart(s.now)
+	s.queue.Clear(s.now)
 	for _, n := range s.nodes {
 		c := n.call
 		switch {
--- a/internal/rig/virtual/run.go
+++ b/internal/rig/virtual/run.go
@@ -83,7 +83,7 @@
 	ttl      time.Duration
 	tries    []*task
 	answered bool
-	done     func(e judge.Ending, advice time.Duration)
+	done     func(e judge.RequestOutcome, advice time.Duration)
 }
 
 // task is one attempt at a box.
@@ -136,13 +136,13 @@
 	r := &run{c: c, rng: rand.New(rand.NewPCG(c.Seed, 77)), rate: 1, seen: map[string]time.Duration{}}
 	r.result.Classes = make([]ClassResult, len(c.Classes))
 	r.sites = make([][2]float64, max(1, c.Sites))
-	rules := judge.Rules{MostAttempts: 4, DrainGrace: 500 * time.Millisecond, Slack: 50 * time.Millisecond, SecondCopies: c.Copies}
-	effects := map[decide.Idempotency]judge.Effect{decide.Idempotent: judge.Safe, decide.Keyed: judge.Keyed, decide.AtMostOnce: judge.Unsafe}
-	groups := map[decide.Group]judge.Group{decide.GroupAll: judge.All, decide.GroupZone: judge.Site, decide.GroupCell: judge.Rack}
+	rules := judge.Rules{MaxAttempts: 4, DrainGrace: 500 * time.Millisecond, Tolerance: 50 * time.Millisecond, AllowHedging: c.AllowHedging}
+	effects := map[decide.Idempotency]judge.Idempotency{decide.Idempotent: judge.Idempotent, decide.Keyed: judge.Keyed, decide.AtMostOnce: judge.AtMostOnce}
+	groups := map[decide.Group]judge.Group{decide.GroupAll: judge.GroupAll, decide.GroupZone: judge.GroupSite, decide.GroupCell: judge.GroupRack}
 	for i, x := range c.Classes {
 		r.set.Classes = append(r.set.Classes, x.Class)
 		rules.Classes = append(rules.Classes, judge.Class{
-			Name: strconv.Itoa(i), Effect: effects[x.Idempotency], Group: groups[x.Group], Window: x.KeyTTL,
+			Name: strconv.Itoa(i), Idempotency: effects[x.Idempotency], Group: groups[x.Group], KeyTTL: x.KeyTTL,
 		})
 	}
 	r.judge = judge.New(rules)
@@ -165,7 +165,7 @@
 		r.now, do = r.events.Pop()
 		r.result.Events++
 		do()
-		if r.now > c.Length && r.open == 0 {
+		if r.now > c.Duration && r.open == 0 {
 			break
 		}
 	}
@@ -175,24 +175,24 @@
 func (r *run) settings() {
 	c := &r.c
 	tiers := 1
-	if len(c.Below) > 0 {
+	if len(c.LowerKinds) > 0 {
 		tiers = 2
 	}
 	told := c.Nodes
-	if c.TellNodes != 0 {
-		told = max(0, c.TellNodes)
+	if c.ReportedNodes != 0 {
+		told = max(0, c.ReportedNodes)
 	}
 	r.set.Nodes, r.set.Tiers, r.set.Zones = told, tiers, c.Sites
-	r.set.MaxAttempts, r.set.MayCancel, r.set.MayHedge = 4, true, c.Copies
-	r.set.MayAdviseRetry, r.set.MaxRetryAfter = c.Advice > 0, c.Advice
-	r.set.ColdCapacity, r.set.WarmupTime, r.set.CollapseMultiple, r.set.CollapseWindow = c.ColdFrom, c.ColdFor, 2.5, time.Second
+	r.set.MaxAttempts, r.set.MayCancel, r.set.MayHedge = 4, true, c.AllowHedging
+	r.set.MayAdviseRetry, r.set.MaxRetryAfter = c.MaxRetryAfter > 0, c.MaxRetryAfter
+	r.set.ColdCapacity, r.set.WarmupTime, r.set.CollapseMultiple, r.set.CollapseWindow = c.ColdCapacity, c.WarmupTime, 2.5, time.Second
 	r.set.DrainGrace, r.set.AnswerGrace, r.set.ConnIdleTimeout = 500*time.Millisecond, 10*time.Millisecond, 10*time.Second
-	r.set.MarksRetries, r.set.PropagatesDeadline, r.set.LimitMode = true, true, c.Room
-	r.set.Penalties.Handshake = c.Handshake
+	r.set.MarksRetries, r.set.PropagatesDeadline, r.set.LimitMode = true, true, c.LimitMode
+	r.set.Penalties.Handshake = c.HandshakePenalty
 }
 
 func (r *run) fleet() {
-	for tier, kinds := range [][]Kind{r.c.Kinds, r.c.Below} {
+	for tier, kinds := range [][]ServerKind{r.c.Kinds, r.c.LowerKinds} {
 		r.byID[tier] = map[string]*box{}
 		for _, k := range kinds {
 			for range k.Count {
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	if len(r.c.Below) == 0 {
+	if len(r.c.LowerKinds) == 0 {
 		return
 	}
 	for i, b := range r.boxes[0] {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (r *run) newBox(tier int, k Kind, site int) *box {
+func (r *run) newBox(tier int, k ServerKind, site int) *box {
 	b := &box{
 		id: fmt.Sprintf("t%d-%05d-%08x", tier, r.nextBox, r.rng.Uint32()), index: len(r.boxes[tier]), tier: tier, site: site,
 		cores: k.Cores, speed: k.Speed, slots: k.Slots, slower: 1,
@@ -225,12 +225,12 @@
 	b.room = b.slots + waiting
 	r.boxes[tier] = append(r.boxes[tier], b)
 	r.byID[tier][b.id] = b
-	r.judge.Box(b.id, r.place(b))
+	r.judge.AddServer(b.id, r.place(b))
 	return b
 }
 
-func (r *run) place(b *box) judge.Place {
-	return judge.Place{Site: strconv.Itoa(b.site), Rack: r.cell(b)}
+func (r *run) place(b *box) judge.Location {
+	return judge.Location{Site: strconv.Itoa(b.site), Rack: r.cell(b)}
 }
 
 // cell is a box's rack: four boxes of one site.
@@ -259,7 +259,7 @@
 	n.idle = map[*box]int{}
 	n.dead = false
 	r.enroll(n)
-	if r.c.Past != nil && n.tier == 0 {
+	if r.c.OldList != nil && n.tier == 0 {
 		r.beginOld(n)
 		return
 	}
@@ -289,15 +289,15 @@
 	if b.tier > 0 {
 		nodes = r.inner
 	}
-	if r.c.ListLines > 0 { // no node is always the first
+	if r.c.ListLineRate > 0 { // no node is always the first
 		nodes = slices.Clone(nodes)
 		r.rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	}
 	for _, n := range nodes {
 		life := n.life
 		wait := time.Duration((0.5 + r.rng.Float64()/2) * float64(r.c.ListDelay))
-		if r.c.ListLines > 0 { // one line after another
-			free := max(r.free[b.tier], r.now) + time.Duration(float64(time.Second)/r.c.ListLines)
+		if r.c.ListLineRate > 0 { // one line after another
+			free := max(r.free[b.tier], r.now) + time.Duration(float64(time.Second)/r.c.ListLineRate)
 			r.free[b.tier] = free
 			wait = max(wait, free-r.now)
 		}
@@ -305,9 +305,9 @@
 			if n.dead || n.life != life {
 				return
 			}
-			if r.c.JudgeOne <= 1 {
+			if r.c.JudgeEvery <= 1 {
 				state := map[decide.Health]judge.State{decide.Healthy: judge.Serving, decide.Draining: judge.Draining, decide.Removed: judge.Gone}[h]
-				r.judge.Told(r.now, n.name, b.id, state)
+				r.judge.StateWritten(r.now, n.name, b.id, state)
 			}
 			r.carry(n, n.b.HandleList(r.start(r.now), decide.ListUpdate{Kind: decide.ListDiff, Servers: []decide.Server{e}}, n.buf[:0]))
 			if n.pool != nil && h == decide.Healthy { // before the next request
@@ -328,7 +328,7 @@
 		if sum > 0 {
 			r.busiest = append(r.busiest, float64(most)*float64(len(r.boxes[0]))/float64(sum))
 		}
-		if r.now < r.c.Length {
+		if r.now < r.c.Duration {
 			r.everySecond()
 		}
 	})
@@ -340,17 +340,17 @@
 	tries, wrong, late, asked := 0, 0, 0, 0
 	for i, c := range res.Classes {
 		w := r.c.Classes[i].Worth
-		worth += w * float64(c.Asked)
+		worth += w * float64(c.Requests)
 		got += w * float64(c.Served)
-		tries, wrong, late, asked = tries+c.Tries, wrong+c.Wrong, late+c.Late, asked+c.Asked
+		tries, wrong, late, asked = tries+c.Tries, wrong+c.WrongRefusals, late+c.Late, asked+c.Requests
 	}
 	if worth > 0 {
-		res.Service = got / worth
-		res.WrongShare = float64(wrong) / float64(max(1, tries))
+		res.ServedWorth = got / worth
+		res.WrongRefusalShare = float64(wrong) / float64(max(1, tries))
 		res.LateShare = float64(late) / float64(max(1, asked))
 	}
 	for _, s := range r.sites {
-		res.Sites = append(res.Sites, s[0]/max(s[1], 1))
+		res.ServedWorthBySite = append(res.ServedWorthBySite, s[0]/max(s[1], 1))
 	}
 	pairs := map[*box]int{}
 	for _, n := range r.nodes {
@@ -362,16 +362,16 @@
 	for _, k := range pairs {
 		sum += k
 	}
-	res.Connections = float64(sum) / float64(max(1, len(r.boxes[0])))
+	res.ConnsPerServer = float64(sum) / float64(max(1, len(r.boxes[0])))
 	for _, b := range r.boxes[0] {
-		res.Sent = append(res.Sent, b.sent)
+		res.AttemptsByServer = append(res.AttemptsByServer, b.sent)
 		res.Capacity = append(res.Capacity, float64(b.cores)*b.speed)
 	}
 	for _, x := range r.busiest {
-		res.Busiest += x / float64(len(r.busiest))
+		res.PeakLoadRatio += x / float64(len(r.busiest))
 	}
-	res.TookAll = r.now
-	for _, b := range r.judge.Judge(r.now).Breaches {
+	res.AnsweringTime = r.now
+	for _, b := range r.judge.Check(r.now).Breaches {
 		res.Breaches = append(res.Breaches, b.String())
 	}
 	return res
--- a/internal/rig/virtual/scale_test.go
+++ b/internal/rig/virtual/scale_test.go
@@ -22,18 +22,18 @@
 	}
 	for _, s := range sizes {
 		c := Default()
-		c.Nodes, c.Sites, c.Kinds = s.nodes, s.sites, []Kind{{Count: s.boxes, Cores: 2, Speed: 1}}
-		c.Length, c.Churn, c.JudgeOne = s.length, s.churn, max(1, s.boxes/100)
+		c.Nodes, c.Sites, c.Kinds = s.nodes, s.sites, []ServerKind{{Count: s.boxes, Cores: 2, Speed: 1}}
+		c.Duration, c.Churn, c.JudgeEvery = s.length, s.churn, max(1, s.boxes/100)
 		c.Rate = c.Capacity() * 0.3
 		begun := time.Now()
 		r := Run(c)
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		t.Logf("| %d | %d | %d | %.0f%% | %.4f | %.2f | %.1f | %v virtual in %.1f s, %.1f million events, %.1f GB |",
-			s.nodes, s.boxes, s.sites, 100*s.churn, r.Service, r.Busiest, r.Connections, s.length, time.Since(begun).Seconds(),
+			s.nodes, s.boxes, s.sites, 100*s.churn, r.ServedWorth, r.PeakLoadRatio, r.ConnsPerServer, s.length, time.Since(begun).Seconds(),
 			float64(r.Events)/1e6, float64(m.HeapSys)/(1<<30))
-		if r.Service < 0.98 || len(r.Breaches) > 0 {
-			t.Errorf("%+v: service %.4f, %v", s, r.Service, first(r.Breaches))
+		if r.ServedWorth < 0.98 || len(r.Breaches) > 0 {
+			t.Errorf("%+v: service %.4f, %v", s, r.ServedWorth, first(r.Breaches))
 		}
 	}
 }
@@ -49,18 +49,18 @@
 // pushed over itself.
 func TestSiteLostAndBack(t *testing.T) {
 	c := Default()
-	c.Nodes, c.Sites, c.Kinds = 8, 4, []Kind{{Count: 40, Cores: 2, Speed: 1}}
-	c.Length = 20 * time.Second
+	c.Nodes, c.Sites, c.Kinds = 8, 4, []ServerKind{{Count: 40, Cores: 2, Speed: 1}}
+	c.Duration = 20 * time.Second
 	c.Rate = c.Capacity() * 0.6
 	lost := func(_, site int) bool { return site == 1 }
-	c.Steps = []Step{{At: 5 * time.Second, Boxes: lost, Down: true}, {At: 12 * time.Second, Boxes: lost, Up: true}}
+	c.Steps = []Step{{At: 5 * time.Second, Servers: lost, Down: true}, {At: 12 * time.Second, Servers: lost, Up: true}}
 	r := Run(c)
-	t.Logf("service %.4f, %d attempts, %+v", r.Service, r.Attempts, r.Classes)
+	t.Logf("service %.4f, %d attempts, %+v", r.ServedWorth, r.Attempts, r.Classes)
 	if len(r.Breaches) > 0 {
 		t.Error(first(r.Breaches))
 	}
 	// Three quarters of the boxes are left for four fifths of their capacity in traffic.
-	if r.Service < 0.95 {
-		t.Errorf("service %.4f", r.Service)
+	if r.ServedWorth < 0.95 {
+		t.Errorf("service %.4f", r.ServedWorth)
 	}
 }
--- a/internal/rig/virtual/sidecar_test.go
+++ b/internal/rig/virtual/sidecar_test.go
@@ -15,19 +15,19 @@
 	if long() {
 		seeds = 10
 	}
-	service := func(r *Result) float64 { return r.Service }
+	service := func(r *Result) float64 { return r.ServedWorth }
 	play := func(load float64, nodes int, steps []Step) (spread, float64, []string) {
 		c := Default()
-		c.Nodes, c.Steps, c.Length = nodes, steps, 20*time.Second
-		c.Kinds = []Kind{{Count: 24, Cores: 2, Speed: 1}}
+		c.Nodes, c.Steps, c.Duration = nodes, steps, 20*time.Second
+		c.Kinds = []ServerKind{{Count: 24, Cores: 2, Speed: 1}}
 		c.Rate = c.Capacity() * load
 		s, breaches := over(c, decide.LimitLearned, seeds, service)
-		conns, _ := over(c, decide.LimitLearned, 1, func(r *Result) float64 { return r.Connections })
+		conns, _ := over(c, decide.LimitLearned, 1, func(r *Result) float64 { return r.ConnsPerServer })
 		return s, conns.mean, breaches
 	}
 	restart := []Step{
-		{At: 6 * time.Second, Boxes: func(i, _ int) bool { return i%3 == 0 }, Down: true},
-		{At: 7 * time.Second, Boxes: func(i, _ int) bool { return i%3 == 0 }, Up: true},
+		{At: 6 * time.Second, Servers: func(i, _ int) bool { return i%3 == 0 }, Down: true},
+		{At: 7 * time.Second, Servers: func(i, _ int) bool { return i%3 == 0 }, Up: true},
 	}
 	for _, x := range []struct {
 		name  string
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -23,12 +23,12 @@
 // The same configuration must give the same run, or no figure can be repeated.
 func TestRunsRepeat(t *testing.T) {
 	c := Default()
-	c.Below, c.Calls, c.Churn = []Kind{{Count: 12, Cores: 2, Speed: 1}}, 2, 0.05
+	c.LowerKinds, c.CallsPerRequest, c.Churn = []ServerKind{{Count: 12, Cores: 2, Speed: 1}}, 2, 0.05
 	c.Steps = []Step{
-		{At: 3 * time.Second, Boxes: func(i, _ int) bool { return i < 3 }, Down: true},
-		{At: 5 * time.Second, Boxes: func(i, _ int) bool { return i < 3 }, Up: true},
-		{At: 6 * time.Second, Nodes: func(i int) bool { return i == 1 }, Dies: true},
-		{At: 8 * time.Second, Nodes: func(i int) bool { return i == 1 }, Lives: true},
+		{At: 3 * time.Second, Servers: func(i, _ int) bool { return i < 3 }, Down: true},
+		{At: 5 * time.Second, Servers: func(i, _ int) bool { return i < 3 }, Up: true},
+		{At: 6 * time.Second, Nodes: func(i int) bool { return i == 1 }, KillNodes: true},
+		{At: 8 * time.Second, Nodes: func(i int) bool { return i == 1 }, StartNodes: true},
 	}
 	a, b := Run(c), Run(c)
 	if !reflect.DeepEqual(a, b) {
@@ -49,13 +49,13 @@
 	if m := r.Classes[1].Mean(); m < 100*ms || m > 150*ms {
 		t.Errorf("a mean of %v at half load, the work is 100 ms", m)
 	}
-	c.Rate, c.Room, c.Retries, c.Length = 2*c.Capacity(), decide.LimitNone, 0, 30*time.Second
+	c.Rate, c.LimitMode, c.Retries, c.Duration = 2*c.Capacity(), decide.LimitNone, 0, 30*time.Second
 	r = Run(c)
 	served := 0
 	for _, x := range r.Classes {
 		served += x.Served + x.Late
 	}
-	if rate := float64(served) / r.TookAll.Seconds(); rate > c.Capacity()*1.05 || rate < c.Capacity()*0.5 {
+	if rate := float64(served) / r.AnsweringTime.Seconds(); rate > c.Capacity()*1.05 || rate < c.Capacity()*0.5 {
 		t.Errorf("%.0f a second were served, the boxes can do %.0f", rate, c.Capacity())
 	}
 }
@@ -81,10 +81,10 @@
 		c.Seed = rapid.Uint64().Draw(t, "seed")
 		c.Nodes = rapid.IntRange(1, 6).Draw(t, "nodes")
 		c.Sites = rapid.IntRange(1, 3).Draw(t, "sites")
-		c.Length = 6 * time.Second
+		c.Duration = 6 * time.Second
 		c.Kinds = nil
 		for range rapid.IntRange(1, 3).Draw(t, "kinds") {
-			c.Kinds = append(c.Kinds, Kind{
+			c.Kinds = append(c.Kinds, ServerKind{
 				Count: rapid.IntRange(1, 6).Draw(t, "count"), Cores: rapid.SampledFrom([]int{2, 8, 16}).Draw(t, "cores"),
 				Speed: rapid.SampledFrom([]float64{0.6, 1, 3}).Draw(t, "speed"),
 			})
@@ -96,12 +96,12 @@
 			Class: decide.Class{LatencyTarget: time.Second, Deadline: 2 * time.Second, Worth: 1, Idempotency: decide.AtMostOnce}, Share: 0.1, Work: 20 * ms, Spread: 0.5,
 		})
 		if rapid.Bool().Draw(t, "second tier") {
-			c.Below, c.Calls = []Kind{{Count: rapid.IntRange(1, 8).Draw(t, "below"), Cores: 2, Speed: 1}}, 2
+			c.LowerKinds, c.CallsPerRequest = []ServerKind{{Count: rapid.IntRange(1, 8).Draw(t, "below"), Cores: 2, Speed: 1}}, 2
 		}
-		c.Advice = rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "advice")
+		c.MaxRetryAfter = rapid.SampledFrom([]time.Duration{0, time.Second}).Draw(t, "advice")
 		c.Churn = rapid.SampledFrom([]float64{0, 0.05}).Draw(t, "churn")
 		c.Rate = min(600, c.Capacity()*rapid.Float64Range(0.3, 3).Draw(t, "load"))
-		c.TellNodes = rapid.SampledFrom([]int{0, 1, c.Nodes, 100}).Draw(t, "told")
+		c.ReportedNodes = rapid.SampledFrom([]int{0, 1, c.Nodes, 100}).Draw(t, "told")
 		for range rapid.IntRange(0, 4).Draw(t, "faults") {
 			at := time.Duration(rapid.IntRange(500, 4000).Draw(t, "at")) * ms
 			which := rapid.IntRange(0, 5).Draw(t, "box")
@@ -109,23 +109,23 @@
 			node := func(i int) bool { return i == which }
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
-				c.Steps = append(c.Steps, Step{At: at, Boxes: hit, Slower: 8}, Step{At: at + time.Second, Boxes: hit, Slower: 1})
+				c.Steps = append(c.Steps, Step{At: at, Servers: hit, Slowdown: 8}, Step{At: at + time.Second, Servers: hit, Slowdown: 1})
 			case 1:
-				c.Steps = append(c.Steps, Step{At: at, Boxes: hit, Down: true}, Step{At: at + time.Second, Boxes: hit, Up: true})
+				c.Steps = append(c.Steps, Step{At: at, Servers: hit, Down: true}, Step{At: at + time.Second, Servers: hit, Up: true})
 			case 2:
-				c.Steps = append(c.Steps, Step{At: at, Boxes: hit, Turns: true}, Step{At: at + time.Second, Boxes: hit, Takes: true})
+				c.Steps = append(c.Steps, Step{At: at, Servers: hit, RejectAll: true}, Step{At: at + time.Second, Servers: hit, AcceptAll: true})
 			case 3:
-				c.Steps = append(c.Steps, Step{At: at, Boxes: hit, Errs: true}, Step{At: at + time.Second, Boxes: hit, Takes: true})
+				c.Steps = append(c.Steps, Step{At: at, Servers: hit, FailFast: true}, Step{At: at + time.Second, Servers: hit, AcceptAll: true})
 			case 4:
-				c.Steps = append(c.Steps, Step{At: at, Nodes: node, Dies: true}, Step{At: at + time.Second, Nodes: node, Lives: true})
+				c.Steps = append(c.Steps, Step{At: at, Nodes: node, KillNodes: true}, Step{At: at + time.Second, Nodes: node, StartNodes: true})
 			case 5:
-				c.Steps = append(c.Steps, Step{At: at, Rate: 3}, Step{At: at + time.Second, Rate: 1})
+				c.Steps = append(c.Steps, Step{At: at, RateFactor: 3}, Step{At: at + time.Second, RateFactor: 1})
 			}
 		}
 		r := Run(c)
 		breaches := slices.DeleteFunc(r.Breaches, func(b string) bool {
 			// How many nodes share a cold box's budget can be known from the settings alone.
-			return c.TellNodes > 0 && c.TellNodes < c.Nodes && strings.HasPrefix(b, "rule 4")
+			return c.ReportedNodes > 0 && c.ReportedNodes < c.Nodes && strings.HasPrefix(b, "rule 4")
 		})
 		if len(breaches) > 0 {
 			t.Fatalf("%d breaches, the first: %s", len(breaches), breaches[0])
@@ -143,8 +143,8 @@
 			c.Seed, c.Retries = seed+1, 0
 			c.Rate = c.Capacity() * load
 			r := Run(c)
-			high, highAsked = high+r.Classes[0].Refused, highAsked+r.Classes[0].Asked
-			low, lowAsked = low+r.Classes[1].Refused, lowAsked+r.Classes[1].Asked
+			high, highAsked = high+r.Classes[0].Refused, highAsked+r.Classes[0].Requests
+			low, lowAsked = low+r.Classes[1].Refused, lowAsked+r.Classes[1].Requests
 		}
 		h, l := float64(high)/float64(highAsked), float64(low)/float64(lowAsked)
 		t.Logf("load %.1f: worth 12 refused %.3f, worth 1 refused %.3f", load, h, l)
@@ -167,18 +167,18 @@
 // play runs a cell under a rule and returns service, wrong refusals and lateness.
 func (x cell) play(rule decide.LimitMode, seed uint64) (service, wrong, late float64) {
 	c := Default()
-	c.Seed, c.Room, c.Nodes = seed, rule, 4
-	c.Kinds = []Kind{{Count: max(4, 16/x.cores), Cores: x.cores, Speed: 1, Slots: 32 * x.cores, Queue: 64 * x.cores}}
+	c.Seed, c.LimitMode, c.Nodes = seed, rule, 4
+	c.Kinds = []ServerKind{{Count: max(4, 16/x.cores), Cores: x.cores, Speed: 1, Slots: 32 * x.cores, Queue: 64 * x.cores}}
 	for i := range c.Classes {
 		c.Classes[i].Work = x.service
 	}
 	c.Rate = c.Capacity() * x.load
-	c.Length = time.Duration(min(8, max(2, 40000/c.Rate)) * float64(time.Second))
+	c.Duration = time.Duration(min(8, max(2, 40000/c.Rate)) * float64(time.Second))
 	// The traffic doubles for a quarter of it: the time that room is there for.
-	c.Steps = []Step{{At: c.Length * 3 / 8, Rate: 2}, {At: c.Length * 5 / 8, Rate: 1}}
-	c.JudgeOne = 50
+	c.Steps = []Step{{At: c.Duration * 3 / 8, RateFactor: 2}, {At: c.Duration * 5 / 8, RateFactor: 1}}
+	c.JudgeEvery = 50
 	r := Run(c)
-	return r.Service, r.WrongShare, r.LateShare
+	return r.ServedWorth, r.WrongRefusalShare, r.LateShare
 }
 
 // No kind of boxes may be served clearly worse with learned room than with the
@@ -235,26 +235,26 @@
 		least float64 // weighted service
 		most  float64 // share of all attempts at the bad boxes
 	}{
-		{"boxes that turn all away", Step{At: 2 * time.Second, Boxes: func(i, _ int) bool { return i < 2 }, Turns: true}, 0.97, 0.2},
-		{"boxes that fail fast", Step{At: 2 * time.Second, Boxes: func(i, _ int) bool { return i < 2 }, Errs: true}, 0.97, 0.1},
-		{"boxes thirty times slower", Step{At: 2 * time.Second, Boxes: func(i, _ int) bool { return i < 2 }, Slower: 30}, 0.9, 0.1},
+		{"boxes that turn all away", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, RejectAll: true}, 0.97, 0.2},
+		{"boxes that fail fast", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, FailFast: true}, 0.97, 0.1},
+		{"boxes thirty times slower", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, Slowdown: 30}, 0.9, 0.1},
 	} {
 		c := Default()
 		c.Rate = c.Capacity() * 0.5
 		c.Steps = []Step{x.step}
 		r := Run(c)
 		bad, all := 0, 0
-		for i, n := range r.Sent {
+		for i, n := range r.AttemptsByServer {
 			all += n
 			if i < 2 {
 				bad += n
 			}
 		}
 		share := float64(bad) / float64(all)
-		t.Logf("%s: service %.3f, %.3f of the attempts at them, %.2f attempts a request", x.name, r.Service, share,
-			float64(r.Attempts)/float64(r.Classes[0].Asked+r.Classes[1].Asked))
-		if r.Service < x.least || share > x.most || len(r.Breaches) > 0 {
-			t.Errorf("%s: service %.3f, share %.3f, %v", x.name, r.Service, share, r.Breaches)
+		t.Logf("%s: service %.3f, %.3f of the attempts at them, %.2f attempts a request", x.name, r.ServedWorth, share,
+			float64(r.Attempts)/float64(r.Classes[0].Requests+r.Classes[1].Requests))
+		if r.ServedWorth < x.least || share > x.most || len(r.Breaches) > 0 {
+			t.Errorf("%s: service %.3f, share %.3f, %v", x.name, r.ServedWorth, share, r.Breaches)
 		}
 	}
 }
@@ -264,16 +264,16 @@
 func TestNodeLeftAlone(t *testing.T) {
 	play := func(rule decide.LimitMode) *Result {
 		c := Default()
-		c.Room, c.Nodes, c.Length = rule, 8, 40*time.Second
-		c.Kinds = []Kind{{Count: 16, Cores: 8, Speed: 1}}
+		c.LimitMode, c.Nodes, c.Duration = rule, 8, 40*time.Second
+		c.Kinds = []ServerKind{{Count: 16, Cores: 8, Speed: 1}}
 		c.Rate = c.Capacity() * 0.6
-		c.Steps = []Step{{At: 5 * time.Second, Nodes: func(i int) bool { return i > 0 }, Dies: true}}
+		c.Steps = []Step{{At: 5 * time.Second, Nodes: func(i int) bool { return i > 0 }, KillNodes: true}}
 		return Run(c)
 	}
 	learned, presumed := play(decide.LimitLearned), play(decide.LimitFixed)
-	t.Logf("service with seven of eight nodes gone: learned %.3f, presumed %.3f", learned.Service, presumed.Service)
-	if learned.Service < 0.9 || learned.Service < presumed.Service-0.01 {
-		t.Errorf("learned %.3f, presumed %.3f", learned.Service, presumed.Service)
+	t.Logf("service with seven of eight nodes gone: learned %.3f, presumed %.3f", learned.ServedWorth, presumed.ServedWorth)
+	if learned.ServedWorth < 0.9 || learned.ServedWorth < presumed.ServedWorth-0.01 {
+		t.Errorf("learned %.3f, presumed %.3f", learned.ServedWorth, presumed.ServedWorth)
 	}
 }
 
@@ -281,8 +281,8 @@
 func BenchmarkScale(b *testing.B) {
 	for b.Loop() {
 		c := Default()
-		c.Nodes, c.Kinds, c.Sites = 200, []Kind{{Count: 1000, Cores: 2, Speed: 1}}, 4
-		c.Rate, c.Length, c.JudgeOne = c.Capacity()*0.6, 5*time.Second, 100
+		c.Nodes, c.Kinds, c.Sites = 200, []ServerKind{{Count: 1000, Cores: 2, Speed: 1}}, 4
+		c.Rate, c.Duration, c.JudgeEvery = c.Capacity()*0.6, 5*time.Second, 100
 		r := Run(c)
 		b.ReportMetric(float64(r.Events)/float64(b.Elapsed().Seconds()), "events/s")
 	}
