--- a/internal/conns/idleconns/doc.go
+++ b/internal/conns/idleconns/doc.go
@@ -1,12 +1,12 @@
-// Package idleconns says which clients' connections may stay while nothing is asked on
-// them: for how long, by class and source network, and which go first where
-// descriptors or memory run short.
+// Package idleconns decides which idle client connections to keep: for how long, by
+// request class and source network, and which to close first when file descriptors or
+// memory run short.
 //
-// It is pure: events and time come in, numbers of connections go out. A Table
-// belongs to one goroutine; Rules are never written to once they are made. It keeps
-// 24 bytes for each connection's number and looks at a few of them an event,
-// however many there are.
+// It is pure: events and times come in, connection numbers go out. A Table must be used
+// by one goroutine; Rules are immutable once compiled. A Table takes 28 bytes for each
+// connection number and does a bounded amount of work for each event, however many
+// connections there are.
 //
-// It must not close anything, and it does not know requests: whether one is taken in
-// is package decide's.
+// It closes nothing itself and knows nothing of requests beyond their class: whether a
+// request is admitted is decided by package decide.
 package idleconns
--- a/internal/conns/idleconns/rules.go
+++ b/internal/conns/idleconns/rules.go
@@ -8,58 +8,60 @@
 	"time"
 )
 
-// DefaultFor is how long a connection may idle where no rule says otherwise.
+// DefaultTimeout is how long a connection may stay idle if no rule matches it.
 const DefaultTimeout = 5 * time.Second
 
+// Limits of a set of rules.
 const (
 	MinTimeout = time.Second
 	MaxTimeout = 24 * time.Hour
 	MaxRules   = 256 // rules in one set
 
-	// Ends of long waits are spread over a part of the wait beyond it.
-	slackPart = 16
-	slackFrom = time.Minute
+	// A timeout of at least minSpreadTimeout gets a slack of 1/slackDivisor of its length,
+	// so that connections that became idle together do not expire together.
+	slackDivisor     = 16
+	minSpreadTimeout = time.Minute
 )
 
-// Rule lets connections idle for longer or less.
+// Rule sets the idle timeout of the connections that it matches.
 type Rule struct {
-	Class   int          // of a connection's last request; -1: any, also none
-	Network netip.Prefix // where it comes from; not valid: anywhere
+	Class   int          // class of the connection's last request; -1: any class or no request yet
+	Network netip.Prefix // source network; the zero value matches every source
 	Timeout time.Duration
 }
 
-// Rules say how long a connection may idle: the rule of the smallest network that
-// holds its source, and of these the one for its class before the one for any.
-// A nil *Rules has none.
+// Rules is a compiled set of rules. The rule with the longest matching network prefix
+// wins; among rules with the same prefix, one for the connection's class wins over one for
+// any class. A nil *Rules has no rules.
 type Rules struct {
-	networks []netip.Prefix // the smallest first; source i+1
-	limits   [][]time.Duration
+	networks []netip.Prefix    // longest prefix first; networks[i] has source number i+1
+	timeouts [][]time.Duration // by source number and class+1
 	classes  int
 }
 
-// Compile makes rules of a list. classes is how many there are. No two rules may be
-// for the same class and network.
+// Compile checks and compiles a list of rules for a number of classes. No two rules may
+// have the same class and network.
 func Compile(all []Rule, classes int) (*Rules, error) {
 	if len(all) > MaxRules {
-		return nil, fmt.Errorf("%d rules of idle connections, at most %d are allowed", len(all), MaxRules)
+		return nil, fmt.Errorf("%d idle connection rules, at most %d are allowed", len(all), MaxRules)
 	}
 	r := &Rules{classes: classes}
-	masked := slices.Clone(all)
-	for i := range masked {
-		m := &masked[i]
-		if m.Class < -1 || m.Class >= classes {
-			return nil, fmt.Errorf("rule %d is for class %d of %d", i+1, m.Class, classes)
+	canonical := slices.Clone(all)
+	for i := range canonical {
+		rule := &canonical[i]
+		if rule.Class < -1 || rule.Class >= classes {
+			return nil, fmt.Errorf("idle rule %d: class %d is out of range, %d classes are defined", i+1, rule.Class, classes)
 		}
-		if m.Timeout < MinTimeout || m.Timeout > MaxTimeout {
-			return nil, fmt.Errorf("rule %d: idle for %v, allowed: %v to %v", i+1, m.Timeout, MinTimeout, MaxTimeout)
+		if rule.Timeout < MinTimeout || rule.Timeout > MaxTimeout {
+			return nil, fmt.Errorf("idle rule %d: timeout %v is out of range, allowed: %v to %v", i+1, rule.Timeout, MinTimeout, MaxTimeout)
 		}
-		if m.Network.IsValid() {
-			m.Network = CanonicalNetwork(m.Network)
-			r.networks = append(r.networks, m.Network)
+		if rule.Network.IsValid() {
+			rule.Network = CanonicalNetwork(rule.Network)
+			r.networks = append(r.networks, rule.Network)
 		}
 		for k := range i {
-			if masked[k].Class == m.Class && masked[k].Network == m.Network {
-				return nil, fmt.Errorf("rules %d and %d are for the same connections", k+1, i+1)
+			if canonical[k].Class == rule.Class && canonical[k].Network == rule.Network {
+				return nil, fmt.Errorf("idle rules %d and %d have the same class and network", k+1, i+1)
 			}
 		}
 	}
@@ -70,26 +72,26 @@
 	for source := range len(r.networks) + 1 {
 		row := make([]time.Duration, classes+1)
 		for class := range row {
-			row[class] = r.choose(masked, source, class-1)
+			row[class] = r.resolveTimeout(canonical, source, class-1)
 		}
-		r.limits = append(r.limits, row)
+		r.timeouts = append(r.timeouts, row)
 	}
 	return r, nil
 }
 
-// choose finds the rule for one source and class.
-func (r *Rules) choose(all []Rule, source, class int) time.Duration {
+// resolveTimeout returns the timeout for one source number and class.
+func (r *Rules) resolveTimeout(all []Rule, source, class int) time.Duration {
 	best, found := Rule{}, false
-	for _, m := range all {
-		if m.Class != -1 && m.Class != class {
+	for _, rule := range all {
+		if rule.Class != -1 && rule.Class != class {
 			continue
 		}
-		if m.Network.IsValid() {
+		if rule.Network.IsValid() {
 			if source == 0 {
 				continue
 			}
-			n := r.networks[source-1]
-			if m.Network.Bits() > n.Bits() || !m.Network.Contains(n.Addr()) {
+			network := r.networks[source-1]
+			if rule.Network.Bits() > network.Bits() || !rule.Network.Contains(network.Addr()) {
 				continue
 			}
 		}
@@ -99,8 +101,8 @@
 			}
 			return x.Network.Bits()
 		}
-		if !found || cmp.Or(cmp.Compare(bits(m), bits(best)), cmp.Compare(m.Class, best.Class)) > 0 {
-			best, found = m, true
+		if !found || cmp.Or(cmp.Compare(bits(rule), bits(best)), cmp.Compare(rule.Class, best.Class)) > 0 {
+			best, found = rule, true
 		}
 	}
 	if !found {
@@ -109,48 +111,50 @@
 	return best.Timeout
 }
 
-// Unmap turns a network of IPv4 addresses in IPv6 form into the IPv4 network, and
-// sets the host's bits to zero: one network has one form.
-func CanonicalNetwork(p netip.Prefix) netip.Prefix {
-	if p.Addr().Is4In6() && p.Bits() >= 96 {
-		p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-96)
+// CanonicalNetwork converts a network of IPv4-mapped IPv6 addresses to the IPv4 network
+// and clears the host bits, so that equal networks compare as equal.
+func CanonicalNetwork(network netip.Prefix) netip.Prefix {
+	if network.Addr().Is4In6() && network.Bits() >= 96 {
+		network = netip.PrefixFrom(network.Addr().Unmap(), network.Bits()-96)
 	}
-	return p.Masked()
+	return network.Masked()
 }
 
-// Source is the network that an address belongs to, as Came wants it. A client of a
-// unix socket has no address, and source 0.
+// Source returns the number of the smallest network that contains an address, as
+// Table.Add expects it, or 0 if there is none. Clients of a unix socket have no address
+// and source 0.
 func (r *Rules) Source(a netip.Addr) uint16 {
 	if r == nil || !a.IsValid() {
 		return 0
 	}
 	a = a.Unmap().WithZone("")
-	for i, n := range r.networks {
-		if n.Contains(a) {
+	for i, network := range r.networks {
+		if network.Contains(a) {
 			return uint16(i + 1)
 		}
 	}
 	return 0
 }
 
-// Limit is how long a connection may idle, and the slack that spreads the ends of
-// many. class is -1 for one that sent no request of a class.
+// Timeout returns how long a connection may stay idle, and the slack over which the
+// expiry of many such connections is spread. class is -1 if the connection has sent no
+// request with a class.
 func (r *Rules) Timeout(source uint16, class int) (limit, slack time.Duration) {
 	limit = DefaultTimeout
-	if r != nil && class < r.classes && int(source) < len(r.limits) {
-		limit = r.limits[source][class+1]
+	if r != nil && class < r.classes && int(source) < len(r.timeouts) {
+		limit = r.timeouts[source][class+1]
 	}
-	if limit >= slackFrom {
-		slack = limit / slackPart
+	if limit >= minSpreadTimeout {
+		slack = limit / slackDivisor
 	}
 	return limit, slack
 }
 
-// Longest is the longest wait that any rule allows.
+// MaxTimeout returns the longest timeout of any rule.
 func (r *Rules) MaxTimeout() time.Duration {
 	longest := DefaultTimeout
 	if r != nil {
-		for _, row := range r.limits {
+		for _, row := range r.timeouts {
 			longest = max(longest, slices.Max(row))
 		}
 	}
--- a/internal/conns/idleconns/table.go
+++ b/internal/conns/idleconns/table.go
@@ -7,244 +7,251 @@
 	"time"
 )
 
-// Policy is in what order idle connections go.
+// Policy selects the order in which idle connections are closed.
 type Policy uint8
 
 const (
-	// Recency lets those go first that have idled longest (LRU).
+	// LRU closes the least recently used connections first.
 	LRU Policy = iota
-	// Segments is segmented LRU: those that came back once are kept before those that
-	// never did. It is here to be compared with.
+	// SegmentedLRU closes connections that were never reused before those that were. It
+	// exists for comparison only.
 	SegmentedLRU
-	// Value lets those go first whose next request is worth least by the time until
-	// it comes, as their habit tells it; among equals of a regular habit the one that was
-	// here last, since its next request is the furthest away (Belady 1966).
+	// LowestValue closes the connection with the lowest ratio of the worth of its next
+	// request to the expected time until it arrives. Among equal connections with regular
+	// intervals it closes the one used most recently, because its next request is the
+	// furthest in the future (Belady 1966).
 	LowestValue
 )
 
 const (
-	grades    = 64     // of values, each a list of idle connections; 0: never used, or long overdue
-	unready   = grades // list: no whole request has come since the start or the last head
-	lists     = grades + 1
-	unit      = 10 * time.Millisecond
-	handSteps = 2 // entries looked at for being overdue, with each that goes idle
-	overdue   = 4 // intervals without a return, after which a connection counts as never used
-	chunkBits = 10
-	chunk     = 1 << chunkBits
-	inNone    = 0 // entry.list: in no list; else one more than the list
-
-	// A next request that nothing is known of is expected after unknown, which is long
-	// against a habit that has shown.
-	unknown = 10 * time.Minute
-	// Grades of values: three to a doubling, from worth 1 in a day up.
-	gradeDay   = 24 * time.Hour
-	gradeSteps = 3
-	// Those that come back with a spread below this, in sixteenths of the interval, are
-	// taken for regular.
-	regular = 6
+	gradeCount       = 64         // value grades, each with a list of idle connections; 0: no worth, or overdue
+	incompleteList   = gradeCount // list of connections without a complete request
+	listCount        = gradeCount + 1
+	timeUnit         = 10 * time.Millisecond
+	sweepSteps       = 2 // entries checked for being overdue whenever a connection becomes idle
+	overdueIntervals = 4 // intervals without a request after which a connection counts as never reused
+	chunkBits        = 10
+	chunkSize        = 1 << chunkBits
+	noList           = 0 // value of entry.list for an entry in no list; otherwise it is the list number plus 1
+
+	// unknownWait is the expected time until the next request of a connection with an unknown
+	// return pattern. It is long compared with typical known intervals.
+	unknownWait = 10 * time.Minute
+	// Value grades are logarithmic, starting at a worth of 1 in one gradePeriod.
+	gradePeriod       = 24 * time.Hour
+	gradesPerDoubling = 3
+	// Intervals with a deviation below this, in sixteenths of the mean, count as regular.
+	regularDeviation = 6
 )
 
-// entry is what is known of one connection.
+// entry is the state of one connection.
 type entry struct {
 	next, prev int32
-	last       uint32 // when it went idle, in units
-	who        uint32 // hash of its client's address; 0: none
-	habit
+	changedAt  uint32 // when the connection last changed state, in time units
+	clientHash uint32 // hash of the client's address; 0: none
+	returnPattern
 	list   uint8
 	source uint16
 }
 
-// entryBytes is an entry's size.
-const entryBytes = 28
+// entrySize is the size of an entry in bytes.
+const entrySize = 28
 
-// habit is how a client comes back.
-type habit struct {
-	interval uint32 // learned time from an answer to the next request, in units; 0: none
-	returns  uint8  // how often it came back, saturating
-	spread   uint8  // of the intervals about the mean, in sixteenths of it
-	class    uint8  // of the last request, one more; 0: none yet
+// returnPattern describes how a client returns to an idle connection.
+type returnPattern struct {
+	interval  uint32 // smoothed time from an answer to the next request, in time units; 0: unknown
+	returns   uint8  // number of returns, saturating
+	deviation uint8  // mean deviation of the intervals, in sixteenths of the mean
+	class     uint8  // class of the last request plus 1; 0: no request yet
 }
 
-// Settings are a table's, fixed for its life.
+// Settings configure a table for its lifetime.
 type Settings struct {
 	Policy            Policy
-	ClassWorths       []float64     // by class
-	NewcomerGrace     time.Duration // how long a connection that has just come has for its first request
-	RememberedClients int           // clients whose habits are remembered beyond their connections; 0: none
+	ClassWorths       []float64     // by class number
+	NewcomerGrace     time.Duration // time that a new connection has for its first request before it may be closed
+	RememberedClients int           // clients whose return patterns are kept after their connections close; 0: none
 }
 
-// Table is what is known of all connections. Make one with New.
+// Table tracks the state of all client connections. Create one with New.
 type Table struct {
-	set    Settings
-	rules  *Rules
-	base   time.Duration
-	heads  []entry
-	marks  uint64 // lists that may hold connections
-	habits habits
-	chunks []*[chunk]entry
-	hand   int32
-	most   int32 // numbers lie below
-	idle   int
-	fresh  int
+	settings      Settings
+	rules         *Rules
+	base          time.Duration
+	heads         []entry
+	nonEmptyLists uint64 // bit i: list i may hold connections
+	clients       clientCache
+	chunks        []*[chunkSize]entry
+	sweepID       int32
+	idLimit       int32 // all connection numbers are below this
+	idle          int
+	incomplete    int
 }
 
-// New makes an empty table, whose times count from now. The rules may be nil: then DefaultFor holds for all.
+// New returns an empty table whose internal times count from now. With nil rules,
+// DefaultTimeout applies to all connections.
 func New(set Settings, rules *Rules, now time.Duration) *Table {
-	t := &Table{set: set, rules: rules, base: now, heads: make([]entry, lists), habits: newHabits(set.RememberedClients)}
+	t := &Table{settings: set, rules: rules, base: now, heads: make([]entry, listCount), clients: newClientCache(set.RememberedClients)}
 	for i := range t.heads {
 		t.heads[i].next, t.heads[i].prev = int32(-i-1), int32(-i-1)
 	}
 	return t
 }
 
-// Use takes other rules, for what goes idle from now on.
+// SetRules replaces the rules for connections that become idle from now on.
 func (t *Table) SetRules(rules *Rules) { t.rules = rules }
 
-// Idle and Fresh count the connections that wait for a next request, and those that
-// have sent no whole one since they came or began it.
-func (t *Table) Idle() int       { return t.idle }
-func (t *Table) Incomplete() int { return t.fresh }
+// Idle returns the number of connections that wait for their next request.
+func (t *Table) Idle() int { return t.idle }
 
-// Bytes is what the table takes.
+// Incomplete returns the number of connections that have not completed a request since
+// they were opened or since its first bytes arrived.
+func (t *Table) Incomplete() int { return t.incomplete }
+
+// Bytes returns the memory that the table occupies.
 func (t *Table) Bytes() int {
-	return len(t.chunks)*chunk*entryBytes + lists*entryBytes + t.habits.bytes()
+	return len(t.chunks)*chunkSize*entrySize + listCount*entrySize + t.clients.bytes()
 }
 
-// at returns a connection's entry, or with a negative number a list's head.
-func (t *Table) at(i int32) *entry {
+// entryAt returns a connection's entry or, for a negative number, the head of a list.
+func (t *Table) entryAt(i int32) *entry {
 	if i < 0 {
 		return &t.heads[-i-1]
 	}
-	return &t.chunks[i>>chunkBits][i&(chunk-1)]
+	return &t.chunks[i>>chunkBits][i&(chunkSize-1)]
 }
 
-// stamp is a time as entries hold it: 497 days' worth.
-func (t *Table) stamp(now time.Duration) uint32 { return uint32(max(0, now-t.base) / unit) }
+// toUnits converts a time to the form stored in entries, which covers 497 days.
+func (t *Table) toUnits(now time.Duration) uint32 { return uint32(max(0, now-t.base) / timeUnit) }
 
-func (t *Table) time(stamp uint32) time.Duration { return t.base + time.Duration(stamp)*unit }
+// fromUnits converts a time stored in an entry back to a duration.
+func (t *Table) fromUnits(units uint32) time.Duration { return t.base + time.Duration(units)*timeUnit }
 
-func (t *Table) push(list int, id int32) {
-	e, h := t.at(id), &t.heads[list]
+// pushBack appends a connection to a list.
+func (t *Table) pushBack(list int, id int32) {
+	e, head := t.entryAt(id), &t.heads[list]
 	e.list = uint8(list + 1)
-	e.next, e.prev = int32(-list-1), h.prev
-	t.at(h.prev).next, h.prev = id, id
-	if list == unready {
-		t.fresh++
+	e.next, e.prev = int32(-list-1), head.prev
+	t.entryAt(head.prev).next, head.prev = id, id
+	if list == incompleteList {
+		t.incomplete++
 	} else {
 		t.idle++
-		t.marks |= 1 << list
+		t.nonEmptyLists |= 1 << list
 	}
 }
 
-func (t *Table) drop(id int32) {
-	e := t.at(id)
+// unlink removes a connection from its list, if it is in one.
+func (t *Table) unlink(id int32) {
+	e := t.entryAt(id)
 	switch e.list {
-	case inNone:
+	case noList:
 		return
-	case unready + 1:
-		t.fresh--
+	case incompleteList + 1:
+		t.incomplete--
 	default:
 		t.idle--
 	}
-	t.at(e.prev).next, t.at(e.next).prev = e.next, e.prev
-	e.list = inNone
+	t.entryAt(e.prev).next, t.entryAt(e.next).prev = e.next, e.prev
+	e.list = noList
 }
 
-// Came enters a new connection under a number that no other has. source is what
-// Rules.Source said of its address, and who a hash of that, or 0.
-func (t *Table) Add(now time.Duration, id int32, source uint16, who uint32) {
+// Add adds a new connection under a number that no other connection uses. source is the
+// result of Rules.Source for the client's address, and clientHash a hash of the address, or
+// 0 if there is none.
+func (t *Table) Add(now time.Duration, id int32, source uint16, clientHash uint32) {
 	for int(id>>chunkBits) >= len(t.chunks) {
-		t.chunks = append(t.chunks, new([chunk]entry))
+		t.chunks = append(t.chunks, new([chunkSize]entry))
 	}
-	t.most = max(t.most, id+1)
-	e := t.at(id)
-	*e = entry{source: source, last: t.stamp(now), who: who}
-	if h, last, ok := t.habits.find(who); ok { // it was here, and its connection was closed meanwhile
-		e.habit = h
-		t.learn(e, e.last-last)
+	t.idLimit = max(t.idLimit, id+1)
+	e := t.entryAt(id)
+	*e = entry{source: source, changedAt: t.toUnits(now), clientHash: clientHash}
+	if pattern, lastActive, ok := t.clients.take(clientHash); ok { // a known client has reconnected
+		e.returnPattern = pattern
+		t.recordInterval(e, e.changedAt-lastActive)
 	}
-	t.push(unready, id)
+	t.pushBack(incompleteList, id)
 }
 
-// Begun notes that a request's first bytes have come on an idle connection.
+// RequestStarted records that the first bytes of a request arrived on an idle connection.
 func (t *Table) RequestStarted(now time.Duration, id int32) {
-	t.drop(id)
-	e := t.at(id)
+	t.unlink(id)
+	e := t.entryAt(id)
 	if e.class > 0 {
-		t.learn(e, t.stamp(now)-e.last)
+		t.recordInterval(e, t.toUnits(now)-e.changedAt)
 	}
-	e.last = t.stamp(now)
-	t.push(unready, id)
+	e.changedAt = t.toUnits(now)
+	t.pushBack(incompleteList, id)
 }
 
-// Again notes that bytes of a next request were there with the answer to the last:
-// nothing is learned from that.
+// RequestPipelined records that bytes of the next request had arrived before the last one
+// was answered. The interval is not recorded in the return pattern.
 func (t *Table) RequestPipelined(now time.Duration, id int32) {
-	t.drop(id)
-	t.at(id).last = t.stamp(now)
-	t.push(unready, id)
+	t.unlink(id)
+	t.entryAt(id).changedAt = t.toUnits(now)
+	t.pushBack(incompleteList, id)
 }
 
-// Band sorts a connection by the worth of its last request into one of so many
-// bands, of which the last is worth most.
+// WorthBand assigns a connection to one of a number of bands by the worth of its last
+// request. The highest band has the highest worth.
 func (t *Table) WorthBand(id int32, bands int) int {
-	worth, top := t.worth(t.at(id)), slices.Max(append(t.set.ClassWorths, 0))
+	worth, top := t.worth(t.entryAt(id)), slices.Max(append(t.settings.ClassWorths, 0))
 	band := bands - 1
-	for ; band > 0 && worth < top; band-- { // each band holds half the worth of the one above
+	for ; band > 0 && worth < top; band-- { // each band starts at half the worth of the band above
 		top /= 2
 	}
 	return band
 }
 
-// FirstIdle is the idle connection that goes first.
-func (t *Table) IdleVictim() (id int32, ok bool) { return t.victim() }
+// IdleVictim returns the idle connection to close first.
+func (t *Table) IdleVictim() (id int32, ok bool) { return t.selectIdle() }
 
-// learn takes one interval in: mean and mean deviation, as TCP's smoothed round
-// trip (RFC 6298), with a first guess of the interval itself.
-func (t *Table) learn(e *entry, took uint32) {
-	took = max(took, 1)
+// recordInterval updates the smoothed mean and mean deviation of the intervals, as TCP does
+// for round-trip times (RFC 6298). The first interval becomes the initial mean.
+func (t *Table) recordInterval(e *entry, interval uint32) {
+	interval = max(interval, 1)
 	if e.returns < 255 {
 		e.returns++
 	}
 	if e.interval == 0 {
-		e.interval, e.spread = took, 8
+		e.interval, e.deviation = interval, 8
 		return
 	}
-	off := float64(took) - float64(e.interval)
-	mean := max(1, float64(e.interval)+off/4)
+	difference := float64(interval) - float64(e.interval)
+	mean := max(1, float64(e.interval)+difference/4)
 	e.interval = uint32(min(mean, math.MaxUint32/8))
-	relative := math.Abs(off) / mean * 16
-	e.spread = uint8(min(255, (3*float64(e.spread)+min(relative, 255))/4+0.5))
+	relative := math.Abs(difference) / mean * 16
+	e.deviation = uint8(min(255, (3*float64(e.deviation)+min(relative, 255))/4+0.5))
 }
 
-// Busy notes that a whole request of a class has come: until Parked the connection
-// is in nobody's way.
+// RequestReceived records that a complete request of a class has arrived. The connection
+// can't be chosen as a victim until BecameIdle.
 func (t *Table) RequestReceived(id int32, class int) {
-	t.drop(id)
-	t.at(id).class = uint8(min(class, 254) + 1)
+	t.unlink(id)
+	t.entryAt(id).class = uint8(min(class, 254) + 1)
 }
 
-// Other notes that a whole request of no class has come.
-func (t *Table) UnclassifiedReceived(id int32) { t.drop(id) }
+// UnclassifiedReceived records that a complete request without a class has arrived.
+func (t *Table) UnclassifiedReceived(id int32) { t.unlink(id) }
 
-// Parked notes that a connection waits for its next request. It returns for how long
-// it may, and by how much more where that spreads the ends of many.
+// BecameIdle records that a connection waits for its next request. It returns how long it
+// may wait, and the slack over which the expiry of many such connections is spread.
 func (t *Table) BecameIdle(now time.Duration, id int32) (limit, slack time.Duration) {
-	t.drop(id)
-	e := t.at(id)
-	e.last = t.stamp(now)
-	t.push(t.place(e), id)
-	if t.set.Policy == LowestValue {
-		t.sweep(t.stamp(now))
+	t.unlink(id)
+	e := t.entryAt(id)
+	e.changedAt = t.toUnits(now)
+	t.pushBack(t.idleList(e), id)
+	if t.settings.Policy == LowestValue {
+		t.demoteOverdue(t.toUnits(now))
 	}
 	return t.rules.Timeout(e.source, int(e.class)-1)
 }
 
-// place is the list where an idle connection belongs.
-func (t *Table) place(e *entry) int {
-	switch t.set.Policy {
+// idleList returns the list in which an idle connection belongs.
+func (t *Table) idleList(e *entry) int {
+	switch t.settings.Policy {
 	case LowestValue:
-		return t.value(e)
+		return t.valueGrade(e)
 	case SegmentedLRU:
 		if e.returns > 0 {
 			return 1
@@ -253,112 +260,115 @@
 	return 0
 }
 
-// value grades what is lost with a connection: the worth of its next request by the
-// time until it comes. Never used is 0.
-func (t *Table) value(e *entry) int {
+// valueGrade grades the loss from closing a connection: the worth of its next request
+// divided by the expected time until it arrives. Connections whose requests have no worth
+// have grade 0.
+func (t *Table) valueGrade(e *entry) int {
 	worth := t.worth(e)
 	if worth <= 0 {
 		return 0
 	}
-	wait := unknown
+	wait := unknownWait
 	if e.interval > 0 {
-		wait = time.Duration(e.interval) * unit * time.Duration(16+e.spread) / 16
+		wait = time.Duration(e.interval) * timeUnit * time.Duration(16+e.deviation) / 16
 		if e.returns == 1 {
-			wait = max(wait, min(4*wait, unknown))
+			wait = max(wait, min(4*wait, unknownWait))
 		}
 	}
-	grade := gradeSteps * math.Log2(worth*float64(gradeDay)/float64(wait))
-	return int(min(max(grade, 1), grades-1))
+	grade := gradesPerDoubling * math.Log2(worth*float64(gradePeriod)/float64(wait))
+	return int(min(max(grade, 1), gradeCount-1))
 }
 
-// worth is that of the last request.
+// worth returns the worth of a connection's last request.
 func (t *Table) worth(e *entry) float64 {
-	if e.class == 0 || int(e.class) > len(t.set.ClassWorths) {
+	if e.class == 0 || int(e.class) > len(t.settings.ClassWorths) {
 		return 0
 	}
-	return t.set.ClassWorths[e.class-1]
+	return t.settings.ClassWorths[e.class-1]
 }
 
-// sweep looks at the next few entries, and takes what is long overdue for never used.
-func (t *Table) sweep(now uint32) {
-	for range handSteps {
-		if t.hand++; t.hand >= t.most {
-			t.hand = 0
+// demoteOverdue checks the next few entries and treats connections whose next request is
+// long overdue as never reused.
+func (t *Table) demoteOverdue(now uint32) {
+	for range sweepSteps {
+		if t.sweepID++; t.sweepID >= t.idLimit {
+			t.sweepID = 0
 		}
-		e := t.at(t.hand)
-		if e.list <= 1 || e.list == unready+1 {
+		e := t.entryAt(t.sweepID)
+		if e.list <= 1 || e.list == incompleteList+1 {
 			continue
 		}
-		patience := unknown
+		maxWait := unknownWait
 		if e.returns > 0 {
-			patience = overdue * time.Duration(e.interval) * unit * time.Duration(16+e.spread) / 16
+			maxWait = overdueIntervals * time.Duration(e.interval) * timeUnit * time.Duration(16+e.deviation) / 16
 		}
-		if time.Duration(now-e.last)*unit > patience {
-			t.drop(t.hand)
-			e.returns, e.interval = 0, 0 // it is as one that nothing is known of
-			t.push(0, t.hand)
+		if time.Duration(now-e.changedAt)*timeUnit > maxWait {
+			t.unlink(t.sweepID)
+			e.returns, e.interval = 0, 0 // the return pattern counts as unknown again
+			t.pushBack(0, t.sweepID)
 		}
 	}
 }
 
-// From notes another source of a connection: the rules have changed.
-func (t *Table) SetSource(id int32, source uint16) { t.at(id).source = source }
+// SetSource updates a connection's source number after the rules have changed.
+func (t *Table) SetSource(id int32, source uint16) { t.entryAt(id).source = source }
 
-// Waits tells since when an idle connection waits, for how long it may by the
-// present rules, and the slack, as Parked.
+// IdleTimeout returns since when an idle connection has been waiting and, under the current
+// rules, its timeout and slack, as BecameIdle does.
 func (t *Table) IdleTimeout(id int32) (since, limit, slack time.Duration) {
-	e := t.at(id)
+	e := t.entryAt(id)
 	limit, slack = t.rules.Timeout(e.source, int(e.class)-1)
-	return t.time(e.last), limit, slack
+	return t.fromUnits(e.changedAt), limit, slack
 }
 
-// Gone forgets a connection, but for its client's habit if it has one.
+// Remove deletes a connection. If it has received a request, its client's return pattern
+// is kept.
 func (t *Table) Remove(id int32) {
-	t.drop(id)
-	if e := t.at(id); e.class > 0 {
-		t.habits.keep(e.who, e.habit, e.last)
+	t.unlink(id)
+	if e := t.entryAt(id); e.class > 0 {
+		t.clients.store(e.clientHash, e.returnPattern, e.changedAt)
 	}
 }
 
-// Word is what Victim found.
+// VictimStatus is the result of Victim.
 type VictimStatus uint8
 
 const (
-	Found         VictimStatus = iota
-	OnlyNewcomers              // only newcomers are left, which have a moment yet
-	AllBusy                    // each has a request open
+	Found         VictimStatus = iota // a connection may be closed
+	OnlyNewcomers                     // only new connections within their grace period could be closed
+	AllBusy                           // every connection has an open request
 )
 
-// Victim says which connection goes first: one that never sent a whole request, but
-// not one that has just come, and else the idle one that comes first by the policy.
-// It stays in the table until Gone.
-func (t *Table) Victim(now time.Duration) (id int32, w VictimStatus) {
-	if first := t.heads[unready].next; first >= 0 && now-t.time(t.at(first).last) >= t.set.NewcomerGrace {
+// Victim chooses the connection to close first: one without a complete request whose grace
+// period is over, otherwise the first idle connection in the order of the policy. It stays
+// in the table until Remove.
+func (t *Table) Victim(now time.Duration) (id int32, status VictimStatus) {
+	if first := t.heads[incompleteList].next; first >= 0 && now-t.fromUnits(t.entryAt(first).changedAt) >= t.settings.NewcomerGrace {
 		return first, Found
 	}
-	if id, ok := t.victim(); ok {
+	if id, ok := t.selectIdle(); ok {
 		return id, Found
 	}
-	if t.fresh > 0 {
+	if t.incomplete > 0 {
 		return 0, OnlyNewcomers
 	}
 	return 0, AllBusy
 }
 
-// victim is the idle connection that goes first: of the least value, and of these the
-// one that has idled longest, or for the shortest where habits are regular.
-func (t *Table) victim() (id int32, ok bool) {
-	for t.marks != 0 {
-		list := bits.TrailingZeros64(t.marks)
-		h := &t.heads[list]
-		if h.next < 0 {
-			t.marks &^= 1 << list
+// selectIdle returns the idle connection to close first. Of those with the lowest value,
+// it is the one that has been idle longest or, if intervals are regular, shortest.
+func (t *Table) selectIdle() (id int32, ok bool) {
+	for t.nonEmptyLists != 0 {
+		list := bits.TrailingZeros64(t.nonEmptyLists)
+		head := &t.heads[list]
+		if head.next < 0 {
+			t.nonEmptyLists &^= 1 << list
 			continue
 		}
-		if last := t.at(h.prev); t.set.Policy == LowestValue && list > 0 && last.returns > 1 && last.spread < regular {
-			return h.prev, true
+		if last := t.entryAt(head.prev); t.settings.Policy == LowestValue && list > 0 && last.returns > 1 && last.deviation < regularDeviation {
+			return head.prev, true
 		}
-		return h.next, true
+		return head.next, true
 	}
 	return 0, false
 }
--- a/internal/conns/idleconns/table_test.go
+++ b/internal/conns/idleconns/table_test.go
@@ -12,47 +12,48 @@
 	"pgregory.net/rapid"
 )
 
-// visit is one request in a trace: a controller asks, and has to connect anew if its
-// connection was closed since.
+// visit is one request in a trace. The client has to reconnect if its connection was closed
+// since its last request.
 type visit struct {
-	at    time.Duration
-	who   int
-	class int
+	at     time.Duration
+	client int
+	class  int
 }
 
-// trace is what a population of controllers does.
+// trace is the sequence of requests from a population of clients.
 type trace struct {
-	name   string
-	places int // connections that may be held
-	worths []float64
-	visits []visit
+	name     string
+	capacity int // connections that may be open at a time
+	worths   []float64
+	visits   []visit
 }
 
-// kind is a part of a population.
-type kind struct {
-	count  int
-	class  int
-	every  time.Duration
-	jitter float64 // of every; 1: a memoryless wait
-	once   bool    // each asks once, and another comes in its place
+// clientGroup is a part of a population whose clients behave alike.
+type clientGroup struct {
+	count    int
+	class    int
+	interval time.Duration
+	jitter   float64 // relative to the interval; 1: exponentially distributed intervals
+	oneShot  bool    // each client sends one request and is then replaced by a new one
 }
 
-func draw(r *rand.Rand, length time.Duration, kinds ...kind) []visit {
+// generateVisits returns the requests of the given groups, sorted by time.
+func generateVisits(r *rand.Rand, length time.Duration, groups ...clientGroup) []visit {
 	var all []visit
-	who := 0
-	for _, k := range kinds {
-		for range k.count {
-			who++
-			for at := time.Duration(r.Float64() * float64(k.every)); at < length; {
-				all = append(all, visit{at, who, k.class})
-				if k.once {
-					who++
+	client := 0
+	for _, group := range groups {
+		for range group.count {
+			client++
+			for at := time.Duration(r.Float64() * float64(group.interval)); at < length; {
+				all = append(all, visit{at, client, group.class})
+				if group.oneShot {
+					client++
 				}
-				wait := 1 + k.jitter*(2*r.Float64()-1)
-				if k.jitter >= 1 {
+				wait := 1 + group.jitter*(2*r.Float64()-1)
+				if group.jitter >= 1 {
 					wait = r.ExpFloat64()
 				}
-				at += max(time.Millisecond, time.Duration(wait*float64(k.every)))
+				at += max(time.Millisecond, time.Duration(wait*float64(group.interval)))
 			}
 		}
 	}
@@ -60,72 +61,73 @@
 	return all
 }
 
-// traces are populations of lift controllers, desks and strangers.
+// traces returns traces of lift controllers, control desks and one-time clients.
 func traces(seed uint64) []trace {
 	r := rand.New(rand.NewPCG(seed, 3))
 	worths := []float64{1, 12, 3} // zustand, notruf-abfrage, stoerung
 	hour := time.Hour
 	return []trace{
-		{"every minute beside strangers", 700, worths, draw(r, hour/2,
-			kind{count: 600, class: 0, every: time.Minute, jitter: .1}, kind{count: 300, class: 0, every: 20 * time.Second, once: true})},
-		{"the desk beside many", 700, worths, draw(r, hour,
-			kind{count: 60, class: 1, every: 4 * time.Minute, jitter: .5}, kind{count: 900, class: 0, every: time.Minute, jitter: .3})},
-		{"seldom and often", 500, worths, draw(r, hour,
-			kind{count: 300, class: 0, every: 30 * time.Second, jitter: .2}, kind{count: 900, class: 0, every: 10 * time.Minute, jitter: .2})},
-		{"memoryless", 500, worths, draw(r, hour,
-			kind{count: 400, class: 0, every: time.Minute, jitter: 1}, kind{count: 400, class: 2, every: 3 * time.Minute, jitter: 1})},
-		{"all alike", 500, worths, draw(r, hour, kind{count: 800, class: 0, every: 2 * time.Minute, jitter: 1})},
-		{"a loop larger than the room", 500, worths, draw(r, hour, kind{count: 600, class: 0, every: time.Minute, jitter: .02})},
-		{"habits change", 600, worths, append(
-			draw(r, hour/2, kind{count: 500, class: 1, every: 30 * time.Second, jitter: .2}, kind{count: 500, class: 0, every: 5 * time.Minute, jitter: .5}),
-			shift(draw(r, hour/2, kind{count: 500, class: 0, every: 20 * time.Minute, jitter: .5}, kind{count: 500, class: 0, every: 30 * time.Second, jitter: .3}), hour/2)...)},
+		{"every minute, with one-time clients", 700, worths, generateVisits(r, hour/2,
+			clientGroup{count: 600, class: 0, interval: time.Minute, jitter: .1}, clientGroup{count: 300, class: 0, interval: 20 * time.Second, oneShot: true})},
+		{"control desks among many clients", 700, worths, generateVisits(r, hour,
+			clientGroup{count: 60, class: 1, interval: 4 * time.Minute, jitter: .5}, clientGroup{count: 900, class: 0, interval: time.Minute, jitter: .3})},
+		{"rare and frequent clients", 500, worths, generateVisits(r, hour,
+			clientGroup{count: 300, class: 0, interval: 30 * time.Second, jitter: .2}, clientGroup{count: 900, class: 0, interval: 10 * time.Minute, jitter: .2})},
+		{"exponential intervals", 500, worths, generateVisits(r, hour,
+			clientGroup{count: 400, class: 0, interval: time.Minute, jitter: 1}, clientGroup{count: 400, class: 2, interval: 3 * time.Minute, jitter: 1})},
+		{"uniform population", 500, worths, generateVisits(r, hour, clientGroup{count: 800, class: 0, interval: 2 * time.Minute, jitter: 1})},
+		{"more periodic clients than capacity", 500, worths, generateVisits(r, hour, clientGroup{count: 600, class: 0, interval: time.Minute, jitter: .02})},
+		{"return patterns change", 600, worths, append(
+			generateVisits(r, hour/2, clientGroup{count: 500, class: 1, interval: 30 * time.Second, jitter: .2}, clientGroup{count: 500, class: 0, interval: 5 * time.Minute, jitter: .5}),
+			delayVisits(generateVisits(r, hour/2, clientGroup{count: 500, class: 0, interval: 20 * time.Minute, jitter: .5}, clientGroup{count: 500, class: 0, interval: 30 * time.Second, jitter: .3}), hour/2)...)},
 	}
 }
 
-func shift(all []visit, by time.Duration) []visit {
+// delayVisits moves all requests to a later time.
+func delayVisits(all []visit, by time.Duration) []visit {
 	for i := range all {
 		all[i].at += by
 	}
 	return all
 }
 
-// replay returns the part of the worth of all returns that found their connection
-// still open. Connections that others need the place of go by the policy.
+// replay returns the share of the worth of all repeat requests that found their connection
+// still open. At capacity, the policy chooses which connection to close.
 func replay(t testing.TB, tr trace, p Policy) float64 {
-	table := New(Settings{Policy: p, ClassWorths: tr.worths, NewcomerGrace: 250 * time.Millisecond, RememberedClients: 2 * tr.places}, nil, 0)
-	type place struct{ who int }
-	places := make([]place, tr.places)
-	free := make([]int32, tr.places)
+	table := New(Settings{Policy: p, ClassWorths: tr.worths, NewcomerGrace: 250 * time.Millisecond, RememberedClients: 2 * tr.capacity}, nil, 0)
+	type slot struct{ client int }
+	slots := make([]slot, tr.capacity)
+	free := make([]int32, tr.capacity)
 	for i := range free {
 		free[i] = int32(i)
 	}
-	held, seen := map[int]int32{}, map[int]bool{}
+	connections, seen := map[int]int32{}, map[int]bool{}
 	var kept, all float64
 	for _, v := range tr.visits {
-		id, ok := held[v.who]
-		if seen[v.who] {
+		id, ok := connections[v.client]
+		if seen[v.client] {
 			all += tr.worths[v.class]
 			if ok {
 				kept += tr.worths[v.class]
 			}
 		}
-		seen[v.who] = true
+		seen[v.client] = true
 		if ok {
 			table.RequestStarted(v.at, id)
 		} else {
 			if len(free) == 0 {
-				out, word := table.Victim(v.at)
-				if word != Found {
-					t.Fatalf("%s: nobody makes room", tr.name)
+				victim, status := table.Victim(v.at)
+				if status != Found {
+					t.Fatalf("%s: no connection can be closed", tr.name)
 				}
-				table.Remove(out)
-				delete(held, places[out].who)
-				free = append(free, out)
+				table.Remove(victim)
+				delete(connections, slots[victim].client)
+				free = append(free, victim)
 			}
 			id = free[len(free)-1]
 			free = free[:len(free)-1]
-			places[id].who, held[v.who] = v.who, id
-			table.Add(v.at, id, 0, uint32(v.who))
+			slots[id].client, connections[v.client] = v.client, id
+			table.Add(v.at, id, 0, uint32(v.client))
 		}
 		table.RequestReceived(id, v.class)
 		table.BecameIdle(v.at+5*time.Millisecond, id)
@@ -133,10 +135,10 @@
 	return kept / all
 }
 
-// What stays by value must be worth as much as what stays by recency, on each of the
-// drawn traces but for a small part, and clearly more where connections differ.
-func TestValueKeptIsNoLessThanByRecency(t *testing.T) {
-	const part = 0.03
+// On each trace, LowestValue must keep at least the worth that LRU keeps, within a small
+// tolerance, and clearly more where connections differ.
+func TestLowestValueKeepsAsMuchWorthAsLRU(t *testing.T) {
+	const tolerance = 0.03
 	sums := map[string][3]float64{}
 	seeds := uint64(2)
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -150,85 +152,86 @@
 				row[i] += x / float64(seeds)
 			}
 			sums[tr.name] = row
-			if value < lru*(1-part) {
-				t.Errorf("%s, seed %d: %.3f by value, %.3f by recency", tr.name, seed, value, lru)
+			if value < lru*(1-tolerance) {
+				t.Errorf("%s, seed %d: LowestValue keeps %.3f, LRU %.3f", tr.name, seed, value, lru)
 			}
 		}
 	}
 	better := 0
 	for _, tr := range traces(0) {
 		row := sums[tr.name]
-		t.Logf("%-30s LRU %.3f  segmented %.3f  by value %.3f", tr.name, row[0], row[1], row[2])
+		t.Logf("%-30s LRU %.3f  SegmentedLRU %.3f  LowestValue %.3f", tr.name, row[0], row[1], row[2])
 		if row[2] > row[0]*1.1 {
 			better++
 		}
 	}
 	if better < 3 {
-		t.Errorf("by value is better by a tenth on %d traces only", better)
+		t.Errorf("LowestValue is better by a tenth on only %d traces, want at least 3", better)
 	}
 }
 
-// model is what a table should know, kept plainly.
+// model tracks the expected state of a table.
 type model struct {
-	idle, fresh, busy map[int32]bool
+	idle, incomplete, busy map[int32]bool
 }
 
-// Whatever happens: a victim is never one with a request open nor a young newcomer,
-// and the counts are true; looking for a victim ends after a bounded number of lists.
-func TestVictimsAreIdle(t *testing.T) {
+// For any sequence of events, a victim never has an open request and is never a new
+// connection within its grace period, the counts are correct, and the search for a victim
+// ends after a bounded number of lists.
+func TestVictimHasNoOpenRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := New(Settings{Policy: Policy(rapid.IntRange(0, 2).Draw(t, "policy")), ClassWorths: []float64{1, 12}, NewcomerGrace: 250 * time.Millisecond}, nil, time.Hour)
 		m := model{map[int32]bool{}, map[int32]bool{}, map[int32]bool{}}
-		came := map[int32]time.Duration{}
+		incompleteSince := map[int32]time.Duration{}
 		now := time.Hour
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			id := int32(rapid.IntRange(0, 40).Draw(t, "id"))
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "on"))
 			switch {
-			case !m.idle[id] && !m.fresh[id] && !m.busy[id]:
+			case !m.idle[id] && !m.incomplete[id] && !m.busy[id]:
 				table.Add(now, id, 0, uint32(id+1))
-				m.fresh[id], came[id] = true, now
+				m.incomplete[id], incompleteSince[id] = true, now
 			case m.idle[id]:
 				table.RequestStarted(now, id)
 				delete(m.idle, id)
-				m.fresh[id], came[id] = true, now
-			case m.fresh[id]:
+				m.incomplete[id], incompleteSince[id] = true, now
+			case m.incomplete[id]:
 				table.RequestReceived(id, rapid.IntRange(0, 1).Draw(t, "class"))
-				delete(m.fresh, id)
+				delete(m.incomplete, id)
 				m.busy[id] = true
 			default:
 				table.BecameIdle(now, id)
 				delete(m.busy, id)
 				m.idle[id] = true
 			}
-			if table.Idle() != len(m.idle) || table.Incomplete() != len(m.fresh) {
-				t.Fatalf("%d idle and %d fresh, told %d and %d", len(m.idle), len(m.fresh), table.Idle(), table.Incomplete())
+			if table.Idle() != len(m.idle) || table.Incomplete() != len(m.incomplete) {
+				t.Fatalf("%d idle and %d incomplete connections, the table counts %d and %d", len(m.idle), len(m.incomplete), table.Idle(), table.Incomplete())
 			}
-			old := 0
-			for id := range m.fresh {
-				if now-came[id] >= 260*time.Millisecond {
-					old++
+			expired := 0
+			for id := range m.incomplete {
+				if now-incompleteSince[id] >= 260*time.Millisecond {
+					expired++
 				}
 			}
-			switch v, word := table.Victim(now); {
-			case word == Found && !m.idle[v] && !(m.fresh[v] && now-came[v] >= 240*time.Millisecond):
-				t.Fatalf("%d must go: idle %v, fresh since %v", v, m.idle[v], now-came[v])
-			case word == Found && old > 0 && m.idle[v]:
-				t.Fatalf("%d must go though %d never sent a whole request", v, old)
-			case word == OnlyNewcomers && len(m.idle) > 0, word == AllBusy && len(m.fresh)+len(m.idle) > 0:
-				t.Fatalf("word %d with %d idle and %d fresh", word, len(m.idle), len(m.fresh))
-			case word == Found && rapid.Bool().Draw(t, "take"):
-				table.Remove(v)
-				delete(m.idle, v)
-				delete(m.fresh, v)
+			switch victim, status := table.Victim(now); {
+			case status == Found && !m.idle[victim] && !(m.incomplete[victim] && now-incompleteSince[victim] >= 240*time.Millisecond):
+				t.Fatalf("victim %d: idle %v, incomplete for %v", victim, m.idle[victim], now-incompleteSince[victim])
+			case status == Found && expired > 0 && m.idle[victim]:
+				t.Fatalf("victim is the idle connection %d, but %d connections past their grace period are incomplete", victim, expired)
+			case status == OnlyNewcomers && len(m.idle) > 0, status == AllBusy && len(m.incomplete)+len(m.idle) > 0:
+				t.Fatalf("status %d with %d idle and %d incomplete connections", status, len(m.idle), len(m.incomplete))
+			case status == Found && rapid.Bool().Draw(t, "take"):
+				table.Remove(victim)
+				delete(m.idle, victim)
+				delete(m.incomplete, victim)
 			}
 		}
 	})
 }
 
-// A controller that comes every minute is kept for its next request before one that
-// came a moment ago for the first time; one long overdue is not.
-func TestRegularOnesAreKept(t *testing.T) {
+// A client that sends a request every minute is kept in preference to one that sent its
+// first request a moment ago. A client that is long overdue is not.
+func TestRegularClientsAreKept(t *testing.T) {
 	table := New(Settings{Policy: LowestValue, ClassWorths: []float64{1}}, nil, 0)
 	now := time.Duration(0)
 	table.Add(now, 0, 0, 0)
@@ -244,16 +247,16 @@
 	table.RequestReceived(1, 0)
 	table.BecameIdle(now+time.Second, 1)
 	if id, _ := table.Victim(now + 50*time.Second); id != 1 {
-		t.Error("the one that comes every minute went")
+		t.Error("the victim is the client that sends a request every minute")
 	}
-	now += 20 * time.Minute // it has stayed away
-	for range 100 {         // others come and go, and the hand goes round
+	now += 20 * time.Minute // the regular client is overdue
+	for range 100 {         // events of another connection drive the sweep over all entries
 		table.RequestStarted(now, 1)
 		table.RequestReceived(1, 0)
 		table.BecameIdle(now, 1)
 	}
 	if id, _ := table.Victim(now); id != 0 {
-		t.Error("the one that stayed away was kept")
+		t.Error("the overdue client was kept")
 	}
 }
 
@@ -287,23 +290,23 @@
 		}
 	}
 	for name, all := range map[string][]Rule{
-		"twice":            {{0, prefix("10.0.0.0/8"), time.Hour}, {0, prefix("10.2.3.4/8"), time.Minute}},
-		"twice by mapping": {{-1, prefix("10.0.0.0/8"), time.Hour}, {-1, prefix("::ffff:10.0.0.0/104"), time.Minute}},
-		"no class":         {{2, netip.Prefix{}, time.Hour}},
-		"too short":        {{0, netip.Prefix{}, time.Millisecond}},
-		"too long":         {{0, netip.Prefix{}, 25 * time.Hour}},
+		"duplicate":                 {{0, prefix("10.0.0.0/8"), time.Hour}, {0, prefix("10.2.3.4/8"), time.Minute}},
+		"duplicate by IPv4 mapping": {{-1, prefix("10.0.0.0/8"), time.Hour}, {-1, prefix("::ffff:10.0.0.0/104"), time.Minute}},
+		"unknown class":             {{2, netip.Prefix{}, time.Hour}},
+		"too short":                 {{0, netip.Prefix{}, time.Millisecond}},
+		"too long":                  {{0, netip.Prefix{}, 25 * time.Hour}},
 	} {
 		if _, err := Compile(all, 2); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	var none *Rules
 	if got, slack := none.Timeout(0, -1); got != DefaultTimeout || slack != 0 {
-		t.Errorf("without rules: %v and %v", got, slack)
+		t.Errorf("without rules: timeout %v, slack %v", got, slack)
 	}
 }
 
-// Choosing who goes costs the same however many there are.
+// The cost of choosing a victim must not depend on the number of connections.
 func BenchmarkVictim(b *testing.B) {
 	for _, n := range []int32{1_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/conns/membudget/ledger.go
+++ b/internal/conns/membudget/budget.go
@@ -11,7 +11,7 @@
 	OpenRequests                    // requests that have no answer yet, with their bodies
 	PendingAnswers                  // answers that their clients have yet to take
 	PooledBuffers                   // buffers kept for the next use
-	uses
+	categoryCount
 )
 
 // String is the use's name in logs and reports.
@@ -21,7 +21,7 @@
 
 // Uses lists all uses in order.
 func Categories() []Category {
-	all := make([]Category, uses)
+	all := make([]Category, categoryCount)
 	for i := range all {
 		all[i] = Category(i)
 	}
@@ -44,18 +44,18 @@
 // A level begins at one part of the limit and ends at a lower one, so that it does
 // not change with each byte. In percent.
 const (
-	tightFrom, tightUntil = 80, 70
-	fullFrom, fullUntil   = 95, 85
+	constrainedFromPercent, constrainedUntilPercent = 80, 70
+	fullFromPercent, fullUntilPercent   = 95, 85
 )
 
 // Ledger counts bytes by use against a limit.
 type Budget struct {
 	limit int
-	used  [uses]int
-	sum   int
+	used  [categoryCount]int
+	total   int
 	peak  int
 	level Level
-	turns int
+	levelChanges int
 }
 
 // New makes an empty ledger of so many bytes.
@@ -72,21 +72,21 @@
 	if l.used[u] < 0 {
 		panic(fmt.Sprintf("pressure: %d bytes given back too often for %s", -l.used[u], u))
 	}
-	l.sum += bytes
-	l.peak = max(l.peak, l.sum)
+	l.total += bytes
+	l.peak = max(l.peak, l.total)
 	part := func(percent int) int { return l.limit / 100 * percent }
 	was := l.level
 	switch {
-	case l.sum >= part(fullFrom):
+	case l.total >= part(fullFromPercent):
 		l.level = Full
-	case l.level == Full && l.sum > part(fullUntil):
-	case l.sum >= part(tightFrom), l.level != Normal && l.sum > part(tightUntil):
+	case l.level == Full && l.total > part(fullUntilPercent):
+	case l.total >= part(constrainedFromPercent), l.level != Normal && l.total > part(constrainedUntilPercent):
 		l.level = Constrained
 	default:
 		l.level = Normal
 	}
 	if l.level != was {
-		l.turns++
+		l.levelChanges++
 	}
 }
 
@@ -95,9 +95,9 @@
 
 // Used is what a use has taken, Sum all together, and Peak the most that was ever.
 func (l *Budget) Used(u Category) int { return l.used[u] }
-func (l *Budget) Total() int          { return l.sum }
+func (l *Budget) Total() int          { return l.total }
 func (l *Budget) Peak() int           { return l.peak }
 func (l *Budget) Limit() int          { return l.limit }
 
 // Turns counts the changes of level.
-func (l *Budget) LevelChanges() int { return l.turns }
+func (l *Budget) LevelChanges() int { return l.levelChanges }
--- a/internal/conns/membudget/ledger_test.go
+++ b/internal/conns/membudget/budget_test.go
@@ -11,10 +11,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000
 		l := New(limit)
-		var used [uses]int
+		var used [categoryCount]int
 		was := Normal
 		for range 200 {
-			u := Category(rapid.IntRange(0, int(uses)-1).Draw(t, "use"))
+			u := Category(rapid.IntRange(0, int(categoryCount)-1).Draw(t, "use"))
 			n := rapid.IntRange(-used[u], 150).Draw(t, "bytes")
 			used[u] += n
 			l.Add(u, n)
@@ -36,7 +36,7 @@
 }
 
 // At an edge the level stays, though bytes come and go.
-func TestNoFlapping(t *testing.T) {
+func TestLevelHasHysteresis(t *testing.T) {
 	l := New(1000)
 	l.Add(OpenRequests, 800)
 	for range 100 {
--- a/internal/operators/document/document.go
+++ b/internal/operators/document/document.go
@@ -18,7 +18,7 @@
 // mostKeys is the most keys of one table: the library's own check of them takes a
 // time that grows with the square of their number. A table may hold a key for each
 // node of a fleet.
-const mostKeys = 6000
+const maxTableKeys = 6000
 
 // Value is a value and where it stands. V is a string, int64, float64, bool,
 // []Value, *Table, or Other for what no description uses.
@@ -49,91 +49,91 @@
 
 // Parse reads a file. What could be read is in the table, also where there are faults.
 func Parse(text []byte) (*Table, []SyntaxError) {
-	r := &reader{data: text, top: newTable(1)}
+	r := &reader{data: text, root: newTable(1)}
 	if len(text) > MaxFileSize {
-		return r.top, []SyntaxError{{Text: fmt.Sprintf("larger than %d bytes", MaxFileSize)}}
+		return r.root, []SyntaxError{{Text: fmt.Sprintf("larger than %d bytes", MaxFileSize)}}
 	}
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	r.data = text
-	r.walk()
+	r.readExpressions()
 	// The library's own decoder knows what the walk does not: tables defined twice, say.
-	if len(r.faults) == 0 {
+	if len(r.syntaxErrors) == 0 {
 		var whole map[string]any
 		var fault *toml.DecodeError
 		if err := toml.Unmarshal(text, &whole); errors.As(err, &fault) {
 			line, _ := fault.Position()
-			r.fault(line, strings.Join(fault.Key(), "."), strings.TrimPrefix(fault.Error(), "toml: "))
+			r.addError(line, strings.Join(fault.Key(), "."), strings.TrimPrefix(fault.Error(), "toml: "))
 		} else if err != nil {
-			r.fault(0, "", err.Error())
+			r.addError(0, "", err.Error())
 		}
 	}
-	return r.top, r.faults
+	return r.root, r.syntaxErrors
 }
 
 type reader struct {
 	parser unstable.Parser
 	data   []byte
-	breaks []int // offsets of the line breaks
-	top    *Table
-	now    *Table // whose keys come; nil: they are passed over
-	faults []SyntaxError
-	full   bool // a table has too many keys: nothing more is read
+	lineBreaks []int // offsets of the line breaks
+	root    *Table
+	current    *Table // whose keys come; nil: they are passed over
+	syntaxErrors []SyntaxError
+	stopped   bool // a table has too many keys: nothing more is read
 }
 
-func (r *reader) fault(line int, key, text string) {
-	r.faults = append(r.faults, SyntaxError{Line: line, Key: key, Text: text})
+func (r *reader) addError(line int, key, text string) {
+	r.syntaxErrors = append(r.syntaxErrors, SyntaxError{Line: line, Key: key, Text: text})
 }
 
-func (r *reader) line(n *unstable.Node) int {
-	return r.at(int(n.Raw.Offset))
+func (r *reader) nodeLine(n *unstable.Node) int {
+	return r.lineAt(int(n.Raw.Offset))
 }
 
 // at is the line of a byte. Breaks are looked up, not counted: a file may have as
 // many keys as bytes.
-func (r *reader) at(offset int) int {
-	if r.breaks == nil {
-		r.breaks = []int{}
+func (r *reader) lineAt(offset int) int {
+	if r.lineBreaks == nil {
+		r.lineBreaks = []int{}
 		for i, c := range r.data {
 			if c == '\n' {
-				r.breaks = append(r.breaks, i)
+				r.lineBreaks = append(r.lineBreaks, i)
 			}
 		}
 	}
-	before, _ := slices.BinarySearch(r.breaks, offset)
+	before, _ := slices.BinarySearch(r.lineBreaks, offset)
 	return 1 + before
 }
 
-func (r *reader) walk() {
-	r.now = r.top
+func (r *reader) readExpressions() {
+	r.current = r.root
 	r.parser.Reset(r.data)
-	for !r.full && r.parser.NextExpression() {
+	for !r.stopped && r.parser.NextExpression() {
 		e := r.parser.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			r.table(e)
+			r.startTable(e)
 		case unstable.KeyValue:
-			if r.now != nil {
-				r.keyValue(r.now, e)
+			if r.current != nil {
+				r.addKeyValue(r.current, e)
 			}
 		}
 	}
 	var fault *unstable.ParserError
 	if err := r.parser.Error(); errors.As(err, &fault) {
-		line := r.at(len(r.data))
+		line := r.lineAt(len(r.data))
 		if len(fault.Highlight) > 0 {
-			line = r.at(int(r.parser.Range(fault.Highlight).Offset))
+			line = r.lineAt(int(r.parser.Range(fault.Highlight).Offset))
 		}
-		r.fault(line, strings.Join(fault.Key, "."), fault.Message)
+		r.addError(line, strings.Join(fault.Key, "."), fault.Message)
 	} else if err != nil {
-		r.fault(0, "", err.Error())
+		r.addError(0, "", err.Error())
 	}
 }
 
 // parts are the parts of a key, and the line of the first.
-func (r *reader) parts(n *unstable.Node) (parts []string, line int) {
+func (r *reader) keyParts(n *unstable.Node) (parts []string, line int) {
 	for it := n.Key(); it.Next(); {
 		if line == 0 {
-			line = r.line(it.Node())
+			line = r.nodeLine(it.Node())
 		}
 		parts = append(parts, string(it.Node().Data))
 	}
@@ -141,11 +141,11 @@
 }
 
 // table begins a table or an element of a list of tables.
-func (r *reader) table(n *unstable.Node) {
-	parts, line := r.parts(n)
+func (r *reader) startTable(n *unstable.Node) {
+	parts, line := r.keyParts(n)
 	name := strings.Join(parts, ".")
-	r.now = nil
-	at := r.descend(r.top, parts[:len(parts)-1], line, name)
+	r.current = nil
+	at := r.openTable(r.root, parts[:len(parts)-1], line, name)
 	if at == nil {
 		return
 	}
@@ -154,13 +154,13 @@
 	if n.Kind == unstable.ArrayTable {
 		list, isList := old.V.([]Value)
 		if there && !isList {
-			r.fault(line, name, fmt.Sprintf("it stands already in line %d, and is no list", old.Line))
+			r.addError(line, name, fmt.Sprintf("it stands already in line %d, and is no list", old.Line))
 			return
 		}
-		r.now = newTable(line)
-		list = append(list, Value{Line: line, V: r.now})
+		r.current = newTable(line)
+		list = append(list, Value{Line: line, V: r.current})
 		if !there {
-			if r.tooMany(at, line, name) {
+			if r.tableFull(at, line, name) {
 				return
 			}
 			old.Line = line
@@ -173,26 +173,26 @@
 		// A table that was only passed through by a longer name may follow; the
 		// library finds what may not.
 		if t, ok := old.V.(*Table); ok {
-			r.now = t
+			r.current = t
 		} else {
-			r.fault(line, name, fmt.Sprintf("it stands already in line %d, and is no table", old.Line))
+			r.addError(line, name, fmt.Sprintf("it stands already in line %d, and is no table", old.Line))
 		}
 		return
 	}
-	if r.tooMany(at, line, name) {
+	if r.tableFull(at, line, name) {
 		return
 	}
-	r.now = newTable(line)
-	at.Values[last] = Value{Line: line, V: r.now}
+	r.current = newTable(line)
+	at.Values[last] = Value{Line: line, V: r.current}
 	at.KeyOrder = append(at.KeyOrder, last)
 }
 
 // descend goes down by the parts of a key, making the tables that are not there.
-func (r *reader) descend(at *Table, parts []string, line int, name string) *Table {
+func (r *reader) openTable(at *Table, parts []string, line int, name string) *Table {
 	for _, p := range parts {
 		v, there := at.Values[p]
 		if !there {
-			if r.tooMany(at, line, name) {
+			if r.tableFull(at, line, name) {
 				return nil
 			}
 			v = Value{Line: line, V: newTable(line)}
@@ -208,12 +208,12 @@
 				last, _ = x[len(x)-1].V.(*Table)
 			}
 			if last == nil {
-				r.fault(line, name, fmt.Sprintf("%q in line %d is no table", p, v.Line))
+				r.addError(line, name, fmt.Sprintf("%q in line %d is no table", p, v.Line))
 				return nil
 			}
 			at = last
 		default:
-			r.fault(line, name, fmt.Sprintf("%q in line %d is no table", p, v.Line))
+			r.addError(line, name, fmt.Sprintf("%q in line %d is no table", p, v.Line))
 			return nil
 		}
 	}
@@ -221,27 +221,27 @@
 }
 
 // tooMany tells whether a table can take no further key, and then ends the reading.
-func (r *reader) tooMany(at *Table, line int, name string) bool {
-	if len(at.KeyOrder) < mostKeys {
+func (r *reader) tableFull(at *Table, line int, name string) bool {
+	if len(at.KeyOrder) < maxTableKeys {
 		return false
 	}
-	r.fault(line, name, fmt.Sprintf("more than %d keys in one table", mostKeys))
-	r.full = true
+	r.addError(line, name, fmt.Sprintf("more than %d keys in one table", maxTableKeys))
+	r.stopped = true
 	return true
 }
 
-func (r *reader) keyValue(at *Table, n *unstable.Node) {
-	parts, line := r.parts(n)
+func (r *reader) addKeyValue(at *Table, n *unstable.Node) {
+	parts, line := r.keyParts(n)
 	name := strings.Join(parts, ".")
-	if at = r.descend(at, parts[:len(parts)-1], line, name); at == nil {
+	if at = r.openTable(at, parts[:len(parts)-1], line, name); at == nil {
 		return
 	}
 	last := parts[len(parts)-1]
 	if old, there := at.Values[last]; there {
-		r.faults = append(r.faults, SyntaxError{line, name, fmt.Sprintf("the key stands already in line %d", old.Line), true})
+		r.syntaxErrors = append(r.syntaxErrors, SyntaxError{line, name, fmt.Sprintf("the key stands already in line %d", old.Line), true})
 		return
 	}
-	if r.tooMany(at, line, name) {
+	if r.tableFull(at, line, name) {
 		return
 	}
 	at.Values[last] = r.value(n.Value(), line)
@@ -250,26 +250,26 @@
 
 // value reads one value; near is a line that it is not above.
 func (r *reader) value(n *unstable.Node, near int) Value {
-	v := Value{Line: near, Text: short(r.text(n))}
+	v := Value{Line: near, Text: truncate(r.sourceText(n))}
 	if n.Raw.Length > 0 {
-		v.Line = r.line(n)
+		v.Line = r.nodeLine(n)
 	}
 	switch n.Kind {
 	case unstable.String:
 		v.V = string(n.Data)
-		v.Text = short(strconv.Quote(string(n.Data)))
+		v.Text = truncate(strconv.Quote(string(n.Data)))
 	case unstable.Bool:
 		v.V = string(n.Data) == "true"
 	case unstable.Integer:
 		i, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
 		if err != nil {
-			r.fault(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
+			r.addError(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
 		}
 		v.V = i
 	case unstable.Float:
 		f, err := strconv.ParseFloat(strings.ReplaceAll(string(n.Data), "_", ""), 64)
 		if err != nil {
-			r.fault(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
+			r.addError(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
 		}
 		v.V = f
 	case unstable.Array:
@@ -284,7 +284,7 @@
 		t := newTable(v.Line)
 		for it := n.Children(); it.Next(); {
 			if it.Node().Kind == unstable.KeyValue {
-				r.keyValue(t, it.Node())
+				r.addKeyValue(t, it.Node())
 			}
 		}
 		v.V = t
@@ -294,14 +294,14 @@
 	return v
 }
 
-func (r *reader) text(n *unstable.Node) string {
+func (r *reader) sourceText(n *unstable.Node) string {
 	if n.Raw.Length > 0 {
 		return string(r.parser.Raw(n.Raw))
 	}
 	return string(n.Data)
 }
 
-func short(s string) string {
+func truncate(s string) string {
 	const most = 60
 	if len(s) <= most {
 		return s
--- a/internal/operators/document/document_test.go
+++ b/internal/operators/document/document_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestSyntaxErrors(t *testing.T) {
 	for _, x := range []struct {
 		text string
 		line int
@@ -64,18 +64,18 @@
 }
 
 // plain is a table as the library would decode it.
-func plain(v any) any {
+func decodedForm(v any) any {
 	switch x := v.(type) {
 	case *Table:
 		m := map[string]any{}
 		for k, v := range x.Values {
-			m[k] = plain(v.V)
+			m[k] = decodedForm(v.V)
 		}
 		return m
 	case []Value:
 		l := []any{}
 		for _, v := range x {
-			l = append(l, plain(v.V))
+			l = append(l, decodedForm(v.V))
 		}
 		return l
 	case float64:
@@ -87,17 +87,17 @@
 }
 
 // hasOther tells whether there is a value of a kind that is not read.
-func hasOther(v any) bool {
+func hasUnsupported(v any) bool {
 	switch x := v.(type) {
 	case *Table:
 		for _, v := range x.Values {
-			if hasOther(v.V) {
+			if hasUnsupported(v.V) {
 				return true
 			}
 		}
 	case []Value:
 		for _, v := range x {
-			if hasOther(v.V) {
+			if hasUnsupported(v.V) {
 				return true
 			}
 		}
@@ -141,28 +141,28 @@
 			}
 		}
 		walk(Value{Line: 1, V: top})
-		if hasOther(top) {
+		if hasUnsupported(top) {
 			return
 		}
-		if got := plain(top); !reflect.DeepEqual(got, normal(want)) {
+		if got := decodedForm(top); !reflect.DeepEqual(got, normalize(want)) {
 			t.Errorf("read %v, the library %v", got, want)
 		}
 	})
 }
 
 // normal makes not-a-number comparable.
-func normal(v any) any {
+func normalize(v any) any {
 	switch x := v.(type) {
 	case map[string]any:
 		m := map[string]any{}
 		for k, v := range x {
-			m[k] = normal(v)
+			m[k] = normalize(v)
 		}
 		return m
 	case []any:
 		l := []any{}
 		for _, v := range x {
-			l = append(l, normal(v))
+			l = append(l, normalize(v))
 		}
 		return l
 	case float64:
@@ -184,7 +184,7 @@
 		fmt.Fprintf(&b, "k%d=1\n", i)
 	}
 	top, faults := Parse([]byte(b.String()))
-	if len(faults) != 1 || faults[0].Line != mostKeys+1 || len(top.Values) != mostKeys {
+	if len(faults) != 1 || faults[0].Line != maxTableKeys+1 || len(top.Values) != maxTableKeys {
 		t.Errorf("%d keys, %+v", len(top.Values), faults)
 	}
 	took := func(tables int) time.Duration {
--- a/internal/operators/routes/check.go
+++ b/internal/operators/routes/check.go
@@ -20,10 +20,10 @@
 }
 
 // windowPart is the part of a key's window that the module uses.
-const windowPart = 0.9
+const usableWindowPart = 0.9
 
 // outcomes are the words of retry_on.
-func outcomes() map[string]decide.Result {
+func retryOutcomes() map[string]decide.Result {
 	return map[string]decide.Result{
 		"error": decide.Errored, "turned-away": decide.Rejected, "timeout": decide.TimedOut,
 		"unconnected": decide.ConnectFailed, "reset": decide.ConnectionLost, "spoilt": decide.Malformed,
@@ -31,28 +31,28 @@
 }
 
 // harmless are the outcomes that prove that nothing ran.
-const harmless = "turned-away, unconnected"
+const safeOutcomes = "turned-away, unconnected"
 
 // Check checks a file against settings and rules, and compiles it. Every fault
 // is reported; with any, the table is nil.
 func Check(f *File, env Env) (*Table, []Finding) {
-	return check(f, env, nil)
+	return checkExcept(f, env, nil)
 }
 
 // check is Check without the codes that skip names, for tests that show what
 // each is for.
-func check(f *File, env Env, skip map[Code]bool) (*Table, []Finding) {
+func checkExcept(f *File, env Env, skip map[Code]bool) (*Table, []Finding) {
 	c := &checker{env: env, skip: skip, table: &Table{classes: make([][]matcher, len(env.Classes))}}
 	for i := range f.Routes {
-		c.place(&f.Routes[i])
+		c.resolveRoute(&f.Routes[i])
 	}
-	for i := range c.placed {
-		c.values(&c.placed[i])
+	for i := range c.routes {
+		c.checkRoute(&c.routes[i])
 	}
 	for _, all := range c.table.classes {
-		sortRoutes(all)
+		sortMatchers(all)
 	}
-	c.table.idle = c.idles(f.Idles)
+	c.table.idle = c.checkIdleRules(f.Idles)
 	SortFindings(c.findings)
 	if len(c.findings) > 0 {
 		return nil, c.findings
@@ -73,89 +73,89 @@
 }
 
 // placed is a route whose requests are known.
-type placed struct {
+type resolvedRoute struct {
 	*Route
 	class, tenant int // indices; tenant -1: any
 }
 
 // contains tells whether all requests of the other route are this one's too.
-func (p *placed) contains(other *placed) bool {
-	return p.class == other.class && (p.tenant < 0 || p.tenant == other.tenant) && within(other.Path.V, p.Path.V)
+func (p *resolvedRoute) contains(other *resolvedRoute) bool {
+	return p.class == other.class && (p.tenant < 0 || p.tenant == other.tenant) && hasPathPrefix(other.Path.V, p.Path.V)
 }
 
 type checker struct {
 	env      Env
 	skip     map[Code]bool
 	table    *Table
-	placed   []placed
+	routes   []resolvedRoute
 	findings []Finding
 }
 
-func (c *checker) find(code Code, line int, key, value, bound, text string) {
+func (c *checker) report(code Code, line int, key, value, bound, text string) {
 	if !c.skip[code] {
 		c.findings = append(c.findings, Finding{code, line, key, value, bound, text})
 	}
 }
 
 // place finds out which requests a route is for.
-func (c *checker) place(r *Route) {
-	p := placed{Route: r, tenant: -1}
+func (c *checker) resolveRoute(r *Route) {
+	p := resolvedRoute{Route: r, tenant: -1}
 	ok := true
 	switch {
 	case r.Class.Line == 0 && r.Incomplete:
 		return
 	case r.Class.Line == 0:
-		c.find(NoClass, r.Line, "class", "", strings.Join(c.env.Classes, ", "), "the route has no class")
+		c.report(NoClass, r.Line, "class", "", strings.Join(c.env.Classes, ", "), "the route has no class")
 		return
 	case r.Class.Invalid:
 		return
 	}
 	if p.class = slices.Index(c.env.Classes, r.Class.V); p.class < 0 {
-		c.find(UnknownClass, r.Class.Line, "class", strconv.Quote(r.Class.V), strings.Join(c.env.Classes, ", "),
+		c.report(UnknownClass, r.Class.Line, "class", strconv.Quote(r.Class.V), strings.Join(c.env.Classes, ", "),
 			"the platform's settings name no such class")
 		return
 	}
 	if r.Tenant.IsSet() {
 		if p.tenant = slices.Index(c.env.Tenants, r.Tenant.V); p.tenant < 0 {
-			c.find(UnknownTenant, r.Tenant.Line, "tenant", strconv.Quote(r.Tenant.V), strings.Join(c.env.Tenants, ", "),
+			c.report(UnknownTenant, r.Tenant.Line, "tenant", strconv.Quote(r.Tenant.V), strings.Join(c.env.Tenants, ", "),
 				"the platform's settings name no such tenant")
 			ok = false
 		}
 	}
 	if r.Path.IsSet() {
-		if why := impossible(r.Path.V, r.Class.V); why != "" {
-			c.find(NeverMatches, r.Path.Line, "path", strconv.Quote(r.Path.V), "/"+r.Class.V+"/...", why)
+		if why := pathProblem(r.Path.V, r.Class.V); why != "" {
+			c.report(NeverMatches, r.Path.Line, "path", strconv.Quote(r.Path.V), "/"+r.Class.V+"/...", why)
 			ok = false
 		}
 	}
 	if r.Path.Invalid || r.Tenant.Invalid || !ok {
 		return
 	}
-	for i := range c.placed {
-		if o := &c.placed[i]; o.class == p.class && o.tenant == p.tenant && o.Path.V == r.Path.V {
-			c.find(DuplicateRoute, r.Line, "[[route]]", "", "",
+	for i := range c.routes {
+		if o := &c.routes[i]; o.class == p.class && o.tenant == p.tenant && o.Path.V == r.Path.V {
+			c.report(DuplicateRoute, r.Line, "[[route]]", "", "",
 				fmt.Sprintf("the route in line %d is for the same requests: this one can never match", o.Line))
 			return
 		}
 	}
-	if !r.sets() && !r.Incomplete {
-		c.find(SetsNothing, r.Line, "[[route]]", "", "", "the route sets no key")
+	if !r.setsAnything() && !r.Incomplete {
+		c.report(SetsNothing, r.Line, "[[route]]", "", "", "the route sets no key")
 	}
-	c.placed = append(c.placed, p)
+	c.routes = append(c.routes, p)
 }
 
 // sets tells whether a route says anything, readable or not.
-func (r *Route) sets() bool {
+func (r *Route) setsAnything() bool {
 	return r.AttemptTimeout.Line+r.Attempts.Line+r.BackoffFirst.Line+r.BackoffMax.Line+r.BackoffJitter.Line+
 		r.RetryOn.Line+r.SecondCopyAfter.Line+r.DeadlineCap.Line+r.RetryAfter.Line > 0
 }
 
 // impossible says why no request of a class can have a path below this one.
-func impossible(path, class string) string {
+func pathProblem(path, class string) string {
 	switch {
 	case path == "":
 		return "an empty path; leave the key out for all of the class"
-	case !within(path, "/"+class):
+	case !hasPathPrefix(path, "/"+class):
 		return "the class is the first part of every path, so this one never matches"
 	case strings.HasSuffix(path, "/"):
 		return "a path ends without a slash: it is matched by whole segments"
@@ -169,42 +169,42 @@
 
 // inherit takes what a route leaves open from the routes that contain it, the
 // most specific of them first.
-func (c *checker) inherit(p *placed) Route {
+func (c *checker) inherit(p *resolvedRoute) Route {
 	r := *p.Route
-	var wider []*placed
-	for i := range c.placed {
-		if o := &c.placed[i]; o != p && o.contains(p) {
+	var wider []*resolvedRoute
+	for i := range c.routes {
+		if o := &c.routes[i]; o != p && o.contains(p) {
 			wider = append(wider, o)
 		}
 	}
-	slices.SortStableFunc(wider, func(x, y *placed) int {
+	slices.SortStableFunc(wider, func(x, y *resolvedRoute) int {
 		if d := len(y.Path.V) - len(x.Path.V); d != 0 {
 			return d
 		}
 		return min(y.tenant, 0) - min(x.tenant, 0)
 	})
 	for _, o := range wider {
-		fill(&r.AttemptTimeout, o.AttemptTimeout)
-		fill(&r.Attempts, o.Attempts)
-		fill(&r.BackoffFirst, o.BackoffFirst)
-		fill(&r.BackoffMax, o.BackoffMax)
-		fill(&r.BackoffJitter, o.BackoffJitter)
-		fill(&r.RetryOn, o.RetryOn)
-		fill(&r.SecondCopyAfter, o.SecondCopyAfter)
-		fill(&r.DeadlineCap, o.DeadlineCap)
-		fill(&r.RetryAfter, o.RetryAfter)
+		inheritValue(&r.AttemptTimeout, o.AttemptTimeout)
+		inheritValue(&r.Attempts, o.Attempts)
+		inheritValue(&r.BackoffFirst, o.BackoffFirst)
+		inheritValue(&r.BackoffMax, o.BackoffMax)
+		inheritValue(&r.BackoffJitter, o.BackoffJitter)
+		inheritValue(&r.RetryOn, o.RetryOn)
+		inheritValue(&r.SecondCopyAfter, o.SecondCopyAfter)
+		inheritValue(&r.DeadlineCap, o.DeadlineCap)
+		inheritValue(&r.RetryAfter, o.RetryAfter)
 	}
 	return r
 }
 
-func fill[T any](v *Value[T], from Value[T]) {
+func inheritValue[T any](v *Value[T], from Value[T]) {
 	if v.Line == 0 {
 		*v = from
 	}
 }
 
 // values checks what holds for a route's requests, and adds its row.
-func (c *checker) values(p *placed) {
+func (c *checker) checkRoute(p *resolvedRoute) {
 	r := c.inherit(p)
 	set, class, name := &c.env.Settings, &c.env.Settings.Classes[p.class], c.env.Classes[p.class]
 	b := decide.RoutePolicy{
@@ -215,7 +215,7 @@
 	attempts := max(1, set.MaxAttempts)
 	if r.Attempts.IsSet() {
 		if r.Attempts.V > attempts {
-			c.find(TooManyAttempts, r.Attempts.Line, "attempts", strconv.Itoa(r.Attempts.V),
+			c.report(TooManyAttempts, r.Attempts.Line, "attempts", strconv.Itoa(r.Attempts.V),
 				fmt.Sprintf("1 to %d", attempts), "more attempts than the platform allows")
 		}
 		attempts = r.Attempts.V
@@ -223,67 +223,67 @@
 	limit := class.Deadline
 	if r.DeadlineCap.IsSet() {
 		if b.DeadlineCap > class.Deadline {
-			c.find(DeadlineTooLong, r.DeadlineCap.Line, "deadline_cap", quoted(b.DeadlineCap),
+			c.report(DeadlineTooLong, r.DeadlineCap.Line, "deadline_cap", quoteDuration(b.DeadlineCap),
 				"up to "+class.Deadline.String(), "above the deadline of class "+name)
 		}
 		limit = min(limit, b.DeadlineCap)
 	}
 	if r.AttemptTimeout.IsSet() && b.AttemptTimeout > limit {
-		c.find(AttemptTooLong, r.AttemptTimeout.Line, "attempt_timeout", quoted(b.AttemptTimeout),
+		c.report(AttemptTooLong, r.AttemptTimeout.Line, "attempt_timeout", quoteDuration(b.AttemptTimeout),
 			"up to "+limit.String(), "an attempt may last longer than a request of class "+name)
 	}
-	c.backoff(&r, attempts)
-	c.outcomes(&r, &b, class, name, attempts)
-	c.copies(&r, class, name, attempts, limit)
-	c.times(&r, &b, class, name, attempts, limit)
-	c.advice(&r, set)
-	p.add(c.table, b)
+	c.checkBackoff(&r, attempts)
+	c.checkRetryOn(&r, &b, class, name, attempts)
+	c.checkSecondCopy(&r, class, name, attempts, limit)
+	c.checkTotalTime(&r, &b, class, name, attempts, limit)
+	c.checkRetryAfter(&r, set)
+	p.addPolicy(c.table, b)
 }
 
 // add puts a route's row into the table.
-func (p *placed) add(t *Table, b decide.RoutePolicy) {
-	t.bounds = append(t.bounds, b)
-	t.classes[p.class] = append(t.classes[p.class], matcher{p.Path.V, p.tenant, len(t.bounds)})
+func (p *resolvedRoute) addPolicy(t *Table, b decide.RoutePolicy) {
+	t.policies = append(t.policies, b)
+	t.classes[p.class] = append(t.classes[p.class], matcher{p.Path.V, p.tenant, len(t.policies)})
 }
 
-func quoted(d time.Duration) string { return strconv.Quote(d.String()) }
+func quoteDuration(d time.Duration) string { return strconv.Quote(d.String()) }
 
-func (c *checker) backoff(r *Route, attempts int) {
+func (c *checker) checkBackoff(r *Route, attempts int) {
 	if r.BackoffFirst.IsSet() && r.BackoffMax.IsSet() && r.BackoffFirst.V > r.BackoffMax.V {
-		c.find(BackoffOrder, r.BackoffFirst.Line, "backoff.first", quoted(r.BackoffFirst.V),
+		c.report(BackoffOrder, r.BackoffFirst.Line, "backoff.first", quoteDuration(r.BackoffFirst.V),
 			"up to backoff.most, "+r.BackoffMax.V.String(), "the first wait is above the most")
 	}
 	if r.BackoffFirst.Line == 0 && (r.BackoffMax.Line > 0 || r.BackoffJitter.Line > 0) {
-		c.find(NoEffect, max(r.BackoffMax.Line, r.BackoffJitter.Line), "backoff", "", "",
+		c.report(NoEffect, max(r.BackoffMax.Line, r.BackoffJitter.Line), "backoff", "", "",
 			"without backoff.first there is no wait")
 	}
 	if r.Attempts.IsSet() && attempts == 1 {
 		if r.BackoffFirst.Line > 0 {
-			c.find(NoEffect, r.BackoffFirst.Line, "backoff", "", "", "with one attempt there is nothing to wait for")
+			c.report(NoEffect, r.BackoffFirst.Line, "backoff", "", "", "with one attempt there is nothing to wait for")
 		}
 		if r.RetryOn.IsSet() && len(r.RetryOn.V) > 0 {
-			c.find(NoEffect, r.RetryOn.Line, "retry_on", "", "", "with one attempt nothing is tried again")
+			c.report(NoEffect, r.RetryOn.Line, "retry_on", "", "", "with one attempt nothing is tried again")
 		}
 	}
 }
 
-func (c *checker) outcomes(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int) {
+func (c *checker) checkRetryOn(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int) {
 	if !r.RetryOn.IsSet() {
 		return
 	}
-	words := outcomes()
+	words := retryOutcomes()
 	// What was never sent did not fail: the server had begun to drain, say.
 	b.RetryOn = decide.NotSent.Bit()
 	for _, word := range r.RetryOn.V {
 		result, ok := words[word]
 		switch {
 		case !ok:
-			c.find(UnknownOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word),
+			c.report(UnknownOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word),
 				"error, reset, spoilt, timeout, turned-away, unconnected", "there is no such outcome")
 		case b.RetryOn&result.Bit() != 0:
-			c.find(DuplicateOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word), "", "the outcome stands there twice")
+			c.report(DuplicateOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word), "", "the outcome stands there twice")
 		case class.Idempotency == decide.AtMostOnce && result != decide.Rejected && result != decide.ConnectFailed:
-			c.find(RetryUnsafe, r.RetryOn.Line, "retry_on", strconv.Quote(word), harmless,
+			c.report(RetryUnsafe, r.RetryOn.Line, "retry_on", strconv.Quote(word), safeOutcomes,
 				"class "+name+" is unsafe to repeat, and this may have run")
 		}
 		if ok {
@@ -291,49 +291,49 @@
 		}
 	}
 	if attempts > 1 && r.AttemptTimeout.Line == 0 && b.RetryOn&decide.TimedOut.Bit() != 0 {
-		c.find(NoEffect, r.RetryOn.Line, "retry_on", `"timeout"`, "with attempt_timeout",
+		c.report(NoEffect, r.RetryOn.Line, "retry_on", `"timeout"`, "with attempt_timeout",
 			"without attempt_timeout an attempt times out only when its request does")
 	}
 	if len(r.RetryOn.V) == 0 && attempts > 1 {
-		c.find(RetryOnNothing, r.RetryOn.Line, "retry_on", "[]", "attempts = 1",
+		c.report(RetryOnNothing, r.RetryOn.Line, "retry_on", "[]", "attempts = 1",
 			"nothing would be tried again, with more than one attempt")
 	}
 }
 
-func (c *checker) copies(r *Route, class *decide.Class, name string, attempts int, limit time.Duration) {
+func (c *checker) checkSecondCopy(r *Route, class *decide.Class, name string, attempts int, limit time.Duration) {
 	if !r.SecondCopyAfter.IsSet() {
 		return
 	}
 	const key = "second_copy_after"
-	line, value := r.SecondCopyAfter.Line, quoted(r.SecondCopyAfter.V)
+	line, value := r.SecondCopyAfter.Line, quoteDuration(r.SecondCopyAfter.V)
 	if !c.env.Settings.MayHedge {
-		c.find(CopiesRuledOut, line, key, value, "no such key", "the platform rules out a second attempt beside the first")
+		c.report(CopiesRuledOut, line, key, value, "no such key", "the platform rules out a second attempt beside the first")
 	}
 	switch class.Idempotency {
 	case decide.Keyed:
-		c.find(CopyOfKeyed, line, key, value, "no such key", "class "+name+" is keyed")
+		c.report(CopyOfKeyed, line, key, value, "no such key", "class "+name+" is keyed")
 	case decide.AtMostOnce:
-		c.find(CopyOfUnsafe, line, key, value, "no such key", "class "+name+" is unsafe to repeat")
+		c.report(CopyOfUnsafe, line, key, value, "no such key", "class "+name+" is unsafe to repeat")
 	}
 	if r.AttemptTimeout.IsSet() {
 		limit = min(limit, r.AttemptTimeout.V)
 	}
 	if r.SecondCopyAfter.V >= limit {
-		c.find(CopyTooLate, line, key, value, "under "+limit.String(), "the first attempt has ended by then")
+		c.report(CopyTooLate, line, key, value, "under "+limit.String(), "the first attempt has ended by then")
 	}
 	if attempts < 2 {
-		c.find(CopyNoAttempt, line, key, value, "attempts = 2 at the least", "a copy is an attempt")
+		c.report(CopyNoAttempt, line, key, value, "attempts = 2 at the least", "a copy is an attempt")
 	}
 }
 
 // leastAttempt is what an attempt without a time-out of its own must have at the least.
-const leastAttempt = time.Millisecond
+const minAttemptTime = time.Millisecond
 
 // Waits is the longest that all waits between so many attempts can be under a
 // row's bounds.
 func MaxTotalBackoff(b decide.RoutePolicy, attempts int) time.Duration {
 	sum := time.Duration(0)
-	for i, wait := 1, b.BackoffInitial; i < attempts; i, wait = i+1, min(2*wait, 2*mostDuration) {
+	for i, wait := 1, b.BackoffInitial; i < attempts; i, wait = i+1, min(2*wait, 2*maxDuration) {
 		if b.BackoffMax > 0 {
 			wait = min(wait, b.BackoffMax)
 		}
@@ -343,7 +343,7 @@
 }
 
 // times checks attempts and waits against the request's time and the key's window.
-func (c *checker) times(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int, limit time.Duration) {
+func (c *checker) checkTotalTime(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int, limit time.Duration) {
 	// Faults of the values themselves are told; what follows from them says nothing new.
 	if r.AttemptTimeout.Invalid || r.Attempts.Invalid || r.BackoffFirst.Invalid || r.BackoffMax.Invalid || r.DeadlineCap.Invalid ||
 		attempts > max(1, c.env.Settings.MaxAttempts) {
@@ -362,11 +362,11 @@
 	}
 	pause := MaxTotalBackoff(*b, attempts)
 	// An attempt without a time-out of its own takes some time too.
-	all := time.Duration(attempts)*cmp.Or(b.AttemptTimeout, leastAttempt) + pause
+	all := time.Duration(attempts)*cmp.Or(b.AttemptTimeout, minAttemptTime) + pause
 	if b.AttemptTimeout <= limit && all > limit && limit > 0 {
-		c.find(NotEnoughTime, line, key, value, "in all at most "+limit.String(),
+		c.report(NotEnoughTime, line, key, value, "in all at most "+limit.String(),
 			fmt.Sprintf("%d attempts of %s with %s of back-off take %s, and a request of class %s has less",
-				attempts, orWhole(b.AttemptTimeout), pause, all, name))
+				attempts, timeoutText(b.AttemptTimeout), pause, all, name))
 		return
 	}
 	if class.Idempotency != decide.Keyed {
@@ -378,27 +378,27 @@
 	if b.AttemptTimeout > 0 {
 		last = min(limit, time.Duration(attempts-1)*b.AttemptTimeout+pause)
 	}
-	window := time.Duration(windowPart * float64(class.KeyTTL))
+	window := time.Duration(usableWindowPart * float64(class.KeyTTL))
 	if last > window {
-		c.find(PastWindow, line, key, value, "the last send at most "+window.String()+" after the first",
+		c.report(PastWindow, line, key, value, "the last send at most "+window.String()+" after the first",
 			fmt.Sprintf("the last of %d attempts may go out %s after the first, and %s drop repeats of class %s for %s",
-				attempts, last, group(class.Group), name, class.KeyTTL))
+				attempts, last, groupText(class.Group), name, class.KeyTTL))
 	} else if class.Group == decide.GroupAll && r.RetryAfter.IsSet() && limit+r.RetryAfter.V > class.KeyTTL {
-		c.find(ReturnPastWindow, r.RetryAfter.Line, "retry_after", quoted(r.RetryAfter.V),
+		c.report(ReturnPastWindow, r.RetryAfter.Line, "retry_after", quoteDuration(r.RetryAfter.V),
 			"up to "+max(0, class.KeyTTL-limit).String(),
 			fmt.Sprintf("a client refused after %s would return when the key of class %s, kept for %s, is dropped",
 				limit, name, class.KeyTTL))
 	}
 }
 
-func orWhole(d time.Duration) string {
+func timeoutText(d time.Duration) string {
 	if d == 0 {
 		return "any length"
 	}
 	return d.String()
 }
 
-func group(g decide.Group) string {
+func groupText(g decide.Group) string {
 	switch g {
 	case decide.GroupZone:
 		return "the servers of one zone"
@@ -408,14 +408,14 @@
 	return "all servers"
 }
 
-func (c *checker) advice(r *Route, set *decide.Settings) {
+func (c *checker) checkRetryAfter(r *Route, set *decide.Settings) {
 	if !r.RetryAfter.IsSet() {
 		return
 	}
-	line, value := r.RetryAfter.Line, quoted(r.RetryAfter.V)
+	line, value := r.RetryAfter.Line, quoteDuration(r.RetryAfter.V)
 	if !set.MayAdviseRetry {
-		c.find(NoAdvice, line, "retry_after", value, "no such key", "refusals carry no advice on this platform")
+		c.report(NoAdvice, line, "retry_after", value, "no such key", "refusals carry no advice on this platform")
 	} else if r.RetryAfter.V > set.MaxRetryAfter {
-		c.find(LongAdvice, line, "retry_after", value, "up to "+set.MaxRetryAfter.String(), "beyond the longest Retry-After")
+		c.report(LongAdvice, line, "retry_after", value, "up to "+set.MaxRetryAfter.String(), "beyond the longest Retry-After")
 	}
 }
--- a/internal/operators/routes/idle.go
+++ b/internal/operators/routes/idle.go
@@ -18,37 +18,37 @@
 	Class   Value[string] // of the last request; none: any
 	Network Value[string] // where they come from, as an address or prefix; none: anywhere
 	For     Value[string] // a duration
-	length  idleconns.Rule
-	bad     bool // something in it was not understood
+	rule  idleconns.Rule
+	invalid     bool // something in it was not understood
 }
 
 // idleKey takes one key of an [[idle]].
-func (d *decoder) idleKey(key string, line int, value *unstable.Node) {
+func (d *decoder) readIdleKey(key string, line int, value *unstable.Node) {
 	i := d.idle
-	if !d.once(key, line) {
-		i.bad = true
+	if !d.recordKey(key, line) {
+		i.invalid = true
 		return
 	}
 	switch key {
 	case "class":
-		i.Class = d.word(key, line, value)
-		i.bad = i.bad || i.Class.Invalid
+		i.Class = d.readString(key, line, value)
+		i.invalid = i.invalid || i.Class.Invalid
 	case "network":
-		i.Network = d.word(key, line, value)
-		i.bad = i.bad || i.Network.Invalid
+		i.Network = d.readString(key, line, value)
+		i.invalid = i.invalid || i.Network.Invalid
 	case "for":
-		length := d.duration(key, line, value)
-		i.For = Value[string]{V: d.text(value), Line: line, Invalid: length.Invalid}
-		i.length.Timeout = length.V
-		i.bad = i.bad || length.Invalid
+		length := d.readDuration(key, line, value)
+		i.For = Value[string]{V: d.valueText(value), Line: line, Invalid: length.Invalid}
+		i.rule.Timeout = length.V
+		i.invalid = i.invalid || length.Invalid
 	default:
-		i.bad = true
-		d.find(UnknownKey, line, key, "", "class, network, for", "an idle rule has no such key")
+		i.invalid = true
+		d.report(UnknownKey, line, key, "", "class, network, for", "an idle rule has no such key")
 	}
 }
 
 // prefix reads a network: a prefix, or one address.
-func prefix(text string) (netip.Prefix, error) {
+func parseNetwork(text string) (netip.Prefix, error) {
 	if strings.Contains(text, "/") {
 		return netip.ParsePrefix(text)
 	}
@@ -61,12 +61,12 @@
 }
 
 // idles checks the [[idle]] tables and compiles them.
-func (c *checker) idles(all []Idle) *idleconns.Rules {
+func (c *checker) checkIdleRules(all []Idle) *idleconns.Rules {
 	if len(all) == 0 {
 		return nil
 	}
 	if len(all) > idleconns.MaxRules {
-		c.find(TooManyIdleRules, all[idleconns.MaxRules].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MaxRules),
+		c.report(TooManyIdleRules, all[idleconns.MaxRules].Line, "[[idle]]", strconv.Itoa(len(all)), "at most "+strconv.Itoa(idleconns.MaxRules),
 			"too many idle rules")
 		return nil
 	}
@@ -78,19 +78,19 @@
 	var rules []idleconns.Rule
 	for k := range all {
 		i := &all[k]
-		rule, ok := i.length, !i.bad
+		rule, ok := i.rule, !i.invalid
 		rule.Class = -1
 		if i.Class.IsSet() {
 			if rule.Class = slices.Index(c.env.Classes, i.Class.V); rule.Class < 0 {
-				c.find(UnknownClass, i.Class.Line, "class", strconv.Quote(i.Class.V), strings.Join(c.env.Classes, ", "),
+				c.report(UnknownClass, i.Class.Line, "class", strconv.Quote(i.Class.V), strings.Join(c.env.Classes, ", "),
 					"the settings name no such class")
 				ok = false
 			}
 		}
 		if i.Network.IsSet() {
-			network, err := prefix(i.Network.V)
+			network, err := parseNetwork(i.Network.V)
 			if err != nil {
-				c.find(InvalidNetwork, i.Network.Line, "network", strconv.Quote(i.Network.V), `an address or a prefix, as "10.20.0.0/16" or "2001:db8::/32"`,
+				c.report(InvalidNetwork, i.Network.Line, "network", strconv.Quote(i.Network.V), `an address or a prefix, as "10.20.0.0/16" or "2001:db8::/32"`,
 					"not a network")
 				ok = false
 			} else {
@@ -98,11 +98,11 @@
 			}
 		}
 		switch {
-		case i.For.Line == 0 && !i.bad:
-			c.find(SetsNothing, i.Line, "for", "", "", "an idle rule without for sets nothing")
+		case i.For.Line == 0 && !i.invalid:
+			c.report(SetsNothing, i.Line, "for", "", "", "an idle rule without for sets nothing")
 			ok = false
 		case i.For.IsSet() && (rule.Timeout < idleconns.MinTimeout || rule.Timeout > idleconns.MaxTimeout):
-			c.find(IdleOutOfRange, i.For.Line, "for", i.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
+			c.report(IdleOutOfRange, i.For.Line, "for", i.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
 				"connections can't wait for so short or so long")
 			ok = false
 		}
@@ -111,7 +111,7 @@
 		}
 		place := where{rule.Class, rule.Network}
 		if before := seen[place]; before > 0 {
-			c.find(DuplicateIdleRule, i.Line, "[[idle]]", "", "", "the idle rule in line "+strconv.Itoa(before)+" is for the same connections")
+			c.report(DuplicateIdleRule, i.Line, "[[idle]]", "", "", "the idle rule in line "+strconv.Itoa(before)+" is for the same connections")
 			continue
 		}
 		seen[place] = i.Line
@@ -122,7 +122,7 @@
 	}
 	compiled, err := idleconns.Compile(rules, len(c.env.Classes))
 	if err != nil { // the checks above have found all that Compile does
-		c.find(IdleOutOfRange, all[0].Line, "[[idle]]", "", "", err.Error())
+		c.report(IdleOutOfRange, all[0].Line, "[[idle]]", "", "", err.Error())
 		return nil
 	}
 	return compiled
--- a/internal/operators/routes/property_test.go
+++ b/internal/operators/routes/property_test.go
@@ -15,20 +15,20 @@
 
 // world plays one request at a time against the module in virtual time, with
 // every outcome set by the test, and notes what the node would see.
-type world struct {
+type simulation struct {
 	env     Env
-	b       *decide.Balancer
+	balancer       *decide.Balancer
 	now     time.Duration
 	class   int
-	began   time.Duration
-	sends   []sent
+	startedAt   time.Duration
+	attempts   []sentAttempt
 	timers  []time.Duration
 	answer  *decide.Action
-	ended   time.Duration
+	endedAt   time.Duration
 	servers map[string]decide.Server
 }
 
-type sent struct {
+type sentAttempt struct {
 	at     time.Duration
 	wait   time.Duration
 	server string
@@ -36,37 +36,37 @@
 	result decide.Result
 }
 
-func newWorld(env Env, table *Table, seed uint64) *world {
+func newSimulation(env Env, table *Table, seed uint64) *simulation {
 	set := env.Settings
 	set.Tier = 1 // no verdict at the entry: each request is sent
-	w := &world{env: env, now: time.Second, b: decide.New(set, seed, time.Second), servers: map[string]decide.Server{}}
+	w := &simulation{env: env, now: time.Second, balancer: decide.New(set, seed, time.Second), servers: map[string]decide.Server{}}
 	var list []decide.Server
 	for i := range 8 {
 		s := decide.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i/4), Cell: i / 4}
 		w.servers[s.ID] = s
 		list = append(list, s)
 	}
-	w.b.HandleList(w.now, decide.ListUpdate{Kind: decide.ListFull, Servers: list}, nil)
-	w.b.SetRoutePolicies(w.now, table.Bounds(), nil)
+	w.balancer.HandleList(w.now, decide.ListUpdate{Kind: decide.ListFull, Servers: list}, nil)
+	w.balancer.SetRoutePolicies(w.now, table.Bounds(), nil)
 	return w
 }
 
 // play plays one request to its end. next says how long the attempt just sent
 // takes and how it ends.
-func (w *world) play(class, row int, next func(s sent) (time.Duration, decide.Result)) error {
-	w.class, w.began = class, w.now
+func (w *simulation) run(class, row int, next func(s sentAttempt) (time.Duration, decide.Result)) error {
+	w.class, w.startedAt = class, w.now
 	ttl := w.env.Settings.Classes[class].Deadline
 	r := decide.Request{ID: 1, Class: class, Route: row, Tenant: -1, TTL: ttl}
-	if err := w.take(w.b.HandleRequest(w.now, r, nil)); err != nil {
+	if err := w.apply(w.balancer.HandleRequest(w.now, r, nil)); err != nil {
 		return err
 	}
 	ends := map[int]time.Duration{}
 	for steps := 0; w.answer == nil; steps++ {
 		if steps > 1000 {
-			return fmt.Errorf("no end after %v", w.now-w.began)
+			return fmt.Errorf("no end after %v", w.now-w.startedAt)
 		}
-		for i := range w.sends {
-			if s := &w.sends[i]; s.open {
+		for i := range w.attempts {
+			if s := &w.attempts[i]; s.open {
 				if _, ok := ends[i]; !ok {
 					took, result := next(*s)
 					if took >= s.wait {
@@ -90,25 +90,25 @@
 			}
 		}
 		if which < 0 && timer < 0 {
-			return fmt.Errorf("nothing is to come, and no answer after %v", w.now-w.began)
+			return fmt.Errorf("nothing is to come, and no answer after %v", w.now-w.startedAt)
 		}
 		w.now = max(w.now, at)
-		if w.now > w.began+ttl {
+		if w.now > w.startedAt+ttl {
 			return fmt.Errorf("no answer in %v", ttl)
 		}
 		var out []decide.Action
 		if which >= 0 {
-			s := &w.sends[which]
+			s := &w.attempts[which]
 			s.open = false
 			delete(ends, which)
-			out = w.b.HandleOutcome(w.now, decide.Outcome{
+			out = w.balancer.HandleOutcome(w.now, decide.Outcome{
 				Request: 1, Attempt: which, Server: s.server, Result: s.result, Elapsed: w.now - s.at,
 			}, nil)
 		} else {
 			w.timers = append(w.timers[:timer], w.timers[timer+1:]...)
-			out = w.b.HandleTimer(w.now, decide.Timer{Token: 1}, nil)
+			out = w.balancer.HandleTimer(w.now, decide.Timer{Token: 1}, nil)
 		}
-		if err := w.take(out); err != nil {
+		if err := w.apply(out); err != nil {
 			return err
 		}
 	}
@@ -116,12 +116,12 @@
 }
 
 // mayRun tells whether an attempt that ended so may have run.
-func mayRun(s *sent) bool {
+func mayRun(s *sentAttempt) bool {
 	return s.open || s.result != decide.Rejected && s.result != decide.ConnectFailed && s.result != decide.NotSent
 }
 
 // take checks the module's actions against the rules.
-func (w *world) take(out []decide.Action) error {
+func (w *simulation) apply(out []decide.Action) error {
 	class := &w.env.Settings.Classes[w.class]
 	for _, a := range out {
 		switch a.Kind {
@@ -129,15 +129,15 @@
 			if w.answer != nil {
 				return fmt.Errorf("sent after the answer")
 			}
-			if len(w.sends) >= w.env.Settings.MaxAttempts {
-				return fmt.Errorf("attempt %d, the platform allows %d", len(w.sends)+1, w.env.Settings.MaxAttempts)
+			if len(w.attempts) >= w.env.Settings.MaxAttempts {
+				return fmt.Errorf("attempt %d, the platform allows %d", len(w.attempts)+1, w.env.Settings.MaxAttempts)
 			}
-			if w.now+a.Wait > w.began+class.Deadline {
+			if w.now+a.Wait > w.startedAt+class.Deadline {
 				return fmt.Errorf("an attempt beyond the deadline")
 			}
 			first := -1
-			for i := range w.sends {
-				s := &w.sends[i]
+			for i := range w.attempts {
+				s := &w.attempts[i]
 				if s.open && !(w.env.Settings.MayHedge && class.Idempotency == decide.Idempotent) {
 					return fmt.Errorf("two attempts out at once")
 				}
@@ -146,7 +146,7 @@
 				}
 			}
 			if first >= 0 {
-				f := &w.sends[first]
+				f := &w.attempts[first]
 				here, there := w.servers[a.Server], w.servers[f.server]
 				switch {
 				case class.Idempotency == decide.AtMostOnce:
@@ -158,16 +158,16 @@
 					return fmt.Errorf("a repeat outside the group")
 				}
 			}
-			w.sends = append(w.sends, sent{at: w.now, wait: a.Wait, server: a.Server, open: true})
+			w.attempts = append(w.attempts, sentAttempt{at: w.now, wait: a.Wait, server: a.Server, open: true})
 		case decide.StartTimer:
 			w.timers = append(w.timers, w.now+a.Wait)
 		case decide.Refuse, decide.Fail:
 			if w.answer != nil {
 				return fmt.Errorf("two answers")
 			}
-			w.answer, w.ended = &a, w.now
+			w.answer, w.endedAt = &a, w.now
 			if a.Kind == decide.Refuse {
-				return w.refused(class, a.Wait)
+				return w.checkRefusal(class, a.Wait)
 			}
 		}
 	}
@@ -175,9 +175,9 @@
 }
 
 // refused checks a refusal, and that its client may come back when it is told to.
-func (w *world) refused(class *decide.Class, advice time.Duration) error {
-	for i := range w.sends {
-		s := &w.sends[i]
+func (w *simulation) checkRefusal(class *decide.Class, advice time.Duration) error {
+	for i := range w.attempts {
+		s := &w.attempts[i]
 		if !mayRun(s) {
 			continue
 		}
@@ -192,11 +192,11 @@
 }
 
 // quick is sooner than any time-out of an attempt.
-const quick = ms / 2
+const shortAttempt = ms / 2
 
 // does checks that a row does what its file says when attempts fail, one after
 // another, in a way that may be tried again.
-func does(env Env, table *Table, class, row int, b decide.RoutePolicy, seed uint64) error {
+func checkPolicy(env Env, table *Table, class, row int, b decide.RoutePolicy, seed uint64) error {
 	deadline := env.Settings.Classes[class].Deadline
 	result := decide.TimedOut
 	if b.AttemptTimeout == 0 || b.RetryOn != 0 && b.RetryOn&decide.TimedOut.Bit() == 0 {
@@ -206,34 +206,34 @@
 			}
 		}
 	}
-	w := newWorld(env, table, seed)
-	err := w.play(class, row, func(s sent) (time.Duration, decide.Result) {
+	w := newSimulation(env, table, seed)
+	err := w.run(class, row, func(s sentAttempt) (time.Duration, decide.Result) {
 		switch {
 		case b.HedgeAfter > 0:
 			return s.wait, decide.TimedOut
 		case result == decide.TimedOut:
 			return s.wait, result
 		}
-		return quick, result
+		return shortAttempt, result
 	})
 	if err != nil {
 		return err
 	}
-	if len(w.sends) == 0 {
+	if len(w.attempts) == 0 {
 		return fmt.Errorf("no attempt")
 	}
-	first := w.sends[0]
+	first := w.attempts[0]
 	switch {
 	case b.AttemptTimeout > 0 && first.wait != b.AttemptTimeout:
 		return fmt.Errorf("the first attempt lasts %v, the file says %v", first.wait, b.AttemptTimeout)
 	case b.AttemptTimeout == 0 && b.DeadlineCap > 0 && first.wait != b.DeadlineCap:
 		return fmt.Errorf("the first attempt lasts %v, the file gives its request %v", first.wait, b.DeadlineCap)
-	case b.DeadlineCap > 0 && w.ended > w.began+min(b.DeadlineCap, deadline):
-		return fmt.Errorf("ended after %v, the file says %v", w.ended-w.began, b.DeadlineCap)
+	case b.DeadlineCap > 0 && w.endedAt > w.startedAt+min(b.DeadlineCap, deadline):
+		return fmt.Errorf("ended after %v, the file says %v", w.endedAt-w.startedAt, b.DeadlineCap)
 	}
 	if b.HedgeAfter > 0 {
-		if len(w.sends) < 2 || w.sends[1].at != first.at+b.HedgeAfter {
-			return fmt.Errorf("no second copy after %v: %+v", b.HedgeAfter, w.sends)
+		if len(w.attempts) < 2 || w.attempts[1].at != first.at+b.HedgeAfter {
+			return fmt.Errorf("no second copy after %v: %+v", b.HedgeAfter, w.attempts)
 		}
 		return nil
 	}
@@ -242,18 +242,18 @@
 	if once := env.Settings.Classes[class].Idempotency == decide.AtMostOnce; once && !named {
 		return nil
 	}
-	if b.MaxAttempts > 0 && (b.RetryOn == 0 || named) && len(w.sends) != b.MaxAttempts {
-		return fmt.Errorf("%d attempts after %v each, the file says %d", len(w.sends), result, b.MaxAttempts)
+	if b.MaxAttempts > 0 && (b.RetryOn == 0 || named) && len(w.attempts) != b.MaxAttempts {
+		return fmt.Errorf("%d attempts after %v each, the file says %d", len(w.attempts), result, b.MaxAttempts)
 	}
-	if named && b.MaxAttempts == 0 && len(w.sends) < 2 {
+	if named && b.MaxAttempts == 0 && len(w.attempts) < 2 {
 		return fmt.Errorf("not tried again after %v, which the file names", result)
 	}
-	if len(w.sends) > 1 && b.BackoffInitial > 0 {
-		took := time.Duration(quick)
+	if len(w.attempts) > 1 && b.BackoffInitial > 0 {
+		took := time.Duration(shortAttempt)
 		if result == decide.TimedOut {
 			took = first.wait
 		}
-		wait := w.sends[1].at - first.at - took
+		wait := w.attempts[1].at - first.at - took
 		least := time.Duration((1 - b.BackoffJitter) * float64(b.BackoffInitial))
 		if wait > b.BackoffInitial || wait < least-time.Microsecond {
 			return fmt.Errorf("a first wait of %v, the file says %v to %v", wait, least, b.BackoffInitial)
@@ -263,7 +263,7 @@
 }
 
 // draft is a file as it is drawn, and the platform that it is for.
-type draft struct {
+type drawnFile struct {
 	text   string
 	copies bool
 	seed   uint64
@@ -271,8 +271,8 @@
 
 // drafts draws files: values sit around the bounds, so that most files break one
 // check or none.
-func drafts() *rapid.Generator[draft] {
-	return rapid.Custom(func(t *rapid.T) draft {
+func fileGenerator() *rapid.Generator[drawnFile] {
+	return rapid.Custom(func(t *rapid.T) drawnFile {
 		env := testEnv()
 		var b strings.Builder
 		some := func(label string, percent int) bool { return rapid.IntRange(0, 99).Draw(t, label) < percent }
@@ -328,32 +328,32 @@
 				fmt.Fprintf(&b, "retry_after = %q\n", span("advice", 500*ms, 2*time.Second, 5*time.Second))
 			}
 		}
-		return draft{b.String(), rapid.Bool().Draw(t, "copies"), rapid.Uint64().Draw(t, "seed")}
+		return drawnFile{b.String(), rapid.Bool().Draw(t, "copies"), rapid.Uint64().Draw(t, "seed")}
 	})
 }
 
 // holds is the property: what the checks accept breaks no rule under any
 // outcomes, and does what it says. It tells whether the file was accepted.
-func holds(d draft, skip map[Code]bool) (accepted bool, err error) {
+func checkFile(d drawnFile, skip map[Code]bool) (accepted bool, err error) {
 	env := testEnv()
 	env.Settings.MayHedge = d.copies
 	f, findings := Parse([]byte(d.text))
 	if len(findings) > 0 {
 		return false, nil
 	}
-	table, findings := check(f, env, skip)
+	table, findings := checkExcept(f, env, skip)
 	if len(findings) > 0 {
 		return false, nil
 	}
 	rng := rand.New(rand.NewPCG(d.seed, 7))
 	for class := range table.classes {
 		for _, m := range table.classes[class] {
-			if err := does(env, table, class, m.row, table.bounds[m.row-1], d.seed); err != nil {
+			if err := checkPolicy(env, table, class, m.row, table.policies[m.row-1], d.seed); err != nil {
 				return true, fmt.Errorf("class %s: %w", env.Classes[class], err)
 			}
 			for range 4 {
-				w := newWorld(env, table, rng.Uint64())
-				err := w.play(class, m.row, func(s sent) (time.Duration, decide.Result) {
+				w := newSimulation(env, table, rng.Uint64())
+				err := w.run(class, m.row, func(s sentAttempt) (time.Duration, decide.Result) {
 					took := time.Duration(rng.Float64() * 1.2 * float64(s.wait))
 					return took, decide.Errored + decide.Result(rng.IntN(int(decide.ConnectionLost-decide.Errored)+1))
 				})
@@ -368,7 +368,7 @@
 
 // fixed sets a flag of rapid unless the command line does: the same files are
 // drawn in every run of the tests, and others by -rapid.seed=... -rapid.checks=...
-func fixed(t *testing.T, name, value string) {
+func setRapidFlag(t *testing.T, name, value string) {
 	f := flag.Lookup(name)
 	if f.Value.String() != f.DefValue {
 		return
@@ -379,14 +379,14 @@
 	t.Cleanup(func() { f.Value.Set(f.DefValue) })
 }
 
-func TestAcceptedFilesKeepTheRulesAndTheirWord(t *testing.T) {
-	fixed(t, "rapid.checks", "10000")
-	fixed(t, "rapid.seed", "1")
+func TestAcceptedFilesFollowRulesAndSettings(t *testing.T) {
+	setRapidFlag(t, "rapid.checks", "10000")
+	setRapidFlag(t, "rapid.seed", "1")
 	accepted := 0
-	gen := drafts()
+	gen := fileGenerator()
 	rapid.Check(t, func(t *rapid.T) {
 		d := gen.Draw(t, "file")
-		ok, err := holds(d, nil)
+		ok, err := checkFile(d, nil)
 		if ok {
 			accepted++
 		}
@@ -404,16 +404,16 @@
 // else the check, or the property, is for nothing.
 func TestEachCheckIsNeeded(t *testing.T) {
 	const most = 40000
-	gen := drafts()
+	gen := fileGenerator()
 	for _, code := range []Code{TooManyAttempts, AttemptTooLong, DeadlineTooLong, NotEnoughTime, BackoffOrder, CopiesRuledOut, CopyOfKeyed,
 		CopyOfUnsafe, CopyTooLate, CopyNoAttempt, RetryUnsafe, PastWindow} {
 		t.Run(string(code), func(t *testing.T) {
 			t.Parallel()
 			for i := range most {
 				d := gen.Example(i)
-				if _, err := holds(d, map[Code]bool{code: true}); err != nil {
+				if _, err := checkFile(d, map[Code]bool{code: true}); err != nil {
 					t.Logf("file %d: %v", i, err)
-					if ok, err := holds(d, nil); ok {
+					if ok, err := checkFile(d, nil); ok {
 						t.Errorf("all checks accept it too: %v\n%s", err, d.text)
 					}
 					return
--- a/internal/operators/routes/routes_test.go
+++ b/internal/operators/routes/routes_test.go
@@ -40,7 +40,7 @@
 }
 
 // envOf is the platform that a file of the corpus asks for.
-func envOf(text []byte) Env {
+func corpusEnv(text []byte) Env {
 	env := testEnv()
 	env.Settings.MayHedge = bytes.Contains(text, []byte("# env: copies"))
 	if bytes.Contains(text, []byte("# env: noadvice")) {
@@ -49,7 +49,7 @@
 	return env
 }
 
-func corpus(t testing.TB, dir string) map[string][]byte {
+func readCorpus(t testing.TB, dir string) map[string][]byte {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("testdata", dir, "*.toml"))
 	if err != nil {
@@ -73,7 +73,7 @@
 
 // wanted reads what a file of the corpus says of itself: codes behind the lines
 // that they are for, or code and line at the top.
-func wanted(text string) []string {
+func wantedCodes(text string) []string {
 	var want []string
 	for _, m := range wantHead.FindAllStringSubmatch(text, -1) {
 		want = append(want, m[1]+"@"+m[2])
@@ -89,7 +89,7 @@
 	return want
 }
 
-func codes(findings []Finding) []string {
+func foundCodes(findings []Finding) []string {
 	var got []string
 	for _, f := range findings {
 		got = append(got, fmt.Sprintf("%s@%d", f.Code, f.Line))
@@ -99,13 +99,13 @@
 }
 
 func TestInvalidFiles(t *testing.T) {
-	files := corpus(t, "invalid")
+	files := readCorpus(t, "invalid")
 	if len(files) < 60 {
 		t.Fatalf("the corpus has %d files, want 60 at the least", len(files))
 	}
 	for name, text := range files {
-		table, findings := Load(text, envOf(text))
-		if want := wanted(string(text)); len(want) == 0 || !slices.Equal(codes(findings), want) {
+		table, findings := Load(text, corpusEnv(text))
+		if want := wantedCodes(string(text)); len(want) == 0 || !slices.Equal(foundCodes(findings), want) {
 			t.Errorf("%s: found %v, want %v", name, findings, want)
 		}
 		if table != nil {
@@ -115,8 +115,8 @@
 }
 
 func TestValidFiles(t *testing.T) {
-	for name, text := range corpus(t, "valid") {
-		if table, findings := Load(text, envOf(text)); len(findings) > 0 || table == nil {
+	for name, text := range readCorpus(t, "valid") {
+		if table, findings := Load(text, corpusEnv(text)); len(findings) > 0 || table == nil {
 			t.Errorf("%s: found %v", name, findings)
 		}
 	}
@@ -124,10 +124,10 @@
 
 // Each code must be provoked by a file of the corpus or by one that can't stand
 // in it, and be explained to operators.
-func TestEveryCodeIsProvokedAndExplained(t *testing.T) {
+func TestEveryCodeIsCoveredAndDocumented(t *testing.T) {
 	provoked := map[Code]bool{Unreadable: true} // internal/node: files that can't be read
-	for _, text := range corpus(t, "invalid") {
-		_, findings := Load(text, envOf(text))
+	for _, text := range readCorpus(t, "invalid") {
+		_, findings := Load(text, corpusEnv(text))
 		for _, f := range findings {
 			provoked[f.Code] = true
 		}
@@ -157,7 +157,7 @@
 }
 
 // A finding must name key, value, bound and rule, so that nobody has to guess.
-func TestFindingsTellAll(t *testing.T) {
+func TestFindingNamesKeyValueBoundAndRule(t *testing.T) {
 	_, findings := Load([]byte("[[route]]\nclass = \"zustand\"\nattempt_timeout = \"1s\"\nattempts = 3\n"), testEnv())
 	if len(findings) != 1 {
 		t.Fatalf("found %v", findings)
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestOddTexts(t *testing.T) {
+func TestUnreadableTexts(t *testing.T) {
 	for name, c := range map[string]struct {
 		text []byte
 		code Code
@@ -191,7 +191,7 @@
 }
 
 // Cut anywhere, a file with a count is refused or means what the whole one does.
-func TestCutShort(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	const whole = "route_count = 2\n[[route]]\nclass = \"zustand\"\nattempts = 2\n[[route]]\nclass = \"stoerung\"\nattempts = 2\n"
 	for n := range whole {
 		table, findings := Load([]byte(whole[:n]), testEnv())
@@ -298,7 +298,7 @@
 
 func FuzzLoad(f *testing.F) {
 	for _, dir := range []string{"valid", "invalid"} {
-		for _, text := range corpus(f, dir) {
+		for _, text := range readCorpus(f, dir) {
 			f.Add(text)
 		}
 	}
--- a/internal/operators/routes/table.go
+++ b/internal/operators/routes/table.go
@@ -12,7 +12,7 @@
 // Table is what a checked file says: the module's bounds, and which requests
 // they are for. The zero table has no routes.
 type Table struct {
-	bounds  []decide.RoutePolicy
+	policies  []decide.RoutePolicy
 	classes [][]matcher      // by class; the most specific first
 	idle    *idleconns.Rules // nil: the file says nothing of idle connections
 }
@@ -25,7 +25,7 @@
 }
 
 // Bounds are the rows of the table, for decide.Balancer.Routes.
-func (t *Table) Bounds() []decide.RoutePolicy { return t.bounds }
+func (t *Table) Bounds() []decide.RoutePolicy { return t.policies }
 
 // Idle says how long connections may wait for their next request; nil: the file says
 // nothing of that.
@@ -44,7 +44,7 @@
 	}
 	for i := range t.classes[class] {
 		m := &t.classes[class][i]
-		if (m.tenant < 0 || m.tenant == tenant) && within(path, m.path) {
+		if (m.tenant < 0 || m.tenant == tenant) && hasPathPrefix(path, m.path) {
 			return m.row
 		}
 	}
@@ -52,14 +52,14 @@
 }
 
 // within tells whether a path lies under a prefix, by whole segments.
-func within(path, prefix string) bool {
+func hasPathPrefix(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) &&
 		(len(path) == len(prefix) || prefix == "" || path[len(prefix)] == '/')
 }
 
 // sortRoutes puts the most specific matchers first: the longer path, then the
 // one with a tenant.
-func sortRoutes(all []matcher) {
+func sortMatchers(all []matcher) {
 	slices.SortStableFunc(all, func(x, y matcher) int {
 		return cmp.Or(cmp.Compare(len(y.path), len(x.path)), cmp.Compare(min(y.tenant, 0), min(x.tenant, 0)),
 			cmp.Compare(x.tenant, y.tenant), cmp.Compare(x.path, y.path))
--- a/internal/operators/settings/settings.go
+++ b/internal/operators/settings/settings.go
@@ -90,13 +90,13 @@
 }
 
 var (
-	effects = map[string]decide.Idempotency{"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.AtMostOnce}
-	weights = map[string]decide.WeightSource{
+	idempotencies = map[string]decide.Idempotency{"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.AtMostOnce}
+	weightSources = map[string]decide.WeightSource{
 		"none": decide.WeightNone, "nominal": decide.WeightNominal, "rough": decide.WeightApproximate,
 		"live": decide.WeightLive,
 	}
 	// mustAsk tells of each way of lists whether they come only when asked for.
-	mustAsk = map[string]bool{"subscribe": true, "automatic": false, "": false}
+	mustSubscribeByMode = map[string]bool{"subscribe": true, "automatic": false, "": false}
 	groups  = map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell}
 )
 
@@ -159,20 +159,20 @@
 	if len(s.Categories) == 0 {
 		return set, errors.New("settings name no class")
 	}
-	asks, err := LookupName(mustAsk, "registry_mode", s.RegistryMode)
+	asks, err := LookupName(mustSubscribeByMode, "registry_mode", s.RegistryMode)
 	if err != nil {
 		return set, err
 	}
 	set.MustSubscribe = asks
 	if s.WeightSource != "" {
-		kind, err := LookupName(weights, "weight source", s.WeightSource)
+		kind, err := LookupName(weightSources, "weight source", s.WeightSource)
 		if err != nil {
 			return set, err
 		}
 		set.WeightSource = kind
 	}
 	for _, c := range s.Categories {
-		effect, err := LookupName(effects, "semantics", c.Semantics)
+		effect, err := LookupName(idempotencies, "semantics", c.Semantics)
 		if err != nil {
 			return set, err
 		}
--- a/internal/sched/background/core.go
+++ b/internal/sched/background/scheduler.go
@@ -16,7 +16,7 @@
 	Reclaim                    // what makes room for others
 	Cleanup                    // what only saves
 	Optional                   // what could as well never happen
-	priorities
+	priorityCount
 )
 
 // Config is a core's. The zero value of each field stands for its default.
@@ -39,14 +39,14 @@
 }
 
 const (
-	leastSlice = 20 * time.Microsecond
+	minSlice = 20 * time.Microsecond
 	// A step that takes this many times what it was given is told.
-	overrunTimes = 4
-	overrunLeast = 2 * time.Millisecond
+	overrunFactor = 4
+	minOverrun = 2 * time.Millisecond
 	// The highest wait of live traffic counts on, halved in each of these.
-	lagHalf = 100 * time.Millisecond
+	lagHalfLife = 100 * time.Millisecond
 	// A learned cost moves by this part towards the last.
-	learnPart = 0.25
+	costSmoothing = 0.25
 )
 
 // ID names a job.
@@ -56,13 +56,13 @@
 type job struct {
 	name     string
 	priority Priority
-	awake    bool
+	runnable    bool
 	running  bool
-	woken    bool          // again, while a step ran
-	since    time.Duration // when it was woken or last had a step
+	wokenWhileRunning    bool          // again, while a step ran
+	waitingSince    time.Duration // when it was woken or last had a step
 	deadline time.Duration // 0: none
-	spent    time.Duration // of this round
-	cost     time.Duration // learned, of a round
+	roundSpent    time.Duration // of this round
+	roundCost     time.Duration // learned, of a round
 	report   Report
 }
 
@@ -82,37 +82,37 @@
 
 // Core shares the budget out.
 type Scheduler struct {
-	set    Config
+	config    Config
 	jobs   []job
 	tokens time.Duration // what may be spent now; below 0 after a step
-	filled time.Duration // when tokens were counted last
-	lag    time.Duration // the highest wait of live traffic, decayed
-	lagAt  time.Duration
-	busy   bool // a step runs
+	refilledAt time.Duration // when tokens were counted last
+	peakLag    time.Duration // the highest wait of live traffic, decayed
+	peakLagAt  time.Duration
+	stepRunning   bool // a step runs
 }
 
 // New makes a core without jobs.
 func New(set Config, now time.Duration) *Scheduler {
-	c := &Scheduler{set: set.withDefaults(), filled: now, lagAt: now}
-	if !(c.set.MinShare > 0 && c.set.MinShare <= c.set.MaxShare && c.set.MaxShare <= 1) || c.set.HighLag <= c.set.LowLag {
-		panic(fmt.Sprintf("background: odd settings %+v", c.set))
+	c := &Scheduler{config: set.withDefaults(), refilledAt: now, peakLagAt: now}
+	if !(c.config.MinShare > 0 && c.config.MinShare <= c.config.MaxShare && c.config.MaxShare <= 1) || c.config.HighLag <= c.config.LowLag {
+		panic(fmt.Sprintf("background: odd settings %+v", c.config))
 	}
-	c.tokens = c.saved()
+	c.tokens = c.maxTokens()
 	return c
 }
 
 // saved is the most that may be saved up.
-func (c *Scheduler) saved() time.Duration {
-	return time.Duration(c.set.MaxShare * float64(c.set.BudgetPeriod))
+func (c *Scheduler) maxTokens() time.Duration {
+	return time.Duration(c.config.MaxShare * float64(c.config.BudgetPeriod))
 }
 
 // enough is what must be there for a step: steps of next to nothing would be spent on
 // getting there.
-func (c *Scheduler) enough() time.Duration { return max(leastSlice, min(c.set.MaxSlice, c.saved())/2) }
+func (c *Scheduler) minTokens() time.Duration { return max(minSlice, min(c.config.MaxSlice, c.maxTokens())/2) }
 
 // Add enters a job, which sleeps.
 func (c *Scheduler) Add(name string, p Priority) JobID {
-	c.jobs = append(c.jobs, job{name: name, priority: min(max(p, 0), priorities-1), report: Report{Name: name}})
+	c.jobs = append(c.jobs, job{name: name, priority: min(max(p, 0), priorityCount-1), report: Report{Name: name}})
 	return JobID(len(c.jobs) - 1)
 }
 
@@ -124,51 +124,51 @@
 		j.deadline = deadline
 	}
 	if j.running {
-		j.woken = true
+		j.wokenWhileRunning = true
 		return
 	}
-	if !j.awake {
-		j.awake, j.since, j.spent = true, now, 0
+	if !j.runnable {
+		j.runnable, j.waitingSince, j.roundSpent = true, now, 0
 	}
 }
 
 // Cancel puts a job to sleep; a step that runs may end.
 func (c *Scheduler) Cancel(id JobID) {
 	j := &c.jobs[id]
-	j.awake, j.woken, j.deadline = false, false, 0
+	j.runnable, j.wokenWhileRunning, j.deadline = false, false, 0
 }
 
 // Lag tells how long live traffic has just waited to be handled.
 func (c *Scheduler) RecordLag(now, lag time.Duration) {
-	if lag > c.lagNow(now) {
-		c.lag, c.lagAt = lag, now
+	if lag > c.currentLag(now) {
+		c.peakLag, c.peakLagAt = lag, now
 	}
 }
 
 // lagNow is the highest lag, halved for each time lagHalf that has passed.
-func (c *Scheduler) lagNow(now time.Duration) time.Duration {
-	past := float64(max(0, now-c.lagAt)) / float64(lagHalf)
-	return time.Duration(float64(c.lag) * math.Exp2(-past))
+func (c *Scheduler) currentLag(now time.Duration) time.Duration {
+	past := float64(max(0, now-c.peakLagAt)) / float64(lagHalfLife)
+	return time.Duration(float64(c.peakLag) * math.Exp2(-past))
 }
 
 // Share is the part of a core that jobs may take now.
 func (c *Scheduler) CurrentShare(now time.Duration) float64 {
-	lag := c.lagNow(now)
+	lag := c.currentLag(now)
 	switch {
-	case lag <= c.set.LowLag:
-		return c.set.MaxShare
-	case lag >= c.set.HighLag:
-		return c.set.MinShare
+	case lag <= c.config.LowLag:
+		return c.config.MaxShare
+	case lag >= c.config.HighLag:
+		return c.config.MinShare
 	}
-	rest := float64(c.set.HighLag-lag) / float64(c.set.HighLag-c.set.LowLag)
-	return c.set.MinShare + (c.set.MaxShare-c.set.MinShare)*rest
+	rest := float64(c.config.HighLag-lag) / float64(c.config.HighLag-c.config.LowLag)
+	return c.config.MinShare + (c.config.MaxShare-c.config.MinShare)*rest
 }
 
 // fill counts the tokens that have come since the last time.
-func (c *Scheduler) fill(now time.Duration) {
-	if now > c.filled {
-		c.tokens = min(c.saved(), c.tokens+time.Duration(c.CurrentShare(now)*float64(now-c.filled)))
-		c.filled = now
+func (c *Scheduler) refill(now time.Duration) {
+	if now > c.refilledAt {
+		c.tokens = min(c.maxTokens(), c.tokens+time.Duration(c.CurrentShare(now)*float64(now-c.refilledAt)))
+		c.refilledAt = now
 	}
 }
 
@@ -182,20 +182,20 @@
 // Next says which job has a step now. ok is false if none has: then wait is how long
 // to wait for, or 0 until the next Wake. One step runs at a time.
 func (c *Scheduler) Next(now time.Duration) (g Grant, wait time.Duration, ok bool) {
-	if c.busy {
+	if c.stepRunning {
 		return Grant{}, 0, false
 	}
-	c.fill(now)
+	c.refill(now)
 	best, urgent := -1, -1
 	soon := time.Duration(0) // the earliest time at which a deadline presses
 	for i := range c.jobs {
 		j := &c.jobs[i]
-		if !j.awake {
+		if !j.runnable {
 			continue
 		}
 		if j.deadline > 0 {
 			// What is left, by what a round has cost so far, and as much again.
-			press := j.deadline - 2*max(j.cost-j.spent, c.set.MaxSlice)
+			press := j.deadline - 2*max(j.roundCost-j.roundSpent, c.config.MaxSlice)
 			if press <= now {
 				if urgent < 0 || j.deadline < c.jobs[urgent].deadline {
 					urgent = i
@@ -204,7 +204,7 @@
 				soon = press
 			}
 		}
-		if best < 0 || c.before(now, j, &c.jobs[best]) {
+		if best < 0 || c.precedes(now, j, &c.jobs[best]) {
 			best = i
 		}
 	}
@@ -212,19 +212,19 @@
 	case best < 0:
 		return Grant{}, 0, false
 	case urgent >= 0:
-		g = Grant{Job: JobID(urgent), Slice: c.set.MaxSlice, Urgent: c.tokens < c.enough()}
-	case c.tokens < c.enough():
-		wait = max(time.Duration(float64(c.enough()-c.tokens)/c.CurrentShare(now))+1, time.Microsecond)
+		g = Grant{Job: JobID(urgent), Slice: c.config.MaxSlice, Urgent: c.tokens < c.minTokens()}
+	case c.tokens < c.minTokens():
+		wait = max(time.Duration(float64(c.minTokens()-c.tokens)/c.CurrentShare(now))+1, time.Microsecond)
 		if soon > 0 {
 			wait = min(wait, soon-now)
 		}
 		return Grant{}, wait, false
 	default:
-		g = Grant{Job: JobID(best), Slice: max(c.enough(), min(c.set.MaxSlice, c.tokens))}
+		g = Grant{Job: JobID(best), Slice: max(c.minTokens(), min(c.config.MaxSlice, c.tokens))}
 	}
 	j := &c.jobs[g.Job]
-	c.busy, j.running = true, true
-	j.report.LongestWait = max(j.report.LongestWait, now-j.since)
+	c.stepRunning, j.running = true, true
+	j.report.LongestWait = max(j.report.LongestWait, now-j.waitingSince)
 	if g.Urgent {
 		j.report.UrgentSteps++
 	}
@@ -233,56 +233,56 @@
 
 // before tells whether a job goes before another: by priority, which rises with the
 // time that it has waited, then the earlier deadline, then the longer wait.
-func (c *Scheduler) before(now time.Duration, x, y *job) bool {
-	rank := func(j *job) int { return int(j.priority) - int((now-j.since)/c.set.AgeingInterval) }
+func (c *Scheduler) precedes(now time.Duration, x, y *job) bool {
+	rank := func(j *job) int { return int(j.priority) - int((now-j.waitingSince)/c.config.AgeingInterval) }
 	deadline := func(j *job) time.Duration {
 		if j.deadline == 0 {
 			return 1 << 62
 		}
 		return j.deadline
 	}
-	return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(deadline(x), deadline(y)), cmp.Compare(x.since, y.since)) < 0
+	return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(deadline(x), deadline(y)), cmp.Compare(x.waitingSince, y.waitingSince)) < 0
 }
 
 // Done tells how long the step that Next has granted took, and whether the job has
 // more to do. It returns whether the step overran by far.
 func (c *Scheduler) Done(now time.Duration, g Grant, took time.Duration, more bool) (overrun bool) {
-	c.fill(now)
+	c.refill(now)
 	j := &c.jobs[g.Job]
-	c.busy, j.running = false, false
+	c.stepRunning, j.running = false, false
 	c.tokens -= max(0, took)
 	// A debt beyond a period's budget is let go: else one long step for a deadline
 	// would stop all jobs for as long as that.
-	c.tokens = max(c.tokens, -c.saved()-c.set.MaxSlice)
-	j.spent += took
+	c.tokens = max(c.tokens, -c.maxTokens()-c.config.MaxSlice)
+	j.roundSpent += took
 	r := &j.report
 	r.Steps++
 	r.Spent += took
 	r.LongestStep = max(r.LongestStep, took)
-	if overrun = took > max(overrunTimes*g.Slice, overrunLeast); overrun {
+	if overrun = took > max(overrunFactor*g.Slice, minOverrun); overrun {
 		r.Overruns++
 	}
-	j.since = now
-	if more && j.awake {
+	j.waitingSince = now
+	if more && j.runnable {
 		return overrun
 	}
 	if !more {
 		r.Rounds++
-		if j.cost == 0 {
-			j.cost = j.spent
+		if j.roundCost == 0 {
+			j.roundCost = j.roundSpent
 		} else {
-			j.cost += time.Duration(learnPart * float64(j.spent-j.cost))
+			j.roundCost += time.Duration(costSmoothing * float64(j.roundSpent-j.roundCost))
 		}
-		r.RoundCost = j.cost
+		r.RoundCost = j.roundCost
 		if j.deadline > 0 && now > j.deadline {
 			r.MissedDeadlines++
 		}
-		j.spent = 0
-		if !j.woken { // a deadline that came with further work holds on
+		j.roundSpent = 0
+		if !j.wokenWhileRunning { // a deadline that came with further work holds on
 			j.deadline = 0
 		}
 	}
-	j.awake, j.woken = j.awake && j.woken, false
+	j.runnable, j.wokenWhileRunning = j.runnable && j.wokenWhileRunning, false
 	return overrun
 }
 
--- a/internal/sched/background/core_test.go
+++ b/internal/sched/background/scheduler_test.go
@@ -10,12 +10,12 @@
 // Whatever jobs ask for and however long their steps take: in no window do jobs spend
 // more than the budget of the window and one period, one step, and what deadlines
 // forced; and each job that is awake has its turn.
-func TestBudgetIsKeptAndNobodyStarves(t *testing.T) {
+func TestBudgetIsKeptWithoutStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Config{MaxShare: rapid.Float64Range(0.02, 0.5).Draw(t, "share"), MinShare: 0.01}
 		now := time.Hour
 		c := New(set, now)
-		set = c.set
+		set = c.config
 		jobs := rapid.IntRange(1, 6).Draw(t, "jobs")
 		served := make([]time.Duration, jobs)
 		for i := range jobs {
@@ -69,7 +69,7 @@
 }
 
 // Live traffic that waits takes the budget from the jobs, but for the least.
-func TestLagShrinksTheBudget(t *testing.T) {
+func TestLagReducesBudget(t *testing.T) {
 	play := func(lag time.Duration) (spent time.Duration) {
 		now := time.Hour
 		c := New(Config{}, now)
@@ -95,7 +95,7 @@
 }
 
 // A job with a deadline gets its steps in time whatever the budget, and others pay.
-func TestDeadlineIsMetBeyondTheBudget(t *testing.T) {
+func TestUrgentJobExceedsBudget(t *testing.T) {
 	now := time.Hour
 	c := New(Config{MaxShare: 0.01, MinShare: 0.005}, now)
 	slow, duty := c.Add("slow", Obligation), c.Add("duty", Optional)
@@ -129,7 +129,7 @@
 }
 
 // A low one that has waited goes before a higher one that never ends.
-func TestAgeing(t *testing.T) {
+func TestAgeingRaisesPriority(t *testing.T) {
 	now := time.Hour
 	c := New(Config{MaxShare: 1, MinShare: 0.5}, now)
 	high, low := c.Add("high", Obligation), c.Add("low", Optional)
@@ -151,7 +151,7 @@
 }
 
 // What is woken while its step runs runs again; what is cancelled does not.
-func TestWakeAndCancelMeanwhile(t *testing.T) {
+func TestWakeAndCancelDuringStep(t *testing.T) {
 	now := time.Hour
 	c := New(Config{}, now)
 	id := c.Add("job", Obligation)
--- a/internal/sched/timerwheel/wheel.go
+++ b/internal/sched/timerwheel/wheel.go
@@ -10,32 +10,32 @@
 // timer stands in the finest level that reaches as far as it: no timer is moved
 // from level to level later on. What that costs is lateness, told by Lateness.
 const (
-	levels      = 11
+	levelCount      = 11
 	bucketBits  = 8
-	buckets     = 1 << bucketBits
+	bucketsPerLevel     = 1 << bucketBits
 	levelShift  = 2 // each level is this many bits coarser
 	chunkBits   = 10
-	chunk       = 1 << chunkBits
-	waitingHead = levels * buckets // list of what is due and not yet handed out
-	heads       = waitingHead + 1
+	chunkSize       = 1 << chunkBits
+	dueHead = levelCount * bucketsPerLevel // list of what is due and not yet handed out
+	headCount       = dueHead + 1
 )
 
 // mostTicks is how far ahead a timer may lie; what lies beyond is due then.
-const mostTicks = (buckets - 2) << (levelShift * (levels - 1))
+const maxTicks = (bucketsPerLevel - 2) << (levelShift * (levelCount - 1))
 
 // node is a place in a ring: a timer's, or a list's head. next is 0 in a timer that
 // is not armed, else one more than the index.
-type node struct{ next, prev int32 }
+type listNode struct{ next, prev int32 }
 
 // Wheel is a set of timers. Make one with New.
 type Wheel struct {
 	tick   time.Duration
-	cursor uint64 // ticks that have passed
+	currentTick uint64 // ticks that have passed
 	armed  int
-	heads  [heads]node
-	marks  [levels][buckets / 64]uint64 // buckets that may hold timers
-	chunks []*[chunk]node
-	clock  time.Duration // the latest time that was told
+	heads  [headCount]listNode
+	occupied  [levelCount][bucketsPerLevel / 64]uint64 // buckets that may hold timers
+	chunks []*[chunkSize]listNode
+	latestTime  time.Duration // the latest time that was told
 }
 
 // New makes an empty wheel. Timers are due to one tick at the finest; now is any
@@ -44,9 +44,9 @@
 	if tick <= 0 {
 		panic(fmt.Sprintf("wheel: a tick of %v", tick))
 	}
-	w := &Wheel{tick: tick, cursor: uint64(max(0, now) / tick), clock: now}
+	w := &Wheel{tick: tick, currentTick: uint64(max(0, now) / tick), latestTime: now}
 	for i := range w.heads {
-		w.heads[i] = node{int32(i) + 1, int32(i) + 1}
+		w.heads[i] = listNode{int32(i) + 1, int32(i) + 1}
 	}
 	return w
 }
@@ -56,7 +56,7 @@
 // a sixty-third part for the long.
 func (w *Wheel) MaxLateness(length time.Duration) time.Duration {
 	ticks, grain := uint64(max(0, length)/w.tick)+1, uint64(1)
-	for reach := uint64(buckets - 2); ticks > reach && reach < mostTicks; reach <<= levelShift {
+	for reach := uint64(bucketsPerLevel - 2); ticks > reach && reach < maxTicks; reach <<= levelShift {
 		grain <<= levelShift
 	}
 	return time.Duration(grain+1) * w.tick
@@ -67,16 +67,16 @@
 
 // Bytes is what the wheel takes: eight a timer's number, and its lists.
 func (w *Wheel) Bytes() int {
-	return len(w.chunks)*chunk*8 + heads*8 + levels*buckets/8
+	return len(w.chunks)*chunkSize*8 + headCount*8 + levelCount*bucketsPerLevel/8
 }
 
 // at returns a place by its number: heads first, then timers.
-func (w *Wheel) at(i int32) *node {
-	if i < heads {
+func (w *Wheel) nodeAt(i int32) *listNode {
+	if i < headCount {
 		return &w.heads[i]
 	}
-	i -= heads
-	return &w.chunks[i>>chunkBits][i&(chunk-1)]
+	i -= headCount
+	return &w.chunks[i>>chunkBits][i&(chunkSize-1)]
 }
 
 // Arm sets a timer, which is due at a point in time and not before; one that is
@@ -87,14 +87,14 @@
 	}
 	w.Cancel(id)
 	due := uint64((max(0, at) + w.tick - 1) / w.tick)
-	due = min(max(due, w.cursor+1), w.cursor+mostTicks)
+	due = min(max(due, w.currentTick+1), w.currentTick+maxTicks)
 	for level := 0; ; level++ {
 		shift := levelShift * level
 		bucket := (due + 1<<shift - 1) >> shift
-		if bucket-w.cursor>>shift < buckets {
-			index := bucket & (buckets - 1)
-			w.marks[level][index/64] |= 1 << (index % 64)
-			w.push(int32(level*buckets)+int32(index), id)
+		if bucket-w.currentTick>>shift < bucketsPerLevel {
+			index := bucket & (bucketsPerLevel - 1)
+			w.occupied[level][index/64] |= 1 << (index % 64)
+			w.pushBack(int32(level*bucketsPerLevel)+int32(index), id)
 			return
 		}
 	}
@@ -112,21 +112,21 @@
 }
 
 // push puts a timer at a list's end.
-func (w *Wheel) push(head, id int32) {
+func (w *Wheel) pushBack(head, id int32) {
 	for int(id>>chunkBits) >= len(w.chunks) {
-		w.chunks = append(w.chunks, new([chunk]node))
+		w.chunks = append(w.chunks, new([chunkSize]listNode))
 	}
-	i := id + heads
-	h := w.at(head)
-	*w.at(i) = node{head + 1, h.prev}
-	w.at(h.prev - 1).next = i + 1
+	i := id + headCount
+	h := w.nodeAt(head)
+	*w.nodeAt(i) = listNode{head + 1, h.prev}
+	w.nodeAt(h.prev - 1).next = i + 1
 	h.prev = i + 1
 	w.armed++
 }
 
 // Armed tells whether a timer is armed, or due and not yet handed out.
 func (w *Wheel) Armed(id int32) bool {
-	return int(id>>chunkBits) < len(w.chunks) && w.at(id+heads).next != 0
+	return int(id>>chunkBits) < len(w.chunks) && w.nodeAt(id+headCount).next != 0
 }
 
 // Cancel ends a timer, and tells whether it was armed. A timer that is due and not
@@ -135,28 +135,28 @@
 	if !w.Armed(id) {
 		return false
 	}
-	n := w.at(id + heads)
-	w.at(n.prev - 1).next = n.next
-	w.at(n.next - 1).prev = n.prev
-	*n = node{}
+	n := w.nodeAt(id + headCount)
+	w.nodeAt(n.prev - 1).next = n.next
+	w.nodeAt(n.next - 1).prev = n.prev
+	*n = listNode{}
 	w.armed--
 	return true
 }
 
 // next is the first bucket that may hold timers, by the tick at which it is due.
-func (w *Wheel) next() (due uint64, found bool) {
-	for level := range w.marks {
+func (w *Wheel) nextBucket() (due uint64, found bool) {
+	for level := range w.occupied {
 		shift := levelShift * level
-		from := w.cursor>>shift + 1
-		for step := uint64(0); step < buckets; {
-			index := (from + step) & (buckets - 1)
-			word := w.marks[level][index/64] >> (index % 64)
+		from := w.currentTick>>shift + 1
+		for step := uint64(0); step < bucketsPerLevel; {
+			index := (from + step) & (bucketsPerLevel - 1)
+			word := w.occupied[level][index/64] >> (index % 64)
 			if word == 0 {
 				step += 64 - index%64
 				continue
 			}
 			step += uint64(bits.TrailingZeros64(word))
-			if at := (from + step) << shift; step < buckets && (!found || at < due) {
+			if at := (from + step) << shift; step < bucketsPerLevel && (!found || at < due) {
 				due, found = at, true
 			}
 			break
@@ -168,10 +168,10 @@
 // Next is when Advance has something to do, and false if never. It may be earlier
 // than the first timer's time, never later.
 func (w *Wheel) Next() (time.Duration, bool) {
-	if w.heads[waitingHead].next != waitingHead+1 {
-		return w.clock, true
+	if w.heads[dueHead].next != dueHead+1 {
+		return w.latestTime, true
 	}
-	due, found := w.next()
+	due, found := w.nextBucket()
 	return time.Duration(due) * w.tick, found
 }
 
@@ -180,28 +180,28 @@
 // the next call, in the order of the time at which it was due. A time before the
 // last one told does nothing but hand out what was left over.
 func (w *Wheel) Advance(now time.Duration, most int, due []int32) []int32 {
-	w.clock = max(w.clock, now)
-	target := uint64(w.clock / w.tick)
-	for w.cursor < target {
-		at, found := w.next()
+	w.latestTime = max(w.latestTime, now)
+	target := uint64(w.latestTime / w.tick)
+	for w.currentTick < target {
+		at, found := w.nextBucket()
 		if !found || at > target {
-			w.cursor = target
+			w.currentTick = target
 			break
 		}
-		w.cursor = at
-		for level := range w.marks {
+		w.currentTick = at
+		for level := range w.occupied {
 			shift := levelShift * level
 			if at&(1<<shift-1) != 0 {
 				break
 			}
-			index := (at >> shift) & (buckets - 1)
-			w.marks[level][index/64] &^= 1 << (index % 64)
-			w.splice(int32(level*buckets) + int32(index))
+			index := (at >> shift) & (bucketsPerLevel - 1)
+			w.occupied[level][index/64] &^= 1 << (index % 64)
+			w.moveToDue(int32(level*bucketsPerLevel) + int32(index))
 		}
 	}
-	head := &w.heads[waitingHead]
-	for ; most > 0 && head.next != waitingHead+1; most-- {
-		id := head.next - 1 - heads
+	head := &w.heads[dueHead]
+	for ; most > 0 && head.next != dueHead+1; most-- {
+		id := head.next - 1 - headCount
 		w.Cancel(id)
 		due = append(due, id)
 	}
@@ -209,14 +209,14 @@
 }
 
 // splice moves a whole list to the end of what is due.
-func (w *Wheel) splice(head int32) {
-	from, to := &w.heads[head], &w.heads[waitingHead]
+func (w *Wheel) moveToDue(head int32) {
+	from, to := &w.heads[head], &w.heads[dueHead]
 	if from.next == head+1 {
 		return
 	}
-	w.at(to.prev - 1).next = from.next
-	w.at(from.next - 1).prev = to.prev
-	w.at(from.prev - 1).next = waitingHead + 1
+	w.nodeAt(to.prev - 1).next = from.next
+	w.nodeAt(from.next - 1).prev = to.prev
+	w.nodeAt(from.prev - 1).next = dueHead + 1
 	to.prev = from.prev
-	*from = node{head + 1, head + 1}
+	*from = listNode{head + 1, head + 1}
 }
--- a/internal/sched/timerwheel/wheel_test.go
+++ b/internal/sched/timerwheel/wheel_test.go
@@ -59,7 +59,7 @@
 					}
 				}
 			}
-			now = max(now, w.clock) // time does not go back for the owner
+			now = max(now, w.latestTime) // time does not go back for the owner
 			if w.Len() != len(armed) {
 				t.Fatalf("%d armed, %d told", len(armed), w.Len())
 			}
@@ -68,7 +68,7 @@
 }
 
 // Work a call is bounded, and what is left over comes next, in its order.
-func TestWhatIsLeftOverComesFirst(t *testing.T) {
+func TestRemainingDueTimersComeFirst(t *testing.T) {
 	const n = 100_000
 	w := New(tick, 0)
 	for id := range int32(n) {
@@ -94,7 +94,7 @@
 }
 
 // One that is due and waits to be handed out can still be cancelled or armed anew.
-func TestDueCanBeCancelled(t *testing.T) {
+func TestDueTimerCanBeCancelled(t *testing.T) {
 	w := New(tick, 0)
 	for id := range int32(3) {
 		w.Arm(id, time.Second)
@@ -115,7 +115,7 @@
 }
 
 // Armed in one instant, with slack: no tick may have more than a few times its share.
-func TestSpread(t *testing.T) {
+func TestArmSpreadDistributesTimers(t *testing.T) {
 	const n = 100_000
 	w := New(tick, 0)
 	for id := range int32(n) {
