--- a/internal/conns/membudget/budget.go
+++ b/internal/conns/membudget/budget.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Use is what memory is taken for.
+// Category is what memory is used for.
 type Category uint8
 
 const (
-	ConnectionState Category = iota // rows, timers and what is known of each connection
-	PartialRequests                 // requests that have come in part
-	OpenRequests                    // requests that have no answer yet, with their bodies
-	PendingAnswers                  // answers that their clients have yet to take
-	PooledBuffers                   // buffers kept for the next use
+	ConnectionState Category = iota // table rows, timers and per-connection state
+	PartialRequests                 // requests that have arrived in part
+	OpenRequests                    // requests without an answer yet, including their bodies
+	PendingAnswers                  // answers not yet sent to their clients
+	PooledBuffers                   // free buffers kept for reuse
 	categoryCount
 )
 
-// String is the use's name in logs and reports.
-func (u Category) String() string {
-	return [...]string{"parked", "reading", "open", "answers", "pooled"}[u]
+// String returns the name of the category in logs and reports.
+func (c Category) String() string {
+	return [...]string{"parked", "reading", "open", "answers", "pooled"}[c]
 }
 
-// Uses lists all uses in order.
+// Categories returns all categories in order.
 func Categories() []Category {
 	all := make([]Category, categoryCount)
 	for i := range all {
@@ -28,76 +28,82 @@
 	return all
 }
 
-// Level is how full the ledger is.
+// Level is how much of a budget is used.
 type Level uint8
 
 const (
-	// Roomy: all may take more.
+	// Normal: all uses may take more memory.
 	Normal Level = iota
-	// Tight: what has nothing yet gets no buffer. Its bytes wait in the kernel, which
-	// its window tells the peer; what has begun may go on.
+	// Constrained: connections without a buffer get none, so their data waits in the kernel
+	// and TCP flow control slows the peer. Requests that have begun may continue.
 	Constrained
-	// Full: idle connections go too.
+	// Full: idle connections are closed as well.
 	Full
 )
 
-// A level begins at one part of the limit and ends at a lower one, so that it does
-// not change with each byte. In percent.
+// Thresholds of the levels in percent of the limit. A level ends at a lower threshold than
+// it begins, so that it does not change with each byte.
 const (
 	constrainedFromPercent, constrainedUntilPercent = 80, 70
-	fullFromPercent, fullUntilPercent   = 95, 85
+	fullFromPercent, fullUntilPercent               = 95, 85
 )
 
-// Ledger counts bytes by use against a limit.
+// Budget counts the bytes used in each category against a limit.
 type Budget struct {
-	limit int
-	used  [categoryCount]int
-	total   int
-	peak  int
-	level Level
+	limit        int
+	used         [categoryCount]int
+	total        int
+	peak         int
+	level        Level
 	levelChanges int
 }
 
-// New makes an empty ledger of so many bytes.
+// New returns an empty budget with a limit in bytes.
 func New(limit int) *Budget {
 	if limit <= 0 {
-		panic(fmt.Sprintf("pressure: a limit of %d bytes", limit))
+		panic(fmt.Sprintf("membudget: limit is %d bytes, must be positive", limit))
 	}
 	return &Budget{limit: limit}
 }
 
-// Add books bytes, or with a negative number gives them back.
-func (l *Budget) Add(u Category, bytes int) {
-	l.used[u] += bytes
-	if l.used[u] < 0 {
-		panic(fmt.Sprintf("pressure: %d bytes given back too often for %s", -l.used[u], u))
+// Add adds bytes to a category or, with a negative number, returns them.
+func (b *Budget) Add(category Category, bytes int) {
+	b.used[category] += bytes
+	if b.used[category] < 0 {
+		panic(fmt.Sprintf("membudget: %d bytes more returned than added in category %s", -b.used[category], category))
 	}
-	l.total += bytes
-	l.peak = max(l.peak, l.total)
-	part := func(percent int) int { return l.limit / 100 * percent }
-	was := l.level
+	b.total += bytes
+	b.peak = max(b.peak, b.total)
+	percentOfLimit := func(percent int) int { return b.limit / 100 * percent }
+	was := b.level
 	switch {
-	case l.total >= part(fullFromPercent):
-		l.level = Full
-	case l.level == Full && l.total > part(fullUntilPercent):
-	case l.total >= part(constrainedFromPercent), l.level != Normal && l.total > part(constrainedUntilPercent):
-		l.level = Constrained
+	case b.total >= percentOfLimit(fullFromPercent):
+		b.level = Full
+	case b.level == Full && b.total > percentOfLimit(fullUntilPercent):
+	case b.total >= percentOfLimit(constrainedFromPercent), b.level != Normal && b.total > percentOfLimit(constrainedUntilPercent):
+		b.level = Constrained
 	default:
-		l.level = Normal
+		b.level = Normal
 	}
-	if l.level != was {
-		l.levelChanges++
+	if b.level != was {
+		b.levelChanges++
 	}
 }
 
-// Level is how full the ledger is.
-func (l *Budget) Level() Level { return l.level }
+// Level returns the current level.
+func (b *Budget) Level() Level { return b.level }
 
-// Used is what a use has taken, Sum all together, and Peak the most that was ever.
-func (l *Budget) Used(u Category) int { return l.used[u] }
-func (l *Budget) Total() int          { return l.total }
-func (l *Budget) Peak() int           { return l.peak }
-func (l *Budget) Limit() int          { return l.limit }
+// Used returns the bytes used in a category.
+func (b *Budget) Used(category Category) int { return b.used[category] }
 
-// Turns counts the changes of level.
-func (l *Budget) LevelChanges() int { return l.levelChanges }
+// Total returns the bytes used in all categories.
+func (b *Budget) Total() int { return b.total }
+
+// Peak returns the highest total so far.
+func (b *Budget) Peak() int { return b.peak }
+
+// Limit returns the limit in bytes.
+func (b *Budget) Limit() int { return b.limit }
+
+// LevelChanges returns how often the level has changed.
+func (b *Budget) LevelChanges() int { return b.levelChanges }
--- a/internal/conns/membudget/budget_test.go
+++ b/internal/conns/membudget/budget_test.go
@@ -6,46 +6,46 @@
 	"pgregory.net/rapid"
 )
 
-// The level follows what is used, with room between up and down, and the sums are true.
+// The level must follow the bytes used, with hysteresis, and the sums must be correct.
 func TestLevels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000
-		l := New(limit)
+		budget := New(limit)
 		var used [categoryCount]int
-		was := Normal
+		previous := Normal
 		for range 200 {
-			u := Category(rapid.IntRange(0, int(categoryCount)-1).Draw(t, "use"))
-			n := rapid.IntRange(-used[u], 150).Draw(t, "bytes")
-			used[u] += n
-			l.Add(u, n)
-			sum := 0
+			category := Category(rapid.IntRange(0, int(categoryCount)-1).Draw(t, "use"))
+			bytes := rapid.IntRange(-used[category], 150).Draw(t, "bytes")
+			used[category] += bytes
+			budget.Add(category, bytes)
+			total := 0
 			for _, x := range used {
-				sum += x
+				total += x
 			}
-			level := l.Level()
+			level := budget.Level()
 			switch {
-			case l.Total() != sum || l.Used(u) != used[u]:
-				t.Fatalf("%d in all, told %d", sum, l.Total())
-			case sum >= 950 && level != Full, sum >= 800 && level == Normal, sum <= 700 && level != Normal,
-				sum <= 850 && level == Full, level > was && sum < 800:
-				t.Fatalf("level %d at %d, after %d", level, sum, was)
+			case budget.Total() != total || budget.Used(category) != used[category]:
+				t.Fatalf("%d bytes in total, the budget counts %d", total, budget.Total())
+			case total >= 950 && level != Full, total >= 800 && level == Normal, total <= 700 && level != Normal,
+				total <= 850 && level == Full, level > previous && total < 800:
+				t.Fatalf("level %d at %d bytes, previous level %d", level, total, previous)
 			}
-			was = level
+			previous = level
 		}
 	})
 }
 
-// At an edge the level stays, though bytes come and go.
+// Around a threshold, the level must not change each time that bytes are added and returned.
 func TestLevelHasHysteresis(t *testing.T) {
-	l := New(1000)
-	l.Add(OpenRequests, 800)
+	budget := New(1000)
+	budget.Add(OpenRequests, 800)
 	for range 100 {
-		l.Add(PartialRequests, 20)
-		l.Add(PartialRequests, -20)
-		l.Add(OpenRequests, -20)
-		l.Add(OpenRequests, 20)
+		budget.Add(PartialRequests, 20)
+		budget.Add(PartialRequests, -20)
+		budget.Add(OpenRequests, -20)
+		budget.Add(OpenRequests, 20)
 	}
-	if l.LevelChanges() != 1 || l.Level() != Constrained || l.Peak() != 820 {
-		t.Errorf("%d turns, level %d, peak %d", l.LevelChanges(), l.Level(), l.Peak())
+	if budget.LevelChanges() != 1 || budget.Level() != Constrained || budget.Peak() != 820 {
+		t.Errorf("%d level changes, level %d, peak %d", budget.LevelChanges(), budget.Level(), budget.Peak())
 	}
 }
--- a/internal/conns/membudget/doc.go
+++ b/internal/conns/membudget/doc.go
@@ -1,6 +1,7 @@
-// Package membudget is the ledger of the memory that clients' connections take, and
-// says when no more of it is to be handed out.
+// Package membudget accounts for the memory that client connections use and reports when
+// it runs short.
 //
-// It is pure, and belongs to the front's goroutine. It must not free anything, nor
-// refuse: it tells how full things are, and whoever holds memory acts on it.
+// It is pure, and a Budget must be used by one goroutine, the front's. It frees no memory
+// and refuses no request: it only reports the level of use, and the code that holds the
+// memory acts on it.
 package membudget
