--- a/internal/sched/background/scheduler.go
+++ b/internal/sched/background/scheduler.go
@@ -42,7 +42,7 @@
 	minSlice = 20 * time.Microsecond
 	// A step that takes this many times what it was given is told.
 	overrunFactor = 4
-	minOverrun = 2 * time.Millisecond
+	minOverrun    = 2 * time.Millisecond
 	// The highest wait of live traffic counts on, halved in each of these.
 	lagHalfLife = 100 * time.Millisecond
 	// A learned cost moves by this part towards the last.
@@ -54,16 +54,16 @@
 
 // job is what is known of one kind of work.
 type job struct {
-	name     string
-	priority Priority
-	runnable    bool
-	running  bool
-	wokenWhileRunning    bool          // again, while a step ran
-	waitingSince    time.Duration // when it was woken or last had a step
-	deadline time.Duration // 0: none
-	roundSpent    time.Duration // of this round
-	roundCost     time.Duration // learned, of a round
-	report   Report
+	name              string
+	priority          Priority
+	runnable          bool
+	running           bool
+	wokenWhileRunning bool          // again, while a step ran
+	waitingSince      time.Duration // when it was woken or last had a step
+	deadline          time.Duration // 0: none
+	roundSpent        time.Duration // of this round
+	roundCost         time.Duration // learned, of a round
+	report            Report
 }
 
 // Report is what a job has done.
@@ -82,13 +82,13 @@
 
 // Core shares the budget out.
 type Scheduler struct {
-	config    Config
-	jobs   []job
-	tokens time.Duration // what may be spent now; below 0 after a step
-	refilledAt time.Duration // when tokens were counted last
-	peakLag    time.Duration // the highest wait of live traffic, decayed
-	peakLagAt  time.Duration
-	stepRunning   bool // a step runs
+	config      Config
+	jobs        []job
+	tokens      time.Duration // what may be spent now; below 0 after a step
+	refilledAt  time.Duration // when tokens were counted last
+	peakLag     time.Duration // the highest wait of live traffic, decayed
+	peakLagAt   time.Duration
+	stepRunning bool // a step runs
 }
 
 // New makes a core without jobs.
@@ -108,7 +108,9 @@
 
 // enough is what must be there for a step: steps of next to nothing would be spent on
 // getting there.
-func (c *Scheduler) minTokens() time.Duration { return max(minSlice, min(c.config.MaxSlice, c.maxTokens())/2) }
+func (c *Scheduler) minTokens() time.Duration {
+	return max(minSlice, min(c.config.MaxSlice, c.maxTokens())/2)
+}
 
 // Add enters a job, which sleeps.
 func (c *Scheduler) Add(name string, p Priority) JobID {
--- a/internal/sched/timerwheel/doc.go
+++ b/internal/sched/timerwheel/doc.go
@@ -1,10 +1,10 @@
-// Package timerwheel keeps timers by the million.
+// Package timerwheel manages millions of timers in a hierarchical timer wheel.
 //
-// Its job is to say which timers are due. The owner names them by small numbers of
-// its own (a slot in a table, say), so that a timer costs eight bytes, and arming,
-// arming anew and cancelling cost the same few writes however many there are.
+// It reports which timers are due. The caller identifies timers by small numbers of its
+// own (a slot in a table, for example). A timer takes eight bytes, and the cost of setting,
+// resetting or cancelling one does not depend on the number of timers.
 //
-// It is pure: time comes in, numbers go out. It belongs to one goroutine.
+// It is pure: times come in, timer numbers go out. A Wheel must be used by one goroutine.
 //
-// It must not call anything when a timer is due, nor decide what a timer means.
+// It calls nothing when a timer is due and gives timers no meaning.
 package timerwheel
--- a/internal/sched/timerwheel/wheel_test.go
+++ b/internal/sched/timerwheel/wheel_test.go
@@ -10,8 +10,8 @@
 
 const tick = 8 * time.Millisecond
 
-// Whatever is armed, armed anew and cancelled: no timer may be early or later than
-// Lateness says, and none may be lost or come twice.
+// For any sequence of arming, rearming and cancelling, no timer may fire early or later than
+// MaxLateness allows, be lost or fire twice.
 func TestNoTimerIsEarlyLateOrLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1<<50).Draw(t, "start"))
@@ -30,70 +30,71 @@
 				w.Arm(id, now+length)
 				armed[id] = timer{now + length, now + max(0, length) + w.MaxLateness(length)}
 			case 3:
-				_, was := armed[id]
-				if w.Cancel(id) != was {
-					t.Fatalf("cancelling %d told %v", id, !was)
+				_, wasArmed := armed[id]
+				if w.Cancel(id) != wasArmed {
+					t.Fatalf("Cancel(%d) = %v", id, !wasArmed)
 				}
 				delete(armed, id)
 			default:
 				next, found := w.Next()
 				if found != (len(armed) > 0) && len(armed) > 0 {
-					t.Fatalf("%d armed, and Next says never", len(armed))
+					t.Fatalf("%d timers are armed, but Next finds none", len(armed))
 				}
 				for id, a := range armed {
 					if next > a.latest {
-						t.Fatalf("Next is %v, %d is due by %v", next, id, a.latest)
+						t.Fatalf("Next is %v, but timer %d must fire by %v", next, id, a.latest)
 					}
 				}
 				now += time.Duration(lengths.Draw(t, "on"))
 				for _, id := range w.Advance(now, 1<<30, nil) {
 					a, ok := armed[id]
 					if !ok || a.at > now {
-						t.Fatalf("%d came at %v, armed for %v (%v)", id, now, a.at, ok)
+						t.Fatalf("timer %d fired at %v, set to %v (armed: %v)", id, now, a.at, ok)
 					}
 					delete(armed, id)
 				}
 				for id, a := range armed {
 					if a.latest <= now {
-						t.Fatalf("%d was due at %v, by %v at the latest, and has not come at %v", id, a.at, a.latest, now)
+						t.Fatalf("timer %d was due at %v, by %v at the latest, but has not fired at %v", id, a.at, a.latest, now)
 					}
 				}
 			}
-			now = max(now, w.latestTime) // time does not go back for the owner
+			now = max(now, w.latestTime) // the caller's time does not go back
 			if w.Len() != len(armed) {
-				t.Fatalf("%d armed, %d told", len(armed), w.Len())
+				t.Fatalf("%d timers are armed, Len is %d", len(armed), w.Len())
 			}
 		}
 	})
 }
 
-// Work a call is bounded, and what is left over comes next, in its order.
+// Each call of Advance returns a bounded number of timers, and the remaining due timers come
+// first in the next call, in order.
 func TestRemainingDueTimersComeFirst(t *testing.T) {
 	const n = 100_000
 	w := New(tick, 0)
 	for id := range int32(n) {
-		w.Arm(id, time.Second) // in one instant
+		w.Arm(id, time.Second) // all at the same time
 	}
 	w.Arm(n, 1500*time.Millisecond)
 	now, got := time.Second+tick, []int32(nil)
 	for rounds := 0; len(got) <= n; rounds++ {
 		if at, found := w.Next(); !found || at > now {
-			t.Fatalf("%d left over, and Next is %v", n-len(got), at)
+			t.Fatalf("%d due timers remain, but Next is %v", n-len(got), at)
 		}
-		was := len(got)
-		if got = w.Advance(now, 64, got); len(got)-was > 64 || len(got) == was {
-			t.Fatalf("round %d handed out %d", rounds, len(got)-was)
+		before := len(got)
+		if got = w.Advance(now, 64, got); len(got)-before > 64 || len(got) == before {
+			t.Fatalf("round %d returned %d timers", rounds, len(got)-before)
 		}
 		now += time.Millisecond
 	}
-	for i, id := range got { // the later one, which fell due meanwhile, is the last
+	for i, id := range got { // the later timer, which became due meanwhile, is the last
 		if id != int32(i) {
-			t.Fatalf("place %d has %d", i, id)
+			t.Fatalf("position %d has timer %d", i, id)
 		}
 	}
 }
 
-// One that is due and waits to be handed out can still be cancelled or armed anew.
+// A timer that is due and not yet returned can still be cancelled or rearmed.
 func TestDueTimerCanBeCancelled(t *testing.T) {
 	w := New(tick, 0)
 	for id := range int32(3) {
@@ -103,7 +104,7 @@
 		t.Fatal(got)
 	}
 	if !w.Cancel(1) {
-		t.Error("1 was not armed")
+		t.Error("timer 1 was not armed")
 	}
 	w.Arm(2, time.Minute)
 	if got := w.Advance(2*time.Second, 9, nil); len(got) != 0 {
@@ -114,27 +115,28 @@
 	}
 }
 
-// Armed in one instant, with slack: no tick may have more than a few times its share.
+// With timers armed at the same time and a slack, no tick may have more than a few times its
+// share of them.
 func TestArmSpreadDistributesTimers(t *testing.T) {
 	const n = 100_000
 	w := New(tick, 0)
 	for id := range int32(n) {
 		w.ArmSpread(id, time.Second, 800*time.Millisecond)
 	}
-	worst, all := 0, 0
+	maxPerTick, total := 0, 0
 	for now := time.Duration(0); now < 3*time.Second; now += tick {
 		got := len(w.Advance(now, n, nil))
 		if got > 0 && now < time.Second {
-			t.Fatalf("%d at %v", got, now)
+			t.Fatalf("%d timers fired early, at %v", got, now)
 		}
-		worst, all = max(worst, got), all+got
+		maxPerTick, total = max(maxPerTick, got), total+got
 	}
-	if all != n || worst > 2*n/100 {
-		t.Errorf("%d came, %d of them in one tick", all, worst)
+	if total != n || maxPerTick > 2*n/100 {
+		t.Errorf("%d timers fired, up to %d in one tick", total, maxPerTick)
 	}
 }
 
-// The clock may step back or far ahead: nothing is lost or early.
+// If the clock steps back or far ahead, no timer may be lost or fire early.
 func TestClockSteps(t *testing.T) {
 	w := New(tick, time.Hour)
 	w.Arm(1, time.Hour+time.Second)
