--- a/internal/sched/background/doc.go
+++ b/internal/sched/background/doc.go
@@ -1,10 +1,10 @@
-// Package background decides when work runs that nobody waits for: closing what has
-// expired, taking in a long list, giving buffers back.
+// Package background schedules work that no client waits for: closing expired connections,
+// applying a long list, releasing buffers.
 //
-// Its job is to share a small part of one core out among jobs, by priority, deadline
-// and age, and to make that part smaller when live traffic waits. It is pure: time and
-// what was measured come in, grants go out. A Core belongs to one goroutine or lock;
+// It divides a small share of one core among jobs by priority, deadline and waiting time,
+// and reduces that share while live traffic is delayed. It is pure: times and measurements
+// come in, grants go out. A Scheduler must be used by one goroutine or under a lock;
 // internal/node/worker drives it.
 //
-// It must not run anything, and nothing that a client waits for may be a job.
+// It runs nothing itself. Work that a client waits for must not be a job.
 package background
--- a/internal/sched/background/scheduler.go
+++ b/internal/sched/background/scheduler.go
@@ -7,27 +7,26 @@
 	"time"
 )
 
-// Priority says which job goes first where none has a deadline to miss; a lower one
-// goes first.
+// Priority orders jobs whose deadlines are not urgent. Lower values run first.
 type Priority int
 
 const (
-	Obligation Priority = iota // what an obligation hangs on
-	Reclaim                    // what makes room for others
-	Cleanup                    // what only saves
-	Optional                   // what could as well never happen
+	Obligation Priority = iota // an obligation depends on it
+	Reclaim                    // frees resources that others need
+	Cleanup                    // only saves resources
+	Optional                   // may be postponed indefinitely
 	priorityCount
 )
 
-// Config is a core's. The zero value of each field stands for its default.
+// Config configures a Scheduler. A zero field stands for the default given behind it.
 type Config struct {
-	MaxShare       float64       // of a core that jobs may take together; 0.08
-	MinShare       float64       // that is left to them however long live traffic waits; 0.005
-	BudgetPeriod   time.Duration // whose budget may be saved up; 50 ms
-	MaxSlice       time.Duration // the longest step; 300 us
-	LowLag         time.Duration // live traffic's wait up to which the whole share is given; 500 us
-	HighLag        time.Duration // and from which only the least; 10 ms
-	AgeingInterval time.Duration // a job that waited this long counts as of one priority higher; 200 ms
+	MaxShare       float64       // share of a core for all jobs together; 0.08
+	MinShare       float64       // share that jobs keep however long live traffic is delayed; 0.005
+	BudgetPeriod   time.Duration // unused budget accumulates for up to this long; 50 ms
+	MaxSlice       time.Duration // longest step; 300 us
+	LowLag         time.Duration // delay of live traffic up to which jobs get MaxShare; 500 us
+	HighLag        time.Duration // delay of live traffic from which jobs get MinShare; 10 ms
+	AgeingInterval time.Duration // waiting this long raises a job by one priority; 200 ms
 }
 
 func (c Config) withDefaults() Config {
@@ -39,89 +38,91 @@
 }
 
 const (
+	// minSlice is the shortest slice that is granted.
 	minSlice = 20 * time.Microsecond
-	// A step that takes this many times what it was given is told.
+	// A step that takes longer than both overrunFactor times its slice and minOverrun is
+	// reported as an overrun.
 	overrunFactor = 4
 	minOverrun    = 2 * time.Millisecond
-	// The highest wait of live traffic counts on, halved in each of these.
+	// The peak delay of live traffic decays with this half-life.
 	lagHalfLife = 100 * time.Millisecond
-	// A learned cost moves by this part towards the last.
+	// Weight of the latest round in the smoothed cost of a round.
 	costSmoothing = 0.25
 )
 
-// ID names a job.
+// JobID identifies a job.
 type JobID int
 
-// job is what is known of one kind of work.
+// job is the state of one kind of background work.
 type job struct {
 	name              string
 	priority          Priority
 	runnable          bool
 	running           bool
-	wokenWhileRunning bool          // again, while a step ran
-	waitingSince      time.Duration // when it was woken or last had a step
+	wokenWhileRunning bool          // woken again while a step was running
+	waitingSince      time.Duration // when it was woken or finished its last step
 	deadline          time.Duration // 0: none
-	roundSpent        time.Duration // of this round
-	roundCost         time.Duration // learned, of a round
+	roundSpent        time.Duration // time spent in the current round
+	roundCost         time.Duration // smoothed cost of a round
 	report            Report
 }
 
-// Report is what a job has done.
+// Report holds the statistics of a job.
 type Report struct {
 	Name            string
-	Rounds          int           // from being woken to having nothing left
-	Steps           int           //
-	Spent           time.Duration // in all
-	RoundCost       time.Duration // learned, of a round
-	LongestStep     time.Duration // step
-	LongestWait     time.Duration // the longest wait for a step
-	Overruns        int           // steps that took far more than they were given
-	MissedDeadlines int           // deadlines
-	UrgentSteps     int           // steps beyond the budget, for a deadline's sake
+	Rounds          int           // completed rounds; a round lasts from waking until no work is left
+	Steps           int           // completed steps
+	Spent           time.Duration // total time spent
+	RoundCost       time.Duration // smoothed cost of a round
+	LongestStep     time.Duration // longest time that a step took
+	LongestWait     time.Duration // longest wait for a step
+	Overruns        int           // steps that took far longer than their slice
+	MissedDeadlines int           // rounds that ended after their deadline
+	UrgentSteps     int           // steps granted beyond the budget because of a deadline
 }
 
-// Core shares the budget out.
+// Scheduler divides the budget among jobs with a token bucket.
 type Scheduler struct {
 	config      Config
 	jobs        []job
-	tokens      time.Duration // what may be spent now; below 0 after a step
-	refilledAt  time.Duration // when tokens were counted last
-	peakLag     time.Duration // the highest wait of live traffic, decayed
+	tokens      time.Duration // time that may be spent now; may be negative after a step
+	refilledAt  time.Duration // when tokens were last added
+	peakLag     time.Duration // peak delay of live traffic as of peakLagAt
 	peakLagAt   time.Duration
-	stepRunning bool // a step runs
+	stepRunning bool // a step is running
 }
 
-// New makes a core without jobs.
-func New(set Config, now time.Duration) *Scheduler {
-	c := &Scheduler{config: set.withDefaults(), refilledAt: now, peakLagAt: now}
-	if !(c.config.MinShare > 0 && c.config.MinShare <= c.config.MaxShare && c.config.MaxShare <= 1) || c.config.HighLag <= c.config.LowLag {
-		panic(fmt.Sprintf("background: odd settings %+v", c.config))
+// New returns a Scheduler without jobs.
+func New(config Config, now time.Duration) *Scheduler {
+	s := &Scheduler{config: config.withDefaults(), refilledAt: now, peakLagAt: now}
+	if !(s.config.MinShare > 0 && s.config.MinShare <= s.config.MaxShare && s.config.MaxShare <= 1) || s.config.HighLag <= s.config.LowLag {
+		panic(fmt.Sprintf("background: invalid config %+v", s.config))
 	}
-	c.tokens = c.maxTokens()
-	return c
+	s.tokens = s.maxTokens()
+	return s
 }
 
-// saved is the most that may be saved up.
-func (c *Scheduler) maxTokens() time.Duration {
-	return time.Duration(c.config.MaxShare * float64(c.config.BudgetPeriod))
+// maxTokens returns the capacity of the token bucket.
+func (s *Scheduler) maxTokens() time.Duration {
+	return time.Duration(s.config.MaxShare * float64(s.config.BudgetPeriod))
 }
 
-// enough is what must be there for a step: steps of next to nothing would be spent on
-// getting there.
-func (c *Scheduler) minTokens() time.Duration {
-	return max(minSlice, min(c.config.MaxSlice, c.maxTokens())/2)
+// minTokens returns the tokens that a step requires. Shorter steps would spend most of their
+// time on switching to the job.
+func (s *Scheduler) minTokens() time.Duration {
+	return max(minSlice, min(s.config.MaxSlice, s.maxTokens())/2)
 }
 
-// Add enters a job, which sleeps.
-func (c *Scheduler) Add(name string, p Priority) JobID {
-	c.jobs = append(c.jobs, job{name: name, priority: min(max(p, 0), priorityCount-1), report: Report{Name: name}})
-	return JobID(len(c.jobs) - 1)
+// Add registers a job, which is not runnable until it is woken.
+func (s *Scheduler) Add(name string, priority Priority) JobID {
+	s.jobs = append(s.jobs, job{name: name, priority: min(max(priority, 0), priorityCount-1), report: Report{Name: name}})
+	return JobID(len(s.jobs) - 1)
 }
 
-// Wake tells that a job has work, which should be through by the deadline; 0: none.
-// The earlier of two deadlines holds.
-func (c *Scheduler) Wake(now time.Duration, id JobID, deadline time.Duration) {
-	j := &c.jobs[id]
+// Wake makes a job runnable. Its work should be finished by the deadline; 0 means no
+// deadline. Of two deadlines, the earlier one applies.
+func (s *Scheduler) Wake(now time.Duration, id JobID, deadline time.Duration) {
+	j := &s.jobs[id]
 	if deadline > 0 && (j.deadline == 0 || deadline < j.deadline) {
 		j.deadline = deadline
 	}
@@ -134,79 +135,79 @@
 	}
 }
 
-// Cancel puts a job to sleep; a step that runs may end.
-func (c *Scheduler) Cancel(id JobID) {
-	j := &c.jobs[id]
+// Cancel makes a job not runnable. A running step may finish.
+func (s *Scheduler) Cancel(id JobID) {
+	j := &s.jobs[id]
 	j.runnable, j.wokenWhileRunning, j.deadline = false, false, 0
 }
 
-// Lag tells how long live traffic has just waited to be handled.
-func (c *Scheduler) RecordLag(now, lag time.Duration) {
-	if lag > c.currentLag(now) {
-		c.peakLag, c.peakLagAt = lag, now
+// RecordLag records by how long live traffic was just delayed.
+func (s *Scheduler) RecordLag(now, lag time.Duration) {
+	if lag > s.currentLag(now) {
+		s.peakLag, s.peakLagAt = lag, now
 	}
 }
 
-// lagNow is the highest lag, halved for each time lagHalf that has passed.
-func (c *Scheduler) currentLag(now time.Duration) time.Duration {
-	past := float64(max(0, now-c.peakLagAt)) / float64(lagHalfLife)
-	return time.Duration(float64(c.peakLag) * math.Exp2(-past))
+// currentLag returns the peak lag, decayed by the time since it was recorded.
+func (s *Scheduler) currentLag(now time.Duration) time.Duration {
+	halfLives := float64(max(0, now-s.peakLagAt)) / float64(lagHalfLife)
+	return time.Duration(float64(s.peakLag) * math.Exp2(-halfLives))
 }
 
-// Share is the part of a core that jobs may take now.
-func (c *Scheduler) CurrentShare(now time.Duration) float64 {
-	lag := c.currentLag(now)
+// CurrentShare returns the share of a core that jobs may use now.
+func (s *Scheduler) CurrentShare(now time.Duration) float64 {
+	lag := s.currentLag(now)
 	switch {
-	case lag <= c.config.LowLag:
-		return c.config.MaxShare
-	case lag >= c.config.HighLag:
-		return c.config.MinShare
+	case lag <= s.config.LowLag:
+		return s.config.MaxShare
+	case lag >= s.config.HighLag:
+		return s.config.MinShare
 	}
-	rest := float64(c.config.HighLag-lag) / float64(c.config.HighLag-c.config.LowLag)
-	return c.config.MinShare + (c.config.MaxShare-c.config.MinShare)*rest
+	fraction := float64(s.config.HighLag-lag) / float64(s.config.HighLag-s.config.LowLag)
+	return s.config.MinShare + (s.config.MaxShare-s.config.MinShare)*fraction
 }
 
-// fill counts the tokens that have come since the last time.
-func (c *Scheduler) refill(now time.Duration) {
-	if now > c.refilledAt {
-		c.tokens = min(c.maxTokens(), c.tokens+time.Duration(c.CurrentShare(now)*float64(now-c.refilledAt)))
-		c.refilledAt = now
+// refill adds the tokens for the time since the last call.
+func (s *Scheduler) refill(now time.Duration) {
+	if now > s.refilledAt {
+		s.tokens = min(s.maxTokens(), s.tokens+time.Duration(s.CurrentShare(now)*float64(now-s.refilledAt)))
+		s.refilledAt = now
 	}
 }
 
-// Grant is one step of a job.
+// Grant permits one step of a job.
 type Grant struct {
 	Job    JobID
-	Slice  time.Duration // that it may take
-	Urgent bool          // the budget is spent, but its deadline is near
+	Slice  time.Duration // time that the step may take
+	Urgent bool          // granted beyond the budget because the deadline is near
 }
 
-// Next says which job has a step now. ok is false if none has: then wait is how long
-// to wait for, or 0 until the next Wake. One step runs at a time.
-func (c *Scheduler) Next(now time.Duration) (g Grant, wait time.Duration, ok bool) {
-	if c.stepRunning {
+// Next grants a step to a job. If no job may run now, ok is false and wait is the time until
+// the next call, or 0 to wait for the next Wake. Only one step runs at a time.
+func (s *Scheduler) Next(now time.Duration) (grant Grant, wait time.Duration, ok bool) {
+	if s.stepRunning {
 		return Grant{}, 0, false
 	}
-	c.refill(now)
+	s.refill(now)
 	best, urgent := -1, -1
-	soon := time.Duration(0) // the earliest time at which a deadline presses
-	for i := range c.jobs {
-		j := &c.jobs[i]
+	nextUrgent := time.Duration(0) // the earliest time at which a deadline becomes urgent
+	for i := range s.jobs {
+		j := &s.jobs[i]
 		if !j.runnable {
 			continue
 		}
 		if j.deadline > 0 {
-			// What is left, by what a round has cost so far, and as much again.
-			press := j.deadline - 2*max(j.roundCost-j.roundSpent, c.config.MaxSlice)
-			if press <= now {
-				if urgent < 0 || j.deadline < c.jobs[urgent].deadline {
+			// A deadline is urgent from twice the expected remaining cost of the round before it.
+			urgentFrom := j.deadline - 2*max(j.roundCost-j.roundSpent, s.config.MaxSlice)
+			if urgentFrom <= now {
+				if urgent < 0 || j.deadline < s.jobs[urgent].deadline {
 					urgent = i
 				}
-			} else if soon == 0 || press < soon {
-				soon = press
+			} else if nextUrgent == 0 || urgentFrom < nextUrgent {
+				nextUrgent = urgentFrom
 			}
 		}
-		if best < 0 || c.precedes(now, j, &c.jobs[best]) {
+		if best < 0 || s.precedes(now, j, &s.jobs[best]) {
 			best = i
 		}
 	}
@@ -214,29 +215,29 @@
 	case best < 0:
 		return Grant{}, 0, false
 	case urgent >= 0:
-		g = Grant{Job: JobID(urgent), Slice: c.config.MaxSlice, Urgent: c.tokens < c.minTokens()}
-	case c.tokens < c.minTokens():
-		wait = max(time.Duration(float64(c.minTokens()-c.tokens)/c.CurrentShare(now))+1, time.Microsecond)
-		if soon > 0 {
-			wait = min(wait, soon-now)
+		grant = Grant{Job: JobID(urgent), Slice: s.config.MaxSlice, Urgent: s.tokens < s.minTokens()}
+	case s.tokens < s.minTokens():
+		wait = max(time.Duration(float64(s.minTokens()-s.tokens)/s.CurrentShare(now))+1, time.Microsecond)
+		if nextUrgent > 0 {
+			wait = min(wait, nextUrgent-now)
 		}
 		return Grant{}, wait, false
 	default:
-		g = Grant{Job: JobID(best), Slice: max(c.minTokens(), min(c.config.MaxSlice, c.tokens))}
+		grant = Grant{Job: JobID(best), Slice: max(s.minTokens(), min(s.config.MaxSlice, s.tokens))}
 	}
-	j := &c.jobs[g.Job]
-	c.stepRunning, j.running = true, true
+	j := &s.jobs[grant.Job]
+	s.stepRunning, j.running = true, true
 	j.report.LongestWait = max(j.report.LongestWait, now-j.waitingSince)
-	if g.Urgent {
+	if grant.Urgent {
 		j.report.UrgentSteps++
 	}
-	return g, 0, true
+	return grant, 0, true
 }
 
-// before tells whether a job goes before another: by priority, which rises with the
-// time that it has waited, then the earlier deadline, then the longer wait.
-func (c *Scheduler) precedes(now time.Duration, x, y *job) bool {
-	rank := func(j *job) int { return int(j.priority) - int((now-j.waitingSince)/c.config.AgeingInterval) }
+// precedes reports whether job x runs before job y: by priority, which rises with the
+// waiting time, then by the earlier deadline, then by the longer wait.
+func (s *Scheduler) precedes(now time.Duration, x, y *job) bool {
+	rank := func(j *job) int { return int(j.priority) - int((now-j.waitingSince)/s.config.AgeingInterval) }
 	deadline := func(j *job) time.Duration {
 		if j.deadline == 0 {
 			return 1 << 62
@@ -246,41 +247,41 @@
 	return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(deadline(x), deadline(y)), cmp.Compare(x.waitingSince, y.waitingSince)) < 0
 }
 
-// Done tells how long the step that Next has granted took, and whether the job has
-// more to do. It returns whether the step overran by far.
-func (c *Scheduler) Done(now time.Duration, g Grant, took time.Duration, more bool) (overrun bool) {
-	c.refill(now)
-	j := &c.jobs[g.Job]
-	c.stepRunning, j.running = false, false
-	c.tokens -= max(0, took)
-	// A debt beyond a period's budget is let go: else one long step for a deadline
-	// would stop all jobs for as long as that.
-	c.tokens = max(c.tokens, -c.maxTokens()-c.config.MaxSlice)
+// Done records how long a granted step took and whether the job has more work. It reports
+// whether the step was an overrun.
+func (s *Scheduler) Done(now time.Duration, grant Grant, took time.Duration, more bool) (overrun bool) {
+	s.refill(now)
+	j := &s.jobs[grant.Job]
+	s.stepRunning, j.running = false, false
+	s.tokens -= max(0, took)
+	// The debt is limited to about the budget of one period. Otherwise one long urgent step
+	// would block all jobs until its whole time was earned back.
+	s.tokens = max(s.tokens, -s.maxTokens()-s.config.MaxSlice)
 	j.roundSpent += took
-	r := &j.report
-	r.Steps++
-	r.Spent += took
-	r.LongestStep = max(r.LongestStep, took)
-	if overrun = took > max(overrunFactor*g.Slice, minOverrun); overrun {
-		r.Overruns++
+	report := &j.report
+	report.Steps++
+	report.Spent += took
+	report.LongestStep = max(report.LongestStep, took)
+	if overrun = took > max(overrunFactor*grant.Slice, minOverrun); overrun {
+		report.Overruns++
 	}
 	j.waitingSince = now
 	if more && j.runnable {
 		return overrun
 	}
 	if !more {
-		r.Rounds++
+		report.Rounds++
 		if j.roundCost == 0 {
 			j.roundCost = j.roundSpent
 		} else {
 			j.roundCost += time.Duration(costSmoothing * float64(j.roundSpent-j.roundCost))
 		}
-		r.RoundCost = j.roundCost
+		report.RoundCost = j.roundCost
 		if j.deadline > 0 && now > j.deadline {
-			r.MissedDeadlines++
+			report.MissedDeadlines++
 		}
 		j.roundSpent = 0
-		if !j.wokenWhileRunning { // a deadline that came with further work holds on
+		if !j.wokenWhileRunning { // a deadline set together with further work remains
 			j.deadline = 0
 		}
 	}
@@ -288,11 +289,11 @@
 	return overrun
 }
 
-// Reports are what all jobs have done, in the order in which they were added.
-func (c *Scheduler) Reports() []Report {
-	all := make([]Report, len(c.jobs))
-	for i := range c.jobs {
-		all[i] = c.jobs[i].report
+// Reports returns the reports of all jobs in the order in which they were added.
+func (s *Scheduler) Reports() []Report {
+	reports := make([]Report, len(s.jobs))
+	for i := range s.jobs {
+		reports[i] = s.jobs[i].report
 	}
-	return all
+	return reports
 }
--- a/internal/sched/background/scheduler_test.go
+++ b/internal/sched/background/scheduler_test.go
@@ -7,176 +7,178 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever jobs ask for and however long their steps take: in no window do jobs spend
-// more than the budget of the window and one period, one step, and what deadlines
-// forced; and each job that is awake has its turn.
+// Whatever jobs are added and however long their steps take, jobs without deadlines must
+// not spend more in any time window than the budget of the window and one more period, plus
+// one step; and each runnable job must get steps.
 func TestBudgetIsKeptWithoutStarvation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Config{MaxShare: rapid.Float64Range(0.02, 0.5).Draw(t, "share"), MinShare: 0.01}
+		config := Config{MaxShare: rapid.Float64Range(0.02, 0.5).Draw(t, "share"), MinShare: 0.01}
 		now := time.Hour
-		c := New(set, now)
-		set = c.config
+		scheduler := New(config, now)
+		config = scheduler.config
 		jobs := rapid.IntRange(1, 6).Draw(t, "jobs")
-		served := make([]time.Duration, jobs)
+		lastStep := make([]time.Duration, jobs)
 		for i := range jobs {
-			c.Add("job", Priority(rapid.IntRange(0, 3).Draw(t, "priority")))
-			c.Wake(now, JobID(i), 0)
-			served[i] = now
+			scheduler.Add("job", Priority(rapid.IntRange(0, 3).Draw(t, "priority")))
+			scheduler.Wake(now, JobID(i), 0)
+			lastStep[i] = now
 		}
-		type spell struct{ at, took time.Duration }
-		var spent []spell
+		type step struct{ at, took time.Duration }
+		var steps []step
 		longest := time.Duration(0)
 		for range 1500 {
-			g, wait, ok := c.Next(now)
+			grant, wait, ok := scheduler.Next(now)
 			if !ok {
 				if wait <= 0 {
-					t.Fatalf("%d jobs are awake and nobody has a turn", jobs)
+					t.Fatalf("%d jobs are runnable, but Next returns neither a grant nor a wait", jobs)
 				}
 				now += wait
 				continue
 			}
-			// At each level of lag a job may take up to the slice, and some more.
-			took := time.Duration(rapid.Int64Range(1, int64(g.Slice)*3/2).Draw(t, "took"))
+			// A step may take up to one and a half times its slice.
+			took := time.Duration(rapid.Int64Range(1, int64(grant.Slice)*3/2).Draw(t, "took"))
 			longest = max(longest, took)
 			now += took
-			spent = append(spent, spell{now, took})
-			c.Done(now, g, took, true)
-			served[g.Job] = now
+			steps = append(steps, step{now, took})
+			scheduler.Done(now, grant, took, true)
+			lastStep[grant.Job] = now
 			if rapid.IntRange(0, 9).Draw(t, "lagging") == 0 {
-				c.RecordLag(now, time.Duration(rapid.Int64Range(0, int64(12*time.Millisecond)).Draw(t, "lag")))
+				scheduler.RecordLag(now, time.Duration(rapid.Int64Range(0, int64(12*time.Millisecond)).Draw(t, "lag")))
 			}
-			for i := range served {
-				// With the least share each slice takes as long as that gives, for all jobs
-				// of a rank; and ranks rise with waiting.
-				most := time.Duration(jobs+1)*time.Duration(float64(2*longest)/set.MinShare) + 8*set.AgeingInterval
-				if now-served[i] > most {
-					t.Fatalf("job %d has waited %v, at most %v", i, now-served[i], most)
+			for i := range lastStep {
+				// At the minimum share, a step of each job takes the time to earn its cost. Jobs
+				// of equal priority take turns, and waiting raises the priority.
+				limit := time.Duration(jobs+1)*time.Duration(float64(2*longest)/config.MinShare) + 8*config.AgeingInterval
+				if now-lastStep[i] > limit {
+					t.Fatalf("job %d has waited %v, allowed: %v", i, now-lastStep[i], limit)
 				}
 			}
 		}
-		for from := 0; from < len(spent); from += 50 {
+		for from := 0; from < len(steps); from += 50 {
 			sum := time.Duration(0)
-			for to := from; to < len(spent); to++ {
-				sum += spent[to].took
-				window := spent[to].at - spent[from].at + spent[from].took
-				most := time.Duration(set.MaxShare*float64(window+set.BudgetPeriod)) + longest
-				if sum > most {
-					t.Fatalf("%v spent in %v, at most %v", sum, window, most)
+			for to := from; to < len(steps); to++ {
+				sum += steps[to].took
+				window := steps[to].at - steps[from].at + steps[from].took
+				limit := time.Duration(config.MaxShare*float64(window+config.BudgetPeriod)) + longest
+				if sum > limit {
+					t.Fatalf("jobs spent %v within %v, allowed: %v", sum, window, limit)
 				}
 			}
 		}
 	})
 }
 
-// Live traffic that waits takes the budget from the jobs, but for the least.
+// When live traffic is delayed, the budget of the jobs must shrink to the minimum share.
 func TestLagReducesBudget(t *testing.T) {
-	play := func(lag time.Duration) (spent time.Duration) {
+	spentAtLag := func(lag time.Duration) (spent time.Duration) {
 		now := time.Hour
-		c := New(Config{}, now)
-		id := c.Add("job", Cleanup)
-		c.Wake(now, id, 0)
+		scheduler := New(Config{}, now)
+		id := scheduler.Add("job", Cleanup)
+		scheduler.Wake(now, id, 0)
 		for end := now + 10*time.Second; now < end; {
-			c.RecordLag(now, lag)
-			g, wait, ok := c.Next(now)
+			scheduler.RecordLag(now, lag)
+			grant, wait, ok := scheduler.Next(now)
 			if !ok {
 				now += min(wait, 10*time.Millisecond)
 				continue
 			}
-			now += g.Slice
-			spent += g.Slice
-			c.Done(now, g, g.Slice, true)
+			now += grant.Slice
+			spent += grant.Slice
+			scheduler.Done(now, grant, grant.Slice, true)
 		}
 		return spent
 	}
-	calm, busy, worst := play(0), play(5*time.Millisecond), play(time.Second)
-	if calm < 700*time.Millisecond || busy > calm*2/3 || worst > 70*time.Millisecond || worst < 40*time.Millisecond {
-		t.Errorf("of 10 s: %v when calm, %v when traffic waits 5 ms, %v when it waits 1 s", calm, busy, worst)
+	unloaded, delayed, overloaded := spentAtLag(0), spentAtLag(5*time.Millisecond), spentAtLag(time.Second)
+	if unloaded < 700*time.Millisecond || delayed > unloaded*2/3 || overloaded > 70*time.Millisecond || overloaded < 40*time.Millisecond {
+		t.Errorf("spent in 10 s: %v without lag, %v at a lag of 5 ms, %v at 1 s", unloaded, delayed, overloaded)
 	}
 }
 
-// A job with a deadline gets its steps in time whatever the budget, and others pay.
+// A job with a deadline must finish in time even beyond the budget, at the expense of other
+// jobs.
 func TestUrgentJobExceedsBudget(t *testing.T) {
 	now := time.Hour
-	c := New(Config{MaxShare: 0.01, MinShare: 0.005}, now)
-	slow, duty := c.Add("slow", Obligation), c.Add("duty", Optional)
-	rounds := func(deadline time.Duration) (done time.Duration) {
-		c.Wake(now, slow, 0)
-		c.Wake(now, duty, now+deadline)
-		left := 20 * time.Millisecond // of work: 2 s of the budget
+	scheduler := New(Config{MaxShare: 0.01, MinShare: 0.005}, now)
+	background, urgent := scheduler.Add("background", Obligation), scheduler.Add("urgent", Optional)
+	runRound := func(deadline time.Duration) (finished time.Duration) {
+		scheduler.Wake(now, background, 0)
+		scheduler.Wake(now, urgent, now+deadline)
+		left := 20 * time.Millisecond // of work, for which the budget takes 2 s
 		for left > 0 {
-			g, wait, ok := c.Next(now)
+			grant, wait, ok := scheduler.Next(now)
 			if !ok {
 				now += wait
 				continue
 			}
-			now += g.Slice
-			if g.Job == duty {
-				left -= g.Slice
+			now += grant.Slice
+			if grant.Job == urgent {
+				left -= grant.Slice
 			}
-			c.Done(now, g, g.Slice, g.Job == slow || left > 0)
+			scheduler.Done(now, grant, grant.Slice, grant.Job == background || left > 0)
 		}
 		return now
 	}
-	rounds(time.Second) // its cost is learned
-	begun := now
-	if end := rounds(300 * time.Millisecond); end > begun+300*time.Millisecond {
-		t.Errorf("done after %v", end-begun)
+	runRound(time.Second) // establishes the cost of a round
+	start := now
+	if end := runRound(300 * time.Millisecond); end > start+300*time.Millisecond {
+		t.Errorf("the round took %v, want at most 300ms", end-start)
 	}
-	r := c.Reports()[duty]
+	r := scheduler.Reports()[urgent]
 	if r.UrgentSteps == 0 || r.MissedDeadlines > 1 || r.Rounds != 2 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// A low one that has waited goes before a higher one that never ends.
+// A job of low priority that has waited long enough must run before one of high priority
+// that never finishes.
 func TestAgeingRaisesPriority(t *testing.T) {
 	now := time.Hour
-	c := New(Config{MaxShare: 1, MinShare: 0.5}, now)
-	high, low := c.Add("high", Obligation), c.Add("low", Optional)
-	c.Wake(now, high, 0)
-	c.Wake(now, low, 0)
+	scheduler := New(Config{MaxShare: 1, MinShare: 0.5}, now)
+	high, low := scheduler.Add("high", Obligation), scheduler.Add("low", Optional)
+	scheduler.Wake(now, high, 0)
+	scheduler.Wake(now, low, 0)
 	for range 10_000 {
-		g, wait, ok := c.Next(now)
+		grant, wait, ok := scheduler.Next(now)
 		if !ok {
 			now += wait
 			continue
 		}
-		if g.Job == low {
+		if grant.Job == low {
 			return
 		}
-		now += g.Slice
-		c.Done(now, g, g.Slice, true)
+		now += grant.Slice
+		scheduler.Done(now, grant, grant.Slice, true)
 	}
-	t.Error("the low one never had a step")
+	t.Error("the job of low priority never got a step")
 }
 
-// What is woken while its step runs runs again; what is cancelled does not.
+// A job woken during its own step must run again, and a cancelled job must not.
 func TestWakeAndCancelDuringStep(t *testing.T) {
 	now := time.Hour
-	c := New(Config{}, now)
-	id := c.Add("job", Obligation)
-	if _, _, ok := c.Next(now); ok {
-		t.Fatal("a job that sleeps has a step")
+	scheduler := New(Config{}, now)
+	id := scheduler.Add("job", Obligation)
+	if _, _, ok := scheduler.Next(now); ok {
+		t.Fatal("a job that was not woken got a step")
 	}
-	c.Wake(now, id, 0)
-	g, _, ok := c.Next(now)
+	scheduler.Wake(now, id, 0)
+	grant, _, ok := scheduler.Next(now)
 	if !ok {
-		t.Fatal("no step")
+		t.Fatal("a job that was woken got no step")
 	}
-	if _, _, again := c.Next(now); again {
-		t.Fatal("two steps at once")
+	if _, _, again := scheduler.Next(now); again {
+		t.Fatal("two steps were granted at once")
 	}
-	c.Wake(now, id, 0)
-	c.Done(now, g, time.Microsecond, false)
-	if g, _, ok = c.Next(now); !ok {
-		t.Fatal("woken meanwhile, and no step")
+	scheduler.Wake(now, id, 0)
+	scheduler.Done(now, grant, time.Microsecond, false)
+	if grant, _, ok = scheduler.Next(now); !ok {
+		t.Fatal("a job woken during its step got no further step")
 	}
-	c.Cancel(id)
-	c.Done(now, g, time.Microsecond, true)
-	if _, _, ok = c.Next(now); ok {
-		t.Error("cancelled, and a step")
+	scheduler.Cancel(id)
+	scheduler.Done(now, grant, time.Microsecond, true)
+	if _, _, ok = scheduler.Next(now); ok {
+		t.Error("a cancelled job got a step")
 	}
-	if !c.Done(now, Grant{id, time.Microsecond, false}, time.Second, false) || c.Reports()[id].Overruns != 1 {
-		t.Error("an overrun is not told")
+	if !scheduler.Done(now, Grant{id, time.Microsecond, false}, time.Second, false) || scheduler.Reports()[id].Overruns != 1 {
+		t.Error("an overrun was not reported")
 	}
 }
