--- a/internal/operators/document/doc.go
+++ b/internal/operators/document/doc.go
@@ -1,7 +1,6 @@
-// Package document reads a TOML file (v1.0.0) into values that know their lines,
-// so that a finding about a value can say where it stands.
+// Package document parses a TOML file (v1.0.0) into values that record their line numbers,
+// so that a finding can name the line it refers to.
 //
-// It is pure: text comes in, a tree and faults go out. A tree is owned by who
-// asked for it. It must not know what the keys mean: that is for the packages
-// that read descriptions.
+// It is pure: text comes in, a tree of values and syntax errors go out. The caller owns the
+// tree. The meaning of the keys is left to the packages that read the files.
 package document
--- a/internal/operators/document/document.go
+++ b/internal/operators/document/document.go
@@ -12,57 +12,57 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// MostBytes is the largest file that is read.
+// MaxFileSize is the largest accepted file in bytes.
 const MaxFileSize = 1 << 20
 
-// mostKeys is the most keys of one table: the library's own check of them takes a
-// time that grows with the square of their number. A table may hold a key for each
-// node of a fleet.
+// maxTableKeys is the maximum number of keys in one table. The TOML library's check for
+// duplicates takes time quadratic in their number. A table may have a key for each node of a fleet.
 const maxTableKeys = 6000
 
-// Value is a value and where it stands. V is a string, int64, float64, bool,
-// []Value, *Table, or Other for what no description uses.
+// Value is a value and its line. V is a string, int64, float64, bool, []Value, *Table or
+// UnsupportedValue.
 type Value struct {
 	Line int
 	V    any
-	Text string // as it stands in the file, shortened; "" for tables
+	Text string // source text, truncated; "" for tables
 }
 
-// Other is a value of a kind that no description uses: dates and times.
+// UnsupportedValue is a value of a type that no file uses: a date or time.
 type UnsupportedValue string
 
-// Table is a table, a list's element, or the whole file.
+// Table is a table, an element of an array of tables, or the whole file.
 type Table struct {
 	Line     int
 	Values   map[string]Value
-	KeyOrder []string // keys in the file's order
+	KeyOrder []string // keys in the order of the file
 }
 
-// Fault is what is wrong with the form of a file.
+// SyntaxError is an error in the syntax of a file.
 type SyntaxError struct {
-	Line      int // 1 is the first; 0: the file as a whole
+	Line      int // starts at 1; 0: the file as a whole
 	Key, Text string
-	Duplicate bool
+	Duplicate bool // the key is defined twice in a table
 }
 
 func newTable(line int) *Table { return &Table{Line: line, Values: map[string]Value{}} }
 
-// Parse reads a file. What could be read is in the table, also where there are faults.
+// Parse parses a file. If there are errors, the table holds everything that could be read.
 func Parse(text []byte) (*Table, []SyntaxError) {
 	r := &reader{data: text, root: newTable(1)}
 	if len(text) > MaxFileSize {
-		return r.root, []SyntaxError{{Text: fmt.Sprintf("larger than %d bytes", MaxFileSize)}}
+		return r.root, []SyntaxError{{Text: fmt.Sprintf("file is larger than %d bytes", MaxFileSize)}}
 	}
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	r.data = text
 	r.readExpressions()
-	// The library's own decoder knows what the walk does not: tables defined twice, say.
+	// The library's decoder finds errors that readExpressions does not, such as tables that are
+	// defined twice.
 	if len(r.syntaxErrors) == 0 {
-		var whole map[string]any
-		var fault *toml.DecodeError
-		if err := toml.Unmarshal(text, &whole); errors.As(err, &fault) {
-			line, _ := fault.Position()
-			r.addError(line, strings.Join(fault.Key(), "."), strings.TrimPrefix(fault.Error(), "toml: "))
+		var decoded map[string]any
+		var decodeErr *toml.DecodeError
+		if err := toml.Unmarshal(text, &decoded); errors.As(err, &decodeErr) {
+			line, _ := decodeErr.Position()
+			r.addError(line, strings.Join(decodeErr.Key(), "."), strings.TrimPrefix(decodeErr.Error(), "toml: "))
 		} else if err != nil {
 			r.addError(0, "", err.Error())
 		}
@@ -70,26 +70,29 @@
 	return r.root, r.syntaxErrors
 }
 
+// reader builds the tree of a file from the expressions of the TOML parser.
 type reader struct {
-	parser unstable.Parser
-	data   []byte
-	lineBreaks []int // offsets of the line breaks
-	root    *Table
-	current    *Table // whose keys come; nil: they are passed over
+	parser       unstable.Parser
+	data         []byte
+	lineBreaks   []int // offsets of the line breaks
+	root         *Table
+	current      *Table // table that receives the next keys; nil: they are skipped
 	syntaxErrors []SyntaxError
-	stopped   bool // a table has too many keys: nothing more is read
+	stopped      bool // a table has too many keys, reading has ended
 }
 
+// addError records a syntax error.
 func (r *reader) addError(line int, key, text string) {
 	r.syntaxErrors = append(r.syntaxErrors, SyntaxError{Line: line, Key: key, Text: text})
 }
 
+// nodeLine returns the line of a node.
 func (r *reader) nodeLine(n *unstable.Node) int {
 	return r.lineAt(int(n.Raw.Offset))
 }
 
-// at is the line of a byte. Breaks are looked up, not counted: a file may have as
-// many keys as bytes.
+// lineAt returns the line of a byte offset. It searches an index of line breaks rather than
+// counting them, because the number of keys grows with the size of the file.
 func (r *reader) lineAt(offset int) int {
 	if r.lineBreaks == nil {
 		r.lineBreaks = []int{}
@@ -103,33 +106,34 @@
 	return 1 + before
 }
 
+// readExpressions reads all expressions of the file into the tree.
 func (r *reader) readExpressions() {
 	r.current = r.root
 	r.parser.Reset(r.data)
 	for !r.stopped && r.parser.NextExpression() {
-		e := r.parser.Expression()
-		switch e.Kind {
+		expression := r.parser.Expression()
+		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			r.startTable(e)
+			r.startTable(expression)
 		case unstable.KeyValue:
 			if r.current != nil {
-				r.addKeyValue(r.current, e)
+				r.addKeyValue(r.current, expression)
 			}
 		}
 	}
-	var fault *unstable.ParserError
-	if err := r.parser.Error(); errors.As(err, &fault) {
+	var parserErr *unstable.ParserError
+	if err := r.parser.Error(); errors.As(err, &parserErr) {
 		line := r.lineAt(len(r.data))
-		if len(fault.Highlight) > 0 {
-			line = r.lineAt(int(r.parser.Range(fault.Highlight).Offset))
+		if len(parserErr.Highlight) > 0 {
+			line = r.lineAt(int(r.parser.Range(parserErr.Highlight).Offset))
 		}
-		r.addError(line, strings.Join(fault.Key, "."), fault.Message)
+		r.addError(line, strings.Join(parserErr.Key, "."), parserErr.Message)
 	} else if err != nil {
 		r.addError(0, "", err.Error())
 	}
 }
 
-// parts are the parts of a key, and the line of the first.
+// keyParts returns the parts of a dotted key and the line of the first one.
 func (r *reader) keyParts(n *unstable.Node) (parts []string, line int) {
 	for it := n.Key(); it.Next(); {
 		if line == 0 {
@@ -140,89 +144,90 @@
 	return parts, line
 }
 
-// table begins a table or an element of a list of tables.
+// startTable begins a table or an element of an array of tables.
 func (r *reader) startTable(n *unstable.Node) {
 	parts, line := r.keyParts(n)
 	name := strings.Join(parts, ".")
 	r.current = nil
-	at := r.openTable(r.root, parts[:len(parts)-1], line, name)
-	if at == nil {
+	parent := r.openTable(r.root, parts[:len(parts)-1], line, name)
+	if parent == nil {
 		return
 	}
 	last := parts[len(parts)-1]
-	old, there := at.Values[last]
+	existing, exists := parent.Values[last]
 	if n.Kind == unstable.ArrayTable {
-		list, isList := old.V.([]Value)
-		if there && !isList {
-			r.addError(line, name, fmt.Sprintf("it stands already in line %d, and is no list", old.Line))
+		list, isList := existing.V.([]Value)
+		if exists && !isList {
+			r.addError(line, name, fmt.Sprintf("already defined in line %d, and not as an array of tables", existing.Line))
 			return
 		}
 		r.current = newTable(line)
 		list = append(list, Value{Line: line, V: r.current})
-		if !there {
-			if r.tableFull(at, line, name) {
+		if !exists {
+			if r.tableFull(parent, line, name) {
 				return
 			}
-			old.Line = line
-			at.KeyOrder = append(at.KeyOrder, last)
+			existing.Line = line
+			parent.KeyOrder = append(parent.KeyOrder, last)
 		}
-		at.Values[last] = Value{Line: old.Line, V: list}
+		parent.Values[last] = Value{Line: existing.Line, V: list}
 		return
 	}
-	if there {
-		// A table that was only passed through by a longer name may follow; the
-		// library finds what may not.
-		if t, ok := old.V.(*Table); ok {
+	if exists {
+		// A table that so far was only implied by a longer name may be defined now. The
+		// library's decoder finds invalid redefinitions.
+		if t, ok := existing.V.(*Table); ok {
 			r.current = t
 		} else {
-			r.addError(line, name, fmt.Sprintf("it stands already in line %d, and is no table", old.Line))
+			r.addError(line, name, fmt.Sprintf("already defined in line %d, and not as a table", existing.Line))
 		}
 		return
 	}
-	if r.tableFull(at, line, name) {
+	if r.tableFull(parent, line, name) {
 		return
 	}
 	r.current = newTable(line)
-	at.Values[last] = Value{Line: line, V: r.current}
-	at.KeyOrder = append(at.KeyOrder, last)
+	parent.Values[last] = Value{Line: line, V: r.current}
+	parent.KeyOrder = append(parent.KeyOrder, last)
 }
 
-// descend goes down by the parts of a key, making the tables that are not there.
-func (r *reader) openTable(at *Table, parts []string, line int, name string) *Table {
-	for _, p := range parts {
-		v, there := at.Values[p]
-		if !there {
-			if r.tableFull(at, line, name) {
+// openTable follows the parts of a key to a table and creates missing tables.
+func (r *reader) openTable(table *Table, parts []string, line int, name string) *Table {
+	for _, part := range parts {
+		v, exists := table.Values[part]
+		if !exists {
+			if r.tableFull(table, line, name) {
 				return nil
 			}
 			v = Value{Line: line, V: newTable(line)}
-			at.Values[p] = v
-			at.KeyOrder = append(at.KeyOrder, p)
+			table.Values[part] = v
+			table.KeyOrder = append(table.KeyOrder, part)
 		}
 		switch x := v.V.(type) {
 		case *Table:
-			at = x
+			table = x
 		case []Value:
 			var last *Table
 			if len(x) > 0 {
 				last, _ = x[len(x)-1].V.(*Table)
 			}
 			if last == nil {
-				r.addError(line, name, fmt.Sprintf("%q in line %d is no table", p, v.Line))
+				r.addError(line, name, fmt.Sprintf("%q in line %d is not a table", part, v.Line))
 				return nil
 			}
-			at = last
+			table = last
 		default:
-			r.addError(line, name, fmt.Sprintf("%q in line %d is no table", p, v.Line))
+			r.addError(line, name, fmt.Sprintf("%q in line %d is not a table", part, v.Line))
 			return nil
 		}
 	}
-	return at
+	return table
 }
 
-// tooMany tells whether a table can take no further key, and then ends the reading.
-func (r *reader) tableFull(at *Table, line int, name string) bool {
-	if len(at.KeyOrder) < maxTableKeys {
+// tableFull reports whether a table has reached the maximum number of keys. If so, it
+// records an error and ends reading.
+func (r *reader) tableFull(table *Table, line int, name string) bool {
+	if len(table.KeyOrder) < maxTableKeys {
 		return false
 	}
 	r.addError(line, name, fmt.Sprintf("more than %d keys in one table", maxTableKeys))
@@ -230,27 +235,28 @@
 	return true
 }
 
-func (r *reader) addKeyValue(at *Table, n *unstable.Node) {
+// addKeyValue adds a key and its value to a table.
+func (r *reader) addKeyValue(table *Table, n *unstable.Node) {
 	parts, line := r.keyParts(n)
 	name := strings.Join(parts, ".")
-	if at = r.openTable(at, parts[:len(parts)-1], line, name); at == nil {
+	if table = r.openTable(table, parts[:len(parts)-1], line, name); table == nil {
 		return
 	}
 	last := parts[len(parts)-1]
-	if old, there := at.Values[last]; there {
-		r.syntaxErrors = append(r.syntaxErrors, SyntaxError{line, name, fmt.Sprintf("the key stands already in line %d", old.Line), true})
+	if existing, exists := table.Values[last]; exists {
+		r.syntaxErrors = append(r.syntaxErrors, SyntaxError{line, name, fmt.Sprintf("the key is already defined in line %d", existing.Line), true})
 		return
 	}
-	if r.tableFull(at, line, name) {
+	if r.tableFull(table, line, name) {
 		return
 	}
-	at.Values[last] = r.value(n.Value(), line)
-	at.KeyOrder = append(at.KeyOrder, last)
+	table.Values[last] = r.value(n.Value(), line)
+	table.KeyOrder = append(table.KeyOrder, last)
 }
 
-// value reads one value; near is a line that it is not above.
-func (r *reader) value(n *unstable.Node, near int) Value {
-	v := Value{Line: near, Text: truncate(r.sourceText(n))}
+// value converts a value of the parser. minLine is its line if the parser gives none.
+func (r *reader) value(n *unstable.Node, minLine int) Value {
+	v := Value{Line: minLine, Text: truncate(r.sourceText(n))}
 	if n.Raw.Length > 0 {
 		v.Line = r.nodeLine(n)
 	}
@@ -263,13 +269,13 @@
 	case unstable.Integer:
 		i, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
 		if err != nil {
-			r.addError(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
+			r.addError(v.Line, "", fmt.Sprintf("%s is out of range or not a valid number", v.Text))
 		}
 		v.V = i
 	case unstable.Float:
 		f, err := strconv.ParseFloat(strings.ReplaceAll(string(n.Data), "_", ""), 64)
 		if err != nil {
-			r.addError(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
+			r.addError(v.Line, "", fmt.Sprintf("%s is out of range or not a valid number", v.Text))
 		}
 		v.V = f
 	case unstable.Array:
@@ -294,6 +300,7 @@
 	return v
 }
 
+// sourceText returns the text of a value in the file.
 func (r *reader) sourceText(n *unstable.Node) string {
 	if n.Raw.Length > 0 {
 		return string(r.parser.Raw(n.Raw))
@@ -301,12 +308,13 @@
 	return string(n.Data)
 }
 
+// truncate shortens a text without splitting a UTF-8 sequence.
 func truncate(s string) string {
-	const most = 60
-	if len(s) <= most {
+	const maxLength = 60
+	if len(s) <= maxLength {
 		return s
 	}
-	cut := most
+	cut := maxLength
 	for cut > 0 && s[cut]&0xc0 == 0x80 {
 		cut--
 	}
