--- a/internal/operators/settings/settings.go
+++ b/internal/operators/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that a node, or an instance on the
-// simulator's wire, is given at its start.
+// Package settings reads the settings object that a node, or an instance in the simulator,
+// receives at its start.
 package settings
 
 import (
@@ -10,13 +10,13 @@
 	"curlewring/decide"
 )
 
-// Schema is the version of a node's configuration that this program writes. 0 is
-// one without a version, as the platform writes it. A node reads its own version
-// and all before it, and the next one too: keys that it does not know are passed
-// over, so that a fleet can be moved on in any order.
+// Schema is the version of the node configuration that this program writes. 0 stands for a
+// configuration without a version, as the platform writes it. A node reads its own version,
+// all earlier ones and the next one, and ignores unknown keys, so that the nodes of a fleet
+// can be upgraded in any order.
 const Schema = 1
 
-// Object is the settings object. Keys that it does not name are passed over.
+// Object is the settings object. Unknown keys are ignored.
 type Object struct {
 	Categories []struct {
 		Name       string        `json:"name"`
@@ -89,27 +89,28 @@
 	Zone           string        `json:"zone"`
 }
 
+// Values of the settings that stand for constants of package decide.
 var (
 	idempotencies = map[string]decide.Idempotency{"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.AtMostOnce}
 	weightSources = map[string]decide.WeightSource{
 		"none": decide.WeightNone, "nominal": decide.WeightNominal, "rough": decide.WeightApproximate,
 		"live": decide.WeightLive,
 	}
-	// mustAsk tells of each way of lists whether they come only when asked for.
+	// mustSubscribeByMode maps a registry mode to whether lists arrive only after subscribing.
 	mustSubscribeByMode = map[string]bool{"subscribe": true, "automatic": false, "": false}
-	groups  = map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell}
+	groups              = map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell}
 )
 
-// Named looks up a word in a table of names.
-func LookupName[T any](table map[string]T, what, word string) (T, error) {
-	v, ok := table[word]
+// LookupName looks up a name in a table. what describes the kind of name for the error.
+func LookupName[T any](table map[string]T, what, name string) (T, error) {
+	v, ok := table[name]
 	if !ok {
-		return v, fmt.Errorf("unknown %s %q", what, word)
+		return v, fmt.Errorf("unknown %s %q", what, name)
 	}
 	return v, nil
 }
 
-// Translate turns the settings into the module's.
+// Translate converts the settings to those of package decide.
 func (s *Object) Translate() (decide.Settings, error) {
 	set := decide.Settings{
 		Node:               s.Me,
@@ -157,13 +158,13 @@
 		MayAdviseRetry: s.Limits.RetryAfter,
 	}
 	if len(s.Categories) == 0 {
-		return set, errors.New("settings name no class")
+		return set, errors.New("categories is empty, the settings must define at least one class")
 	}
-	asks, err := LookupName(mustSubscribeByMode, "registry_mode", s.RegistryMode)
+	mustSubscribe, err := LookupName(mustSubscribeByMode, "registry_mode", s.RegistryMode)
 	if err != nil {
 		return set, err
 	}
-	set.MustSubscribe = asks
+	set.MustSubscribe = mustSubscribe
 	if s.WeightSource != "" {
 		kind, err := LookupName(weightSources, "weight source", s.WeightSource)
 		if err != nil {
@@ -171,24 +172,24 @@
 		}
 		set.WeightSource = kind
 	}
-	for _, c := range s.Categories {
-		effect, err := LookupName(idempotencies, "semantics", c.Semantics)
+	for _, category := range s.Categories {
+		idempotency, err := LookupName(idempotencies, "semantics", category.Semantics)
 		if err != nil {
 			return set, err
 		}
 		group := decide.GroupAll
-		if effect == decide.Keyed {
-			if group, err = LookupName(groups, "group", c.Group); err != nil {
+		if idempotency == decide.Keyed {
+			if group, err = LookupName(groups, "group", category.Group); err != nil {
 				return set, err
 			}
 		}
 		set.Classes = append(set.Classes, decide.Class{
-			LatencyTarget: c.Aim, TargetPerWork: c.AimStretch, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth,
-			Idempotency: effect, Group: group, KeyTTL: c.KeyTTL,
+			LatencyTarget: category.Aim, TargetPerWork: category.AimStretch, Deadline: category.Deadline, Worth: category.Worth, LateWorth: category.LateWorth,
+			Idempotency: idempotency, Group: group, KeyTTL: category.KeyTTL,
 		})
 	}
-	for _, t := range s.Tenants {
-		set.Tenants = append(set.Tenants, decide.Tenant{Quota: t.Quota, Share: t.Share})
+	for _, tenant := range s.Tenants {
+		set.Tenants = append(set.Tenants, decide.Tenant{Quota: tenant.Quota, Share: tenant.Share})
 	}
 	return set, nil
 }
--- a/internal/operators/settings/settings_test.go
+++ b/internal/operators/settings/settings_test.go
@@ -9,8 +9,8 @@
 	"curlewring/decide"
 )
 
-// What the settings say must reach the module; a word that is not known must be
-// an error, not a silent zero that means something else.
+// Translate must pass the settings on to package decide. An unknown name must be an error
+// and not become a zero value with another meaning.
 func TestTranslate(t *testing.T) {
 	const text = `{"categories":[{"name":"a","semantics":"by_key","group":"cell","key_ttl_ns":10000000000,
 		"deadline_ns":900000000}],"weight_source":"live","limits":{"most_tries":4},"novel":1}`
@@ -30,19 +30,19 @@
 		c.Deadline != 900*time.Millisecond || set.WeightSource != decide.WeightLive || set.MaxAttempts != 4 {
 		t.Errorf("got %+v", set)
 	}
-	for _, word := range []string{"by_key", "cell", "live"} {
-		if _, err := read(strings.Replace(text, word, "odd", 1)); err == nil {
-			t.Errorf("an odd word in place of %q was taken", word)
+	for _, name := range []string{"by_key", "cell", "live"} {
+		if _, err := read(strings.Replace(text, name, "odd", 1)); err == nil {
+			t.Errorf("an unknown name in place of %q was accepted", name)
 		}
 	}
 	if _, err := read(`{}`); err == nil {
-		t.Error("settings without a class were taken")
+		t.Error("settings without a class were accepted")
 	}
 }
 
-// Wrong settings must be told with key, value and bound, and right ones be taken.
+// Invalid settings must be reported with key, value and bound, and valid ones accepted.
 func TestCheck(t *testing.T) {
-	const good = `{"categories":[{"name":"a","semantics":"once","aim_ns":5,"deadline_ns":9,"key_ttl_ns":0,"worth":2},
+	const valid = `{"categories":[{"name":"a","semantics":"once","aim_ns":5,"deadline_ns":9,"key_ttl_ns":0,"worth":2},
 		{"name":"b","semantics":"repeatable","worth":0}],"tenants":[{"name":"x","quota_per_s":3},{"name":"y","quota_per_s":0}]}`
 	check := func(text string) error {
 		t.Helper()
@@ -52,7 +52,7 @@
 		}
 		return o.Check()
 	}
-	if err := check(good); err != nil {
+	if err := check(valid); err != nil {
 		t.Error(err)
 	}
 	for _, c := range [][3]string{
@@ -65,7 +65,7 @@
 		{`"name":"y"`, `"name":"x"`, `tenants[1].name: "x" is the name of tenants[0] too`},
 		{`"quota_per_s":3`, `"quota_per_s":-3`, `tenants[0].quota_per_s: -3 is below 0`},
 	} {
-		if err := check(strings.Replace(good, c[0], c[1], 1)); err == nil || err.Error() != c[2] {
+		if err := check(strings.Replace(valid, c[0], c[1], 1)); err == nil || err.Error() != c[2] {
 			t.Errorf("%s: %v, want %s", c[1], err, c[2])
 		}
 	}
