--- a/internal/operators/routes/check.go
+++ b/internal/operators/routes/check.go
@@ -11,18 +11,18 @@
 	"curlewring/decide"
 )
 
-// Env is what a file is checked against: the platform's settings, and the names
-// of their classes and tenants in order.
+// Env is the environment that a file is checked against: the platform's settings, and the
+// names of their classes and tenants in order.
 type Env struct {
 	Classes  []string
 	Tenants  []string
 	Settings decide.Settings
 }
 
-// windowPart is the part of a key's window that the module uses.
+// usableWindowPart is the part of a key's lifetime in which package decide sends repeats.
 const usableWindowPart = 0.9
 
-// outcomes are the words of retry_on.
+// retryOutcomes maps the values of retry_on to results.
 func retryOutcomes() map[string]decide.Result {
 	return map[string]decide.Result{
 		"error": decide.Errored, "turned-away": decide.Rejected, "timeout": decide.TimedOut,
@@ -30,17 +30,17 @@
 	}
 }
 
-// harmless are the outcomes that prove that nothing ran.
+// safeOutcomes are the outcomes after which a request certainly has not run.
 const safeOutcomes = "turned-away, unconnected"
 
-// Check checks a file against settings and rules, and compiles it. Every fault
-// is reported; with any, the table is nil.
+// Check checks a file against the settings and rules and compiles it. It reports all errors;
+// if there are any, the table is nil.
 func Check(f *File, env Env) (*Table, []Finding) {
 	return checkExcept(f, env, nil)
 }
 
-// check is Check without the codes that skip names, for tests that show what
-// each is for.
+// checkExcept is Check without the codes in skip. Tests use it to show that each check is
+// needed.
 func checkExcept(f *File, env Env, skip map[Code]bool) (*Table, []Finding) {
 	c := &checker{env: env, skip: skip, table: &Table{classes: make([][]matcher, len(env.Classes))}}
 	for i := range f.Routes {
@@ -49,8 +49,8 @@
 	for i := range c.routes {
 		c.checkRoute(&c.routes[i])
 	}
-	for _, all := range c.table.classes {
-		sortMatchers(all)
+	for _, matchers := range c.table.classes {
+		sortMatchers(matchers)
 	}
 	c.table.idle = c.checkIdleRules(f.Idles)
 	SortFindings(c.findings)
@@ -60,7 +60,7 @@
 	return c.table, nil
 }
 
-// Load parses and checks a file in one go.
+// Load parses and checks a file.
 func Load(text []byte, env Env) (*Table, []Finding) {
 	f, findings := Parse(text)
 	table, more := Check(f, env)
@@ -72,17 +72,18 @@
 	return table, nil
 }
 
-// placed is a route whose requests are known.
+// resolvedRoute is a route whose class and tenant are known.
 type resolvedRoute struct {
 	*Route
 	class, tenant int // indices; tenant -1: any
 }
 
-// contains tells whether all requests of the other route are this one's too.
+// contains reports whether this route matches all requests of another.
 func (p *resolvedRoute) contains(other *resolvedRoute) bool {
 	return p.class == other.class && (p.tenant < 0 || p.tenant == other.tenant) && hasPathPrefix(other.Path.V, p.Path.V)
 }
 
+// checker checks the routes of a file and collects the findings.
 type checker struct {
 	env      Env
 	skip     map[Code]bool
@@ -91,15 +92,16 @@
 	findings []Finding
 }
 
+// report records a finding unless its code is skipped.
 func (c *checker) report(code Code, line int, key, value, bound, text string) {
 	if !c.skip[code] {
 		c.findings = append(c.findings, Finding{code, line, key, value, bound, text})
 	}
 }
 
-// place finds out which requests a route is for.
+// resolveRoute determines which requests a route matches.
 func (c *checker) resolveRoute(r *Route) {
-	p := resolvedRoute{Route: r, tenant: -1}
+	resolved := resolvedRoute{Route: r, tenant: -1}
 	ok := true
 	switch {
 	case r.Class.Line == 0 && r.Incomplete:
@@ -110,21 +112,21 @@
 	case r.Class.Invalid:
 		return
 	}
-	if p.class = slices.Index(c.env.Classes, r.Class.V); p.class < 0 {
+	if resolved.class = slices.Index(c.env.Classes, r.Class.V); resolved.class < 0 {
 		c.report(UnknownClass, r.Class.Line, "class", strconv.Quote(r.Class.V), strings.Join(c.env.Classes, ", "),
 			"the platform's settings name no such class")
 		return
 	}
 	if r.Tenant.IsSet() {
-		if p.tenant = slices.Index(c.env.Tenants, r.Tenant.V); p.tenant < 0 {
+		if resolved.tenant = slices.Index(c.env.Tenants, r.Tenant.V); resolved.tenant < 0 {
 			c.report(UnknownTenant, r.Tenant.Line, "tenant", strconv.Quote(r.Tenant.V), strings.Join(c.env.Tenants, ", "),
 				"the platform's settings name no such tenant")
 			ok = false
 		}
 	}
 	if r.Path.IsSet() {
-		if why := pathProblem(r.Path.V, r.Class.V); why != "" {
-			c.report(NeverMatches, r.Path.Line, "path", strconv.Quote(r.Path.V), "/"+r.Class.V+"/...", why)
+		if problem := pathProblem(r.Path.V, r.Class.V); problem != "" {
+			c.report(NeverMatches, r.Path.Line, "path", strconv.Quote(r.Path.V), "/"+r.Class.V+"/...", problem)
 			ok = false
 		}
 	}
@@ -132,25 +134,25 @@
 		return
 	}
 	for i := range c.routes {
-		if o := &c.routes[i]; o.class == p.class && o.tenant == p.tenant && o.Path.V == r.Path.V {
+		if other := &c.routes[i]; other.class == resolved.class && other.tenant == resolved.tenant && other.Path.V == r.Path.V {
 			c.report(DuplicateRoute, r.Line, "[[route]]", "", "",
-				fmt.Sprintf("the route in line %d is for the same requests: this one can never match", o.Line))
+				fmt.Sprintf("the route in line %d is for the same requests: this one can never match", other.Line))
 			return
 		}
 	}
 	if !r.setsAnything() && !r.Incomplete {
 		c.report(SetsNothing, r.Line, "[[route]]", "", "", "the route sets no key")
 	}
-	c.routes = append(c.routes, p)
+	c.routes = append(c.routes, resolved)
 }
 
-// sets tells whether a route says anything, readable or not.
+// setsAnything reports whether a route sets any key, valid or not.
 func (r *Route) setsAnything() bool {
 	return r.AttemptTimeout.Line+r.Attempts.Line+r.BackoffFirst.Line+r.BackoffMax.Line+r.BackoffJitter.Line+
 		r.RetryOn.Line+r.SecondCopyAfter.Line+r.DeadlineCap.Line+r.RetryAfter.Line > 0
 }
 
-// impossible says why no request of a class can have a path below this one.
+// pathProblem explains why no request of a class can have this path prefix, or returns "".
 func pathProblem(path, class string) string {
 	switch {
 	case path == "":
@@ -167,52 +169,53 @@
 	return ""
 }
 
-// inherit takes what a route leaves open from the routes that contain it, the
-// most specific of them first.
+// inherit fills the unset keys of a route from the routes that contain it, the most specific
+// first.
 func (c *checker) inherit(p *resolvedRoute) Route {
 	r := *p.Route
-	var wider []*resolvedRoute
+	var containing []*resolvedRoute
 	for i := range c.routes {
-		if o := &c.routes[i]; o != p && o.contains(p) {
-			wider = append(wider, o)
+		if other := &c.routes[i]; other != p && other.contains(p) {
+			containing = append(containing, other)
 		}
 	}
-	slices.SortStableFunc(wider, func(x, y *resolvedRoute) int {
+	slices.SortStableFunc(containing, func(x, y *resolvedRoute) int {
 		if d := len(y.Path.V) - len(x.Path.V); d != 0 {
 			return d
 		}
 		return min(y.tenant, 0) - min(x.tenant, 0)
 	})
-	for _, o := range wider {
-		inheritValue(&r.AttemptTimeout, o.AttemptTimeout)
-		inheritValue(&r.Attempts, o.Attempts)
-		inheritValue(&r.BackoffFirst, o.BackoffFirst)
-		inheritValue(&r.BackoffMax, o.BackoffMax)
-		inheritValue(&r.BackoffJitter, o.BackoffJitter)
-		inheritValue(&r.RetryOn, o.RetryOn)
-		inheritValue(&r.SecondCopyAfter, o.SecondCopyAfter)
-		inheritValue(&r.DeadlineCap, o.DeadlineCap)
-		inheritValue(&r.RetryAfter, o.RetryAfter)
+	for _, other := range containing {
+		inheritValue(&r.AttemptTimeout, other.AttemptTimeout)
+		inheritValue(&r.Attempts, other.Attempts)
+		inheritValue(&r.BackoffFirst, other.BackoffFirst)
+		inheritValue(&r.BackoffMax, other.BackoffMax)
+		inheritValue(&r.BackoffJitter, other.BackoffJitter)
+		inheritValue(&r.RetryOn, other.RetryOn)
+		inheritValue(&r.SecondCopyAfter, other.SecondCopyAfter)
+		inheritValue(&r.DeadlineCap, other.DeadlineCap)
+		inheritValue(&r.RetryAfter, other.RetryAfter)
 	}
 	return r
 }
 
+// inheritValue sets a value that is not in the file to an inherited one.
 func inheritValue[T any](v *Value[T], from Value[T]) {
 	if v.Line == 0 {
 		*v = from
 	}
 }
 
-// values checks what holds for a route's requests, and adds its row.
+// checkRoute checks the effective values of a route and adds its policy to the table.
 func (c *checker) checkRoute(p *resolvedRoute) {
 	r := c.inherit(p)
-	set, class, name := &c.env.Settings, &c.env.Settings.Classes[p.class], c.env.Classes[p.class]
-	b := decide.RoutePolicy{
+	settings, class, name := &c.env.Settings, &c.env.Settings.Classes[p.class], c.env.Classes[p.class]
+	policy := decide.RoutePolicy{
 		AttemptTimeout: r.AttemptTimeout.V, MaxAttempts: r.Attempts.V, BackoffInitial: r.BackoffFirst.V,
 		BackoffMax: r.BackoffMax.V, BackoffJitter: r.BackoffJitter.V, HedgeAfter: r.SecondCopyAfter.V,
 		DeadlineCap: r.DeadlineCap.V, MaxRetryAfter: r.RetryAfter.V,
 	}
-	attempts := max(1, set.MaxAttempts)
+	attempts := max(1, settings.MaxAttempts)
 	if r.Attempts.IsSet() {
 		if r.Attempts.V > attempts {
 			c.report(TooManyAttempts, r.Attempts.Line, "attempts", strconv.Itoa(r.Attempts.V),
@@ -222,32 +225,34 @@
 	}
 	limit := class.Deadline
 	if r.DeadlineCap.IsSet() {
-		if b.DeadlineCap > class.Deadline {
-			c.report(DeadlineTooLong, r.DeadlineCap.Line, "deadline_cap", quoteDuration(b.DeadlineCap),
+		if policy.DeadlineCap > class.Deadline {
+			c.report(DeadlineTooLong, r.DeadlineCap.Line, "deadline_cap", quoteDuration(policy.DeadlineCap),
 				"up to "+class.Deadline.String(), "above the deadline of class "+name)
 		}
-		limit = min(limit, b.DeadlineCap)
+		limit = min(limit, policy.DeadlineCap)
 	}
-	if r.AttemptTimeout.IsSet() && b.AttemptTimeout > limit {
-		c.report(AttemptTooLong, r.AttemptTimeout.Line, "attempt_timeout", quoteDuration(b.AttemptTimeout),
+	if r.AttemptTimeout.IsSet() && policy.AttemptTimeout > limit {
+		c.report(AttemptTooLong, r.AttemptTimeout.Line, "attempt_timeout", quoteDuration(policy.AttemptTimeout),
 			"up to "+limit.String(), "an attempt may last longer than a request of class "+name)
 	}
 	c.checkBackoff(&r, attempts)
-	c.checkRetryOn(&r, &b, class, name, attempts)
+	c.checkRetryOn(&r, &policy, class, name, attempts)
 	c.checkSecondCopy(&r, class, name, attempts, limit)
-	c.checkTotalTime(&r, &b, class, name, attempts, limit)
-	c.checkRetryAfter(&r, set)
-	p.addPolicy(c.table, b)
+	c.checkTotalTime(&r, &policy, class, name, attempts, limit)
+	c.checkRetryAfter(&r, settings)
+	p.addPolicy(c.table, policy)
 }
 
-// add puts a route's row into the table.
-func (p *resolvedRoute) addPolicy(t *Table, b decide.RoutePolicy) {
-	t.policies = append(t.policies, b)
+// addPolicy adds the policy and the matcher of a route to the table.
+func (p *resolvedRoute) addPolicy(t *Table, policy decide.RoutePolicy) {
+	t.policies = append(t.policies, policy)
 	t.classes[p.class] = append(t.classes[p.class], matcher{p.Path.V, p.tenant, len(t.policies)})
 }
 
+// quoteDuration returns a duration as a quoted string.
 func quoteDuration(d time.Duration) string { return strconv.Quote(d.String()) }
 
+// checkBackoff checks that the back-off keys agree with each other and with the attempts.
 func (c *checker) checkBackoff(r *Route, attempts int) {
 	if r.BackoffFirst.IsSet() && r.BackoffMax.IsSet() && r.BackoffFirst.V > r.BackoffMax.V {
 		c.report(BackoffOrder, r.BackoffFirst.Line, "backoff.first", quoteDuration(r.BackoffFirst.V),
@@ -267,30 +272,32 @@
 	}
 }
 
-func (c *checker) checkRetryOn(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int) {
+// checkRetryOn checks the outcomes that may be retried.
+func (c *checker) checkRetryOn(r *Route, policy *decide.RoutePolicy, class *decide.Class, name string, attempts int) {
 	if !r.RetryOn.IsSet() {
 		return
 	}
-	words := retryOutcomes()
-	// What was never sent did not fail: the server had begun to drain, say.
-	b.RetryOn = decide.NotSent.Bit()
+	results := retryOutcomes()
+	// A request that was never sent has not failed, for example because the server began to
+	// drain.
+	policy.RetryOn = decide.NotSent.Bit()
 	for _, word := range r.RetryOn.V {
-		result, ok := words[word]
+		result, ok := results[word]
 		switch {
 		case !ok:
 			c.report(UnknownOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word),
 				"error, reset, spoilt, timeout, turned-away, unconnected", "there is no such outcome")
-		case b.RetryOn&result.Bit() != 0:
+		case policy.RetryOn&result.Bit() != 0:
 			c.report(DuplicateOutcome, r.RetryOn.Line, "retry_on", strconv.Quote(word), "", "the outcome stands there twice")
 		case class.Idempotency == decide.AtMostOnce && result != decide.Rejected && result != decide.ConnectFailed:
 			c.report(RetryUnsafe, r.RetryOn.Line, "retry_on", strconv.Quote(word), safeOutcomes,
 				"class "+name+" is unsafe to repeat, and this may have run")
 		}
 		if ok {
-			b.RetryOn |= result.Bit()
+			policy.RetryOn |= result.Bit()
 		}
 	}
-	if attempts > 1 && r.AttemptTimeout.Line == 0 && b.RetryOn&decide.TimedOut.Bit() != 0 {
+	if attempts > 1 && r.AttemptTimeout.Line == 0 && policy.RetryOn&decide.TimedOut.Bit() != 0 {
 		c.report(NoEffect, r.RetryOn.Line, "retry_on", `"timeout"`, "with attempt_timeout",
 			"without attempt_timeout an attempt times out only when its request does")
 	}
@@ -300,6 +307,7 @@
 	}
 }
 
+// checkSecondCopy checks that a second copy is allowed, safe and sent in time.
 func (c *checker) checkSecondCopy(r *Route, class *decide.Class, name string, attempts int, limit time.Duration) {
 	if !r.SecondCopyAfter.IsSet() {
 		return
@@ -326,25 +334,26 @@
 	}
 }
 
-// leastAttempt is what an attempt without a time-out of its own must have at the least.
+// minAttemptTime is the assumed duration of an attempt without its own timeout.
 const minAttemptTime = time.Millisecond
 
-// Waits is the longest that all waits between so many attempts can be under a
-// row's bounds.
-func MaxTotalBackoff(b decide.RoutePolicy, attempts int) time.Duration {
+// MaxTotalBackoff returns the longest possible sum of the back-offs between a number of
+// attempts under a policy.
+func MaxTotalBackoff(policy decide.RoutePolicy, attempts int) time.Duration {
 	sum := time.Duration(0)
-	for i, wait := 1, b.BackoffInitial; i < attempts; i, wait = i+1, min(2*wait, 2*maxDuration) {
-		if b.BackoffMax > 0 {
-			wait = min(wait, b.BackoffMax)
+	for i, wait := 1, policy.BackoffInitial; i < attempts; i, wait = i+1, min(2*wait, 2*maxDuration) {
+		if policy.BackoffMax > 0 {
+			wait = min(wait, policy.BackoffMax)
 		}
 		sum += wait
 	}
 	return sum
 }
 
-// times checks attempts and waits against the request's time and the key's window.
-func (c *checker) checkTotalTime(r *Route, b *decide.RoutePolicy, class *decide.Class, name string, attempts int, limit time.Duration) {
-	// Faults of the values themselves are told; what follows from them says nothing new.
+// checkTotalTime checks the attempts and back-offs against the deadline of the request and the
+// lifetime of its key.
+func (c *checker) checkTotalTime(r *Route, policy *decide.RoutePolicy, class *decide.Class, name string, attempts int, limit time.Duration) {
+	// Invalid values have been reported already. Findings derived from them would add nothing.
 	if r.AttemptTimeout.Invalid || r.Attempts.Invalid || r.BackoffFirst.Invalid || r.BackoffMax.Invalid || r.DeadlineCap.Invalid ||
 		attempts > max(1, c.env.Settings.MaxAttempts) {
 		return
@@ -360,29 +369,29 @@
 			key, line = "backoff", r.BackoffFirst.Line
 		}
 	}
-	pause := MaxTotalBackoff(*b, attempts)
-	// An attempt without a time-out of its own takes some time too.
-	all := time.Duration(attempts)*cmp.Or(b.AttemptTimeout, minAttemptTime) + pause
-	if b.AttemptTimeout <= limit && all > limit && limit > 0 {
+	backoff := MaxTotalBackoff(*policy, attempts)
+	// An attempt without its own timeout takes some time too.
+	total := time.Duration(attempts)*cmp.Or(policy.AttemptTimeout, minAttemptTime) + backoff
+	if policy.AttemptTimeout <= limit && total > limit && limit > 0 {
 		c.report(NotEnoughTime, line, key, value, "in all at most "+limit.String(),
 			fmt.Sprintf("%d attempts of %s with %s of back-off take %s, and a request of class %s has less",
-				attempts, timeoutText(b.AttemptTimeout), pause, all, name))
+				attempts, timeoutText(policy.AttemptTimeout), backoff, total, name))
 		return
 	}
 	if class.Idempotency != decide.Keyed {
 		return
 	}
-	// From the first send that may have run to the last send. An attempt without a
-	// time-out of its own may end just before its request does.
-	last := limit
-	if b.AttemptTimeout > 0 {
-		last = min(limit, time.Duration(attempts-1)*b.AttemptTimeout+pause)
+	// Time from the first attempt that may have run to the start of the last one. An attempt
+	// without its own timeout may last almost until the deadline.
+	lastSend := limit
+	if policy.AttemptTimeout > 0 {
+		lastSend = min(limit, time.Duration(attempts-1)*policy.AttemptTimeout+backoff)
 	}
 	window := time.Duration(usableWindowPart * float64(class.KeyTTL))
-	if last > window {
+	if lastSend > window {
 		c.report(PastWindow, line, key, value, "the last send at most "+window.String()+" after the first",
 			fmt.Sprintf("the last of %d attempts may go out %s after the first, and %s drop repeats of class %s for %s",
-				attempts, last, groupText(class.Group), name, class.KeyTTL))
+				attempts, lastSend, groupText(class.Group), name, class.KeyTTL))
 	} else if class.Group == decide.GroupAll && r.RetryAfter.IsSet() && limit+r.RetryAfter.V > class.KeyTTL {
 		c.report(ReturnPastWindow, r.RetryAfter.Line, "retry_after", quoteDuration(r.RetryAfter.V),
 			"up to "+max(0, class.KeyTTL-limit).String(),
@@ -391,6 +400,7 @@
 	}
 }
 
+// timeoutText describes an attempt timeout in a finding.
 func timeoutText(d time.Duration) string {
 	if d == 0 {
 		return "any length"
@@ -398,6 +408,7 @@
 	return d.String()
 }
 
+// groupText describes the servers that share a key.
 func groupText(g decide.Group) string {
 	switch g {
 	case decide.GroupZone:
@@ -408,14 +419,15 @@
 	return "all servers"
 }
 
-func (c *checker) checkRetryAfter(r *Route, set *decide.Settings) {
+// checkRetryAfter checks the Retry-After sent with refusals.
+func (c *checker) checkRetryAfter(r *Route, settings *decide.Settings) {
 	if !r.RetryAfter.IsSet() {
 		return
 	}
 	line, value := r.RetryAfter.Line, quoteDuration(r.RetryAfter.V)
-	if !set.MayAdviseRetry {
+	if !settings.MayAdviseRetry {
 		c.report(NoAdvice, line, "retry_after", value, "no such key", "refusals carry no advice on this platform")
-	} else if r.RetryAfter.V > set.MaxRetryAfter {
-		c.report(LongAdvice, line, "retry_after", value, "up to "+set.MaxRetryAfter.String(), "beyond the longest Retry-After")
+	} else if r.RetryAfter.V > settings.MaxRetryAfter {
+		c.report(LongAdvice, line, "retry_after", value, "up to "+settings.MaxRetryAfter.String(), "beyond the longest Retry-After")
 	}
 }
--- a/internal/operators/routes/codes.go
+++ b/internal/operators/routes/codes.go
@@ -7,62 +7,62 @@
 	"strings"
 )
 
-// Code names a kind of finding. It is stable: a code is never given another
-// meaning, and one that is no longer used is not used again.
+// Code identifies a kind of finding. Codes are stable: a code never changes its meaning, and
+// a retired code is not reused.
 type Code string
 
-// The codes. docs/operators/routes.md says of each what to do.
+// The codes. docs/operators/routes.md explains what to do about each.
 const (
 	Unreadable Code = "RT001" // the file can't be read
-	TooLarge   Code = "RT002" // the file is larger than MostBytes
-	Empty      Code = "RT003" // the file says nothing
-	Syntax     Code = "RT004" // the text is no TOML
-	Duplicate  Code = "RT005" // a key stands twice
-	UnknownKey Code = "RT006" // there is no such key
-	WrongType  Code = "RT007" // a value of another type is wanted
-	WrongUnit  Code = "RT008" // a duration can't be read, or has no unit
-	OutOfRange Code = "RT009" // zero, negative, not a number, or too large to be meant
-	WrongCount Code = "RT010" // route_count is not the number of routes
+	TooLarge   Code = "RT002" // the file is larger than MaxFileSize
+	Empty      Code = "RT003" // the file is empty or has no rules
+	Syntax     Code = "RT004" // the text is not valid TOML
+	Duplicate  Code = "RT005" // a key is defined twice
+	UnknownKey Code = "RT006" // the key is unknown
+	WrongType  Code = "RT007" // the value has the wrong type
+	WrongUnit  Code = "RT008" // a duration can't be parsed or has no unit
+	OutOfRange Code = "RT009" // zero, negative, not a number or implausibly large
+	WrongCount Code = "RT010" // route_count differs from the number of routes
 
 	NoClass        Code = "RT020" // a route has no class
-	UnknownClass   Code = "RT021" // the settings name no such class
-	UnknownTenant  Code = "RT022" // the settings name no such tenant
+	UnknownClass   Code = "RT021" // the class is not in the settings
+	UnknownTenant  Code = "RT022" // the tenant is not in the settings
 	NeverMatches   Code = "RT023" // no request can have this path
 	DuplicateRoute Code = "RT024" // another route matches the same requests
-	SetsNothing    Code = "RT025" // a route changes nothing
+	SetsNothing    Code = "RT025" // a route sets no key
 
 	TooManyAttempts Code = "RT030" // more attempts than the platform allows
 	AttemptTooLong  Code = "RT031" // an attempt may last longer than its request
-	DeadlineTooLong Code = "RT032" // the cap is above the class's deadline
-	NotEnoughTime   Code = "RT033" // attempts and back-off don't fit the time
-	BackoffOrder    Code = "RT034" // the first wait is above the most
-	NoEffect        Code = "RT035" // a key has no effect beside the others
-
-	CopiesRuledOut Code = "RT040" // attempts of a request may not overlap here
-	CopyOfKeyed    Code = "RT041" // a second copy of a keyed request
-	CopyOfUnsafe   Code = "RT042" // a second copy of an unsafe request
-	CopyTooLate    Code = "RT043" // the copy would go out after its attempt's end
-	CopyNoAttempt  Code = "RT044" // a copy needs a second attempt
-
-	UnknownOutcome   Code = "RT050" // retry_on names no outcome
-	DuplicateOutcome Code = "RT051" // retry_on names one twice
-	RetryUnsafe      Code = "RT052" // an unsafe class, and what may have run
-	RetryOnNothing   Code = "RT053" // retry_on is empty, and there are attempts left
-
-	PastWindow       Code = "RT060" // an attempt after the servers may have dropped the key
-	ReturnPastWindow Code = "RT061" // a client told to return after that
-
-	LongAdvice Code = "RT070" // advice beyond the longest Retry-After
-	NoAdvice   Code = "RT071" // refusals carry no advice here
-
-	InvalidNetwork    Code = "RT080" // an idle rule's network can't be read
-	IdleOutOfRange    Code = "RT081" // connections can't idle for so short or so long
-	DuplicateIdleRule Code = "RT082" // another idle rule is for the same connections
+	DeadlineTooLong Code = "RT032" // deadline_cap is above the deadline of the class
+	NotEnoughTime   Code = "RT033" // the attempts and back-offs take longer than the request may
+	BackoffOrder    Code = "RT034" // backoff.first is above backoff.most
+	NoEffect        Code = "RT035" // a key has no effect given the others
+
+	CopiesRuledOut Code = "RT040" // the platform does not allow concurrent attempts of a request
+	CopyOfKeyed    Code = "RT041" // second copy of a keyed request
+	CopyOfUnsafe   Code = "RT042" // second copy of a request that is unsafe to repeat
+	CopyTooLate    Code = "RT043" // the copy would be sent after the first attempt has ended
+	CopyNoAttempt  Code = "RT044" // a copy counts as an attempt, but only one is allowed
+
+	UnknownOutcome   Code = "RT050" // retry_on has an unknown outcome
+	DuplicateOutcome Code = "RT051" // retry_on has a duplicate outcome
+	RetryUnsafe      Code = "RT052" // retry of an unsafe request after an outcome where it may have run
+	RetryOnNothing   Code = "RT053" // retry_on is empty with more than one attempt
+
+	PastWindow       Code = "RT060" // an attempt may be sent after the servers have dropped its key
+	ReturnPastWindow Code = "RT061" // retry_after lets a client return after its key was dropped
+
+	LongAdvice Code = "RT070" // retry_after is above the longest Retry-After
+	NoAdvice   Code = "RT071" // the platform sends no Retry-After with refusals
+
+	InvalidNetwork    Code = "RT080" // the network of an idle rule can't be parsed
+	IdleOutOfRange    Code = "RT081" // the timeout of an idle rule is out of range
+	DuplicateIdleRule Code = "RT082" // another idle rule matches the same connections
 	TooManyIdleRules  Code = "RT083" // too many idle rules
 )
 
-// Rule is what a code stands for: one of the four rules, the platform's
-// settings, or the file's form.
+// Rule returns what a code checks: one of the four rules, the platform's settings, the form
+// of the file, or whether its values make sense.
 func (c Code) Rule() string {
 	switch c {
 	case Unreadable, TooLarge, Empty, Syntax, Duplicate, UnknownKey, WrongType, WrongUnit, OutOfRange, WrongCount:
@@ -83,7 +83,7 @@
 	return "sense"
 }
 
-// Codes lists all codes in their order.
+// Codes returns all codes in order.
 func Codes() []Code {
 	return []Code{
 		Unreadable, TooLarge, Empty, Syntax, Duplicate, UnknownKey, WrongType, WrongUnit, OutOfRange, WrongCount,
@@ -95,17 +95,17 @@
 	}
 }
 
-// Finding is one fault of a file.
+// Finding is an error in a file.
 type Finding struct {
 	Code  Code
-	Line  int    // 1 is the first; 0: the file as a whole
-	Key   string // as it stands in the file
-	Value string // what stands there
-	Bound string // what it would have to be
-	Text  string // what is wrong, in words
+	Line  int    // starts at 1; 0: the file as a whole
+	Key   string // key as written in the file
+	Value string // value as written in the file
+	Bound string // allowed values
+	Text  string // description of the error
 }
 
-// String is the finding on one line, without the file's name.
+// String returns the finding on one line, without the file name.
 func (f Finding) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s", f.Code)
@@ -125,7 +125,7 @@
 	return b.String()
 }
 
-// InFile is the finding with the file and line in front, as compilers print them.
+// InFile returns the finding prefixed with file and line, as compilers print errors.
 func (f Finding) InFile(file string) string {
 	if f.Line > 0 {
 		return fmt.Sprintf("%s:%d: %s", file, f.Line, f)
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("%s: %s", file, f)
 }
 
-// Order sorts findings by line, then by code.
+// SortFindings sorts findings by line, then by code and key.
 func SortFindings(all []Finding) {
 	slices.SortStableFunc(all, func(x, y Finding) int {
 		return cmp.Or(cmp.Compare(x.Line, y.Line), cmp.Compare(x.Code, y.Code), cmp.Compare(x.Key, y.Key))
--- a/internal/operators/routes/decode.go
+++ b/internal/operators/routes/decode.go
@@ -13,23 +13,23 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// MostBytes is the largest file that is read.
+// MaxFileSize is the largest accepted file in bytes.
 const MaxFileSize = 1 << 20
 
-// Value is a value of the file and where it stands.
+// Value is a value of the file and its line.
 type Value[T any] struct {
 	V       T
-	Line    int  // 0: the key is not there
-	Invalid bool // it is there and could not be read; a finding says why
+	Line    int  // 0: the key is not set
+	Invalid bool // the key is set, but its value is invalid and reported in a finding
 }
 
-// Set tells whether there is a value to go by.
+// IsSet reports whether there is a valid value.
 func (v Value[T]) IsSet() bool { return v.Line > 0 && !v.Invalid }
 
-// Route is one [[route]] as it stands in the file.
+// Route is a [[route]] table of the file.
 type Route struct {
 	Line            int
-	Incomplete      bool // something in it could not be told: what seems missing may stand there
+	Incomplete      bool // part of it was not understood, so that keys may only seem to be missing
 	Class           Value[string]
 	Path            Value[string]
 	Tenant          Value[string]
@@ -44,21 +44,21 @@
 	RetryAfter      Value[time.Duration]
 }
 
-// File is the operators' file.
+// File is the parsed file of the operators.
 type File struct {
 	Routes []Route
 	Idles  []Idle
 	Count  Value[int] // route_count
 }
 
-// mostDuration and mostAttempts are beyond anything that can be meant.
+// maxDuration and maxAttempts reject implausible values.
 const (
 	maxDuration = 24 * time.Hour
 	maxAttempts = 1000
 )
 
-// Parse reads a file's text and reports all that is wrong with its form. What
-// could be read stands in the file, also where there are findings.
+// Parse parses the text of a file and reports all errors of its form. If there are findings,
+// the File holds everything that could be read.
 func Parse(text []byte) (*File, []Finding) {
 	d := &decoder{file: &File{}, keyLines: map[string]int{}, data: text}
 	switch {
@@ -70,14 +70,14 @@
 		return d.file, d.findings
 	}
 	d.readExpressions()
-	// The library's own decoder knows what the walk does not: tables defined
-	// twice, say. Where the walk found nothing, it must agree.
+	// The library's decoder finds errors that readExpressions does not, such as tables that
+	// are defined twice.
 	if len(d.findings) == 0 {
-		var whole map[string]any
-		var fault *toml.DecodeError
-		if err := toml.Unmarshal(text, &whole); errors.As(err, &fault) {
-			row, _ := fault.Position()
-			d.report(Syntax, row, strings.Join(fault.Key(), "."), "", "", strings.TrimPrefix(fault.Error(), "toml: "))
+		var decoded map[string]any
+		var decodeErr *toml.DecodeError
+		if err := toml.Unmarshal(text, &decoded); errors.As(err, &decodeErr) {
+			line, _ := decodeErr.Position()
+			d.report(Syntax, line, strings.Join(decodeErr.Key(), "."), "", "", strings.TrimPrefix(decodeErr.Error(), "toml: "))
 		} else if err != nil {
 			d.report(Syntax, 0, "", "", "", err.Error())
 		}
@@ -92,50 +92,51 @@
 	return d.file, d.findings
 }
 
-// decoder walks over the parser's tree.
+// decoder builds a File from the expressions of the TOML parser.
 type decoder struct {
-	parser   unstable.Parser
-	data     []byte
-	file     *File
-	findings []Finding
-	route    *Route         // the one whose keys come now; nil: the top
-	idle     *Idle          // the one whose keys come now
-	skipTable     bool           // below a table that is unknown
-	inBackoff  bool           // below [route.backoff]
-	keyLines     map[string]int // keys of the present route or the top, and their lines
+	parser    unstable.Parser
+	data      []byte
+	file      *File
+	findings  []Finding
+	route     *Route         // route that receives the next keys; nil: top level or [[idle]]
+	idle      *Idle          // idle rule that receives the next keys; nil: none
+	skipTable bool           // within an unknown table
+	inBackoff bool           // within [route.backoff]
+	keyLines  map[string]int // lines of the keys of the current table
 }
 
+// report records a finding.
 func (d *decoder) report(code Code, line int, key, value, bound, text string) {
 	d.findings = append(d.findings, Finding{code, line, key, value, bound, text})
 }
 
-// line is where a node stands.
+// nodeLine returns the line of a node.
 func (d *decoder) nodeLine(n *unstable.Node) int {
 	return 1 + bytes.Count(d.data[:min(int(n.Raw.Offset), len(d.data))], []byte("\n"))
 }
 
-// walk takes all expressions of the file.
+// readExpressions reads all expressions of the file.
 func (d *decoder) readExpressions() {
 	d.parser.Reset(d.data)
 	for d.parser.NextExpression() {
-		e := d.parser.Expression()
-		switch e.Kind {
+		expression := d.parser.Expression()
+		switch expression.Kind {
 		case unstable.ArrayTable, unstable.Table:
-			d.startTable(e)
+			d.startTable(expression)
 		case unstable.KeyValue:
-			d.readKeyValue(e, "")
+			d.readKeyValue(expression, "")
 		}
 	}
-	var fault *unstable.ParserError
-	if err := d.parser.Error(); errors.As(err, &fault) {
+	var parserErr *unstable.ParserError
+	if err := d.parser.Error(); errors.As(err, &parserErr) {
 		line := 0
-		if len(fault.Highlight) > 0 {
-			at := d.parser.Range(fault.Highlight)
-			line = 1 + bytes.Count(d.data[:at.Offset], []byte("\n"))
+		if len(parserErr.Highlight) > 0 {
+			highlight := d.parser.Range(parserErr.Highlight)
+			line = 1 + bytes.Count(d.data[:highlight.Offset], []byte("\n"))
 		} else {
 			line = 1 + bytes.Count(d.data, []byte("\n"))
 		}
-		d.report(Syntax, line, strings.Join(fault.Key, "."), "", "", fault.Message)
+		d.report(Syntax, line, strings.Join(parserErr.Key, "."), "", "", parserErr.Message)
 	} else if err != nil {
 		d.report(Syntax, 0, "", "", "", err.Error())
 	}
@@ -144,7 +145,7 @@
 	}
 }
 
-// key joins the parts of a dotted key and gives the line of the first.
+// joinedKey returns a dotted key and the line of its first part.
 func (d *decoder) joinedKey(n *unstable.Node) (string, int) {
 	var parts []string
 	line := 0
@@ -157,7 +158,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// table begins a table: [[route]], or [route.backoff] below one.
+// startTable begins a table: [[route]], [[idle]] or [route.backoff].
 func (d *decoder) startTable(n *unstable.Node) {
 	name, line := d.joinedKey(n)
 	d.skipTable, d.inBackoff, d.idle = false, false, nil
@@ -186,31 +187,32 @@
 	}
 }
 
-// unclear notes that something of the present route was not understood.
+// markIncomplete records that part of the current route was not understood.
 func (d *decoder) markIncomplete() {
 	if d.route != nil {
 		d.route.Incomplete = true
 	}
 }
 
-// once notes a key, and finds one that has been there.
+// recordKey records a key of the current table. It reports a duplicate and returns false.
 func (d *decoder) recordKey(key string, line int) bool {
-	if before := d.keyLines[key]; before > 0 {
-		d.report(Duplicate, line, key, "", "", fmt.Sprintf("the key stands already in line %d", before))
+	if first := d.keyLines[key]; first > 0 {
+		d.report(Duplicate, line, key, "", "", fmt.Sprintf("the key stands already in line %d", first))
 		return false
 	}
 	d.keyLines[key] = line
 	return true
 }
 
-// keyValue takes one key with its value; inside holds the key of an inline table.
-func (d *decoder) readKeyValue(n *unstable.Node, inside string) {
+// readKeyValue reads a key with its value. parent is the key of the enclosing inline table, if
+// any.
+func (d *decoder) readKeyValue(n *unstable.Node, parent string) {
 	if d.skipTable {
-		return // its table was found to be unknown
+		return // the unknown table has been reported
 	}
 	key, line := d.joinedKey(n)
-	if inside != "" {
-		key = inside + "." + key
+	if parent != "" {
+		key = parent + "." + key
 	} else if d.inBackoff {
 		key = "backoff." + key
 	}
@@ -275,9 +277,9 @@
 	}
 }
 
-// text is a value as it stands in the file, cut to a line's length.
+// valueText returns the text of a value, truncated for a finding.
 func (d *decoder) valueText(n *unstable.Node) string {
-	const most = 60
+	const maxLength = 60
 	raw := string(n.Data)
 	switch n.Kind {
 	case unstable.String:
@@ -287,12 +289,13 @@
 	case unstable.InlineTable:
 		raw = "{...}"
 	}
-	if len(raw) > most {
-		raw = strings.ToValidUTF8(raw[:most], "") + "..."
+	if len(raw) > maxLength {
+		raw = strings.ToValidUTF8(raw[:maxLength], "") + "..."
 	}
 	return raw
 }
 
+// readString reads a string value.
 func (d *decoder) readString(key string, line int, n *unstable.Node) Value[string] {
 	if n.Kind != unstable.String {
 		d.report(WrongType, line, key, d.valueText(n), "a string", "not a string")
@@ -301,6 +304,7 @@
 	return Value[string]{V: string(n.Data), Line: line}
 }
 
+// readStrings reads a list of strings.
 func (d *decoder) readStrings(key string, line int, n *unstable.Node) Value[[]string] {
 	v := Value[[]string]{Line: line, V: []string{}}
 	if n.Kind != unstable.Array {
@@ -321,6 +325,7 @@
 	return v
 }
 
+// readDuration reads a duration of 1 ms to maxDuration.
 func (d *decoder) readDuration(key string, line int, n *unstable.Node) Value[time.Duration] {
 	v := Value[time.Duration]{Line: line, Invalid: true}
 	if n.Kind != unstable.String {
@@ -347,29 +352,31 @@
 	return v
 }
 
-// isDuration tells whether a text that could not be read would be a duration
-// with fewer digits.
+// isDuration reports whether a text that could not be parsed has the form of a duration and
+// was only out of range.
 func isDuration(text string) bool {
-	short := strings.TrimLeft(text, "+-0123456789")
-	_, err := time.ParseDuration("1" + short)
-	return short != text && err == nil
+	suffix := strings.TrimLeft(text, "+-0123456789")
+	_, err := time.ParseDuration("1" + suffix)
+	return suffix != text && err == nil
 }
 
-func (d *decoder) readInteger(key string, line int, n *unstable.Node, least int) Value[int] {
+// readInteger reads an integer from minimum to maxAttempts.
+func (d *decoder) readInteger(key string, line int, n *unstable.Node, minimum int) Value[int] {
 	v := Value[int]{Line: line, Invalid: true}
 	if n.Kind != unstable.Integer {
 		d.report(WrongType, line, key, d.valueText(n), "a whole number", "not a whole number")
 		return v
 	}
 	i, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
-	if err != nil || i < int64(least) || i > maxAttempts {
-		d.report(OutOfRange, line, key, d.valueText(n), fmt.Sprintf("%d to %d", least, maxAttempts), "out of range")
+	if err != nil || i < int64(minimum) || i > maxAttempts {
+		d.report(OutOfRange, line, key, d.valueText(n), fmt.Sprintf("%d to %d", minimum, maxAttempts), "out of range")
 		return v
 	}
 	v.V, v.Invalid = int(i), false
 	return v
 }
 
+// readFraction reads a number from 0 to 1.
 func (d *decoder) readFraction(key string, line int, n *unstable.Node) Value[float64] {
 	v := Value[float64]{Line: line, Invalid: true}
 	if n.Kind != unstable.Float && n.Kind != unstable.Integer {
--- a/internal/operators/routes/idle.go
+++ b/internal/operators/routes/idle.go
@@ -11,56 +11,56 @@
 	"curlewring/internal/conns/idleconns"
 )
 
-// Idle is one [[idle]] as it stands in the file: how long connections may wait for
-// their next request.
+// Idle is an [[idle]] table of the file, which sets how long connections may wait for their
+// next request.
 type Idle struct {
 	Line    int
-	Class   Value[string] // of the last request; none: any
-	Network Value[string] // where they come from, as an address or prefix; none: anywhere
+	Class   Value[string] // class of the last request; unset: any
+	Network Value[string] // source network, as an address or prefix; unset: any
 	For     Value[string] // a duration
-	rule  idleconns.Rule
-	invalid     bool // something in it was not understood
+	rule    idleconns.Rule
+	invalid bool // part of it was not understood
 }
 
-// idleKey takes one key of an [[idle]].
+// readIdleKey reads a key of an [[idle]] table.
 func (d *decoder) readIdleKey(key string, line int, value *unstable.Node) {
-	i := d.idle
+	idle := d.idle
 	if !d.recordKey(key, line) {
-		i.invalid = true
+		idle.invalid = true
 		return
 	}
 	switch key {
 	case "class":
-		i.Class = d.readString(key, line, value)
-		i.invalid = i.invalid || i.Class.Invalid
+		idle.Class = d.readString(key, line, value)
+		idle.invalid = idle.invalid || idle.Class.Invalid
 	case "network":
-		i.Network = d.readString(key, line, value)
-		i.invalid = i.invalid || i.Network.Invalid
+		idle.Network = d.readString(key, line, value)
+		idle.invalid = idle.invalid || idle.Network.Invalid
 	case "for":
-		length := d.readDuration(key, line, value)
-		i.For = Value[string]{V: d.valueText(value), Line: line, Invalid: length.Invalid}
-		i.rule.Timeout = length.V
-		i.invalid = i.invalid || length.Invalid
+		timeout := d.readDuration(key, line, value)
+		idle.For = Value[string]{V: d.valueText(value), Line: line, Invalid: timeout.Invalid}
+		idle.rule.Timeout = timeout.V
+		idle.invalid = idle.invalid || timeout.Invalid
 	default:
-		i.invalid = true
+		idle.invalid = true
 		d.report(UnknownKey, line, key, "", "class, network, for", "an idle rule has no such key")
 	}
 }
 
-// prefix reads a network: a prefix, or one address.
+// parseNetwork parses a network given as a prefix or a single address.
 func parseNetwork(text string) (netip.Prefix, error) {
 	if strings.Contains(text, "/") {
 		return netip.ParsePrefix(text)
 	}
-	a, err := netip.ParseAddr(text)
+	addr, err := netip.ParseAddr(text)
 	if err != nil {
 		return netip.Prefix{}, err
 	}
-	a = a.WithZone("")
-	return netip.PrefixFrom(a, a.BitLen()), nil
+	addr = addr.WithZone("")
+	return netip.PrefixFrom(addr, addr.BitLen()), nil
 }
 
-// idles checks the [[idle]] tables and compiles them.
+// checkIdleRules checks the [[idle]] tables and compiles them.
 func (c *checker) checkIdleRules(all []Idle) *idleconns.Rules {
 	if len(all) == 0 {
 		return nil
@@ -70,27 +70,27 @@
 			"too many idle rules")
 		return nil
 	}
-	type where struct {
+	type ruleKey struct {
 		class   int
 		network netip.Prefix
 	}
-	seen := map[where]int{}
+	seen := map[ruleKey]int{}
 	var rules []idleconns.Rule
 	for k := range all {
-		i := &all[k]
-		rule, ok := i.rule, !i.invalid
+		idle := &all[k]
+		rule, ok := idle.rule, !idle.invalid
 		rule.Class = -1
-		if i.Class.IsSet() {
-			if rule.Class = slices.Index(c.env.Classes, i.Class.V); rule.Class < 0 {
-				c.report(UnknownClass, i.Class.Line, "class", strconv.Quote(i.Class.V), strings.Join(c.env.Classes, ", "),
+		if idle.Class.IsSet() {
+			if rule.Class = slices.Index(c.env.Classes, idle.Class.V); rule.Class < 0 {
+				c.report(UnknownClass, idle.Class.Line, "class", strconv.Quote(idle.Class.V), strings.Join(c.env.Classes, ", "),
 					"the settings name no such class")
 				ok = false
 			}
 		}
-		if i.Network.IsSet() {
-			network, err := parseNetwork(i.Network.V)
+		if idle.Network.IsSet() {
+			network, err := parseNetwork(idle.Network.V)
 			if err != nil {
-				c.report(InvalidNetwork, i.Network.Line, "network", strconv.Quote(i.Network.V), `an address or a prefix, as "10.20.0.0/16" or "2001:db8::/32"`,
+				c.report(InvalidNetwork, idle.Network.Line, "network", strconv.Quote(idle.Network.V), `an address or a prefix, as "10.20.0.0/16" or "2001:db8::/32"`,
 					"not a network")
 				ok = false
 			} else {
@@ -98,30 +98,30 @@
 			}
 		}
 		switch {
-		case i.For.Line == 0 && !i.invalid:
-			c.report(SetsNothing, i.Line, "for", "", "", "an idle rule without for sets nothing")
+		case idle.For.Line == 0 && !idle.invalid:
+			c.report(SetsNothing, idle.Line, "for", "", "", "an idle rule without for sets nothing")
 			ok = false
-		case i.For.IsSet() && (rule.Timeout < idleconns.MinTimeout || rule.Timeout > idleconns.MaxTimeout):
-			c.report(IdleOutOfRange, i.For.Line, "for", i.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
+		case idle.For.IsSet() && (rule.Timeout < idleconns.MinTimeout || rule.Timeout > idleconns.MaxTimeout):
+			c.report(IdleOutOfRange, idle.For.Line, "for", idle.For.V, idleconns.MinTimeout.String()+" to "+idleconns.MaxTimeout.String(),
 				"connections can't wait for so short or so long")
 			ok = false
 		}
 		if !ok {
 			continue
 		}
-		place := where{rule.Class, rule.Network}
-		if before := seen[place]; before > 0 {
-			c.report(DuplicateIdleRule, i.Line, "[[idle]]", "", "", "the idle rule in line "+strconv.Itoa(before)+" is for the same connections")
+		key := ruleKey{rule.Class, rule.Network}
+		if first := seen[key]; first > 0 {
+			c.report(DuplicateIdleRule, idle.Line, "[[idle]]", "", "", "the idle rule in line "+strconv.Itoa(first)+" is for the same connections")
 			continue
 		}
-		seen[place] = i.Line
+		seen[key] = idle.Line
 		rules = append(rules, rule)
 	}
 	if len(c.findings) > 0 {
 		return nil
 	}
 	compiled, err := idleconns.Compile(rules, len(c.env.Classes))
-	if err != nil { // the checks above have found all that Compile does
+	if err != nil { // unreachable as long as the checks above cover those of Compile
 		c.report(IdleOutOfRange, all[0].Line, "[[idle]]", "", "", err.Error())
 		return nil
 	}
--- a/internal/operators/routes/routes_test.go
+++ b/internal/operators/routes/routes_test.go
@@ -17,10 +17,10 @@
 
 const ms = time.Millisecond
 
-// testEnv is a platform with classes of all effects.
+// testEnv returns a platform with classes of every kind of idempotency.
 func testEnv() Env {
-	class := func(effect decide.Idempotency, group decide.Group, deadline, ttl time.Duration) decide.Class {
-		return decide.Class{LatencyTarget: time.Second, Deadline: deadline, Worth: 1, Idempotency: effect, Group: group, KeyTTL: ttl}
+	class := func(idempotency decide.Idempotency, group decide.Group, deadline, ttl time.Duration) decide.Class {
+		return decide.Class{LatencyTarget: time.Second, Deadline: deadline, Worth: 1, Idempotency: idempotency, Group: group, KeyTTL: ttl}
 	}
 	return Env{
 		Classes: []string{"notruf-abfrage", "zustand", "stoerung", "auftrag", "meldung", "buchung"},
@@ -39,7 +39,7 @@
 	}
 }
 
-// envOf is the platform that a file of the corpus asks for.
+// corpusEnv returns the platform that a corpus file selects with "# env:" comments.
 func corpusEnv(text []byte) Env {
 	env := testEnv()
 	env.Settings.MayHedge = bytes.Contains(text, []byte("# env: copies"))
@@ -49,6 +49,7 @@
 	return env
 }
 
+// readCorpus returns the files of a testdata folder by name.
 func readCorpus(t testing.TB, dir string) map[string][]byte {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("testdata", dir, "*.toml"))
@@ -71,8 +72,8 @@
 	wantHead = regexp.MustCompile(`(?m)^# want: (RT\d+)@(\d+)$`)
 )
 
-// wanted reads what a file of the corpus says of itself: codes behind the lines
-// that they are for, or code and line at the top.
+// wantedCodes returns the findings that a corpus file expects: codes in comments at the end of
+// their lines, or code and line in comments of their own.
 func wantedCodes(text string) []string {
 	var want []string
 	for _, m := range wantHead.FindAllStringSubmatch(text, -1) {
@@ -89,6 +90,7 @@
 	return want
 }
 
+// foundCodes returns the findings in the form of wantedCodes.
 func foundCodes(findings []Finding) []string {
 	var got []string
 	for _, f := range findings {
@@ -101,7 +103,7 @@
 func TestInvalidFiles(t *testing.T) {
 	files := readCorpus(t, "invalid")
 	if len(files) < 60 {
-		t.Fatalf("the corpus has %d files, want 60 at the least", len(files))
+		t.Fatalf("the corpus has %d files, want at least 60", len(files))
 	}
 	for name, text := range files {
 		table, findings := Load(text, corpusEnv(text))
@@ -109,7 +111,7 @@
 			t.Errorf("%s: found %v, want %v", name, findings, want)
 		}
 		if table != nil {
-			t.Errorf("%s: a table came of it", name)
+			t.Errorf("%s: the invalid file was compiled", name)
 		}
 	}
 }
@@ -122,20 +124,20 @@
 	}
 }
 
-// Each code must be provoked by a file of the corpus or by one that can't stand
-// in it, and be explained to operators.
+// Each code must be produced by a file of the corpus or one of the texts below that can't be
+// in it, and must be documented for operators.
 func TestEveryCodeIsCoveredAndDocumented(t *testing.T) {
-	provoked := map[Code]bool{Unreadable: true} // internal/node: files that can't be read
+	covered := map[Code]bool{Unreadable: true} // unreadable files are tested in internal/node
 	for _, text := range readCorpus(t, "invalid") {
 		_, findings := Load(text, corpusEnv(text))
 		for _, f := range findings {
-			provoked[f.Code] = true
+			covered[f.Code] = true
 		}
 	}
 	for _, text := range [][]byte{nil, make([]byte, MaxFileSize+1)} {
 		_, findings := Parse(text)
 		for _, f := range findings {
-			provoked[f.Code] = true
+			covered[f.Code] = true
 		}
 	}
 	page, err := os.ReadFile("../../../docs/operators/routes.md")
@@ -143,20 +145,20 @@
 		t.Fatal(err)
 	}
 	for _, code := range Codes() {
-		if !provoked[code] {
-			t.Errorf("nothing provokes %s", code)
+		if !covered[code] {
+			t.Errorf("no file produces %s", code)
 		}
 		if !strings.Contains(string(page), "| "+string(code)+" |") {
 			t.Errorf("docs/operators/routes.md does not explain %s", code)
 		}
-		delete(provoked, code)
+		delete(covered, code)
 	}
-	if len(provoked) > 0 {
-		t.Errorf("not listed: %v", slices.Collect(maps.Keys(provoked)))
+	if len(covered) > 0 {
+		t.Errorf("codes missing from Codes: %v", slices.Collect(maps.Keys(covered)))
 	}
 }
 
-// A finding must name key, value, bound and rule, so that nobody has to guess.
+// A finding must name the key, value, bound and rule.
 func TestFindingNamesKeyValueBoundAndRule(t *testing.T) {
 	_, findings := Load([]byte("[[route]]\nclass = \"zustand\"\nattempt_timeout = \"1s\"\nattempts = 3\n"), testEnv())
 	if len(findings) != 1 {
@@ -165,7 +167,7 @@
 	text := findings[0].InFile("operator.toml")
 	for _, part := range []string{"operator.toml:4:", "RT033", "attempts = 3", "2.5s", "3s", "zustand", "rule 1"} {
 		if !strings.Contains(text, part) {
-			t.Errorf("%q does not name %q", text, part)
+			t.Errorf("finding %q does not contain %q", text, part)
 		}
 	}
 }
@@ -175,13 +177,13 @@
 		text []byte
 		code Code
 	}{
-		"empty":         {nil, Empty},
-		"white space":   {[]byte(" \n\t\n"), Empty},
-		"ten megabytes": {bytes.Repeat([]byte("# long\n"), 10<<20/7), TooLarge},
-		"a binary":      {[]byte("\x7fELF\x00\x00\xff"), Syntax},
-		"not UTF-8":     {[]byte("[[route]]\nclass = \"\xff\xfe\"\n"), Syntax},
-		"a byte mark":   {[]byte("\xef\xbb\xbf[[route]]\n"), Syntax},
-		"deep nesting":  {[]byte("a = " + strings.Repeat("[", 100000)), Syntax},
+		"empty":           {nil, Empty},
+		"white space":     {[]byte(" \n\t\n"), Empty},
+		"ten megabytes":   {bytes.Repeat([]byte("# long\n"), 10<<20/7), TooLarge},
+		"binary file":     {[]byte("\x7fELF\x00\x00\xff"), Syntax},
+		"not UTF-8":       {[]byte("[[route]]\nclass = \"\xff\xfe\"\n"), Syntax},
+		"byte order mark": {[]byte("\xef\xbb\xbf[[route]]\n"), Syntax},
+		"deep nesting":    {[]byte("a = " + strings.Repeat("[", 100000)), Syntax},
 	} {
 		_, findings := Parse(c.text)
 		if !slices.ContainsFunc(findings, func(f Finding) bool { return f.Code == c.code }) {
@@ -190,13 +192,14 @@
 	}
 }
 
-// Cut anywhere, a file with a count is refused or means what the whole one does.
+// A file with a route_count that is truncated anywhere must be rejected or have the same
+// meaning as the whole file.
 func TestTruncatedFile(t *testing.T) {
 	const whole = "route_count = 2\n[[route]]\nclass = \"zustand\"\nattempts = 2\n[[route]]\nclass = \"stoerung\"\nattempts = 2\n"
 	for n := range whole {
 		table, findings := Load([]byte(whole[:n]), testEnv())
 		if len(findings) == 0 && (table == nil || len(table.Bounds()) != 2) {
-			t.Errorf("cut after %q it is taken", whole[:n])
+			t.Errorf("the file truncated after %q is accepted", whole[:n])
 		}
 	}
 }
@@ -241,9 +244,9 @@
 		{"/zustand/genf", none, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 300 * ms}},
 		{"/zustand/genf/1", desk, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 300 * ms}},
 		{"/zustand/genfx", desk, decide.RoutePolicy{MaxAttempts: 2, AttemptTimeout: 500 * ms}},
-		// The path's route is the nearer one; what it leaves open comes from the tenant's.
+		// The path's route is more specific; unset keys come from the tenant's route.
 		{"/zustand/genf/1", technik, decide.RoutePolicy{MaxAttempts: 3, AttemptTimeout: 300 * ms, DeadlineCap: 2 * time.Second}},
-		// A longer path wins over a tenant, and inherits only from what contains it.
+		// A longer path wins over a tenant and inherits only from routes that contain it.
 		{"/zustand/genf/nord/2", technik, decide.RoutePolicy{MaxAttempts: 4, AttemptTimeout: 300 * ms}},
 	} {
 		row := table.Match(1, c.path, c.tenant)
@@ -252,14 +255,14 @@
 		}
 	}
 	if row := table.Match(0, "/notruf-abfrage/1", none); row != 0 {
-		t.Errorf("a class without routes has row %d", row)
+		t.Errorf("a class without routes matches row %d", row)
 	}
 	if row := (*Table)(nil).Match(0, "/notruf-abfrage/1", none); row != 0 {
-		t.Errorf("no table has row %d", row)
+		t.Errorf("a nil table matches row %d", row)
 	}
 }
 
-// The example that operators start from must be right for the service it is for.
+// The example file for operators must be valid for its service and show all keys.
 func TestExampleIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/operator.toml")
 	if err != nil {
@@ -272,7 +275,7 @@
 	for _, key := range []string{"class", "path", "tenant", "attempt_timeout", "attempts", "first", "most", "jitter",
 		"retry_on", "second_copy_after", "deadline_cap", "retry_after", "route_count"} {
 		if !regexp.MustCompile(`(?m)^(# )?` + key + ` = `).Match(text) {
-			t.Errorf("the example does not show %s", key)
+			t.Errorf("the example file does not show %s", key)
 		}
 	}
 }
--- a/internal/operators/routes/table.go
+++ b/internal/operators/routes/table.go
@@ -9,26 +9,26 @@
 	"curlewring/internal/conns/idleconns"
 )
 
-// Table is what a checked file says: the module's bounds, and which requests
-// they are for. The zero table has no routes.
+// Table is a compiled file: the route policies for package decide, and the requests that
+// they apply to. The zero Table has no routes.
 type Table struct {
-	policies  []decide.RoutePolicy
-	classes [][]matcher      // by class; the most specific first
-	idle    *idleconns.Rules // nil: the file says nothing of idle connections
+	policies []decide.RoutePolicy
+	classes  [][]matcher      // by class, most specific first
+	idle     *idleconns.Rules // nil: the file has no rules for idle connections
 }
 
-// matcher finds the requests of one route.
+// matcher matches the requests of one route.
 type matcher struct {
-	path   string // a prefix by whole segments; "": any
-	tenant int    // -1: any
-	row    int    // as decide.Request.Route
+	path   string // prefix of whole path segments; "": any path
+	tenant int    // -1: any tenant
+	row    int    // value for decide.Request.Route
 }
 
-// Bounds are the rows of the table, for decide.Balancer.Routes.
+// Bounds returns the route policies for decide.Balancer.SetRoutePolicies.
 func (t *Table) Bounds() []decide.RoutePolicy { return t.policies }
 
-// Idle says how long connections may wait for their next request; nil: the file says
-// nothing of that.
+// Idle returns the rules for how long connections may wait for their next request, or nil if
+// the file has none.
 func (t *Table) Idle() *idleconns.Rules {
 	if t == nil {
 		return nil
@@ -36,8 +36,8 @@
 	return t.idle
 }
 
-// Match returns the row for a request, as decide.Request.Route wants it: 0 is
-// none. The path is the decoded one.
+// Match returns the value of decide.Request.Route for a request: 0 means no route. path is
+// the decoded path.
 func (t *Table) Match(class int, path string, tenant int) int {
 	if t == nil || class < 0 || class >= len(t.classes) {
 		return 0
@@ -51,14 +51,14 @@
 	return 0
 }
 
-// within tells whether a path lies under a prefix, by whole segments.
+// hasPathPrefix reports whether a path starts with a prefix of whole segments.
 func hasPathPrefix(path, prefix string) bool {
 	return strings.HasPrefix(path, prefix) &&
 		(len(path) == len(prefix) || prefix == "" || path[len(prefix)] == '/')
 }
 
-// sortRoutes puts the most specific matchers first: the longer path, then the
-// one with a tenant.
+// sortMatchers sorts the most specific matchers first: longer paths first, then those with a
+// tenant.
 func sortMatchers(all []matcher) {
 	slices.SortStableFunc(all, func(x, y matcher) int {
 		return cmp.Or(cmp.Compare(len(y.path), len(x.path)), cmp.Compare(min(y.tenant, 0), min(x.tenant, 0)),
