--- a/internal/rig/standin/answer.go
+++ b/internal/rig/standin/answer.go
@@ -11,11 +11,11 @@
 // listAnswer is an answer's body, in the protocol's form.
 type listAnswer struct {
 	Generation int     `json:"generation"`
-	Whole      bool    `json:"reset"`
+	Reset      bool    `json:"reset"`
 	Instances  []entry `json:"instances"`
 
-	gone       []string // boxes that a whole list leaves out
-	falsehoods int      // discovery's count when it was made
+	removed          []string // boxes that a whole list leaves out
+	falseListChanges int      // discovery's count when it was made
 }
 
 func (a *listAnswer) encode() ([]byte, error) {
@@ -26,18 +26,18 @@
 }
 
 // compose makes the list up to version n for a caller that has a version; the mutex is held.
-func (e *discoveryEndpoint) compose(since, n int) *listAnswer {
+func (e *discoveryEndpoint) buildAnswer(since, n int) *listAnswer {
 	d := e.discovery
-	a := &listAnswer{Generation: n, falsehoods: d.falsehoods}
-	a.Whole = since == wholeList || since > n || d.empty || e.falsehoods != d.falsehoods
+	a := &listAnswer{Generation: n, falseListChanges: d.falseListChanges}
+	a.Reset = since == wholeList || since > n || d.isEmpty || e.falseListChanges != d.falseListChanges
 	switch {
-	case a.Whole && d.empty:
-		a.gone = d.missing(n, nil)
-	case a.Whole:
-		a.Instances = withoutDeleted(d.upTo(0, n))
-		a.gone = d.missing(n, a.Instances)
+	case a.Reset && d.isEmpty:
+		a.removed = d.removedServers(n, nil)
+	case a.Reset:
+		a.Instances = withoutDeleted(d.changedEntries(0, n))
+		a.removed = d.removedServers(n, a.Instances)
 	default:
-		a.Instances = d.upTo(since, n)
+		a.Instances = d.changedEntries(since, n)
 	}
 	return a
 }
@@ -45,8 +45,8 @@
 // countAnswer counts an answer that will be written when its turn comes; nil: none yet. The mutex is held.
 func (d *Discovery) countAnswer(a *listAnswer) {
 	if a != nil {
-		d.calls++
-		d.lines += len(a.Instances)
+		d.callsAnswered++
+		d.linesSent += len(a.Instances)
 	}
 }
 
@@ -57,19 +57,19 @@
 		return err
 	}
 	d := e.discovery
-	e.count(func(*CallCounts) { e.falsehoods = a.falsehoods }) // before the node can call again
+	e.updateCounts(func(*CallCounts) { e.falseListChanges = a.falseListChanges }) // before the node can call again
 	w.Header().Set("Content-Type", "application/json")
 	writing := d.clock.Now()
 	if _, err := w.Write(text); err != nil || http.NewResponseController(w).Flush() != nil {
-		return errCallerLeft // nothing is delivered
+		return errClientLeft // nothing is delivered
 	}
-	e.delivered(a, writing, d.clock.Now())
+	e.reportDelivered(a, writing, d.clock.Now())
 	return nil
 }
 
 // delivered reports to the judge what was written between two times.
-func (e *discoveryEndpoint) delivered(a *listAnswer, writing, written time.Duration) {
-	e.count(func(c *CallCounts) { c.WrittenVersion = max(c.WrittenVersion, a.Generation) })
+func (e *discoveryEndpoint) reportDelivered(a *listAnswer, writing, written time.Duration) {
+	e.updateCounts(func(c *CallCounts) { c.WrittenVersion = max(c.WrittenVersion, a.Generation) })
 	report := func(at time.Duration, box string, state judge.State) {
 		e.discovery.judge.StateDelivered(at, e.node, box, state, a.Generation, false)
 	}
@@ -81,7 +81,7 @@
 		}
 		report(at, box.ID, box.state())
 	}
-	for _, id := range a.gone {
+	for _, id := range a.removed {
 		report(written, id, judge.Gone)
 	}
 }
--- a/internal/rig/standin/box.go
+++ b/internal/rig/standin/box.go
@@ -22,41 +22,41 @@
 )
 
 // trouble is what a box does wrong at the moment.
-type trouble int
+type failureMode int
 
 const (
-	healthy   trouble = iota
-	stuck             // takes requests, answers none
-	resets            // runs requests, and resets the connection
-	refuses           // listens no longer
-	silent            // its machine has vanished: nothing comes, nothing goes
-	garbles           // runs requests, and answers noise
-	errs              // runs nothing, answers 500
-	turnsAway         // answers all with X-Turned-Away
-	down              // its process has ended
+	healthy      failureMode = iota
+	hanging                  // takes requests, answers none
+	resetting                // runs requests, and resets the connection
+	refusing                 // listens no longer
+	unresponsive             // its machine has vanished: nothing comes, nothing goes
+	malformed                // runs requests, and answers noise
+	failing                  // runs nothing, answers 500
+	rejecting                // answers all with X-Turned-Away
+	crashed                  // its process has ended
 )
 
 // rack remembers the keys of what its boxes have run.
-type rack struct {
-	mu   sync.Mutex
-	seen map[string]time.Duration
+type keyStore struct {
+	mu    sync.Mutex
+	ranAt map[string]time.Duration
 }
 
 // first tells whether a key is new within the window, and notes it.
-func (r *rack) first(key string, now, window time.Duration) bool {
+func (r *keyStore) addIfNew(key string, now, window time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if at, ok := r.seen[key]; ok && now-at < window {
+	if at, ok := r.ranAt[key]; ok && now-at < window {
 		return false
 	}
-	if len(r.seen) > 4096 {
-		for k, at := range r.seen {
+	if len(r.ranAt) > 4096 {
+		for k, at := range r.ranAt {
 			if now-at >= window {
-				delete(r.seen, k)
+				delete(r.ranAt, k)
 			}
 		}
 	}
-	r.seen[key] = now
+	r.ranAt[key] = now
 	return true
 }
 
@@ -69,39 +69,39 @@
 	Address string
 	speed   float64
 
-	plan  *Plan
-	clock Clock
-	judge *judge.Judge
-	rack  *rack
-	trees *trees
-	below *Client // calls to the next tier go through this node; nil: there is none
+	plan      *Plan
+	clock     Clock
+	judge     *judge.Judge
+	keys      *keyStore
+	callGraph *callGraph
+	nextTier  *Client // calls to the next tier go through this node; nil: there is none
 
 	cores chan struct{} // one token a core
 	slots chan struct{}
 
-	mu       sync.Mutex
-	trouble  trouble
-	slower   float64 // times
-	draining bool
-	started  time.Duration // 0: long ago
-	waiting  int           // in the house: in work or queue
-	arrivals []arrival     // while cold
-	fallen   bool
-	conns    map[net.Conn]struct{}
-	refused  int // connections over the cap
-	rng      *rand.Rand
-	server   *http.Server
-	ended    chan struct{} // the present server has ended
-	life     chan struct{} // closed at the end of the present process
-	quiet    chan struct{} // closed when a silence is over
-	served   int
-	longest  []longest // by class
+	mu              sync.Mutex
+	failure         failureMode
+	slowdown        float64 // times
+	draining        bool
+	startedAt       time.Duration // 0: long ago
+	admitted        int           // in the house: in work or queue
+	arrivals        []arrival     // while cold
+	collapsed       bool
+	conns           map[net.Conn]struct{}
+	refused         int // connections over the cap
+	rng             *rand.Rand
+	httpServer      *http.Server
+	serveDone       chan struct{} // the present server has ended
+	processEnd      chan struct{} // closed at the end of the present process
+	silenceEnd      chan struct{} // closed when a silence is over
+	served          int
+	attemptTimeouts []timeoutStats // by class
 }
 
 // longest is the longest that attempts of a class were said to last, of late.
-type longest struct {
-	most  time.Duration
-	count int
+type timeoutStats struct {
+	longest time.Duration
+	count   int
 }
 
 type arrival struct {
@@ -116,7 +116,7 @@
 	} else {
 		host = net.JoinHostPort(host, "0")
 	}
-	l, err := listenAgain(host)
+	l, err := listenWithRetry(host)
 	if err != nil {
 		return fmt.Errorf("box %s: %w", b.ID, err)
 	}
@@ -124,29 +124,29 @@
 	defer b.mu.Unlock()
 	b.Address = l.Addr().String()
 	b.conns = map[net.Conn]struct{}{}
-	b.ended, b.life = make(chan struct{}), make(chan struct{})
-	b.server = &http.Server{
+	b.serveDone, b.processEnd = make(chan struct{}), make(chan struct{})
+	b.httpServer = &http.Server{
 		Handler: b, ErrorLog: log.New(io.Discard, "", 0), IdleTimeout: 10 * time.Second, MaxHeaderBytes: 32 << 10,
 	}
-	server, ended := b.server, b.ended
+	server, ended := b.httpServer, b.serveDone
 	go func() { // ends with close
 		defer close(ended)
-		server.Serve(&boxListener{l, b})
+		server.Serve(&cappedListener{l, b})
 	}()
 	return nil
 }
 
 // inheritedFor bounds the wait for an address that was just given up.
-const inheritedFor = 5 * time.Second
+const maxBindWait = 5 * time.Second
 
 // listenAgain binds an address that this process may have given up a moment ago. A child that is being started has a
 // copy of every descriptor until its program runs, and holds a listener that was closed here meanwhile.
-func listenAgain(address string) (net.Listener, error) {
+func listenWithRetry(address string) (net.Listener, error) {
 	look := time.NewTicker(time.Millisecond)
 	defer look.Stop()
 	for begun := time.Now(); ; <-look.C {
 		l, err := net.Listen("tcp", address)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(begun) > inheritedFor {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(begun) > maxBindWait {
 			return l, err
 		}
 	}
@@ -155,11 +155,11 @@
 // close ends the box's process: connections are reset, new ones refused.
 func (b *Server) close() {
 	b.mu.Lock()
-	server, ended := b.server, b.ended
-	b.server = nil
-	b.hush()
+	server, ended := b.httpServer, b.serveDone
+	b.httpServer = nil
+	b.endSilence()
 	for c := range b.conns {
-		if t, ok := c.(*boxConn); ok {
+		if t, ok := c.(*serverConn); ok {
 			t.TCPConn.SetLinger(0)
 		}
 	}
@@ -167,32 +167,32 @@
 	if server == nil {
 		return
 	}
-	close(b.life) // what runs is cut: a dead process works for nobody
+	close(b.processEnd) // what runs is cut: a dead process works for nobody
 	server.Close()
 	<-ended
 }
 
 // hush ends a silence: what was sent into it never came, so its connections end.
-func (b *Server) hush() {
-	if b.quiet != nil {
-		close(b.quiet)
-		b.quiet = nil
+func (b *Server) endSilence() {
+	if b.silenceEnd != nil {
+		close(b.silenceEnd)
+		b.silenceEnd = nil
 	}
 }
 
 // boxListener counts a box's connections and turns back those over its cap.
-type boxListener struct {
+type cappedListener struct {
 	net.Listener
-	box *Server
+	server *Server
 }
 
-func (l *boxListener) Accept() (net.Conn, error) {
+func (l *cappedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		tc, b := c.(*net.TCPConn), l.box
+		tc, b := c.(*net.TCPConn), l.server
 		b.mu.Lock()
 		if len(b.conns) >= b.plan.MaxConns {
 			b.refused++
@@ -201,7 +201,7 @@
 			tc.Close()
 			continue
 		}
-		bc := &boxConn{TCPConn: tc, box: b}
+		bc := &serverConn{TCPConn: tc, server: b}
 		b.conns[bc] = struct{}{}
 		b.mu.Unlock()
 		return bc, nil
@@ -209,18 +209,18 @@
 }
 
 // boxConn is a connection of a box, which may fall silent.
-type boxConn struct {
+type serverConn struct {
 	*net.TCPConn
-	box *Server
+	server *Server
 }
 
 // Read takes what came, unless the box is silent: then it waits for the end of
 // that, and the connection is over.
-func (c *boxConn) Read(p []byte) (int, error) {
+func (c *serverConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	c.box.mu.Lock()
-	quiet := c.box.quiet
-	c.box.mu.Unlock()
+	c.server.mu.Lock()
+	quiet := c.server.silenceEnd
+	c.server.mu.Unlock()
 	if quiet != nil {
 		<-quiet
 		c.TCPConn.SetLinger(0)
@@ -231,10 +231,10 @@
 }
 
 // Write sends nothing while the box is silent.
-func (c *boxConn) Write(p []byte) (int, error) {
-	c.box.mu.Lock()
-	quiet := c.box.quiet
-	c.box.mu.Unlock()
+func (c *serverConn) Write(p []byte) (int, error) {
+	c.server.mu.Lock()
+	quiet := c.server.silenceEnd
+	c.server.mu.Unlock()
 	if quiet != nil {
 		<-quiet
 		return 0, net.ErrClosed
@@ -242,22 +242,22 @@
 	return c.TCPConn.Write(p)
 }
 
-func (c *boxConn) Close() error {
-	c.box.mu.Lock()
-	delete(c.box.conns, c)
-	c.box.mu.Unlock()
+func (c *serverConn) Close() error {
+	c.server.mu.Lock()
+	delete(c.server.conns, c)
+	c.server.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
 // visit is an attempt at a box.
-type visit struct {
-	box    *Server
-	id     string
-	number int
+type attempt struct {
+	server    *Server
+	requestID string
+	number    int
 }
 
-func (v *visit) ended(how judge.AttemptOutcome) {
-	v.box.judge.AttemptEnded(v.box.clock.Now(), v.id, v.number, how)
+func (v *attempt) end(how judge.AttemptOutcome) {
+	v.server.judge.AttemptEnded(v.server.clock.Now(), v.requestID, v.number, how)
 }
 
 // ServeHTTP answers one attempt.
@@ -272,13 +272,13 @@
 		return
 	}
 	now := b.clock.Now()
-	v := &visit{b, id, b.judge.AttemptArrived(now, id, b.ID, key)}
-	b.trees.arrived(id)
+	v := &attempt{b, id, b.judge.AttemptArrived(now, id, b.ID, key)}
+	b.callGraph.recordAttempt(id)
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	index, ok := b.plan.class(name)
+	index, ok := b.plan.classIndex(name)
 	ms, err := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 64)
 	if !ok || err != nil {
-		v.ended(judge.Rejected)
+		v.end(judge.Rejected)
 		http.Error(w, "not a request of this service", http.StatusBadRequest)
 		return
 	}
@@ -286,122 +286,122 @@
 	until := now + time.Duration(ms)*time.Millisecond
 
 	b.mu.Lock()
-	trouble, slower, draining := b.trouble, b.slower, b.draining
-	work := time.Duration(float64(class.Work) * b.plan.part(b.Tier) * b.spread(class.Spread))
-	if b.longest == nil {
-		b.longest = make([]longest, len(b.plan.Classes))
+	trouble, slower, draining := b.failure, b.slowdown, b.draining
+	work := time.Duration(float64(class.Work) * b.plan.tierShare(b.Tier) * b.workFactor(class.Spread))
+	if b.attemptTimeouts == nil {
+		b.attemptTimeouts = make([]timeoutStats, len(b.plan.Classes))
 	}
-	b.longest[index].most = max(b.longest[index].most, until-now)
-	b.longest[index].count++
-	full := b.waiting >= b.plan.Slots+b.plan.Queue
-	if b.tooMuch(now, work) {
-		trouble = down
+	b.attemptTimeouts[index].longest = max(b.attemptTimeouts[index].longest, until-now)
+	b.attemptTimeouts[index].count++
+	full := b.admitted >= b.plan.Slots+b.plan.Queue
+	if b.recordColdWork(now, work) {
+		trouble = crashed
 	}
 	b.mu.Unlock()
 	switch {
-	case trouble == down:
-		v.ended(judge.ConnectionCut)
-		b.cut(w)
+	case trouble == crashed:
+		v.end(judge.ConnectionCut)
+		b.resetConn(w)
 		return
-	case trouble == stuck:
+	case trouble == hanging:
 		<-r.Context().Done()
-		v.ended(judge.Abandoned)
+		v.end(judge.Abandoned)
 		panic(http.ErrAbortHandler)
-	case trouble == errs:
-		v.ended(judge.Errored)
+	case trouble == failing:
+		v.end(judge.Errored)
 		http.Error(w, "trouble", http.StatusInternalServerError)
 		return
-	case full || draining || trouble == turnsAway:
-		v.turnAway(w)
+	case full || draining || trouble == rejecting:
+		v.reject(w)
 		return
 	}
-	b.work(w, r, v, class, &job{work: work, slower: slower, key: key, until: until, body: body, trouble: trouble})
+	b.execute(w, r, v, class, &job{work: work, slowdown: slower, key: key, deadline: until, body: body, failure: trouble})
 }
 
 // job is what an attempt wants done.
 type job struct {
-	work    time.Duration
-	slower  float64
-	key     string
-	until   time.Duration
-	body    []byte
-	trouble trouble
+	work     time.Duration
+	slowdown float64
+	key      string
+	deadline time.Duration
+	body     []byte
+	failure  failureMode
 }
 
-func (v *visit) turnAway(w http.ResponseWriter) {
-	v.ended(judge.Rejected)
+func (v *attempt) reject(w http.ResponseWriter) {
+	v.end(judge.Rejected)
 	w.Header().Set("X-Turned-Away", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // work runs an attempt on a core, and answers.
-func (b *Server) work(w http.ResponseWriter, r *http.Request, v *visit, class *Class, j *job) {
+func (b *Server) execute(w http.ResponseWriter, r *http.Request, v *attempt, class *Class, j *job) {
 	ctx := r.Context()
 	b.mu.Lock()
-	b.waiting++
+	b.admitted++
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		b.waiting--
+		b.admitted--
 		b.mu.Unlock()
 	}()
 	select { // a slot, in turn
 	case b.slots <- struct{}{}:
 		defer func() { <-b.slots }()
 	case <-ctx.Done():
-		v.ended(judge.Abandoned)
+		v.end(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	}
-	if b.clock.Now() >= j.until { // over before it began
-		v.turnAway(w)
+	if b.clock.Now() >= j.deadline { // over before it began
+		v.reject(w)
 		return
 	}
-	if class.Idempotency != judge.Keyed || b.rack.first(j.key, b.clock.Now(), class.KeyTTL) {
-		b.judge.AttemptExecuted(b.clock.Now(), v.id, v.number)
+	if class.Idempotency != judge.Keyed || b.keys.addIfNew(j.key, b.clock.Now(), class.KeyTTL) {
+		b.judge.AttemptExecuted(b.clock.Now(), v.requestID, v.number)
 	}
 	b.mu.Lock()
-	life := b.life
+	life := b.processEnd
 	b.mu.Unlock()
-	if !b.hold(time.Duration(float64(j.work)*j.slower/2), life) {
-		v.ended(judge.ConnectionCut)
+	if !b.occupyCore(time.Duration(float64(j.work)*j.slowdown/2), life) {
+		v.end(judge.ConnectionCut)
 		panic(http.ErrAbortHandler)
 	}
 	good, spent := true, ""
-	if b.below != nil {
-		good, spent = b.call(ctx, class, r, j)
+	if b.nextTier != nil {
+		good, spent = b.callNextTier(ctx, class, r, j)
 	}
 	if spent != "" { // as an application does that hands on what its last call said
 		w.Header().Set(budget.SpentHeaderName, spent)
 	}
 	if !good {
-		v.ended(judge.Errored)
+		v.end(judge.Errored)
 		http.Error(w, "the tier below failed", http.StatusInternalServerError)
 		return
 	}
-	if !b.hold(time.Duration(float64(j.work)*j.slower/2), life) {
-		v.ended(judge.ConnectionCut)
+	if !b.occupyCore(time.Duration(float64(j.work)*j.slowdown/2), life) {
+		v.end(judge.ConnectionCut)
 		panic(http.ErrAbortHandler)
 	}
 	if ctx.Err() != nil { // it ran to its end for nobody
-		v.ended(judge.Abandoned)
+		v.end(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	}
-	switch j.trouble {
-	case resets:
-		v.ended(judge.ConnectionCut)
-		b.cut(w)
+	switch j.failure {
+	case resetting:
+		v.end(judge.ConnectionCut)
+		b.resetConn(w)
 		return
-	case garbles:
-		v.ended(judge.Malformed)
-		b.noise(w)
+	case malformed:
+		v.end(judge.Malformed)
+		b.answerGarbage(w)
 		return
 	}
 	b.mu.Lock()
 	b.served++
 	b.mu.Unlock()
 	// Noted before it is written: the node may pass it on before this goroutine runs again.
-	v.ended(judge.Succeeded)
-	text := answerText(b.ID, v.id)
+	v.end(judge.Succeeded)
+	text := answerText(b.ID, v.requestID)
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	io.WriteString(w, text)
@@ -411,7 +411,7 @@
 func answerText(box, id string) string { return box + " " + id + "\n" }
 
 // call asks the tier below, one call after another, through this box's own node.
-func (b *Server) call(ctx context.Context, class *Class, r *http.Request, j *job) (good bool, spent string) {
+func (b *Server) callNextTier(ctx context.Context, class *Class, r *http.Request, j *job) (good bool, spent string) {
 	b.mu.Lock()
 	calls := int(b.plan.CallsPerRequest)
 	if b.rng.Float64() < b.plan.CallsPerRequest-float64(calls) {
@@ -427,13 +427,13 @@
 		if j.key != "" {
 			key = j.key + "-" + strconv.Itoa(i)
 		}
-		left := j.until - b.clock.Now()
+		left := j.deadline - b.clock.Now()
 		if left < time.Millisecond {
 			return false, spent
 		}
-		b.trees.call(id, r.Header.Get("X-Txn"), i)
-		index, _ := b.plan.class(class.Name)
-		a := b.below.Do(ctx, Request{
+		b.callGraph.recordCall(id, r.Header.Get("X-Txn"), i)
+		index, _ := b.plan.classIndex(class.Name)
+		a := b.nextTier.Do(ctx, Request{
 			ID: id, Class: index, Path: r.URL.EscapedPath(), Key: key, Timeout: left, Body: j.body,
 			BudgetHeader: r.Header.Get(budget.HeaderName),
 		})
@@ -446,7 +446,7 @@
 }
 
 // hold keeps a core busy for the time that work takes here and now; false if the process ends before.
-func (b *Server) hold(work time.Duration, life <-chan struct{}) bool {
+func (b *Server) occupyCore(work time.Duration, life <-chan struct{}) bool {
 	select {
 	case b.cores <- struct{}{}:
 	case <-life:
@@ -454,7 +454,7 @@
 	}
 	defer func() { <-b.cores }()
 	b.mu.Lock()
-	warmth := b.warmth(b.clock.Now())
+	warmth := b.capacityFraction(b.clock.Now())
 	b.mu.Unlock()
 	done := time.NewTimer(time.Duration(float64(work) / (b.speed * warmth)))
 	defer done.Stop()
@@ -467,22 +467,22 @@
 }
 
 // warmth is the part of its capacity that the box has.
-func (b *Server) warmth(now time.Duration) float64 {
-	if b.started == 0 || b.plan.WarmupTime <= 0 {
+func (b *Server) capacityFraction(now time.Duration) float64 {
+	if b.startedAt == 0 || b.plan.WarmupTime <= 0 {
 		return 1
 	}
-	age := float64(now-b.started) / float64(b.plan.WarmupTime)
+	age := float64(now-b.startedAt) / float64(b.plan.WarmupTime)
 	return min(1, b.plan.ColdCapacity+(1-b.plan.ColdCapacity)*age)
 }
 
 // tooMuch books work sent to a cold box, and tells whether it has fallen over.
 // It falls when what came within any window is over the multiple of what it
 // could do in that time, with a little room for chance.
-func (b *Server) tooMuch(now, work time.Duration) bool {
-	if b.fallen {
+func (b *Server) recordColdWork(now, work time.Duration) bool {
+	if b.collapsed {
 		return true
 	}
-	if b.warmth(now) >= 1 {
+	if b.capacityFraction(now) >= 1 {
 		b.arrivals = nil
 		return false
 	}
@@ -491,16 +491,16 @@
 	for i := len(b.arrivals) - 1; i >= 0 && now-b.arrivals[i].at < b.plan.CollapseWindow; i-- {
 		sum += b.arrivals[i].work
 	}
-	can := time.Duration(float64(b.plan.CollapseWindow) * float64(b.plan.Cores) * b.speed * b.warmth(now))
+	can := time.Duration(float64(b.plan.CollapseWindow) * float64(b.plan.Cores) * b.speed * b.capacityFraction(now))
 	if room := time.Duration(b.plan.CollapseMultiple * float64(can)); sum > room+room/10 {
-		b.fallen = true
+		b.collapsed = true
 		b.judge.ServerCollapsed(now, b.ID, fmt.Sprintf("%v of work in %v, it could do %v", sum, b.plan.CollapseWindow, can))
 	}
-	return b.fallen
+	return b.collapsed
 }
 
 // spread draws a factor of mean 1.
-func (b *Server) spread(cv float64) float64 {
+func (b *Server) workFactor(cv float64) float64 {
 	if cv <= 0 {
 		return 1
 	}
@@ -509,43 +509,43 @@
 }
 
 // cut ends a connection in the middle.
-func (b *Server) cut(w http.ResponseWriter) {
+func (b *Server) resetConn(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
-		c.(*boxConn).SetLinger(0)
+		c.(*serverConn).SetLinger(0)
 		c.Close()
 	}
 }
 
 // noise answers what no client can read.
-func (b *Server) noise(w http.ResponseWriter) {
+func (b *Server) answerGarbage(w http.ResponseWriter) {
 	c, buf, err := w.(http.Hijacker).Hijack()
 	if err == nil {
-		garble(buf.Writer)
+		writeGarbage(buf.Writer)
 		c.Close()
 	}
 }
 
-func garble(w *bufio.Writer) {
+func writeGarbage(w *bufio.Writer) {
 	w.WriteString("HTP/7 \x00\x01 beyond reading\r\n: :\r\n\r\n")
 	w.Flush()
 }
 
 // set changes what is wrong with the box.
-func (b *Server) set(t trouble, slower float64) {
+func (b *Server) setFailure(t failureMode, slower float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.trouble == silent && t != silent {
-		b.hush()
+	if b.failure == unresponsive && t != unresponsive {
+		b.endSilence()
 	}
-	if t == silent && b.quiet == nil {
-		b.quiet = make(chan struct{})
+	if t == unresponsive && b.silenceEnd == nil {
+		b.silenceEnd = make(chan struct{})
 	}
-	b.trouble, b.slower = t, slower
+	b.failure, b.slowdown = t, slower
 }
 
 // drain makes the box turn away what is new, or ends that.
-func (b *Server) drain(on bool) {
+func (b *Server) setDraining(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.draining = on
@@ -554,8 +554,8 @@
 // restart begins a new process, which is cold.
 func (b *Server) restart() error {
 	b.mu.Lock()
-	b.trouble, b.slower, b.draining, b.fallen, b.arrivals = healthy, 1, false, false, nil
-	b.started = max(1, b.clock.Now())
+	b.failure, b.slowdown, b.draining, b.collapsed, b.arrivals = healthy, 1, false, false, nil
+	b.startedAt = max(1, b.clock.Now())
 	b.mu.Unlock()
 	return b.listen("")
 }
@@ -575,5 +575,5 @@
 func (b *Server) State() ServerState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return ServerState{b.ID, b.Site, b.speed, b.served, len(b.conns), b.refused, b.fallen}
+	return ServerState{b.ID, b.Site, b.speed, b.served, len(b.conns), b.refused, b.collapsed}
 }
--- a/internal/rig/standin/callers.go
+++ b/internal/rig/standin/callers.go
@@ -45,11 +45,11 @@
 	plan    *Plan
 	clients []*Client
 
-	mu      sync.Mutex
-	classes []ClassReport
-	out     atomic.Int64
-	asked   atomic.Int64
-	seen    [6]atomic.Int64 // tries by judge.Ending
+	mu             sync.Mutex
+	classes        []ClassReport
+	pending        atomic.Int64
+	requests       atomic.Int64
+	triesByOutcome [6]atomic.Int64 // tries by judge.Ending
 }
 
 // NewCallers returns callers that spread their connections over these nodes.
@@ -67,16 +67,16 @@
 // Progress tells first tries so far, those without an end, and tries by ending.
 func (c *LoadGenerator) Progress() (asked, out int64, tries map[judge.RequestOutcome]int64) {
 	tries = map[judge.RequestOutcome]int64{}
-	for e := range c.seen {
-		tries[judge.RequestOutcome(e)] = c.seen[e].Load()
+	for e := range c.triesByOutcome {
+		tries[judge.RequestOutcome(e)] = c.triesByOutcome[e].Load()
 	}
-	return c.asked.Load(), c.out.Load(), tries
+	return c.requests.Load(), c.pending.Load(), tries
 }
 
 // Run sends the traffic, and returns once all of it has ended. Ending the
 // context stops arrivals; what is out has its time.
 func (c *LoadGenerator) Run(ctx context.Context, t Traffic) {
-	rng := c.plan.draw("callers", 0)
+	rng := c.plan.newRand("callers", 0)
 	mix := t.Mix
 	if mix == nil {
 		for _, class := range c.plan.Classes {
@@ -94,7 +94,7 @@
 		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		all.Go(func() {
 			for time.Since(begun) < t.Duration && ctx.Err() == nil {
-				c.request(ctx, &t, draw(mix, sum, own), own)
+				c.runRequest(ctx, &t, pickClass(mix, sum, own), own)
 			}
 		})
 	}
@@ -118,14 +118,14 @@
 		} else if ctx.Err() != nil {
 			return
 		}
-		class := draw(mix, sum, rng)
+		class := pickClass(mix, sum, rng)
 		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		all.Go(func() { c.request(ctx, &t, class, own) })
+		all.Go(func() { c.runRequest(ctx, &t, class, own) })
 	}
 }
 
 // draw picks a class by its share.
-func draw(mix []float64, sum float64, rng *rand.Rand) int {
+func pickClass(mix []float64, sum float64, rng *rand.Rand) int {
 	class, x := 0, rng.Float64()*sum
 	for x >= mix[class] && class < len(mix)-1 {
 		x -= mix[class]
@@ -135,11 +135,11 @@
 }
 
 // request plays one request with its retries.
-func (c *LoadGenerator) request(ctx context.Context, t *Traffic, index int, rng *rand.Rand) {
+func (c *LoadGenerator) runRequest(ctx context.Context, t *Traffic, index int, rng *rand.Rand) {
 	class := &c.plan.Classes[index]
-	c.asked.Add(1)
-	c.out.Add(1)
-	defer c.out.Add(-1)
+	c.requests.Add(1)
+	c.pending.Add(1)
+	defer c.pending.Add(-1)
 	begun := time.Now()
 	a := Request{
 		Class: index, Path: fmt.Sprintf("/%s/%s/%d", class.Name, c.plan.Sites[rng.IntN(len(c.plan.Sites))], rng.IntN(5000)),
@@ -164,7 +164,7 @@
 		}
 		answer = c.clients[node%len(c.clients)].Do(stays, a)
 		leave()
-		c.seen[answer.Outcome].Add(1)
+		c.triesByOutcome[answer.Outcome].Add(1)
 		tries++
 		if answer.Outcome == judge.Served || tries > t.Retries {
 			break
--- a/internal/rig/standin/calls.go
+++ b/internal/rig/standin/calls.go
@@ -12,13 +12,13 @@
 }
 
 // add counts a call that has ended.
-func (c *CallCounts) add(err error) {
+func (c *CallCounts) countEnd(err error) {
 	switch err {
 	case nil:
 		c.Answered++
-	case errTimedOut:
+	case errQueueTimeout:
 		c.TimedOut++
-	case errOverloaded:
+	case errQueueFull:
 		c.Rejected++
 	case errOutage, errUnavailable:
 		c.Failed++
@@ -29,7 +29,7 @@
 func (d *Discovery) Calls() (calls, lines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls, d.lines
+	return d.callsAnswered, d.linesSent
 }
 
 // CallsByNode returns the calls of each node.
@@ -47,12 +47,12 @@
 func (d *Discovery) Version() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, _ := d.version(d.clock.Now())
+	n, _ := d.publishedVersion(d.clock.Now())
 	return n
 }
 
 // count adds to the counts of an endpoint.
-func (e *discoveryEndpoint) count(add func(c *CallCounts)) {
+func (e *discoveryEndpoint) updateCounts(add func(c *CallCounts)) {
 	e.discovery.mu.Lock()
 	defer e.discovery.mu.Unlock()
 	add(&e.counts)
--- a/internal/rig/standin/capacity.go
+++ b/internal/rig/standin/capacity.go
@@ -9,9 +9,9 @@
 
 // Bounds of a registry's settings.
 const (
-	mostLines        = 1e6
-	mostQueueTimeout = time.Minute
-	mostOverbook     = 1000
+	maxLines         = 1e6
+	maxQueueTimeout  = time.Minute
+	maxBacklogFactor = 1000
 )
 
 // SettingError is a setting out of its bounds.
@@ -37,17 +37,17 @@
 		value float64
 		most  float64
 	}{
-		{"registry.lines_per_second", s.LinesPerSecond, mostLines},
-		{"registry.call_lines", s.LinesPerCall, mostLines},
-		{"registry.overbook", s.BacklogFactor, mostOverbook},
-		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, mostLines},
+		{"registry.lines_per_second", s.LinesPerSecond, maxLines},
+		{"registry.call_lines", s.LinesPerCall, maxLines},
+		{"registry.overbook", s.BacklogFactor, maxBacklogFactor},
+		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, maxLines},
 	} {
 		if !(x.value >= 0 && x.value <= x.most) { // NaN is neither
 			return &SettingError{Key: x.key, Value: x.value, Min: 0, Max: x.most}
 		}
 	}
-	if s.QueueTimeout < 0 || s.QueueTimeout > mostQueueTimeout {
-		return &SettingError{Key: "registry.queue_timeout", Value: s.QueueTimeout, Min: time.Duration(0), Max: mostQueueTimeout}
+	if s.QueueTimeout < 0 || s.QueueTimeout > maxQueueTimeout {
+		return &SettingError{Key: "registry.queue_timeout", Value: s.QueueTimeout, Min: time.Duration(0), Max: maxQueueTimeout}
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 	}
 	if p.AnswerInOutage && p.Registry.QueueTimeout == 0 {
 		return &SettingError{
-			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Min: time.Nanosecond, Max: mostQueueTimeout,
+			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Min: time.Nanosecond, Max: maxQueueTimeout,
 			Reason: "a call that comes while discovery is down is answered after it",
 		}
 	}
--- a/internal/rig/standin/client.go
+++ b/internal/rig/standin/client.go
@@ -42,7 +42,7 @@
 
 // patience is how long a caller listens after its time is up, to find out
 // whether an answer would still have come.
-const patience = 500 * time.Millisecond
+const timeoutGrace = 500 * time.Millisecond
 
 // Client is a caller of one node. It keeps its connections, sends one request at
 // a time on each, and opens more when all are busy. It is written on the sockets
@@ -55,12 +55,12 @@
 	judge   *judge.Judge
 
 	mu     sync.Mutex
-	idle   []*callerConn
+	idle   []*clientConn
 	closed bool
 	opened int
 }
 
-type callerConn struct {
+type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
 	used   bool
@@ -82,7 +82,7 @@
 	c.idle = nil
 }
 
-func (c *Client) get(ctx context.Context) (*callerConn, error) {
+func (c *Client) getConn(ctx context.Context) (*clientConn, error) {
 	c.mu.Lock()
 	if n := len(c.idle); n > 0 {
 		conn := c.idle[n-1]
@@ -97,10 +97,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-func (c *Client) put(conn *callerConn) {
+func (c *Client) putConn(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -148,7 +148,7 @@
 // the caller leave.
 func (c *Client) Do(ctx context.Context, a Request) Response {
 	begun := c.clock.Now()
-	answer, maker := c.once(ctx, &a)
+	answer, maker := c.send(ctx, &a)
 	answer.Took = c.clock.Now() - begun
 	if answer.NotSent {
 		c.judge.RequestNotSent(a.ID)
@@ -160,29 +160,29 @@
 
 // errCrossed says that the node closed an idle connection while a request was
 // written to it: it was never read, and goes out once more on a new one.
-var errCrossed = errors.New("the node closed the connection between requests")
+var errIdleConnClosed = errors.New("the node closed the connection between requests")
 
 // errDoor says that the node closed a new connection with nothing sent on it. If
 // no box has the request either, it has failed, and is not lost: a node that has
 // no room for connections may turn them back so.
-var errDoor = errors.New("the node closed a new connection")
+var errNewConnClosed = errors.New("the node closed a new connection")
 
-func (c *Client) once(ctx context.Context, a *Request) (Response, string) {
+func (c *Client) send(ctx context.Context, a *Request) (Response, string) {
 	message := c.encode(a)
 	for {
-		conn, err := c.get(ctx)
+		conn, err := c.getConn(ctx)
 		if err != nil {
 			return Response{Outcome: judge.ConnectionLost, NotSent: true}, ""
 		}
-		answer, maker, err := c.on(ctx, conn, a, message)
+		answer, maker, err := c.sendOn(ctx, conn, a, message)
 		if err == nil {
 			return answer, maker
 		}
 		conn.Close()
-		if errors.Is(err, errCrossed) && !c.judge.ReachedServer(a.ID) {
+		if errors.Is(err, errIdleConnClosed) && !c.judge.ReachedServer(a.ID) {
 			continue
 		}
-		if errors.Is(err, errDoor) && !c.judge.ReachedServer(a.ID) {
+		if errors.Is(err, errNewConnClosed) && !c.judge.ReachedServer(a.ID) {
 			return Response{Outcome: judge.Failed}, ""
 		}
 		var timeout net.Error
@@ -194,15 +194,15 @@
 }
 
 // on makes a request on a connection.
-func (c *Client) on(ctx context.Context, conn *callerConn, a *Request, message []byte) (Response, string, error) {
+func (c *Client) sendOn(ctx context.Context, conn *clientConn, a *Request, message []byte) (Response, string, error) {
 	used := conn.used
-	conn.SetDeadline(time.Now().Add(a.Timeout + patience))
+	conn.SetDeadline(time.Now().Add(a.Timeout + timeoutGrace))
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	c.judge.RequestSent(c.clock.Now(), a.ID, a.Class, c.Node, a.Timeout)
 	if _, err := conn.Write(message); err != nil {
 		if used {
-			return Response{}, "", errCrossed
+			return Response{}, "", errIdleConnClosed
 		}
 		return Response{}, "", fmt.Errorf("writing: %w", err)
 	}
@@ -212,9 +212,9 @@
 			return Response{}, "", fmt.Errorf("reading: %w", err)
 		}
 		if used {
-			return Response{}, "", errCrossed
+			return Response{}, "", errIdleConnClosed
 		}
-		return Response{}, "", errDoor
+		return Response{}, "", errNewConnClosed
 	}
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
@@ -243,7 +243,7 @@
 	if resp.Close || !stop() {
 		conn.Close()
 	} else {
-		c.put(conn)
+		c.putConn(conn)
 	}
 	return answer, maker, nil
 }
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -38,9 +38,9 @@
 }
 
 // change is one version of the list.
-type change struct {
+type listVersion struct {
 	entry
-	visible time.Duration // from when answers hold it
+	publishedAt time.Duration // from when answers hold it
 }
 
 // Discovery is the discovery service of one tier: it answers calls for the whole list, and long polls that wait for
@@ -50,26 +50,26 @@
 	clock Clock
 	judge *judge.Judge
 
-	mu           sync.Mutex
-	changes      []change      // version n is changes[n-1]
-	publishDelay time.Duration // from a change to its publication
-	publishEvery time.Duration // changes become visible at multiples of this; 0: each by itself
-	capacity     registry.Settings
-	queue        *registry.Queue // of the work that calls of all nodes cost
-	down         bool
-	outages      int           // raised each time that it goes down, so that calls under way fail
-	outageError  time.Duration // a call that comes while it is down is answered 503 after so long; 0: it is cut off
-	empty        bool          // answers hold no server
-	backupAt     time.Duration // answers are those of this time; 0: of now
-	falsehoods   int           // raised with each false list that begins or ends, so that open long polls are answered
-	changed      chan struct{} // closed and replaced with every change of any kind
-	endpoints    []*discoveryEndpoint
-	calls        int
-	lines        int
-	unreachable  []interval    // when it was down, or its answers were false
-	faultySince  time.Duration // 0: it is neither down nor false
-	pushed       bool          // each endpoint is an agent beside its node: what it has counts as delivered at once
-	silences     int           // raised each time that the open long polls fall silent
+	mu                sync.Mutex
+	versions          []listVersion // version n is changes[n-1]
+	publishDelay      time.Duration // from a change to its publication
+	publishEvery      time.Duration // changes become visible at multiples of this; 0: each by itself
+	capacity          registry.Settings
+	queue             *registry.Queue // of the work that calls of all nodes cost
+	isDown            bool
+	outages           int           // raised each time that it goes down, so that calls under way fail
+	outageAnswerDelay time.Duration // a call that comes while it is down is answered 503 after so long; 0: it is cut off
+	isEmpty           bool          // answers hold no server
+	backupAt          time.Duration // answers are those of this time; 0: of now
+	falseListChanges  int           // raised with each false list that begins or ends, so that open long polls are answered
+	changed           chan struct{} // closed and replaced with every change of any kind
+	endpoints         []*discoveryEndpoint
+	callsAnswered     int
+	linesSent         int
+	faultIntervals    []interval    // when it was down, or its answers were false
+	faultySince       time.Duration // 0: it is neither down nor false
+	pushed            bool          // each endpoint is an agent beside its node: what it has counts as delivered at once
+	silencings        int           // raised each time that the open long polls fall silent
 }
 
 // newDiscovery returns a service with an empty list, as a plan has it.
@@ -78,13 +78,13 @@
 		clock: clock, judge: j, publishDelay: p.PublishDelay, publishEvery: p.PublishEvery, pushed: p.PushedLists, changed: make(chan struct{}),
 	}
 	if p.AnswerInOutage {
-		d.outageError = p.Registry.QueueTimeout
+		d.outageAnswerDelay = p.Registry.QueueTimeout
 	}
 	capacity := p.Registry
 	if p.PushedLists {
 		capacity = registry.Settings{}
 	}
-	d.limit(capacity)
+	d.resetQueue(capacity)
 	return d
 }
 
@@ -98,7 +98,7 @@
 	server := &http.Server{Handler: e, ErrorLog: log.New(io.Discard, "", 0)}
 	ended := make(chan struct{})
 	d.mu.Lock()
-	e.addresses = append(e.addresses, address{server, ended})
+	e.addresses = append(e.addresses, endpointAddress{server, ended})
 	d.mu.Unlock()
 	go func() { // ends with Close
 		defer close(ended)
@@ -130,7 +130,7 @@
 	for _, e := range endpoints {
 		for _, a := range e.addresses {
 			a.server.Close()
-			<-a.ended
+			<-a.done
 		}
 	}
 }
@@ -154,15 +154,15 @@
 	if every := d.publishEvery; every > 0 && delay > 0 {
 		at = (at + every - 1) / every * every
 	}
-	if n := len(d.changes); n > 0 {
-		at = max(at, d.changes[n-1].visible) // in order
+	if n := len(d.versions); n > 0 {
+		at = max(at, d.versions[n-1].publishedAt) // in order
 	}
-	d.changes = append(d.changes, change{e, at})
-	d.wake()
+	d.versions = append(d.versions, listVersion{e, at})
+	d.wakePolls()
 }
 
 // wake has all open long polls look again; d.mu is held.
-func (d *Discovery) wake() {
+func (d *Discovery) wakePolls() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -178,31 +178,31 @@
 func (d *Discovery) SetDown(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if on && !d.down {
+	if on && !d.isDown {
 		d.outages++
 		d.queue.Clear(d.clock.Now())
 	}
-	d.down = on
-	d.noteFault(on)
-	d.wake()
+	d.isDown = on
+	d.recordFault(on)
+	d.wakePolls()
 }
 
 // Swallow has all open long polls fall silent, as a network may: their connections stay, and nothing comes any more.
 func (d *Discovery) SilencePolls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silences++
-	d.wake()
+	d.silencings++
+	d.wakePolls()
 }
 
 // Empty has discovery answer that there is no box, as a whole list and of no generation's own, or ends that.
 func (d *Discovery) SetEmpty(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.empty = on
-	d.noteFault(on)
-	d.falsehoods++
-	d.wake()
+	d.isEmpty = on
+	d.recordFault(on)
+	d.falseListChanges++
+	d.wakePolls()
 }
 
 // Back has discovery go on from a backup of that age: its generations run backwards, and its answers hold what was true
@@ -214,16 +214,16 @@
 	if age > 0 {
 		d.backupAt = max(1, d.clock.Now()-age)
 	}
-	d.noteFault(age > 0)
-	d.falsehoods++
-	d.wake()
+	d.recordFault(age > 0)
+	d.falseListChanges++
+	d.wakePolls()
 }
 
 // Pace sets how many lines a second it can send from now on, where a call costs one; 0: any number.
 func (d *Discovery) SetLineRate(linesPerSecond int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limit(registry.Settings{LinesPerSecond: float64(linesPerSecond), LinesPerCall: 1})
+	d.resetQueue(registry.Settings{LinesPerSecond: float64(linesPerSecond), LinesPerCall: 1})
 }
 
 // Crowd queues so much work of callers outside the fleet at once. Without a bound on its capacity there is no queue.
@@ -240,36 +240,36 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.limit(capacity)
+	d.resetQueue(capacity)
 	return nil
 }
 
 // limit begins with an empty queue; d.mu is held, or nobody else has d yet.
-func (d *Discovery) limit(capacity registry.Settings) {
+func (d *Discovery) resetQueue(capacity registry.Settings) {
 	d.capacity, d.queue = capacity, registry.New(capacity)
 	d.queue.Clear(d.clock.Now())
 }
 
 // version is the newest published one, and how long until the next is; d.mu is held.
-func (d *Discovery) version(now time.Duration) (int, time.Duration) {
+func (d *Discovery) publishedVersion(now time.Duration) (int, time.Duration) {
 	if d.backupAt > 0 {
 		now = d.backupAt
 	}
-	n := len(d.changes)
-	for n > 0 && d.changes[n-1].visible > now {
+	n := len(d.versions)
+	for n > 0 && d.versions[n-1].publishedAt > now {
 		n--
 	}
-	if n < len(d.changes) {
-		return n, d.changes[n].visible - now
+	if n < len(d.versions) {
+		return n, d.versions[n].publishedAt - now
 	}
 	return n, time.Hour
 }
 
 // upTo lists the newest entry of each box among versions (after, n]; d.mu is held.
-func (d *Discovery) upTo(after, n int) []entry {
+func (d *Discovery) changedEntries(after, n int) []entry {
 	var entries []entry
 	at := map[string]int{}
-	for _, c := range d.changes[after:n] {
+	for _, c := range d.versions[after:n] {
 		if i, ok := at[c.ID]; ok {
 			entries[i] = c.entry
 			continue
@@ -281,13 +281,13 @@
 }
 
 // missing lists the boxes that a whole list of version n leaves out; d.mu is held.
-func (d *Discovery) missing(n int, entries []entry) []string {
+func (d *Discovery) removedServers(n int, entries []entry) []string {
 	named := map[string]bool{}
 	for i := range entries {
 		named[entries[i].ID] = true
 	}
 	var gone []string
-	for _, c := range d.changes[:n] {
+	for _, c := range d.versions[:n] {
 		if !named[c.ID] {
 			named[c.ID] = true
 			gone = append(gone, c.ID)
@@ -297,15 +297,15 @@
 }
 
 // known is the whole list as a node last had it, and keeps it from its last life: up to what was written to it.
-func (d *Discovery) known(node string) json.RawMessage {
+func (d *Discovery) knownList(node string) json.RawMessage {
 	e := d.endpointOf(node)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, _ := d.version(d.clock.Now())
+	n, _ := d.publishedVersion(d.clock.Now())
 	if had := e.counts.WrittenVersion; had > 0 {
 		n = min(n, had)
 	}
-	list := listAnswer{Generation: n, Whole: true, Instances: withoutDeleted(d.upTo(0, n))}
+	list := listAnswer{Generation: n, Reset: true, Instances: withoutDeleted(d.changedEntries(0, n))}
 	text, err := list.encode()
 	if err != nil {
 		return nil
--- a/internal/rig/standin/discovery_test.go
+++ b/internal/rig/standin/discovery_test.go
@@ -45,7 +45,7 @@
 	go func() { got <- ask("?since=4&timeout_ms=10000") }()
 	f.Discovery.SetPublishDelay(200 * ms)
 	before := f.Clock.Now()
-	f.publish(f.Servers[2], "DRAINING", false)
+	f.publishState(f.Servers[2], "DRAINING", false)
 	l = <-got
 	if f.Clock.Now()-before < 200*ms {
 		t.Error("published before its delay was over")
@@ -53,7 +53,7 @@
 	if l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "DRAINING" || l.Generation != 5 {
 		t.Errorf("a change: %+v", l)
 	}
-	f.publish(f.Servers[2], "DELETED", true)
+	f.publishState(f.Servers[2], "DELETED", true)
 	if l = ask(""); len(l.Instances) != 3 {
 		t.Errorf("a whole list with one gone: %+v", l)
 	}
@@ -113,9 +113,9 @@
 		{"by an agent: at once", nil, []time.Duration{-1}, 10 * time.Second, 10 * time.Second},
 		{"by an agent that was silent", []interval{{9 * time.Second, 12 * time.Second}}, []time.Duration{-1}, 10 * time.Second, 12 * time.Second},
 	} {
-		e := &discoveryEndpoint{discovery: &Discovery{unreachable: c.faulty}, silentUntil: c.silent}
+		e := &discoveryEndpoint{discovery: &Discovery{faultIntervals: c.faulty}, silentUntil: c.silent}
 		e.discovery.pushed = slices.Contains(c.silent, -1)
-		if got := e.countsFrom(c.visible); got != c.want {
+		if got := e.deliveredFrom(c.visible); got != c.want {
 			t.Errorf("%s: counts as delivered at %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -219,7 +219,7 @@
 	busy := time.Now()
 	other := callAsync(t, url+"?since=4&timeout_ms=0")
 	waitFor(t, "the other call is queued", func() bool { return calls().Received == 2 })
-	f.publish(f.Servers[2], "DRAINING", true)
+	f.publishState(f.Servers[2], "DRAINING", true)
 	if e := <-poll; e.status != http.StatusOK || !strings.Contains(e.body, "DRAINING") || time.Since(busy) < 110*ms {
 		t.Errorf("the open poll: %+v, %v after 0.11 s of work began", e, time.Since(busy))
 	}
--- a/internal/rig/standin/endpoint.go
+++ b/internal/rig/standin/endpoint.go
@@ -14,42 +14,42 @@
 // discoveryEndpoint is discovery as one node reaches it: by its addresses it knows whom it answers. Discovery's mutex guards
 // what changes.
 type discoveryEndpoint struct {
-	discovery   *Discovery
-	node        string
-	addresses   []address
-	falsehoods  int             // that its node has been answered since
-	silentUntil []time.Duration // until when what a silent long poll missed does not count as delivered
-	counts      CallCounts
+	discovery        *Discovery
+	node             string
+	addresses        []endpointAddress
+	falseListChanges int             // that its node has been answered since
+	silentUntil      []time.Duration // until when what a silent long poll missed does not count as delivered
+	counts           CallCounts
 }
 
 // address is one at which an endpoint is served.
-type address struct {
+type endpointAddress struct {
 	server *http.Server
-	ended  chan struct{}
+	done   chan struct{}
 }
 
 // longestPoll is the longest wait that a long poll may ask for, in milliseconds.
-const longestPoll = 60000
+const maxPollMillis = 60000
 
 // Why a call gets no list.
 var (
-	errBadPoll     = errors.New("odd since or timeout_ms")
-	errOverloaded  = errors.New("the queue is full")
-	errTimedOut    = errors.New("waited in the queue for too long")
-	errUnavailable = errors.New("discovery is down")
-	errOutage      = errors.New("discovery has gone down")
-	errSilenced    = errors.New("the long poll has fallen silent")
-	errCallerLeft  = errors.New("the caller has left")
+	errBadQuery     = errors.New("odd since or timeout_ms")
+	errQueueFull    = errors.New("the queue is full")
+	errQueueTimeout = errors.New("waited in the queue for too long")
+	errUnavailable  = errors.New("discovery is down")
+	errOutage       = errors.New("discovery has gone down")
+	errSilenced     = errors.New("the long poll has fallen silent")
+	errClientLeft   = errors.New("the caller has left")
 )
 
 // listCall is one call for the list.
 type listCall struct {
-	since     int           // the version that the caller has; wholeList: none
-	wait      time.Duration // how long a call that finds nothing new waits
-	end       time.Duration // when that is over
-	listening bool          // nothing new has been found yet
-	silences  int           // discovery's count when the call came
-	outages   int           // the same
+	since      int           // the version that the caller has; wholeList: none
+	wait       time.Duration // how long a call that finds nothing new waits
+	pollEnd    time.Duration // when that is over
+	polling    bool          // nothing new has been found yet
+	silencings int           // discovery's count when the call came
+	outages    int           // the same
 }
 
 const wholeList = -1
@@ -62,11 +62,11 @@
 	}
 	since, err := strconv.Atoi(text)
 	if err != nil || since < 0 {
-		return listCall{}, errBadPoll
+		return listCall{}, errBadQuery
 	}
 	ms, err := strconv.Atoi(query.Get("timeout_ms"))
-	if err != nil || ms < 0 || ms > longestPoll {
-		return listCall{}, errBadPoll
+	if err != nil || ms < 0 || ms > maxPollMillis {
+		return listCall{}, errBadQuery
 	}
 	return listCall{since: since, wait: time.Duration(ms) * time.Millisecond}, nil
 }
@@ -82,15 +82,15 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.serve(w, r, call)
+	e.respond(w, r, call)
 }
 
 // serve works through a call, and ends it as one that failed if it gets no list.
-func (e *discoveryEndpoint) serve(w http.ResponseWriter, r *http.Request, call listCall) {
-	err := e.work(r.Context(), w, &call)
-	e.count(func(c *CallCounts) { c.add(err) })
+func (e *discoveryEndpoint) respond(w http.ResponseWriter, r *http.Request, call listCall) {
+	err := e.handle(r.Context(), w, &call)
+	e.updateCounts(func(c *CallCounts) { c.countEnd(err) })
 	switch err {
-	case nil, errCallerLeft:
+	case nil, errClientLeft:
 	case errSilenced:
 		<-r.Context().Done()
 	case errOutage:
@@ -105,23 +105,23 @@
 }
 
 // work queues a call, and writes its answer when that is due.
-func (e *discoveryEndpoint) work(ctx context.Context, w http.ResponseWriter, call *listCall) error {
+func (e *discoveryEndpoint) handle(ctx context.Context, w http.ResponseWriter, call *listCall) error {
 	admitted, err := e.admit(call)
 	if err == errUnavailable {
-		return e.discovery.failLate(ctx)
+		return e.discovery.answerInOutage(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	if err := e.await(ctx, call, admitted.at); err != nil {
+	if err := e.waitUntil(ctx, call, admitted.readyAt); err != nil {
 		return err
 	}
 	if admitted.timedOut {
-		return errTimedOut
+		return errQueueTimeout
 	}
 	answer := admitted.answer
 	if answer == nil {
-		if answer, err = e.listen(ctx, call); err != nil {
+		if answer, err = e.awaitChange(ctx, call); err != nil {
 			return err
 		}
 	}
@@ -130,7 +130,7 @@
 
 // admission is a call's place in the queue.
 type admission struct {
-	at       time.Duration // when its turn comes, or it has timed out
+	readyAt  time.Duration // when its turn comes, or it has timed out
 	timedOut bool
 	answer   *listAnswer // nil: there is nothing new yet
 }
@@ -141,53 +141,53 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	call.end, call.silences, call.outages = now+call.wait, d.silences, d.outages
+	call.pollEnd, call.silencings, call.outages = now+call.wait, d.silencings, d.outages
 	e.counts.Received++
-	if d.down && d.outageError > 0 && !d.pushed {
+	if d.isDown && d.outageAnswerDelay > 0 && !d.pushed {
 		return admission{}, errUnavailable
 	}
-	if d.down {
+	if d.isDown {
 		return admission{}, errOutage
 	}
 	var a admission
 	entries := 0
-	if n, _ := d.version(now); e.due(call, n, now) {
-		a.answer = e.compose(call.since, n)
+	if n, _ := d.publishedVersion(now); e.hasAnswer(call, n, now) {
+		a.answer = e.buildAnswer(call.since, n)
 		entries = len(a.answer.Instances)
 	}
-	call.listening = a.answer == nil
+	call.polling = a.answer == nil
 	queued := d.queue.EnqueueCall(now, entries)
 	switch queued.Outcome {
 	case registry.Rejected:
-		return admission{}, errOverloaded
+		return admission{}, errQueueFull
 	case registry.TimedOut:
 		a.timedOut = true
 	case registry.Answered:
 		d.countAnswer(a.answer)
 	}
-	a.at = queued.DoneAt
+	a.readyAt = queued.DoneAt
 	return a, nil
 }
 
 // failLate ends a call that came in an outage, when it has waited for as long as a call may.
-func (d *Discovery) failLate(ctx context.Context) error {
-	if !sleep(ctx, nil, d.outageError) {
-		return errCallerLeft
+func (d *Discovery) answerInOutage(ctx context.Context) error {
+	if !waitForChange(ctx, nil, d.outageAnswerDelay) {
+		return errClientLeft
 	}
 	return errUnavailable
 }
 
 // due tells whether there is something to answer to a call; the mutex is held.
-func (e *discoveryEndpoint) due(call *listCall, version int, now time.Duration) bool {
-	return call.since == wholeList || version > call.since || now >= call.end || e.falsehoods != e.discovery.falsehoods
+func (e *discoveryEndpoint) hasAnswer(call *listCall, version int, now time.Duration) bool {
+	return call.since == wholeList || version > call.since || now >= call.pollEnd || e.falseListChanges != e.discovery.falseListChanges
 }
 
 // await waits for a time of discovery's clock, unless the call fails before.
-func (e *discoveryEndpoint) await(ctx context.Context, call *listCall, until time.Duration) error {
+func (e *discoveryEndpoint) waitUntil(ctx context.Context, call *listCall, until time.Duration) error {
 	d := e.discovery
 	for {
 		d.mu.Lock()
-		now, changed, err := d.clock.Now(), d.changed, e.failed(call)
+		now, changed, err := d.clock.Now(), d.changed, e.callFailure(call)
 		d.mu.Unlock()
 		if err != nil {
 			return err
@@ -195,18 +195,18 @@
 		if now >= until {
 			return nil
 		}
-		if !sleep(ctx, changed, until-now) {
-			return errCallerLeft
+		if !waitForChange(ctx, changed, until-now) {
+			return errClientLeft
 		}
 	}
 }
 
 // failed tells what has ended a call under way, if anything; the mutex is held.
-func (e *discoveryEndpoint) failed(call *listCall) error {
+func (e *discoveryEndpoint) callFailure(call *listCall) error {
 	d := e.discovery
 	switch {
-	case call.listening && d.silences != call.silences:
-		e.silentUntil = append(e.silentUntil, max(d.clock.Now()+countedAfter, call.end+lateAfter))
+	case call.polling && d.silencings != call.silencings:
+		e.silentUntil = append(e.silentUntil, max(d.clock.Now()+deliveryLimit, call.pollEnd+silentPollGrace))
 		return errSilenced
 	case d.outages != call.outages:
 		return errOutage
@@ -215,52 +215,52 @@
 }
 
 // listen keeps a long poll open until there is something to answer, and that is its turn.
-func (e *discoveryEndpoint) listen(ctx context.Context, call *listCall) (*listAnswer, error) {
-	e.count(func(c *CallCounts) { c.OpenPolls++ })
-	defer e.count(func(c *CallCounts) { c.OpenPolls-- })
+func (e *discoveryEndpoint) awaitChange(ctx context.Context, call *listCall) (*listAnswer, error) {
+	e.updateCounts(func(c *CallCounts) { c.OpenPolls++ })
+	defer e.updateCounts(func(c *CallCounts) { c.OpenPolls-- })
 	for {
-		found, err := e.look(call)
+		found, err := e.checkPoll(call)
 		if err != nil {
 			return nil, err
 		}
 		if found.answer != nil {
-			return found.answer, e.await(ctx, call, found.at)
+			return found.answer, e.waitUntil(ctx, call, found.readyAt)
 		}
-		if !sleep(ctx, found.changed, found.next) {
-			return nil, errCallerLeft
+		if !waitForChange(ctx, found.changed, found.recheckAfter) {
+			return nil, errClientLeft
 		}
 	}
 }
 
 // pollState is what an open long poll finds.
 type pollState struct {
-	answer  *listAnswer     // nil: there is nothing new
-	at      time.Duration   // when the answer's turn comes
-	next    time.Duration   // how long until the poll must look again
-	changed <-chan struct{} // closed when it must look earlier
+	answer       *listAnswer     // nil: there is nothing new
+	readyAt      time.Duration   // when the answer's turn comes
+	recheckAfter time.Duration   // how long until the poll must look again
+	changed      <-chan struct{} // closed when it must look earlier
 }
 
 // look finds out how things stand for an open long poll, and queues its answer if there is one.
-func (e *discoveryEndpoint) look(call *listCall) (pollState, error) {
+func (e *discoveryEndpoint) checkPoll(call *listCall) (pollState, error) {
 	d := e.discovery
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := e.failed(call); err != nil {
+	if err := e.callFailure(call); err != nil {
 		return pollState{}, err
 	}
 	now := d.clock.Now()
-	n, next := d.version(now)
-	if !e.due(call, n, now) {
-		return pollState{next: min(next, call.end-now), changed: d.changed}, nil
+	n, next := d.publishedVersion(now)
+	if !e.hasAnswer(call, n, now) {
+		return pollState{recheckAfter: min(next, call.pollEnd-now), changed: d.changed}, nil
 	}
-	call.listening = false
-	answer := e.compose(call.since, n)
+	call.polling = false
+	answer := e.buildAnswer(call.since, n)
 	d.countAnswer(answer)
-	return pollState{answer: answer, at: d.queue.EnqueueLines(now, len(answer.Instances))}, nil
+	return pollState{answer: answer, readyAt: d.queue.EnqueueLines(now, len(answer.Instances))}, nil
 }
 
 // sleep waits for a change or an alarm, and tells whether the caller is still there.
-func sleep(ctx context.Context, changed <-chan struct{}, alarm time.Duration) bool {
+func waitForChange(ctx context.Context, changed <-chan struct{}, alarm time.Duration) bool {
 	timer := time.NewTimer(alarm)
 	defer timer.Stop()
 	select {
--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -23,7 +23,7 @@
 }
 
 // faultKinds are the kinds, and what they happen to.
-func faultKinds() map[string]string {
+func faultTargets() map[string]string {
 	return map[string]string{
 		"slow": "boxes", "stuck": "boxes", "reset": "boxes", "refuse": "boxes", "silent": "boxes", "crash": "boxes",
 		"drain": "boxes", "leave": "boxes", "garble": "boxes", "error": "boxes", "turnaway": "boxes",
@@ -37,7 +37,7 @@
 // FaultKinds lists the kinds in order.
 func FaultKinds() []string {
 	var all []string
-	for kind := range faultKinds() {
+	for kind := range faultTargets() {
 		all = append(all, kind)
 	}
 	slices.Sort(all)
@@ -48,7 +48,7 @@
 func ParseFault(text string) (Fault, error) {
 	kind, rest, _ := strings.Cut(text, ":")
 	f := Fault{Kind: kind, At: 2 * time.Second, Duration: 3 * time.Second, Magnitude: 8}
-	what, ok := faultKinds()[kind]
+	what, ok := faultTargets()[kind]
 	if what == "links" {
 		f.Magnitude = 0.3
 	}
@@ -75,9 +75,9 @@
 		case key == "to" && what == "links":
 			f.To = value
 		case key == "at":
-			f.At, err = span(value)
+			f.At, err = parseFaultTime(value)
 		case key == "for":
-			f.Duration, err = span(value)
+			f.Duration, err = parseFaultTime(value)
 		case key == "by":
 			f.Magnitude, err = strconv.ParseFloat(value, 64)
 			if err == nil && !(f.Magnitude > 0 && f.Magnitude <= 1000) {
@@ -102,7 +102,7 @@
 	return f, nil
 }
 
-func span(text string) (time.Duration, error) {
+func parseFaultTime(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err == nil && (d < 0 || d > time.Hour) {
 		err = fmt.Errorf("%s is not in 0 to 1h", text)
@@ -111,7 +111,7 @@
 }
 
 // hit lists the boxes that a fault is about.
-func (f *Fleet) hit(x *Fault) ([]*Server, error) {
+func (f *Fleet) serversOf(x *Fault) ([]*Server, error) {
 	if x.Site != "" {
 		if !slices.Contains(f.Plan.Sites, x.Site) {
 			return nil, fmt.Errorf("no site %q; there are %s", x.Site, strings.Join(f.Plan.Sites, ", "))
@@ -140,10 +140,10 @@
 // CheckFault tells whether a fault is about something that the fleet has. Nodes
 // are their owner's.
 func (f *Fleet) ValidateFault(x Fault) error {
-	if faultKinds()[x.Kind] != "boxes" {
+	if faultTargets()[x.Kind] != "boxes" {
 		return nil
 	}
-	_, err := f.hit(&x)
+	_, err := f.serversOf(&x)
 	return err
 }
 
@@ -172,8 +172,8 @@
 	for i := range faults {
 		x := faults[i]
 		steps = append(steps,
-			step{x.At, func() error { return f.begin(&x, nodes) }, false},
-			step{x.At + x.Duration, func() error { return f.end(&x, nodes) }, true})
+			step{x.At, func() error { return f.startFault(&x, nodes) }, false},
+			step{x.At + x.Duration, func() error { return f.endFault(&x, nodes) }, true})
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	var errs []error
@@ -200,7 +200,7 @@
 }
 
 // begin makes a fault happen.
-func (f *Fleet) begin(x *Fault, nodes NodeController) error {
+func (f *Fleet) startFault(x *Fault, nodes NodeController) error {
 	switch x.Kind {
 	case "lag":
 		f.Discovery.SetPublishDelay(f.Plan.PublishDelay + time.Duration(x.Magnitude*float64(time.Second)))
@@ -231,45 +231,45 @@
 	case "cut", "lose", "late", "twice", "damage":
 		return nodes.SetLinkFault(x, true)
 	}
-	boxes, err := f.hit(x)
+	boxes, err := f.serversOf(x)
 	if err != nil {
 		return err
 	}
 	for _, b := range boxes {
 		switch x.Kind {
 		case "slow":
-			b.set(healthy, x.Magnitude)
+			b.setFailure(healthy, x.Magnitude)
 		case "stuck":
-			b.set(stuck, 1)
+			b.setFailure(hanging, 1)
 		case "reset":
-			b.set(resets, 1)
+			b.setFailure(resetting, 1)
 		case "refuse":
-			b.set(refuses, 1)
+			b.setFailure(refusing, 1)
 			b.close()
 		case "silent":
-			b.set(silent, 1)
+			b.setFailure(unresponsive, 1)
 		case "garble":
-			b.set(garbles, 1)
+			b.setFailure(malformed, 1)
 		case "error":
-			b.set(errs, 1)
+			b.setFailure(failing, 1)
 		case "turnaway":
-			b.set(turnsAway, 1)
+			b.setFailure(rejecting, 1)
 		case "crash":
-			b.set(down, 1)
+			b.setFailure(crashed, 1)
 			b.close()
-			f.lost(b)
+			f.publishCrash(b)
 		case "drain":
-			f.publish(b, "DRAINING", false)
-			b.drain(true)
+			f.publishState(b, "DRAINING", false)
+			b.setDraining(true)
 		case "leave": // it is announced as leaving, and serves on: nothing but the list tells
-			f.publish(b, "DRAINING", false)
+			f.publishState(b, "DRAINING", false)
 		}
 	}
 	return nil
 }
 
 // end puts a fault right.
-func (f *Fleet) end(x *Fault, nodes NodeController) error {
+func (f *Fleet) endFault(x *Fault, nodes NodeController) error {
 	switch x.Kind {
 	case "lag":
 		f.Discovery.SetPublishDelay(f.Plan.PublishDelay)
@@ -292,25 +292,25 @@
 	case "cut", "lose", "late", "twice", "damage":
 		return nodes.SetLinkFault(x, false)
 	}
-	boxes, err := f.hit(x)
+	boxes, err := f.serversOf(x)
 	if err != nil {
 		return err
 	}
 	for _, b := range boxes {
 		switch x.Kind {
 		case "refuse":
-			b.set(healthy, 1)
+			b.setFailure(healthy, 1)
 			err = b.listen("")
 		case "crash":
 			err = b.restart()
-			f.publish(b, "SERVING", false)
+			f.publishState(b, "SERVING", false)
 		case "drain", "leave": // a new process takes the place of the drained one
-			f.publish(b, "DELETED", true)
+			f.publishState(b, "DELETED", true)
 			b.close()
 			err = b.restart()
-			f.publish(b, "SERVING", false)
+			f.publishState(b, "SERVING", false)
 		default:
-			b.set(healthy, 1)
+			b.setFailure(healthy, 1)
 		}
 		if err != nil {
 			return err
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -19,12 +19,12 @@
 	Servers      []*Server // of the first tier
 	LowerServers []*Server // of the tiers below, in their order
 	// Discovery is that of the first tier.
-	Discovery *Discovery
-	below     []*Discovery
+	Discovery        *Discovery
+	lowerDiscoveries []*Discovery
 
-	host  atomic.Int64 // the next loopback address
-	beat  *beat
-	trees *trees
+	hostCount    atomic.Int64 // the next loopback address
+	delayMonitor *delayMonitor
+	callGraph    *callGraph
 }
 
 // Start opens a fleet. Boxes of a tier that calls another wait for Attach.
@@ -34,12 +34,12 @@
 	}
 	clock := NewClock()
 	f := &Fleet{Plan: plan, Clock: clock, Judge: judge.New(plan.Rules())}
-	f.beat, f.trees = startBeat(clock, f.Judge), newTrees()
+	f.delayMonitor, f.callGraph = startDelayMonitor(clock, f.Judge), newCallGraph()
 	f.Discovery = newDiscovery(clock, f.Judge, &plan)
-	racks := map[judge.Location]*rack{}
+	racks := map[judge.Location]*keyStore{}
 	for tier := range max(1, plan.Tiers) {
 		if tier > 0 {
-			f.below = append(f.below, newDiscovery(clock, f.Judge, &plan))
+			f.lowerDiscoveries = append(f.lowerDiscoveries, newDiscovery(clock, f.Judge, &plan))
 		}
 		for i := range plan.Servers {
 			site := plan.Sites[i%len(plan.Sites)]
@@ -47,13 +47,13 @@
 			column := i / len(plan.Sites) / max(1, plan.RackSize)
 			place := judge.Location{Site: site, Rack: (tier*len(plan.Sites)+i%len(plan.Sites))*1000 + column}
 			if racks[place] == nil {
-				racks[place] = &rack{seen: map[string]time.Duration{}}
+				racks[place] = &keyStore{ranAt: map[string]time.Duration{}}
 			}
 			b := &Server{
 				ID: fmt.Sprintf("box-%d%02d", tier, i), Site: site, Rack: place.Rack, Tier: tier,
-				speed: plan.Speeds[i%len(plan.Speeds)], plan: &f.Plan, clock: clock, judge: f.Judge, rack: racks[place],
+				speed: plan.Speeds[i%len(plan.Speeds)], plan: &f.Plan, clock: clock, judge: f.Judge, keys: racks[place],
 				cores: make(chan struct{}, max(1, plan.Cores)), slots: make(chan struct{}, max(1, plan.Slots)),
-				slower: 1, rng: plan.draw("box", tier*1000+i), trees: f.trees,
+				slowdown: 1, rng: plan.newRand("box", tier*1000+i), callGraph: f.callGraph,
 			}
 			f.Judge.AddServer(b.ID, place)
 			if err := b.listen(f.NewHost()); err != nil {
@@ -65,7 +65,7 @@
 			} else {
 				f.LowerServers = append(f.LowerServers, b)
 			}
-			f.publish(b, "SERVING", true)
+			f.publishState(b, "SERVING", true)
 		}
 	}
 	return f, nil
@@ -74,13 +74,13 @@
 // Host is a loopback address that nothing else here has, so that what goes can
 // come back on the same port: connections go out from 127.0.0.1 alone.
 func (f *Fleet) NewHost() string {
-	n := f.host.Add(1)
+	n := f.hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, n/250%250, 1+n%250)
 }
 
 // Attach gives a box the node that it calls the tier below through.
 func (f *Fleet) Attach(b *Server, node, address string) {
-	b.below = NewClient(node, address, &f.Plan, f.Clock, f.Judge)
+	b.nextTier = NewClient(node, address, &f.Plan, f.Clock, f.Judge)
 }
 
 // Longest tells the longest that attempts of a class were said to last, and how
@@ -89,9 +89,9 @@
 	most, count := time.Duration(0), 0
 	for _, b := range f.Servers {
 		b.mu.Lock()
-		if b.longest != nil {
-			most, count = max(most, b.longest[class].most), count+b.longest[class].count
-			b.longest[class] = longest{}
+		if b.attemptTimeouts != nil {
+			most, count = max(most, b.attemptTimeouts[class].longest), count+b.attemptTimeouts[class].count
+			b.attemptTimeouts[class] = timeoutStats{}
 		}
 		b.mu.Unlock()
 	}
@@ -101,17 +101,17 @@
 // Close ends all of it.
 func (f *Fleet) Close() {
 	for _, b := range append(append([]*Server{}, f.Servers...), f.LowerServers...) {
-		b.set(healthy, 1)
+		b.setFailure(healthy, 1)
 		b.close()
-		if b.below != nil {
-			b.below.Close()
+		if b.nextTier != nil {
+			b.nextTier.Close()
 		}
 	}
 	f.Discovery.Close()
-	for _, d := range f.below {
+	for _, d := range f.lowerDiscoveries {
 		d.Close()
 	}
-	f.beat.stop()
+	f.delayMonitor.stop()
 }
 
 // discoveryOf is the discovery service of a tier.
@@ -119,32 +119,32 @@
 	if tier == 0 {
 		return f.Discovery
 	}
-	return f.below[tier-1]
+	return f.lowerDiscoveries[tier-1]
 }
 
 // Settle reports to the judge, at the end of a run, what counts as delivered whether or not it was.
 func (f *Fleet) ReportDeliveries() {
 	f.Discovery.ReportDeliveries()
-	for _, d := range f.below {
+	for _, d := range f.lowerDiscoveries {
 		d.ReportDeliveries()
 	}
 }
 
 // publish puts a box's state on the list of its tier.
-func (f *Fleet) publish(b *Server, lifecycle string, atOnce bool) {
+func (f *Fleet) publishState(b *Server, lifecycle string, atOnce bool) {
 	f.discoveryOf(b.Tier).Publish(f.entryOf(b, lifecycle), atOnce)
 }
 
 // lost publishes that a box's process has ended without a word.
-func (f *Fleet) lost(b *Server) {
+func (f *Fleet) publishCrash(b *Server) {
 	f.discoveryOf(b.Tier).PublishAfter(f.entryOf(b, "DELETED"), cmp.Or(f.Plan.CrashPublishDelay, f.Plan.PublishDelay))
 }
 
 // entryOf is a box as its tier's list has it.
 func (f *Fleet) entryOf(b *Server, lifecycle string) entry {
 	started := int64(0)
-	if b.started > 0 {
-		started = f.Clock.UnixMilli(b.started)
+	if b.startedAt > 0 {
+		started = f.Clock.UnixMilli(b.startedAt)
 	}
 	return entry{
 		ID: b.ID, HostPort: b.Address, Zone: b.Site, Kind: "stand-in", Cell: b.Rack, Lifecycle: lifecycle, Weight: 1,
@@ -157,9 +157,9 @@
 	now := f.Clock.Now()
 	for _, b := range f.Servers {
 		b.mu.Lock()
-		b.started = now
+		b.startedAt = now
 		b.mu.Unlock()
-		f.publish(b, "SERVING", true)
+		f.publishState(b, "SERVING", true)
 	}
 }
 
@@ -219,7 +219,7 @@
 	}
 	config := object{
 		"name": s.Name, "listen": s.Listen, "discovery": discovery,
-		"seed":   fmt.Sprintf("%016x", f.Plan.draw("node/"+s.Name, s.Index).Uint64()),
+		"seed":   fmt.Sprintf("%016x", f.Plan.newRand("node/"+s.Name, s.Index).Uint64()),
 		"limits": object{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.Sockets},
 		"settings": object{
 			"categories": classes,
@@ -244,7 +244,7 @@
 	if s.KnownList != nil {
 		config["known"] = s.KnownList
 	} else if s.RestoreList {
-		config["known"] = f.discoveryOf(s.Tier).known(s.Name)
+		config["known"] = f.discoveryOf(s.Tier).knownList(s.Name)
 	}
 	text, err := json.MarshalIndent(config, "", "  ")
 	if err != nil {
@@ -254,32 +254,32 @@
 }
 
 // beat finds out how late this machine runs what is due.
-type beat struct {
-	end  chan struct{}
+type delayMonitor struct {
+	quit chan struct{}
 	done chan struct{}
 }
 
 const (
-	beatEvery = 5 * time.Millisecond
-	beatLate  = 10 * time.Millisecond // less is not told
+	delayCheckInterval = 5 * time.Millisecond
+	minReportedDelay   = 10 * time.Millisecond // less is not told
 )
 
-func startBeat(clock Clock, j *judge.Judge) *beat {
-	b := &beat{make(chan struct{}), make(chan struct{})}
+func startDelayMonitor(clock Clock, j *judge.Judge) *delayMonitor {
+	b := &delayMonitor{make(chan struct{}), make(chan struct{})}
 	go func() { // ends with stop
 		defer close(b.done)
-		tick := time.NewTicker(beatEvery)
+		tick := time.NewTicker(delayCheckInterval)
 		defer tick.Stop()
 		last := clock.Now()
 		for {
 			select {
 			case <-tick.C:
-			case <-b.end:
+			case <-b.quit:
 				return
 			}
 			now := clock.Now()
-			if late := now - last - beatEvery; late > beatLate {
-				j.MachineDelayed(last+beatEvery, late)
+			if late := now - last - delayCheckInterval; late > minReportedDelay {
+				j.MachineDelayed(last+delayCheckInterval, late)
 			}
 			last = now
 		}
@@ -287,7 +287,7 @@
 	return b
 }
 
-func (b *beat) stop() {
-	close(b.end)
+func (b *delayMonitor) stop() {
+	close(b.quit)
 	<-b.done
 }
--- a/internal/rig/standin/idlers.go
+++ b/internal/rig/standin/idlers.go
@@ -19,16 +19,16 @@
 	class   int
 	rng     *rand.Rand
 
-	asked, served, lost atomic.Int64
+	requests, served, unanswered atomic.Int64
 }
 
 // idleDials is how many of them connect or ask at once.
-const idleDials = 32
+const maxIdleInFlight = 32
 
 // NewIdlers makes count of them, spread over nodes, which ask for the plan's class
 // that is worth least.
 func NewIdleClients(plan *Plan, count int, nodes []*Client) *IdleClients {
-	i := &IdleClients{plan: plan, rng: plan.draw("idlers", 0)}
+	i := &IdleClients{plan: plan, rng: plan.newRand("idlers", 0)}
 	for k := range plan.Classes {
 		if plan.Classes[k].Worth < plan.Classes[i.class].Worth {
 			i.class = k
@@ -43,7 +43,7 @@
 
 // Connect has each ask once, and returns when all have had an answer.
 func (i *IdleClients) Connect(ctx context.Context) error {
-	i.each(ctx, 0)
+	i.sendAll(ctx, 0)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -57,22 +57,22 @@
 // spread over the time, until the context ends.
 func (i *IdleClients) SendPeriodically(ctx context.Context, every time.Duration) {
 	for ctx.Err() == nil {
-		i.each(ctx, every)
+		i.sendAll(ctx, every)
 	}
 }
 
 // each has each ask once, spread over a time.
-func (i *IdleClients) each(ctx context.Context, over time.Duration) {
+func (i *IdleClients) sendAll(ctx context.Context, over time.Duration) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	turn := make(chan *Client)
 	defer close(turn)
-	for range idleDials {
+	for range maxIdleInFlight {
 		seed := i.rng.Uint64()
 		all.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			for c := range turn {
-				i.ask(c, rng)
+				i.sendRequest(c, rng)
 			}
 		})
 	}
@@ -93,9 +93,9 @@
 	}
 }
 
-func (i *IdleClients) ask(c *Client, rng *rand.Rand) {
+func (i *IdleClients) sendRequest(c *Client, rng *rand.Rand) {
 	class := &i.plan.Classes[i.class]
-	i.asked.Add(1)
+	i.requests.Add(1)
 	answer := c.Do(context.Background(), Request{
 		ID: fmt.Sprintf("%016x", rng.Uint64()), Class: i.class, Timeout: class.Deadline,
 		Path: fmt.Sprintf("/%s/%s/%d", class.Name, i.plan.Sites[rng.IntN(len(i.plan.Sites))], rng.IntN(5000)),
@@ -105,7 +105,7 @@
 	case judge.Served:
 		i.served.Add(1)
 	case judge.ConnectionLost, judge.ClientLeft:
-		i.lost.Add(1)
+		i.unanswered.Add(1)
 	}
 }
 
@@ -129,7 +129,7 @@
 
 // Counts are the requests so far: asked, served, and without an answer.
 func (i *IdleClients) Counts() (asked, served, lost int64) {
-	return i.asked.Load(), i.served.Load(), i.lost.Load()
+	return i.requests.Load(), i.served.Load(), i.unanswered.Load()
 }
 
 // Close ends all their connections.
--- a/internal/rig/standin/judge/judge.go
+++ b/internal/rig/standin/judge/judge.go
@@ -112,28 +112,28 @@
 }
 
 type attempt struct {
-	box     string
-	at      time.Duration // its last byte came
-	key     string
-	ended   time.Duration
-	how     AttemptOutcome
-	effects int // 1: it had its effect; repeats that were dropped have none
-	ranAt   time.Duration
+	server    string
+	arrivedAt time.Duration // its last byte came
+	key       string
+	endedAt   time.Duration
+	outcome   AttemptOutcome
+	effects   int // 1: it had its effect; repeats that were dropped have none
+	ranAt     time.Duration
 }
 
 type request struct {
-	id       string
-	class    int
-	node     string
-	asked    time.Duration
-	wait     time.Duration
-	ending   RequestOutcome
-	ended    time.Duration
-	maker    string // the box that made the answer, as its body says
-	attempts []attempt
+	id         string
+	class      int
+	node       string
+	sentAt     time.Duration
+	timeout    time.Duration
+	outcome    RequestOutcome
+	endedAt    time.Duration
+	answeredBy string // the box that made the answer, as its body says
+	attempts   []attempt
 }
 
-type delay struct{ at, long time.Duration }
+type delay struct{ at, length time.Duration }
 
 // Judge is the ledger.
 type Judge struct {
@@ -141,21 +141,21 @@
 
 	mu            sync.Mutex
 	requests      map[string]*request
-	places        map[string]Location
+	locations     map[string]Location
 	notifications map[string]map[string][]notification // by node, by box
-	deaths        map[string][]time.Duration
+	kills         map[string][]time.Duration
 	starts        map[string][]time.Duration    // of processes that took the place of dead ones
-	stood         map[string][][2]time.Duration // when a node's process stood still
-	fallen        []Breach
-	strays        []Breach
-	lags          []delay
+	pauses        map[string][][2]time.Duration // when a node's process stood still
+	collapses     []Breach
+	unexpected    []Breach
+	delays        []delay
 }
 
 // New returns an empty ledger.
 func New(r Rules) *Judge {
 	return &Judge{
-		rules: r, requests: map[string]*request{}, places: map[string]Location{},
-		notifications: map[string]map[string][]notification{}, deaths: map[string][]time.Duration{}, starts: map[string][]time.Duration{}, stood: map[string][][2]time.Duration{},
+		rules: r, requests: map[string]*request{}, locations: map[string]Location{},
+		notifications: map[string]map[string][]notification{}, kills: map[string][]time.Duration{}, starts: map[string][]time.Duration{}, pauses: map[string][][2]time.Duration{},
 	}
 }
 
@@ -163,7 +163,7 @@
 func (j *Judge) AddServer(id string, p Location) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.places[id] = p
+	j.locations[id] = p
 }
 
 // Asked says that a caller has written the last byte of a request to a node, and
@@ -171,7 +171,7 @@
 func (j *Judge) RequestSent(at time.Duration, id string, class int, node string, wait time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.requests[id] = &request{id: id, class: class, node: node, asked: at, wait: wait}
+	j.requests[id] = &request{id: id, class: class, node: node, sentAt: at, timeout: wait}
 }
 
 // Untaken says that a request never reached a node: it is owed nothing.
@@ -199,12 +199,12 @@
 	r := j.requests[id]
 	switch {
 	case r == nil:
-		j.strays = append(j.strays, Breach{Rule: 1, What: "an answer to what nobody asked", Request: id, At: at})
-	case r.ending != Unanswered:
-		j.strays = append(j.strays, Breach{Rule: 1, What: fmt.Sprintf("a second final answer: %v after %v", e, r.ending),
+		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: "an answer to what nobody asked", Request: id, At: at})
+	case r.outcome != Unanswered:
+		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: fmt.Sprintf("a second final answer: %v after %v", e, r.outcome),
 			Request: id, At: at, History: r.history()})
 	default:
-		r.ending, r.ended, r.maker = e, at, maker
+		r.outcome, r.endedAt, r.answeredBy = e, at, maker
 	}
 }
 
@@ -215,10 +215,10 @@
 	defer j.mu.Unlock()
 	r := j.requests[id]
 	if r == nil {
-		j.strays = append(j.strays, Breach{Rule: 1, What: "box " + box + " got what nobody asked", Request: id, At: at})
+		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: "box " + box + " got what nobody asked", Request: id, At: at})
 		return -1
 	}
-	r.attempts = append(r.attempts, attempt{box: box, at: at, key: key})
+	r.attempts = append(r.attempts, attempt{server: box, arrivedAt: at, key: key})
 	return len(r.attempts) - 1
 }
 
@@ -236,8 +236,8 @@
 func (j *Judge) AttemptEnded(at time.Duration, id string, number int, how AttemptOutcome) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if a := j.attempt(id, number); a != nil && a.how == InProgress {
-		a.ended, a.how = at, how
+	if a := j.attempt(id, number); a != nil && a.outcome == InProgress {
+		a.endedAt, a.outcome = at, how
 	}
 }
 
@@ -253,7 +253,7 @@
 func (j *Judge) NodeKilled(at time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.deaths[node] = append(j.deaths[node], at)
+	j.kills[node] = append(j.kills[node], at)
 }
 
 // Started says that a node that had died runs again.
@@ -268,14 +268,14 @@
 func (j *Judge) NodePaused(from, to time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.stood[node] = append(j.stood[node], [2]time.Duration{from, to})
+	j.pauses[node] = append(j.pauses[node], [2]time.Duration{from, to})
 }
 
 // Fell says that a cold box was sent too much and fell over.
 func (j *Judge) ServerCollapsed(at time.Duration, box, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.fallen = append(j.fallen, Breach{Rule: 4, What: "cold box " + box + " fell over: " + why, At: at})
+	j.collapses = append(j.collapses, Breach{Rule: 4, What: "cold box " + box + " fell over: " + why, At: at})
 }
 
 // Lag says that this machine was late by so long: whoever should have run at this
@@ -283,7 +283,7 @@
 func (j *Judge) MachineDelayed(at, long time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.lags = append(j.lags, delay{at, long})
+	j.delays = append(j.delays, delay{at, long})
 }
 
 // Verdict is what the ledger holds.
@@ -307,23 +307,23 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	v := Verdict{Requests: len(j.requests), Outcomes: map[RequestOutcome]int{}, ByClass: make([]ClassCount, len(j.rules.Classes))}
-	slices.SortFunc(j.lags, func(x, y delay) int { return cmp.Compare(x.at, y.at) })
-	for _, l := range j.lags {
-		v.MaxMachineDelay = max(v.MaxMachineDelay, l.long)
+	slices.SortFunc(j.delays, func(x, y delay) int { return cmp.Compare(x.at, y.at) })
+	for _, l := range j.delays {
+		v.MaxMachineDelay = max(v.MaxMachineDelay, l.length)
 	}
-	v.Breaches = append(v.Breaches, j.fallen...)
-	v.Breaches = append(v.Breaches, j.strays...)
+	v.Breaches = append(v.Breaches, j.collapses...)
+	v.Breaches = append(v.Breaches, j.unexpected...)
 	c := &requestCheck{Judge: j, verdict: &v, now: now}
 	for _, r := range j.requests {
 		v.Attempts += len(r.attempts)
 		v.ByClass[r.class].Requests++
 		v.ByClass[r.class].Attempts += len(r.attempts)
 		v.MaxAttempts = max(v.MaxAttempts, len(r.attempts))
-		v.Outcomes[r.ending]++
+		v.Outcomes[r.outcome]++
 		c.request = r
-		c.answer()
-		c.effects()
-		c.drains()
+		c.checkAnswer()
+		c.checkAttempts()
+		c.checkDrains()
 	}
 	slices.SortFunc(v.Breaches, func(x, y Breach) int {
 		return cmp.Or(cmp.Compare(x.At, y.At), cmp.Compare(x.Rule, y.Rule), cmp.Compare(x.Request, y.Request))
@@ -337,23 +337,23 @@
 		at   time.Duration
 		text string
 	}
-	lines := []line{{r.asked, fmt.Sprintf("asked of node %s, waits for %v", r.node, r.wait)}}
+	lines := []line{{r.sentAt, fmt.Sprintf("asked of node %s, waits for %v", r.node, r.timeout)}}
 	for i, a := range r.attempts {
-		lines = append(lines, line{a.at, fmt.Sprintf("attempt %d came to box %s", i, a.box)})
+		lines = append(lines, line{a.arrivedAt, fmt.Sprintf("attempt %d came to box %s", i, a.server)})
 		if a.effects > 0 {
 			lines = append(lines, line{a.ranAt, fmt.Sprintf("attempt %d had its effect", i)})
 		}
-		if a.how != InProgress {
-			lines = append(lines, line{a.ended, fmt.Sprintf("attempt %d %v", i, a.how)})
+		if a.outcome != InProgress {
+			lines = append(lines, line{a.endedAt, fmt.Sprintf("attempt %d %v", i, a.outcome)})
 		}
 	}
-	if r.ending != Unanswered {
-		lines = append(lines, line{r.ended, r.ending.String()})
+	if r.outcome != Unanswered {
+		lines = append(lines, line{r.endedAt, r.outcome.String()})
 	}
 	slices.SortStableFunc(lines, func(x, y line) int { return cmp.Compare(x.at, y.at) })
 	texts := make([]string, len(lines))
 	for i, l := range lines {
-		texts[i] = fmt.Sprintf("%9.1f ms  %s", float64(l.at-r.asked)/1e6, l.text)
+		texts[i] = fmt.Sprintf("%9.1f ms  %s", float64(l.at-r.sentAt)/1e6, l.text)
 	}
 	return texts
 }
--- a/internal/rig/standin/judge/notifications.go
+++ b/internal/rig/standin/judge/notifications.go
@@ -4,10 +4,10 @@
 
 // notification is a state of a box as a node was notified of it.
 type notification struct {
-	at      time.Duration
-	state   State
-	version int  // of the list; a newer one goes before an older, whenever each was told
-	due     bool // it counts as told, whether or not it was
+	at       time.Duration
+	state    State
+	version  int  // of the list; a newer one goes before an older, whenever each was told
+	presumed bool // it counts as told, whether or not it was
 }
 
 // Told says that discovery has written a box's state to a node.
@@ -41,11 +41,11 @@
 
 // startGrace is how long after its start what fell due before does not count as told to a process that takes a dead one's
 // place: it has to ask first, and knows neither how old its list is nor which boxes still take work.
-const startGrace = 2 * time.Second
+const restartGrace = 2 * time.Second
 
 // began tells when the process that a node runs at a time took the place of a dead one, and false if none has died.
-func (c *requestCheck) began(at time.Duration) (began time.Duration, ok bool) {
-	for _, times := range [...][]time.Duration{c.deaths[c.node], c.starts[c.node]} {
+func (c *requestCheck) processStart(at time.Duration) (began time.Duration, ok bool) {
+	for _, times := range [...][]time.Duration{c.kills[c.node], c.starts[c.node]} {
 		for _, x := range times {
 			if x < at {
 				began, ok = max(began, x), true
@@ -56,29 +56,29 @@
 }
 
 // drains checks rule 3.
-func (c *requestCheck) drains() {
+func (c *requestCheck) checkDrains() {
 	for _, a := range c.attempts {
 		last := notification{}
-		for _, w := range c.notifications[c.node][a.box] {
-			if w.at <= a.at && (w.version > last.version || w.version == last.version && (w.version == 0 || w.at < last.at)) {
+		for _, w := range c.notifications[c.node][a.server] {
+			if w.at <= a.arrivedAt && (w.version > last.version || w.version == last.version && (w.version == 0 || w.at < last.at)) {
 				last = w
 			}
 		}
 		told := last.at
-		for _, x := range c.stood[c.node] { // what comes to a process that stands still it is told once it goes on
+		for _, x := range c.pauses[c.node] { // what comes to a process that stands still it is told once it goes on
 			if x[0] <= told && told < x[1] {
 				told = x[1]
 			}
 		}
-		if began, ok := c.began(a.at); last.due && ok {
-			told = max(told, began+startGrace)
+		if began, ok := c.processStart(a.arrivedAt); last.presumed && ok {
+			told = max(told, began+restartGrace)
 		}
-		if last.state != Serving && c.late(told+c.rules.DrainGrace, a.at) {
+		if last.state != Serving && c.isLate(told+c.rules.DrainGrace, a.arrivedAt) {
 			what := "was told"
-			if last.due {
+			if last.presumed {
 				what = "counts as told"
 			}
-			c.breach(3, a.at, "box %s got it %v after node %s %s that it is %v", a.box, a.at-last.at, c.node, what, last.state)
+			c.addBreach(3, a.arrivedAt, "box %s got it %v after node %s %s that it is %v", a.server, a.arrivedAt-last.at, c.node, what, last.state)
 		}
 	}
 }
--- a/internal/rig/standin/plan.go
+++ b/internal/rig/standin/plan.go
@@ -76,7 +76,7 @@
 }
 
 // part is the share of a class's work that a tier does.
-func (p *Plan) part(tier int) float64 {
+func (p *Plan) tierShare(tier int) float64 {
 	if tier < len(p.TierWork) {
 		return p.TierWork[tier]
 	}
@@ -102,7 +102,7 @@
 	}
 	least, times := 0.0, 1.0
 	for tier := range max(1, p.Tiers) {
-		c := cores / (work * p.part(tier) * times)
+		c := cores / (work * p.tierShare(tier) * times)
 		if least == 0 || c < least {
 			least = c
 		}
@@ -121,7 +121,7 @@
 }
 
 // class finds a class by its name.
-func (p *Plan) class(name string) (int, bool) {
+func (p *Plan) classIndex(name string) (int, bool) {
 	for i := range p.Classes {
 		if p.Classes[i].Name == name {
 			return i, true
@@ -132,7 +132,7 @@
 
 // draw returns random numbers of their own for one part of the fleet, so that
 // what one part draws does not change what another does.
-func (p *Plan) draw(part string, number int) *rand.Rand {
+func (p *Plan) newRand(part string, number int) *rand.Rand {
 	h := uint64(14695981039346656037)
 	for _, b := range []byte(fmt.Sprintf("%s/%d", part, number)) {
 		h = (h ^ uint64(b)) * 1099511628211
--- a/internal/rig/standin/standin_test.go
+++ b/internal/rig/standin/standin_test.go
@@ -147,7 +147,7 @@
 }
 
 func (n *rogue) ask(class string, wait time.Duration) Response {
-	index, _ := n.fleet.Plan.class(class)
+	index, _ := n.fleet.Plan.classIndex(class)
 	return n.client.Do(context.Background(), Request{
 		ID: fmt.Sprintf("%016x", time.Now().UnixNano()), Class: index, Path: "/" + class + "/genf/1", Key: "k1", Timeout: wait,
 	})
@@ -232,13 +232,13 @@
 		}, nil},
 		{"sends to a drained box", 3, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) },
 			func(t *testing.T, n *rogue) {
-				n.fleet.publish(n.fleet.Servers[0], "DRAINING", true)
+				n.fleet.publishState(n.fleet.Servers[0], "DRAINING", true)
 				n.list(t)
 				time.Sleep(n.fleet.Plan.DrainGrace + 200*ms) // what it waits for is time itself
 			}},
 		{"sends to a drained box in the grace", 0, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) },
 			func(t *testing.T, n *rogue) {
-				n.fleet.publish(n.fleet.Servers[0], "DRAINING", true)
+				n.fleet.publishState(n.fleet.Servers[0], "DRAINING", true)
 				n.list(t)
 			}},
 	} {
@@ -330,14 +330,14 @@
 				w.WriteHeader(http.StatusBadGateway)
 			})
 			fault := Fault{Kind: c.kind, Server: "0", Magnitude: 2}
-			if err := f.begin(&fault, nil); err != nil {
+			if err := f.startFault(&fault, nil); err != nil {
 				t.Fatal(err)
 			}
 			n.ask("auftrag", 2*time.Second)
 			if got := int(status.Load()); got != c.status {
 				t.Errorf("answered %d, want %d", got, c.status)
 			}
-			if err := f.end(&fault, nil); err != nil {
+			if err := f.endFault(&fault, nil); err != nil {
 				t.Fatal(err)
 			}
 			n.ask("zustand", 2*time.Second)
@@ -355,7 +355,7 @@
 // A full house turns away, and a keyed repeat has no second effect in its rack
 // within the window, and one after it.
 func TestKeyedRepeats(t *testing.T) {
-	r := &rack{seen: map[string]time.Duration{}}
+	r := &keyStore{ranAt: map[string]time.Duration{}}
 	const window = 10 * time.Second
 	for _, c := range []struct {
 		key   string
@@ -364,7 +364,7 @@
 	}{
 		{"a", 0, true}, {"a", ms, false}, {"b", ms, true}, {"a", window - ms, false}, {"a", window, true}, {"a", window + ms, false},
 	} {
-		if got := r.first(c.key, c.at, window); got != c.first {
+		if got := r.addIfNew(c.key, c.at, window); got != c.first {
 			t.Errorf("key %s at %v: first %v", c.key, c.at, got)
 		}
 	}
@@ -449,7 +449,7 @@
 // The same seed must draw the same traffic and the same work.
 func TestSeeded(t *testing.T) {
 	p := DefaultPlan()
-	a, b, c := p.draw("box", 1), p.draw("box", 1), p.draw("box", 2)
+	a, b, c := p.newRand("box", 1), p.newRand("box", 1), p.newRand("box", 2)
 	if x, y, z := a.Uint64(), b.Uint64(), c.Uint64(); x != y || x == z {
 		t.Errorf("drew %x, %x and %x", x, y, z)
 	}
