--- a/internal/rig/registry/queue.go
+++ b/internal/rig/registry/queue.go
@@ -57,10 +57,10 @@
 	if q.settings.LinesPerSecond <= 0 {
 		return Admission{Answered, now}
 	}
-	if limit, limited := q.limit(); limited && q.backlog > limit {
+	if limit, limited := q.backlogLimit(); limited && q.backlog > limit {
 		return Admission{Rejected, now}
 	}
-	q.backlog += q.work(q.settings.LinesPerCall + float64(entries))
+	q.backlog += q.duration(q.settings.LinesPerCall + float64(entries))
 	if timeout := q.settings.QueueTimeout; timeout > 0 && q.backlog > timeout {
 		return Admission{TimedOut, now + timeout}
 	}
@@ -71,7 +71,7 @@
 // is never rejected.
 func (q *Queue) EnqueueLines(now time.Duration, entries int) time.Duration {
 	q.advance(now)
-	q.backlog += q.work(float64(entries))
+	q.backlog += q.duration(float64(entries))
 	return now + q.backlog
 }
 
@@ -88,7 +88,7 @@
 }
 
 // work is how long so many lines take.
-func (q *Queue) work(lines float64) time.Duration {
+func (q *Queue) duration(lines float64) time.Duration {
 	if q.settings.LinesPerSecond <= 0 {
 		return 0
 	}
@@ -96,7 +96,7 @@
 }
 
 // limit is the backlog above which calls are rejected, if there is one.
-func (q *Queue) limit() (time.Duration, bool) {
+func (q *Queue) backlogLimit() (time.Duration, bool) {
 	limited := q.settings.BacklogFactor > 0 && q.settings.QueueTimeout > 0
 	return time.Duration(q.settings.BacklogFactor * float64(q.settings.QueueTimeout)), limited
 }
@@ -111,7 +111,7 @@
 	if q.settings.LinesPerSecond <= 0 {
 		return
 	}
-	limit, limited := q.limit()
+	limit, limited := q.backlogLimit()
 	if limited && q.backlog > limit { // work from outside is rejected until the backlog is down to the limit
 		drained := min(elapsed, q.backlog-limit)
 		q.backlog -= drained
