--- a/internal/rig/registry/doc.go
+++ b/internal/rig/registry/doc.go
@@ -1,6 +1,6 @@
-// Package registry is a model of a service registry that all nodes of a fleet ask: one server that works through
-// calls in the order in which they come, at a fixed capacity, and fails those that have waited too long.
+// Package registry models a service registry that all nodes of a fleet call: a single server that handles
+// calls in order of arrival at a fixed capacity, and fails those that wait too long.
 //
-// The package is pure: the caller brings the time, and plays the answers when the model says that they are due. It
-// holds no lists and knows no versions: what is asked for is a number of lines.
+// The package does no I/O and reads no clock: its user passes in the time and delivers the answers when the
+// model says they are due. It holds no lists and no versions; an answer is a number of lines.
 package registry
--- a/internal/rig/registry/queue.go
+++ b/internal/rig/registry/queue.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Settings are the capacity of a registry, and what a call costs it.
+// Settings holds the capacity of a registry and the cost of calls.
 type Settings struct {
-	LinesPerSecond float64       // capacity; 0: unlimited, and every call is answered at once
-	LinesPerCall   float64       // cost of each call, on top of the lines of its answer
-	QueueTimeout   time.Duration // a call that is not worked through by then fails; 0: none does
-	BacklogFactor  float64       // with more than this many time-outs of work queued a call is rejected; 0: none is
-	// OtherLinesPerSecond is the work offered by callers outside the fleet. It arrives evenly, takes its place in the
-	// queue, and is rejected like any other call.
+	LinesPerSecond float64       // capacity; 0: unlimited, every call is answered at once
+	LinesPerCall   float64       // cost of each call, in addition to the lines of its answer
+	QueueTimeout   time.Duration // a call that is not answered within it fails; 0: no limit
+	BacklogFactor  float64       // calls are rejected while the backlog exceeds this many QueueTimeouts; 0: never
+	// ExternalLinesPerSecond is the load of clients outside the fleet. It arrives evenly, queues like the
+	// calls of the fleet, and is rejected in the same way.
 	ExternalLinesPerSecond float64
 }
 
-// Outcome is what becomes of a call.
+// Outcome is the result of a call.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a call.
 const (
-	Answered Outcome = iota // worked through in time
-	TimedOut                // failed while it was queued; its work is spent all the same
-	Rejected                // failed at once; no work is spent
+	Answered Outcome = iota // answered within the timeout
+	TimedOut                // failed in the queue, although its work is done
+	Rejected                // failed at once and costs no work
 )
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -35,24 +35,25 @@
 	}
 }
 
-// Admission is what becomes of a call, and when the caller learns it.
+// Admission is the result of a call and the time at which its client receives it.
 type Admission struct {
 	Outcome Outcome
 	DoneAt  time.Duration
 }
 
-// Queue is the work that a registry has still to do. Times given to its methods must not decrease.
+// Queue is the backlog of a registry. Times passed to its methods must not decrease.
 type Queue struct {
 	settings Settings
 	now      time.Duration
-	backlog  time.Duration // how long the queued work takes
+	backlog  time.Duration // time that the queued work takes
 }
 
 // New returns an empty queue at time 0.
 func New(settings Settings) *Queue { return &Queue{settings: settings} }
 
-// Call queues a call for which so many lines are known now: none for a long poll that finds nothing new yet.
-func (q *Queue) EnqueueCall(now time.Duration, entries int) Admission {
+// EnqueueCall queues a call whose answer has this many lines now; none for a long poll that finds nothing new
+// yet.
+func (q *Queue) EnqueueCall(now time.Duration, lines int) Admission {
 	q.advance(now)
 	if q.settings.LinesPerSecond <= 0 {
 		return Admission{Answered, now}
@@ -60,34 +61,34 @@
 	if limit, limited := q.backlogLimit(); limited && q.backlog > limit {
 		return Admission{Rejected, now}
 	}
-	q.backlog += q.duration(q.settings.LinesPerCall + float64(entries))
+	q.backlog += q.duration(q.settings.LinesPerCall + float64(lines))
 	if timeout := q.settings.QueueTimeout; timeout > 0 && q.backlog > timeout {
 		return Admission{TimedOut, now + timeout}
 	}
 	return Admission{Answered, now + q.backlog}
 }
 
-// Write queues so many lines of the answer to a long poll that is open already, and returns when they are written. It
-// is never rejected.
-func (q *Queue) EnqueueLines(now time.Duration, entries int) time.Duration {
+// EnqueueLines queues the lines of the answer to an open long poll, and returns when they are written. It is
+// never rejected.
+func (q *Queue) EnqueueLines(now time.Duration, lines int) time.Duration {
 	q.advance(now)
-	q.backlog += q.duration(float64(entries))
+	q.backlog += q.duration(float64(lines))
 	return now + q.backlog
 }
 
-// Backlog returns how long the work takes that is queued at a time.
+// Backlog returns how long the work queued at a time takes.
 func (q *Queue) Backlog(now time.Duration) time.Duration {
 	q.advance(now)
 	return q.backlog
 }
 
-// Restart drops all queued work, as a registry does that starts anew.
+// Clear drops all queued work, as when a registry restarts.
 func (q *Queue) Clear(now time.Duration) {
 	q.advance(now)
 	q.backlog = 0
 }
 
-// work is how long so many lines take.
+// duration returns how long a number of lines takes.
 func (q *Queue) duration(lines float64) time.Duration {
 	if q.settings.LinesPerSecond <= 0 {
 		return 0
@@ -95,13 +96,13 @@
 	return time.Duration(lines / q.settings.LinesPerSecond * float64(time.Second))
 }
 
-// limit is the backlog above which calls are rejected, if there is one.
+// backlogLimit returns the backlog above which calls are rejected, if there is a limit.
 func (q *Queue) backlogLimit() (time.Duration, bool) {
 	limited := q.settings.BacklogFactor > 0 && q.settings.QueueTimeout > 0
 	return time.Duration(q.settings.BacklogFactor * float64(q.settings.QueueTimeout)), limited
 }
 
-// advance works the queue off up to a time, while work from outside the fleet arrives.
+// advance reduces the backlog by the work done until now and adds the external load of that time.
 func (q *Queue) advance(now time.Duration) {
 	elapsed := now - q.now
 	if elapsed <= 0 {
@@ -112,7 +113,7 @@
 		return
 	}
 	limit, limited := q.backlogLimit()
-	if limited && q.backlog > limit { // work from outside is rejected until the backlog is down to the limit
+	if limited && q.backlog > limit { // external load is rejected until the backlog is down to the limit
 		drained := min(elapsed, q.backlog-limit)
 		q.backlog -= drained
 		elapsed -= drained
--- a/internal/rig/standin/callcounts.go
+++ b/internal/rig/standin/callcounts.go
@@ -1,17 +1,17 @@
 package standin
 
-// NodeCalls are the calls of one node, and what became of them.
+// CallCounts counts the calls of one node by result.
 type CallCounts struct {
-	Received       int // all that came
+	Received       int // all calls
 	Answered       int // a list was written
-	TimedOut       int // 503, having waited in the queue for too long
-	Rejected       int // 503 at once, the queue being too long
-	Failed         int // cut off by an outage, or answered 503 in one
-	OpenPolls      int // long polls that wait for a change now
-	WrittenVersion int // the newest of the list that was written
+	TimedOut       int // 503 after too long in the queue
+	Rejected       int // 503 at once because the queue was full
+	Failed         int // connection closed by an outage, or answered 503 in one
+	OpenPolls      int // long polls waiting for a change now
+	WrittenVersion int // newest version of the list that was written
 }
 
-// add counts a call that has ended.
+// countEnd counts a call that has ended.
 func (c *CallCounts) countEnd(err error) {
 	switch err {
 	case nil:
@@ -25,14 +25,14 @@
 	}
 }
 
-// Calls is how many calls and list lines it has answered.
+// Calls returns how many calls were answered and how many list lines they contained.
 func (d *Discovery) Calls() (calls, lines int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.callsAnswered, d.linesSent
 }
 
-// CallsByNode returns the calls of each node.
+// CallsByNode returns the counts of each node.
 func (d *Discovery) CallsByNode() map[string]CallCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,7 +43,7 @@
 	return all
 }
 
-// Version is the newest published version of the list.
+// Version returns the newest published version of the list.
 func (d *Discovery) Version() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,7 +51,7 @@
 	return n
 }
 
-// count adds to the counts of an endpoint.
+// updateCounts changes the counts of an endpoint under the mutex.
 func (e *discoveryEndpoint) updateCounts(add func(c *CallCounts)) {
 	e.discovery.mu.Lock()
 	defer e.discovery.mu.Unlock()
--- a/internal/rig/standin/callgraph.go
+++ b/internal/rig/standin/callgraph.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// trees counts how often each call of a graph is attempted, whatever attempts of
-// the tiers above made it: the same call of the same entry request is one, though
-// each attempt above makes it under an id of its own.
+// callGraph counts the attempts of each call in a call graph, no matter which attempts of the upper tiers
+// made them. The same call of the same entry request counts as one call, although each attempt of an upper
+// tier makes it under a new ID.
 type callGraph struct {
 	mu             sync.Mutex
-	paths          map[string]string // by a call's id
-	attemptsByPath map[string]int    // attempts by place
+	paths          map[string]string // by a call's ID
+	attemptsByPath map[string]int    // attempts by path
 	maxAttempts    int
 	attempts       int
 }
@@ -20,33 +20,33 @@
 	return &callGraph{paths: map[string]string{}, attemptsByPath: map[string]int{}}
 }
 
-// call notes that a box makes its i-th call for a request, under an id.
-func (t *callGraph) recordCall(id, above string, i int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	place, below := t.paths[above]
-	if !below {
-		place = above // of the first tier: its id is the entry's
+// recordCall records under its ID the i-th call that a server makes for a request.
+func (g *callGraph) recordCall(id, parent string, i int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	path, known := g.paths[parent]
+	if !known {
+		path = parent // a request to the first tier: its ID is the root of the path
 	}
-	t.paths[id] = place + "." + strconv.Itoa(i)
+	g.paths[id] = path + "." + strconv.Itoa(i)
 }
 
-// arrived notes an attempt of a call at a box of a lower tier.
-func (t *callGraph) recordAttempt(id string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	place, below := t.paths[id]
-	if !below {
-		place = id
+// recordAttempt records the arrival of an attempt at a server.
+func (g *callGraph) recordAttempt(id string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	path, known := g.paths[id]
+	if !known {
+		path = id
 	}
-	t.attempts++
-	t.attemptsByPath[place]++
-	t.maxAttempts = max(t.maxAttempts, t.attemptsByPath[place])
+	g.attempts++
+	g.attemptsByPath[path]++
+	g.maxAttempts = max(g.maxAttempts, g.attemptsByPath[path])
 }
 
-// Worst is the most attempts of any one call of a graph, and how many attempts
-// there were of all.
-func (f *Fleet) MaxCallAttempts() (most, all int) {
+// MaxCallAttempts returns the highest number of attempts of any single call of a graph, and the number of all
+// attempts.
+func (f *Fleet) MaxCallAttempts() (maxAttempts, attempts int) {
 	f.callGraph.mu.Lock()
 	defer f.callGraph.mu.Unlock()
 	return f.callGraph.maxAttempts, f.callGraph.attempts
--- a/internal/rig/standin/capacity.go
+++ b/internal/rig/standin/capacity.go
@@ -14,12 +14,12 @@
 	maxBacklogFactor = 1000
 )
 
-// SettingError is a setting out of its bounds.
+// SettingError reports a setting that is out of its bounds.
 type SettingError struct {
 	Key      string
 	Value    any
 	Min, Max any
-	Reason   string // of the bounds, where they are not plain
+	Reason   string // explains the bounds where they are not obvious
 }
 
 func (e *SettingError) Error() string {
@@ -35,15 +35,15 @@
 	for _, x := range []struct {
 		key   string
 		value float64
-		most  float64
+		max   float64
 	}{
 		{"registry.lines_per_second", s.LinesPerSecond, maxLines},
 		{"registry.call_lines", s.LinesPerCall, maxLines},
 		{"registry.overbook", s.BacklogFactor, maxBacklogFactor},
 		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, maxLines},
 	} {
-		if !(x.value >= 0 && x.value <= x.most) { // NaN is neither
-			return &SettingError{Key: x.key, Value: x.value, Min: 0, Max: x.most}
+		if !(x.value >= 0 && x.value <= x.max) { // also rejects NaN
+			return &SettingError{Key: x.key, Value: x.value, Min: 0, Max: x.max}
 		}
 	}
 	if s.QueueTimeout < 0 || s.QueueTimeout > maxQueueTimeout {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// validateRegistry checks what a plan says of discovery.
+// validateRegistry checks a plan's settings of discovery.
 func (p *Plan) validateRegistry() error {
 	if err := validateCapacity(p.Registry); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	if p.AnswerInOutage && p.Registry.QueueTimeout == 0 {
 		return &SettingError{
 			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Min: time.Nanosecond, Max: maxQueueTimeout,
-			Reason: "a call that comes while discovery is down is answered after it",
+			Reason: "a call during an outage of discovery is answered after it",
 		}
 	}
 	return nil
--- a/internal/rig/standin/client.go
+++ b/internal/rig/standin/client.go
@@ -17,38 +17,37 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Ask is one request to a node.
+// Request is one request to a node.
 type Request struct {
 	ID           string
 	Class        int
 	Path         string
 	Key          string
-	Timeout      time.Duration // X-Remaining-Ms; the caller leaves a little later
+	Timeout      time.Duration // sent as X-Remaining-Ms; the client disconnects timeoutGrace later
 	Body         []byte
 	IsRetry      bool
 	Tenant       string
-	BudgetHeader string // curlewring's budget header, handed on; "": none
+	BudgetHeader string // curlewring's budget header, passed on; "": none
 }
 
-// Answer is how a request ended for its caller.
+// Response is the result of a request for its client.
 type Response struct {
 	Outcome     judge.RequestOutcome
 	RetryAfter  time.Duration
 	Took        time.Duration
 	Status      int
-	NotSent     bool   // no node has taken it
-	SpentHeader string // curlewring's word of what was spent of a budget
+	NotSent     bool   // the request never reached a node
+	SpentHeader string // curlewring's header with the spent part of a budget
 }
 
-// patience is how long a caller listens after its time is up, to find out
-// whether an answer would still have come.
+// timeoutGrace is how long a client still reads after its timeout, to detect answers that come too late.
 const timeoutGrace = 500 * time.Millisecond
 
-// Client is a caller of one node. It keeps its connections, sends one request at
-// a time on each, and opens more when all are busy. It is written on the sockets
-// because http.Transport sends requests again by itself.
+// Client sends requests to one node. It keeps its connections open, sends one request at a time on each, and
+// opens another one when all are busy. It implements HTTP/1.1 on sockets because http.Transport retries
+// requests by itself.
 type Client struct {
-	Node    string // as the judge knows it
+	Node    string // name reported to the judge
 	address string
 	plan    *Plan
 	clock   Clock
@@ -66,12 +65,12 @@
 	used   bool
 }
 
-// NewClient returns a caller of the node at an address.
+// NewClient returns a client of the node at an address.
 func NewClient(node, address string, plan *Plan, clock Clock, j *judge.Judge) *Client {
 	return &Client{Node: node, address: address, plan: plan, clock: clock, judge: j}
 }
 
-// Close ends the idle connections, and those in use with their answer.
+// Close closes idle connections at once, and those in use after their answer.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,77 +111,76 @@
 	c.idle = append(c.idle, conn)
 }
 
-// encode writes a request as it stands on the wire.
-func (c *Client) encode(a *Request) []byte {
-	class := &c.plan.Classes[a.Class]
+// encode returns a request in its wire format.
+func (c *Client) encode(req *Request) []byte {
+	class := &c.plan.Classes[req.Class]
 	var b strings.Builder
 	method := "POST"
 	if class.Idempotency == judge.Idempotent {
 		method = "GET"
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining-Ms: %d\r\n",
-		method, a.Path, a.ID, class.Name, max(1, a.Timeout.Milliseconds()))
-	if a.Tenant != "" {
-		fmt.Fprintf(&b, "X-Org: %s\r\n", a.Tenant)
+		method, req.Path, req.ID, class.Name, max(1, req.Timeout.Milliseconds()))
+	if req.Tenant != "" {
+		fmt.Fprintf(&b, "X-Org: %s\r\n", req.Tenant)
 	}
-	if a.BudgetHeader != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", budget.HeaderName, a.BudgetHeader)
+	if req.BudgetHeader != "" {
+		fmt.Fprintf(&b, "%s: %s\r\n", budget.HeaderName, req.BudgetHeader)
 	}
-	if a.IsRetry {
+	if req.IsRetry {
 		b.WriteString("X-Resent: 1\r\n")
 	}
 	if class.Idempotency == judge.Keyed {
-		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", a.Key)
+		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", req.Key)
 	}
 	if method == "POST" {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(a.Body))
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(req.Body))
 	}
 	b.WriteString("\r\n")
 	if method == "POST" {
-		b.Write(a.Body)
+		b.Write(req.Body)
 	}
 	return []byte(b.String())
 }
 
-// Do asks once and tells the judge what became of it. Ending the context makes
-// the caller leave.
-func (c *Client) Do(ctx context.Context, a Request) Response {
-	begun := c.clock.Now()
-	answer, maker := c.send(ctx, &a)
-	answer.Took = c.clock.Now() - begun
-	if answer.NotSent {
-		c.judge.RequestNotSent(a.ID)
+// Do sends a request and reports the result to the judge. If the context ends, the client disconnects.
+func (c *Client) Do(ctx context.Context, req Request) Response {
+	start := c.clock.Now()
+	response, answeredBy := c.send(ctx, &req)
+	response.Took = c.clock.Now() - start
+	if response.NotSent {
+		c.judge.RequestNotSent(req.ID)
 	} else {
-		c.judge.RequestEnded(c.clock.Now(), a.ID, answer.Outcome, maker)
+		c.judge.RequestEnded(c.clock.Now(), req.ID, response.Outcome, answeredBy)
 	}
-	return answer
+	return response
 }
 
-// errCrossed says that the node closed an idle connection while a request was
-// written to it: it was never read, and goes out once more on a new one.
+// errIdleConnClosed means that the node closed an idle connection while a request was written to it. The
+// request was never read and is sent again on another connection.
 var errIdleConnClosed = errors.New("the node closed the connection between requests")
 
-// errDoor says that the node closed a new connection with nothing sent on it. If
-// no box has the request either, it has failed, and is not lost: a node that has
-// no room for connections may turn them back so.
+// errNewConnClosed means that the node closed a new connection without sending anything. If no server has the
+// request either, it counts as failed rather than lost: a node at its connection limit may refuse connections
+// in this way.
 var errNewConnClosed = errors.New("the node closed a new connection")
 
-func (c *Client) send(ctx context.Context, a *Request) (Response, string) {
-	message := c.encode(a)
+func (c *Client) send(ctx context.Context, req *Request) (Response, string) {
+	message := c.encode(req)
 	for {
 		conn, err := c.getConn(ctx)
 		if err != nil {
 			return Response{Outcome: judge.ConnectionLost, NotSent: true}, ""
 		}
-		answer, maker, err := c.sendOn(ctx, conn, a, message)
+		response, answeredBy, err := c.sendOn(ctx, conn, req, message)
 		if err == nil {
-			return answer, maker
+			return response, answeredBy
 		}
 		conn.Close()
-		if errors.Is(err, errIdleConnClosed) && !c.judge.ReachedServer(a.ID) {
+		if errors.Is(err, errIdleConnClosed) && !c.judge.ReachedServer(req.ID) {
 			continue
 		}
-		if errors.Is(err, errNewConnClosed) && !c.judge.ReachedServer(a.ID) {
+		if errors.Is(err, errNewConnClosed) && !c.judge.ReachedServer(req.ID) {
 			return Response{Outcome: judge.Failed}, ""
 		}
 		var timeout net.Error
@@ -193,23 +191,23 @@
 	}
 }
 
-// on makes a request on a connection.
-func (c *Client) sendOn(ctx context.Context, conn *clientConn, a *Request, message []byte) (Response, string, error) {
+// sendOn sends a request on a connection and reads the response.
+func (c *Client) sendOn(ctx context.Context, conn *clientConn, req *Request, message []byte) (Response, string, error) {
 	used := conn.used
-	conn.SetDeadline(time.Now().Add(a.Timeout + timeoutGrace))
+	conn.SetDeadline(time.Now().Add(req.Timeout + timeoutGrace))
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	c.judge.RequestSent(c.clock.Now(), a.ID, a.Class, c.Node, a.Timeout)
+	c.judge.RequestSent(c.clock.Now(), req.ID, req.Class, c.Node, req.Timeout)
 	if _, err := conn.Write(message); err != nil {
 		if used {
 			return Response{}, "", errIdleConnClosed
 		}
-		return Response{}, "", fmt.Errorf("writing: %w", err)
+		return Response{}, "", fmt.Errorf("write request: %w", err)
 	}
 	if _, err := conn.reader.Peek(1); err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			return Response{}, "", fmt.Errorf("reading: %w", err)
+			return Response{}, "", fmt.Errorf("read response: %w", err)
 		}
 		if used {
 			return Response{}, "", errIdleConnClosed
@@ -218,37 +216,37 @@
 	}
 	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		return Response{}, "", fmt.Errorf("reading: %w", err)
+		return Response{}, "", fmt.Errorf("read response: %w", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Response{}, "", fmt.Errorf("reading the body: %w", err)
+		return Response{}, "", fmt.Errorf("read response body: %w", err)
 	}
-	answer := Response{Status: resp.StatusCode, SpentHeader: resp.Header.Get(budget.SpentHeaderName)}
-	maker := ""
+	response := Response{Status: resp.StatusCode, SpentHeader: resp.Header.Get(budget.SpentHeaderName)}
+	answeredBy := ""
 	switch resp.StatusCode {
 	case http.StatusOK:
-		answer.Outcome = judge.Served
-		if box, id, _ := strings.Cut(strings.TrimSuffix(string(body), "\n"), " "); id == a.ID {
-			maker = box
+		response.Outcome = judge.Served
+		if server, id, _ := strings.Cut(strings.TrimSuffix(string(body), "\n"), " "); id == req.ID {
+			answeredBy = server
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		answer.Outcome = judge.Refused
+		response.Outcome = judge.Refused
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			answer.RetryAfter = time.Duration(s * float64(time.Second))
+			response.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	default:
-		answer.Outcome = judge.Failed
+		response.Outcome = judge.Failed
 	}
 	if resp.Close || !stop() {
 		conn.Close()
 	} else {
 		c.putConn(conn)
 	}
-	return answer, maker, nil
+	return response, answeredBy, nil
 }
 
-// Opened is how many connections it has opened.
+// ConnsOpened returns how many connections the client has opened.
 func (c *Client) ConnsOpened() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rig/standin/delivery.go
+++ b/internal/rig/standin/delivery.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// A change counts as delivered to every node that long after it was published, provided that discovery could be
-// reached. A long poll that has fallen silent has until countedAfter later, or until lateAfter the end of its wait,
-// whichever is later.
+// A change counts as delivered to every node deliveryLimit after its publication, provided that discovery was
+// reachable. For a node whose long poll was silenced it counts from deliveryLimit after the silence began, or
+// from silentPollGrace after the end of the poll's wait, whichever is later.
 const (
 	deliveryLimit   = 6 * time.Second
 	silentPollGrace = 2 * time.Second
 )
 
-// interval is a span of time, its end excluded.
+// interval is a span of time, excluding its end.
 type interval struct{ from, to time.Duration }
 
-// noteFault records whether discovery is down or its answers false; d.mu is held.
+// recordFault records whether discovery is down or answers falsely; d.mu is held.
 func (d *Discovery) recordFault(faulty bool) {
 	now := max(1, d.clock.Now())
 	switch {
@@ -25,8 +25,8 @@
 	}
 }
 
-// Settle reports to the judge from when each change counts as delivered whether or not it was written. Nothing may be
-// written after it.
+// ReportDeliveries reports to the judge from when each change counts as delivered even if it was not written.
+// Nothing may be written after it.
 func (d *Discovery) ReportDeliveries() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,21 +38,22 @@
 	}
 }
 
-// countsFrom is when a change published at a time counts as delivered to this endpoint's node.
+// deliveredFrom returns from when a change counts as delivered to this endpoint's node, given its publication
+// time.
 func (e *discoveryEndpoint) deliveredFrom(published time.Duration) time.Duration {
-	after := deliveryLimit
+	limit := deliveryLimit
 	if e.discovery.pushed {
-		after = 0
+		limit = 0
 	}
-	at := published + after
+	at := published + limit
 	for _, until := range e.silentUntil {
 		if published < until {
 			at = max(at, until)
 		}
 	}
-	for _, x := range e.discovery.faultIntervals { // it could not be reached when the node should have asked
-		if x.from <= at && at-after < x.to {
-			at = max(at, x.to+after)
+	for _, x := range e.discovery.faultIntervals { // discovery was unreachable when the node should have called
+		if x.from <= at && at-limit < x.to {
+			at = max(at, x.to+limit)
 		}
 	}
 	return at
--- a/internal/rig/standin/discovery.go
+++ b/internal/rig/standin/discovery.go
@@ -15,7 +15,7 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// entry is a box as discovery lists it, in the protocol's form.
+// entry is a server in discovery's list, in the protocol's format.
 type entry struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
@@ -37,42 +37,42 @@
 	return judge.Serving
 }
 
-// change is one version of the list.
+// listVersion is one version of the list: the change that made it.
 type listVersion struct {
 	entry
-	publishedAt time.Duration // from when answers hold it
+	publishedAt time.Duration // from when on answers contain it
 }
 
-// Discovery is the discovery service of one tier: it answers calls for the whole list, and long polls that wait for
-// changes. It publishes each change some time after it happened, works through the calls of all nodes in turn at its
-// capacity, and may be down for a while.
+// Discovery is the discovery service of one tier. It answers calls for the whole list and long polls that
+// wait for changes. It publishes each change after a delay, handles the calls of all nodes in one queue at
+// its capacity, and may be down for a while.
 type Discovery struct {
 	clock Clock
 	judge *judge.Judge
 
 	mu                sync.Mutex
-	versions          []listVersion // version n is changes[n-1]
+	versions          []listVersion // version n is versions[n-1]
 	publishDelay      time.Duration // from a change to its publication
-	publishEvery      time.Duration // changes become visible at multiples of this; 0: each by itself
+	publishEvery      time.Duration // changes are published at multiples of this; 0: each on its own
 	capacity          registry.Settings
-	queue             *registry.Queue // of the work that calls of all nodes cost
+	queue             *registry.Queue // work of the calls of all nodes
 	isDown            bool
-	outages           int           // raised each time that it goes down, so that calls under way fail
-	outageAnswerDelay time.Duration // a call that comes while it is down is answered 503 after so long; 0: it is cut off
-	isEmpty           bool          // answers hold no server
-	backupAt          time.Duration // answers are those of this time; 0: of now
-	falseListChanges  int           // raised with each false list that begins or ends, so that open long polls are answered
-	changed           chan struct{} // closed and replaced with every change of any kind
+	outages           int           // incremented when it goes down, so that calls in progress fail
+	outageAnswerDelay time.Duration // a call in an outage is answered 503 after this; 0: its connection is closed
+	isEmpty           bool          // answers contain no server
+	backupAt          time.Duration // answers are those of this time; 0: current ones
+	falseListChanges  int           // incremented when false answers begin or end, so that open long polls are answered
+	changed           chan struct{} // closed and replaced on every change of the state
 	endpoints         []*discoveryEndpoint
 	callsAnswered     int
 	linesSent         int
-	faultIntervals    []interval    // when it was down, or its answers were false
-	faultySince       time.Duration // 0: it is neither down nor false
-	pushed            bool          // each endpoint is an agent beside its node: what it has counts as delivered at once
-	silencings        int           // raised each time that the open long polls fall silent
+	faultIntervals    []interval    // when it was down or its answers were false
+	faultySince       time.Duration // 0: it is neither down nor answers falsely
+	pushed            bool          // each endpoint is an agent beside its node: its changes count as delivered at once
+	silencings        int           // incremented when the open long polls become silent
 }
 
-// newDiscovery returns a service with an empty list, as a plan has it.
+// newDiscovery returns a service with an empty list and the plan's settings.
 func newDiscovery(clock Clock, j *judge.Judge, p *Plan) *Discovery {
 	d := &Discovery{
 		clock: clock, judge: j, publishDelay: p.PublishDelay, publishEvery: p.PublishEvery, pushed: p.PushedLists, changed: make(chan struct{}),
@@ -88,7 +88,7 @@
 	return d
 }
 
-// Endpoint opens an address for one node; one that has an address already has both.
+// OpenEndpoint opens an address for a node. A node that already has an address can use both.
 func (d *Discovery) OpenEndpoint(node, host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -96,18 +96,18 @@
 	}
 	e := d.endpointOf(node)
 	server := &http.Server{Handler: e, ErrorLog: log.New(io.Discard, "", 0)}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	d.mu.Lock()
-	e.addresses = append(e.addresses, endpointAddress{server, ended})
+	e.addresses = append(e.addresses, endpointAddress{server, done})
 	d.mu.Unlock()
 	go func() { // ends with Close
-		defer close(ended)
+		defer close(done)
 		server.Serve(listener)
 	}()
 	return listener.Addr().String(), nil
 }
 
-// endpointOf returns a node's endpoint, a new one if it has none.
+// endpointOf returns a node's endpoint and creates it if needed.
 func (d *Discovery) endpointOf(node string) *discoveryEndpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 	return e
 }
 
-// Close ends all endpoints.
+// Close closes all endpoints.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	endpoints := d.endpoints
@@ -135,7 +135,7 @@
 	}
 }
 
-// Put publishes a box's state after the usual delay, or at once.
+// Publish publishes a server's state after the usual delay, or at once.
 func (d *Discovery) Publish(e entry, atOnce bool) {
 	delay := time.Duration(0)
 	if !atOnce {
@@ -146,7 +146,7 @@
 	d.PublishAfter(e, delay)
 }
 
-// PutAfter publishes a box's state after a delay.
+// PublishAfter publishes a server's state after a delay.
 func (d *Discovery) PublishAfter(e entry, delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,26 +155,26 @@
 		at = (at + every - 1) / every * every
 	}
 	if n := len(d.versions); n > 0 {
-		at = max(at, d.versions[n-1].publishedAt) // in order
+		at = max(at, d.versions[n-1].publishedAt) // versions are published in order
 	}
 	d.versions = append(d.versions, listVersion{e, at})
 	d.wakePolls()
 }
 
-// wake has all open long polls look again; d.mu is held.
+// wakePolls makes all open long polls check again; d.mu is held.
 func (d *Discovery) wakePolls() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Lag changes how long after it happened a change is published.
+// SetPublishDelay sets the delay from a change to its publication.
 func (d *Discovery) SetPublishDelay(publishDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.publishDelay = publishDelay
 }
 
-// Out puts discovery out of order, or ends that. All calls under way fail with it, and their work is dropped.
+// SetDown starts or ends an outage. When it starts, all calls in progress fail and their work is dropped.
 func (d *Discovery) SetDown(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,7 +187,8 @@
 	d.wakePolls()
 }
 
-// Swallow has all open long polls fall silent, as a network may: their connections stay, and nothing comes any more.
+// SilencePolls makes all open long polls silent, as a network fault may: their connections stay open, and
+// nothing is sent on them.
 func (d *Discovery) SilencePolls() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,7 +196,7 @@
 	d.wakePolls()
 }
 
-// Empty has discovery answer that there is no box, as a whole list and of no generation's own, or ends that.
+// SetEmpty starts or ends answers with a whole list without servers. Their generation is the current one.
 func (d *Discovery) SetEmpty(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,8 +206,8 @@
 	d.wakePolls()
 }
 
-// Back has discovery go on from a backup of that age: its generations run backwards, and its answers hold what was true
-// then. 0 ends that.
+// RestoreBackup makes discovery answer as of age ago, as after the restore of a backup: generations run
+// backwards and answers contain the list of that time. An age of 0 returns to the current list.
 func (d *Discovery) RestoreBackup(age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,21 +220,21 @@
 	d.wakePolls()
 }
 
-// Pace sets how many lines a second it can send from now on, where a call costs one; 0: any number.
+// SetLineRate sets how many lines a second discovery can send, where a call costs one line; 0: unlimited.
 func (d *Discovery) SetLineRate(linesPerSecond int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.resetQueue(registry.Settings{LinesPerSecond: float64(linesPerSecond), LinesPerCall: 1})
 }
 
-// Crowd queues so much work of callers outside the fleet at once. Without a bound on its capacity there is no queue.
+// AddBacklog queues work of clients outside the fleet. It has no effect while the capacity is unlimited.
 func (d *Discovery) AddBacklog(work time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.queue.EnqueueLines(d.clock.Now(), int(d.capacity.LinesPerSecond*work.Seconds()))
 }
 
-// Limit sets its capacity from now on.
+// SetCapacity sets the capacity and starts with an empty queue.
 func (d *Discovery) SetCapacity(capacity registry.Settings) error {
 	if err := validateCapacity(capacity); err != nil {
 		return err
@@ -244,13 +245,13 @@
 	return nil
 }
 
-// limit begins with an empty queue; d.mu is held, or nobody else has d yet.
+// resetQueue sets the capacity and starts with an empty queue; d.mu is held, or d is not shared yet.
 func (d *Discovery) resetQueue(capacity registry.Settings) {
 	d.capacity, d.queue = capacity, registry.New(capacity)
 	d.queue.Clear(d.clock.Now())
 }
 
-// version is the newest published one, and how long until the next is; d.mu is held.
+// publishedVersion returns the newest published version and the time until the next one; d.mu is held.
 func (d *Discovery) publishedVersion(now time.Duration) (int, time.Duration) {
 	if d.backupAt > 0 {
 		now = d.backupAt
@@ -265,45 +266,46 @@
 	return n, time.Hour
 }
 
-// upTo lists the newest entry of each box among versions (after, n]; d.mu is held.
+// changedEntries returns the newest entry of each server among versions (after, n]; d.mu is held.
 func (d *Discovery) changedEntries(after, n int) []entry {
 	var entries []entry
-	at := map[string]int{}
+	index := map[string]int{}
 	for _, c := range d.versions[after:n] {
-		if i, ok := at[c.ID]; ok {
+		if i, ok := index[c.ID]; ok {
 			entries[i] = c.entry
 			continue
 		}
-		at[c.ID] = len(entries)
+		index[c.ID] = len(entries)
 		entries = append(entries, c.entry)
 	}
 	return entries
 }
 
-// missing lists the boxes that a whole list of version n leaves out; d.mu is held.
+// removedServers returns the servers of versions up to n that entries does not contain; d.mu is held.
 func (d *Discovery) removedServers(n int, entries []entry) []string {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range entries {
-		named[entries[i].ID] = true
+		listed[entries[i].ID] = true
 	}
-	var gone []string
+	var removed []string
 	for _, c := range d.versions[:n] {
-		if !named[c.ID] {
-			named[c.ID] = true
-			gone = append(gone, c.ID)
+		if !listed[c.ID] {
+			listed[c.ID] = true
+			removed = append(removed, c.ID)
 		}
 	}
-	return gone
+	return removed
 }
 
-// known is the whole list as a node last had it, and keeps it from its last life: up to what was written to it.
+// knownList returns the whole list up to the version last written to a node, which is what the node keeps
+// across a restart.
 func (d *Discovery) knownList(node string) json.RawMessage {
 	e := d.endpointOf(node)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n, _ := d.publishedVersion(d.clock.Now())
-	if had := e.counts.WrittenVersion; had > 0 {
-		n = min(n, had)
+	if written := e.counts.WrittenVersion; written > 0 {
+		n = min(n, written)
 	}
 	list := listAnswer{Generation: n, Reset: true, Instances: withoutDeleted(d.changedEntries(0, n))}
 	text, err := list.encode()
--- a/internal/rig/standin/discovery_test.go
+++ b/internal/rig/standin/discovery_test.go
@@ -14,53 +14,52 @@
 	"curlewring/internal/rig/registry"
 )
 
-// Discovery must answer with whole lists, changes, nothing new, each after its
-// delay, and report to the judge what it delivered to whom.
-func TestDiscovery(t *testing.T) {
-	f := start(t, small())
+// Discovery must answer with whole lists, changes after their delay, and empty answers when nothing is new.
+func TestDiscoveryAnswers(t *testing.T) {
+	f := startFleet(t, smallPlan())
 	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	type list struct {
+	type answerBody struct {
 		Generation int     `json:"generation"`
 		Reset      bool    `json:"reset"`
 		Instances  []entry `json:"instances"`
 	}
-	ask := func(query string) list {
-		var l list
-		if err := json.Unmarshal([]byte(get(t, "http://"+address+"/v1/endpoints"+query)), &l); err != nil {
+	call := func(query string) answerBody {
+		var answer answerBody
+		if err := json.Unmarshal([]byte(get(t, "http://"+address+"/v1/endpoints"+query)), &answer); err != nil {
 			t.Fatal(err)
 		}
-		return l
+		return answer
 	}
-	l := ask("")
-	if !l.Reset || len(l.Instances) != 4 || l.Generation != 4 {
-		t.Fatalf("got %+v", l)
+	answer := call("")
+	if !answer.Reset || len(answer.Instances) != 4 || answer.Generation != 4 {
+		t.Fatalf("first answer %+v, want a whole list of 4 at generation 4", answer)
 	}
-	if l = ask("?since=4&timeout_ms=10"); l.Reset || len(l.Instances) != 0 || l.Generation != 4 {
-		t.Errorf("with nothing new: %+v", l)
+	if answer = call("?since=4&timeout_ms=10"); answer.Reset || len(answer.Instances) != 0 || answer.Generation != 4 {
+		t.Errorf("answer with nothing new: %+v", answer)
 	}
-	got := make(chan list, 1)
-	go func() { got <- ask("?since=4&timeout_ms=10000") }()
+	got := make(chan answerBody, 1)
+	go func() { got <- call("?since=4&timeout_ms=10000") }()
 	f.Discovery.SetPublishDelay(200 * ms)
 	before := f.Clock.Now()
 	f.publishState(f.Servers[2], "DRAINING", false)
-	l = <-got
+	answer = <-got
 	if f.Clock.Now()-before < 200*ms {
-		t.Error("published before its delay was over")
+		t.Error("published before the delay was over")
 	}
-	if l.Reset || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "DRAINING" || l.Generation != 5 {
-		t.Errorf("a change: %+v", l)
+	if answer.Reset || len(answer.Instances) != 1 || answer.Instances[0].Lifecycle != "DRAINING" || answer.Generation != 5 {
+		t.Errorf("answer with a change: %+v", answer)
 	}
 	f.publishState(f.Servers[2], "DELETED", true)
-	if l = ask(""); len(l.Instances) != 3 {
-		t.Errorf("a whole list with one gone: %+v", l)
+	if answer = call(""); len(answer.Instances) != 3 {
+		t.Errorf("whole list with one server deleted: %+v", answer)
 	}
 	f.Discovery.SetDown(true)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	if resp, err := client.Get("http://" + address + "/v1/endpoints"); err == nil {
-		t.Errorf("out of order it answers %s", resp.Status)
+		t.Errorf("answered %s while down", resp.Status)
 		resp.Body.Close()
 	}
 	f.Discovery.SetDown(false)
@@ -70,92 +69,93 @@
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: %s", query, resp.Status)
+			t.Errorf("query %s answered %s, want 400", query, resp.Status)
 		}
 	}
 }
 
-// Lists of all nodes together come at the rate that discovery can send.
+// The lists of all nodes together must not exceed the rate of discovery.
 func TestDiscoveryRate(t *testing.T) {
-	plan := small()
+	plan := smallPlan()
 	plan.Registry.LinesPerSecond = 50
-	f := start(t, plan)
+	f := startFleet(t, plan)
 	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
+	start := time.Now()
 	for range 4 { // 5 lines each
 		get(t, "http://"+address+"/v1/endpoints")
 	}
-	if took := time.Since(begun); took < 400*ms {
+	if took := time.Since(start); took < 400*ms {
 		t.Errorf("20 lines took %v at 50 a second", took)
 	}
 }
 
-// When a change counts as delivered to a node: 6 s after discovery had it and could be reached; after a long poll fell silent
-// 6 s later, or 2 s after the end of its wait.
-func TestWhenChangesCountAsDelivered(t *testing.T) {
+// A change counts as delivered to a node 6 s after discovery published it and was reachable. For a silenced
+// long poll it is 6 s after the silence began, or 2 s after the end of the poll's wait.
+func TestDeliveryLimit(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		faulty  []interval
-		silent  []time.Duration
-		visible time.Duration
-		want    time.Duration
+		name        string
+		faults      []interval
+		silentUntil []time.Duration
+		published   time.Duration
+		want        time.Duration
 	}{
-		{"at once", nil, nil, 10 * time.Second, 16 * time.Second},
-		{"made while it is down", []interval{{9 * time.Second, 12 * time.Second}}, nil, 10 * time.Second, 18 * time.Second},
-		{"down within the 6 s", []interval{{14 * time.Second, 15 * time.Second}}, nil, 10 * time.Second, 21 * time.Second},
-		{"down before", []interval{{time.Second, 9 * time.Second}}, nil, 10 * time.Second, 16 * time.Second},
-		{"down after it counts", []interval{{17 * time.Second, 30 * time.Second}}, nil, 10 * time.Second, 16 * time.Second},
-		{"missed by a silent long poll", nil, []time.Duration{19 * time.Second}, 10 * time.Second, 19 * time.Second},
-		{"made after that", nil, []time.Duration{9 * time.Second}, 10 * time.Second, 16 * time.Second},
-		{"by an agent: at once", nil, []time.Duration{-1}, 10 * time.Second, 10 * time.Second},
-		{"by an agent that was silent", []interval{{9 * time.Second, 12 * time.Second}}, []time.Duration{-1}, 10 * time.Second, 12 * time.Second},
+		{"discovery always reachable", nil, nil, 10 * time.Second, 16 * time.Second},
+		{"published while discovery is down", []interval{{9 * time.Second, 12 * time.Second}}, nil, 10 * time.Second, 18 * time.Second},
+		{"discovery down within the 6 s", []interval{{14 * time.Second, 15 * time.Second}}, nil, 10 * time.Second, 21 * time.Second},
+		{"discovery down before", []interval{{time.Second, 9 * time.Second}}, nil, 10 * time.Second, 16 * time.Second},
+		{"discovery down after the change counts", []interval{{17 * time.Second, 30 * time.Second}}, nil, 10 * time.Second, 16 * time.Second},
+		{"missed by a silenced long poll", nil, []time.Duration{19 * time.Second}, 10 * time.Second, 19 * time.Second},
+		{"published after a silenced long poll", nil, []time.Duration{9 * time.Second}, 10 * time.Second, 16 * time.Second},
+		{"pushed by an agent", nil, []time.Duration{-1}, 10 * time.Second, 10 * time.Second},
+		{"pushed by an agent that was silent", []interval{{9 * time.Second, 12 * time.Second}}, []time.Duration{-1}, 10 * time.Second, 12 * time.Second},
 	} {
-		e := &discoveryEndpoint{discovery: &Discovery{faultIntervals: c.faulty}, silentUntil: c.silent}
-		e.discovery.pushed = slices.Contains(c.silent, -1)
-		if got := e.deliveredFrom(c.visible); got != c.want {
+		result := &discoveryEndpoint{discovery: &Discovery{faultIntervals: c.faults}, silentUntil: c.silentUntil}
+		result.discovery.pushed = slices.Contains(c.silentUntil, -1)
+		if got := result.deliveredFrom(c.published); got != c.want {
 			t.Errorf("%s: counts as delivered at %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// answered is how a call of discovery ended.
-type answered struct {
-	status int // 0: the connection broke
+// callResult is the result of a call to discovery.
+type callResult struct {
+	status int // 0: the connection was closed
 	body   string
 	took   time.Duration
 }
 
-// callAsync makes a call; its end comes on the channel.
-func callAsync(t *testing.T, url string) <-chan answered {
+// callAsync makes a call and sends its result on the channel.
+func callAsync(t *testing.T, url string) <-chan callResult {
 	t.Helper()
 	transport := &http.Transport{DisableKeepAlives: true}
 	t.Cleanup(transport.CloseIdleConnections)
-	ended := make(chan answered, 1)
-	begun := time.Now()
+	results := make(chan callResult, 1)
+	start := time.Now()
 	go func() { // ends with the call, at the latest with the server
 		client := http.Client{Transport: transport}
 		resp, err := client.Get(url)
 		if err != nil {
-			ended <- answered{took: time.Since(begun)}
+			results <- callResult{took: time.Since(start)}
 			return
 		}
 		defer resp.Body.Close()
 		body, _ := io.ReadAll(resp.Body)
-		ended <- answered{resp.StatusCode, string(body), time.Since(begun)}
+		results <- callResult{resp.StatusCode, string(body), time.Since(start)}
 	}()
-	return ended
+	return results
 }
 
-// limited is discovery of so many lines a second where a call costs 10, with its endpoint for node n.
-func limited(t *testing.T, linesPerSecond float64, outageAnswers bool) (f *Fleet, url string) {
+// startLimited starts a fleet whose discovery has this capacity and where a call costs 10 lines. It returns
+// the URL for node n.
+func startLimited(t *testing.T, linesPerSecond float64, answerInOutage bool) (f *Fleet, url string) {
 	t.Helper()
-	plan := small()
+	plan := smallPlan()
 	plan.Registry = registry.Settings{LinesPerSecond: linesPerSecond, LinesPerCall: 10, QueueTimeout: 400 * ms, BacklogFactor: 2}
-	plan.AnswerInOutage = outageAnswers
-	f = start(t, plan)
+	plan.AnswerInOutage = answerInOutage
+	f = startFleet(t, plan)
 	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
@@ -163,37 +163,37 @@
 	return f, "http://" + address + "/v1/endpoints"
 }
 
-// Calls wait in one queue. One that has waited for too long is answered 503, and has cost its work; one that comes to a
-// queue that is too long is answered 503 at once.
-func TestCallsTimeOutInTheQueue(t *testing.T) {
-	f, url := limited(t, 40.0/3, false) // an empty call takes 0.75 s
-	calls := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
-	var ended []<-chan answered
+// Calls wait in one queue. One that waits too long is answered 503 and has still cost its work; one that
+// finds the queue full is answered 503 at once.
+func TestCallsTimeOutInQueue(t *testing.T) {
+	f, url := startLimited(t, 40.0/3, false) // an empty call takes 0.75 s
+	counts := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
+	var results []<-chan callResult
 	for i := range 3 {
-		ended = append(ended, callAsync(t, url+"?since=4&timeout_ms=0"))
-		waitFor(t, "the call is queued", func() bool { return calls().Received == i+1 })
+		results = append(results, callAsync(t, url+"?since=4&timeout_ms=0"))
+		waitFor(t, "the call is queued", func() bool { return counts().Received == i+1 })
 	}
-	rejected := <-ended[2] // behind 1.5 s of work: more than two time-outs
+	rejected := <-results[2] // behind 1.5 s of work: more than two timeouts
 	if rejected.status != http.StatusServiceUnavailable || rejected.took >= 400*ms {
-		t.Errorf("at a full queue: %+v", rejected)
+		t.Errorf("call to a full queue: %+v", rejected)
 	}
-	for _, late := range ended[:2] {
-		if e := <-late; e.status != http.StatusServiceUnavailable || e.took < 400*ms {
-			t.Errorf("in the queue: %+v", e)
+	for _, late := range results[:2] {
+		if result := <-late; result.status != http.StatusServiceUnavailable || result.took < 400*ms {
+			t.Errorf("call that waited in the queue: %+v", result)
 		}
 	}
-	waitFor(t, "both are counted", func() bool { return calls().TimedOut == 2 })
-	if c := calls(); c != (CallCounts{Received: 3, TimedOut: 2, Rejected: 1}) {
-		t.Errorf("counted %+v", c)
+	waitFor(t, "both are counted", func() bool { return counts().TimedOut == 2 })
+	if c := counts(); c != (CallCounts{Received: 3, TimedOut: 2, Rejected: 1}) {
+		t.Errorf("counts %+v", c)
 	}
 	if calls, lines := f.Discovery.Calls(); calls != 0 || lines != 0 {
-		t.Errorf("%d calls and %d lines are answered", calls, lines)
+		t.Errorf("%d calls with %d lines were answered, want none", calls, lines)
 	}
 }
 
-// The work of callers outside the fleet takes its place in the queue.
-func TestBacklogOfOtherCallers(t *testing.T) {
-	f, url := limited(t, 100, false)
+// The work of clients outside the fleet goes through the same queue.
+func TestBacklogOfExternalClients(t *testing.T) {
+	f, url := startLimited(t, 100, false)
 	fault, err := ParseFault("backlog:at=0s,for=0s,by=0.7")
 	if err != nil {
 		t.Fatal(err)
@@ -201,70 +201,72 @@
 	if errs := f.RunFaults(t.Context(), []Fault{fault}, nil); len(errs) > 0 {
 		t.Fatal(errs)
 	}
-	if e := <-callAsync(t, url+"?since=4&timeout_ms=0"); e.status != http.StatusServiceUnavailable || e.took < 400*ms {
-		t.Errorf("behind 0.7 s of work: %+v", e)
+	if result := <-callAsync(t, url+"?since=4&timeout_ms=0"); result.status != http.StatusServiceUnavailable || result.took < 400*ms {
+		t.Errorf("call behind 0.7 s of work: %+v", result)
 	}
 }
 
-// A long poll that finds nothing new opens when its turn has come, and what it then has to tell goes through the queue.
-func TestLongPollsGoThroughTheQueue(t *testing.T) {
-	f, url := limited(t, 100, false) // an empty call takes 0.1 s
-	calls := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
-	queued := time.Now()
+// A long poll that finds nothing new is open once its turn has come, and its later answer goes through the
+// queue as well.
+func TestLongPollsUseTheQueue(t *testing.T) {
+	f, url := startLimited(t, 100, false) // an empty call takes 0.1 s
+	counts := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
+	start := time.Now()
 	poll := callAsync(t, url+"?since=4&timeout_ms=20000")
-	waitFor(t, "the poll is open", func() bool { return calls().OpenPolls == 1 })
-	if took := time.Since(queued); took < 100*ms {
-		t.Errorf("open after %v, before its turn", took)
+	waitFor(t, "the poll is open", func() bool { return counts().OpenPolls == 1 })
+	if took := time.Since(start); took < 100*ms {
+		t.Errorf("poll open after %v, before its turn", took)
 	}
-	busy := time.Now()
+	workStart := time.Now()
 	other := callAsync(t, url+"?since=4&timeout_ms=0")
-	waitFor(t, "the other call is queued", func() bool { return calls().Received == 2 })
+	waitFor(t, "the other call is queued", func() bool { return counts().Received == 2 })
 	f.publishState(f.Servers[2], "DRAINING", true)
-	if e := <-poll; e.status != http.StatusOK || !strings.Contains(e.body, "DRAINING") || time.Since(busy) < 110*ms {
-		t.Errorf("the open poll: %+v, %v after 0.11 s of work began", e, time.Since(busy))
+	if result := <-poll; result.status != http.StatusOK || !strings.Contains(result.body, "DRAINING") || time.Since(workStart) < 110*ms {
+		t.Errorf("open poll: %+v, %v after 0.11 s of work began", result, time.Since(workStart))
 	}
-	if e := <-other; e.status != http.StatusOK || e.took < 100*ms {
-		t.Errorf("the other call: %+v", e)
+	if result := <-other; result.status != http.StatusOK || result.took < 100*ms {
+		t.Errorf("other call: %+v", result)
 	}
-	waitFor(t, "both are counted", func() bool { return calls().Answered == 2 })
-	if c := calls(); c != (CallCounts{Received: 2, Answered: 2, WrittenVersion: 5}) {
-		t.Errorf("counted %+v", c)
+	waitFor(t, "both are counted", func() bool { return counts().Answered == 2 })
+	if c := counts(); c != (CallCounts{Received: 2, Answered: 2, WrittenVersion: 5}) {
+		t.Errorf("counts %+v", c)
 	}
 }
 
-// When discovery goes down, calls under way are cut off; those that come meanwhile are answered 503 after the time-out where
-// the plan says so.
-func TestCallsAmidAnOutage(t *testing.T) {
-	f, url := limited(t, 100, true)
-	calls := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
+// When discovery goes down, calls in progress are cut off. Calls that arrive in the outage are answered 503
+// after the timeout, if the plan says so.
+func TestCallsDuringOutage(t *testing.T) {
+	f, url := startLimited(t, 100, true)
+	counts := func() CallCounts { return f.Discovery.CallsByNode()["n"] }
 	poll := callAsync(t, url+"?since=4&timeout_ms=20000")
-	waitFor(t, "the poll is open", func() bool { return calls().OpenPolls == 1 })
+	waitFor(t, "the poll is open", func() bool { return counts().OpenPolls == 1 })
 	f.Discovery.SetDown(true)
-	if e := <-poll; e.status != 0 {
-		t.Errorf("the open poll: %+v", e)
+	if result := <-poll; result.status != 0 {
+		t.Errorf("open poll: %+v", result)
 	}
-	during := callAsync(t, url)
-	waitFor(t, "the call has come", func() bool { return calls().Received == 2 })
-	f.Discovery.SetDown(false) // too late for it
-	if e := <-during; e.status != http.StatusServiceUnavailable || e.took < 400*ms {
-		t.Errorf("a call amid the outage: %+v", e)
+	duringOutage := callAsync(t, url)
+	waitFor(t, "the call has arrived", func() bool { return counts().Received == 2 })
+	f.Discovery.SetDown(false) // the call was admitted in the outage and still fails
+	if result := <-duringOutage; result.status != http.StatusServiceUnavailable || result.took < 400*ms {
+		t.Errorf("call during the outage: %+v", result)
 	}
-	waitFor(t, "both are counted", func() bool { return calls().Failed == 2 })
+	waitFor(t, "both are counted", func() bool { return counts().Failed == 2 })
 	if body := get(t, url); !strings.Contains(body, `"generation":4`) {
-		t.Errorf("after it: %s", body)
+		t.Errorf("answer after the outage: %s", body)
 	}
 }
 
-// A node may have two addresses of discovery, as while that moves: it is one node to the judge and in the counts.
+// A node may have two addresses of discovery, as when discovery moves. The judge and the counts treat it as
+// one node.
 func TestTwoAddressesOfANode(t *testing.T) {
-	f, first := limited(t, 0, false)
+	f, first := startLimited(t, 0, false)
 	address, err := f.Discovery.OpenEndpoint("n", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, url := range []string{first, "http://" + address + "/v1/endpoints"} {
 		if body := get(t, url); !strings.Contains(body, `"generation":4`) {
-			t.Errorf("%s: %s", url, body)
+			t.Errorf("answer of %s: %s, want generation 4", url, body)
 		}
 	}
 	waitFor(t, "both are counted", func() bool { return f.Discovery.CallsByNode()["n"].Answered == 2 })
@@ -273,11 +275,11 @@
 	}
 }
 
-// A plan whose registry makes no sense is not taken, and the error says what is wrong.
-func TestBadRegistrySettings(t *testing.T) {
+// A plan with invalid registry settings is rejected, and the error names the setting.
+func TestInvalidRegistrySettings(t *testing.T) {
 	for _, c := range []struct {
-		change func(p *Plan)
-		want   string
+		edit func(p *Plan)
+		want string
 	}{
 		{func(p *Plan) { p.Registry.LinesPerSecond = -1 }, "registry.lines_per_second is -1, allowed: 0 to 1e+06"},
 		{func(p *Plan) { p.Registry.LinesPerCall = math.NaN() }, "registry.call_lines is NaN, allowed: 0 to 1e+06"},
@@ -286,19 +288,19 @@
 		{func(p *Plan) { p.Registry.QueueTimeout = -time.Second }, "registry.queue_timeout is -1s, allowed: 0s to 1m0s"},
 		{func(p *Plan) { p.AnswerInOutage = true }, "registry.queue_timeout is 0s, allowed: 1ns to 1m0s: a call"},
 	} {
-		plan := small()
-		c.change(&plan)
+		plan := smallPlan()
+		c.edit(&plan)
 		f, err := Start(plan)
 		if err == nil {
 			f.Close()
 		}
 		var setting *SettingError
 		if !errors.As(err, &setting) || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("error %v, want %s", err, c.want)
 		}
 	}
-	f := start(t, small())
+	f := startFleet(t, smallPlan())
 	if err := f.Discovery.SetCapacity(registry.Settings{LinesPerCall: -3}); err == nil || !strings.Contains(err.Error(), "registry.call_lines is -3") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one about registry.call_lines", err)
 	}
 }
--- a/internal/rig/standin/doc.go
+++ b/internal/rig/standin/doc.go
@@ -1,13 +1,11 @@
-// Package standin plays the outside of a node on loopback sockets: boxes,
-// discovery and callers, as the platform's protocol describes them, with faults
-// by script. It is for tests and for curlewctl lab; a node can't tell it from
-// the real thing.
+// Package standin simulates the environment of a node on loopback sockets: servers, discovery and clients
+// that follow the platform's protocol, with scripted faults. Tests and curlewctl lab use it; a node cannot
+// tell it from the real environment.
 //
-// A Fleet owns boxes and discovery, and is driven by one goroutine: its owner.
-// Each Box, Discovery and the Callers guard their own state. What they see goes
-// to package judge. Everything is drawn from one seed, listens on 127.0.0.0/8
-// only, and ends with Close; no goroutine outlives that.
+// A Fleet owns the servers and the discovery services, and one goroutine drives it. Server, Discovery and
+// LoadGenerator synchronize their own state. They report what they observe to package judge. All random draws
+// derive from one seed, all sockets listen on 127.0.0.0/8 only, and Close ends every goroutine.
 //
-// It must not know anything of the nodes beyond their address and name, and
-// must not share code with them.
+// The package must know nothing about the nodes except their addresses and names, and must not share code
+// with them.
 package standin
--- a/internal/rig/standin/endpoint.go
+++ b/internal/rig/standin/endpoint.go
@@ -11,50 +11,50 @@
 	"curlewring/internal/rig/registry"
 )
 
-// discoveryEndpoint is discovery as one node reaches it: by its addresses it knows whom it answers. Discovery's mutex guards
-// what changes.
+// discoveryEndpoint is discovery as one node reaches it; its addresses identify the node. Discovery's mutex
+// guards the fields that change.
 type discoveryEndpoint struct {
 	discovery        *Discovery
 	node             string
 	addresses        []endpointAddress
-	falseListChanges int             // that its node has been answered since
-	silentUntil      []time.Duration // until when what a silent long poll missed does not count as delivered
+	falseListChanges int             // discovery's count at the last answer to the node
+	silentUntil      []time.Duration // until these times, changes that a silenced long poll missed do not count as delivered
 	counts           CallCounts
 }
 
-// address is one at which an endpoint is served.
+// endpointAddress is an address at which an endpoint is served.
 type endpointAddress struct {
 	server *http.Server
 	done   chan struct{}
 }
 
-// longestPoll is the longest wait that a long poll may ask for, in milliseconds.
+// maxPollMillis is the longest timeout of a long poll, in milliseconds.
 const maxPollMillis = 60000
 
-// Why a call gets no list.
+// Reasons for which a call gets no list.
 var (
-	errBadQuery     = errors.New("odd since or timeout_ms")
-	errQueueFull    = errors.New("the queue is full")
-	errQueueTimeout = errors.New("waited in the queue for too long")
+	errBadQuery     = errors.New("invalid since or timeout_ms")
+	errQueueFull    = errors.New("the queue of discovery is full")
+	errQueueTimeout = errors.New("timed out in the queue of discovery")
 	errUnavailable  = errors.New("discovery is down")
-	errOutage       = errors.New("discovery has gone down")
-	errSilenced     = errors.New("the long poll has fallen silent")
-	errClientLeft   = errors.New("the caller has left")
+	errOutage       = errors.New("discovery went down during the call")
+	errSilenced     = errors.New("the long poll was silenced")
+	errClientLeft   = errors.New("the client closed the connection")
 )
 
 // listCall is one call for the list.
 type listCall struct {
-	since      int           // the version that the caller has; wholeList: none
-	wait       time.Duration // how long a call that finds nothing new waits
-	pollEnd    time.Duration // when that is over
+	since      int           // version that the client has; wholeList: none
+	wait       time.Duration // how long the call waits if there is nothing new
+	pollEnd    time.Duration // when that wait ends
 	polling    bool          // nothing new has been found yet
-	silencings int           // discovery's count when the call came
-	outages    int           // the same
+	silencings int           // discovery's count when the call arrived
+	outages    int           // discovery's count when the call arrived
 }
 
 const wholeList = -1
 
-// parseListCall reads a call's parameters.
+// parseListCall parses the parameters of a call.
 func parseListCall(query url.Values) (listCall, error) {
 	text := query.Get("since")
 	if text == "" {
@@ -85,7 +85,7 @@
 	e.respond(w, r, call)
 }
 
-// serve works through a call, and ends it as one that failed if it gets no list.
+// respond handles a call and answers with an error if it gets no list.
 func (e *discoveryEndpoint) respond(w http.ResponseWriter, r *http.Request, call listCall) {
 	err := e.handle(r.Context(), w, &call)
 	e.updateCounts(func(c *CallCounts) { c.countEnd(err) })
@@ -94,7 +94,7 @@
 	case errSilenced:
 		<-r.Context().Done()
 	case errOutage:
-		if e.discovery.pushed { // an agent is silent meanwhile, and a call that met that stays so
+		if e.discovery.pushed { // an agent is silent during an outage, and calls that met it stay silent
 			<-r.Context().Done()
 			return
 		}
@@ -104,7 +104,7 @@
 	}
 }
 
-// work queues a call, and writes its answer when that is due.
+// handle queues a call and writes its answer when its turn comes.
 func (e *discoveryEndpoint) handle(ctx context.Context, w http.ResponseWriter, call *listCall) error {
 	admitted, err := e.admit(call)
 	if err == errUnavailable {
@@ -128,14 +128,14 @@
 	return e.write(w, answer)
 }
 
-// admission is a call's place in the queue.
+// admission is the place of a call in the queue.
 type admission struct {
-	readyAt  time.Duration // when its turn comes, or it has timed out
+	readyAt  time.Duration // when its turn comes or it times out
 	timedOut bool
-	answer   *listAnswer // nil: there is nothing new yet
+	answer   *listAnswer // nil: nothing new yet
 }
 
-// admit queues a call that has come.
+// admit queues a call that has arrived.
 func (e *discoveryEndpoint) admit(call *listCall) (admission, error) {
 	d := e.discovery
 	d.mu.Lock()
@@ -150,13 +150,13 @@
 		return admission{}, errOutage
 	}
 	var a admission
-	entries := 0
+	lines := 0
 	if n, _ := d.publishedVersion(now); e.hasAnswer(call, n, now) {
 		a.answer = e.buildAnswer(call.since, n)
-		entries = len(a.answer.Instances)
+		lines = len(a.answer.Instances)
 	}
 	call.polling = a.answer == nil
-	queued := d.queue.EnqueueCall(now, entries)
+	queued := d.queue.EnqueueCall(now, lines)
 	switch queued.Outcome {
 	case registry.Rejected:
 		return admission{}, errQueueFull
@@ -169,7 +169,7 @@
 	return a, nil
 }
 
-// failLate ends a call that came in an outage, when it has waited for as long as a call may.
+// answerInOutage ends a call that arrived during an outage after the delay of such answers.
 func (d *Discovery) answerInOutage(ctx context.Context) error {
 	if !waitForChange(ctx, nil, d.outageAnswerDelay) {
 		return errClientLeft
@@ -177,12 +177,12 @@
 	return errUnavailable
 }
 
-// due tells whether there is something to answer to a call; the mutex is held.
+// hasAnswer reports whether a call can be answered now; the mutex is held.
 func (e *discoveryEndpoint) hasAnswer(call *listCall, version int, now time.Duration) bool {
 	return call.since == wholeList || version > call.since || now >= call.pollEnd || e.falseListChanges != e.discovery.falseListChanges
 }
 
-// await waits for a time of discovery's clock, unless the call fails before.
+// waitUntil waits for a time of discovery's clock, and returns an error if the call fails first.
 func (e *discoveryEndpoint) waitUntil(ctx context.Context, call *listCall, until time.Duration) error {
 	d := e.discovery
 	for {
@@ -201,7 +201,7 @@
 	}
 }
 
-// failed tells what has ended a call under way, if anything; the mutex is held.
+// callFailure returns the error that ended a call in progress, if any; the mutex is held.
 func (e *discoveryEndpoint) callFailure(call *listCall) error {
 	d := e.discovery
 	switch {
@@ -214,33 +214,33 @@
 	return nil
 }
 
-// listen keeps a long poll open until there is something to answer, and that is its turn.
+// awaitChange keeps a long poll open until there is something to answer and its turn in the queue has come.
 func (e *discoveryEndpoint) awaitChange(ctx context.Context, call *listCall) (*listAnswer, error) {
 	e.updateCounts(func(c *CallCounts) { c.OpenPolls++ })
 	defer e.updateCounts(func(c *CallCounts) { c.OpenPolls-- })
 	for {
-		found, err := e.checkPoll(call)
+		poll, err := e.checkPoll(call)
 		if err != nil {
 			return nil, err
 		}
-		if found.answer != nil {
-			return found.answer, e.waitUntil(ctx, call, found.readyAt)
+		if poll.answer != nil {
+			return poll.answer, e.waitUntil(ctx, call, poll.readyAt)
 		}
-		if !waitForChange(ctx, found.changed, found.recheckAfter) {
+		if !waitForChange(ctx, poll.changed, poll.recheckAfter) {
 			return nil, errClientLeft
 		}
 	}
 }
 
-// pollState is what an open long poll finds.
+// pollState is the state of an open long poll.
 type pollState struct {
-	answer       *listAnswer     // nil: there is nothing new
+	answer       *listAnswer     // nil: nothing new
 	readyAt      time.Duration   // when the answer's turn comes
-	recheckAfter time.Duration   // how long until the poll must look again
-	changed      <-chan struct{} // closed when it must look earlier
+	recheckAfter time.Duration   // how long until the poll must check again
+	changed      <-chan struct{} // closed when it must check earlier
 }
 
-// look finds out how things stand for an open long poll, and queues its answer if there is one.
+// checkPoll checks whether an open long poll can be answered, and queues its answer if so.
 func (e *discoveryEndpoint) checkPoll(call *listCall) (pollState, error) {
 	d := e.discovery
 	d.mu.Lock()
@@ -259,9 +259,9 @@
 	return pollState{answer: answer, readyAt: d.queue.EnqueueLines(now, len(answer.Instances))}, nil
 }
 
-// sleep waits for a change or an alarm, and tells whether the caller is still there.
-func waitForChange(ctx context.Context, changed <-chan struct{}, alarm time.Duration) bool {
-	timer := time.NewTimer(alarm)
+// waitForChange waits for a change or the timeout, and reports whether the client is still connected.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Fault is one thing that goes wrong: what, where, when and for how long.
+// Fault is one failure to inject: what fails, where, when and for how long.
 type Fault struct {
 	Kind      string
-	Server    string // its id, or a number; with Site and Node empty
-	Site      string // all boxes of a site
-	Node      string // a node's name or number
-	From      string // of a link between nodes; "": any
+	Server    string // server ID or index; empty if Site is set
+	Site      string // all servers of the site
+	Node      string // name or number of a node
+	From      string // sending end of links between nodes; "": any
 	To        string
 	At        time.Duration
 	Duration  time.Duration
-	Magnitude float64 // slow: times slower; lag: seconds more; backup: seconds back; backlog: seconds of work; lose, twice, damage: part; late: seconds
+	Magnitude float64 // slow: slowdown factor; lag: extra seconds; backup: age in seconds; backlog: seconds of work; lose, twice, damage: fraction; late: seconds
 }
 
-// faultKinds are the kinds, and what they happen to.
+// faultTargets maps each kind of fault to what it affects.
 func faultTargets() map[string]string {
 	return map[string]string{
 		"slow": "boxes", "stuck": "boxes", "reset": "boxes", "refuse": "boxes", "silent": "boxes", "crash": "boxes",
@@ -34,7 +34,7 @@
 	}
 }
 
-// FaultKinds lists the kinds in order.
+// FaultKinds returns the kinds in alphabetical order.
 func FaultKinds() []string {
 	var all []string
 	for kind := range faultTargets() {
@@ -44,16 +44,16 @@
 	return all
 }
 
-// ParseFault reads a fault, as slow:box=2,at=3s,for=5s,by=8.
+// ParseFault parses a fault such as slow:box=2,at=3s,for=5s,by=8.
 func ParseFault(text string) (Fault, error) {
 	kind, rest, _ := strings.Cut(text, ":")
 	f := Fault{Kind: kind, At: 2 * time.Second, Duration: 3 * time.Second, Magnitude: 8}
-	what, ok := faultTargets()[kind]
-	if what == "links" {
+	target, ok := faultTargets()[kind]
+	if target == "links" {
 		f.Magnitude = 0.3
 	}
 	if !ok {
-		return f, fmt.Errorf("fault %q: no such kind; there are %s", text, strings.Join(FaultKinds(), ", "))
+		return f, fmt.Errorf("fault %q: unknown kind; kinds are %s", text, strings.Join(FaultKinds(), ", "))
 	}
 	for part := range strings.SplitSeq(rest, ",") {
 		if part == "" {
@@ -64,15 +64,15 @@
 		switch {
 		case !found || value == "":
 			err = fmt.Errorf("want key=value, got %q", part)
-		case key == "box" && what == "boxes":
+		case key == "box" && target == "boxes":
 			f.Server = value
-		case key == "site" && what == "boxes":
+		case key == "site" && target == "boxes":
 			f.Site = value
-		case key == "node" && what == "node":
+		case key == "node" && target == "node":
 			f.Node = value
-		case key == "from" && what == "links":
+		case key == "from" && target == "links":
 			f.From = value
-		case key == "to" && what == "links":
+		case key == "to" && target == "links":
 			f.To = value
 		case key == "at":
 			f.At, err = parseFaultTime(value)
@@ -81,23 +81,23 @@
 		case key == "by":
 			f.Magnitude, err = strconv.ParseFloat(value, 64)
 			if err == nil && !(f.Magnitude > 0 && f.Magnitude <= 1000) {
-				err = fmt.Errorf("by: %s is not in 0 to 1000", value)
+				err = fmt.Errorf("by is %s, allowed: above 0, up to 1000", value)
 			}
 		default:
-			err = fmt.Errorf("%s takes no %q", kind, key)
+			err = fmt.Errorf("kind %s has no key %q", kind, key)
 		}
 		if err != nil {
 			return f, fmt.Errorf("fault %q: %w", text, err)
 		}
 	}
-	if what == "boxes" && (f.Server == "") == (f.Site == "") {
-		return f, fmt.Errorf("fault %q: name a box or a site", text)
+	if target == "boxes" && (f.Server == "") == (f.Site == "") {
+		return f, fmt.Errorf("fault %q: set either box or site", text)
 	}
-	if what == "links" && kind != "late" && kind != "cut" && f.Magnitude > 1 {
-		return f, fmt.Errorf("fault %q: by: %v is no part, 0 to 1", text, f.Magnitude)
+	if target == "links" && kind != "late" && kind != "cut" && f.Magnitude > 1 {
+		return f, fmt.Errorf("fault %q: by is %v, allowed: 0 to 1", text, f.Magnitude)
 	}
-	if what == "node" && f.Node == "" {
-		return f, fmt.Errorf("fault %q: name a node", text)
+	if target == "node" && f.Node == "" {
+		return f, fmt.Errorf("fault %q: set node", text)
 	}
 	return f, nil
 }
@@ -105,63 +105,62 @@
 func parseFaultTime(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err == nil && (d < 0 || d > time.Hour) {
-		err = fmt.Errorf("%s is not in 0 to 1h", text)
+		err = fmt.Errorf("duration %s, allowed: 0 to 1h", text)
 	}
 	return d, err
 }
 
-// hit lists the boxes that a fault is about.
-func (f *Fleet) serversOf(x *Fault) ([]*Server, error) {
-	if x.Site != "" {
-		if !slices.Contains(f.Plan.Sites, x.Site) {
-			return nil, fmt.Errorf("no site %q; there are %s", x.Site, strings.Join(f.Plan.Sites, ", "))
+// serversOf returns the servers that a fault affects.
+func (f *Fleet) serversOf(fault *Fault) ([]*Server, error) {
+	if fault.Site != "" {
+		if !slices.Contains(f.Plan.Sites, fault.Site) {
+			return nil, fmt.Errorf("unknown site %q; sites are %s", fault.Site, strings.Join(f.Plan.Sites, ", "))
 		}
 		var all []*Server
-		for _, b := range f.Servers {
-			if b.Site == x.Site {
-				all = append(all, b)
+		for _, s := range f.Servers {
+			if s.Site == fault.Site {
+				all = append(all, s)
 			}
 		}
 		return all, nil
 	}
-	for i, b := range f.Servers {
-		if b.ID == x.Server || strconv.Itoa(i) == x.Server {
-			return []*Server{b}, nil
+	for i, s := range f.Servers {
+		if s.ID == fault.Server || strconv.Itoa(i) == fault.Server {
+			return []*Server{s}, nil
 		}
 	}
-	for _, b := range f.LowerServers { // of lower tiers by name alone
-		if b.ID == x.Server {
-			return []*Server{b}, nil
+	for _, s := range f.LowerServers { // lower tiers by ID only
+		if s.ID == fault.Server {
+			return []*Server{s}, nil
 		}
 	}
-	return nil, fmt.Errorf("no box %q; there are 0 to %d, and lower ones by name, as box-100", x.Server, len(f.Servers)-1)
+	return nil, fmt.Errorf("unknown server %q; use 0 to %d, or an ID such as box-100 for lower tiers", fault.Server, len(f.Servers)-1)
 }
 
-// CheckFault tells whether a fault is about something that the fleet has. Nodes
-// are their owner's.
-func (f *Fleet) ValidateFault(x Fault) error {
-	if faultTargets()[x.Kind] != "boxes" {
+// ValidateFault checks that the servers a fault names exist. Nodes are checked by their NodeController.
+func (f *Fleet) ValidateFault(fault Fault) error {
+	if faultTargets()[fault.Kind] != "boxes" {
 		return nil
 	}
-	_, err := f.serversOf(&x)
+	_, err := f.serversOf(&fault)
 	return err
 }
 
-// Nodes is what a fault may do to nodes; whoever runs them provides it.
+// NodeController applies faults to nodes. Whoever runs the nodes implements it.
 type NodeController interface {
 	Kill(name string) error
-	Terminate(name string) error // it is told to end, and has its time for that
+	Terminate(name string) error // asks the process to end and gives it time to drain
 	Start(name string) error
-	Pause(name string) error  // it stands still ...
-	Resume(name string) error // ... and goes on
-	// Move has discovery at another address from now on, of which nodes hear as of any change of their configuration.
+	Pause(name string) error  // suspends the process
+	Resume(name string) error // continues a suspended process
+	// MoveDiscovery gives discovery another address, of which nodes learn as of any configuration change.
 	MoveDiscovery() error
-	// Link makes or ends a fault of the links between nodes.
+	// SetLinkFault begins or ends a fault of the links between nodes.
 	SetLinkFault(f *Fault, on bool) error
 }
 
-// Play plays faults until all are over or the context ends; then what is still
-// wrong is put right. An error of one fault does not stop the others.
+// RunFaults runs faults until all are over or the context ends, and then ends those still active. An error of
+// one fault does not stop the others.
 func (f *Fleet) RunFaults(ctx context.Context, faults []Fault, nodes NodeController) []error {
 	type step struct {
 		at  time.Duration
@@ -170,27 +169,27 @@
 	}
 	var steps []step
 	for i := range faults {
-		x := faults[i]
+		fault := faults[i]
 		steps = append(steps,
-			step{x.At, func() error { return f.startFault(&x, nodes) }, false},
-			step{x.At + x.Duration, func() error { return f.endFault(&x, nodes) }, true})
+			step{fault.At, func() error { return f.startFault(&fault, nodes) }, false},
+			step{fault.At + fault.Duration, func() error { return f.endFault(&fault, nodes) }, true})
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	var errs []error
-	begun := time.Now()
-	open := 0
+	start := time.Now()
+	active := 0
 	for _, s := range steps {
 		select {
-		case <-time.After(s.at - time.Since(begun)):
+		case <-time.After(s.at - time.Since(start)):
 		case <-ctx.Done():
-			if !s.end || open == 0 {
+			if !s.end || active == 0 {
 				continue
 			}
 		}
 		if s.end {
-			open--
+			active--
 		} else {
-			open++
+			active++
 		}
 		if err := s.do(); err != nil {
 			errs = append(errs, err)
@@ -199,11 +198,11 @@
 	return errs
 }
 
-// begin makes a fault happen.
-func (f *Fleet) startFault(x *Fault, nodes NodeController) error {
-	switch x.Kind {
+// startFault begins a fault.
+func (f *Fleet) startFault(fault *Fault, nodes NodeController) error {
+	switch fault.Kind {
 	case "lag":
-		f.Discovery.SetPublishDelay(f.Plan.PublishDelay + time.Duration(x.Magnitude*float64(time.Second)))
+		f.Discovery.SetPublishDelay(f.Plan.PublishDelay + time.Duration(fault.Magnitude*float64(time.Second)))
 		return nil
 	case "outage":
 		f.Discovery.SetDown(true)
@@ -212,65 +211,65 @@
 		f.Discovery.SetEmpty(true)
 		return nil
 	case "backup":
-		f.Discovery.RestoreBackup(time.Duration(x.Magnitude * float64(time.Second)))
+		f.Discovery.RestoreBackup(time.Duration(fault.Magnitude * float64(time.Second)))
 		return nil
 	case "blackhole":
 		f.Discovery.SilencePolls()
 		return nil
 	case "backlog":
-		f.Discovery.AddBacklog(time.Duration(x.Magnitude * float64(time.Second)))
+		f.Discovery.AddBacklog(time.Duration(fault.Magnitude * float64(time.Second)))
 		return nil
 	case "move":
 		return nodes.MoveDiscovery()
 	case "kill":
-		return nodes.Kill(x.Node)
+		return nodes.Kill(fault.Node)
 	case "term":
-		return nodes.Terminate(x.Node)
+		return nodes.Terminate(fault.Node)
 	case "stop":
-		return nodes.Pause(x.Node)
+		return nodes.Pause(fault.Node)
 	case "cut", "lose", "late", "twice", "damage":
-		return nodes.SetLinkFault(x, true)
+		return nodes.SetLinkFault(fault, true)
 	}
-	boxes, err := f.serversOf(x)
+	servers, err := f.serversOf(fault)
 	if err != nil {
 		return err
 	}
-	for _, b := range boxes {
-		switch x.Kind {
+	for _, s := range servers {
+		switch fault.Kind {
 		case "slow":
-			b.setFailure(healthy, x.Magnitude)
+			s.setFailure(healthy, fault.Magnitude)
 		case "stuck":
-			b.setFailure(hanging, 1)
+			s.setFailure(hanging, 1)
 		case "reset":
-			b.setFailure(resetting, 1)
+			s.setFailure(resetting, 1)
 		case "refuse":
-			b.setFailure(refusing, 1)
-			b.close()
+			s.setFailure(refusing, 1)
+			s.close()
 		case "silent":
-			b.setFailure(unresponsive, 1)
+			s.setFailure(unresponsive, 1)
 		case "garble":
-			b.setFailure(malformed, 1)
+			s.setFailure(malformed, 1)
 		case "error":
-			b.setFailure(failing, 1)
+			s.setFailure(failing, 1)
 		case "turnaway":
-			b.setFailure(rejecting, 1)
+			s.setFailure(rejecting, 1)
 		case "crash":
-			b.setFailure(crashed, 1)
-			b.close()
-			f.publishCrash(b)
+			s.setFailure(crashed, 1)
+			s.close()
+			f.publishCrash(s)
 		case "drain":
-			f.publishState(b, "DRAINING", false)
-			b.setDraining(true)
-		case "leave": // it is announced as leaving, and serves on: nothing but the list tells
-			f.publishState(b, "DRAINING", false)
+			f.publishState(s, "DRAINING", false)
+			s.setDraining(true)
+		case "leave": // announced as draining on the list only; the server itself continues to serve
+			f.publishState(s, "DRAINING", false)
 		}
 	}
 	return nil
 }
 
-// end puts a fault right.
-func (f *Fleet) endFault(x *Fault, nodes NodeController) error {
-	switch x.Kind {
+// endFault ends a fault.
+func (f *Fleet) endFault(fault *Fault, nodes NodeController) error {
+	switch fault.Kind {
 	case "lag":
 		f.Discovery.SetPublishDelay(f.Plan.PublishDelay)
 		return nil
@@ -283,34 +282,34 @@
 	case "backup":
 		f.Discovery.RestoreBackup(0)
 		return nil
-	case "blackhole", "backlog", "move": // what was swallowed stays so, the queue is worked off, and nothing moves back
+	case "blackhole", "backlog", "move": // silenced polls stay silent, the queue drains by itself, and discovery keeps its new address
 		return nil
 	case "kill", "term":
-		return nodes.Start(x.Node)
+		return nodes.Start(fault.Node)
 	case "stop":
-		return nodes.Resume(x.Node)
+		return nodes.Resume(fault.Node)
 	case "cut", "lose", "late", "twice", "damage":
-		return nodes.SetLinkFault(x, false)
+		return nodes.SetLinkFault(fault, false)
 	}
-	boxes, err := f.serversOf(x)
+	servers, err := f.serversOf(fault)
 	if err != nil {
 		return err
 	}
-	for _, b := range boxes {
-		switch x.Kind {
+	for _, s := range servers {
+		switch fault.Kind {
 		case "refuse":
-			b.setFailure(healthy, 1)
-			err = b.listen("")
+			s.setFailure(healthy, 1)
+			err = s.listen("")
 		case "crash":
-			err = b.restart()
-			f.publishState(b, "SERVING", false)
-		case "drain", "leave": // a new process takes the place of the drained one
-			f.publishState(b, "DELETED", true)
-			b.close()
-			err = b.restart()
-			f.publishState(b, "SERVING", false)
+			err = s.restart()
+			f.publishState(s, "SERVING", false)
+		case "drain", "leave": // a new process replaces the drained one
+			f.publishState(s, "DELETED", true)
+			s.close()
+			err = s.restart()
+			f.publishState(s, "SERVING", false)
 		default:
-			b.setFailure(healthy, 1)
+			s.setFailure(healthy, 1)
 		}
 		if err != nil {
 			return err
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -11,23 +11,23 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Fleet is boxes and a discovery service for each tier, with a judge.
+// Fleet is a set of servers with a discovery service for each tier and a judge that checks the rules.
 type Fleet struct {
 	Plan         Plan
 	Clock        Clock
 	Judge        *judge.Judge
 	Servers      []*Server // of the first tier
-	LowerServers []*Server // of the tiers below, in their order
-	// Discovery is that of the first tier.
+	LowerServers []*Server // of the lower tiers, in tier order
+	// Discovery serves the first tier.
 	Discovery        *Discovery
 	lowerDiscoveries []*Discovery
 
-	hostCount    atomic.Int64 // the next loopback address
+	hostCount    atomic.Int64 // number of loopback addresses handed out
 	delayMonitor *delayMonitor
 	callGraph    *callGraph
 }
 
-// Start opens a fleet. Boxes of a tier that calls another wait for Attach.
+// Start starts a fleet. Servers of a tier that calls another one need a node from Attach first.
 func Start(plan Plan) (*Fleet, error) {
 	if err := plan.validateRegistry(); err != nil {
 		return nil, err
@@ -36,75 +36,76 @@
 	f := &Fleet{Plan: plan, Clock: clock, Judge: judge.New(plan.Rules())}
 	f.delayMonitor, f.callGraph = startDelayMonitor(clock, f.Judge), newCallGraph()
 	f.Discovery = newDiscovery(clock, f.Judge, &plan)
-	racks := map[judge.Location]*keyStore{}
+	keyStores := map[judge.Location]*keyStore{}
 	for tier := range max(1, plan.Tiers) {
 		if tier > 0 {
 			f.lowerDiscoveries = append(f.lowerDiscoveries, newDiscovery(clock, f.Judge, &plan))
 		}
 		for i := range plan.Servers {
 			site := plan.Sites[i%len(plan.Sites)]
-			// A rack's number is its own in the whole fleet: a cell of the list is a number alone.
+			// Rack numbers are unique in the whole fleet, because the list identifies a cell by its number
+			// alone.
 			column := i / len(plan.Sites) / max(1, plan.RackSize)
 			place := judge.Location{Site: site, Rack: (tier*len(plan.Sites)+i%len(plan.Sites))*1000 + column}
-			if racks[place] == nil {
-				racks[place] = &keyStore{ranAt: map[string]time.Duration{}}
+			if keyStores[place] == nil {
+				keyStores[place] = &keyStore{ranAt: map[string]time.Duration{}}
 			}
-			b := &Server{
+			s := &Server{
 				ID: fmt.Sprintf("box-%d%02d", tier, i), Site: site, Rack: place.Rack, Tier: tier,
-				speed: plan.Speeds[i%len(plan.Speeds)], plan: &f.Plan, clock: clock, judge: f.Judge, keys: racks[place],
+				speed: plan.Speeds[i%len(plan.Speeds)], plan: &f.Plan, clock: clock, judge: f.Judge, keys: keyStores[place],
 				cores: make(chan struct{}, max(1, plan.Cores)), slots: make(chan struct{}, max(1, plan.Slots)),
 				slowdown: 1, rng: plan.newRand("box", tier*1000+i), callGraph: f.callGraph,
 			}
-			f.Judge.AddServer(b.ID, place)
-			if err := b.listen(f.NewHost()); err != nil {
+			f.Judge.AddServer(s.ID, place)
+			if err := s.listen(f.NewHost()); err != nil {
 				f.Close()
 				return nil, err
 			}
 			if tier == 0 {
-				f.Servers = append(f.Servers, b)
+				f.Servers = append(f.Servers, s)
 			} else {
-				f.LowerServers = append(f.LowerServers, b)
+				f.LowerServers = append(f.LowerServers, s)
 			}
-			f.publishState(b, "SERVING", true)
+			f.publishState(s, "SERVING", true)
 		}
 	}
 	return f, nil
 }
 
-// Host is a loopback address that nothing else here has, so that what goes can
-// come back on the same port: connections go out from 127.0.0.1 alone.
+// NewHost returns a loopback address that nothing else in this process uses. Outgoing connections use
+// 127.0.0.1 only, so a listener that was closed can bind the same port again.
 func (f *Fleet) NewHost() string {
-	n := f.hostCount.Add(1)
-	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, n/250%250, 1+n%250)
+	number := f.hostCount.Add(1)
+	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, number/250%250, 1+number%250)
 }
 
-// Attach gives a box the node that it calls the tier below through.
-func (f *Fleet) Attach(b *Server, node, address string) {
-	b.nextTier = NewClient(node, address, &f.Plan, f.Clock, f.Judge)
+// Attach sets the node through which a server calls the next tier.
+func (f *Fleet) Attach(s *Server, node, address string) {
+	s.nextTier = NewClient(node, address, &f.Plan, f.Clock, f.Judge)
 }
 
-// Longest tells the longest that attempts of a class were said to last, and how
-// many there were, at boxes of the first tier since the last call.
+// MaxAttemptTimeout returns the longest time limit that attempts of a class carried, and the number of
+// attempts, at servers of the first tier since the previous call.
 func (f *Fleet) MaxAttemptTimeout(class int) (time.Duration, int) {
-	most, count := time.Duration(0), 0
-	for _, b := range f.Servers {
-		b.mu.Lock()
-		if b.attemptTimeouts != nil {
-			most, count = max(most, b.attemptTimeouts[class].longest), count+b.attemptTimeouts[class].count
-			b.attemptTimeouts[class] = timeoutStats{}
+	longest, count := time.Duration(0), 0
+	for _, s := range f.Servers {
+		s.mu.Lock()
+		if s.attemptTimeouts != nil {
+			longest, count = max(longest, s.attemptTimeouts[class].longest), count+s.attemptTimeouts[class].count
+			s.attemptTimeouts[class] = timeoutStats{}
 		}
-		b.mu.Unlock()
+		s.mu.Unlock()
 	}
-	return most, count
+	return longest, count
 }
 
-// Close ends all of it.
+// Close stops the servers, the discovery services and the delay monitor.
 func (f *Fleet) Close() {
-	for _, b := range append(append([]*Server{}, f.Servers...), f.LowerServers...) {
-		b.setFailure(healthy, 1)
-		b.close()
-		if b.nextTier != nil {
-			b.nextTier.Close()
+	for _, s := range append(append([]*Server{}, f.Servers...), f.LowerServers...) {
+		s.setFailure(healthy, 1)
+		s.close()
+		if s.nextTier != nil {
+			s.nextTier.Close()
 		}
 	}
 	f.Discovery.Close()
@@ -114,7 +115,7 @@
 	f.delayMonitor.stop()
 }
 
-// discoveryOf is the discovery service of a tier.
+// discoveryOf returns the discovery service of a tier.
 func (f *Fleet) discoveryOf(tier int) *Discovery {
 	if tier == 0 {
 		return f.Discovery
@@ -122,7 +123,8 @@
 	return f.lowerDiscoveries[tier-1]
 }
 
-// Settle reports to the judge, at the end of a run, what counts as delivered whether or not it was.
+// ReportDeliveries reports to the judge, at the end of a run, from when each change counts as delivered even
+// if it was not written.
 func (f *Fleet) ReportDeliveries() {
 	f.Discovery.ReportDeliveries()
 	for _, d := range f.lowerDiscoveries {
@@ -130,42 +132,42 @@
 	}
 }
 
-// publish puts a box's state on the list of its tier.
-func (f *Fleet) publishState(b *Server, lifecycle string, atOnce bool) {
-	f.discoveryOf(b.Tier).Publish(f.entryOf(b, lifecycle), atOnce)
+// publishState publishes a server's state on the list of its tier.
+func (f *Fleet) publishState(s *Server, lifecycle string, atOnce bool) {
+	f.discoveryOf(s.Tier).Publish(f.entryOf(s, lifecycle), atOnce)
 }
 
-// lost publishes that a box's process has ended without a word.
-func (f *Fleet) publishCrash(b *Server) {
-	f.discoveryOf(b.Tier).PublishAfter(f.entryOf(b, "DELETED"), cmp.Or(f.Plan.CrashPublishDelay, f.Plan.PublishDelay))
+// publishCrash publishes that a server's process ended without an announcement.
+func (f *Fleet) publishCrash(s *Server) {
+	f.discoveryOf(s.Tier).PublishAfter(f.entryOf(s, "DELETED"), cmp.Or(f.Plan.CrashPublishDelay, f.Plan.PublishDelay))
 }
 
-// entryOf is a box as its tier's list has it.
-func (f *Fleet) entryOf(b *Server, lifecycle string) entry {
+// entryOf returns a server's entry in the list of its tier.
+func (f *Fleet) entryOf(s *Server, lifecycle string) entry {
 	started := int64(0)
-	if b.startedAt > 0 {
-		started = f.Clock.UnixMilli(b.startedAt)
+	if s.startedAt > 0 {
+		started = f.Clock.UnixMilli(s.startedAt)
 	}
 	return entry{
-		ID: b.ID, HostPort: b.Address, Zone: b.Site, Kind: "stand-in", Cell: b.Rack, Lifecycle: lifecycle, Weight: 1,
+		ID: s.ID, HostPort: s.Address, Zone: s.Site, Kind: "stand-in", Cell: s.Rack, Lifecycle: lifecycle, Weight: 1,
 		StartedMs: started,
 	}
 }
 
-// Chill makes all boxes of the first tier cold, as after a power cut.
+// MakeCold marks all servers of the first tier as just started, as after a power failure.
 func (f *Fleet) MakeCold() {
 	now := f.Clock.Now()
-	for _, b := range f.Servers {
-		b.mu.Lock()
-		b.startedAt = now
-		b.mu.Unlock()
-		f.publishState(b, "SERVING", true)
+	for _, s := range f.Servers {
+		s.mu.Lock()
+		s.startedAt = now
+		s.mu.Unlock()
+		f.publishState(s, "SERVING", true)
 	}
 }
 
-// Paper puts boxes on the first tier's list that are on paper only: number
-// from up to to, all gone or all serving. Nobody listens at their addresses, so a
-// fleet with traffic is no place for them: they show what a long list costs.
+// PublishFakeServers publishes entries from (inclusive) to to (exclusive) on the first tier's list, all
+// serving or all deleted. Nothing listens at their addresses, so they measure the cost of a long list and
+// must not be used in a fleet with traffic.
 func (f *Fleet) PublishFakeServers(from, to int, serving bool) {
 	lifecycle := "SERVING"
 	if !serving {
@@ -179,29 +181,29 @@
 	}
 }
 
-// NodeSpec says which node a configuration is for.
+// NodeSpec describes the node that a configuration is for.
 type NodeSpec struct {
 	Name          string
 	Listen        string
-	Tier          int // it sends to boxes of this tier
+	Tier          int // tier of servers that the node sends to
 	Index         int // among the nodes of its tier
-	TierNodes     int // how many these are
+	TierNodes     int // number of nodes in this tier
 	Site          string
 	MemoryMB      int
 	Sockets       int
-	RestoreList   bool // it knows the list that it last had, as after a restart
-	AllowHedging  bool // attempts of a request may overlap
+	RestoreList   bool // the configuration contains the node's last list, as after a restart
+	AllowHedging  bool // attempts of one request may overlap
 	ShareBudgets  bool // requests share a budget of attempts with other tiers
 	MaxRetryAfter time.Duration
-	KnownList     json.RawMessage // the list that it knows, in the place of that of now; nil: Known says
+	KnownList     json.RawMessage // list in the configuration, overriding RestoreList; nil: none
 }
 
-// Endpoint opens an address of a tier's discovery service for a node.
+// OpenEndpoint opens an address of a tier's discovery service for a node.
 func (f *Fleet) OpenEndpoint(node string, tier int) (string, error) {
 	return f.discoveryOf(tier).OpenEndpoint(node, f.NewHost())
 }
 
-// Config writes the configuration of a node, as the platform would.
+// NodeConfig returns the configuration of a node in the platform's format.
 func (f *Fleet) NodeConfig(s NodeSpec, discovery string) ([]byte, error) {
 	type object = map[string]any
 	effects := map[judge.Idempotency]string{judge.Idempotent: "repeatable", judge.Keyed: "by_key", judge.AtMostOnce: "once"}
@@ -253,7 +255,7 @@
 	return text, nil
 }
 
-// beat finds out how late this machine runs what is due.
+// delayMonitor measures how late this machine runs timers.
 type delayMonitor struct {
 	quit chan struct{}
 	done chan struct{}
@@ -261,33 +263,33 @@
 
 const (
 	delayCheckInterval = 5 * time.Millisecond
-	minReportedDelay   = 10 * time.Millisecond // less is not told
+	minReportedDelay   = 10 * time.Millisecond // shorter delays are not reported
 )
 
 func startDelayMonitor(clock Clock, j *judge.Judge) *delayMonitor {
-	b := &delayMonitor{make(chan struct{}), make(chan struct{})}
+	m := &delayMonitor{make(chan struct{}), make(chan struct{})}
 	go func() { // ends with stop
-		defer close(b.done)
+		defer close(m.done)
 		tick := time.NewTicker(delayCheckInterval)
 		defer tick.Stop()
 		last := clock.Now()
 		for {
 			select {
 			case <-tick.C:
-			case <-b.quit:
+			case <-m.quit:
 				return
 			}
 			now := clock.Now()
-			if late := now - last - delayCheckInterval; late > minReportedDelay {
-				j.MachineDelayed(last+delayCheckInterval, late)
+			if delay := now - last - delayCheckInterval; delay > minReportedDelay {
+				j.MachineDelayed(last+delayCheckInterval, delay)
 			}
 			last = now
 		}
 	}()
-	return b
+	return m
 }
 
-func (b *delayMonitor) stop() {
-	close(b.quit)
-	<-b.done
+func (m *delayMonitor) stop() {
+	close(m.quit)
+	<-m.done
 }
--- a/internal/rig/standin/idleclients.go
+++ b/internal/rig/standin/idleclients.go
@@ -11,8 +11,7 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Idlers are controllers that each keep one connection to a node, and ask for
-// something now and then.
+// IdleClients are clients that each keep one connection to a node and send a request on it from time to time.
 type IdleClients struct {
 	plan    *Plan
 	clients []*Client
@@ -22,97 +21,96 @@
 	requests, served, unanswered atomic.Int64
 }
 
-// idleDials is how many of them connect or ask at once.
+// maxIdleInFlight limits how many of them connect or send at the same time.
 const maxIdleInFlight = 32
 
-// NewIdlers makes count of them, spread over nodes, which ask for the plan's class
-// that is worth least.
+// NewIdleClients returns count clients, distributed over the nodes, which send requests of the plan's class
+// with the lowest worth.
 func NewIdleClients(plan *Plan, count int, nodes []*Client) *IdleClients {
-	i := &IdleClients{plan: plan, rng: plan.newRand("idlers", 0)}
+	idle := &IdleClients{plan: plan, rng: plan.newRand("idlers", 0)}
 	for k := range plan.Classes {
-		if plan.Classes[k].Worth < plan.Classes[i.class].Worth {
-			i.class = k
+		if plan.Classes[k].Worth < plan.Classes[idle.class].Worth {
+			idle.class = k
 		}
 	}
 	for k := range count {
 		n := nodes[k%len(nodes)]
-		i.clients = append(i.clients, NewClient(n.Node, n.address, plan, n.clock, n.judge))
+		idle.clients = append(idle.clients, NewClient(n.Node, n.address, plan, n.clock, n.judge))
 	}
-	return i
+	return idle
 }
 
-// Connect has each ask once, and returns when all have had an answer.
-func (i *IdleClients) Connect(ctx context.Context) error {
-	i.sendAll(ctx, 0)
+// Connect has each client send one request and returns when all have ended.
+func (idle *IdleClients) Connect(ctx context.Context) error {
+	idle.sendAll(ctx, 0)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if held := i.OpenConns(); held < len(i.clients) {
-		return fmt.Errorf("%d of %d idle connections could be opened", held, len(i.clients))
+	if open := idle.OpenConns(); open < len(idle.clients) {
+		return fmt.Errorf("opened only %d of %d idle connections", open, len(idle.clients))
 	}
 	return nil
 }
 
-// Wake has each ask again every so often, in the order in which they connected and
-// spread over the time, until the context ends.
-func (i *IdleClients) SendPeriodically(ctx context.Context, every time.Duration) {
+// SendPeriodically has each client send a request once per period, in the order of the clients and spread
+// evenly over the period, until the context ends.
+func (idle *IdleClients) SendPeriodically(ctx context.Context, every time.Duration) {
 	for ctx.Err() == nil {
-		i.sendAll(ctx, every)
+		idle.sendAll(ctx, every)
 	}
 }
 
-// each has each ask once, spread over a time.
-func (i *IdleClients) sendAll(ctx context.Context, over time.Duration) {
-	var all sync.WaitGroup
-	defer all.Wait()
-	turn := make(chan *Client)
-	defer close(turn)
+// sendAll has each client send one request, spread evenly over the period.
+func (idle *IdleClients) sendAll(ctx context.Context, period time.Duration) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	next := make(chan *Client)
+	defer close(next)
 	for range maxIdleInFlight {
-		seed := i.rng.Uint64()
-		all.Go(func() {
+		seed := idle.rng.Uint64()
+		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, 5))
-			for c := range turn {
-				i.sendRequest(c, rng)
+			for c := range next {
+				idle.sendRequest(c, rng)
 			}
 		})
 	}
-	begun, alarm := time.Now(), time.NewTimer(0)
-	defer alarm.Stop()
-	for k, c := range i.clients {
-		if wait := over*time.Duration(k)/time.Duration(len(i.clients)) - time.Since(begun); wait > 0 {
-			alarm.Reset(wait)
+	start, timer := time.Now(), time.NewTimer(0)
+	defer timer.Stop()
+	for k, c := range idle.clients {
+		if wait := period*time.Duration(k)/time.Duration(len(idle.clients)) - time.Since(start); wait > 0 {
+			timer.Reset(wait)
 			select {
-			case <-alarm.C:
+			case <-timer.C:
 			case <-ctx.Done():
 			}
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		turn <- c
+		next <- c
 	}
 }
 
-func (i *IdleClients) sendRequest(c *Client, rng *rand.Rand) {
-	class := &i.plan.Classes[i.class]
-	i.requests.Add(1)
-	answer := c.Do(context.Background(), Request{
-		ID: fmt.Sprintf("%016x", rng.Uint64()), Class: i.class, Timeout: class.Deadline,
-		Path: fmt.Sprintf("/%s/%s/%d", class.Name, i.plan.Sites[rng.IntN(len(i.plan.Sites))], rng.IntN(5000)),
+func (idle *IdleClients) sendRequest(c *Client, rng *rand.Rand) {
+	class := &idle.plan.Classes[idle.class]
+	idle.requests.Add(1)
+	response := c.Do(context.Background(), Request{
+		ID: fmt.Sprintf("%016x", rng.Uint64()), Class: idle.class, Timeout: class.Deadline,
+		Path: fmt.Sprintf("/%s/%s/%d", class.Name, idle.plan.Sites[rng.IntN(len(idle.plan.Sites))], rng.IntN(5000)),
 		Key:  fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()),
 	})
-	switch answer.Outcome {
+	switch response.Outcome {
 	case judge.Served:
-		i.served.Add(1)
+		idle.served.Add(1)
 	case judge.ConnectionLost, judge.ClientLeft:
-		i.unanswered.Add(1)
+		idle.unanswered.Add(1)
 	}
 }
 
-// Held is how many connections they have, as far as they know, and Opened how many
-// they have opened in all.
-func (i *IdleClients) OpenConns() (n int) {
-	for _, c := range i.clients {
+// OpenConns returns how many connections are open as far as the clients know.
+func (idle *IdleClients) OpenConns() (n int) {
+	for _, c := range idle.clients {
 		c.mu.Lock()
 		n += len(c.idle)
 		c.mu.Unlock()
@@ -120,21 +118,22 @@
 	return n
 }
 
-func (i *IdleClients) ConnsOpened() (n int) {
-	for _, c := range i.clients {
+// ConnsOpened returns how many connections the clients have opened in all.
+func (idle *IdleClients) ConnsOpened() (n int) {
+	for _, c := range idle.clients {
 		n += c.ConnsOpened()
 	}
 	return n
 }
 
-// Counts are the requests so far: asked, served, and without an answer.
-func (i *IdleClients) Counts() (asked, served, lost int64) {
-	return i.requests.Load(), i.served.Load(), i.unanswered.Load()
+// Counts returns the requests so far: sent, served, and without an answer.
+func (idle *IdleClients) Counts() (requests, served, unanswered int64) {
+	return idle.requests.Load(), idle.served.Load(), idle.unanswered.Load()
 }
 
-// Close ends all their connections.
-func (i *IdleClients) Close() {
-	for _, c := range i.clients {
+// Close closes all connections.
+func (idle *IdleClients) Close() {
+	for _, c := range idle.clients {
 		c.Close()
 	}
 }
--- a/internal/rig/standin/judge/doc.go
+++ b/internal/rig/standin/judge/doc.go
@@ -1,8 +1,8 @@
-// Package judge keeps a ledger of what callers, boxes and discovery saw, and
-// finds breaches of the four rules in it. It never hears anything from a node.
+// Package judge records what clients, servers and discovery observe, and checks these records against the
+// four rules. It takes no input from the nodes.
 //
-// Times are handed in, counted from any common start, so that the same judge
-// serves on sockets and in virtual time. All methods may be called from any
-// goroutine; the Judge owns the ledger under one lock. It must not guess: what
-// could be the machine's own delay is excused by what Lag reported, and counted.
+// Times are passed in, relative to any common start, so the same judge works on sockets and in virtual time.
+// All methods may be called from any goroutine; one mutex guards the records. The judge must not guess: a
+// missed time limit that the machine's own delay, as reported by MachineDelayed, may explain is excused and
+// counted.
 package judge
--- a/internal/rig/standin/judge/judge.go
+++ b/internal/rig/standin/judge/judge.go
@@ -8,88 +8,88 @@
 	"time"
 )
 
-// Effect says whether a request may run more than once.
+// Idempotency says whether a request may run more than once.
 type Idempotency int
 
-// The three effects.
+// Whether a request may run more than once: always, only under the same key, or never.
 const (
 	Idempotent Idempotency = iota
 	Keyed
 	AtMostOnce
 )
 
-// Group says which boxes drop the repeats of a keyed request.
+// Group says which servers drop the repeats of a keyed request.
 type Group int
 
-// The three groups.
+// The servers that share their record of keys: all of them, those of a site, or those of a rack.
 const (
 	GroupAll Group = iota
 	GroupSite
 	GroupRack
 )
 
-// Class is what the rules need of a class of requests.
+// Class holds the properties of a class of requests that the rules need.
 type Class struct {
 	Name        string
 	Idempotency Idempotency
 	Group       Group
-	KeyTTL      time.Duration // Keyed: how long boxes drop repeats
+	KeyTTL      time.Duration // Keyed: how long servers drop repeats
 }
 
-// Rules are the figures that the rules go by.
+// Rules holds the limits that the judge checks.
 type Rules struct {
 	Classes      []Class
 	MaxAttempts  int
-	AllowHedging bool          // two attempts may be out at once, where the class is safe
-	DrainGrace   time.Duration // nothing new to a box later than this after it was notified
+	AllowHedging bool          // two attempts may overlap if the class is idempotent
+	DrainGrace   time.Duration // no new attempts at a server later than this after the node was notified
 	Tolerance    time.Duration // added to each time limit
 }
 
-// Place is where a box stands, for the groups.
+// Location is where a server runs, for Group.
 type Location struct {
 	Site string
 	Rack int
 }
 
-// How says how an attempt ended at its box.
+// AttemptOutcome is how an attempt ended at its server.
 type AttemptOutcome int
 
-// The ends of an attempt.
+// Outcomes of an attempt.
 const (
-	InProgress    AttemptOutcome = iota // it has not
+	InProgress    AttemptOutcome = iota // not ended yet
 	Succeeded                           // answered 200
-	Rejected                            // answered that it never ran
+	Rejected                            // answered that it was not executed
 	Errored                             // answered with an error
-	ConnectionCut                       // the box or its machine ended the connection
-	Abandoned                           // the node ended the connection
-	Malformed                           // answered with what can't be read
+	ConnectionCut                       // the server or its machine closed the connection
+	Abandoned                           // the node closed the connection
+	Malformed                           // answered with something that cannot be parsed
 )
 
 func (h AttemptOutcome) String() string {
 	return [...]string{"still open", "answered", "turned away", "erred", "cut", "given up", "spoilt"}[h]
 }
 
-// Ending is the final answer that a caller read.
+// RequestOutcome is the final answer that a client received.
 type RequestOutcome int
 
-// The endings.
+// Outcomes of a request.
 const (
 	Unanswered RequestOutcome = iota
 	Served
 	Refused
 	Failed
-	ConnectionLost // the connection ended without a whole answer
-	ClientLeft     // the caller ended the connection itself
+	ConnectionLost // the connection ended without a complete answer
+	ClientLeft     // the client closed the connection
 )
 
-func (e RequestOutcome) String() string {
-	return [...]string{"no answer", "served", "refused", "failed", "lost", "left by its caller"}[e]
+func (outcome RequestOutcome) String() string {
+	return [...]string{"no answer", "served", "refused", "failed", "lost", "left by its caller"}[outcome]
 }
 
-// State is what discovery said of a box.
+// State is the state of a server in discovery's list.
 type State int
 
-// The states.
+// States of a server.
 const (
 	Serving State = iota
 	Draining
@@ -98,13 +98,13 @@
 
 func (s State) String() string { return [...]string{"serving", "draining", "gone"}[s] }
 
-// Breach is a broken rule.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule    int // 1 to 4
 	What    string
-	Request string // its id; "": none
+	Request string // request ID; "": none
 	At      time.Duration
-	History []string // of the request, in order
+	History []string // events of the request, in order
 }
 
 func (b Breach) String() string {
@@ -113,11 +113,11 @@
 
 type attempt struct {
 	server    string
-	arrivedAt time.Duration // its last byte came
+	arrivedAt time.Duration // of its last byte
 	key       string
 	endedAt   time.Duration
 	outcome   AttemptOutcome
-	effects   int // 1: it had its effect; repeats that were dropped have none
+	effects   int // 1: it was executed; dropped repeats have none
 	ranAt     time.Duration
 }
 
@@ -129,29 +129,29 @@
 	timeout    time.Duration
 	outcome    RequestOutcome
 	endedAt    time.Duration
-	answeredBy string // the box that made the answer, as its body says
+	answeredBy string // server named in the body of the answer
 	attempts   []attempt
 }
 
 type delay struct{ at, length time.Duration }
 
-// Judge is the ledger.
+// Judge records observations and checks them against the rules.
 type Judge struct {
 	rules Rules
 
 	mu            sync.Mutex
 	requests      map[string]*request
 	locations     map[string]Location
-	notifications map[string]map[string][]notification // by node, by box
+	notifications map[string]map[string][]notification // by node, by server
 	kills         map[string][]time.Duration
-	starts        map[string][]time.Duration    // of processes that took the place of dead ones
-	pauses        map[string][][2]time.Duration // when a node's process stood still
+	starts        map[string][]time.Duration    // of processes that replaced killed ones
+	pauses        map[string][][2]time.Duration // intervals in which a node's process was suspended
 	collapses     []Breach
 	unexpected    []Breach
 	delays        []delay
 }
 
-// New returns an empty ledger.
+// New returns a judge without records.
 func New(r Rules) *Judge {
 	return &Judge{
 		rules: r, requests: map[string]*request{}, locations: map[string]Location{},
@@ -159,22 +159,22 @@
 	}
 }
 
-// Box says where a box stands; it must be told before the box's first request.
+// AddServer records the location of a server. It must be called before the server's first request.
 func (j *Judge) AddServer(id string, p Location) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.locations[id] = p
 }
 
-// Asked says that a caller has written the last byte of a request to a node, and
-// how long it will wait.
+// RequestSent records that a client has written the last byte of a request to a node, and how long it will
+// wait.
 func (j *Judge) RequestSent(at time.Duration, id string, class int, node string, wait time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.requests[id] = &request{id: id, class: class, node: node, sentAt: at, timeout: wait}
 }
 
-// Untaken says that a request never reached a node: it is owed nothing.
+// RequestNotSent records that a request never reached a node. No rule applies to it.
 func (j *Judge) RequestNotSent(id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -183,7 +183,7 @@
 	}
 }
 
-// Reached tells whether a request has come to any box.
+// ReachedServer reports whether a request has arrived at any server.
 func (j *Judge) ReachedServer(id string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -191,9 +191,9 @@
 	return r != nil && len(r.attempts) > 0
 }
 
-// Answered says how a request ended for its caller. Of one that was served,
-// maker is the box that the body names.
-func (j *Judge) RequestEnded(at time.Duration, id string, e RequestOutcome, maker string) {
+// RequestEnded records how a request ended for its client. If it was served, answeredBy is the server named
+// in the body.
+func (j *Judge) RequestEnded(at time.Duration, id string, outcome RequestOutcome, answeredBy string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
@@ -201,115 +201,115 @@
 	case r == nil:
 		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: "an answer to what nobody asked", Request: id, At: at})
 	case r.outcome != Unanswered:
-		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: fmt.Sprintf("a second final answer: %v after %v", e, r.outcome),
+		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: fmt.Sprintf("a second final answer: %v after %v", outcome, r.outcome),
 			Request: id, At: at, History: r.history()})
 	default:
-		r.outcome, r.endedAt, r.answeredBy = e, at, maker
+		r.outcome, r.endedAt, r.answeredBy = outcome, at, answeredBy
 	}
 }
 
-// Arrived says that the last byte of an attempt has come to a box, and returns
-// its number for Ran and Ended.
-func (j *Judge) AttemptArrived(at time.Duration, id, box, key string) int {
+// AttemptArrived records that the last byte of an attempt has arrived at a server. It returns the attempt's
+// index for AttemptExecuted and AttemptEnded.
+func (j *Judge) AttemptArrived(at time.Duration, id, server, key string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.requests[id]
 	if r == nil {
-		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: "box " + box + " got what nobody asked", Request: id, At: at})
+		j.unexpected = append(j.unexpected, Breach{Rule: 1, What: "box " + server + " got what nobody asked", Request: id, At: at})
 		return -1
 	}
-	r.attempts = append(r.attempts, attempt{server: box, arrivedAt: at, key: key})
+	r.attempts = append(r.attempts, attempt{server: server, arrivedAt: at, key: key})
 	return len(r.attempts) - 1
 }
 
-// Ran says that an attempt had its effect. A repeat that was dropped has none.
-func (j *Judge) AttemptExecuted(at time.Duration, id string, number int) {
+// AttemptExecuted records that an attempt was executed. A dropped repeat is not.
+func (j *Judge) AttemptExecuted(at time.Duration, id string, index int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if a := j.attempt(id, number); a != nil {
+	if a := j.attempt(id, index); a != nil {
 		a.effects++
 		a.ranAt = at
 	}
 }
 
-// Ended says that an attempt is no longer out.
-func (j *Judge) AttemptEnded(at time.Duration, id string, number int, how AttemptOutcome) {
+// AttemptEnded records how an attempt ended.
+func (j *Judge) AttemptEnded(at time.Duration, id string, index int, outcome AttemptOutcome) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if a := j.attempt(id, number); a != nil && a.outcome == InProgress {
-		a.endedAt, a.outcome = at, how
+	if a := j.attempt(id, index); a != nil && a.outcome == InProgress {
+		a.endedAt, a.outcome = at, outcome
 	}
 }
 
-func (j *Judge) attempt(id string, number int) *attempt {
-	if r := j.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
-		return &r.attempts[number]
+func (j *Judge) attempt(id string, index int) *attempt {
+	if r := j.requests[id]; r != nil && index >= 0 && index < len(r.attempts) {
+		return &r.attempts[index]
 	}
 	return nil
 }
 
-// Died says that a node was killed: what it held is its callers' to ask again.
-// It starts again with what it was told before, so what it was notified of goes on counting.
+// NodeKilled records that a node was killed: clients must retry what it was handling. It restarts with the
+// list it had, so earlier notifications still count.
 func (j *Judge) NodeKilled(at time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.kills[node] = append(j.kills[node], at)
 }
 
-// Started says that a node that had died runs again.
+// NodeStarted records that a killed node runs again.
 func (j *Judge) NodeStarted(at time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts[node] = append(j.starts[node], at)
 }
 
-// Stood says that a node's process stood still from one time to another: what it held then may be answered late, or
-// be given up by its caller, but nothing is sent for it after its time.
+// NodePaused records that a node's process was suspended between two times. What it held then may be answered
+// late or be abandoned by its client, but no attempt may be sent for it after its deadline.
 func (j *Judge) NodePaused(from, to time.Duration, node string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.pauses[node] = append(j.pauses[node], [2]time.Duration{from, to})
 }
 
-// Fell says that a cold box was sent too much and fell over.
-func (j *Judge) ServerCollapsed(at time.Duration, box, why string) {
+// ServerCollapsed records that a cold server received too much work and collapsed.
+func (j *Judge) ServerCollapsed(at time.Duration, server, why string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.collapses = append(j.collapses, Breach{Rule: 4, What: "cold box " + box + " fell over: " + why, At: at})
+	j.collapses = append(j.collapses, Breach{Rule: 4, What: "cold box " + server + " fell over: " + why, At: at})
 }
 
-// Lag says that this machine was late by so long: whoever should have run at this
-// time ran later. Time limits near it are widened.
-func (j *Judge) MachineDelayed(at, long time.Duration) {
+// MachineDelayed records that this machine ran something due at a time late by length. Time limits near it
+// are extended.
+func (j *Judge) MachineDelayed(at, length time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.delays = append(j.delays, delay{at, long})
+	j.delays = append(j.delays, delay{at, length})
 }
 
-// Verdict is what the ledger holds.
+// Verdict is the result of the check.
 type Verdict struct {
 	Requests        int
 	Attempts        int
-	MaxAttempts     int // attempts of any one request
+	MaxAttempts     int // highest number of attempts of a single request
 	ByClass         []ClassCount
 	Outcomes        map[RequestOutcome]int
 	Breaches        []Breach
 	Excused         int           // time limits missed by no more than the machine's own delay
-	MaxMachineDelay time.Duration // of the machine
+	MaxMachineDelay time.Duration // longest delay passed to MachineDelayed
 }
 
-// Count is the requests of a class, callers' retries included, and their attempts.
+// ClassCount counts the requests of a class, including retries by clients, and their attempts.
 type ClassCount struct{ Requests, Attempts int }
 
-// Judge goes through the ledger. Nothing further may be reported: what has no answer now
-// will have none.
+// Check checks all records against the rules. Nothing may be recorded after it: a request without an answer
+// counts as unanswered.
 func (j *Judge) Check(now time.Duration) Verdict {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	v := Verdict{Requests: len(j.requests), Outcomes: map[RequestOutcome]int{}, ByClass: make([]ClassCount, len(j.rules.Classes))}
 	slices.SortFunc(j.delays, func(x, y delay) int { return cmp.Compare(x.at, y.at) })
-	for _, l := range j.delays {
-		v.MaxMachineDelay = max(v.MaxMachineDelay, l.length)
+	for _, d := range j.delays {
+		v.MaxMachineDelay = max(v.MaxMachineDelay, d.length)
 	}
 	v.Breaches = append(v.Breaches, j.collapses...)
 	v.Breaches = append(v.Breaches, j.unexpected...)
@@ -331,29 +331,29 @@
 	return v
 }
 
-// history tells a request's life, a line an event.
+// history describes the events of a request, one line each.
 func (r *request) history() []string {
-	type line struct {
+	type event struct {
 		at   time.Duration
 		text string
 	}
-	lines := []line{{r.sentAt, fmt.Sprintf("asked of node %s, waits for %v", r.node, r.timeout)}}
+	events := []event{{r.sentAt, fmt.Sprintf("asked of node %s, waits for %v", r.node, r.timeout)}}
 	for i, a := range r.attempts {
-		lines = append(lines, line{a.arrivedAt, fmt.Sprintf("attempt %d came to box %s", i, a.server)})
+		events = append(events, event{a.arrivedAt, fmt.Sprintf("attempt %d came to box %s", i, a.server)})
 		if a.effects > 0 {
-			lines = append(lines, line{a.ranAt, fmt.Sprintf("attempt %d had its effect", i)})
+			events = append(events, event{a.ranAt, fmt.Sprintf("attempt %d had its effect", i)})
 		}
 		if a.outcome != InProgress {
-			lines = append(lines, line{a.endedAt, fmt.Sprintf("attempt %d %v", i, a.outcome)})
+			events = append(events, event{a.endedAt, fmt.Sprintf("attempt %d %v", i, a.outcome)})
 		}
 	}
 	if r.outcome != Unanswered {
-		lines = append(lines, line{r.endedAt, r.outcome.String()})
+		events = append(events, event{r.endedAt, r.outcome.String()})
 	}
-	slices.SortStableFunc(lines, func(x, y line) int { return cmp.Compare(x.at, y.at) })
-	texts := make([]string, len(lines))
-	for i, l := range lines {
-		texts[i] = fmt.Sprintf("%9.1f ms  %s", float64(l.at-r.sentAt)/1e6, l.text)
+	slices.SortStableFunc(events, func(x, y event) int { return cmp.Compare(x.at, y.at) })
+	texts := make([]string, len(events))
+	for i, d := range events {
+		texts[i] = fmt.Sprintf("%9.1f ms  %s", float64(d.at-r.sentAt)/1e6, d.text)
 	}
 	return texts
 }
--- a/internal/rig/standin/judge/request.go
+++ b/internal/rig/standin/judge/request.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// requestCheck judges one request.
+// requestCheck checks one request.
 type requestCheck struct {
 	*Judge
 	*request
@@ -21,48 +21,49 @@
 	})
 }
 
-// late tells whether an event came after its limit, by more than the slack and
-// what the machine itself was late by.
+// isLate reports whether an event missed its limit by more than the tolerance and the machine's delays near
+// it. An event within these delays is counted as excused.
 func (c *requestCheck) isLate(limit, at time.Duration) bool {
-	over := at - limit - c.rules.Tolerance
-	if over <= 0 {
+	excess := at - limit - c.rules.Tolerance
+	if excess <= 0 {
 		return false
 	}
-	lag := time.Duration(0)
-	from, _ := slices.BinarySearchFunc(c.delays, limit-2*time.Second, func(l delay, t time.Duration) int {
-		return cmp.Compare(l.at, t)
+	delayed := time.Duration(0)
+	from, _ := slices.BinarySearchFunc(c.delays, limit-2*time.Second, func(d delay, t time.Duration) int {
+		return cmp.Compare(d.at, t)
 	})
-	for _, l := range c.delays[from:] {
-		if l.at > at+2*time.Second {
+	for _, d := range c.delays[from:] {
+		if d.at > at+2*time.Second {
 			break
 		}
-		lag += l.length
+		delayed += d.length
 	}
-	if over <= 2*lag { // the delay of this process, and as much in a node's
+	if excess <= 2*delayed { // the delay of this process and the same in a node
 		c.verdict.Excused++
 		return false
 	}
 	return true
 }
 
-// answer checks rule 1.
+// checkAnswer checks rule 1: each request gets one final answer in time, made by a server that answered one
+// of its attempts, and no attempt is sent after the answer.
 func (c *requestCheck) checkAnswer() {
-	died := false
+	killed := false
 	end := c.endedAt
 	if c.outcome == Unanswered {
 		end = c.now
 	}
 	for _, at := range c.kills[c.node] {
-		died = died || at >= c.sentAt-c.rules.Tolerance && at <= end+c.rules.Tolerance
+		killed = killed || at >= c.sentAt-c.rules.Tolerance && at <= end+c.rules.Tolerance
 	}
 	limit := c.sentAt + c.timeout
-	stood := false
-	for _, x := range c.pauses[c.node] {
-		stood = stood || x[0] <= end+c.rules.Tolerance && x[1] >= c.sentAt-c.rules.Tolerance
+	paused := false
+	for _, pause := range c.pauses[c.node] {
+		paused = paused || pause[0] <= end+c.rules.Tolerance && pause[1] >= c.sentAt-c.rules.Tolerance
 	}
 	switch {
-	case died:
-	case stood && (c.outcome == ClientLeft || c.outcome != Unanswered && c.outcome != ConnectionLost && c.endedAt > limit):
+	case killed:
+	case paused && (c.outcome == ClientLeft || c.outcome != Unanswered && c.outcome != ConnectionLost && c.endedAt > limit):
 		c.verdict.Excused++
 	case c.outcome == Unanswered:
 		if c.isLate(limit, c.now) {
@@ -80,7 +81,7 @@
 	}) {
 		c.addBreach(1, c.endedAt, "served with an answer of box %q, which answered no attempt of it", c.answeredBy)
 	}
-	if c.outcome == Unanswered || c.outcome == ConnectionLost || died {
+	if c.outcome == Unanswered || c.outcome == ConnectionLost || killed {
 		return
 	}
 	for _, a := range c.attempts {
@@ -90,38 +91,39 @@
 	}
 }
 
-// effects checks rule 2.
+// checkAttempts checks rule 2: no more attempts than allowed, no overlapping ones unless hedging is allowed,
+// and no repeated execution.
 func (c *requestCheck) checkAttempts() {
 	class := c.rules.Classes[c.class]
 	if len(c.attempts) > c.rules.MaxAttempts {
 		c.addBreach(2, c.attempts[len(c.attempts)-1].arrivedAt, "%d attempts, at most %d are allowed", len(c.attempts), c.rules.MaxAttempts)
 	}
-	ran := 0
-	may := -1 // the first that may have run
+	effects := 0
+	mayHaveRun := -1 // index of the first attempt that may have been executed
 	for i, a := range c.attempts {
 		for _, b := range c.attempts[:i] {
-			out := b.outcome == InProgress || b.endedAt > a.arrivedAt && c.isLate(a.arrivedAt, b.endedAt)
-			if out && !(c.rules.AllowHedging && class.Idempotency == Idempotent) {
+			overlaps := b.outcome == InProgress || b.endedAt > a.arrivedAt && c.isLate(a.arrivedAt, b.endedAt)
+			if overlaps && !(c.rules.AllowHedging && class.Idempotency == Idempotent) {
 				c.addBreach(2, a.arrivedAt, "two attempts out at once: at %s and %s", b.server, a.server)
 			}
 		}
-		if may >= 0 {
-			c.checkRepeat(class, &c.attempts[may], &a)
+		if mayHaveRun >= 0 {
+			c.checkRepeat(class, &c.attempts[mayHaveRun], &a)
 		}
-		if a.outcome != Rejected && may < 0 {
-			may = i
+		if a.outcome != Rejected && mayHaveRun < 0 {
+			mayHaveRun = i
 		}
-		if ran += a.effects; a.effects > 0 && ran > 1 && class.Idempotency != Idempotent {
-			c.addBreach(2, a.ranAt, "its effect happened %d times", ran)
+		if effects += a.effects; a.effects > 0 && effects > 1 && class.Idempotency != Idempotent {
+			c.addBreach(2, a.ranAt, "its effect happened %d times", effects)
 		}
 	}
-	if c.outcome == Refused && may >= 0 &&
+	if c.outcome == Refused && mayHaveRun >= 0 &&
 		(class.Idempotency == AtMostOnce || class.Idempotency == Keyed && class.Group != GroupAll) {
-		c.addBreach(2, c.endedAt, "refused though the attempt at %s may have run", c.attempts[may].server)
+		c.addBreach(2, c.endedAt, "refused though the attempt at %s may have run", c.attempts[mayHaveRun].server)
 	}
 }
 
-// again checks an attempt after one that may have run.
+// checkRepeat checks an attempt after one that may have been executed.
 func (c *requestCheck) checkRepeat(class Class, first, a *attempt) {
 	switch class.Idempotency {
 	case AtMostOnce:
@@ -130,8 +132,8 @@
 		if c.isLate(first.arrivedAt+class.KeyTTL, a.arrivedAt) {
 			c.addBreach(2, a.arrivedAt, "repeated %v after the first, boxes drop repeats for %v", a.arrivedAt-first.arrivedAt, class.KeyTTL)
 		}
-		here, there := c.locations[first.server], c.locations[a.server]
-		if class.Group == GroupSite && here.Site != there.Site || class.Group == GroupRack && here != there {
+		firstLocation, location := c.locations[first.server], c.locations[a.server]
+		if class.Group == GroupSite && firstLocation.Site != location.Site || class.Group == GroupRack && firstLocation != location {
 			c.addBreach(2, a.arrivedAt, "repeated at %s, which does not drop repeats of what ran at %s", a.server, first.server)
 		}
 	}
--- a/internal/rig/standin/listanswer.go
+++ b/internal/rig/standin/listanswer.go
@@ -8,24 +8,24 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// listAnswer is an answer's body, in the protocol's form.
+// listAnswer is the body of an answer, in the protocol's format.
 type listAnswer struct {
 	Generation int     `json:"generation"`
 	Reset      bool    `json:"reset"`
 	Instances  []entry `json:"instances"`
 
-	removed          []string // boxes that a whole list leaves out
-	falseListChanges int      // discovery's count when it was made
+	removed          []string // servers that a whole list omits
+	falseListChanges int      // discovery's count when the answer was built
 }
 
 func (a *listAnswer) encode() ([]byte, error) {
 	if a.Instances == nil {
-		a.Instances = []entry{} // null otherwise
+		a.Instances = []entry{} // would be encoded as null otherwise
 	}
 	return json.Marshal(a)
 }
 
-// compose makes the list up to version n for a caller that has a version; the mutex is held.
+// buildAnswer returns the list up to version n for a client that has version since; the mutex is held.
 func (e *discoveryEndpoint) buildAnswer(since, n int) *listAnswer {
 	d := e.discovery
 	a := &listAnswer{Generation: n, falseListChanges: d.falseListChanges}
@@ -50,7 +50,7 @@
 	}
 }
 
-// write sends an answer, and reports to the judge what it delivered.
+// write sends an answer and reports to the judge what it delivered.
 func (e *discoveryEndpoint) write(w http.ResponseWriter, a *listAnswer) error {
 	text, err := a.encode()
 	if err != nil {
@@ -61,25 +61,25 @@
 	w.Header().Set("Content-Type", "application/json")
 	writing := d.clock.Now()
 	if _, err := w.Write(text); err != nil || http.NewResponseController(w).Flush() != nil {
-		return errClientLeft // nothing is delivered
+		return errClientLeft // nothing was delivered
 	}
 	e.reportDelivered(a, writing, d.clock.Now())
 	return nil
 }
 
-// delivered reports to the judge what was written between two times.
+// reportDelivered reports to the judge the states that were written between two times.
 func (e *discoveryEndpoint) reportDelivered(a *listAnswer, writing, written time.Duration) {
 	e.updateCounts(func(c *CallCounts) { c.WrittenVersion = max(c.WrittenVersion, a.Generation) })
-	report := func(at time.Duration, box string, state judge.State) {
-		e.discovery.judge.StateDelivered(at, e.node, box, state, a.Generation, false)
+	report := func(at time.Duration, server string, state judge.State) {
+		e.discovery.judge.StateDelivered(at, e.node, server, state, a.Generation, false)
 	}
 	for i := range a.Instances {
-		box := &a.Instances[i]
+		server := &a.Instances[i]
 		at := written
-		if box.state() == judge.Serving { // the node may go by it before this goroutine runs again
+		if server.state() == judge.Serving { // the node may act on it before this goroutine runs again
 			at = writing
 		}
-		report(at, box.ID, box.state())
+		report(at, server.ID, server.state())
 	}
 	for _, id := range a.removed {
 		report(written, id, judge.Gone)
--- a/internal/rig/standin/loadgenerator.go
+++ b/internal/rig/standin/loadgenerator.go
@@ -13,34 +13,34 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Traffic is what callers ask for.
+// Traffic describes the requests that clients send.
 type Traffic struct {
 	Rate           float64       // first tries a second
-	Concurrency    int           // if above 0, so many callers ask one request after another instead
-	Duration       time.Duration // arrivals stop after this
-	Retries        int           // of one request, by its caller
-	Backoff        time.Duration // before a retry without advice
-	Mix            []float64     // shares by class; nil: the plan's
-	BodyBytes      int           // bytes of a body, where a request has one
-	CancelFraction float64       // part of the tries whose callers leave early, within their class's aim
+	Concurrency    int           // if above 0, this many clients each send one request after another, and Rate is ignored
+	Duration       time.Duration // no new requests after this
+	Retries        int           // of one request, by its client
+	Backoff        time.Duration // before a retry without Retry-After
+	Mix            []float64     // share of each class; nil: the plan's
+	BodyBytes      int           // size of the body of requests that have one
+	CancelFraction float64       // fraction of the tries that clients cancel, at a random time within the class's latency target
 }
 
-// ClassReport is what became of a class's requests.
+// ClassReport summarizes the requests of a class.
 type ClassReport struct {
 	Name     string
 	Worth    float64
 	Requests int // first tries
-	Served   int // within the aim, retries counted with their first try
+	Served   int // within the latency target, measured from the first try
 	Late     int
-	Refused  int // by the last try
-	Failed   int // by the last try, lost ones and those without answer included
-	Tries    int // with the callers' retries
-	// Latency of what was served, from the first try on.
+	Refused  int // outcome of the last try
+	Failed   int // outcome of the last try, including lost and unanswered ones
+	Tries    int // including retries by clients
+	// Latency of served requests, from the first try on.
 	P50, P90, P99, P999, Max time.Duration
 	histogram                *hdrhistogram.Histogram
 }
 
-// Callers send a plan's traffic to nodes. Arrivals do not wait for answers.
+// LoadGenerator sends a plan's traffic to nodes. It is open-loop: arrivals do not wait for answers.
 type LoadGenerator struct {
 	plan    *Plan
 	clients []*Client
@@ -49,37 +49,37 @@
 	classes        []ClassReport
 	pending        atomic.Int64
 	requests       atomic.Int64
-	triesByOutcome [6]atomic.Int64 // tries by judge.Ending
+	triesByOutcome [6]atomic.Int64 // indexed by judge.RequestOutcome
 }
 
-// NewCallers returns callers that spread their connections over these nodes.
+// NewLoadGenerator returns a generator that distributes requests over the clients.
 func NewLoadGenerator(plan *Plan, clients []*Client) *LoadGenerator {
-	c := &LoadGenerator{plan: plan, clients: clients, classes: make([]ClassReport, len(plan.Classes))}
+	g := &LoadGenerator{plan: plan, clients: clients, classes: make([]ClassReport, len(plan.Classes))}
 	for i, class := range plan.Classes {
-		c.classes[i] = ClassReport{
+		g.classes[i] = ClassReport{
 			Name: class.Name, Worth: class.Worth,
 			histogram: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 		}
 	}
-	return c
+	return g
 }
 
-// Progress tells first tries so far, those without an end, and tries by ending.
-func (c *LoadGenerator) Progress() (asked, out int64, tries map[judge.RequestOutcome]int64) {
+// Progress returns the number of first tries, the requests in progress, and the tries by outcome.
+func (g *LoadGenerator) Progress() (requests, pending int64, tries map[judge.RequestOutcome]int64) {
 	tries = map[judge.RequestOutcome]int64{}
-	for e := range c.triesByOutcome {
-		tries[judge.RequestOutcome(e)] = c.triesByOutcome[e].Load()
+	for outcome := range g.triesByOutcome {
+		tries[judge.RequestOutcome(outcome)] = g.triesByOutcome[outcome].Load()
 	}
-	return c.requests.Load(), c.pending.Load(), tries
+	return g.requests.Load(), g.pending.Load(), tries
 }
 
-// Run sends the traffic, and returns once all of it has ended. Ending the
-// context stops arrivals; what is out has its time.
-func (c *LoadGenerator) Run(ctx context.Context, t Traffic) {
-	rng := c.plan.newRand("callers", 0)
-	mix := t.Mix
+// Run sends the traffic and returns once every request has ended. If the context ends, no new requests
+// arrive; those in progress continue.
+func (g *LoadGenerator) Run(ctx context.Context, traffic Traffic) {
+	rng := g.plan.newRand("callers", 0)
+	mix := traffic.Mix
 	if mix == nil {
-		for _, class := range c.plan.Classes {
+		for _, class := range g.plan.Classes {
 			mix = append(mix, class.Share)
 		}
 	}
@@ -87,31 +87,31 @@
 	for _, share := range mix {
 		sum += share
 	}
-	var all sync.WaitGroup
-	defer all.Wait()
-	begun := time.Now()
-	for range t.Concurrency {
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		all.Go(func() {
-			for time.Since(begun) < t.Duration && ctx.Err() == nil {
-				c.runRequest(ctx, &t, pickClass(mix, sum, own), own)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	start := time.Now()
+	for range traffic.Concurrency {
+		requestRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		wg.Go(func() {
+			for time.Since(start) < traffic.Duration && ctx.Err() == nil {
+				g.runRequest(ctx, &traffic, pickClass(mix, sum, requestRNG), requestRNG)
 			}
 		})
 	}
-	if t.Concurrency > 0 {
+	if traffic.Concurrency > 0 {
 		return
 	}
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() / t.Rate * float64(time.Second))
-		if at >= t.Duration {
+		at += time.Duration(rng.ExpFloat64() / traffic.Rate * float64(time.Second))
+		if at >= traffic.Duration {
 			return
 		}
-		if wait := at - time.Since(begun); wait > 0 {
-			alarm.Reset(wait)
+		if wait := at - time.Since(start); wait > 0 {
+			timer.Reset(wait)
 			select {
-			case <-alarm.C:
+			case <-timer.C:
 			case <-ctx.Done():
 				return
 			}
@@ -119,12 +119,12 @@
 			return
 		}
 		class := pickClass(mix, sum, rng)
-		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
-		all.Go(func() { c.runRequest(ctx, &t, class, own) })
+		requestRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		wg.Go(func() { g.runRequest(ctx, &traffic, class, requestRNG) })
 	}
 }
 
-// draw picks a class by its share.
+// pickClass picks a class at random by its share.
 func pickClass(mix []float64, sum float64, rng *rand.Rand) int {
 	class, x := 0, rng.Float64()*sum
 	for x >= mix[class] && class < len(mix)-1 {
@@ -134,76 +134,76 @@
 	return class
 }
 
-// request plays one request with its retries.
-func (c *LoadGenerator) runRequest(ctx context.Context, t *Traffic, index int, rng *rand.Rand) {
-	class := &c.plan.Classes[index]
-	c.requests.Add(1)
-	c.pending.Add(1)
-	defer c.pending.Add(-1)
-	begun := time.Now()
-	a := Request{
-		Class: index, Path: fmt.Sprintf("/%s/%s/%d", class.Name, c.plan.Sites[rng.IntN(len(c.plan.Sites))], rng.IntN(5000)),
-		Key: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Body: make([]byte, t.BodyBytes),
-	}
-	for i := range a.Body {
-		a.Body[i] = 'x'
-	}
-	node := rng.IntN(len(c.clients))
+// runRequest sends one request with its retries.
+func (g *LoadGenerator) runRequest(ctx context.Context, traffic *Traffic, index int, rng *rand.Rand) {
+	class := &g.plan.Classes[index]
+	g.requests.Add(1)
+	g.pending.Add(1)
+	defer g.pending.Add(-1)
+	start := time.Now()
+	req := Request{
+		Class: index, Path: fmt.Sprintf("/%s/%s/%d", class.Name, g.plan.Sites[rng.IntN(len(g.plan.Sites))], rng.IntN(5000)),
+		Key: fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()), Body: make([]byte, traffic.BodyBytes),
+	}
+	for i := range req.Body {
+		req.Body[i] = 'x'
+	}
+	node := rng.IntN(len(g.clients))
 	tries := 0
-	var answer Response
+	var response Response
 	for {
-		left := class.Deadline - time.Since(begun)
-		if left < time.Millisecond {
+		remaining := class.Deadline - time.Since(start)
+		if remaining < time.Millisecond {
 			break
 		}
-		a.ID, a.Timeout, a.IsRetry = fmt.Sprintf("%016x", rng.Uint64()), left, tries > 0
-		// A request under way is not given up when arrivals stop.
-		stays, leave := context.WithCancel(context.WithoutCancel(ctx))
-		if t.CancelFraction > 0 && rng.Float64() < t.CancelFraction {
-			time.AfterFunc(time.Duration(rng.Float64()*float64(class.LatencyTarget)), leave)
+		req.ID, req.Timeout, req.IsRetry = fmt.Sprintf("%016x", rng.Uint64()), remaining, tries > 0
+		// Requests in progress continue after the context ends.
+		reqCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+		if traffic.CancelFraction > 0 && rng.Float64() < traffic.CancelFraction {
+			time.AfterFunc(time.Duration(rng.Float64()*float64(class.LatencyTarget)), cancel)
 		}
-		answer = c.clients[node%len(c.clients)].Do(stays, a)
-		leave()
-		c.triesByOutcome[answer.Outcome].Add(1)
+		response = g.clients[node%len(g.clients)].Do(reqCtx, req)
+		cancel()
+		g.triesByOutcome[response.Outcome].Add(1)
 		tries++
-		if answer.Outcome == judge.Served || tries > t.Retries {
+		if response.Outcome == judge.Served || tries > traffic.Retries {
 			break
 		}
-		wait := time.Duration((0.5 + rng.Float64()) * float64(t.Backoff))
-		wait = max(wait, answer.RetryAfter)
-		if time.Since(begun)+wait >= class.Deadline {
+		wait := time.Duration((0.5 + rng.Float64()) * float64(traffic.Backoff))
+		wait = max(wait, response.RetryAfter)
+		if time.Since(start)+wait >= class.Deadline {
 			break
 		}
 		time.Sleep(wait)
-		node++ // another one, as the front would deal it out
+		node++ // a retry goes to another node, as a load balancer in front of the nodes would send it
 	}
-	took := time.Since(begun)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.classes[index]
+	took := time.Since(start)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	r := &g.classes[index]
 	r.Requests++
 	r.Tries += tries
 	switch {
-	case answer.Outcome == judge.Served && took <= class.LatencyTarget:
+	case response.Outcome == judge.Served && took <= class.LatencyTarget:
 		r.Served++
-	case answer.Outcome == judge.Served:
+	case response.Outcome == judge.Served:
 		r.Late++
-	case answer.Outcome == judge.Refused:
+	case response.Outcome == judge.Refused:
 		r.Refused++
 	default:
 		r.Failed++
 	}
-	if answer.Outcome == judge.Served {
+	if response.Outcome == judge.Served {
 		r.histogram.RecordValue(int64(took / time.Microsecond))
 	}
 }
 
-// Report is what became of all requests so far.
-func (c *LoadGenerator) Report() []ClassReport {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	reports := make([]ClassReport, len(c.classes))
-	for i, r := range c.classes {
+// Report returns the results of all requests so far.
+func (g *LoadGenerator) Report() []ClassReport {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	reports := make([]ClassReport, len(g.classes))
+	for i, r := range g.classes {
 		at := func(q float64) time.Duration {
 			return time.Duration(r.histogram.ValueAtQuantile(q)) * time.Microsecond
 		}
@@ -214,15 +214,15 @@
 	return reports
 }
 
-// Service is the worth served in time over the worth asked for.
+// ServedWorth returns the worth served in time as a fraction of the worth requested.
 func ServedWorth(reports []ClassReport) float64 {
-	asked, served := 0.0, 0.0
+	requests, served := 0.0, 0.0
 	for _, r := range reports {
-		asked += r.Worth * float64(r.Requests)
+		requests += r.Worth * float64(r.Requests)
 		served += r.Worth * float64(r.Served)
 	}
-	if asked == 0 {
+	if requests == 0 {
 		return 0
 	}
-	return served / asked
+	return served / requests
 }
--- a/internal/rig/standin/plan.go
+++ b/internal/rig/standin/plan.go
@@ -9,18 +9,18 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Class is a class of requests as callers and boxes know it.
+// Class describes a class of requests for clients and servers.
 type Class struct {
 	Name          string
-	Share         float64       // of the arrivals
-	Work          time.Duration // mean, on a core of speed 1, for the first tier and those below together
+	Share         float64       // fraction of the arrivals
+	Work          time.Duration // mean on a core of speed 1, over all tiers together
 	Spread        float64       // coefficient of variation of the work, log-normal; 0: none
 	LatencyTarget time.Duration // an answer within it earns the worth
-	Deadline      time.Duration // callers wait no longer, over all of their tries
+	Deadline      time.Duration // clients give up after this, over all of their tries
 	Worth         float64
 	Idempotency   judge.Idempotency
 	Group         judge.Group
-	KeyTTL        time.Duration // Keyed: how long boxes drop repeats
+	KeyTTL        time.Duration // Keyed: how long servers drop repeats
 }
 
 // Plan describes a fleet and its traffic.
@@ -28,37 +28,38 @@
 	Seed    uint64
 	Classes []Class
 	Sites   []string
-	Servers int // of the first tier, spread over the sites
+	Servers int // in each tier, spread over the sites
 	Cores   int
-	// Speeds of the boxes, dealt out in turn; 1 is the yardstick.
+	// Speeds of the servers, assigned in turn, relative to a core of speed 1.
 	Speeds   []float64
 	RackSize int
-	Slots    int // requests in work, those that wait for the tier below included
+	Slots    int // requests in work, including those waiting for the next tier
 	Queue    int
-	MaxConns int // connections that a box accepts
-	// A box that starts has this part of its capacity, and all of it after ColdFor.
+	MaxConns int // connections that a server accepts
+	// A server that starts has the fraction ColdCapacity of its capacity, and all of it after WarmupTime.
 	ColdCapacity      float64
 	WarmupTime        time.Duration
-	CollapseMultiple  float64 // sent so many times what it can do ...
+	CollapseMultiple  float64 // a cold server collapses when sent this multiple of its capacity within CollapseWindow
 	CollapseWindow    time.Duration
-	Tiers             int       // 1 or more; boxes of one tier call the next through nodes of their own
-	TierWork          []float64 // the share of a class's work by tier; even if empty
+	Tiers             int       // at least 1; servers of one tier call the next through nodes of their own
+	TierWork          []float64 // fraction of a class's work in each tier; nil: equal
 	CallsPerRequest   float64   // mean calls to the next tier for each request
 	PublishDelay      time.Duration
-	CrashPublishDelay time.Duration     // from a box's crash until it is listed as gone; 0: Notice
-	PublishEvery      time.Duration     // changes become visible together at multiples of this; 0: each by itself
-	Registry          registry.Settings // what calls of all nodes cost discovery, and what it can bear
-	// OutageAnswers: while discovery is down, a call is answered 503 after the registry's time-out; else it is cut off.
+	CrashPublishDelay time.Duration     // from a server's crash until it is listed as deleted; 0: PublishDelay
+	PublishEvery      time.Duration     // changes are published together at multiples of this; 0: each on its own
+	Registry          registry.Settings // capacity of discovery and the cost of calls
+	// AnswerInOutage: while discovery is down, a call is answered 503 after the registry's timeout; otherwise
+	// its connection is closed.
 	AnswerInOutage bool
-	// Pushed: lists come from an agent beside each node, which has a change at once and answers at no cost; while the
-	// discovery is out of order it is silent.
+	// PushedLists: each node has an agent beside it that receives changes at once and answers at no cost.
+	// While discovery is down the agent is silent.
 	PushedLists bool
 	DrainGrace  time.Duration
 }
 
-// Default is a small fleet in the likeness of the service: three classes, two
-// sites, boxes of three speeds. Work is a fortieth of the real one, so that a
-// laptop plays hundreds of requests a second.
+// DefaultPlan returns a small fleet that resembles the real service: three classes, two sites, servers of
+// three speeds. The work is a fortieth of the real one, so that a laptop can run hundreds of requests a
+// second.
 func DefaultPlan() Plan {
 	return Plan{
 		Seed: 1,
@@ -75,7 +76,7 @@
 	}
 }
 
-// part is the share of a class's work that a tier does.
+// tierShare returns the fraction of a class's work that a tier does.
 func (p *Plan) tierShare(tier int) float64 {
 	if tier < len(p.TierWork) {
 		return p.TierWork[tier]
@@ -83,7 +84,7 @@
 	return 1 / float64(max(1, p.Tiers))
 }
 
-// MeanWork is the mean work of a request.
+// MeanWork returns the mean work of a request.
 func (p *Plan) MeanWork() time.Duration {
 	work, share := 0.0, 0.0
 	for _, c := range p.Classes {
@@ -93,25 +94,25 @@
 	return time.Duration(work / share * float64(time.Second))
 }
 
-// Capacity is how many requests a second the slowest tier can do, all boxes warm.
+// Capacity returns how many requests a second the slowest tier can serve when all servers are warm.
 func (p *Plan) Capacity() float64 {
 	work := p.MeanWork().Seconds()
 	cores := 0.0
 	for i := range p.Servers {
 		cores += float64(p.Cores) * p.Speeds[i%len(p.Speeds)]
 	}
-	least, times := 0.0, 1.0
+	lowest, calls := 0.0, 1.0
 	for tier := range max(1, p.Tiers) {
-		c := cores / (work * p.tierShare(tier) * times)
-		if least == 0 || c < least {
-			least = c
+		c := cores / (work * p.tierShare(tier) * calls)
+		if lowest == 0 || c < lowest {
+			lowest = c
 		}
-		times *= max(1, p.CallsPerRequest)
+		calls *= max(1, p.CallsPerRequest)
 	}
-	return least
+	return lowest
 }
 
-// Rules are the judge's figures for this plan.
+// Rules returns the judge's rules for this plan.
 func (p *Plan) Rules() judge.Rules {
 	r := judge.Rules{MaxAttempts: 4, DrainGrace: p.DrainGrace, Tolerance: 50 * time.Millisecond}
 	for _, c := range p.Classes {
@@ -120,7 +121,7 @@
 	return r
 }
 
-// class finds a class by its name.
+// classIndex finds a class by its name.
 func (p *Plan) classIndex(name string) (int, bool) {
 	for i := range p.Classes {
 		if p.Classes[i].Name == name {
@@ -130,8 +131,8 @@
 	return 0, false
 }
 
-// draw returns random numbers of their own for one part of the fleet, so that
-// what one part draws does not change what another does.
+// newRand returns a separate random source for one part of the fleet, so that its draws do not affect those
+// of other parts.
 func (p *Plan) newRand(part string, number int) *rand.Rand {
 	h := uint64(14695981039346656037)
 	for _, b := range []byte(fmt.Sprintf("%s/%d", part, number)) {
@@ -140,14 +141,14 @@
 	return rand.New(rand.NewPCG(p.Seed, h))
 }
 
-// Clock counts from the fleet's start.
+// Clock measures time since the fleet's start.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the time since the start.
+// Now returns the time since the start.
 func (c Clock) Now() time.Duration { return time.Since(c.start) }
 
-// Unix is a time of this clock in milliseconds, as discovery lists it.
+// UnixMilli converts a time of this clock to Unix milliseconds, the format of discovery's list.
 func (c Clock) UnixMilli(at time.Duration) int64 { return c.start.Add(at).UnixMilli() }
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -21,46 +21,46 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// trouble is what a box does wrong at the moment.
+// failureMode is the way in which a server currently fails.
 type failureMode int
 
 const (
 	healthy      failureMode = iota
-	hanging                  // takes requests, answers none
-	resetting                // runs requests, and resets the connection
-	refusing                 // listens no longer
-	unresponsive             // its machine has vanished: nothing comes, nothing goes
-	malformed                // runs requests, and answers noise
-	failing                  // runs nothing, answers 500
-	rejecting                // answers all with X-Turned-Away
+	hanging                  // accepts requests and never answers
+	resetting                // executes requests and resets the connection
+	refusing                 // does not listen
+	unresponsive             // neither receives nor sends, as if its machine had vanished
+	malformed                // executes requests and sends malformed answers
+	failing                  // executes nothing and answers 500
+	rejecting                // answers everything with X-Turned-Away
 	crashed                  // its process has ended
 )
 
-// rack remembers the keys of what its boxes have run.
+// keyStore remembers the keys that the servers of a rack have executed.
 type keyStore struct {
 	mu    sync.Mutex
 	ranAt map[string]time.Duration
 }
 
-// first tells whether a key is new within the window, and notes it.
-func (r *keyStore) addIfNew(key string, now, window time.Duration) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if at, ok := r.ranAt[key]; ok && now-at < window {
+// addIfNew records a key and reports whether it was new within the window.
+func (s *keyStore) addIfNew(key string, now, window time.Duration) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if at, ok := s.ranAt[key]; ok && now-at < window {
 		return false
 	}
-	if len(r.ranAt) > 4096 {
-		for k, at := range r.ranAt {
+	if len(s.ranAt) > 4096 {
+		for other, at := range s.ranAt {
 			if now-at >= window {
-				delete(r.ranAt, k)
+				delete(s.ranAt, other)
 			}
 		}
 	}
-	r.ranAt[key] = now
+	s.ranAt[key] = now
 	return true
 }
 
-// Box is one box on a real socket.
+// Server is a stand-in for one server on a real socket.
 type Server struct {
 	ID      string
 	Site    string
@@ -74,31 +74,31 @@
 	judge     *judge.Judge
 	keys      *keyStore
 	callGraph *callGraph
-	nextTier  *Client // calls to the next tier go through this node; nil: there is none
+	nextTier  *Client // node that calls to the next tier go through; nil: there is no next tier
 
-	cores chan struct{} // one token a core
+	cores chan struct{} // one token per core
 	slots chan struct{}
 
 	mu              sync.Mutex
 	failure         failureMode
-	slowdown        float64 // times
+	slowdown        float64 // factor on the duration of work
 	draining        bool
 	startedAt       time.Duration // 0: long ago
-	admitted        int           // in the house: in work or queue
+	admitted        int           // requests in work or in the queue
 	arrivals        []arrival     // while cold
 	collapsed       bool
 	conns           map[net.Conn]struct{}
-	refused         int // connections over the cap
+	refused         int // connections over the limit
 	rng             *rand.Rand
 	httpServer      *http.Server
-	serveDone       chan struct{} // the present server has ended
-	processEnd      chan struct{} // closed at the end of the present process
-	silenceEnd      chan struct{} // closed when a silence is over
+	serveDone       chan struct{} // closed when the current http.Server has ended
+	processEnd      chan struct{} // closed at the end of the current process
+	silenceEnd      chan struct{} // closed when the server responds again; nil: it responds
 	served          int
 	attemptTimeouts []timeoutStats // by class
 }
 
-// longest is the longest that attempts of a class were said to last, of late.
+// timeoutStats summarizes the time limits of attempts of a class since they were last read.
 type timeoutStats struct {
 	longest time.Duration
 	count   int
@@ -109,78 +109,79 @@
 	work time.Duration
 }
 
-// listen opens the box's socket, at its own address if it has one already.
-func (b *Server) listen(host string) error {
-	if b.Address != "" {
-		host = b.Address
+// listen opens the server's socket, at its previous address if it has one.
+func (s *Server) listen(host string) error {
+	if s.Address != "" {
+		host = s.Address
 	} else {
 		host = net.JoinHostPort(host, "0")
 	}
 	l, err := listenWithRetry(host)
 	if err != nil {
-		return fmt.Errorf("box %s: %w", b.ID, err)
+		return fmt.Errorf("server %s: %w", s.ID, err)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.Address = l.Addr().String()
-	b.conns = map[net.Conn]struct{}{}
-	b.serveDone, b.processEnd = make(chan struct{}), make(chan struct{})
-	b.httpServer = &http.Server{
-		Handler: b, ErrorLog: log.New(io.Discard, "", 0), IdleTimeout: 10 * time.Second, MaxHeaderBytes: 32 << 10,
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.Address = l.Addr().String()
+	s.conns = map[net.Conn]struct{}{}
+	s.serveDone, s.processEnd = make(chan struct{}), make(chan struct{})
+	s.httpServer = &http.Server{
+		Handler: s, ErrorLog: log.New(io.Discard, "", 0), IdleTimeout: 10 * time.Second, MaxHeaderBytes: 32 << 10,
 	}
-	server, ended := b.httpServer, b.serveDone
+	server, ended := s.httpServer, s.serveDone
 	go func() { // ends with close
 		defer close(ended)
-		server.Serve(&cappedListener{l, b})
+		server.Serve(&cappedListener{l, s})
 	}()
 	return nil
 }
 
-// inheritedFor bounds the wait for an address that was just given up.
+// maxBindWait limits the wait for an address that was just released.
 const maxBindWait = 5 * time.Second
 
-// listenAgain binds an address that this process may have given up a moment ago. A child that is being started has a
-// copy of every descriptor until its program runs, and holds a listener that was closed here meanwhile.
+// listenWithRetry binds an address that this process may have released a moment ago. Until a child process
+// that is being started executes its program, it holds copies of all descriptors, including a listener that
+// was closed here meanwhile.
 func listenWithRetry(address string) (net.Listener, error) {
-	look := time.NewTicker(time.Millisecond)
-	defer look.Stop()
-	for begun := time.Now(); ; <-look.C {
+	retry := time.NewTicker(time.Millisecond)
+	defer retry.Stop()
+	for start := time.Now(); ; <-retry.C {
 		l, err := net.Listen("tcp", address)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(begun) > maxBindWait {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Since(start) > maxBindWait {
 			return l, err
 		}
 	}
 }
 
-// close ends the box's process: connections are reset, new ones refused.
-func (b *Server) close() {
-	b.mu.Lock()
-	server, ended := b.httpServer, b.serveDone
-	b.httpServer = nil
-	b.endSilence()
-	for c := range b.conns {
+// close ends the server's process: connections are reset and new ones refused.
+func (s *Server) close() {
+	s.mu.Lock()
+	server, ended := s.httpServer, s.serveDone
+	s.httpServer = nil
+	s.endSilence()
+	for c := range s.conns {
 		if t, ok := c.(*serverConn); ok {
 			t.TCPConn.SetLinger(0)
 		}
 	}
-	b.mu.Unlock()
+	s.mu.Unlock()
 	if server == nil {
 		return
 	}
-	close(b.processEnd) // what runs is cut: a dead process works for nobody
+	close(s.processEnd) // ends the work in progress as well
 	server.Close()
 	<-ended
 }
 
-// hush ends a silence: what was sent into it never came, so its connections end.
-func (b *Server) endSilence() {
-	if b.silenceEnd != nil {
-		close(b.silenceEnd)
-		b.silenceEnd = nil
+// endSilence ends the unresponsive phase. Data sent meanwhile is lost, so its connections end.
+func (s *Server) endSilence() {
+	if s.silenceEnd != nil {
+		close(s.silenceEnd)
+		s.silenceEnd = nil
 	}
 }
 
-// boxListener counts a box's connections and turns back those over its cap.
+// cappedListener counts a server's connections and resets those over its limit.
 type cappedListener struct {
 	net.Listener
 	server *Server
@@ -192,37 +193,37 @@
 		if err != nil {
 			return nil, err
 		}
-		tc, b := c.(*net.TCPConn), l.server
-		b.mu.Lock()
-		if len(b.conns) >= b.plan.MaxConns {
-			b.refused++
-			b.mu.Unlock()
+		tc, s := c.(*net.TCPConn), l.server
+		s.mu.Lock()
+		if len(s.conns) >= s.plan.MaxConns {
+			s.refused++
+			s.mu.Unlock()
 			tc.SetLinger(0)
 			tc.Close()
 			continue
 		}
-		bc := &serverConn{TCPConn: tc, server: b}
-		b.conns[bc] = struct{}{}
-		b.mu.Unlock()
-		return bc, nil
+		conn := &serverConn{TCPConn: tc, server: s}
+		s.conns[conn] = struct{}{}
+		s.mu.Unlock()
+		return conn, nil
 	}
 }
 
-// boxConn is a connection of a box, which may fall silent.
+// serverConn is a connection of a server, which may become unresponsive.
 type serverConn struct {
 	*net.TCPConn
 	server *Server
 }
 
-// Read takes what came, unless the box is silent: then it waits for the end of
-// that, and the connection is over.
+// Read returns received data. While the server is unresponsive it blocks until that ends, and then closes the
+// connection.
 func (c *serverConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	c.server.mu.Lock()
-	quiet := c.server.silenceEnd
+	silenceEnd := c.server.silenceEnd
 	c.server.mu.Unlock()
-	if quiet != nil {
-		<-quiet
+	if silenceEnd != nil {
+		<-silenceEnd
 		c.TCPConn.SetLinger(0)
 		c.TCPConn.Close()
 		return 0, net.ErrClosed
@@ -230,13 +231,13 @@
 	return n, err
 }
 
-// Write sends nothing while the box is silent.
+// Write sends nothing while the server is unresponsive.
 func (c *serverConn) Write(p []byte) (int, error) {
 	c.server.mu.Lock()
-	quiet := c.server.silenceEnd
+	silenceEnd := c.server.silenceEnd
 	c.server.mu.Unlock()
-	if quiet != nil {
-		<-quiet
+	if silenceEnd != nil {
+		<-silenceEnd
 		return 0, net.ErrClosed
 	}
 	return c.TCPConn.Write(p)
@@ -249,76 +250,76 @@
 	return c.TCPConn.Close()
 }
 
-// visit is an attempt at a box.
+// attempt identifies one attempt at a server.
 type attempt struct {
 	server    *Server
 	requestID string
 	number    int
 }
 
-func (v *attempt) end(how judge.AttemptOutcome) {
-	v.server.judge.AttemptEnded(v.server.clock.Now(), v.requestID, v.number, how)
+func (a *attempt) end(how judge.AttemptOutcome) {
+	a.server.judge.AttemptEnded(a.server.clock.Now(), a.requestID, a.number, how)
 }
 
 // ServeHTTP answers one attempt.
-func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
 		return
 	}
 	id, key := r.Header.Get("X-Txn"), r.Header.Get("Idempotency-Key")
 	if id == "" {
-		http.Error(w, "no X-Txn", http.StatusNotFound)
+		http.Error(w, "request without X-Txn", http.StatusNotFound)
 		return
 	}
-	now := b.clock.Now()
-	v := &attempt{b, id, b.judge.AttemptArrived(now, id, b.ID, key)}
-	b.callGraph.recordAttempt(id)
+	now := s.clock.Now()
+	a := &attempt{s, id, s.judge.AttemptArrived(now, id, s.ID, key)}
+	s.callGraph.recordAttempt(id)
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	index, ok := b.plan.classIndex(name)
-	ms, err := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 64)
+	classIndex, ok := s.plan.classIndex(name)
+	remainingMs, err := strconv.ParseInt(r.Header.Get("X-Remaining-Ms"), 10, 64)
 	if !ok || err != nil {
-		v.end(judge.Rejected)
-		http.Error(w, "not a request of this service", http.StatusBadRequest)
+		a.end(judge.Rejected)
+		http.Error(w, "unknown class or invalid X-Remaining-Ms", http.StatusBadRequest)
 		return
 	}
-	class := &b.plan.Classes[index]
-	until := now + time.Duration(ms)*time.Millisecond
+	class := &s.plan.Classes[classIndex]
+	deadline := now + time.Duration(remainingMs)*time.Millisecond
 
-	b.mu.Lock()
-	trouble, slower, draining := b.failure, b.slowdown, b.draining
-	work := time.Duration(float64(class.Work) * b.plan.tierShare(b.Tier) * b.workFactor(class.Spread))
-	if b.attemptTimeouts == nil {
-		b.attemptTimeouts = make([]timeoutStats, len(b.plan.Classes))
+	s.mu.Lock()
+	failure, slowdown, draining := s.failure, s.slowdown, s.draining
+	work := time.Duration(float64(class.Work) * s.plan.tierShare(s.Tier) * s.workFactor(class.Spread))
+	if s.attemptTimeouts == nil {
+		s.attemptTimeouts = make([]timeoutStats, len(s.plan.Classes))
 	}
-	b.attemptTimeouts[index].longest = max(b.attemptTimeouts[index].longest, until-now)
-	b.attemptTimeouts[index].count++
-	full := b.admitted >= b.plan.Slots+b.plan.Queue
-	if b.recordColdWork(now, work) {
-		trouble = crashed
+	s.attemptTimeouts[classIndex].longest = max(s.attemptTimeouts[classIndex].longest, deadline-now)
+	s.attemptTimeouts[classIndex].count++
+	full := s.admitted >= s.plan.Slots+s.plan.Queue
+	if s.recordColdWork(now, work) {
+		failure = crashed
 	}
-	b.mu.Unlock()
+	s.mu.Unlock()
 	switch {
-	case trouble == crashed:
-		v.end(judge.ConnectionCut)
-		b.resetConn(w)
+	case failure == crashed:
+		a.end(judge.ConnectionCut)
+		s.resetConn(w)
 		return
-	case trouble == hanging:
+	case failure == hanging:
 		<-r.Context().Done()
-		v.end(judge.Abandoned)
+		a.end(judge.Abandoned)
 		panic(http.ErrAbortHandler)
-	case trouble == failing:
-		v.end(judge.Errored)
+	case failure == failing:
+		a.end(judge.Errored)
 		http.Error(w, "trouble", http.StatusInternalServerError)
 		return
-	case full || draining || trouble == rejecting:
-		v.reject(w)
+	case full || draining || failure == rejecting:
+		a.reject(w)
 		return
 	}
-	b.execute(w, r, v, class, &job{work: work, slowdown: slower, key: key, deadline: until, body: body, failure: trouble})
+	s.execute(w, r, a, class, &job{work: work, slowdown: slowdown, key: key, deadline: deadline, body: body, failure: failure})
 }
 
-// job is what an attempt wants done.
+// job holds the parameters for executing an attempt.
 type job struct {
 	work     time.Duration
 	slowdown float64
@@ -328,188 +329,189 @@
 	failure  failureMode
 }
 
-func (v *attempt) reject(w http.ResponseWriter) {
-	v.end(judge.Rejected)
+func (a *attempt) reject(w http.ResponseWriter) {
+	a.end(judge.Rejected)
 	w.Header().Set("X-Turned-Away", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// work runs an attempt on a core, and answers.
-func (b *Server) execute(w http.ResponseWriter, r *http.Request, v *attempt, class *Class, j *job) {
+// execute runs an attempt on a core and answers it.
+func (s *Server) execute(w http.ResponseWriter, r *http.Request, a *attempt, class *Class, j *job) {
 	ctx := r.Context()
-	b.mu.Lock()
-	b.admitted++
-	b.mu.Unlock()
+	s.mu.Lock()
+	s.admitted++
+	s.mu.Unlock()
 	defer func() {
-		b.mu.Lock()
-		b.admitted--
-		b.mu.Unlock()
+		s.mu.Lock()
+		s.admitted--
+		s.mu.Unlock()
 	}()
-	select { // a slot, in turn
-	case b.slots <- struct{}{}:
-		defer func() { <-b.slots }()
+	select { // wait for a free slot
+	case s.slots <- struct{}{}:
+		defer func() { <-s.slots }()
 	case <-ctx.Done():
-		v.end(judge.Abandoned)
+		a.end(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	}
-	if b.clock.Now() >= j.deadline { // over before it began
-		v.reject(w)
+	if s.clock.Now() >= j.deadline { // expired in the queue
+		a.reject(w)
 		return
 	}
-	if class.Idempotency != judge.Keyed || b.keys.addIfNew(j.key, b.clock.Now(), class.KeyTTL) {
-		b.judge.AttemptExecuted(b.clock.Now(), v.requestID, v.number)
+	if class.Idempotency != judge.Keyed || s.keys.addIfNew(j.key, s.clock.Now(), class.KeyTTL) {
+		s.judge.AttemptExecuted(s.clock.Now(), a.requestID, a.number)
 	}
-	b.mu.Lock()
-	life := b.processEnd
-	b.mu.Unlock()
-	if !b.occupyCore(time.Duration(float64(j.work)*j.slowdown/2), life) {
-		v.end(judge.ConnectionCut)
+	s.mu.Lock()
+	processEnd := s.processEnd
+	s.mu.Unlock()
+	if !s.occupyCore(time.Duration(float64(j.work)*j.slowdown/2), processEnd) {
+		a.end(judge.ConnectionCut)
 		panic(http.ErrAbortHandler)
 	}
-	good, spent := true, ""
-	if b.nextTier != nil {
-		good, spent = b.callNextTier(ctx, class, r, j)
+	ok, spent := true, ""
+	if s.nextTier != nil {
+		ok, spent = s.callNextTier(ctx, class, r, j)
 	}
-	if spent != "" { // as an application does that hands on what its last call said
+	if spent != "" { // like an application that passes on the header of its last call
 		w.Header().Set(budget.SpentHeaderName, spent)
 	}
-	if !good {
-		v.end(judge.Errored)
-		http.Error(w, "the tier below failed", http.StatusInternalServerError)
+	if !ok {
+		a.end(judge.Errored)
+		http.Error(w, "the call to the next tier failed", http.StatusInternalServerError)
 		return
 	}
-	if !b.occupyCore(time.Duration(float64(j.work)*j.slowdown/2), life) {
-		v.end(judge.ConnectionCut)
+	if !s.occupyCore(time.Duration(float64(j.work)*j.slowdown/2), processEnd) {
+		a.end(judge.ConnectionCut)
 		panic(http.ErrAbortHandler)
 	}
-	if ctx.Err() != nil { // it ran to its end for nobody
-		v.end(judge.Abandoned)
+	if ctx.Err() != nil { // the node has abandoned the attempt meanwhile
+		a.end(judge.Abandoned)
 		panic(http.ErrAbortHandler)
 	}
 	switch j.failure {
 	case resetting:
-		v.end(judge.ConnectionCut)
-		b.resetConn(w)
+		a.end(judge.ConnectionCut)
+		s.resetConn(w)
 		return
 	case malformed:
-		v.end(judge.Malformed)
-		b.answerGarbage(w)
+		a.end(judge.Malformed)
+		s.answerGarbage(w)
 		return
 	}
-	b.mu.Lock()
-	b.served++
-	b.mu.Unlock()
-	// Noted before it is written: the node may pass it on before this goroutine runs again.
-	v.end(judge.Succeeded)
-	text := answerText(b.ID, v.requestID)
+	s.mu.Lock()
+	s.served++
+	s.mu.Unlock()
+	// Recorded before writing: the node may forward the answer before this goroutine runs again.
+	a.end(judge.Succeeded)
+	text := answerText(s.ID, a.requestID)
 	w.Header().Set("Content-Type", "text/plain")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	io.WriteString(w, text)
 }
 
-// answerText is the body of a box's answer: who made it, and for which request.
-func answerText(box, id string) string { return box + " " + id + "\n" }
+// answerText returns the body of a server's answer, which names the server and the request.
+func answerText(server, id string) string { return server + " " + id + "\n" }
 
-// call asks the tier below, one call after another, through this box's own node.
-func (b *Server) callNextTier(ctx context.Context, class *Class, r *http.Request, j *job) (good bool, spent string) {
-	b.mu.Lock()
-	calls := int(b.plan.CallsPerRequest)
-	if b.rng.Float64() < b.plan.CallsPerRequest-float64(calls) {
+// callNextTier makes the calls to the next tier one after another, through this server's own node.
+func (s *Server) callNextTier(ctx context.Context, class *Class, r *http.Request, j *job) (ok bool, spent string) {
+	s.mu.Lock()
+	calls := int(s.plan.CallsPerRequest)
+	if s.rng.Float64() < s.plan.CallsPerRequest-float64(calls) {
 		calls++
 	}
 	ids := make([]string, calls)
 	for i := range ids {
-		ids[i] = fmt.Sprintf("%016x", b.rng.Uint64())
+		ids[i] = fmt.Sprintf("%016x", s.rng.Uint64())
 	}
-	b.mu.Unlock()
+	s.mu.Unlock()
 	for i, id := range ids {
 		key := ""
 		if j.key != "" {
 			key = j.key + "-" + strconv.Itoa(i)
 		}
-		left := j.deadline - b.clock.Now()
-		if left < time.Millisecond {
+		remaining := j.deadline - s.clock.Now()
+		if remaining < time.Millisecond {
 			return false, spent
 		}
-		b.callGraph.recordCall(id, r.Header.Get("X-Txn"), i)
-		index, _ := b.plan.classIndex(class.Name)
-		a := b.nextTier.Do(ctx, Request{
-			ID: id, Class: index, Path: r.URL.EscapedPath(), Key: key, Timeout: left, Body: j.body,
+		s.callGraph.recordCall(id, r.Header.Get("X-Txn"), i)
+		classIndex, _ := s.plan.classIndex(class.Name)
+		response := s.nextTier.Do(ctx, Request{
+			ID: id, Class: classIndex, Path: r.URL.EscapedPath(), Key: key, Timeout: remaining, Body: j.body,
 			BudgetHeader: r.Header.Get(budget.HeaderName),
 		})
-		spent = a.SpentHeader
-		if a.Outcome != judge.Served {
+		spent = response.SpentHeader
+		if response.Outcome != judge.Served {
 			return false, spent
 		}
 	}
 	return true, spent
 }
 
-// hold keeps a core busy for the time that work takes here and now; false if the process ends before.
-func (b *Server) occupyCore(work time.Duration, life <-chan struct{}) bool {
+// occupyCore keeps a core busy for the time that the work takes at the current speed. It returns false if the
+// process ends first.
+func (s *Server) occupyCore(work time.Duration, processEnd <-chan struct{}) bool {
 	select {
-	case b.cores <- struct{}{}:
-	case <-life:
+	case s.cores <- struct{}{}:
+	case <-processEnd:
 		return false
 	}
-	defer func() { <-b.cores }()
-	b.mu.Lock()
-	warmth := b.capacityFraction(b.clock.Now())
-	b.mu.Unlock()
-	done := time.NewTimer(time.Duration(float64(work) / (b.speed * warmth)))
+	defer func() { <-s.cores }()
+	s.mu.Lock()
+	warmth := s.capacityFraction(s.clock.Now())
+	s.mu.Unlock()
+	done := time.NewTimer(time.Duration(float64(work) / (s.speed * warmth)))
 	defer done.Stop()
 	select {
 	case <-done.C:
 		return true
-	case <-life:
+	case <-processEnd:
 		return false
 	}
 }
 
-// warmth is the part of its capacity that the box has.
-func (b *Server) capacityFraction(now time.Duration) float64 {
-	if b.startedAt == 0 || b.plan.WarmupTime <= 0 {
+// capacityFraction returns the fraction of its capacity that the server has while it warms up.
+func (s *Server) capacityFraction(now time.Duration) float64 {
+	if s.startedAt == 0 || s.plan.WarmupTime <= 0 {
 		return 1
 	}
-	age := float64(now-b.startedAt) / float64(b.plan.WarmupTime)
-	return min(1, b.plan.ColdCapacity+(1-b.plan.ColdCapacity)*age)
+	age := float64(now-s.startedAt) / float64(s.plan.WarmupTime)
+	return min(1, s.plan.ColdCapacity+(1-s.plan.ColdCapacity)*age)
 }
 
-// tooMuch books work sent to a cold box, and tells whether it has fallen over.
-// It falls when what came within any window is over the multiple of what it
-// could do in that time, with a little room for chance.
-func (b *Server) recordColdWork(now, work time.Duration) bool {
-	if b.collapsed {
+// recordColdWork adds work sent to a cold server and reports whether the server has collapsed. It collapses
+// when the work that arrived within one window exceeds CollapseMultiple times its capacity in that time, with
+// a tolerance of a tenth for random variation.
+func (s *Server) recordColdWork(now, work time.Duration) bool {
+	if s.collapsed {
 		return true
 	}
-	if b.capacityFraction(now) >= 1 {
-		b.arrivals = nil
+	if s.capacityFraction(now) >= 1 {
+		s.arrivals = nil
 		return false
 	}
-	b.arrivals = append(b.arrivals, arrival{now, work})
+	s.arrivals = append(s.arrivals, arrival{now, work})
 	sum := time.Duration(0)
-	for i := len(b.arrivals) - 1; i >= 0 && now-b.arrivals[i].at < b.plan.CollapseWindow; i-- {
-		sum += b.arrivals[i].work
+	for i := len(s.arrivals) - 1; i >= 0 && now-s.arrivals[i].at < s.plan.CollapseWindow; i-- {
+		sum += s.arrivals[i].work
 	}
-	can := time.Duration(float64(b.plan.CollapseWindow) * float64(b.plan.Cores) * b.speed * b.capacityFraction(now))
-	if room := time.Duration(b.plan.CollapseMultiple * float64(can)); sum > room+room/10 {
-		b.collapsed = true
-		b.judge.ServerCollapsed(now, b.ID, fmt.Sprintf("%v of work in %v, it could do %v", sum, b.plan.CollapseWindow, can))
+	capacity := time.Duration(float64(s.plan.CollapseWindow) * float64(s.plan.Cores) * s.speed * s.capacityFraction(now))
+	if limit := time.Duration(s.plan.CollapseMultiple * float64(capacity)); sum > limit+limit/10 {
+		s.collapsed = true
+		s.judge.ServerCollapsed(now, s.ID, fmt.Sprintf("%v of work in %v, it could do %v", sum, s.plan.CollapseWindow, capacity))
 	}
-	return b.collapsed
+	return s.collapsed
 }
 
-// spread draws a factor of mean 1.
-func (b *Server) workFactor(cv float64) float64 {
-	if cv <= 0 {
+// workFactor draws a log-normal factor with mean 1 and the given coefficient of variation.
+func (s *Server) workFactor(variation float64) float64 {
+	if variation <= 0 {
 		return 1
 	}
-	s2 := math.Log(1 + cv*cv)
-	return math.Exp(b.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
+	s2 := math.Log(1 + variation*variation)
+	return math.Exp(s.rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 }
 
-// cut ends a connection in the middle.
-func (b *Server) resetConn(w http.ResponseWriter) {
+// resetConn resets the connection of a request.
+func (s *Server) resetConn(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		c.(*serverConn).SetLinger(0)
@@ -517,8 +519,8 @@
 	}
 }
 
-// noise answers what no client can read.
-func (b *Server) answerGarbage(w http.ResponseWriter) {
+// answerGarbage sends an answer that no client can parse.
+func (s *Server) answerGarbage(w http.ResponseWriter) {
 	c, buf, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		writeGarbage(buf.Writer)
@@ -531,49 +533,49 @@
 	w.Flush()
 }
 
-// set changes what is wrong with the box.
-func (b *Server) setFailure(t failureMode, slower float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.failure == unresponsive && t != unresponsive {
-		b.endSilence()
+// setFailure sets the failure mode and the slowdown.
+func (s *Server) setFailure(mode failureMode, slowdown float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.failure == unresponsive && mode != unresponsive {
+		s.endSilence()
 	}
-	if t == unresponsive && b.silenceEnd == nil {
-		b.silenceEnd = make(chan struct{})
+	if mode == unresponsive && s.silenceEnd == nil {
+		s.silenceEnd = make(chan struct{})
 	}
-	b.failure, b.slowdown = t, slower
+	s.failure, s.slowdown = mode, slowdown
 }
 
-// drain makes the box turn away what is new, or ends that.
-func (b *Server) setDraining(on bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.draining = on
+// setDraining sets whether the server rejects new requests.
+func (s *Server) setDraining(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.draining = on
 }
 
-// restart begins a new process, which is cold.
-func (b *Server) restart() error {
-	b.mu.Lock()
-	b.failure, b.slowdown, b.draining, b.collapsed, b.arrivals = healthy, 1, false, false, nil
-	b.startedAt = max(1, b.clock.Now())
-	b.mu.Unlock()
-	return b.listen("")
+// restart starts a new process, which is cold.
+func (s *Server) restart() error {
+	s.mu.Lock()
+	s.failure, s.slowdown, s.draining, s.collapsed, s.arrivals = healthy, 1, false, false, nil
+	s.startedAt = max(1, s.clock.Now())
+	s.mu.Unlock()
+	return s.listen("")
 }
 
-// BoxState is what a box has seen so far.
+// ServerState is a snapshot of a server's counters.
 type ServerState struct {
 	ID      string
 	Site    string
 	Speed   float64
 	Served  int
 	Conns   int
-	Refused int // connections over its cap
+	Refused int // connections over the limit
 	Fallen  bool
 }
 
-// State tells how the box fares.
-func (b *Server) State() ServerState {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return ServerState{b.ID, b.Site, b.speed, b.served, len(b.conns), b.refused, b.collapsed}
+// State returns the server's counters.
+func (s *Server) State() ServerState {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return ServerState{s.ID, s.Site, s.speed, s.served, len(s.conns), s.refused, s.collapsed}
 }
