--- a/internal/rig/standin/standin_test.go
+++ b/internal/rig/standin/standin_test.go
@@ -25,20 +25,20 @@
 
 const ms = time.Millisecond
 
-// patience bounds every wait for a condition; it is not a measure.
-const testPatience = 20 * time.Second
+// conditionTimeout limits every wait for a condition.
+const conditionTimeout = 20 * time.Second
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testPatience); !ok(); time.Sleep(ms) {
+	for end := time.Now().Add(conditionTimeout); !ok(); time.Sleep(ms) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
 
-// small is a fleet of four boxes in two sites and two racks each.
-func small() Plan {
+// smallPlan is a fleet of four servers, in two sites with two racks each.
+func smallPlan() Plan {
 	p := DefaultPlan()
 	p.Servers, p.RackSize, p.PublishDelay = 4, 1, 0
 	for i := range p.Classes {
@@ -48,7 +48,7 @@
 	return p
 }
 
-func start(t *testing.T, p Plan) *Fleet {
+func startFleet(t *testing.T, p Plan) *Fleet {
 	t.Helper()
 	f, err := Start(p)
 	if err != nil {
@@ -58,41 +58,41 @@
 	return f
 }
 
-// rogue is a scripted node in the place of a real one.
-type rogue struct {
+// scriptedNode replaces a real node.
+type scriptedNode struct {
 	fleet  *Fleet
 	client *Client
 	http   http.Client
 }
 
-// newRogue runs a node that does as the script says with each request.
-func newRogue(t *testing.T, f *Fleet, script func(n *rogue, w http.ResponseWriter, r *http.Request)) *rogue {
+// newScriptedNode starts a node that handles each request with the script.
+func newScriptedNode(t *testing.T, f *Fleet, script func(node *scriptedNode, w http.ResponseWriter, r *http.Request)) *scriptedNode {
 	t.Helper()
-	n := &rogue{fleet: f}
+	node := &scriptedNode{fleet: f}
 	transport := &http.Transport{DisableKeepAlives: true}
-	n.http.Transport = transport
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	node.http.Transport = transport
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { script(n, w, r) })}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { script(node, w, r) })}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		server.Serve(l)
+		server.Serve(listener)
 	}()
-	n.client = NewClient("rogue", l.Addr().String(), &f.Plan, f.Clock, f.Judge)
+	node.client = NewClient("scripted", listener.Addr().String(), &f.Plan, f.Clock, f.Judge)
 	t.Cleanup(func() {
-		n.client.Close()
+		node.client.Close()
 		server.Close()
 		<-done
 	})
-	return n
+	return node
 }
 
-// forward sends a request to a box and gives its answer back.
-func (n *rogue) forward(ctx context.Context, r *http.Request, box int) (int, string, bool) {
-	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+n.fleet.Servers[box].Address+r.URL.RequestURI(), nil)
+// forward sends a request to a server and returns its answer.
+func (node *scriptedNode) forward(ctx context.Context, r *http.Request, server int) (int, string, bool) {
+	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+node.fleet.Servers[server].Address+r.URL.RequestURI(), nil)
 	if err != nil {
 		return 0, "", false
 	}
@@ -101,7 +101,7 @@
 			out.Header.Set(h, v)
 		}
 	}
-	resp, err := n.http.Do(out)
+	resp, err := node.http.Do(out)
 	if err != nil {
 		return 0, "", false
 	}
@@ -110,8 +110,8 @@
 	return resp.StatusCode, string(body), err == nil
 }
 
-func (n *rogue) pass(w http.ResponseWriter, r *http.Request, box int) {
-	status, body, ok := n.forward(r.Context(), r, box)
+func (node *scriptedNode) proxy(w http.ResponseWriter, r *http.Request, server int) {
+	status, body, ok := node.forward(r.Context(), r, server)
 	if !ok {
 		status = http.StatusBadGateway
 	}
@@ -119,10 +119,10 @@
 	io.WriteString(w, body)
 }
 
-// list asks discovery in the rogue's name, so that the list counts as delivered.
-func (n *rogue) list(t *testing.T) {
+// fetchList fetches the list as this node, so that it counts as delivered.
+func (node *scriptedNode) fetchList(t *testing.T) {
 	t.Helper()
-	address, err := n.fleet.Discovery.OpenEndpoint("rogue", "127.0.0.1")
+	address, err := node.fleet.Discovery.OpenEndpoint("scripted", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,186 +146,186 @@
 	return string(body)
 }
 
-func (n *rogue) ask(class string, wait time.Duration) Response {
-	index, _ := n.fleet.Plan.classIndex(class)
-	return n.client.Do(context.Background(), Request{
+func (node *scriptedNode) send(class string, wait time.Duration) Response {
+	index, _ := node.fleet.Plan.classIndex(class)
+	return node.client.Do(context.Background(), Request{
 		ID: fmt.Sprintf("%016x", time.Now().UnixNano()), Class: index, Path: "/" + class + "/genf/1", Key: "k1", Timeout: wait,
 	})
 }
 
-// A node that breaks a rule must be caught over real sockets, from what callers,
-// boxes and discovery see alone; one that keeps them must not.
-func TestJudgeCatchesRogueNodes(t *testing.T) {
+// The judge must detect over real sockets a node that breaks a rule, from what clients, servers and discovery
+// observe. It must report nothing for a node that follows the rules.
+func TestJudgeReportsViolations(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		rule   int // 0: none
-		class  string
-		script func(n *rogue, w http.ResponseWriter, r *http.Request)
-		before func(t *testing.T, n *rogue)
+		name    string
+		rule    int // 0: none
+		class   string
+		script  func(node *scriptedNode, w http.ResponseWriter, r *http.Request)
+		prepare func(t *testing.T, node *scriptedNode)
 	}{
-		{"a plain forwarder", 0, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) }, nil},
-		{"tries again within the rack", 0, "stoerung", func(n *rogue, w http.ResponseWriter, r *http.Request) {
-			n.forward(r.Context(), r, 0)
-			n.pass(w, r, 0)
+		{"forwards each request once", 0, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) { node.proxy(w, r, 0) }, nil},
+		{"retries a keyed request within the rack", 0, "stoerung", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
+			node.forward(r.Context(), r, 0)
+			node.proxy(w, r, 0)
 		}, nil},
-		{"turns a new connection back", 0, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"closes a new connection", 0, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			panic(http.ErrAbortHandler)
 		}, nil},
-		{"hangs up after a box had it", 1, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
-			n.forward(r.Context(), r, 0)
+		{"disconnects after an attempt", 1, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
+			node.forward(r.Context(), r, 0)
 			panic(http.ErrAbortHandler)
 		}, nil},
-		{"hangs up in the middle of an answer", 1, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"disconnects within an answer", 1, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			io.WriteString(w, "half")
 		}, nil},
-		{"answers too late", 1, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"answers too late", 1, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-time.After(10 * time.Second):
 			case <-r.Context().Done():
 			}
 		}, nil},
-		{"makes an answer up", 1, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"invents an answer", 1, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, answerText("box-000", r.Header.Get("X-Txn")))
 		}, nil},
-		{"gives another's answer", 1, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
-			_, body, _ := n.forward(r.Context(), r, 0)
+		{"names another server in the answer", 1, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
+			_, body, _ := node.forward(r.Context(), r, 0)
 			io.WriteString(w, strings.Replace(body, "box-000", "box-001", 1))
 		}, nil},
-		{"sends after its answer", 1, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"makes an attempt after its answer", 1, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			copied := r.Clone(context.Background())
 			w.Header().Set("Content-Length", "0")
 			w.WriteHeader(http.StatusBadGateway)
 			http.NewResponseController(w).Flush()
-			time.Sleep(300 * ms) // what it waits for is time itself
-			n.forward(context.Background(), copied, 0)
+			time.Sleep(300 * ms) // the delay itself is what the test needs
+			node.forward(context.Background(), copied, 0)
 		}, nil},
-		{"sends an unsafe request twice", 2, "auftrag", func(n *rogue, w http.ResponseWriter, r *http.Request) {
-			n.forward(r.Context(), r, 0)
-			n.pass(w, r, 1)
+		{"sends an at-most-once request twice", 2, "auftrag", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
+			node.forward(r.Context(), r, 0)
+			node.proxy(w, r, 1)
 		}, nil},
-		{"leaves the rack", 2, "stoerung", func(n *rogue, w http.ResponseWriter, r *http.Request) {
-			n.forward(r.Context(), r, 0)
-			n.pass(w, r, 1)
+		{"retries a keyed request in another rack", 2, "stoerung", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
+			node.forward(r.Context(), r, 0)
+			node.proxy(w, r, 1)
 		}, nil},
-		{"sends five times", 2, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"makes five attempts", 2, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			for range 4 {
-				n.forward(r.Context(), r, 0)
+				node.forward(r.Context(), r, 0)
 			}
-			n.pass(w, r, 1)
+			node.proxy(w, r, 1)
 		}, nil},
-		{"has two out at once", 2, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) {
+		{"makes overlapping attempts", 2, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 			done := make(chan struct{})
 			copied := r.Clone(r.Context())
 			go func() {
 				defer close(done)
-				n.forward(copied.Context(), copied, 0)
+				node.forward(copied.Context(), copied, 0)
 			}()
-			n.pass(w, r, 1)
+			node.proxy(w, r, 1)
 			<-done
-		}, func(t *testing.T, n *rogue) {
-			n.fleet.Plan.Classes[1].Work = 200 * ms
+		}, func(t *testing.T, node *scriptedNode) {
+			node.fleet.Plan.Classes[1].Work = 200 * ms
 		}},
-		{"refuses what may have run", 2, "auftrag", func(n *rogue, w http.ResponseWriter, r *http.Request) {
-			n.forward(r.Context(), r, 0)
+		{"refuses a request that may have been executed", 2, "auftrag", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
+			node.forward(r.Context(), r, 0)
 			w.WriteHeader(http.StatusTooManyRequests)
 		}, nil},
-		{"sends to a drained box", 3, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) },
-			func(t *testing.T, n *rogue) {
-				n.fleet.publishState(n.fleet.Servers[0], "DRAINING", true)
-				n.list(t)
-				time.Sleep(n.fleet.Plan.DrainGrace + 200*ms) // what it waits for is time itself
+		{"sends to a draining server", 3, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) { node.proxy(w, r, 0) },
+			func(t *testing.T, node *scriptedNode) {
+				node.fleet.publishState(node.fleet.Servers[0], "DRAINING", true)
+				node.fetchList(t)
+				time.Sleep(node.fleet.Plan.DrainGrace + 200*ms) // the delay itself is what the test needs
 			}},
-		{"sends to a drained box in the grace", 0, "zustand", func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 0) },
-			func(t *testing.T, n *rogue) {
-				n.fleet.publishState(n.fleet.Servers[0], "DRAINING", true)
-				n.list(t)
+		{"sends to a draining server within the grace", 0, "zustand", func(node *scriptedNode, w http.ResponseWriter, r *http.Request) { node.proxy(w, r, 0) },
+			func(t *testing.T, node *scriptedNode) {
+				node.fleet.publishState(node.fleet.Servers[0], "DRAINING", true)
+				node.fetchList(t)
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			plan := small()
-			if c.name == "sends to a drained box in the grace" {
+			plan := smallPlan()
+			if c.name == "sends to a draining server within the grace" {
 				plan.DrainGrace = time.Minute
 			}
-			f := start(t, plan)
-			n := newRogue(t, f, c.script)
-			if c.before != nil {
-				c.before(t, n)
+			f := startFleet(t, plan)
+			node := newScriptedNode(t, f, c.script)
+			if c.prepare != nil {
+				c.prepare(t, node)
 			}
-			n.ask(c.class, 600*ms)
+			node.send(c.class, 600*ms)
 			var v judge.Verdict
-			broken := func() bool {
+			violated := func() bool {
 				v = f.Judge.Check(f.Clock.Now())
-				return slices.ContainsFunc(v.Breaches, func(b judge.Breach) bool { return b.Rule == c.rule })
+				return slices.ContainsFunc(v.Breaches, func(breach judge.Breach) bool { return breach.Rule == c.rule })
 			}
 			if c.rule > 0 {
-				// The judge excuses what the machine's own delay may have caused, so a rogue that stands near its limit
-				// breaks the rule again until the machine is in time.
-				waitFor(t, fmt.Sprintf("rule %d is found broken", c.rule), func() bool {
-					if broken() {
+				// The judge excuses misses that the machine's own delay may explain. A case close to a limit
+				// therefore repeats until the machine runs in time.
+				waitFor(t, fmt.Sprintf("a breach of rule %d is reported", c.rule), func() bool {
+					if violated() {
 						return true
 					}
-					n.ask(c.class, 600*ms)
-					return broken()
+					node.send(c.class, 600*ms)
+					return violated()
 				})
-			} else if broken(); len(v.Breaches) > 0 {
-				t.Errorf("found %v\n%s", v.Breaches, strings.Join(v.Breaches[0].History, "\n"))
+			} else if violated(); len(v.Breaches) > 0 {
+				t.Errorf("reported %v\n%s", v.Breaches, strings.Join(v.Breaches[0].History, "\n"))
 			}
 		})
 	}
 }
 
-// A node that sends all it has to a box that has just started must push it over.
-func TestJudgeSeesAColdBoxFall(t *testing.T) {
-	plan := small()
+// A node that sends all its requests to a server that has just started must make it collapse.
+func TestJudgeReportsCollapseOfColdServer(t *testing.T) {
+	plan := smallPlan()
 	plan.Slots, plan.Queue, plan.MaxConns = 1000, 1000, 1000
 	plan.Classes[1].Work = 50 * ms
 	plan.WarmupTime = 30 * time.Second
-	f := start(t, plan)
-	n := newRogue(t, f, func(n *rogue, w http.ResponseWriter, r *http.Request) { n.pass(w, r, 1) })
-	b := f.Servers[1]
-	b.close()
-	if err := b.restart(); err != nil {
+	f := startFleet(t, plan)
+	node := newScriptedNode(t, f, func(node *scriptedNode, w http.ResponseWriter, r *http.Request) { node.proxy(w, r, 1) })
+	server := f.Servers[1]
+	server.close()
+	if err := server.restart(); err != nil {
 		t.Fatal(err)
 	}
-	// It can do two cores x 0.4 x its speed of 1 in a second: 0.8 s of work, and falls
-	// at 2.5 times that, 40 requests of 50 ms.
+	// Its capacity is two cores x 0.4 x speed 1, 0.8 s of work a second. It collapses at 2.5 times that, 40
+	// requests of 50 ms.
 	ended := make(chan Response, 120)
 	for i := range 120 {
 		go func() {
-			ended <- n.client.Do(context.Background(), Request{ID: fmt.Sprintf("%016x", i), Class: 1, Path: "/zustand/1", Timeout: 5 * time.Second})
+			ended <- node.client.Do(context.Background(), Request{ID: fmt.Sprintf("%016x", i), Class: 1, Path: "/zustand/1", Timeout: 5 * time.Second})
 		}()
 	}
 	for range 120 {
 		<-ended
 	}
-	if !b.State().Fallen {
-		t.Error("the box stands")
+	if !server.State().Fallen {
+		t.Error("the server did not collapse")
 	}
 	v := f.Judge.Check(f.Clock.Now())
-	if !slices.ContainsFunc(v.Breaches, func(b judge.Breach) bool { return b.Rule == 4 }) {
-		t.Errorf("found %v", v.Breaches)
+	if !slices.ContainsFunc(v.Breaches, func(breach judge.Breach) bool { return breach.Rule == 4 }) {
+		t.Errorf("reported %v", v.Breaches)
 	}
 }
 
-// Each trouble must show on the sockets as what it is.
-func TestBoxTroubles(t *testing.T) {
+// Each kind of fault must have its effect on the sockets.
+func TestServerFaults(t *testing.T) {
 	for _, c := range []struct {
 		kind   string
 		status int  // 0: no answer
-		runs   bool // it may have had its effect
+		runs   bool // it may have been executed
 	}{
 		{"stuck", 0, false}, {"reset", 0, true}, {"refuse", 0, false}, {"silent", 0, false}, {"garble", 0, true},
 		{"error", 500, false}, {"turnaway", 503, false}, {"crash", 0, false}, {"drain", 503, false},
 	} {
 		t.Run(c.kind, func(t *testing.T) {
-			f := start(t, small())
-			var n *rogue
+			f := startFleet(t, smallPlan())
+			var node *scriptedNode
 			var status atomic.Int64
-			n = newRogue(t, f, func(n *rogue, w http.ResponseWriter, r *http.Request) {
+			node = newScriptedNode(t, f, func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 				ctx, cancel := context.WithTimeout(r.Context(), 300*ms)
 				defer cancel()
-				got, _, _ := n.forward(ctx, r, 0)
+				got, _, _ := node.forward(ctx, r, 0)
 				status.Store(int64(got))
 				w.WriteHeader(http.StatusBadGateway)
 			})
@@ -333,112 +333,111 @@
 			if err := f.startFault(&fault, nil); err != nil {
 				t.Fatal(err)
 			}
-			n.ask("auftrag", 2*time.Second)
+			node.send("auftrag", 2*time.Second)
 			if got := int(status.Load()); got != c.status {
 				t.Errorf("answered %d, want %d", got, c.status)
 			}
 			if err := f.endFault(&fault, nil); err != nil {
 				t.Fatal(err)
 			}
-			n.ask("zustand", 2*time.Second)
+			node.send("zustand", 2*time.Second)
 			if got := status.Load(); got != 200 {
-				t.Errorf("answered %d afterwards", got)
+				t.Errorf("answered %d after the fault", got)
 			}
 			v := f.Judge.Check(f.Clock.Now())
 			if len(v.Breaches) > 0 {
-				t.Errorf("found %v", v.Breaches)
+				t.Errorf("reported %v", v.Breaches)
 			}
 		})
 	}
 }
 
-// A full house turns away, and a keyed repeat has no second effect in its rack
-// within the window, and one after it.
-func TestKeyedRepeats(t *testing.T) {
+// A repeated key is not executed again by a rack within the window, and is executed after it.
+func TestKeyStoreDropsRepeats(t *testing.T) {
 	r := &keyStore{ranAt: map[string]time.Duration{}}
 	const window = 10 * time.Second
 	for _, c := range []struct {
 		key   string
 		at    time.Duration
-		first bool
+		isNew bool
 	}{
 		{"a", 0, true}, {"a", ms, false}, {"b", ms, true}, {"a", window - ms, false}, {"a", window, true}, {"a", window + ms, false},
 	} {
-		if got := r.addIfNew(c.key, c.at, window); got != c.first {
-			t.Errorf("key %s at %v: first %v", c.key, c.at, got)
+		if got := r.addIfNew(c.key, c.at, window); got != c.isNew {
+			t.Errorf("key %s at %v: new %v", c.key, c.at, got)
 		}
 	}
 }
 
-func TestConnectionCap(t *testing.T) {
-	plan := small()
+func TestConnectionLimit(t *testing.T) {
+	plan := smallPlan()
 	plan.MaxConns = 3
-	f := start(t, plan)
-	b := f.Servers[0]
+	f := startFleet(t, plan)
+	server := f.Servers[0]
 	for range 5 {
-		c, err := net.Dial("tcp", b.Address)
+		c, err := net.Dial("tcp", server.Address)
 		if errors.Is(err, syscall.ECONNRESET) {
-			continue // turned back before the dial had looked at it
+			continue // reset before the dial returned
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close() // they stay open until the test has ended
+		defer c.Close() // open until the end of the test
 	}
-	waitFor(t, "two are turned back", func() bool { return b.State().Refused == 2 && b.State().Conns == 3 })
+	waitFor(t, "two connections are refused", func() bool { return server.State().Refused == 2 && server.State().Conns == 3 })
 }
 
-// Arrivals must not wait for answers, retries must wait as they are told, and
-// the report count each request once.
-func TestCallersAreOpenLoop(t *testing.T) {
-	f := start(t, small())
+// Arrivals must not wait for answers, retries must honour Retry-After, and the report must count each request
+// once.
+func TestLoadGeneratorIsOpenLoop(t *testing.T) {
+	f := startFleet(t, smallPlan())
 	var tries atomic.Int64
-	n := newRogue(t, f, func(n *rogue, w http.ResponseWriter, r *http.Request) {
+	node := newScriptedNode(t, f, func(node *scriptedNode, w http.ResponseWriter, r *http.Request) {
 		tries.Add(1)
 		if r.Header.Get("X-Resent") == "" {
 			w.Header().Set("Retry-After", "0.150")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		n.pass(w, r, 0)
+		node.proxy(w, r, 0)
 	})
-	c := NewLoadGenerator(&f.Plan, []*Client{n.client})
-	begun := time.Now()
+	c := NewLoadGenerator(&f.Plan, []*Client{node.client})
+	start := time.Now()
 	c.Run(context.Background(), Traffic{Rate: 200, Duration: 500 * ms, Retries: 1, Backoff: ms, Mix: []float64{0, 1, 0, 0}})
-	took := time.Since(begun)
+	took := time.Since(start)
 	r := c.Report()[1]
 	if r.Requests < 50 || r.Requests > 200 || r.Served+r.Late+r.Refused+r.Failed != r.Requests || r.Tries != int(tries.Load()) ||
 		r.Tries != 2*r.Requests {
-		t.Errorf("got %+v with %d tries", r, tries.Load())
+		t.Errorf("report %+v, %d tries arrived", r, tries.Load())
 	}
 	if r.P50 < 150*ms {
-		t.Errorf("median of %v: the advice to wait 150 ms was not honoured", r.P50)
+		t.Errorf("median of %v: Retry-After of 150 ms was not honoured", r.P50)
 	}
 	if took > 5*time.Second {
 		t.Errorf("took %v: arrivals waited for answers", took)
 	}
 	if s := ServedWorth(c.Report()); s <= 0 || s > 1 {
-		t.Errorf("service %v", s)
+		t.Errorf("served worth %v", s)
 	}
 }
 
 func TestParseFault(t *testing.T) {
 	f, err := ParseFault("slow:box=2,at=3s,for=500ms,by=4")
 	if err != nil || f != (Fault{Kind: "slow", Server: "2", At: 3 * time.Second, Duration: 500 * ms, Magnitude: 4}) {
-		t.Errorf("got %+v, %v", f, err)
+		t.Errorf("parsed %+v, error %v", f, err)
 	}
 	for _, text := range []string{
 		"", "quick:box=1", "slow", "slow:box", "slow:box=", "slow:box=1,site=genf", "slow:box=1,by=nan", "slow:box=1,by=0",
 		"kill:box=1", "kill", "outage:box=1", "lag:node=1", "slow:box=1,at=-1s", "slow:box=1,for=2h", "slow:box=1,color=red",
 	} {
 		if _, err := ParseFault(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("fault %q was accepted", text)
 		}
 	}
-	fleet := start(t, small())
-	for _, x := range []Fault{{Kind: "slow", Server: "9"}, {Kind: "slow", Site: "bern"}} {
-		if err := fleet.ValidateFault(x); err == nil {
-			t.Errorf("%+v was taken", x)
+	fleet := startFleet(t, smallPlan())
+	for _, fault := range []Fault{{Kind: "slow", Server: "9"}, {Kind: "slow", Site: "bern"}} {
+		if err := fleet.ValidateFault(fault); err == nil {
+			t.Errorf("fault %+v was accepted", fault)
 		}
 	}
 	if err := fleet.ValidateFault(Fault{Kind: "slow", Server: "box-003"}); err != nil {
@@ -446,8 +445,8 @@
 	}
 }
 
-// The same seed must draw the same traffic and the same work.
-func TestSeeded(t *testing.T) {
+// The same seed must give the same traffic and the same work.
+func TestSameSeedSameDraws(t *testing.T) {
 	p := DefaultPlan()
 	a, b, c := p.newRand("box", 1), p.newRand("box", 1), p.newRand("box", 2)
 	if x, y, z := a.Uint64(), b.Uint64(), c.Uint64(); x != y || x == z {
@@ -455,13 +454,14 @@
 	}
 }
 
-// A box that starts anew gets its address, though children that are being started have copies of its last listener.
-func TestBoxRestartsAmidChildren(t *testing.T) {
-	f := start(t, small())
+// A server that restarts must get its address back, although child processes that are being started hold
+// copies of its closed listener.
+func TestServerRestartsWhileChildrenStart(t *testing.T) {
+	f := startFleet(t, smallPlan())
 	stop := make(chan struct{})
-	var parts sync.WaitGroup
+	var children sync.WaitGroup
 	for range 4 {
-		parts.Go(func() {
+		children.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -480,5 +480,5 @@
 		}
 	}
 	close(stop)
-	parts.Wait()
+	children.Wait()
 }
