--- a/internal/rig/standin/capacity.go
+++ b/internal/rig/standin/capacity.go
@@ -32,7 +32,7 @@
 
 // validateCapacity checks a registry's settings.
 func validateCapacity(s registry.Settings) error {
-	for _, x := range []struct {
+	for _, bound := range []struct {
 		key   string
 		value float64
 		max   float64
@@ -42,8 +42,8 @@
 		{"registry.overbook", s.BacklogFactor, maxBacklogFactor},
 		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, maxLines},
 	} {
-		if !(x.value >= 0 && x.value <= x.max) { // also rejects NaN
-			return &SettingError{Key: x.key, Value: x.value, Min: 0, Max: x.max}
+		if !(bound.value >= 0 && bound.value <= bound.max) { // also rejects NaN
+			return &SettingError{Key: bound.key, Value: bound.value, Min: 0, Max: bound.max}
 		}
 	}
 	if s.QueueTimeout < 0 || s.QueueTimeout > maxQueueTimeout {
--- a/internal/rig/standin/delivery.go
+++ b/internal/rig/standin/delivery.go
@@ -51,9 +51,9 @@
 			at = max(at, until)
 		}
 	}
-	for _, x := range e.discovery.faultIntervals { // discovery was unreachable when the node should have called
-		if x.from <= at && at-limit < x.to {
-			at = max(at, x.to+limit)
+	for _, fault := range e.discovery.faultIntervals { // discovery was unreachable when the node should have called
+		if fault.from <= at && at-limit < fault.to {
+			at = max(at, fault.to+limit)
 		}
 	}
 	return at
--- a/internal/rig/standin/endpoint.go
+++ b/internal/rig/standin/endpoint.go
@@ -18,7 +18,7 @@
 	node             string
 	addresses        []endpointAddress
 	falseListChanges int             // discovery's count at the last answer to the node
-	silentUntil      []time.Duration // until these times, changes that a silenced long poll missed do not count as delivered
+	silentUntil      []time.Duration // changes missed by a silenced long poll count as delivered from these times
 	counts           CallCounts
 }
 
--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -11,15 +11,17 @@
 
 // Fault is one failure to inject: what fails, where, when and for how long.
 type Fault struct {
-	Kind      string
-	Server    string // server ID or index; empty if Site is set
-	Site      string // all servers of the site
-	Node      string // name or number of a node
-	From      string // sending end of links between nodes; "": any
-	To        string
-	At        time.Duration
-	Duration  time.Duration
-	Magnitude float64 // slow: slowdown factor; lag: extra seconds; backup: age in seconds; backlog: seconds of work; lose, twice, damage: fraction; late: seconds
+	Kind     string
+	Server   string // server ID or index; empty if Site is set
+	Site     string // all servers of the site
+	Node     string // name or number of a node
+	From     string // sending end of links between nodes; "": any
+	To       string
+	At       time.Duration
+	Duration time.Duration
+	// Magnitude depends on the kind. slow: slowdown factor; lag: extra seconds; backup: age in seconds; backlog: seconds
+	// of work; lose, twice, damage: fraction; late: seconds.
+	Magnitude float64
 }
 
 // faultTargets maps each kind of fault to what it affects.
@@ -282,7 +284,7 @@
 	case "backup":
 		f.Discovery.RestoreBackup(0)
 		return nil
-	case "blackhole", "backlog", "move": // silenced polls stay silent, the queue drains by itself, and discovery keeps its new address
+	case "blackhole", "backlog", "move": // these do not end: polls stay silent, and discovery keeps its new address
 		return nil
 	case "kill", "term":
 		return nodes.Start(fault.Node)
--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -46,17 +46,17 @@
 			// Rack numbers are unique in the whole fleet, because the list identifies a cell by its number
 			// alone.
 			column := i / len(plan.Sites) / max(1, plan.RackSize)
-			place := judge.Location{Site: site, Rack: (tier*len(plan.Sites)+i%len(plan.Sites))*1000 + column}
-			if keyStores[place] == nil {
-				keyStores[place] = &keyStore{ranAt: map[string]time.Duration{}}
+			location := judge.Location{Site: site, Rack: (tier*len(plan.Sites)+i%len(plan.Sites))*1000 + column}
+			if keyStores[location] == nil {
+				keyStores[location] = &keyStore{ranAt: map[string]time.Duration{}}
 			}
 			s := &Server{
-				ID: fmt.Sprintf("box-%d%02d", tier, i), Site: site, Rack: place.Rack, Tier: tier,
-				speed: plan.Speeds[i%len(plan.Speeds)], plan: &f.Plan, clock: clock, judge: f.Judge, keys: keyStores[place],
+				ID: fmt.Sprintf("box-%d%02d", tier, i), Site: site, Rack: location.Rack, Tier: tier,
+				speed: plan.Speeds[i%len(plan.Speeds)], plan: &f.Plan, clock: clock, judge: f.Judge, keys: keyStores[location],
 				cores: make(chan struct{}, max(1, plan.Cores)), slots: make(chan struct{}, max(1, plan.Slots)),
 				slowdown: 1, rng: plan.newRand("box", tier*1000+i), callGraph: f.callGraph,
 			}
-			f.Judge.AddServer(s.ID, place)
+			f.Judge.AddServer(s.ID, location)
 			if err := s.listen(f.NewHost()); err != nil {
 				f.Close()
 				return nil, err
@@ -236,8 +236,9 @@
 				"grace_to_answer_ns": 10 * time.Millisecond,
 			},
 			"callers": object{"marks_retry": true}, "family_info": object{"passes_deadline": true},
-			"areas": f.Plan.Sites, "me": s.Index, "n_instances": s.TierNodes, "registry_mode": map[bool]string{false: "subscribe", true: "automatic"}[f.Plan.PushedLists],
-			"tier": s.Tier, "tiers": tiers, "weight_source": "none", "zone": s.Site,
+			"areas": f.Plan.Sites, "me": s.Index, "n_instances": s.TierNodes,
+			"registry_mode": map[bool]string{false: "subscribe", true: "automatic"}[f.Plan.PushedLists],
+			"tier":          s.Tier, "tiers": tiers, "weight_source": "none", "zone": s.Site,
 		},
 	}
 	if s.ShareBudgets {
--- a/internal/rig/standin/judge/judge.go
+++ b/internal/rig/standin/judge/judge.go
@@ -155,7 +155,8 @@
 func New(r Rules) *Judge {
 	return &Judge{
 		rules: r, requests: map[string]*request{}, locations: map[string]Location{},
-		notifications: map[string]map[string][]notification{}, kills: map[string][]time.Duration{}, starts: map[string][]time.Duration{}, pauses: map[string][][2]time.Duration{},
+		notifications: map[string]map[string][]notification{},
+		kills:         map[string][]time.Duration{}, starts: map[string][]time.Duration{}, pauses: map[string][][2]time.Duration{},
 	}
 }
 
@@ -168,10 +169,10 @@
 
 // RequestSent records that a client has written the last byte of a request to a node, and how long it will
 // wait.
-func (j *Judge) RequestSent(at time.Duration, id string, class int, node string, wait time.Duration) {
+func (j *Judge) RequestSent(at time.Duration, id string, class int, node string, timeout time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.requests[id] = &request{id: id, class: class, node: node, sentAt: at, timeout: wait}
+	j.requests[id] = &request{id: id, class: class, node: node, sentAt: at, timeout: timeout}
 }
 
 // RequestNotSent records that a request never reached a node. No rule applies to it.
@@ -272,10 +273,10 @@
 }
 
 // ServerCollapsed records that a cold server received too much work and collapsed.
-func (j *Judge) ServerCollapsed(at time.Duration, server, why string) {
+func (j *Judge) ServerCollapsed(at time.Duration, server, reason string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.collapses = append(j.collapses, Breach{Rule: 4, What: "cold box " + server + " fell over: " + why, At: at})
+	j.collapses = append(j.collapses, Breach{Rule: 4, What: "cold box " + server + " fell over: " + reason, At: at})
 }
 
 // MachineDelayed records that this machine ran something due at a time late by length. Time limits near it
--- a/internal/rig/standin/loadgenerator.go
+++ b/internal/rig/standin/loadgenerator.go
@@ -16,13 +16,13 @@
 // Traffic describes the requests that clients send.
 type Traffic struct {
 	Rate           float64       // first tries a second
-	Concurrency    int           // if above 0, this many clients each send one request after another, and Rate is ignored
+	Concurrency    int           // if above 0, so many clients send one request after another; Rate is ignored
 	Duration       time.Duration // no new requests after this
 	Retries        int           // of one request, by its client
 	Backoff        time.Duration // before a retry without Retry-After
 	Mix            []float64     // share of each class; nil: the plan's
 	BodyBytes      int           // size of the body of requests that have one
-	CancelFraction float64       // fraction of the tries that clients cancel, at a random time within the class's latency target
+	CancelFraction float64       // fraction of the tries that clients cancel, within the latency target
 }
 
 // ClassReport summarizes the requests of a class.
--- a/internal/rig/standin/plan.go
+++ b/internal/rig/standin/plan.go
@@ -71,7 +71,8 @@
 		},
 		Sites: []string{"zuerich", "genf"}, Servers: 8, Cores: 2, Speeds: []float64{1.6, 1, 0.6}, RackSize: 2,
 		Slots: 24, Queue: 40, MaxConns: 400, ColdCapacity: 0.4, WarmupTime: 5 * time.Second, CollapseMultiple: 2.5,
-		CollapseWindow: time.Second, Tiers: 1, CallsPerRequest: 2, PublishDelay: 400 * time.Millisecond, Registry: registry.Settings{LinesPerSecond: 2000, LinesPerCall: 1},
+		CollapseWindow: time.Second, Tiers: 1, CallsPerRequest: 2, PublishDelay: 400 * time.Millisecond,
+		Registry:   registry.Settings{LinesPerSecond: 2000, LinesPerCall: 1},
 		DrainGrace: 500 * time.Millisecond,
 	}
 }
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -193,16 +193,16 @@
 		if err != nil {
 			return nil, err
 		}
-		tc, s := c.(*net.TCPConn), l.server
+		tcpConn, s := c.(*net.TCPConn), l.server
 		s.mu.Lock()
 		if len(s.conns) >= s.plan.MaxConns {
 			s.refused++
 			s.mu.Unlock()
-			tc.SetLinger(0)
-			tc.Close()
+			tcpConn.SetLinger(0)
+			tcpConn.Close()
 			continue
 		}
-		conn := &serverConn{TCPConn: tc, server: s}
+		conn := &serverConn{TCPConn: tcpConn, server: s}
 		s.conns[conn] = struct{}{}
 		s.mu.Unlock()
 		return conn, nil
@@ -257,8 +257,8 @@
 	number    int
 }
 
-func (a *attempt) end(how judge.AttemptOutcome) {
-	a.server.judge.AttemptEnded(a.server.clock.Now(), a.requestID, a.number, how)
+func (a *attempt) end(outcome judge.AttemptOutcome) {
+	a.server.judge.AttemptEnded(a.server.clock.Now(), a.requestID, a.number, outcome)
 }
 
 // ServeHTTP answers one attempt.
@@ -456,9 +456,9 @@
 	}
 	defer func() { <-s.cores }()
 	s.mu.Lock()
-	warmth := s.capacityFraction(s.clock.Now())
+	fraction := s.capacityFraction(s.clock.Now())
 	s.mu.Unlock()
-	done := time.NewTimer(time.Duration(float64(work) / (s.speed * warmth)))
+	done := time.NewTimer(time.Duration(float64(work) / (s.speed * fraction)))
 	defer done.Stop()
 	select {
 	case <-done.C:
@@ -569,8 +569,8 @@
 	Speed   float64
 	Served  int
 	Conns   int
-	Refused int // connections over the limit
-	Fallen  bool
+	Refused int  // connections over the limit
+	Fallen  bool // it collapsed while cold
 }
 
 // State returns the server's counters.
