--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -284,7 +284,7 @@
 	case "backup":
 		f.Discovery.RestoreBackup(0)
 		return nil
-	case "blackhole", "backlog", "move": // these do not end: polls stay silent, and discovery keeps its new address
+	case "blackhole", "backlog", "move": // not undone: polls stay silent, the queue drains, discovery stays moved
 		return nil
 	case "kill", "term":
 		return nodes.Start(fault.Node)
