--- a/internal/rig/standin/capacity.go
+++ b/internal/rig/standin/capacity.go
@@ -9,17 +9,17 @@
 
 // Bounds of a registry's settings.
 const (
-	mostLines        = 1e6
-	mostQueueTimeout = time.Minute
-	mostOverbook     = 1000
+	maxLines         = 1e6
+	maxQueueTimeout  = time.Minute
+	maxBacklogFactor = 1000
 )
 
-// SettingError is a setting out of its bounds.
+// SettingError reports a setting that is out of its bounds.
 type SettingError struct {
 	Key      string
 	Value    any
 	Min, Max any
-	Reason   string // of the bounds, where they are not plain
+	Reason   string // explains the bounds where they are not obvious
 }
 
 func (e *SettingError) Error() string {
@@ -32,35 +32,35 @@
 
 // validateCapacity checks a registry's settings.
 func validateCapacity(s registry.Settings) error {
-	for _, x := range []struct {
+	for _, bound := range []struct {
 		key   string
 		value float64
-		most  float64
+		max   float64
 	}{
-		{"registry.lines_per_second", s.LinesPerSecond, mostLines},
-		{"registry.call_lines", s.LinesPerCall, mostLines},
-		{"registry.overbook", s.BacklogFactor, mostOverbook},
-		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, mostLines},
+		{"registry.lines_per_second", s.LinesPerSecond, maxLines},
+		{"registry.call_lines", s.LinesPerCall, maxLines},
+		{"registry.overbook", s.BacklogFactor, maxBacklogFactor},
+		{"registry.other_lines_per_second", s.ExternalLinesPerSecond, maxLines},
 	} {
-		if !(x.value >= 0 && x.value <= x.most) { // NaN is neither
-			return &SettingError{Key: x.key, Value: x.value, Min: 0, Max: x.most}
+		if !(bound.value >= 0 && bound.value <= bound.max) { // also rejects NaN
+			return &SettingError{Key: bound.key, Value: bound.value, Min: 0, Max: bound.max}
 		}
 	}
-	if s.QueueTimeout < 0 || s.QueueTimeout > mostQueueTimeout {
-		return &SettingError{Key: "registry.queue_timeout", Value: s.QueueTimeout, Min: time.Duration(0), Max: mostQueueTimeout}
+	if s.QueueTimeout < 0 || s.QueueTimeout > maxQueueTimeout {
+		return &SettingError{Key: "registry.queue_timeout", Value: s.QueueTimeout, Min: time.Duration(0), Max: maxQueueTimeout}
 	}
 	return nil
 }
 
-// validateRegistry checks what a plan says of discovery.
+// validateRegistry checks a plan's settings of discovery.
 func (p *Plan) validateRegistry() error {
 	if err := validateCapacity(p.Registry); err != nil {
 		return err
 	}
 	if p.AnswerInOutage && p.Registry.QueueTimeout == 0 {
 		return &SettingError{
-			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Min: time.Nanosecond, Max: mostQueueTimeout,
-			Reason: "a call that comes while discovery is down is answered after it",
+			Key: "registry.queue_timeout", Value: p.Registry.QueueTimeout, Min: time.Nanosecond, Max: maxQueueTimeout,
+			Reason: "a call during an outage of discovery is answered after it",
 		}
 	}
 	return nil
