--- a/internal/leaseexec/lessee.go
+++ b/internal/leaseexec/lessee.go
@@ -41,9 +41,9 @@
 )
 
 const (
-	lookEvery = 10 * time.Millisecond
-	overWait  = 500 * time.Millisecond // for the node's word that the lease is free
-	stillWait = 5 * time.Second        // a node that says nothing for so long, while nobody waits in line
+	pollInterval   = 10 * time.Millisecond
+	releaseTimeout = 500 * time.Millisecond // for the node's word that the lease is free
+	silenceTimeout = 5 * time.Second        // a node that says nothing for so long, while nobody waits in line
 )
 
 // Run runs the command, and returns its exit code. An error says that it did not start, or had to be ended.
@@ -53,17 +53,17 @@
 		return 0, err
 	}
 	defer h.Close()
-	token, until, err := held(ctx, h, &o)
+	token, until, err := waitForLease(ctx, h, &o)
 	if err != nil {
 		return 0, err
 	}
-	return act(ctx, h, &o, token, until)
+	return runCommand(ctx, h, &o, token, until)
 }
 
 // held waits until the lease is held.
-func held(ctx context.Context, h *leases.ClientLease, o *Options) (token uint64, until time.Duration, err error) {
+func waitForLease(ctx context.Context, h *leases.ClientLease, o *Options) (token uint64, until time.Duration, err error) {
 	begun := clock.Boot()
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -88,7 +88,7 @@
 				return 0, 0, fmt.Errorf("%w: %s", ErrNotHeld, e.Why)
 			}
 		case <-look.C:
-			if waited := clock.Boot() - begun; o.MaxWait > 0 && waited > o.MaxWait || o.MaxWait == 0 && waited > stillWait {
+			if waited := clock.Boot() - begun; o.MaxWait > 0 && waited > o.MaxWait || o.MaxWait == 0 && waited > silenceTimeout {
 				h.RequestRelease()
 				return 0, 0, fmt.Errorf("%w: not within %v", ErrNotHeld, waited.Round(time.Millisecond))
 			}
@@ -100,7 +100,7 @@
 }
 
 // act runs the command while the lease lasts.
-func act(ctx context.Context, h *leases.ClientLease, o *Options, token uint64, until time.Duration) (int, error) {
+func runCommand(ctx context.Context, h *leases.ClientLease, o *Options, token uint64, until time.Duration) (int, error) {
 	w := lease.NewWatchdog(o.TTL, o.KillGrace, until)
 	if w.NextSignal(clock.Boot()) != lease.None {
 		return 0, fmt.Errorf("%w: it was over before the command could start", ErrNotHeld)
@@ -124,7 +124,7 @@
 		return 0, err
 	}
 	kill := func(s syscall.Signal) { syscall.Kill(-cmd.Process.Pid, s) }
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	events, done := h.Events, ctx.Done()
 	var wrong error
@@ -165,7 +165,7 @@
 	}
 	kill(syscall.SIGKILL) // what the command has left behind in its group acts no longer than it
 	h.ConfirmStopped()
-	free(h)
+	waitForRelease(h)
 	if w.Lost() || gone {
 		return 0, ErrLeaseLost
 	}
@@ -180,8 +180,8 @@
 }
 
 // free waits a moment for the word that the lease is free.
-func free(h *leases.ClientLease) {
-	late := time.After(overWait)
+func waitForRelease(h *leases.ClientLease) {
+	late := time.After(releaseTimeout)
 	for {
 		select {
 		case e, ok := <-h.Events:
--- a/internal/node/bootstrap/record.go
+++ b/internal/node/bootstrap/record.go
@@ -46,35 +46,35 @@
 }
 
 const (
-	tick      = 50 * time.Millisecond
-	idle      = time.Second          // between two looks once there is a list
-	inbox     = 8192                 // messages that wait for the goroutine: of as many nodes at once
-	handGap   = 5 * time.Millisecond // between two lists that are sent
-	mostQueue = 64
-	leaseTTL  = 5 * time.Second
-	listWait  = time.Second
+	tickInterval     = 50 * time.Millisecond
+	idleTickInterval = time.Second          // between two looks once there is a list
+	inboxSize        = 8192                 // messages that wait for the goroutine: of as many nodes at once
+	sendInterval     = 5 * time.Millisecond // between two lists that are sent
+	maxQueuedSends   = 64
+	leaseTTL         = 5 * time.Second
+	listTimeout      = time.Second
 )
 
 // Record is one node's part.
 type Runner struct {
-	set    Settings
-	fleet  Fleet
-	leases *leases.Leases
-	loop   Hooks
-	log    *slog.Logger
-	in     chan *wire.ListMessage
-	told   chan told
+	settings Settings
+	fleet    Fleet
+	leases   *leases.Leases
+	hooks    Hooks
+	log      *slog.Logger
+	inbox    chan *wire.ListMessage
+	notices  chan listNotice
 }
 
-type told struct {
+type listNotice struct {
 	generation uint64
 	discovery  string
-	lost       bool
+	rejected   bool
 }
 
 // New makes one. It must be called before the members run.
 func New(set Settings, fleet Fleet, l *leases.Leases, loop Hooks, log *slog.Logger) *Runner {
-	r := &Runner{set: set, fleet: fleet, leases: l, loop: loop, log: log, in: make(chan *wire.ListMessage, inbox), told: make(chan told, 4)}
+	r := &Runner{settings: set, fleet: fleet, leases: l, hooks: loop, log: log, inbox: make(chan *wire.ListMessage, inboxSize), notices: make(chan listNotice, 4)}
 	fleet.OnMessage(wire.TopicList, func(body []byte) {
 		m, err := wire.ParseList(body)
 		if err != nil {
@@ -84,7 +84,7 @@
 			fleet.LearnAddress(m.From, m.Addr)
 		}
 		select {
-		case r.in <- m:
+		case r.inbox <- m:
 		default: // it is asked for again
 		}
 	})
@@ -93,22 +93,22 @@
 
 // Told tells that discovery has told this node a list.
 func (r *Runner) ListReceived(generation uint64, discovery string) {
-	r.tell(told{generation, discovery, false})
+	r.notify(listNotice{generation, discovery, false})
 }
 
 // Lost tells that a list that was handed to this node could not be used.
-func (r *Runner) ListRejected() { r.tell(told{lost: true}) }
+func (r *Runner) ListRejected() { r.notify(listNotice{rejected: true}) }
 
-func (r *Runner) tell(t told) {
+func (r *Runner) notify(t listNotice) {
 	select {
-	case r.told <- t:
+	case r.notices <- t:
 	default: // the newest word is as good
 		select {
-		case <-r.told:
+		case <-r.notices:
 		default:
 		}
 		select {
-		case r.told <- t:
+		case r.notices <- t:
 		default:
 		}
 	}
@@ -116,10 +116,10 @@
 
 // Run takes part until the context ends.
 func (r *Runner) Run(ctx context.Context) {
-	c := bootstrap.New(bootstrap.Settings{Name: r.set.Name}, r.set.HasList, rand.Uint64(), clock.Boot())
-	look := time.NewTicker(tick)
+	c := bootstrap.New(bootstrap.Settings{Name: r.settings.Name}, r.settings.HasList, rand.Uint64(), clock.Boot())
+	look := time.NewTicker(tickInterval)
 	defer look.Stop()
-	hand := time.NewTicker(handGap)
+	hand := time.NewTicker(sendInterval)
 	defer hand.Stop()
 	hand.Stop()
 	var site *leases.LocalLease // the lease that this node asks for
@@ -131,7 +131,7 @@
 	}()
 	phase := c.Phase()
 	var view *membership.View
-	c.SetPeers(r.near(nil))
+	c.SetPeers(r.peers(nil))
 	for {
 		var events <-chan lease.Event
 		if site != nil {
@@ -143,20 +143,20 @@
 		case <-look.C:
 			if v := r.fleet.View(); v != view {
 				view = v
-				c.SetPeers(r.near(v))
+				c.SetPeers(r.peers(v))
 			}
 			c.Tick(clock.Boot())
-		case m := <-r.in:
+		case m := <-r.inbox:
 			c.Receive(clock.Boot(), &m.Message)
-		case t := <-r.told:
-			if t.lost {
+		case t := <-r.notices:
+			if t.rejected {
 				c.ListUnusable(clock.Boot())
 			} else {
 				c.DiscoveryAnswered(clock.Boot(), t.generation, t.discovery)
 			}
 		case e := <-events:
 			if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
-				r.log.Info("this node asks for the list of servers on behalf of its site", "site", r.set.Site, "token", e.Token)
+				r.log.Info("this node asks for the list of servers on behalf of its site", "site", r.settings.Site, "token", e.Token)
 				c.LeaseAcquired(clock.Boot())
 			}
 		case <-hand.C:
@@ -164,15 +164,15 @@
 				hand.Stop()
 				continue
 			}
-			r.hand(ctx, c, queue[0])
+			r.sendList(ctx, c, queue[0])
 			queue = queue[1:]
 		}
 		outs, asks, list := c.Take()
 		for _, o := range outs {
 			if o.Kind == bootstrap.ListReply {
-				if len(queue) < mostQueue {
+				if len(queue) < maxQueuedSends {
 					if queue = append(queue, o.To); len(queue) == 1 {
-						hand.Reset(handGap)
+						hand.Reset(sendInterval)
 					}
 				}
 				continue
@@ -180,20 +180,20 @@
 			r.send(o.To, &bootstrap.Message{Kind: o.Kind})
 		}
 		if list != nil {
-			r.loop.DeliverList(list.Body, list.List)
+			r.hooks.DeliverList(list.Body, list.List)
 		}
 		if asks {
-			r.loop.AllowDiscovery()
+			r.hooks.AllowDiscovery()
 		}
 		if p := c.Phase(); p != phase {
 			r.log.Debug("the list of servers", "was", phase.String(), "is", p.String())
 			if phase = p; p == bootstrap.HasList {
-				look.Reset(idle)
+				look.Reset(idleTickInterval)
 			}
 		}
 		switch {
 		case c.WantsLease() && site == nil:
-			site = r.leases.Acquire("list/"+r.set.Site, leaseTTL)
+			site = r.leases.Acquire("list/"+r.settings.Site, leaseTTL)
 		case !c.WantsLease() && phase == bootstrap.HasList && site != nil:
 			site.Release()
 			site = nil
@@ -202,8 +202,8 @@
 }
 
 // near is whom to ask: at the start the seeds, then those of the own site; and far those of others.
-func (r *Runner) near(v *membership.View) (names, far []string) {
-	for _, s := range r.set.Seeds {
+func (r *Runner) peers(v *membership.View) (names, far []string) {
+	for _, s := range r.settings.Seeds {
 		if s != r.fleet.Address() {
 			names = append(names, s.String())
 		}
@@ -214,8 +214,8 @@
 	names = names[:0]
 	for i := range v.Members {
 		switch m := &v.Members[i]; {
-		case m.Name == r.set.Name:
-		case m.Site == r.set.Site:
+		case m.Name == r.settings.Name:
+		case m.Site == r.settings.Site:
 			names = append(names, m.Name)
 		default:
 			far = append(far, m.Name)
@@ -226,20 +226,20 @@
 
 // send sends to a name, or to an address of one that has none here yet.
 func (r *Runner) send(to string, m *bootstrap.Message) {
-	m.From = r.set.Name
+	m.From = r.settings.Name
 	at, _ := netip.ParseAddrPort(to) // a name is none
 	r.fleet.Send(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, Addr: r.fleet.Address()}))
 }
 
 // hand sends the present list.
-func (r *Runner) hand(ctx context.Context, c *bootstrap.Bootstrapper, to string) {
+func (r *Runner) sendList(ctx context.Context, c *bootstrap.Bootstrapper, to string) {
 	about, ok := c.List(clock.Boot())
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, listWait)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	if list := r.loop.CurrentList(ctx); list != nil {
+	if list := r.hooks.CurrentList(ctx); list != nil {
 		r.send(to, &bootstrap.Message{Kind: bootstrap.ListReply, List: about, Body: list})
 	}
 }
--- a/internal/node/bootstrap/size_test.go
+++ b/internal/node/bootstrap/size_test.go
@@ -28,7 +28,7 @@
 	for i := range nodes {
 		f.take(wire.AppendList(nil, &wire.ListMessage{Message: bootstrap.Message{Kind: bootstrap.ListQuery, From: fmt.Sprint("n", i)}}))
 	}
-	if len(r.in) != nodes {
-		t.Errorf("%d of %d questions wait", len(r.in), nodes)
+	if len(r.inbox) != nodes {
+		t.Errorf("%d of %d questions wait", len(r.inbox), nodes)
 	}
 }
--- a/internal/node/leases/client.go
+++ b/internal/node/leases/client.go
@@ -14,10 +14,10 @@
 )
 
 // mostReply bounds a node's answers on one connection.
-const mostReply = 64 << 20
+const maxReplyBytes = 64 << 20
 
 func dial(ctx context.Context, folder string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialWait}
+	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "unix", SocketPath(folder))
 	if err != nil {
 		return nil, fmt.Errorf("no node answers in %s, or its settings have no [leases]: %w", folder, err)
@@ -38,7 +38,7 @@
 	if err := json.NewEncoder(c).Encode(q); err != nil {
 		return r, fmt.Errorf("asking the node: %w", err)
 	}
-	if err := json.NewDecoder(io.LimitReader(c, mostReply)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(c, maxReplyBytes)).Decode(&r); err != nil {
 		return r, fmt.Errorf("the node's answer: %w", err)
 	}
 	if r.Error != "" {
@@ -52,7 +52,7 @@
 	Events chan lease.Event // closed when the node says nothing more
 	conn   net.Conn
 	mu     sync.Mutex // one line at a time
-	ended  chan struct{}
+	closed chan struct{}
 }
 
 // Hold asks the node for a lease. The caller must Close what it gets.
@@ -61,8 +61,8 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &ClientLease{Events: make(chan lease.Event, mostEvents), conn: c, ended: make(chan struct{})}
-	if err := h.say(Request{Do: "hold", Lease: name, TTL: ttl}); err != nil {
+	h := &ClientLease{Events: make(chan lease.Event, eventBuffer), conn: c, closed: make(chan struct{})}
+	if err := h.send(Request{Do: "hold", Lease: name, TTL: ttl}); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("asking the node: %w", err)
 	}
@@ -82,7 +82,7 @@
 			if r.Event != nil {
 				select {
 				case h.Events <- *r.Event:
-				case <-h.ended:
+				case <-h.closed:
 					return
 				}
 			}
@@ -95,25 +95,25 @@
 	return h, nil
 }
 
-func (h *ClientLease) say(q Request) error {
+func (h *ClientLease) send(q Request) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.conn.SetWriteDeadline(time.Now().Add(writeWait))
+	h.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return json.NewEncoder(h.conn).Encode(q)
 }
 
 // Stop tells the node that the lease is not wanted any more; the user may still act until it says Stopped.
-func (h *ClientLease) RequestRelease() error { return h.say(Request{Do: "stop"}) }
+func (h *ClientLease) RequestRelease() error { return h.send(Request{Do: "stop"}) }
 
 // Stopped tells the node that the user acts no more, so the lease can pass on at once.
-func (h *ClientLease) ConfirmStopped() error { return h.say(Request{Do: "stopped"}) }
+func (h *ClientLease) ConfirmStopped() error { return h.send(Request{Do: "stopped"}) }
 
 // Close ends the connection. A lease whose user has not said Stopped runs out by its time.
 func (h *ClientLease) Close() {
 	select {
-	case <-h.ended:
+	case <-h.closed:
 	default:
-		close(h.ended)
+		close(h.closed)
 		h.conn.Close()
 	}
 }
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -40,18 +40,18 @@
 }
 
 const (
-	mostOperators = 256
-	mostEvents    = 64
-	mostRequest   = 64 << 10
-	firstWait     = 5 * time.Second
-	writeWait     = 2 * time.Second
-	foundWait     = 30 * time.Second
+	maxOperatorConnections = 256
+	eventBuffer            = 64
+	maxRequestBytes        = 64 << 10
+	requestTimeout         = 5 * time.Second
+	writeTimeout           = 2 * time.Second
+	callTimeout            = 30 * time.Second
 )
 
 // operator serves one connection.
-func (l *Leases) operator(ctx context.Context, c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(firstWait))
-	in := json.NewDecoder(io.LimitReader(c, mostRequest))
+func (l *Leases) serveConnection(ctx context.Context, c net.Conn) {
+	c.SetReadDeadline(time.Now().Add(requestTimeout))
+	in := json.NewDecoder(io.LimitReader(c, maxRequestBytes))
 	var q Request
 	if err := in.Decode(&q); err != nil {
 		return
@@ -63,7 +63,7 @@
 		l.serveHolder(ctx, c, in, &q)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, foundWait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	replies := make(chan Reply, 1)
 	say := func(r Reply) {
@@ -72,33 +72,33 @@
 		default:
 		}
 	}
-	if err := l.call(ctx, func() { l.serve(&q, say) }); err != nil {
+	if err := l.call(ctx, func() { l.handleRequest(&q, say) }); err != nil {
 		say(Reply{Error: err.Error()})
 	}
 	select {
 	case r := <-replies:
-		write(c, r)
+		writeReply(c, r)
 	case <-ctx.Done():
-		write(c, Reply{Error: "no answer in time"})
+		writeReply(c, Reply{Error: "no answer in time"})
 	}
 }
 
-func write(c net.Conn, r Reply) error {
-	c.SetWriteDeadline(time.Now().Add(writeWait))
+func writeReply(c net.Conn, r Reply) error {
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return json.NewEncoder(c).Encode(r)
 }
 
 // serve does what is asked on Run's goroutine.
-func (l *Leases) serve(q *Request, say func(Reply)) {
+func (l *Leases) handleRequest(q *Request, say func(Reply)) {
 	fail := func(err error) { say(Reply{Error: err.Error()}) }
 	now := clock.Boot()
 	switch q.Do {
 	case "standing":
-		s := l.council.Status()
-		say(Reply{Standing: &s, Syncs: l.disk.syncs.Load(), Written: l.disk.bytes.Load()})
+		s := l.node.Status()
+		say(Reply{Standing: &s, Syncs: l.writer.syncs.Load(), Written: l.writer.bytesWritten.Load()})
 	case "found":
-		l.look() // the view of now
-		if err := l.council.FoundLog(now, q.Names, q.Voters, q.Tokens, func(s leaselog.VoterSet, err error) {
+		l.updateMembers() // the view of now
+		if err := l.node.FoundLog(now, q.Names, q.Voters, q.Tokens, func(s leaselog.VoterSet, err error) {
 			r := Reply{Seats: &s}
 			if err != nil {
 				r.Error = err.Error()
@@ -108,21 +108,21 @@
 			fail(err)
 		}
 	case "list":
-		l.list(func(all []lease.Lease, m *leaselog.LocalReply) { say(Reply{Leases: all, Leader: m.From, Term: m.Term}) }, fail)
+		l.listLeases(func(all []lease.Lease, m *leaselog.LocalReply) { say(Reply{Leases: all, Leader: m.From, Term: m.Term}) }, fail)
 	case "force":
-		l.force(q, say, fail)
+		l.forceRelease(q, say, fail)
 	case "hand":
-		l.handOn(q, say, fail)
+		l.handOver(q, say, fail)
 	default:
 		fail(fmt.Errorf("%q is nothing that can be asked for", q.Do))
 	}
 }
 
 // list asks the leader which leases there are.
-func (l *Leases) list(done func([]lease.Lease, *leaselog.LocalReply), fail func(error)) {
+func (l *Leases) listLeases(done func([]lease.Lease, *leaselog.LocalReply), fail func(error)) {
 	pages := map[int][]lease.Lease{}
 	first := &leaselog.LocalReply{}
-	a := &asking{fail: fail, answer: func(m *leaselog.LocalReply) bool {
+	a := &query{onError: fail, onReply: func(m *leaselog.LocalReply) bool {
 		if m.Term != first.Term || m.From != first.From { // another leader's
 			first = m
 			clear(pages)
@@ -138,24 +138,24 @@
 		done(all, m)
 		return true
 	}}
-	a.send = func(try int) error { return l.council.RequestLeaseList(clock.Boot(), a.ref, try) }
-	l.ask(a)
+	a.send = func(try int) error { return l.node.RequestLeaseList(clock.Boot(), a.ref, try) }
+	l.startQuery(a)
 }
 
 // force takes a lease from who holds it now, and from nobody else if the word has to be said again.
-func (l *Leases) force(q *Request, say func(Reply), fail func(error)) {
-	l.list(func(all []lease.Lease, _ *leaselog.LocalReply) {
+func (l *Leases) forceRelease(q *Request, say func(Reply), fail func(error)) {
+	l.listLeases(func(all []lease.Lease, _ *leaselog.LocalReply) {
 		for i := range all {
 			if all[i].Name != q.Lease || all[i].Holder.Life == 0 {
 				continue
 			}
-			a := &asking{fail: fail, answer: func(m *leaselog.LocalReply) bool {
+			a := &query{onError: fail, onReply: func(m *leaselog.LocalReply) bool {
 				say(Reply{Answer: &m.Answer, Leader: m.From})
 				return true
 			}}
 			x := lease.Command{Op: lease.ForceRelease, Lease: q.Lease, Token: all[i].Token}
-			a.send = func(try int) error { return l.council.SendLeaseCommand(clock.Boot(), x, a.ref, try) }
-			l.ask(a)
+			a.send = func(try int) error { return l.node.SendLeaseCommand(clock.Boot(), x, a.ref, try) }
+			l.startQuery(a)
 			return
 		}
 		fail(fmt.Errorf("nobody holds %q", q.Lease))
@@ -163,18 +163,18 @@
 }
 
 // handOn has the tenant of this node that holds a lease give it to another node's waiter.
-func (l *Leases) handOn(q *Request, say func(Reply), fail func(error)) {
+func (l *Leases) handOver(q *Request, say func(Reply), fail func(error)) {
 	var own *lease.Client
-	for _, h := range l.tenants {
-		if h.tenant.Lease() == q.Lease && h.tenant.Phase() == lease.Holding {
-			own = h.tenant
+	for _, h := range l.sessions {
+		if h.client.Lease() == q.Lease && h.client.Phase() == lease.Holding {
+			own = h.client
 		}
 	}
 	if own == nil {
 		fail(fmt.Errorf("%q is not held at this node: ask the node that holds it", q.Lease))
 		return
 	}
-	l.list(func(all []lease.Lease, _ *leaselog.LocalReply) {
+	l.listLeases(func(all []lease.Lease, _ *leaselog.LocalReply) {
 		for i := range all {
 			if all[i].Name != q.Lease {
 				continue
@@ -194,7 +194,7 @@
 // serveHolder holds a lease for as long as the connection's user wants it. A connection that ends before its user has said
 // that it stopped leaves the lease to run out: nobody knows whether it still acts.
 func (l *Leases) serveHolder(ctx context.Context, c net.Conn, in *json.Decoder, q *Request) {
-	events := make(chan lease.Event, mostEvents)
+	events := make(chan lease.Event, eventBuffer)
 	var t *lease.Client
 	var wrong error
 	tell := func(e lease.Event) bool {
@@ -205,11 +205,11 @@
 			return false
 		}
 	}
-	if err := l.call(ctx, func() { t, wrong = l.hold(q.Lease, q.TTL, tell) }); err != nil || wrong != nil {
-		write(c, Reply{Error: errors.Join(err, wrong).Error()})
+	if err := l.call(ctx, func() { t, wrong = l.startSession(q.Lease, q.TTL, tell) }); err != nil || wrong != nil {
+		writeReply(c, Reply{Error: errors.Join(err, wrong).Error()})
 		return
 	}
-	if write(c, Reply{}) != nil { // it is asked for
+	if writeReply(c, Reply{}) != nil { // it is asked for
 		l.call(ctx, t.Abandon)
 		return
 	}
@@ -238,12 +238,12 @@
 		select {
 		case e := <-events:
 			over = e.Kind == lease.PhaseChanged && e.Phase == lease.Over
-			if write(c, Reply{Event: &e}) != nil {
+			if writeReply(c, Reply{Event: &e}) != nil {
 				over = true
 			}
 		case <-gone:
 			over = true
-		case <-l.ended:
+		case <-l.done:
 			over = true
 		}
 	}
--- a/internal/node/leases/keeper.go
+++ b/internal/node/leases/keeper.go
@@ -13,77 +13,77 @@
 )
 
 // keeper writes what the council wants saved, one thing after another, and goes on trying until it is written.
-type keeper struct {
-	fs       store.FS
-	ledger   *raftstore.Store
-	log      *slog.Logger
-	todo     chan *leaselog.PendingSave
-	again    chan struct{} // read all from the disk again
-	done     chan struct{}
-	reopened chan raftstore.Loaded
-	syncs    atomic.Int64
-	bytes    atomic.Int64
+type diskWriter struct {
+	fs             store.FS
+	store          *raftstore.Store
+	log            *slog.Logger
+	pending        chan *leaselog.PendingSave
+	reopenRequests chan struct{} // read all from the disk again
+	saved          chan struct{}
+	reopened       chan raftstore.Loaded
+	syncs          atomic.Int64
+	bytesWritten   atomic.Int64
 }
 
 // writeAgain is the wait after a write that failed.
-const writeAgain = 250 * time.Millisecond
+const writeRetryInterval = 250 * time.Millisecond
 
-func openKeeper(fs store.FS, log *slog.Logger) (*keeper, raftstore.Loaded) {
-	k := &keeper{
-		fs: fs, log: log, todo: make(chan *leaselog.PendingSave, 1), again: make(chan struct{}, 1), done: make(chan struct{}, 1),
+func openDiskWriter(fs store.FS, log *slog.Logger) (*diskWriter, raftstore.Loaded) {
+	k := &diskWriter{
+		fs: fs, log: log, pending: make(chan *leaselog.PendingSave, 1), reopenRequests: make(chan struct{}, 1), saved: make(chan struct{}, 1),
 		reopened: make(chan raftstore.Loaded, 1),
 	}
 	return k, k.open()
 }
 
-func (k *keeper) open() (found raftstore.Loaded) {
+func (k *diskWriter) open() (found raftstore.Loaded) {
 	s, report := store.Open(k.fs, raftstore.Settings())
-	k.ledger, found = raftstore.New(s, report)
+	k.store, found = raftstore.New(s, report)
 	return found
 }
 
 // put hands something over. What was handed over before must be done.
-func (k *keeper) put(s *leaselog.PendingSave) { k.todo <- s }
+func (k *diskWriter) submit(s *leaselog.PendingSave) { k.pending <- s }
 
 // reopen has everything read again, once what was handed over is written.
-func (k *keeper) reopen() {
+func (k *diskWriter) requestReopen() {
 	select {
-	case k.again <- struct{}{}:
+	case k.reopenRequests <- struct{}{}:
 	default:
 	}
 }
 
-func (k *keeper) run(ctx context.Context) {
+func (k *diskWriter) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-k.todo:
+		case s := <-k.pending:
 			if !k.save(ctx, s) {
 				return
 			}
-			k.done <- struct{}{}
-			k.tidy()
-		case <-k.again:
+			k.saved <- struct{}{}
+			k.compact()
+		case <-k.reopenRequests:
 			k.reopened <- k.open()
 		}
 	}
 }
 
 // save writes until it is written; false if the context ended before.
-func (k *keeper) save(ctx context.Context, s *leaselog.PendingSave) bool {
+func (k *diskWriter) save(ctx context.Context, s *leaselog.PendingSave) bool {
 	wrong := false
 	for {
 		var err error
 		if s.NewState != nil {
-			err = k.ledger.Reset(clock.Boot(), s.NewState, s.UserData)
+			err = k.store.Reset(clock.Boot(), s.NewState, s.UserData)
 		} else {
-			err = k.ledger.Save(clock.Boot(), &s.Update, s.UserData)
+			err = k.store.Save(clock.Boot(), &s.Update, s.UserData)
 		}
 		if err == nil {
-			st := k.ledger.Stats()
+			st := k.store.Stats()
 			k.syncs.Store(int64(st.Syncs))
-			k.bytes.Store(int64(st.Bytes))
+			k.bytesWritten.Store(int64(st.Bytes))
 			if wrong {
 				k.log.Info("the leases' disk takes writes again")
 			}
@@ -96,15 +96,15 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(writeAgain):
+		case <-time.After(writeRetryInterval):
 		}
 	}
 }
 
-func (k *keeper) tidy() {
+func (k *diskWriter) compact() {
 	for more := true; more; {
 		var err error
-		if more, err = k.ledger.Compact(clock.Boot()); err != nil {
+		if more, err = k.store.Compact(clock.Boot()); err != nil {
 			k.log.Warn("the leases' files could not be made shorter", "err", err)
 			return
 		}
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -43,32 +43,32 @@
 }
 
 const (
-	round      = 100 * time.Millisecond
-	tenantTick = 50 * time.Millisecond
-	inbox      = 1024
-	reopenWait = 5 * time.Second
-	dialWait   = 2 * time.Second
+	tickInterval        = 100 * time.Millisecond
+	sessionTickInterval = 50 * time.Millisecond
+	inboxSize           = 1024
+	reopenDelay         = 5 * time.Second
+	dialTimeout         = 2 * time.Second
 )
 
 // Leases is one node's part in the fleet's leases.
 type Leases struct {
-	set    Settings
-	fleet  Fleet
-	log    *slog.Logger
-	folder *disk.Folder
-	ctl    net.Listener
-	disk   *keeper
-	found  raftstore.Loaded
+	settings        Settings
+	fleet           Fleet
+	log             *slog.Logger
+	folder          *disk.Folder
+	controlListener net.Listener
+	writer          *diskWriter
+	loaded          raftstore.Loaded
 
-	in      chan *leaselog.Message
-	calls   chan func()
-	ended   chan struct{}
-	council *leaselog.Node // Run's, with all below
-	view    *membership.View
-	tenants map[uint64]*holding
-	asks    map[uint64]*asking
-	refs    uint64
-	seen    leaselog.StatusSummary
+	inbox      chan *leaselog.Message
+	calls      chan func()
+	done       chan struct{}
+	node       *leaselog.Node // Run's, with all below
+	view       *membership.View
+	sessions   map[uint64]*session
+	queries    map[uint64]*query
+	lastRef    uint64
+	lastStatus leaselog.StatusSummary
 	// The disk is read again: what the present council wants saved is not handed over any more.
 	reopening bool
 }
@@ -76,8 +76,8 @@
 // Open opens the folder and the operators' socket. It must be called before the members run.
 func Open(set Settings, fleet Fleet, log *slog.Logger) (_ *Leases, err error) {
 	l := &Leases{
-		set: set, fleet: fleet, log: log, in: make(chan *leaselog.Message, inbox), calls: make(chan func()), ended: make(chan struct{}),
-		tenants: map[uint64]*holding{}, asks: map[uint64]*asking{},
+		settings: set, fleet: fleet, log: log, inbox: make(chan *leaselog.Message, inboxSize), calls: make(chan func()), done: make(chan struct{}),
+		sessions: map[uint64]*session{}, queries: map[uint64]*query{},
 	}
 	defer func() {
 		if err != nil {
@@ -92,12 +92,12 @@
 	if set.WrapFS != nil {
 		fs = set.WrapFS(fs)
 	}
-	l.disk, l.found = openKeeper(fs, log)
-	l.begin()
-	if l.ctl, err = accept.ListenUnix(SocketPath(set.Folder), dialWait); err != nil {
+	l.writer, l.loaded = openDiskWriter(fs, log)
+	l.startNode()
+	if l.controlListener, err = accept.ListenUnix(SocketPath(set.Folder), dialTimeout); err != nil {
 		return nil, err
 	}
-	fleet.OnMessage(wire.TopicLease, l.take)
+	fleet.OnMessage(wire.TopicLease, l.receive)
 	return l, nil
 }
 
@@ -105,19 +105,19 @@
 func SocketPath(folder string) string { return filepath.Join(folder, "leases.sock") }
 
 // begin makes a council of what the disk holds.
-func (l *Leases) begin() {
-	if l.found.DistrustReason != "" {
-		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.found.State.ID), "why", l.found.DistrustReason)
+func (l *Leases) startNode() {
+	if l.loaded.DistrustReason != "" {
+		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.loaded.State.ID), "why", l.loaded.DistrustReason)
 	}
-	set := leaselog.Settings{Name: l.set.Name, Site: l.set.Site, ReplaceAfter: l.set.ReplaceAfter}
-	set.Consensus.TickInterval = round
-	l.council = leaselog.New(set, &l.found.State, l.found.UserData, l.found.DistrustReason, rand.Uint64(), clock.Boot())
+	set := leaselog.Settings{Name: l.settings.Name, Site: l.settings.Site, ReplaceAfter: l.settings.ReplaceAfter}
+	set.Consensus.TickInterval = tickInterval
+	l.node = leaselog.New(set, &l.loaded.State, l.loaded.UserData, l.loaded.DistrustReason, rand.Uint64(), clock.Boot())
 	l.view, l.reopening = nil, false
 }
 
 func (l *Leases) close() {
-	if l.ctl != nil {
-		l.ctl.Close()
+	if l.controlListener != nil {
+		l.controlListener.Close()
 	}
 	if l.folder != nil {
 		if err := l.folder.Close(); err != nil {
@@ -127,7 +127,7 @@
 }
 
 // take reads what came by the members' sockets.
-func (l *Leases) take(body []byte) {
+func (l *Leases) receive(body []byte) {
 	m, err := leaselog.ParseMessage(body)
 	if err != nil {
 		return // of another version, or made up
@@ -136,7 +136,7 @@
 		l.fleet.LearnAddress(m.From, at)
 	}
 	select {
-	case l.in <- m:
+	case l.inbox <- m:
 	default: // it comes again, or is asked for again
 	}
 }
@@ -145,19 +145,19 @@
 func (l *Leases) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	var parts sync.WaitGroup
-	defer close(l.ended)
+	defer close(l.done)
 	defer l.close()
 	defer parts.Wait()
-	defer l.ctl.Close()
+	defer l.controlListener.Close()
 	defer stop()
-	parts.Go(func() { l.disk.run(ctx) })
+	parts.Go(func() { l.writer.run(ctx) })
 	parts.Go(func() {
-		accept.Serve(ctx, l.ctl, accept.Limits{MaxConnections: mostOperators}, func(c net.Conn) { l.operator(ctx, c) })
+		accept.Serve(ctx, l.controlListener, accept.Limits{MaxConnections: maxOperatorConnections}, func(c net.Conn) { l.serveConnection(ctx, c) })
 	})
-	defer l.disband()
-	tick := time.NewTicker(round)
+	defer l.abandonSessions()
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	quick := time.NewTicker(tenantTick)
+	quick := time.NewTicker(sessionTickInterval)
 	defer quick.Stop()
 	ticks := true
 	reopen := time.NewTimer(0)
@@ -168,53 +168,53 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			l.look()
-			l.council.Tick(clock.Boot())
-			l.timeouts()
+			l.updateMembers()
+			l.node.Tick(clock.Boot())
+			l.retryQueries()
 		case <-quick.C:
-			l.turn()
-			if len(l.tenants) == 0 {
+			l.tickSessions()
+			if len(l.sessions) == 0 {
 				quick.Stop() // until there are some again
 				ticks = false
 			}
-		case m := <-l.in:
-			l.council.Receive(clock.Boot(), m)
+		case m := <-l.inbox:
+			l.node.Receive(clock.Boot(), m)
 			for more := true; more; { // what came meanwhile goes into one entry
 				select {
-				case m := <-l.in:
-					l.council.Receive(clock.Boot(), m)
+				case m := <-l.inbox:
+					l.node.Receive(clock.Boot(), m)
 				default:
 					more = false
 				}
 			}
 		case do := <-l.calls:
 			do()
-			l.turn()
-		case <-l.disk.done:
-			l.council.Saved(clock.Boot())
-		case l.found = <-l.disk.reopened:
-			l.begin()
+			l.tickSessions()
+		case <-l.writer.saved:
+			l.node.Saved(clock.Boot())
+		case l.loaded = <-l.writer.reopened:
+			l.startNode()
 		case <-reopen.C:
-			if l.council.Busy() { // what is under way is written first
-				reopen.Reset(round)
+			if l.node.Busy() { // what is under way is written first
+				reopen.Reset(tickInterval)
 				continue
 			}
 			l.reopening = true
-			l.disk.reopen()
+			l.writer.requestReopen()
 		}
-		if len(l.tenants) > 0 && !ticks {
-			quick.Reset(tenantTick)
+		if len(l.sessions) > 0 && !ticks {
+			quick.Reset(sessionTickInterval)
 			ticks = true
 		}
-		l.carry()
-		if l.note() {
-			reopen.Reset(reopenWait)
+		l.flush()
+		if l.logChanges() {
+			reopen.Reset(reopenDelay)
 		}
 	}
 }
 
 // look takes the present view.
-func (l *Leases) look() {
+func (l *Leases) updateMembers() {
 	v := l.fleet.View()
 	if v == l.view && v != nil {
 		return
@@ -228,23 +228,23 @@
 			members[m.Name] = leaselog.Member{Site: m.Site, Addr: m.Addr.String()}
 		}
 	}
-	l.council.SetMembers(clock.Boot(), members)
+	l.node.SetMembers(clock.Boot(), members)
 }
 
 // save hands over what must be on the disk.
-func (l *Leases) save() {
+func (l *Leases) submitSave() {
 	if l.reopening {
 		return
 	}
-	if s := l.council.TakeSave(); s != nil {
-		l.disk.put(s)
+	if s := l.node.TakeSave(); s != nil {
+		l.writer.submit(s)
 	}
 }
 
 // carry does what the council wants done.
-func (l *Leases) carry() {
-	l.save()
-	outs, told := l.council.TakeOutgoing()
+func (l *Leases) flush() {
+	l.submitSave()
+	outs, told := l.node.TakeOutgoing()
 	for len(outs)+len(told) > 0 {
 		for i := range outs {
 			outs[i].Message.Addr = l.fleet.Address().String()
@@ -257,21 +257,21 @@
 			l.fleet.Send(outs[i].To, at, wire.TopicLease, b)
 		}
 		for i := range told {
-			l.told(&told[i])
+			l.handleReply(&told[i])
 		}
-		outs, told = l.council.TakeOutgoing()
+		outs, told = l.node.TakeOutgoing()
 	}
-	l.save()
+	l.submitSave()
 }
 
 // note logs what has changed, and tells whether the council must be made anew from the disk.
-func (l *Leases) note() (reopen bool) {
-	now, was := l.council.StatusSummary(), l.seen
+func (l *Leases) logChanges() (reopen bool) {
+	now, was := l.node.StatusSummary(), l.lastStatus
 	if now == was {
 		return false
 	}
-	l.seen = now
-	s := l.council.Status()
+	l.lastStatus = now
+	s := l.node.Status()
 	if now.IsLeader != was.IsLeader {
 		l.log.Info("the leases' log", "leads", now.IsLeader, "term", s.Term)
 	}
@@ -303,7 +303,7 @@
 	done := make(chan struct{})
 	select {
 	case l.calls <- func() { do(); close(done) }:
-	case <-l.ended:
+	case <-l.done:
 		return errors.New("the node ends")
 	case <-ctx.Done():
 		return ctx.Err()
@@ -318,16 +318,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	if l.call(ctx, func() {
-		for _, h := range l.tenants {
-			h.tenant.Stop(clock.Boot(), lease.Holder{})
+		for _, h := range l.sessions {
+			h.client.Stop(clock.Boot(), lease.Holder{})
 		}
 	}) != nil {
 		return
 	}
-	look := time.NewTicker(tenantTick)
+	look := time.NewTicker(sessionTickInterval)
 	defer look.Stop()
 	for left := 1; left > 0; {
-		if l.call(ctx, func() { left = len(l.tenants) }) != nil {
+		if l.call(ctx, func() { left = len(l.sessions) }) != nil {
 			break
 		}
 		if left == 0 {
@@ -339,12 +339,12 @@
 			left = 0
 		}
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), round)
+	ctx, cancel = context.WithTimeout(context.Background(), tickInterval)
 	defer cancel()
-	if l.call(ctx, func() { l.council.Leave(clock.Boot()) }) == nil {
+	if l.call(ctx, func() { l.node.Leave(clock.Boot()) }) == nil {
 		select { // a moment for the word to leave
-		case <-time.After(round / 2):
-		case <-l.ended:
+		case <-time.After(tickInterval / 2):
+		case <-l.done:
 		}
 	}
 }
--- a/internal/node/members/bind.go
+++ b/internal/node/members/bind.go
@@ -9,7 +9,7 @@
 )
 
 // bindTries bounds the search for a port that is free for both protocols.
-const bindTries = 16
+const maxBindAttempts = 16
 
 // bind opens a UDP and a TCP socket at one address. A port that the system chooses for UDP may be taken for TCP: then another
 // one is tried. A port that is named is tried once.
@@ -24,7 +24,7 @@
 			return udp, tcp, nil
 		}
 		udp.Close()
-		if at.Port() != 0 || tries == bindTries || !errors.Is(err, syscall.EADDRINUSE) {
+		if at.Port() != 0 || tries == maxBindAttempts || !errors.Is(err, syscall.EADDRINUSE) {
 			return nil, nil, fmt.Errorf("members: %w", err)
 		}
 	}
--- a/internal/node/members/bind_test.go
+++ b/internal/node/members/bind_test.go
@@ -19,7 +19,7 @@
 	}{
 		"free at once":    {anyPort, 0, 1, true},
 		"taken twice":     {anyPort, 2, 3, true},
-		"always taken":    {anyPort, 1000, bindTries, false},
+		"always taken":    {anyPort, 1000, maxBindAttempts, false},
 		"taken and named": {named, 1, 1, false},
 	} {
 		tried, offered := 0, uint16(0)
--- a/internal/node/members/control.go
+++ b/internal/node/members/control.go
@@ -26,8 +26,8 @@
 }
 
 // control answers operators: whoever connects gets the report, and the end.
-func (m *Members) control(ctx context.Context) {
-	accept.Serve(ctx, m.ctl, accept.Limits{MaxConnections: mostAsking, ConnectionTimeout: controlWait}, func(c net.Conn) {
+func (m *Members) serveControl(ctx context.Context) {
+	accept.Serve(ctx, m.controlListener, accept.Limits{MaxConnections: maxControlConnections, ConnectionTimeout: controlTimeout}, func(c net.Conn) {
 		r, err := m.Report(ctx)
 		if err == nil {
 			json.NewEncoder(c).Encode(r)
@@ -36,23 +36,23 @@
 }
 
 // mostAsking is how many operators may ask at once.
-const mostAsking = 4
+const maxControlConnections = 4
 
 // Report asks the node what it knows.
 func (m *Members) Report(ctx context.Context) (Report, error) {
 	r := Report{
-		Fleet: m.set.Fleet, Sent: m.counts.Datagrams.Load(), Bytes: m.counts.Bytes.Load(),
-		Received: m.counts.Received.Load(), Dropped: m.counts.Dropped.Load(),
-		Passed: m.counts.Malformed.Load() + m.counts.BadChecksum.Load() + m.counts.OtherFleet.Load() + m.counts.OtherVersion.Load(),
+		Fleet: m.settings.Fleet, Sent: m.counters.Datagrams.Load(), Bytes: m.counters.Bytes.Load(),
+		Received: m.counters.Received.Load(), Dropped: m.counters.Dropped.Load(),
+		Passed: m.counters.Malformed.Load() + m.counters.BadChecksum.Load() + m.counters.OtherFleet.Load() + m.counters.OtherVersion.Load(),
 	}
 	err := m.call(ctx, func(n *membership.Node, now time.Duration) {
-		r.Standing, r.Pools = n.Status(now), m.dealer.PoolStatuses(now)
+		r.Standing, r.Pools = n.Status(now), m.allocator.PoolStatuses(now)
 	})
 	return r, err
 }
 
 // mostReport bounds a node's answer.
-const mostReport = 16 << 20
+const maxReportBytes = 16 << 20
 
 // Ask asks the node that keeps its state in a folder.
 func RequestReport(ctx context.Context, folder string) (Report, error) {
@@ -63,8 +63,8 @@
 		return r, fmt.Errorf("no node answers in %s, or its settings have no [members]: %w", folder, err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(2 * controlWait))
-	if err := json.NewDecoder(io.LimitReader(c, mostReport)).Decode(&r); err != nil {
+	c.SetDeadline(time.Now().Add(2 * controlTimeout))
+	if err := json.NewDecoder(io.LimitReader(c, maxReportBytes)).Decode(&r); err != nil {
 		return r, fmt.Errorf("the node's answer: %w", err)
 	}
 	return r, nil
--- a/internal/node/members/keep.go
+++ b/internal/node/members/keep.go
@@ -15,61 +15,61 @@
 )
 
 // kept is what of a life is of use to the next one.
-type kept struct {
+type savedState struct {
 	Incarnation uint64
 	Number      uint64 // of the last view
 	Known       []netip.AddrPort
 }
 
 const (
-	tableSelf = 1
-	rowSelf   = "self"
-	mostKnown = 1024 // members; their row takes up to 56 kB of the 64 that a store's row holds
-	keepBytes = 1 << 20
+	tableSelf         = 1
+	rowSelf           = "self"
+	maxKnownAddresses = 1024 // members; their row takes up to 56 kB of the 64 that a store's row holds
+	maxStateBytes     = 1 << 20
 )
 
 // keep writes what is kept, the newest alone, on a goroutine of its own.
-type keep struct {
+type stateWriter struct {
 	log    *slog.Logger
 	clock  clock.Clock
 	folder *disk.Folder
 	store  *store.Store // run's, once it runs
-	found  kept
+	loaded savedState
 
-	mu   sync.Mutex
-	next *kept // nil: all is written
-	wake chan struct{}
+	mu      sync.Mutex
+	pending *savedState // nil: all is written
+	wake    chan struct{}
 }
 
-func openKeep(path string, c clock.Clock, log *slog.Logger) (*keep, error) {
+func openState(path string, c clock.Clock, log *slog.Logger) (*stateWriter, error) {
 	folder, err := disk.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	s, report := store.Open(folder, store.Settings{MaxRows: 16, MaxBytes: keepBytes})
+	s, report := store.Open(folder, store.Settings{MaxRows: 16, MaxBytes: maxStateBytes})
 	if len(report.Notes) > 0 || report.DamagedBytes > 0 || report.NoSnapshot {
 		log.Warn("what was kept of the members is damaged; what is sound of it is used", "report", report.String())
 	}
-	k := &keep{log: log, clock: c, folder: folder, store: s, wake: make(chan struct{}, 1)}
+	k := &stateWriter{log: log, clock: c, folder: folder, store: s, wake: make(chan struct{}, 1)}
 	if b := s.Get(tableSelf, rowSelf); b != nil {
-		if err := json.Unmarshal(b, &k.found); err != nil {
+		if err := json.Unmarshal(b, &k.loaded); err != nil {
 			log.Warn("what was kept of the members makes no sense; the node starts without", "err", err)
-			k.found = kept{}
+			k.loaded = savedState{}
 		}
 	}
 	return k, nil
 }
 
 // last is what the life before left.
-func (k *keep) last() kept { return k.found }
+func (k *stateWriter) previous() savedState { return k.loaded }
 
 // set takes what is to be kept from now on. It does not wait.
-func (k *keep) set(x kept) {
+func (k *stateWriter) save(x savedState) {
 	k.mu.Lock()
-	if x.Known == nil && k.next != nil { // while seeking there is nobody new to remember
-		x.Known, x.Number = k.next.Known, max(x.Number, k.next.Number)
+	if x.Known == nil && k.pending != nil { // while seeking there is nobody new to remember
+		x.Known, x.Number = k.pending.Known, max(x.Number, k.pending.Number)
 	}
-	k.next = &x
+	k.pending = &x
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
@@ -78,8 +78,8 @@
 }
 
 // run writes until the context ends.
-func (k *keep) run(ctx context.Context) {
-	had := k.found
+func (k *stateWriter) run(ctx context.Context) {
+	had := k.loaded
 	for {
 		select {
 		case <-ctx.Done():
@@ -91,10 +91,10 @@
 	}
 }
 
-func (k *keep) write(had *kept) {
+func (k *stateWriter) write(had *savedState) {
 	k.mu.Lock()
-	x := k.next
-	k.next = nil
+	x := k.pending
+	k.pending = nil
 	k.mu.Unlock()
 	if x == nil {
 		return
@@ -122,11 +122,11 @@
 	*had = *x
 }
 
-func (k *keep) close() {
+func (k *stateWriter) close() {
 	if err := k.folder.Close(); err != nil {
 		k.log.Warn("closing the members' folder", "err", err)
 	}
 }
 
 // controlWait bounds how long an operator's connection may take.
-const controlWait = 2 * time.Second
+const controlTimeout = 2 * time.Second
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -37,38 +37,38 @@
 }
 
 const (
-	round       = 100 * time.Millisecond
-	watchers    = 10
-	inbox       = 8192 // messages that wait for the goroutine: of as many nodes at once
-	mostStreams = 8    // at once, in each direction
-	streamWait  = 3 * time.Second
+	gossipInterval    = 100 * time.Millisecond
+	watchersPerMember = 10
+	inboxSize         = 8192 // messages that wait for the goroutine: of as many nodes at once
+	maxStreams        = 8    // at once, in each direction
+	streamTimeout     = 3 * time.Second
 )
 
 // Members is one node's part in the membership of its fleet.
 type Members struct {
-	set   Settings
-	fleet uint32
-	log   *slog.Logger
-	clock clock.Clock
-	udp   *net.UDPConn
-	tcp   *net.TCPListener
-	keep  *keep        // nil: nothing is kept
-	ctl   net.Listener // nil: nobody asks
+	settings        Settings
+	fleetNumber     uint32
+	log             *slog.Logger
+	clock           clock.Clock
+	udp             *net.UDPConn
+	tcp             *net.TCPListener
+	stateWriter     *stateWriter // nil: nothing is kept
+	controlListener net.Listener // nil: nobody asks
 
-	in      chan *membership.Message
-	calls   chan func(*membership.Node, time.Duration)
-	ended   chan struct{}
-	streams chan struct{} // a place for each that goes out
-	view    atomic.Pointer[membership.View]
-	dealer  *allowance.Allocator                  // Run's
-	claims  chan *claim                           // to be sent
-	granted func(from uint64, g *allowance.Grant) // nil: nobody waits for grants
-	loads   chan *load                            // to be sent, for others that use the sockets
-	takers  map[uint32]func(body []byte)          // of carried messages, by topic
-	book    map[string]netip.AddrPort             // Run's: where each name was last, as views said
-	beat    atomic.Int64                          // when Run last ticked
-	stood   atomic.Int64                          // when it found that the process had stood still
-	counts  TrafficCounters
+	inbox       chan *membership.Message
+	calls       chan func(*membership.Node, time.Duration)
+	done        chan struct{}
+	streamSlots chan struct{} // a place for each that goes out
+	view        atomic.Pointer[membership.View]
+	allocator   *allowance.Allocator                  // Run's
+	claims      chan *outgoingClaim                   // to be sent
+	onGrant     func(from uint64, g *allowance.Grant) // nil: nobody waits for grants
+	payloads    chan *outgoingPayload                 // to be sent, for others that use the sockets
+	handlers    map[uint32]func(body []byte)          // of carried messages, by topic
+	addresses   map[string]netip.AddrPort             // Run's: where each name was last, as views said
+	lastTick    atomic.Int64                          // when Run last ticked
+	pausedAt    atomic.Int64                          // when it found that the process had stood still
+	counters    TrafficCounters
 }
 
 // Counts is what passed the sockets.
@@ -81,13 +81,13 @@
 // Open binds the addresses and reads what was kept.
 func Open(set Settings, c clock.Clock, log *slog.Logger) (_ *Members, err error) {
 	m := &Members{
-		set: set, fleet: wire.FleetNumber(set.Fleet), log: log, clock: c,
-		in: make(chan *membership.Message, inbox), calls: make(chan func(*membership.Node, time.Duration)),
-		ended: make(chan struct{}), streams: make(chan struct{}, mostStreams),
-		dealer: allowance.NewAllocator(allowance.Settings{Window: set.ColdWindow}), claims: make(chan *claim, mostClaims),
-		loads: make(chan *load, mostLoads), takers: map[uint32]func([]byte){}, book: map[string]netip.AddrPort{},
+		settings: set, fleetNumber: wire.FleetNumber(set.Fleet), log: log, clock: c,
+		inbox: make(chan *membership.Message, inboxSize), calls: make(chan func(*membership.Node, time.Duration)),
+		done: make(chan struct{}), streamSlots: make(chan struct{}, maxStreams),
+		allocator: allowance.NewAllocator(allowance.Settings{Window: set.ColdWindow}), claims: make(chan *outgoingClaim, maxQueuedClaims),
+		payloads: make(chan *outgoingPayload, maxQueuedPayloads), handlers: map[uint32]func([]byte){}, addresses: map[string]netip.AddrPort{},
 	}
-	m.beat.Store(int64(c.StartedAt())) // it may stand still from its first moment on
+	m.lastTick.Store(int64(c.StartedAt())) // it may stand still from its first moment on
 	defer func() {
 		if err != nil {
 			m.close()
@@ -97,16 +97,16 @@
 		return nil, err
 	}
 	at := m.udp.LocalAddr().(*net.UDPAddr).AddrPort()
-	if !m.set.Advertise.IsValid() {
-		m.set.Advertise = at
+	if !m.settings.Advertise.IsValid() {
+		m.settings.Advertise = at
 	}
 	if set.Folder == "" {
 		return m, nil
 	}
-	if m.keep, err = openKeep(filepath.Join(set.Folder, "members"), c, log); err != nil {
+	if m.stateWriter, err = openState(filepath.Join(set.Folder, "members"), c, log); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	if m.ctl, err = accept.ListenUnix(SocketPath(set.Folder), controlWait); err != nil {
+	if m.controlListener, err = accept.ListenUnix(SocketPath(set.Folder), controlTimeout); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	return m, nil
@@ -122,16 +122,16 @@
 	if m.tcp != nil {
 		m.tcp.Close()
 	}
-	if m.ctl != nil {
-		m.ctl.Close()
+	if m.controlListener != nil {
+		m.controlListener.Close()
 	}
-	if m.keep != nil {
-		m.keep.close()
+	if m.stateWriter != nil {
+		m.stateWriter.close()
 	}
 }
 
 // Address is where the others send to.
-func (m *Members) Address() netip.AddrPort { return m.set.Advertise }
+func (m *Members) Address() netip.AddrPort { return m.settings.Advertise }
 
 // View is the present view; nil while the node is in none. Any goroutine may call it.
 func (m *Members) View() *membership.View { return m.view.Load() }
@@ -140,71 +140,71 @@
 func (m *Members) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	var parts sync.WaitGroup
-	defer close(m.ended)
+	defer close(m.done)
 	defer parts.Wait()
 	defer m.close()
 	defer stop()
 	parts.Go(m.readDatagrams)
-	parts.Go(func() { m.accept(ctx) })
-	if m.ctl != nil {
-		parts.Go(func() { m.control(ctx) })
+	parts.Go(func() { m.acceptStreams(ctx) })
+	if m.controlListener != nil {
+		parts.Go(func() { m.serveControl(ctx) })
 	}
 	set := membership.Settings{
-		Self:  membership.Member{Name: m.set.Name, Site: m.set.Site, Addr: m.set.Advertise},
-		Seeds: m.set.Seeds, GossipInterval: round, WatchersPerMember: watchers,
+		Self:  membership.Member{Name: m.settings.Name, Site: m.settings.Site, Addr: m.settings.Advertise},
+		Seeds: m.settings.Seeds, GossipInterval: gossipInterval, WatchersPerMember: watchersPerMember,
 	}
-	if m.keep != nil {
-		k := m.keep.last()
+	if m.stateWriter != nil {
+		k := m.stateWriter.previous()
 		set.Incarnation, set.LastViewNumber, set.KnownAddrs = k.Incarnation, k.Number, k.Known
-		parts.Go(func() { m.keep.run(ctx) })
+		parts.Go(func() { m.stateWriter.run(ctx) })
 	}
 	n := membership.New(set, rand.Uint64(), m.clock.Now())
-	m.carry(ctx, n, &parts)
-	tick := time.NewTicker(round)
+	m.flush(ctx, n, &parts)
+	tick := time.NewTicker(gossipInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			m.tick(m.clock.Now())
+			m.detectPause(m.clock.Now())
 			n.Tick(m.clock.Now())
-		case x := <-m.in:
+		case x := <-m.inbox:
 			if x.Kind == membership.Payload {
-				m.send(ctx, m.carried(n, x), &parts)
+				m.send(ctx, m.handlePayload(n, x), &parts)
 				continue
 			}
 			n.Receive(m.clock.Now(), x)
 		case c := <-m.claims:
-			m.send(ctx, m.sendClaim(n, c), &parts)
+			m.send(ctx, m.deliverClaim(n, c), &parts)
 			continue
-		case c := <-m.loads:
-			m.send(ctx, m.loaded(n, c), &parts)
+		case c := <-m.payloads:
+			m.send(ctx, m.addressPayload(n, c), &parts)
 			continue
 		case do := <-m.calls:
 			do(n, m.clock.Now())
 		}
-		m.carry(ctx, n, &parts)
+		m.flush(ctx, n, &parts)
 	}
 }
 
 const (
-	stoodFrom = 4 * round  // without a tick
-	stoodFor  = 10 * round // after it: what came meanwhile is taken in
+	pauseThreshold = 4 * gossipInterval  // without a tick
+	pauseRecovery  = 10 * gossipInterval // after it: what came meanwhile is taken in
 )
 
 // tick finds out whether the process has stood still.
-func (m *Members) tick(now time.Duration) {
-	if now-time.Duration(m.beat.Load()) > stoodFrom {
-		m.stood.Store(int64(now))
+func (m *Members) detectPause(now time.Duration) {
+	if now-time.Duration(m.lastTick.Load()) > pauseThreshold {
+		m.pausedAt.Store(int64(now))
 	}
-	m.beat.Store(int64(now))
+	m.lastTick.Store(int64(now))
 }
 
 // Stood tells whether this process stands still by what is known now, or has a moment ago. Any goroutine may call it.
 func (m *Members) RecentlyPaused() bool {
-	now, beat, stood := m.clock.Now(), time.Duration(m.beat.Load()), time.Duration(m.stood.Load())
-	return now-beat > stoodFrom || stood > 0 && now-stood < stoodFor
+	now, beat, stood := m.clock.Now(), time.Duration(m.lastTick.Load()), time.Duration(m.pausedAt.Load())
+	return now-beat > pauseThreshold || stood > 0 && now-stood < pauseRecovery
 }
 
 // call runs something on the goroutine that owns the node.
@@ -212,7 +212,7 @@
 	done := make(chan struct{})
 	select {
 	case m.calls <- func(n *membership.Node, now time.Duration) { do(n, now); close(done) }:
-	case <-m.ended:
+	case <-m.done:
 		return errors.New("the membership has ended")
 	case <-ctx.Done():
 		return ctx.Err()
@@ -228,7 +228,7 @@
 	if m.call(ctx, func(n *membership.Node, now time.Duration) { n.Leave(now, patience) }) != nil {
 		return
 	}
-	look := time.NewTicker(round / 4)
+	look := time.NewTicker(gossipInterval / 4)
 	defer look.Stop()
 	for gone := false; !gone; {
 		select {
@@ -243,11 +243,11 @@
 }
 
 // carry sends what the node wants sent, and tells what happened.
-func (m *Members) carry(ctx context.Context, n *membership.Node, parts *sync.WaitGroup) {
+func (m *Members) flush(ctx context.Context, n *membership.Node, parts *sync.WaitGroup) {
 	sends, events := n.TakeOutput()
 	m.send(ctx, sends, parts)
 	for _, e := range events {
-		m.note(n, e)
+		m.handleEvent(n, e)
 	}
 }
 
@@ -256,37 +256,37 @@
 	var buf []byte
 	for _, s := range sends {
 		to := s.To
-		if via, ok := m.set.RouteVia[to]; ok {
+		if via, ok := m.settings.RouteVia[to]; ok {
 			to = via
 		}
-		buf = wire.Append(buf[:0], m.fleet, s.Message)
+		buf = wire.Append(buf[:0], m.fleetNumber, s.Message)
 		if !s.Stream && len(buf) <= wire.MaxDatagram {
 			if _, err := m.udp.WriteToUDPAddrPort(buf, to); err == nil {
-				m.counts.Datagrams.Add(1)
-				m.counts.Bytes.Add(int64(len(buf)))
+				m.counters.Datagrams.Add(1)
+				m.counters.Bytes.Add(int64(len(buf)))
 			}
 			continue
 		}
 		select {
-		case m.streams <- struct{}{}:
+		case m.streamSlots <- struct{}{}:
 		default:
 			continue // it is asked for again
 		}
 		b := append([]byte(nil), buf...)
 		parts.Go(func() {
-			defer func() { <-m.streams }()
-			m.stream(ctx, to, b)
+			defer func() { <-m.streamSlots }()
+			m.sendStream(ctx, to, b)
 		})
 	}
 }
 
 // note logs an event, and keeps what is to outlive a restart.
-func (m *Members) note(n *membership.Node, e membership.Event) {
+func (m *Members) handleEvent(n *membership.Node, e membership.Event) {
 	switch e.Kind {
 	case membership.ViewChanged:
 		m.log.Info("the members have changed", "view", e.View.Number, "members", len(e.View.Members), "why", e.Detail)
 	case membership.Founded:
-		m.log.Info("this node founds the fleet", "fleet", m.set.Fleet, "view", e.View.Number)
+		m.log.Info("this node founds the fleet", "fleet", m.settings.Fleet, "view", e.View.Number)
 	case membership.Evicted:
 		m.log.Warn("this life is not among the members any more; a new one begins", "view", e.View.Number, "why", e.Detail)
 	case membership.Accused:
@@ -302,21 +302,21 @@
 	}
 	m.view.Store(n.View())
 	if v := n.View(); v != nil {
-		m.enter(v)
+		m.recordAddresses(v)
 	}
-	if m.keep == nil {
+	if m.stateWriter == nil {
 		return
 	}
-	k := kept{Incarnation: n.Self().Incarnation}
+	k := savedState{Incarnation: n.Self().Incarnation}
 	if v := n.View(); v != nil {
-		k.Number, k.Known = v.Number, someKnown(v)
+		k.Number, k.Known = v.Number, sampleAddresses(v)
 	}
-	m.keep.set(k)
+	m.stateWriter.save(k)
 }
 
 // someKnown are members to remember: all, or of more than are kept as many, from all over the view.
-func someKnown(v *membership.View) []netip.AddrPort {
-	some := make([]netip.AddrPort, min(mostKnown, len(v.Members)))
+func sampleAddresses(v *membership.View) []netip.AddrPort {
+	some := make([]netip.AddrPort, min(maxKnownAddresses, len(v.Members)))
 	for i := range some {
 		some[i] = v.Members[i*len(v.Members)/len(some)].Addr
 	}
--- a/internal/node/members/pool.go
+++ b/internal/node/members/pool.go
@@ -7,70 +7,70 @@
 )
 
 // mostClaims are claims that wait to be sent: as many nodes may deal, and one claim names a few servers.
-const mostClaims = 8192
+const maxQueuedClaims = 8192
 
 // claim is one on its way to a member.
-type claim struct {
-	to    uint64 // its life
+type outgoingClaim struct {
+	life  uint64 // its life
 	claim allowance.Claim
 }
 
 // Claim sends a claim to a member. It does not wait: what does not fit is lost, as on the way.
 func (m *Members) SendClaim(to uint64, c allowance.Claim) {
 	select {
-	case m.claims <- &claim{to, c}:
+	case m.claims <- &outgoingClaim{to, c}:
 	default:
-		m.counts.Dropped.Add(1)
+		m.counters.Dropped.Add(1)
 	}
 }
 
 // OnGrant has grants handed over as they come; it must not wait for Run. It must be called before Run.
-func (m *Members) OnGrant(take func(from uint64, g *allowance.Grant)) { m.granted = take }
+func (m *Members) OnGrant(take func(from uint64, g *allowance.Grant)) { m.onGrant = take }
 
 // sendClaim brings a claim to its dealer: by the network, or to this node's own.
-func (m *Members) sendClaim(n *membership.Node, c *claim) []membership.Outgoing {
-	if c.to == n.Self().Life {
-		if g, ok := m.dealer.HandleClaim(m.clock.Now(), &c.claim); ok && m.granted != nil {
-			m.granted(c.to, &g)
+func (m *Members) deliverClaim(n *membership.Node, c *outgoingClaim) []membership.Outgoing {
+	if c.life == n.Self().Life {
+		if g, ok := m.allocator.HandleClaim(m.clock.Now(), &c.claim); ok && m.onGrant != nil {
+			m.onGrant(c.life, &g)
 		}
 		return nil
 	}
-	return m.carryTo(n, c.to, wire.TopicClaim, wire.AppendClaim(nil, &c.claim))
+	return m.payloadTo(n, c.life, wire.TopicClaim, wire.AppendClaim(nil, &c.claim))
 }
 
 // carried takes a message that is not the membership's own.
-func (m *Members) carried(n *membership.Node, x *membership.Message) []membership.Outgoing {
+func (m *Members) handlePayload(n *membership.Node, x *membership.Message) []membership.Outgoing {
 	switch x.Topic {
 	case wire.TopicClaim:
 		c, err := wire.ParseClaim(x.Body)
 		if err != nil {
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 			return nil
 		}
-		if g, ok := m.dealer.HandleClaim(m.clock.Now(), c); ok {
-			return m.carryTo(n, x.SenderLife, wire.TopicGrant, wire.AppendGrant(nil, &g))
+		if g, ok := m.allocator.HandleClaim(m.clock.Now(), c); ok {
+			return m.payloadTo(n, x.SenderLife, wire.TopicGrant, wire.AppendGrant(nil, &g))
 		}
 	case wire.TopicGrant:
 		g, err := wire.ParseGrant(x.Body)
 		if err != nil {
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 			return nil
 		}
-		if m.granted != nil {
-			m.granted(x.SenderLife, g)
+		if m.onGrant != nil {
+			m.onGrant(x.SenderLife, g)
 		}
 	default:
-		if take := m.takers[x.Topic]; take != nil {
+		if take := m.handlers[x.Topic]; take != nil {
 			take(x.Body)
 		} else { // of a later version, or of what is off here
-			m.counts.OtherVersion.Add(1)
+			m.counters.OtherVersion.Add(1)
 		}
 	}
 	return nil
 }
 
 // carryTo addresses something to a life; to none, if it is no member here.
-func (m *Members) carryTo(n *membership.Node, life uint64, topic uint32, body []byte) []membership.Outgoing {
+func (m *Members) payloadTo(n *membership.Node, life uint64, topic uint32, body []byte) []membership.Outgoing {
 	v := n.View()
 	if v == nil {
 		return nil
--- a/internal/node/members/size_test.go
+++ b/internal/node/members/size_test.go
@@ -26,7 +26,7 @@
 		at := netip.MustParseAddrPort(fmt.Sprintf("[2001:db8:1111:2222:3333:4444:5555:%x]:65535", 0x1000+i))
 		all = append(all, membership.Member{Name: fmt.Sprint("n", i), Addr: at, Life: uint64(i) + 1, Incarnation: 1})
 	}
-	v, err := membership.NewView(9, 1, all, watchers)
+	v, err := membership.NewView(9, 1, all, watchersPerMember)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,13 +41,13 @@
 	}
 	defer m.close()
 	for i := range plannedSize {
-		m.take(wire.Append(nil, m.fleet, &membership.Message{Kind: membership.Probe, SenderLife: uint64(i) + 1}))
+		m.receive(wire.Append(nil, m.fleetNumber, &membership.Message{Kind: membership.Probe, SenderLife: uint64(i) + 1}))
 		m.SendClaim(uint64(i)+1, allowance.Claim{Lender: 1, Seq: uint64(i) + 1})
 		m.Send(fmt.Sprint("n", i), m.Address(), wire.TopicList, nil)
 	}
-	if len(m.in) != plannedSize || len(m.claims) != plannedSize || len(m.loads) != plannedSize || m.counts.Dropped.Load() > 0 {
+	if len(m.inbox) != plannedSize || len(m.claims) != plannedSize || len(m.payloads) != plannedSize || m.counters.Dropped.Load() > 0 {
 		t.Errorf("of %d each, %d messages, %d claims and %d loads wait, %d are dropped",
-			plannedSize, len(m.in), len(m.claims), len(m.loads), m.counts.Dropped.Load())
+			plannedSize, len(m.inbox), len(m.claims), len(m.payloads), m.counters.Dropped.Load())
 	}
 }
 
@@ -55,20 +55,20 @@
 func TestManyMembersOverARestart(t *testing.T) {
 	for _, nodes := range []int{1024, plannedSize} {
 		folder := t.TempDir()
-		k, err := openKeep(folder, clock.New(), quiet())
+		k, err := openState(folder, clock.New(), quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
 		v := viewOf(t, nodes)
-		k.set(kept{Incarnation: 1, Number: v.Number, Known: someKnown(v)})
-		k.write(&kept{})
+		k.save(savedState{Incarnation: 1, Number: v.Number, Known: sampleAddresses(v)})
+		k.write(&savedState{})
 		k.close()
-		next, err := openKeep(folder, clock.New(), quiet())
+		next, err := openState(folder, clock.New(), quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer next.close()
-		known := next.last().Known
+		known := next.previous().Known
 		slices.SortFunc(known, netip.AddrPort.Compare)
 		if different := len(slices.Compact(known)); different != 1024 {
 			t.Errorf("of %d members %d are known after a restart, want 1024", nodes, different)
--- a/internal/node/members/sockets.go
+++ b/internal/node/members/sockets.go
@@ -23,55 +23,55 @@
 		if err != nil {
 			continue // a port that nobody has any more answers to what was sent there
 		}
-		m.counts.Received.Add(1)
+		m.counters.Received.Add(1)
 		if size > wire.MaxDatagram {
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 			continue
 		}
-		m.take(b[:size])
+		m.receive(b[:size])
 	}
 }
 
 // take reads a message, and hands it over if there is room.
-func (m *Members) take(b []byte) {
-	x, err := wire.Parse(b, m.fleet, watchers)
+func (m *Members) receive(b []byte) {
+	x, err := wire.Parse(b, m.fleetNumber, watchersPerMember)
 	var bad *wire.Error
 	if errors.As(err, &bad) {
 		switch bad.Fault {
 		case wire.BadChecksum:
-			m.counts.BadChecksum.Add(1)
+			m.counters.BadChecksum.Add(1)
 		case wire.OtherFleet:
-			m.counts.OtherFleet.Add(1)
+			m.counters.OtherFleet.Add(1)
 		case wire.OtherVersion:
-			m.counts.OtherVersion.Add(1)
+			m.counters.OtherVersion.Add(1)
 		default:
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 		}
 		return
 	}
 	select {
-	case m.in <- x:
+	case m.inbox <- x:
 	default:
-		m.counts.Dropped.Add(1)
+		m.counters.Dropped.Add(1)
 	}
 }
 
 // accept takes long messages by TCP: one a connection, a few connections at once.
-func (m *Members) accept(ctx context.Context) {
-	bounds := accept.Limits{MaxConnections: mostStreams, ConnectionTimeout: streamWait, OnReject: func() { m.counts.Dropped.Add(1) }}
+func (m *Members) acceptStreams(ctx context.Context) {
+	bounds := accept.Limits{MaxConnections: maxStreams, ConnectionTimeout: streamTimeout, OnReject: func() { m.counters.Dropped.Add(1) }}
 	accept.Serve(ctx, m.tcp, bounds, func(c net.Conn) {
 		b, err := io.ReadAll(io.LimitReader(c, wire.MaxStreamMessage+1))
 		if err != nil || len(b) > wire.MaxStreamMessage {
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 			return
 		}
-		m.take(b)
+		m.receive(b)
 	})
 }
 
 // stream sends one long message.
-func (m *Members) stream(ctx context.Context, to netip.AddrPort, b []byte) {
-	ctx, cancel := context.WithTimeout(ctx, streamWait)
+func (m *Members) sendStream(ctx context.Context, to netip.AddrPort, b []byte) {
+	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", to.String())
@@ -82,7 +82,7 @@
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := c.Write(b); err == nil {
-		m.counts.Streams.Add(1)
-		m.counts.Bytes.Add(int64(len(b)))
+		m.counters.Streams.Add(1)
+		m.counters.Bytes.Add(int64(len(b)))
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -237,7 +237,7 @@
 			*now += time.Duration(draw(8)) * time.Second
 			s.Commit(*now)
 		case 6:
-			s.written += compactFrom // the journal has grown
+			s.journalBytes += minCompactBytes // the journal has grown
 			for more := true; more; {
 				more, _ = s.Compact(*now)
 				if draw(3) == 0 {
@@ -319,7 +319,7 @@
 		now += time.Second
 		s.Commit(now)
 	}
-	journal := name(journalName, s.generation)
+	journal := fileName(journalPrefix, s.generation)
 	whole := d.files[journal].all()
 	for at := range whole {
 		for _, cut := range []bool{true, false} {
@@ -439,12 +439,12 @@
 
 // The reader takes whatever it is given.
 func FuzzScan(f *testing.F) {
-	b, p := begin(3), record{op: opPut, table: 1, seq: 1, key: "k", value: []byte("v")}
+	b, p := beginRecord(3), record{op: opPut, table: 1, seq: 1, key: "k", value: []byte("v")}
 	f.Add(p.append(b.append(nil, 3), 3), uint64(3))
 	f.Add([]byte(magic+magic+"x"), uint64(0))
 	f.Fuzz(func(t *testing.T, data []byte, generation uint64) {
 		got := scan(data, generation, false)
-		size := got.skipped + got.tail
+		size := got.damagedBytes + got.truncatedBytes
 		for i := range got.records {
 			size += got.records[i].size()
 		}
@@ -460,7 +460,7 @@
 	s, _ := Open(d, Settings{})
 	s.Put(now, 1, "old", []byte("x"), true)
 	s.Commit(now)
-	s.written += compactFrom
+	s.journalBytes += minCompactBytes
 	if more, err := s.Compact(now); !more || err != nil { // a new journal, and no snapshot yet
 		t.Fatal(more, err)
 	}
@@ -489,7 +489,7 @@
 		if err := s.Commit(now); err != nil {
 			t.Fatal(err)
 		}
-		s.written += compactFrom
+		s.journalBytes += minCompactBytes
 		for more := true; more; {
 			var err error
 			if more, err = s.Compact(now); err != nil {
@@ -497,7 +497,7 @@
 			}
 		}
 	}
-	newest := d.files[name(snapshotName, s.generation)]
+	newest := d.files[fileName(snapshotPrefix, s.generation)]
 	for at := 100; at < len(newest.synced); at += 50 { // hardly a record is left
 		newest.synced[at] ^= 0xff
 	}
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -17,14 +17,14 @@
 	opPut    = 2
 	opDelete = 3
 	opEnd    = 4 // of a snapshot: how many rows it has
-	opWhole  = 5 // of a commit: how many rows it has, all of which hold together
+	opCommit = 5 // of a commit: how many rows it has, all of which hold together
 )
 
 // A record, in little endian: magic 4, operation 1, table 1, length of the key 2, of the
 // value 4, sequence number 8, key, value, checksum 8.
 const (
-	headBytes = 20
-	sumBytes  = 8
+	headerBytes   = 20
+	checksumBytes = 8
 	// MostKey and MostValue bound a row.
 	MaxKeyBytes   = 1 << 10
 	MaxValueBytes = 64 << 10
@@ -44,7 +44,7 @@
 }
 
 // size is what a record takes in a file.
-func (r *record) size() int { return headBytes + len(r.key) + len(r.value) + sumBytes }
+func (r *record) size() int { return headerBytes + len(r.key) + len(r.value) + checksumBytes }
 
 // append writes a record of a file of this generation.
 func (r *record) append(to []byte, generation uint64) []byte {
@@ -54,12 +54,12 @@
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(r.value)))
 	to = binary.LittleEndian.AppendUint64(to, r.seq)
 	to = append(append(to, r.key...), r.value...)
-	return binary.LittleEndian.AppendUint64(to, sum(to[from:], generation))
+	return binary.LittleEndian.AppendUint64(to, checksum(to[from:], generation))
 }
 
 // sum is a record's checksum. The generation goes in, so that a block that an older
 // file left on the disk is none of this one's.
-func sum(data []byte, generation uint64) uint64 {
+func checksum(data []byte, generation uint64) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(generation)
 	d.Write(data)
@@ -67,8 +67,8 @@
 }
 
 // read takes the record that the data begins with.
-func read(data []byte, generation uint64) (r record, size int, ok bool) {
-	if len(data) < headBytes+sumBytes || string(data[:4]) != magic {
+func readRecord(data []byte, generation uint64) (r record, size int, ok bool) {
+	if len(data) < headerBytes+checksumBytes || string(data[:4]) != magic {
 		return r, 0, false
 	}
 	keyed := int(binary.LittleEndian.Uint16(data[6:]))
@@ -76,43 +76,43 @@
 	if keyed > MaxKeyBytes || valued > MaxValueBytes {
 		return r, 0, false
 	}
-	size = headBytes + keyed + valued + sumBytes
-	if len(data) < size || binary.LittleEndian.Uint64(data[size-sumBytes:]) != sum(data[:size-sumBytes], generation) {
+	size = headerBytes + keyed + valued + checksumBytes
+	if len(data) < size || binary.LittleEndian.Uint64(data[size-checksumBytes:]) != checksum(data[:size-checksumBytes], generation) {
 		return r, 0, false
 	}
 	r = record{op: data[4], table: data[5], seq: binary.LittleEndian.Uint64(data[12:])}
-	r.key = string(data[headBytes : headBytes+keyed])
-	r.value = bytes.Clone(data[headBytes+keyed : headBytes+keyed+valued])
+	r.key = string(data[headerBytes : headerBytes+keyed])
+	r.value = bytes.Clone(data[headerBytes+keyed : headerBytes+keyed+valued])
 	return r, size, true
 }
 
 // begin is a file's first record.
-func begin(generation uint64) record {
+func beginRecord(generation uint64) record {
 	value := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint16(nil, Version), generation)
 	return record{op: opBegin, value: value}
 }
 
 // file is what was read of one.
-type file struct {
-	records []record
-	skipped int  // bytes between sound records
-	tail    int  // bytes behind the last sound one: a write that was cut, most likely
-	whole   bool // a snapshot with all its rows
-	wrong   string
+type scannedFile struct {
+	records        []record
+	damagedBytes   int  // bytes between sound records
+	truncatedBytes int  // bytes behind the last sound one: a write that was cut, most likely
+	complete       bool // a snapshot with all its rows
+	problem        string
 }
 
 // scan reads a file of a generation. It passes over what is damaged. With commits set, rows hold only from whole commits:
 // those at the file's end that lack some were being written; others are damage.
-func scan(data []byte, generation uint64, commits bool) (f file) {
+func scan(data []byte, generation uint64, commits bool) (f scannedFile) {
 	begun, rows, ended := false, 0, -1
 	held, pending, hole := 0, 0, 0 // records that hold; behind them bytes of sound ones, and of others
 	lost := 0
 	for at := 0; at < len(data); {
-		r, size, ok := read(data[at:], generation)
+		r, size, ok := readRecord(data[at:], generation)
 		if !ok {
 			next := bytes.Index(data[at+1:], []byte(magic))
 			if next < 0 {
-				f.tail = lost + len(data) - at
+				f.truncatedBytes = lost + len(data) - at
 				lost = 0
 				break
 			}
@@ -123,7 +123,7 @@
 		if commits {
 			hole += lost
 		} else {
-			f.skipped += lost
+			f.damagedBytes += lost
 		}
 		lost = 0
 		at += size
@@ -131,7 +131,7 @@
 		case opBegin:
 			if len(r.value) >= 2 {
 				if v := binary.LittleEndian.Uint16(r.value); v > Version {
-					return file{wrong: fmt.Sprintf("it is of version %d, and this program reads %d", v, Version)}
+					return scannedFile{problem: fmt.Sprintf("it is of version %d, and this program reads %d", v, Version)}
 				}
 			}
 			begun = true
@@ -139,15 +139,15 @@
 			rows++
 			pending += size
 			f.records = append(f.records, r)
-		case opWhole:
+		case opCommit:
 			if !commits {
 				continue
 			}
 			if len(r.value) != 8 || binary.LittleEndian.Uint64(r.value) != uint64(len(f.records)-held) {
 				f.records = f.records[:held]
-				f.skipped += pending
+				f.damagedBytes += pending
 			}
-			f.skipped += hole // something sound follows it
+			f.damagedBytes += hole // something sound follows it
 			held, pending, hole = len(f.records), 0, 0
 		case opEnd:
 			if len(r.value) == 8 {
@@ -157,11 +157,11 @@
 	}
 	if commits {
 		f.records = f.records[:held]
-		f.tail += pending + hole
+		f.truncatedBytes += pending + hole
 	}
 	if !begun && len(f.records) == 0 && len(data) > 0 {
-		f.wrong = "it is no file of this store"
+		f.problem = "it is no file of this store"
 	}
-	f.whole = begun && ended == rows && f.skipped == 0
+	f.complete = begun && ended == rows && f.damagedBytes == 0
 	return f
 }
--- a/internal/store/whole_test.go
+++ b/internal/store/whole_test.go
@@ -49,7 +49,7 @@
 					durable = n
 				}
 				if draw(4) == 0 {
-					s.written += compactFrom
+					s.journalBytes += minCompactBytes
 					for more := true; more; {
 						more, _ = s.Compact(now)
 					}
--- a/internal/supervisor/companion.go
+++ b/internal/supervisor/companion.go
@@ -30,7 +30,7 @@
 }
 
 // errStart says that the command cannot be run at all.
-var errStart = errors.New("the application cannot be started")
+var errStartFailed = errors.New("the application cannot be started")
 
 // Run runs the application until it ends by itself with code 0, or the context
 // ends: then it gets SIGTERM, and SIGKILL if it does not go. An application that
@@ -48,12 +48,12 @@
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
 			if starts == 0 {
-				return fmt.Errorf("%w: %w", errStart, err)
+				return fmt.Errorf("%w: %w", errStartFailed, err)
 			}
 			c.Log.Error("the application cannot be started again", "err", err)
 		} else {
 			c.Log.Info("the application has started", "pid", cmd.Process.Pid, "starts", starts+1)
-			err, over := c.follow(ctx, cmd)
+			err, over := c.waitForExit(ctx, cmd)
 			if over {
 				return nil
 			}
@@ -74,7 +74,7 @@
 }
 
 // follow waits for a child. over says that it is not to be started again.
-func (c *Config) follow(ctx context.Context, cmd *exec.Cmd) (err error, over bool) {
+func (c *Config) waitForExit(ctx context.Context, cmd *exec.Cmd) (err error, over bool) {
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }() // ends with the child
 	select {
--- a/internal/supervisor/companion_test.go
+++ b/internal/supervisor/companion_test.go
@@ -118,7 +118,7 @@
 func TestNoSuchCommand(t *testing.T) {
 	c, _ := config(t, "stays")
 	c.Command = []string{"/nowhere/at/all"}
-	if err := Run(context.Background(), c); !errors.Is(err, errStart) || !errors.Is(err, os.ErrNotExist) {
+	if err := Run(context.Background(), c); !errors.Is(err, errStartFailed) || !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 }
