--- a/internal/node/members/claims.go
+++ b/internal/node/members/claims.go
@@ -6,80 +6,85 @@
 	"curlewring/internal/fleet/wire"
 )
 
-// mostClaims are claims that wait to be sent: as many nodes may deal, and one claim names a few servers.
+// maxQueuedClaims bounds the claims waiting to be sent. It allows for one to each node of a planned
+// fleet.
 const maxQueuedClaims = 8192
 
-// claim is one on its way to a member.
+// outgoingClaim is a claim on its way to the member that allocates the budget.
 type outgoingClaim struct {
-	life  uint64 // its life
+	life  uint64 // of the recipient
 	claim allowance.Claim
 }
 
-// Claim sends a claim to a member. It does not wait: what does not fit is lost, as on the way.
-func (m *Members) SendClaim(to uint64, c allowance.Claim) {
+// SendClaim queues a claim for the member of a life. It does not block: a claim that does not fit
+// is dropped, as it might be on the network.
+func (m *Members) SendClaim(life uint64, claim allowance.Claim) {
 	select {
-	case m.claims <- &outgoingClaim{to, c}:
+	case m.claims <- &outgoingClaim{life, claim}:
 	default:
 		m.counters.Dropped.Add(1)
 	}
 }
 
-// OnGrant has grants handed over as they come; it must not wait for Run. It must be called before Run.
-func (m *Members) OnGrant(take func(from uint64, g *allowance.Grant)) { m.onGrant = take }
+// OnGrant registers the handler of grants. Run may call it, so the handler must not wait for Run.
+// OnGrant must be called before Run.
+func (m *Members) OnGrant(handle func(from uint64, g *allowance.Grant)) { m.onGrant = handle }
 
-// sendClaim brings a claim to its dealer: by the network, or to this node's own.
-func (m *Members) deliverClaim(n *membership.Node, c *outgoingClaim) []membership.Outgoing {
-	if c.life == n.Self().Life {
-		if g, ok := m.allocator.HandleClaim(m.clock.Now(), &c.claim); ok && m.onGrant != nil {
-			m.onGrant(c.life, &g)
+// deliverClaim passes a claim to its allocator: over the network, or directly if it is this node's
+// own.
+func (m *Members) deliverClaim(n *membership.Node, claim *outgoingClaim) []membership.Outgoing {
+	if claim.life == n.Self().Life {
+		if grant, ok := m.allocator.HandleClaim(m.clock.Now(), &claim.claim); ok && m.onGrant != nil {
+			m.onGrant(claim.life, &grant)
 		}
 		return nil
 	}
-	return m.payloadTo(n, c.life, wire.TopicClaim, wire.AppendClaim(nil, &c.claim))
+	return m.payloadTo(n, claim.life, wire.TopicClaim, wire.AppendClaim(nil, &claim.claim))
 }
 
-// carried takes a message that is not the membership's own.
-func (m *Members) handlePayload(n *membership.Node, x *membership.Message) []membership.Outgoing {
-	switch x.Topic {
+// handlePayload processes a received payload and returns the messages that answer it.
+func (m *Members) handlePayload(n *membership.Node, message *membership.Message) []membership.Outgoing {
+	switch message.Topic {
 	case wire.TopicClaim:
-		c, err := wire.ParseClaim(x.Body)
+		claim, err := wire.ParseClaim(message.Body)
 		if err != nil {
 			m.counters.Malformed.Add(1)
 			return nil
 		}
-		if g, ok := m.allocator.HandleClaim(m.clock.Now(), c); ok {
-			return m.payloadTo(n, x.SenderLife, wire.TopicGrant, wire.AppendGrant(nil, &g))
+		if grant, ok := m.allocator.HandleClaim(m.clock.Now(), claim); ok {
+			return m.payloadTo(n, message.SenderLife, wire.TopicGrant, wire.AppendGrant(nil, &grant))
 		}
 	case wire.TopicGrant:
-		g, err := wire.ParseGrant(x.Body)
+		grant, err := wire.ParseGrant(message.Body)
 		if err != nil {
 			m.counters.Malformed.Add(1)
 			return nil
 		}
 		if m.onGrant != nil {
-			m.onGrant(x.SenderLife, g)
+			m.onGrant(message.SenderLife, grant)
 		}
 	default:
-		if take := m.handlers[x.Topic]; take != nil {
-			take(x.Body)
-		} else { // of a later version, or of what is off here
+		if handle := m.handlers[message.Topic]; handle != nil {
+			handle(message.Body)
+		} else { // from a later version, or for a feature that is off here
 			m.counters.OtherVersion.Add(1)
 		}
 	}
 	return nil
 }
 
-// carryTo addresses something to a life; to none, if it is no member here.
+// payloadTo addresses a payload to the member of a life. It returns nothing if there is no such
+// member in the view.
 func (m *Members) payloadTo(n *membership.Node, life uint64, topic uint32, body []byte) []membership.Outgoing {
-	v := n.View()
-	if v == nil {
+	view := n.View()
+	if view == nil {
 		return nil
 	}
-	i, ok := v.IndexOfLife(life)
+	i, ok := view.IndexOfLife(life)
 	if !ok {
 		return nil
 	}
-	return []membership.Outgoing{{To: v.Members[i].Addr, Message: &membership.Message{
+	return []membership.Outgoing{{To: view.Members[i].Addr, Message: &membership.Message{
 		Kind: membership.Payload, SenderLife: n.Self().Life, Topic: topic, Body: body,
 	}}}
 }
--- a/internal/node/members/control.go
+++ b/internal/node/members/control.go
@@ -13,7 +13,7 @@
 	"curlewring/internal/node/accept"
 )
 
-// Report is what a node answers an operator.
+// Report is the status that a node returns to an operator.
 type Report struct {
 	Fleet    string
 	Standing membership.Status
@@ -21,24 +21,24 @@
 	Bytes    int64
 	Received int64
 	Dropped  int64
-	Passed   int64                  // over: noise, damage, other fleets and versions
-	Pools    []allowance.PoolStatus // of cold servers that this node deals for
+	Passed   int64                  // ignored datagrams: malformed, damaged, of other fleets or protocol versions
+	Pools    []allowance.PoolStatus // cold servers' budgets that this node allocates
 }
 
-// control answers operators: whoever connects gets the report, and the end.
+// serveControl serves operators: each connection receives one report and is closed.
 func (m *Members) serveControl(ctx context.Context) {
-	accept.Serve(ctx, m.controlListener, accept.Limits{MaxConnections: maxControlConnections, ConnectionTimeout: controlTimeout}, func(c net.Conn) {
+	accept.Serve(ctx, m.controlListener, accept.Limits{MaxConnections: maxControlConnections, ConnectionTimeout: controlTimeout}, func(conn net.Conn) {
 		r, err := m.Report(ctx)
 		if err == nil {
-			json.NewEncoder(c).Encode(r)
+			json.NewEncoder(conn).Encode(r)
 		}
 	})
 }
 
-// mostAsking is how many operators may ask at once.
+// maxControlConnections bounds concurrent operator connections.
 const maxControlConnections = 4
 
-// Report asks the node what it knows.
+// Report collects the node's present status.
 func (m *Members) Report(ctx context.Context) (Report, error) {
 	r := Report{
 		Fleet: m.settings.Fleet, Sent: m.counters.Datagrams.Load(), Bytes: m.counters.Bytes.Load(),
@@ -51,21 +51,21 @@
 	return r, err
 }
 
-// mostReport bounds a node's answer.
+// maxReportBytes bounds the report that a client accepts.
 const maxReportBytes = 16 << 20
 
-// Ask asks the node that keeps its state in a folder.
+// RequestReport fetches the report of the node whose state is in the given folder.
 func RequestReport(ctx context.Context, folder string) (Report, error) {
 	var r Report
-	var d net.Dialer
-	c, err := d.DialContext(ctx, "unix", SocketPath(folder))
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "unix", SocketPath(folder))
 	if err != nil {
-		return r, fmt.Errorf("no node answers in %s, or its settings have no [members]: %w", folder, err)
+		return r, fmt.Errorf("members: no node answers on the socket in %s, or its settings have no [members]: %w", folder, err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(2 * controlTimeout))
-	if err := json.NewDecoder(io.LimitReader(c, maxReportBytes)).Decode(&r); err != nil {
-		return r, fmt.Errorf("the node's answer: %w", err)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(2 * controlTimeout))
+	if err := json.NewDecoder(io.LimitReader(conn, maxReportBytes)).Decode(&r); err != nil {
+		return r, fmt.Errorf("members: reading the node's report: %w", err)
 	}
 	return r, nil
 }
--- a/internal/node/members/doc.go
+++ b/internal/node/members/doc.go
@@ -1,15 +1,15 @@
-// Package members puts package membership on sockets: datagrams over UDP, what is long
-// over TCP at the same address, and a unix socket on which operators ask.
+// Package members connects package membership to the network: datagrams over UDP, longer
+// messages over TCP at the same address, and a unix socket for operators' queries.
 //
-// The goroutine in Run owns the membership's Node and the clock's ticks; readers and
-// writers beside it own nothing but their sockets, and hand messages over by bounded
-// channels: what does not fit is dropped and counted. What is kept over restarts is
-// written by a goroutine of its own, so that a slow disk delays nobody.
+// The goroutine in Run owns the membership.Node, the budget allocator and the ticker. Readers
+// and writers own only their sockets and pass messages on through bounded channels; a message
+// that does not fit is dropped and counted. State that survives a restart is written by a
+// separate goroutine, so that a slow disk delays nobody.
 //
-// It also carries what is not the membership's: claims on cold servers' budgets and the
-// grants that answer them. The dealer of this node belongs to Run as well.
+// The package also transports payloads of other packages, among them claims on the budgets of
+// cold servers and the grants that answer them.
 //
-// It must not decide anything of the membership, and knows nothing of requests.
-// Traffic is not authenticated: whoever can send to its address can pretend to be a
-// member. It listens on loopback unless its settings name another address.
+// It makes no membership decisions and knows nothing of requests. Traffic is not
+// authenticated: whoever can send to its address can impersonate a member. It listens on
+// loopback unless its settings name another address.
 package members
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -20,31 +20,32 @@
 	"curlewring/internal/node/clock"
 )
 
-// Settings say where a node's membership listens and whom it seeks.
+// Settings configure a node's membership.
 type Settings struct {
-	Fleet     string // nodes of another are not heard
+	Fleet     string // messages of other fleets are ignored
 	Name      string
 	Site      string
 	Listen    netip.AddrPort // UDP and TCP
-	Advertise netip.AddrPort // what others send to; Listen, if it is not set
+	Advertise netip.AddrPort // the address that others send to; Listen if unset
 	Seeds     []netip.AddrPort
-	// Via says where to send in the place of an address: as members are seen from here.
+	// RouteVia maps a member's advertised address to the one that this node sends to instead.
 	RouteVia map[netip.AddrPort]netip.AddrPort
-	Folder   string // for what outlives a restart, and the operators' socket; "": neither
-	// Alone has this node go by its own part of a cold server's budget, instead of pooling it with the others'.
+	Folder   string // holds the saved state and the operators' socket; "": neither
+	// UnpooledBudgets limits this node to its own part of a cold server's budget, instead of
+	// pooling budgets with the other nodes.
 	UnpooledBudgets bool
-	ColdWindow      time.Duration // of the rule on cold servers
+	ColdWindow      time.Duration // length of the window for which budgets of cold servers are granted
 }
 
 const (
 	gossipInterval    = 100 * time.Millisecond
 	watchersPerMember = 10
-	inboxSize         = 8192 // messages that wait for the goroutine: of as many nodes at once
+	inboxSize         = 8192 // messages waiting for Run: one from each node of a planned fleet
 	maxStreams        = 8    // at once, in each direction
 	streamTimeout     = 3 * time.Second
 )
 
-// Members is one node's part in the membership of its fleet.
+// Members connects one node to the membership of its fleet.
 type Members struct {
 	settings        Settings
 	fleetNumber     uint32
@@ -52,67 +53,67 @@
 	clock           clock.Clock
 	udp             *net.UDPConn
 	tcp             *net.TCPListener
-	stateWriter     *stateWriter // nil: nothing is kept
-	controlListener net.Listener // nil: nobody asks
+	stateWriter     *stateWriter // nil: no state is saved
+	controlListener net.Listener // nil: no operators' socket
 
 	inbox       chan *membership.Message
 	calls       chan func(*membership.Node, time.Duration)
 	done        chan struct{}
-	streamSlots chan struct{} // a place for each that goes out
+	streamSlots chan struct{} // one slot for each outgoing stream
 	view        atomic.Pointer[membership.View]
-	allocator   *allowance.Allocator                  // Run's
-	claims      chan *outgoingClaim                   // to be sent
-	onGrant     func(from uint64, g *allowance.Grant) // nil: nobody waits for grants
-	payloads    chan *outgoingPayload                 // to be sent, for others that use the sockets
-	handlers    map[uint32]func(body []byte)          // of carried messages, by topic
-	addresses   map[string]netip.AddrPort             // Run's: where each name was last, as views said
+	allocator   *allowance.Allocator                  // owned by Run
+	claims      chan *outgoingClaim                   // claims to be sent
+	onGrant     func(from uint64, g *allowance.Grant) // nil: grants are ignored
+	payloads    chan *outgoingPayload                 // payloads of other packages to be sent
+	handlers    map[uint32]func(body []byte)          // of received payloads, by topic
+	addresses   map[string]netip.AddrPort             // owned by Run: the last known address of each name
 	lastTick    atomic.Int64                          // when Run last ticked
-	pausedAt    atomic.Int64                          // when it found that the process had stood still
+	pausedAt    atomic.Int64                          // when Run last detected a pause of the process
 	counters    TrafficCounters
 }
 
-// Counts is what passed the sockets.
+// TrafficCounters count the traffic on the sockets.
 type TrafficCounters struct {
 	Datagrams, Bytes, Streams                        atomic.Int64 // sent
-	Received, Dropped                                atomic.Int64 // datagrams; of them, those that no longer fitted
-	Malformed, BadChecksum, OtherFleet, OtherVersion atomic.Int64 // passed over: no message, checksum, fleet, version
+	Received, Dropped                                atomic.Int64 // datagrams; of messages, those that did not fit into the inbox
+	Malformed, BadChecksum, OtherFleet, OtherVersion atomic.Int64 // ignored, by reason
 }
 
-// Open binds the addresses and reads what was kept.
-func Open(set Settings, c clock.Clock, log *slog.Logger) (_ *Members, err error) {
+// Open binds the addresses and loads the saved state.
+func Open(settings Settings, clk clock.Clock, log *slog.Logger) (_ *Members, err error) {
 	m := &Members{
-		settings: set, fleetNumber: wire.FleetNumber(set.Fleet), log: log, clock: c,
+		settings: settings, fleetNumber: wire.FleetNumber(settings.Fleet), log: log, clock: clk,
 		inbox: make(chan *membership.Message, inboxSize), calls: make(chan func(*membership.Node, time.Duration)),
 		done: make(chan struct{}), streamSlots: make(chan struct{}, maxStreams),
-		allocator: allowance.NewAllocator(allowance.Settings{Window: set.ColdWindow}), claims: make(chan *outgoingClaim, maxQueuedClaims),
+		allocator: allowance.NewAllocator(allowance.Settings{Window: settings.ColdWindow}), claims: make(chan *outgoingClaim, maxQueuedClaims),
 		payloads: make(chan *outgoingPayload, maxQueuedPayloads), handlers: map[uint32]func([]byte){}, addresses: map[string]netip.AddrPort{},
 	}
-	m.lastTick.Store(int64(c.StartedAt())) // it may stand still from its first moment on
+	m.lastTick.Store(int64(clk.StartedAt())) // so that a pause before the first tick is detected
 	defer func() {
 		if err != nil {
 			m.close()
 		}
 	}()
-	if m.udp, m.tcp, err = bind(set.Listen, listenTCP); err != nil {
+	if m.udp, m.tcp, err = bind(settings.Listen, listenTCP); err != nil {
 		return nil, err
 	}
-	at := m.udp.LocalAddr().(*net.UDPAddr).AddrPort()
+	addr := m.udp.LocalAddr().(*net.UDPAddr).AddrPort()
 	if !m.settings.Advertise.IsValid() {
-		m.settings.Advertise = at
+		m.settings.Advertise = addr
 	}
-	if set.Folder == "" {
+	if settings.Folder == "" {
 		return m, nil
 	}
-	if m.stateWriter, err = openState(filepath.Join(set.Folder, "members"), c, log); err != nil {
+	if m.stateWriter, err = openState(filepath.Join(settings.Folder, "members"), clk, log); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
-	if m.controlListener, err = accept.ListenUnix(SocketPath(set.Folder), controlTimeout); err != nil {
+	if m.controlListener, err = accept.ListenUnix(SocketPath(settings.Folder), controlTimeout); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
 	}
 	return m, nil
 }
 
-// SocketIn is where operators ask a node that keeps its state in a folder.
+// SocketPath is the path of the operators' socket of a node whose state is in the given folder.
 func SocketPath(folder string) string { return filepath.Join(folder, "members.sock") }
 
 func (m *Members) close() {
@@ -130,36 +131,36 @@
 	}
 }
 
-// Address is where the others send to.
+// Address returns the address that other members send to.
 func (m *Members) Address() netip.AddrPort { return m.settings.Advertise }
 
-// View is the present view; nil while the node is in none. Any goroutine may call it.
+// View returns the current view, or nil while the node is in none. It is safe for concurrent use.
 func (m *Members) View() *membership.View { return m.view.Load() }
 
-// Run takes part until the context ends.
+// Run takes part in the membership until the context ends.
 func (m *Members) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
-	var parts sync.WaitGroup
+	var workers sync.WaitGroup
 	defer close(m.done)
-	defer parts.Wait()
+	defer workers.Wait()
 	defer m.close()
 	defer stop()
-	parts.Go(m.readDatagrams)
-	parts.Go(func() { m.acceptStreams(ctx) })
+	workers.Go(m.readDatagrams)
+	workers.Go(func() { m.acceptStreams(ctx) })
 	if m.controlListener != nil {
-		parts.Go(func() { m.serveControl(ctx) })
+		workers.Go(func() { m.serveControl(ctx) })
 	}
-	set := membership.Settings{
+	config := membership.Settings{
 		Self:  membership.Member{Name: m.settings.Name, Site: m.settings.Site, Addr: m.settings.Advertise},
 		Seeds: m.settings.Seeds, GossipInterval: gossipInterval, WatchersPerMember: watchersPerMember,
 	}
 	if m.stateWriter != nil {
-		k := m.stateWriter.previous()
-		set.Incarnation, set.LastViewNumber, set.KnownAddrs = k.Incarnation, k.Number, k.Known
-		parts.Go(func() { m.stateWriter.run(ctx) })
+		state := m.stateWriter.previous()
+		config.Incarnation, config.LastViewNumber, config.KnownAddrs = state.Incarnation, state.Number, state.Known
+		workers.Go(func() { m.stateWriter.run(ctx) })
 	}
-	n := membership.New(set, rand.Uint64(), m.clock.Now())
-	m.flush(ctx, n, &parts)
+	node := membership.New(config, rand.Uint64(), m.clock.Now())
+	m.flush(ctx, node, &workers)
 	tick := time.NewTicker(gossipInterval)
 	defer tick.Stop()
 	for {
@@ -168,32 +169,32 @@
 			return
 		case <-tick.C:
 			m.detectPause(m.clock.Now())
-			n.Tick(m.clock.Now())
-		case x := <-m.inbox:
-			if x.Kind == membership.Payload {
-				m.send(ctx, m.handlePayload(n, x), &parts)
+			node.Tick(m.clock.Now())
+		case message := <-m.inbox:
+			if message.Kind == membership.Payload {
+				m.send(ctx, m.handlePayload(node, message), &workers)
 				continue
 			}
-			n.Receive(m.clock.Now(), x)
-		case c := <-m.claims:
-			m.send(ctx, m.deliverClaim(n, c), &parts)
+			node.Receive(m.clock.Now(), message)
+		case queued := <-m.claims:
+			m.send(ctx, m.deliverClaim(node, queued), &workers)
 			continue
-		case c := <-m.payloads:
-			m.send(ctx, m.addressPayload(n, c), &parts)
+		case queued := <-m.payloads:
+			m.send(ctx, m.addressPayload(node, queued), &workers)
 			continue
-		case do := <-m.calls:
-			do(n, m.clock.Now())
+		case call := <-m.calls:
+			call(node, m.clock.Now())
 		}
-		m.flush(ctx, n, &parts)
+		m.flush(ctx, node, &workers)
 	}
 }
 
 const (
-	pauseThreshold = 4 * gossipInterval  // without a tick
-	pauseRecovery  = 10 * gossipInterval // after it: what came meanwhile is taken in
+	pauseThreshold = 4 * gossipInterval  // a longer time without a tick counts as a pause
+	pauseRecovery  = 10 * gossipInterval // after a pause, the time in which the backlog of messages is processed
 )
 
-// tick finds out whether the process has stood still.
+// detectPause records a pause of the process if the previous tick is too long ago.
 func (m *Members) detectPause(now time.Duration) {
 	if now-time.Duration(m.lastTick.Load()) > pauseThreshold {
 		m.pausedAt.Store(int64(now))
@@ -201,19 +202,20 @@
 	m.lastTick.Store(int64(now))
 }
 
-// Stood tells whether this process stands still by what is known now, or has a moment ago. Any goroutine may call it.
+// RecentlyPaused reports whether the process is paused now, as far as it can tell, or was a moment
+// ago. It is safe for concurrent use.
 func (m *Members) RecentlyPaused() bool {
-	now, beat, stood := m.clock.Now(), time.Duration(m.lastTick.Load()), time.Duration(m.pausedAt.Load())
-	return now-beat > pauseThreshold || stood > 0 && now-stood < pauseRecovery
+	now, lastTick, pausedAt := m.clock.Now(), time.Duration(m.lastTick.Load()), time.Duration(m.pausedAt.Load())
+	return now-lastTick > pauseThreshold || pausedAt > 0 && now-pausedAt < pauseRecovery
 }
 
-// call runs something on the goroutine that owns the node.
-func (m *Members) call(ctx context.Context, do func(*membership.Node, time.Duration)) error {
+// call runs a function on the goroutine that owns the node.
+func (m *Members) call(ctx context.Context, f func(*membership.Node, time.Duration)) error {
 	done := make(chan struct{})
 	select {
-	case m.calls <- func(n *membership.Node, now time.Duration) { do(n, now); close(done) }:
+	case m.calls <- func(node *membership.Node, now time.Duration) { f(node, now); close(done) }:
 	case <-m.done:
-		return errors.New("the membership has ended")
+		return errors.New("members: the membership has ended")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -221,47 +223,48 @@
 	return nil
 }
 
-// Leave tells the others that the node goes, and waits until they let it, or so long.
-func (m *Members) Leave(patience time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Leave announces that the node is leaving, and waits until the other members have removed it or
+// the timeout has passed.
+func (m *Members) Leave(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if m.call(ctx, func(n *membership.Node, now time.Duration) { n.Leave(now, patience) }) != nil {
+	if m.call(ctx, func(node *membership.Node, now time.Duration) { node.Leave(now, timeout) }) != nil {
 		return
 	}
-	look := time.NewTicker(gossipInterval / 4)
-	defer look.Stop()
+	poll := time.NewTicker(gossipInterval / 4)
+	defer poll.Stop()
 	for gone := false; !gone; {
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			return
 		}
-		if m.call(ctx, func(n *membership.Node, _ time.Duration) { gone = n.Phase() == membership.Gone }) != nil {
+		if m.call(ctx, func(node *membership.Node, _ time.Duration) { gone = node.Phase() == membership.Gone }) != nil {
 			return
 		}
 	}
 }
 
-// carry sends what the node wants sent, and tells what happened.
-func (m *Members) flush(ctx context.Context, n *membership.Node, parts *sync.WaitGroup) {
-	sends, events := n.TakeOutput()
-	m.send(ctx, sends, parts)
-	for _, e := range events {
-		m.handleEvent(n, e)
+// flush sends the node's outgoing messages and handles its events.
+func (m *Members) flush(ctx context.Context, node *membership.Node, workers *sync.WaitGroup) {
+	messages, events := node.TakeOutput()
+	m.send(ctx, messages, workers)
+	for _, event := range events {
+		m.handleEvent(node, event)
 	}
 }
 
-// send puts messages on the sockets.
-func (m *Members) send(ctx context.Context, sends []membership.Outgoing, parts *sync.WaitGroup) {
+// send writes messages to the sockets.
+func (m *Members) send(ctx context.Context, messages []membership.Outgoing, workers *sync.WaitGroup) {
 	var buf []byte
-	for _, s := range sends {
-		to := s.To
-		if via, ok := m.settings.RouteVia[to]; ok {
-			to = via
+	for _, outgoing := range messages {
+		addr := outgoing.To
+		if via, ok := m.settings.RouteVia[addr]; ok {
+			addr = via
 		}
-		buf = wire.Append(buf[:0], m.fleetNumber, s.Message)
-		if !s.Stream && len(buf) <= wire.MaxDatagram {
-			if _, err := m.udp.WriteToUDPAddrPort(buf, to); err == nil {
+		buf = wire.Append(buf[:0], m.fleetNumber, outgoing.Message)
+		if !outgoing.Stream && len(buf) <= wire.MaxDatagram {
+			if _, err := m.udp.WriteToUDPAddrPort(buf, addr); err == nil {
 				m.counters.Datagrams.Add(1)
 				m.counters.Bytes.Add(int64(len(buf)))
 			}
@@ -270,55 +273,56 @@
 		select {
 		case m.streamSlots <- struct{}{}:
 		default:
-			continue // it is asked for again
+			continue // the recipient requests it again
 		}
-		b := append([]byte(nil), buf...)
-		parts.Go(func() {
+		data := append([]byte(nil), buf...)
+		workers.Go(func() {
 			defer func() { <-m.streamSlots }()
-			m.sendStream(ctx, to, b)
+			m.sendStream(ctx, addr, data)
 		})
 	}
 }
 
-// note logs an event, and keeps what is to outlive a restart.
-func (m *Members) handleEvent(n *membership.Node, e membership.Event) {
-	switch e.Kind {
+// handleEvent logs an event, publishes the view and saves the state that the next run resumes from.
+func (m *Members) handleEvent(node *membership.Node, event membership.Event) {
+	switch event.Kind {
 	case membership.ViewChanged:
-		m.log.Info("the members have changed", "view", e.View.Number, "members", len(e.View.Members), "why", e.Detail)
+		m.log.Info("the membership view has changed", "view", event.View.Number, "members", len(event.View.Members), "why", event.Detail)
 	case membership.Founded:
-		m.log.Info("this node founds the fleet", "fleet", m.settings.Fleet, "view", e.View.Number)
+		m.log.Info("this node founded the fleet", "fleet", m.settings.Fleet, "view", event.View.Number)
 	case membership.Evicted:
-		m.log.Warn("this life is not among the members any more; a new one begins", "view", e.View.Number, "why", e.Detail)
+		m.log.Warn("this node was removed from the members; it rejoins with a new life", "view", event.View.Number, "why", event.Detail)
 	case membership.Accused:
-		m.log.Warn("a member", "name", e.Member.Name, "address", e.Member.Addr.String(), "what", e.Detail)
+		m.log.Warn("contact with a member changed", "name", event.Member.Name, "address", event.Member.Addr.String(), "what", event.Detail)
 	case membership.NameConflict:
-		m.log.Error("another process has this node's name and was first; this one stays out", "name", e.Member.Name, "address", e.Member.Addr.String())
+		m.log.Error("another process has this node's name and was first; this one stays out", "name", event.Member.Name, "address", event.Member.Addr.String())
 	case membership.Stalled:
-		m.log.Warn("this node stood still", "for", e.Detail)
+		m.log.Warn("this node was paused", "for", event.Detail)
 	case membership.ForeignFleet:
-		m.log.Warn("another fleet of this name holds; this node joins it", "why", e.Detail)
+		m.log.Warn("another fleet of the same name prevails; this node joins it", "why", event.Detail)
 	case membership.Left:
-		m.log.Info("the others have let this node go")
+		m.log.Info("the other members have removed this node after its leave")
 	}
-	m.view.Store(n.View())
-	if v := n.View(); v != nil {
-		m.recordAddresses(v)
+	m.view.Store(node.View())
+	if view := node.View(); view != nil {
+		m.recordAddresses(view)
 	}
 	if m.stateWriter == nil {
 		return
 	}
-	k := savedState{Incarnation: n.Self().Incarnation}
-	if v := n.View(); v != nil {
-		k.Number, k.Known = v.Number, sampleAddresses(v)
+	state := savedState{Incarnation: node.Self().Incarnation}
+	if view := node.View(); view != nil {
+		state.Number, state.Known = view.Number, sampleAddresses(view)
 	}
-	m.stateWriter.save(k)
+	m.stateWriter.save(state)
 }
 
-// someKnown are members to remember: all, or of more than are kept as many, from all over the view.
-func sampleAddresses(v *membership.View) []netip.AddrPort {
-	some := make([]netip.AddrPort, min(maxKnownAddresses, len(v.Members)))
-	for i := range some {
-		some[i] = v.Members[i*len(v.Members)/len(some)].Addr
+// sampleAddresses returns the members' addresses, or, of a view with more than maxKnownAddresses
+// members, that many spread evenly over it.
+func sampleAddresses(view *membership.View) []netip.AddrPort {
+	sample := make([]netip.AddrPort, min(maxKnownAddresses, len(view.Members)))
+	for i := range sample {
+		sample[i] = view.Members[i*len(view.Members)/len(sample)].Addr
 	}
-	return some
+	return sample
 }
--- a/internal/node/members/payload.go
+++ b/internal/node/members/payload.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	maxQueuedPayloads = 8192 // messages of others that wait to be sent
+	maxQueuedPayloads = 8192 // payloads waiting to be sent: one for each node of a planned fleet
 	maxAddresses      = 1 << 14
 )
 
-// load is something for a member, of another user of the sockets.
+// outgoingPayload is a message of another package that is to be sent to a member.
 type outgoingPayload struct {
-	member   string         // its name
-	fallback netip.AddrPort // where it was, if nothing newer is known
+	member   string         // the member's name
+	fallback netip.AddrPort // used if no address of the member is recorded
 	topic    uint32
 	body     []byte
 }
 
-// Carry sends something to the member of a name: where it is now, or was last; at, where nothing is known of it here. It
-// does not wait, and it may be lost: what does not fit is, as on the way. False tells that it did not fit.
-func (m *Members) Send(to string, at netip.AddrPort, topic uint32, body []byte) bool {
+// Send queues a payload for the named member. It goes to the address last recorded for that name,
+// or to the given address if there is none. Send does not block and delivery is not guaranteed; it
+// returns false if the queue is full.
+func (m *Members) Send(member string, addr netip.AddrPort, topic uint32, body []byte) bool {
 	select {
-	case m.payloads <- &outgoingPayload{to, at, topic, body}:
+	case m.payloads <- &outgoingPayload{member, addr, topic, body}:
 		return true
 	default:
 		m.counters.Dropped.Add(1)
@@ -31,40 +32,42 @@
 	}
 }
 
-// OnCarry has what others carry here under a topic handed over; it must not wait. It must be called before Run.
-func (m *Members) OnMessage(topic uint32, take func(body []byte)) { m.handlers[topic] = take }
+// OnMessage registers the handler of received payloads of a topic. The handler runs on Run's
+// goroutine and must not block. OnMessage must be called before Run.
+func (m *Members) OnMessage(topic uint32, handle func(body []byte)) { m.handlers[topic] = handle }
 
-// Name is this node's.
+// Name returns this node's name.
 func (m *Members) Name() string { return m.settings.Name }
 
-// Met tells where a name is by its own word, which holds until a view says so. The taker of carried messages calls it, on
-// Run's goroutine.
-func (m *Members) LearnAddress(name string, at netip.AddrPort) {
+// LearnAddress records the address that a node reports for itself, unless one is recorded already;
+// later views replace it. Payload handlers call it on Run's goroutine.
+func (m *Members) LearnAddress(name string, addr netip.AddrPort) {
 	if _, known := m.addresses[name]; !known && len(m.addresses) < maxAddresses {
-		m.addresses[name] = at
+		m.addresses[name] = addr
 	}
 }
 
-// enter remembers where the members are: a voter that has been taken out of the view is still one.
-func (m *Members) recordAddresses(v *membership.View) {
+// recordAddresses records the members' addresses. An address stays after its member has left the
+// view, because a lease voter that was removed from the view must still be reachable.
+func (m *Members) recordAddresses(view *membership.View) {
 	if len(m.addresses) > maxAddresses {
 		m.addresses = map[string]netip.AddrPort{}
 	}
-	for i := range v.Members {
-		m.addresses[v.Members[i].Name] = v.Members[i].Addr
+	for i := range view.Members {
+		m.addresses[view.Members[i].Name] = view.Members[i].Addr
 	}
 }
 
-// loaded addresses something.
-func (m *Members) addressPayload(n *membership.Node, c *outgoingPayload) []membership.Outgoing {
-	to, ok := m.addresses[c.member]
+// addressPayload turns a queued payload into a message for the member's current address.
+func (m *Members) addressPayload(n *membership.Node, payload *outgoingPayload) []membership.Outgoing {
+	addr, ok := m.addresses[payload.member]
 	if !ok {
-		to = c.fallback
+		addr = payload.fallback
 	}
-	if !to.IsValid() || to.Port() == 0 {
+	if !addr.IsValid() || addr.Port() == 0 {
 		return nil
 	}
-	return []membership.Outgoing{{To: to, Message: &membership.Message{
-		Kind: membership.Payload, SenderLife: n.Self().Life, Topic: c.topic, Body: c.body,
+	return []membership.Outgoing{{To: addr, Message: &membership.Message{
+		Kind: membership.Payload, SenderLife: n.Self().Life, Topic: payload.topic, Body: payload.body,
 	}}}
 }
--- a/internal/node/members/sockets.go
+++ b/internal/node/members/sockets.go
@@ -12,32 +12,32 @@
 	"curlewring/internal/node/accept"
 )
 
-// readDatagrams hands over what comes by UDP, until the socket is closed.
+// readDatagrams receives UDP datagrams until the socket is closed.
 func (m *Members) readDatagrams() {
-	b := make([]byte, wire.MaxDatagram+1)
+	buf := make([]byte, wire.MaxDatagram+1)
 	for {
-		size, _, err := m.udp.ReadFromUDPAddrPort(b)
+		size, _, err := m.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // a port that nobody has any more answers to what was sent there
+			continue // an ICMP error for an earlier datagram to a closed port
 		}
 		m.counters.Received.Add(1)
 		if size > wire.MaxDatagram {
 			m.counters.Malformed.Add(1)
 			continue
 		}
-		m.receive(b[:size])
+		m.receive(buf[:size])
 	}
 }
 
-// take reads a message, and hands it over if there is room.
-func (m *Members) receive(b []byte) {
-	x, err := wire.Parse(b, m.fleetNumber, watchersPerMember)
-	var bad *wire.Error
-	if errors.As(err, &bad) {
-		switch bad.Fault {
+// receive decodes a message and queues it for Run; a message that does not fit is dropped.
+func (m *Members) receive(data []byte) {
+	message, err := wire.Parse(data, m.fleetNumber, watchersPerMember)
+	var parseErr *wire.Error
+	if errors.As(err, &parseErr) {
+		switch parseErr.Fault {
 		case wire.BadChecksum:
 			m.counters.BadChecksum.Add(1)
 		case wire.OtherFleet:
@@ -50,39 +50,39 @@
 		return
 	}
 	select {
-	case m.inbox <- x:
+	case m.inbox <- message:
 	default:
 		m.counters.Dropped.Add(1)
 	}
 }
 
-// accept takes long messages by TCP: one a connection, a few connections at once.
+// acceptStreams receives long messages over TCP: one per connection, a few connections at once.
 func (m *Members) acceptStreams(ctx context.Context) {
-	bounds := accept.Limits{MaxConnections: maxStreams, ConnectionTimeout: streamTimeout, OnReject: func() { m.counters.Dropped.Add(1) }}
-	accept.Serve(ctx, m.tcp, bounds, func(c net.Conn) {
-		b, err := io.ReadAll(io.LimitReader(c, wire.MaxStreamMessage+1))
-		if err != nil || len(b) > wire.MaxStreamMessage {
+	limits := accept.Limits{MaxConnections: maxStreams, ConnectionTimeout: streamTimeout, OnReject: func() { m.counters.Dropped.Add(1) }}
+	accept.Serve(ctx, m.tcp, limits, func(conn net.Conn) {
+		data, err := io.ReadAll(io.LimitReader(conn, wire.MaxStreamMessage+1))
+		if err != nil || len(data) > wire.MaxStreamMessage {
 			m.counters.Malformed.Add(1)
 			return
 		}
-		m.receive(b)
+		m.receive(data)
 	})
 }
 
-// stream sends one long message.
-func (m *Members) sendStream(ctx context.Context, to netip.AddrPort, b []byte) {
+// sendStream sends one long message over TCP.
+func (m *Members) sendStream(ctx context.Context, addr netip.AddrPort, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
-	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", to.String())
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
-		return // it is asked for again
+		return // the recipient requests it again
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if _, err := c.Write(b); err == nil {
+	if _, err := conn.Write(data); err == nil {
 		m.counters.Streams.Add(1)
-		m.counters.Bytes.Add(int64(len(b)))
+		m.counters.Bytes.Add(int64(len(data)))
 	}
 }
--- a/internal/node/members/state.go
+++ b/internal/node/members/state.go
@@ -14,7 +14,7 @@
 	"curlewring/internal/store"
 )
 
-// kept is what of a life is of use to the next one.
+// savedState is the state that the node's next run resumes from.
 type savedState struct {
 	Incarnation uint64
 	Number      uint64 // of the last view
@@ -24,20 +24,20 @@
 const (
 	tableSelf         = 1
 	rowSelf           = "self"
-	maxKnownAddresses = 1024 // members; their row takes up to 56 kB of the 64 that a store's row holds
+	maxKnownAddresses = 1024 // their row takes up to 56 kB of the 64 kB that a store row holds
 	maxStateBytes     = 1 << 20
 )
 
-// keep writes what is kept, the newest alone, on a goroutine of its own.
+// stateWriter saves the newest state from a goroutine of its own.
 type stateWriter struct {
 	log    *slog.Logger
 	clock  clock.Clock
 	folder *disk.Folder
-	store  *store.Store // run's, once it runs
+	store  *store.Store // owned by run once it is started
 	loaded savedState
 
 	mu      sync.Mutex
-	pending *savedState // nil: all is written
+	pending *savedState // nil: nothing is waiting to be written
 	wake    chan struct{}
 }
 
@@ -46,87 +46,87 @@
 	if err != nil {
 		return nil, err
 	}
-	s, report := store.Open(folder, store.Settings{MaxRows: 16, MaxBytes: maxStateBytes})
+	table, report := store.Open(folder, store.Settings{MaxRows: 16, MaxBytes: maxStateBytes})
 	if len(report.Notes) > 0 || report.DamagedBytes > 0 || report.NoSnapshot {
-		log.Warn("what was kept of the members is damaged; what is sound of it is used", "report", report.String())
+		log.Warn("the saved membership state is damaged; using the intact part", "report", report.String())
 	}
-	k := &stateWriter{log: log, clock: c, folder: folder, store: s, wake: make(chan struct{}, 1)}
-	if b := s.Get(tableSelf, rowSelf); b != nil {
-		if err := json.Unmarshal(b, &k.loaded); err != nil {
-			log.Warn("what was kept of the members makes no sense; the node starts without", "err", err)
-			k.loaded = savedState{}
+	w := &stateWriter{log: log, clock: c, folder: folder, store: table, wake: make(chan struct{}, 1)}
+	if row := table.Get(tableSelf, rowSelf); row != nil {
+		if err := json.Unmarshal(row, &w.loaded); err != nil {
+			log.Warn("the saved membership state cannot be decoded; starting without it", "err", err)
+			w.loaded = savedState{}
 		}
 	}
-	return k, nil
+	return w, nil
 }
 
-// last is what the life before left.
-func (k *stateWriter) previous() savedState { return k.loaded }
+// previous returns the state that the previous run saved.
+func (w *stateWriter) previous() savedState { return w.loaded }
 
-// set takes what is to be kept from now on. It does not wait.
-func (k *stateWriter) save(x savedState) {
-	k.mu.Lock()
-	if x.Known == nil && k.pending != nil { // while seeking there is nobody new to remember
-		x.Known, x.Number = k.pending.Known, max(x.Number, k.pending.Number)
+// save schedules a state to be written. It does not block.
+func (w *stateWriter) save(state savedState) {
+	w.mu.Lock()
+	if state.Known == nil && w.pending != nil { // while joining there are no new addresses to save
+		state.Known, state.Number = w.pending.Known, max(state.Number, w.pending.Number)
 	}
-	k.pending = &x
-	k.mu.Unlock()
+	w.pending = &state
+	w.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run writes until the context ends.
-func (k *stateWriter) run(ctx context.Context) {
-	had := k.loaded
+// run writes scheduled states until the context ends.
+func (w *stateWriter) run(ctx context.Context) {
+	written := w.loaded
 	for {
 		select {
 		case <-ctx.Done():
-			k.write(&had)
+			w.write(&written)
 			return
-		case <-k.wake:
-			k.write(&had)
+		case <-w.wake:
+			w.write(&written)
 		}
 	}
 }
 
-func (k *stateWriter) write(had *savedState) {
-	k.mu.Lock()
-	x := k.pending
-	k.pending = nil
-	k.mu.Unlock()
-	if x == nil {
+func (w *stateWriter) write(written *savedState) {
+	w.mu.Lock()
+	state := w.pending
+	w.pending = nil
+	w.mu.Unlock()
+	if state == nil {
 		return
 	}
-	if x.Known == nil {
-		x.Known = had.Known
+	if state.Known == nil {
+		state.Known = written.Known
 	}
-	x.Number = max(x.Number, had.Number)
-	b, err := json.Marshal(x)
+	state.Number = max(state.Number, written.Number)
+	row, err := json.Marshal(state)
 	if err == nil {
-		_, err = k.store.Put(k.clock.Now(), tableSelf, rowSelf, b, true)
+		_, err = w.store.Put(w.clock.Now(), tableSelf, rowSelf, row, true)
 	}
 	if err == nil {
-		err = k.store.Commit(k.clock.Now())
+		err = w.store.Commit(w.clock.Now())
 	}
-	if err == nil && k.store.NeedsCompact() {
+	if err == nil && w.store.NeedsCompact() {
 		for more := true; more && err == nil; {
-			more, err = k.store.Compact(k.clock.Now())
+			more, err = w.store.Compact(w.clock.Now())
 		}
 	}
 	if err != nil {
-		k.log.Warn("what is known of the members could not be kept", "err", fmt.Sprint(err))
+		w.log.Warn("saving the membership state failed", "err", fmt.Sprint(err))
 		return
 	}
-	*had = *x
+	*written = *state
 }
 
-func (k *stateWriter) close() {
-	if err := k.folder.Close(); err != nil {
-		k.log.Warn("closing the members' folder", "err", err)
+func (w *stateWriter) close() {
+	if err := w.folder.Close(); err != nil {
+		w.log.Warn("closing the membership state folder failed", "err", err)
 	}
 }
 
-// controlWait bounds how long an operator's connection may take.
+// controlTimeout bounds how long an operator's connection may last.
 const controlTimeout = 2 * time.Second
