--- a/internal/node/leases/client.go
+++ b/internal/node/leases/client.go
@@ -13,107 +13,111 @@
 	"curlewring/internal/fleet/lease"
 )
 
-// mostReply bounds a node's answers on one connection.
+// maxReplyBytes bounds what a client reads from one connection to a node.
 const maxReplyBytes = 64 << 20
 
 func dial(ctx context.Context, folder string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout}
-	c, err := d.DialContext(ctx, "unix", SocketPath(folder))
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "unix", SocketPath(folder))
 	if err != nil {
-		return nil, fmt.Errorf("no node answers in %s, or its settings have no [leases]: %w", folder, err)
+		return nil, fmt.Errorf("leases: no node answers on the socket in %s, or its settings have no [leases]: %w", folder, err)
 	}
-	return c, nil
+	return conn, nil
 }
 
-// Ask asks the node that keeps its state in a folder for something other than a lease.
-func Call(ctx context.Context, folder string, q Request) (Reply, error) {
-	var r Reply
-	c, err := dial(ctx, folder)
+// Call sends a request other than "hold" to the node whose state is in the given folder, and
+// returns its reply.
+func Call(ctx context.Context, folder string, request Request) (Reply, error) {
+	var reply Reply
+	conn, err := dial(ctx, folder)
 	if err != nil {
-		return r, err
+		return reply, err
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if err := json.NewEncoder(c).Encode(q); err != nil {
-		return r, fmt.Errorf("asking the node: %w", err)
+	if err := json.NewEncoder(conn).Encode(request); err != nil {
+		return reply, fmt.Errorf("leases: sending the request to the node: %w", err)
 	}
-	if err := json.NewDecoder(io.LimitReader(c, maxReplyBytes)).Decode(&r); err != nil {
-		return r, fmt.Errorf("the node's answer: %w", err)
+	if err := json.NewDecoder(io.LimitReader(conn, maxReplyBytes)).Decode(&reply); err != nil {
+		return reply, fmt.Errorf("leases: reading the node's reply: %w", err)
 	}
-	if r.Error != "" {
-		return r, errors.New(r.Error)
+	if reply.Error != "" {
+		return reply, errors.New(reply.Error)
 	}
-	return r, nil
+	return reply, nil
 }
 
-// Held is a lease that is asked for, or held, by way of a node.
+// ClientLease is a lease that is requested, or held, through a node's socket.
 type ClientLease struct {
-	Events chan lease.Event // closed when the node says nothing more
+	Events chan lease.Event // closed when the connection to the node has ended
 	conn   net.Conn
-	mu     sync.Mutex // one line at a time
+	mu     sync.Mutex // serializes writes to conn
 	closed chan struct{}
 }
 
-// Hold asks the node for a lease. The caller must Close what it gets.
+// Acquire requests a lease from the node whose state is in the given folder. The caller must Close
+// the returned lease.
 func Acquire(ctx context.Context, folder, name string, ttl time.Duration) (*ClientLease, error) {
-	c, err := dial(ctx, folder)
+	conn, err := dial(ctx, folder)
 	if err != nil {
 		return nil, err
 	}
-	h := &ClientLease{Events: make(chan lease.Event, eventBuffer), conn: c, closed: make(chan struct{})}
-	if err := h.send(Request{Do: "hold", Lease: name, TTL: ttl}); err != nil {
-		c.Close()
-		return nil, fmt.Errorf("asking the node: %w", err)
+	held := &ClientLease{Events: make(chan lease.Event, eventBuffer), conn: conn, closed: make(chan struct{})}
+	if err := held.send(Request{Do: "hold", Lease: name, TTL: ttl}); err != nil {
+		conn.Close()
+		return nil, fmt.Errorf("leases: sending the request to the node: %w", err)
 	}
-	in := json.NewDecoder(c)
+	decoder := json.NewDecoder(conn)
 	var first Reply
-	if err := in.Decode(&first); err != nil {
-		c.Close()
-		return nil, fmt.Errorf("the node's answer: %w", err)
+	if err := decoder.Decode(&first); err != nil {
+		conn.Close()
+		return nil, fmt.Errorf("leases: reading the node's reply: %w", err)
 	}
 	if first.Error != "" {
-		c.Close()
+		conn.Close()
 		return nil, errors.New(first.Error)
 	}
-	go func() { // ends with Close
-		defer close(h.Events)
-		for r := first; ; {
-			if r.Event != nil {
+	go func() { // ends after Close, or with the connection
+		defer close(held.Events)
+		for reply := first; ; {
+			if reply.Event != nil {
 				select {
-				case h.Events <- *r.Event:
-				case <-h.closed:
+				case held.Events <- *reply.Event:
+				case <-held.closed:
 					return
 				}
 			}
-			r = Reply{}
-			if in.Decode(&r) != nil {
+			reply = Reply{}
+			if decoder.Decode(&reply) != nil {
 				return
 			}
 		}
 	}()
-	return h, nil
+	return held, nil
 }
 
-func (h *ClientLease) send(q Request) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	return json.NewEncoder(h.conn).Encode(q)
+func (l *ClientLease) send(request Request) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	return json.NewEncoder(l.conn).Encode(request)
 }
 
-// Stop tells the node that the lease is not wanted any more; the user may still act until it says Stopped.
-func (h *ClientLease) RequestRelease() error { return h.send(Request{Do: "stop"}) }
+// RequestRelease tells the node that the lease is no longer wanted. The user may still act until
+// ConfirmStopped.
+func (l *ClientLease) RequestRelease() error { return l.send(Request{Do: "stop"}) }
 
-// Stopped tells the node that the user acts no more, so the lease can pass on at once.
-func (h *ClientLease) ConfirmStopped() error { return h.send(Request{Do: "stopped"}) }
+// ConfirmStopped tells the node that the user no longer acts under the lease, so that it can pass
+// on at once.
+func (l *ClientLease) ConfirmStopped() error { return l.send(Request{Do: "stopped"}) }
 
-// Close ends the connection. A lease whose user has not said Stopped runs out by its time.
-func (h *ClientLease) Close() {
+// Close ends the connection. A lease whose end of use was not confirmed expires after its TTL.
+func (l *ClientLease) Close() {
 	select {
-	case <-h.closed:
+	case <-l.closed:
 	default:
-		close(h.closed)
-		h.conn.Close()
+		close(l.closed)
+		l.conn.Close()
 	}
 }
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -14,18 +14,19 @@
 	"curlewring/internal/node/clock"
 )
 
-// Request is what an operator's tool asks a node for, one JSON object a line.
+// Request is a request of an operator's tool to a node: one JSON object per line.
 type Request struct {
-	Do     string        // "hold", then "stopped"; "list", "force", "hand", "found", "standing"
+	Do     string        // "hold", followed by "stop" and "stopped"; "list", "force", "hand", "found", "standing"
 	Lease  string        `json:",omitempty"`
-	TTL    time.Duration `json:",omitempty"` // hold
-	To     string        `json:",omitempty"` // hand: the node whose waiter is to have it
-	Voters int           `json:",omitempty"` // found
-	Names  []string      `json:",omitempty"` // found: in the place of a number
-	Tokens uint64        `json:",omitempty"` // found: they begin above it
+	TTL    time.Duration `json:",omitempty"` // for "hold"
+	To     string        `json:",omitempty"` // for "hand": the node whose waiting client is to get the lease
+	Voters int           `json:",omitempty"` // for "found": number of voters
+	Names  []string      `json:",omitempty"` // for "found": the voters by name, instead of their number
+	Tokens uint64        `json:",omitempty"` // for "found": tokens are issued above this one
 }
 
-// Reply is what it is answered, one JSON object a line. A request but "hold" gets one.
+// Reply is a node's answer: one JSON object per line. Each request gets one reply, except that
+// "hold" gets one per event.
 type Reply struct {
 	Error    string             `json:",omitempty"`
 	Event    *lease.Event       `json:",omitempty"`
@@ -35,8 +36,8 @@
 	Answer   *lease.Answer      `json:",omitempty"`
 	Standing *leaselog.Status   `json:",omitempty"`
 	Seats    *leaselog.VoterSet `json:",omitempty"`
-	Syncs    int64              `json:",omitempty"` // standing: of this node's disk, since its start
-	Written  int64              `json:",omitempty"` // standing: bytes
+	Syncs    int64              `json:",omitempty"` // for "standing": syncs of this node's disk since its start
+	Written  int64              `json:",omitempty"` // for "standing": bytes written to it
 }
 
 const (
@@ -48,210 +49,215 @@
 	callTimeout            = 30 * time.Second
 )
 
-// operator serves one connection.
-func (l *Leases) serveConnection(ctx context.Context, c net.Conn) {
-	c.SetReadDeadline(time.Now().Add(requestTimeout))
-	in := json.NewDecoder(io.LimitReader(c, maxRequestBytes))
-	var q Request
-	if err := in.Decode(&q); err != nil {
+// serveConnection serves one operator's connection.
+func (l *Leases) serveConnection(ctx context.Context, conn net.Conn) {
+	conn.SetReadDeadline(time.Now().Add(requestTimeout))
+	decoder := json.NewDecoder(io.LimitReader(conn, maxRequestBytes))
+	var request Request
+	if err := decoder.Decode(&request); err != nil {
 		return
 	}
-	c.SetReadDeadline(time.Time{})
-	stop := context.AfterFunc(ctx, func() { c.SetReadDeadline(time.Unix(1, 0)) }) // what was set is gone
+	conn.SetReadDeadline(time.Time{})
+	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) }) // overrides any other deadline
 	defer stop()
-	if q.Do == "hold" {
-		l.serveHolder(ctx, c, in, &q)
+	if request.Do == "hold" {
+		l.serveHolder(ctx, conn, decoder, &request)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	replies := make(chan Reply, 1)
-	say := func(r Reply) {
+	reply := func(answer Reply) {
 		select {
-		case replies <- r:
+		case replies <- answer:
 		default:
 		}
 	}
-	if err := l.call(ctx, func() { l.handleRequest(&q, say) }); err != nil {
-		say(Reply{Error: err.Error()})
+	if err := l.call(ctx, func() { l.handleRequest(&request, reply) }); err != nil {
+		reply(Reply{Error: err.Error()})
 	}
 	select {
-	case r := <-replies:
-		writeReply(c, r)
+	case answer := <-replies:
+		writeReply(conn, answer)
 	case <-ctx.Done():
-		writeReply(c, Reply{Error: "no answer in time"})
+		writeReply(conn, Reply{Error: "the request timed out"})
 	}
 }
 
-func writeReply(c net.Conn, r Reply) error {
-	c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	return json.NewEncoder(c).Encode(r)
+func writeReply(conn net.Conn, reply Reply) error {
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	return json.NewEncoder(conn).Encode(reply)
 }
 
-// serve does what is asked on Run's goroutine.
-func (l *Leases) handleRequest(q *Request, say func(Reply)) {
-	fail := func(err error) { say(Reply{Error: err.Error()}) }
+// handleRequest handles one request on Run's goroutine.
+func (l *Leases) handleRequest(request *Request, reply func(Reply)) {
+	replyError := func(err error) { reply(Reply{Error: err.Error()}) }
 	now := clock.Boot()
-	switch q.Do {
+	switch request.Do {
 	case "standing":
-		s := l.node.Status()
-		say(Reply{Standing: &s, Syncs: l.writer.syncs.Load(), Written: l.writer.bytesWritten.Load()})
+		status := l.node.Status()
+		reply(Reply{Standing: &status, Syncs: l.writer.syncs.Load(), Written: l.writer.bytesWritten.Load()})
 	case "found":
-		l.updateMembers() // the view of now
-		if err := l.node.FoundLog(now, q.Names, q.Voters, q.Tokens, func(s leaselog.VoterSet, err error) {
-			r := Reply{Seats: &s}
+		l.updateMembers() // the log is founded with the current members
+		if err := l.node.FoundLog(now, request.Names, request.Voters, request.Tokens, func(voters leaselog.VoterSet, err error) {
+			answer := Reply{Seats: &voters}
 			if err != nil {
-				r.Error = err.Error()
+				answer.Error = err.Error()
 			}
-			say(r)
+			reply(answer)
 		}); err != nil {
-			fail(err)
+			replyError(err)
 		}
 	case "list":
-		l.listLeases(func(all []lease.Lease, m *leaselog.LocalReply) { say(Reply{Leases: all, Leader: m.From, Term: m.Term}) }, fail)
+		l.listLeases(func(all []lease.Lease, page *leaselog.LocalReply) {
+			reply(Reply{Leases: all, Leader: page.From, Term: page.Term})
+		}, replyError)
 	case "force":
-		l.forceRelease(q, say, fail)
+		l.forceRelease(request, reply, replyError)
 	case "hand":
-		l.handOver(q, say, fail)
+		l.handOver(request, reply, replyError)
 	default:
-		fail(fmt.Errorf("%q is nothing that can be asked for", q.Do))
+		replyError(fmt.Errorf("leases: unknown request %q", request.Do))
 	}
 }
 
-// list asks the leader which leases there are.
-func (l *Leases) listLeases(done func([]lease.Lease, *leaselog.LocalReply), fail func(error)) {
+// listLeases requests all leases from the leader.
+func (l *Leases) listLeases(onDone func([]lease.Lease, *leaselog.LocalReply), onError func(error)) {
 	pages := map[int][]lease.Lease{}
 	first := &leaselog.LocalReply{}
-	a := &query{onError: fail, onReply: func(m *leaselog.LocalReply) bool {
-		if m.Term != first.Term || m.From != first.From { // another leader's
-			first = m
+	q := &query{onError: onError, onReply: func(page *leaselog.LocalReply) bool {
+		if page.Term != first.Term || page.From != first.From { // pages of another leader
+			first = page
 			clear(pages)
 		}
-		pages[m.Page] = m.Leases
-		if len(pages) < m.Pages {
+		pages[page.Page] = page.Leases
+		if len(pages) < page.Pages {
 			return false
 		}
 		var all []lease.Lease
-		for i := range m.Pages {
+		for i := range page.Pages {
 			all = append(all, pages[i]...)
 		}
-		done(all, m)
+		onDone(all, page)
 		return true
 	}}
-	a.send = func(try int) error { return l.node.RequestLeaseList(clock.Boot(), a.ref, try) }
-	l.startQuery(a)
+	q.send = func(attempt int) error { return l.node.RequestLeaseList(clock.Boot(), q.ref, attempt) }
+	l.startQuery(q)
 }
 
-// force takes a lease from who holds it now, and from nobody else if the word has to be said again.
-func (l *Leases) forceRelease(q *Request, say func(Reply), fail func(error)) {
+// forceRelease takes a lease from its present holder. The command carries the holder's token, so
+// that a retry cannot take the lease from its successor.
+func (l *Leases) forceRelease(request *Request, reply func(Reply), onError func(error)) {
 	l.listLeases(func(all []lease.Lease, _ *leaselog.LocalReply) {
 		for i := range all {
-			if all[i].Name != q.Lease || all[i].Holder.Life == 0 {
+			if all[i].Name != request.Lease || all[i].Holder.Life == 0 {
 				continue
 			}
-			a := &query{onError: fail, onReply: func(m *leaselog.LocalReply) bool {
-				say(Reply{Answer: &m.Answer, Leader: m.From})
+			q := &query{onError: onError, onReply: func(message *leaselog.LocalReply) bool {
+				reply(Reply{Answer: &message.Answer, Leader: message.From})
 				return true
 			}}
-			x := lease.Command{Op: lease.ForceRelease, Lease: q.Lease, Token: all[i].Token}
-			a.send = func(try int) error { return l.node.SendLeaseCommand(clock.Boot(), x, a.ref, try) }
-			l.startQuery(a)
+			command := lease.Command{Op: lease.ForceRelease, Lease: request.Lease, Token: all[i].Token}
+			q.send = func(attempt int) error { return l.node.SendLeaseCommand(clock.Boot(), command, q.ref, attempt) }
+			l.startQuery(q)
 			return
 		}
-		fail(fmt.Errorf("nobody holds %q", q.Lease))
-	}, fail)
+		onError(fmt.Errorf("lease %q is not held", request.Lease))
+	}, onError)
 }
 
-// handOn has the tenant of this node that holds a lease give it to another node's waiter.
-func (l *Leases) handOver(q *Request, say func(Reply), fail func(error)) {
-	var own *lease.Client
-	for _, h := range l.sessions {
-		if h.client.Lease() == q.Lease && h.client.Phase() == lease.Holding {
-			own = h.client
+// handOver makes this node's client that holds a lease pass it to the waiting client of another
+// node.
+func (l *Leases) handOver(request *Request, reply func(Reply), onError func(error)) {
+	var holder *lease.Client
+	for _, s := range l.sessions {
+		if s.client.Lease() == request.Lease && s.client.Phase() == lease.Holding {
+			holder = s.client
 		}
 	}
-	if own == nil {
-		fail(fmt.Errorf("%q is not held at this node: ask the node that holds it", q.Lease))
+	if holder == nil {
+		onError(fmt.Errorf("lease %q is not held at this node: send the request to the node that holds it", request.Lease))
 		return
 	}
 	l.listLeases(func(all []lease.Lease, _ *leaselog.LocalReply) {
 		for i := range all {
-			if all[i].Name != q.Lease {
+			if all[i].Name != request.Lease {
 				continue
 			}
-			for _, w := range all[i].Waiters {
-				if w.Holder.Name == q.To {
-					own.Stop(clock.Boot(), w.Holder)
-					say(Reply{})
+			for _, waiter := range all[i].Waiters {
+				if waiter.Holder.Name == request.To {
+					holder.Stop(clock.Boot(), waiter.Holder)
+					reply(Reply{})
 					return
 				}
 			}
 		}
-		fail(fmt.Errorf("%s does not wait for %q", q.To, q.Lease))
-	}, fail)
+		onError(fmt.Errorf("node %s has no client waiting for lease %q", request.To, request.Lease))
+	}, onError)
 }
 
-// serveHolder holds a lease for as long as the connection's user wants it. A connection that ends before its user has said
-// that it stopped leaves the lease to run out: nobody knows whether it still acts.
-func (l *Leases) serveHolder(ctx context.Context, c net.Conn, in *json.Decoder, q *Request) {
+// serveHolder holds a lease for as long as the connection's user wants it. If the connection ends
+// before the user has confirmed that it stopped, the lease is left to expire, since the user may
+// still be acting under it.
+func (l *Leases) serveHolder(ctx context.Context, conn net.Conn, decoder *json.Decoder, request *Request) {
 	events := make(chan lease.Event, eventBuffer)
-	var t *lease.Client
-	var wrong error
-	tell := func(e lease.Event) bool {
+	var client *lease.Client
+	var startErr error
+	notify := func(event lease.Event) bool {
 		select {
-		case events <- e:
+		case events <- event:
 			return true
 		default:
 			return false
 		}
 	}
-	if err := l.call(ctx, func() { t, wrong = l.startSession(q.Lease, q.TTL, tell) }); err != nil || wrong != nil {
-		writeReply(c, Reply{Error: errors.Join(err, wrong).Error()})
+	if err := l.call(ctx, func() { client, startErr = l.startSession(request.Lease, request.TTL, notify) }); err != nil || startErr != nil {
+		writeReply(conn, Reply{Error: errors.Join(err, startErr).Error()})
 		return
 	}
-	if writeReply(c, Reply{}) != nil { // it is asked for
-		l.call(ctx, t.Abandon)
+	if writeReply(conn, Reply{}) != nil { // confirms that the lease is requested
+		l.call(ctx, client.Abandon)
 		return
 	}
-	gone := make(chan struct{})
+	connClosed := make(chan struct{})
 	go func() { // ends with the connection
-		defer close(gone)
+		defer close(connClosed)
 		for {
-			var more Request
-			if in.Decode(&more) != nil {
+			var next Request
+			if decoder.Decode(&next) != nil {
 				return
 			}
 			now := clock.Boot()
-			switch more.Do {
-			case "stop": // it wants no more, and says when it has stopped
-				l.call(ctx, func() { t.Stop(now, lease.Holder{}) })
+			switch next.Do {
+			case "stop": // the lease is no longer wanted; "stopped" follows when the user has stopped
+				l.call(ctx, func() { client.Stop(now, lease.Holder{}) })
 			case "stopped":
 				l.call(ctx, func() {
-					t.ActsEnded(clock.Boot())
-					t.Stop(clock.Boot(), lease.Holder{})
+					client.ActsEnded(clock.Boot())
+					client.Stop(clock.Boot(), lease.Holder{})
 				})
 			}
 		}
 	}()
-	over := false
-	for !over {
+	finished := false
+	for !finished {
 		select {
-		case e := <-events:
-			over = e.Kind == lease.PhaseChanged && e.Phase == lease.Over
-			if writeReply(c, Reply{Event: &e}) != nil {
-				over = true
+		case event := <-events:
+			finished = event.Kind == lease.PhaseChanged && event.Phase == lease.Over
+			if writeReply(conn, Reply{Event: &event}) != nil {
+				finished = true
 			}
-		case <-gone:
-			over = true
+		case <-connClosed:
+			finished = true
 		case <-l.done:
-			over = true
+			finished = true
 		}
 	}
 	l.call(ctx, func() {
-		if t.Phase() != lease.Over {
-			t.Abandon()
+		if client.Phase() != lease.Over {
+			client.Abandon()
 		}
 	})
-	c.Close()
-	<-gone
+	conn.Close()
+	<-connClosed
 }
--- a/internal/node/leases/diskwriter.go
+++ b/internal/node/leases/diskwriter.go
@@ -12,86 +12,87 @@
 	"curlewring/internal/store"
 )
 
-// keeper writes what the council wants saved, one thing after another, and goes on trying until it is written.
+// diskWriter writes the saves that the node requests, one after another. It retries each until it
+// is written.
 type diskWriter struct {
 	fs             store.FS
 	store          *raftstore.Store
 	log            *slog.Logger
 	pending        chan *leaselog.PendingSave
-	reopenRequests chan struct{} // read all from the disk again
+	reopenRequests chan struct{} // requests to load everything from the disk again
 	saved          chan struct{}
 	reopened       chan raftstore.Loaded
 	syncs          atomic.Int64
 	bytesWritten   atomic.Int64
 }
 
-// writeAgain is the wait after a write that failed.
+// writeRetryInterval is the wait after a failed write.
 const writeRetryInterval = 250 * time.Millisecond
 
 func openDiskWriter(fs store.FS, log *slog.Logger) (*diskWriter, raftstore.Loaded) {
-	k := &diskWriter{
+	w := &diskWriter{
 		fs: fs, log: log, pending: make(chan *leaselog.PendingSave, 1), reopenRequests: make(chan struct{}, 1), saved: make(chan struct{}, 1),
 		reopened: make(chan raftstore.Loaded, 1),
 	}
-	return k, k.open()
+	return w, w.open()
 }
 
-func (k *diskWriter) open() (found raftstore.Loaded) {
-	s, report := store.Open(k.fs, raftstore.Settings())
-	k.store, found = raftstore.New(s, report)
-	return found
+func (w *diskWriter) open() (loaded raftstore.Loaded) {
+	table, report := store.Open(w.fs, raftstore.Settings())
+	w.store, loaded = raftstore.New(table, report)
+	return loaded
 }
 
-// put hands something over. What was handed over before must be done.
-func (k *diskWriter) submit(s *leaselog.PendingSave) { k.pending <- s }
+// submit passes on a save. The previous one must be complete.
+func (w *diskWriter) submit(save *leaselog.PendingSave) { w.pending <- save }
 
-// reopen has everything read again, once what was handed over is written.
-func (k *diskWriter) requestReopen() {
+// requestReopen has everything loaded from the disk again, once a pending save is written.
+func (w *diskWriter) requestReopen() {
 	select {
-	case k.reopenRequests <- struct{}{}:
+	case w.reopenRequests <- struct{}{}:
 	default:
 	}
 }
 
-func (k *diskWriter) run(ctx context.Context) {
+func (w *diskWriter) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case s := <-k.pending:
-			if !k.save(ctx, s) {
+		case save := <-w.pending:
+			if !w.save(ctx, save) {
 				return
 			}
-			k.saved <- struct{}{}
-			k.compact()
-		case <-k.reopenRequests:
-			k.reopened <- k.open()
+			w.saved <- struct{}{}
+			w.compact()
+		case <-w.reopenRequests:
+			w.reopened <- w.open()
 		}
 	}
 }
 
-// save writes until it is written; false if the context ended before.
-func (k *diskWriter) save(ctx context.Context, s *leaselog.PendingSave) bool {
-	wrong := false
+// save retries a write until it succeeds. It returns false if the context ends first.
+func (w *diskWriter) save(ctx context.Context, save *leaselog.PendingSave) bool {
+	failing := false
 	for {
 		var err error
-		if s.NewState != nil {
-			err = k.store.Reset(clock.Boot(), s.NewState, s.UserData)
+		if save.NewState != nil {
+			err = w.store.Reset(clock.Boot(), save.NewState, save.UserData)
 		} else {
-			err = k.store.Save(clock.Boot(), &s.Update, s.UserData)
+			err = w.store.Save(clock.Boot(), &save.Update, save.UserData)
 		}
 		if err == nil {
-			st := k.store.Stats()
-			k.syncs.Store(int64(st.Syncs))
-			k.bytesWritten.Store(int64(st.Bytes))
-			if wrong {
-				k.log.Info("the leases' disk takes writes again")
+			stats := w.store.Stats()
+			w.syncs.Store(int64(stats.Syncs))
+			w.bytesWritten.Store(int64(stats.Bytes))
+			if failing {
+				w.log.Info("the lease log's disk accepts writes again")
 			}
 			return true
 		}
-		if !wrong {
-			wrong = true
-			k.log.Error("the leases' disk does not take writes; a voter here says nothing until it does", "err", err)
+		if !failing {
+			failing = true
+			w.log.Error("writing to the lease log's disk failed; a voter on this node sends nothing until it succeeds", "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -101,11 +102,11 @@
 	}
 }
 
-func (k *diskWriter) compact() {
+func (w *diskWriter) compact() {
 	for more := true; more; {
 		var err error
-		if more, err = k.store.Compact(clock.Boot()); err != nil {
-			k.log.Warn("the leases' files could not be made shorter", "err", err)
+		if more, err = w.store.Compact(clock.Boot()); err != nil {
+			w.log.Warn("compacting the lease log's files failed", "err", err)
 			return
 		}
 	}
--- a/internal/node/leases/doc.go
+++ b/internal/node/leases/doc.go
@@ -1,10 +1,11 @@
-// Package leases puts package council on a disk, on the members' sockets and on a unix
-// socket on which operators ask.
+// Package leases connects package leaselog to a disk, to the members' sockets and to a unix
+// socket for operators' requests.
 //
-// The goroutine in Run owns the Council and the tenants; a second one owns the disk, which
-// Run never waits for. Connections of operators have goroutines of their own, which hand
-// over what they want done by a channel and get events by bounded ones. Times are of
-// clock.Boot, which goes on while the process stands still.
+// The goroutine in Run owns the leaselog.Node and the lease clients of this node. A second one
+// owns the disk; Run never waits for it. Operators' connections have goroutines of their own,
+// which pass requests to Run over a channel and receive events over bounded ones. Times are
+// those of clock.Boot, which keeps running while the process is paused.
 //
-// It must not decide who votes, who holds or when: that is council's and lease's.
+// The package does not decide who votes, or who holds a lease and when: packages leaselog and
+// lease do.
 package leases
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -23,17 +23,17 @@
 	"curlewring/internal/store"
 )
 
-// Settings say where a node's leases are kept and how soon a voter is replaced.
+// Settings say where a node keeps its lease log and how soon a voter is replaced.
 type Settings struct {
 	Name, Site   string
 	Folder       string        // of the node's state
 	ReplaceAfter time.Duration // 0: 5 min
-	ShareLists   bool          // a node without a list of servers gets one from others, and one of a site asks for all
-	// Disk wraps the folder's files; nil: they are used as they are. For trials.
+	ShareLists   bool          // server lists are passed between nodes; one node per site queries discovery
+	// WrapFS wraps the folder's files; nil: they are used as they are. For fault trials.
 	WrapFS func(store.FS) store.FS
 }
 
-// Fleet is what this package needs of the membership.
+// Fleet is the part of the membership that this package uses.
 type Fleet interface {
 	View() *membership.View
 	Address() netip.AddrPort
@@ -63,20 +63,20 @@
 	inbox      chan *leaselog.Message
 	calls      chan func()
 	done       chan struct{}
-	node       *leaselog.Node // Run's, with all below
+	node       *leaselog.Node // owned by Run, like all fields below
 	view       *membership.View
 	sessions   map[uint64]*session
 	queries    map[uint64]*query
 	lastRef    uint64
 	lastStatus leaselog.StatusSummary
-	// The disk is read again: what the present council wants saved is not handed over any more.
+	// The disk is being loaded again: saves of the present node are no longer passed on.
 	reopening bool
 }
 
 // Open opens the folder and the operators' socket. It must be called before the members run.
-func Open(set Settings, fleet Fleet, log *slog.Logger) (_ *Leases, err error) {
+func Open(settings Settings, fleet Fleet, log *slog.Logger) (_ *Leases, err error) {
 	l := &Leases{
-		settings: set, fleet: fleet, log: log, inbox: make(chan *leaselog.Message, inboxSize), calls: make(chan func()), done: make(chan struct{}),
+		settings: settings, fleet: fleet, log: log, inbox: make(chan *leaselog.Message, inboxSize), calls: make(chan func()), done: make(chan struct{}),
 		sessions: map[uint64]*session{}, queries: map[uint64]*query{},
 	}
 	defer func() {
@@ -85,33 +85,33 @@
 			err = fmt.Errorf("leases: %w", err)
 		}
 	}()
-	if l.folder, err = disk.Open(filepath.Join(set.Folder, "leases")); err != nil {
+	if l.folder, err = disk.Open(filepath.Join(settings.Folder, "leases")); err != nil {
 		return nil, err
 	}
 	var fs store.FS = l.folder
-	if set.WrapFS != nil {
-		fs = set.WrapFS(fs)
+	if settings.WrapFS != nil {
+		fs = settings.WrapFS(fs)
 	}
 	l.writer, l.loaded = openDiskWriter(fs, log)
 	l.startNode()
-	if l.controlListener, err = accept.ListenUnix(SocketPath(set.Folder), dialTimeout); err != nil {
+	if l.controlListener, err = accept.ListenUnix(SocketPath(settings.Folder), dialTimeout); err != nil {
 		return nil, err
 	}
 	fleet.OnMessage(wire.TopicLease, l.receive)
 	return l, nil
 }
 
-// SocketIn is where operators ask a node that keeps its state in a folder.
+// SocketPath is the path of the operators' socket of a node whose state is in the given folder.
 func SocketPath(folder string) string { return filepath.Join(folder, "leases.sock") }
 
-// begin makes a council of what the disk holds.
+// startNode creates a leaselog.Node from what was loaded from the disk.
 func (l *Leases) startNode() {
 	if l.loaded.DistrustReason != "" {
-		l.log.Error("what was kept of the leases' log is not to be trusted; a voter here gives its number up", "voter", fmt.Sprintf("%x", l.loaded.State.ID), "why", l.loaded.DistrustReason)
+		l.log.Error("the saved lease log cannot be trusted; a voter on this node gives up its ID", "voter", fmt.Sprintf("%x", l.loaded.State.ID), "why", l.loaded.DistrustReason)
 	}
-	set := leaselog.Settings{Name: l.settings.Name, Site: l.settings.Site, ReplaceAfter: l.settings.ReplaceAfter}
-	set.Consensus.TickInterval = tickInterval
-	l.node = leaselog.New(set, &l.loaded.State, l.loaded.UserData, l.loaded.DistrustReason, rand.Uint64(), clock.Boot())
+	config := leaselog.Settings{Name: l.settings.Name, Site: l.settings.Site, ReplaceAfter: l.settings.ReplaceAfter}
+	config.Consensus.TickInterval = tickInterval
+	l.node = leaselog.New(config, &l.loaded.State, l.loaded.UserData, l.loaded.DistrustReason, rand.Uint64(), clock.Boot())
 	l.view, l.reopening = nil, false
 }
 
@@ -121,45 +121,45 @@
 	}
 	if l.folder != nil {
 		if err := l.folder.Close(); err != nil {
-			l.log.Warn("closing the leases' folder", "err", err)
+			l.log.Warn("closing the lease log's folder failed", "err", err)
 		}
 	}
 }
 
-// take reads what came by the members' sockets.
+// receive decodes a message that came over the members' sockets and queues it.
 func (l *Leases) receive(body []byte) {
-	m, err := leaselog.ParseMessage(body)
+	message, err := leaselog.ParseMessage(body)
 	if err != nil {
-		return // of another version, or made up
+		return // of another version, or malformed
 	}
-	if at, err := netip.ParseAddrPort(m.Addr); err == nil && at.Port() != 0 {
-		l.fleet.LearnAddress(m.From, at)
+	if addr, err := netip.ParseAddrPort(message.Addr); err == nil && addr.Port() != 0 {
+		l.fleet.LearnAddress(message.From, addr)
 	}
 	select {
-	case l.inbox <- m:
-	default: // it comes again, or is asked for again
+	case l.inbox <- message:
+	default: // dropped: the sender repeats it, or it is requested again
 	}
 }
 
 // Run takes part until the context ends.
 func (l *Leases) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
-	var parts sync.WaitGroup
+	var workers sync.WaitGroup
 	defer close(l.done)
 	defer l.close()
-	defer parts.Wait()
+	defer workers.Wait()
 	defer l.controlListener.Close()
 	defer stop()
-	parts.Go(func() { l.writer.run(ctx) })
-	parts.Go(func() {
-		accept.Serve(ctx, l.controlListener, accept.Limits{MaxConnections: maxOperatorConnections}, func(c net.Conn) { l.serveConnection(ctx, c) })
+	workers.Go(func() { l.writer.run(ctx) })
+	workers.Go(func() {
+		accept.Serve(ctx, l.controlListener, accept.Limits{MaxConnections: maxOperatorConnections}, func(conn net.Conn) { l.serveConnection(ctx, conn) })
 	})
 	defer l.abandonSessions()
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	quick := time.NewTicker(sessionTickInterval)
-	defer quick.Stop()
-	ticks := true
+	sessionTick := time.NewTicker(sessionTickInterval)
+	defer sessionTick.Stop()
+	sessionTicking := true
 	reopen := time.NewTimer(0)
 	reopen.Stop()
 	defer reopen.Stop()
@@ -171,40 +171,40 @@
 			l.updateMembers()
 			l.node.Tick(clock.Boot())
 			l.retryQueries()
-		case <-quick.C:
+		case <-sessionTick.C:
 			l.tickSessions()
 			if len(l.sessions) == 0 {
-				quick.Stop() // until there are some again
-				ticks = false
+				sessionTick.Stop() // restarted when there are sessions again
+				sessionTicking = false
 			}
-		case m := <-l.inbox:
-			l.node.Receive(clock.Boot(), m)
-			for more := true; more; { // what came meanwhile goes into one entry
+		case message := <-l.inbox:
+			l.node.Receive(clock.Boot(), message)
+			for draining := true; draining; { // messages that have queued up meanwhile share a log entry
 				select {
-				case m := <-l.inbox:
-					l.node.Receive(clock.Boot(), m)
+				case message := <-l.inbox:
+					l.node.Receive(clock.Boot(), message)
 				default:
-					more = false
+					draining = false
 				}
 			}
-		case do := <-l.calls:
-			do()
+		case call := <-l.calls:
+			call()
 			l.tickSessions()
 		case <-l.writer.saved:
 			l.node.Saved(clock.Boot())
 		case l.loaded = <-l.writer.reopened:
 			l.startNode()
 		case <-reopen.C:
-			if l.node.Busy() { // what is under way is written first
+			if l.node.Busy() { // a save under way is completed first
 				reopen.Reset(tickInterval)
 				continue
 			}
 			l.reopening = true
 			l.writer.requestReopen()
 		}
-		if len(l.sessions) > 0 && !ticks {
-			quick.Reset(sessionTickInterval)
-			ticks = true
+		if len(l.sessions) > 0 && !sessionTicking {
+			sessionTick.Reset(sessionTickInterval)
+			sessionTicking = true
 		}
 		l.flush()
 		if l.logChanges() {
@@ -213,98 +213,99 @@
 	}
 }
 
-// look takes the present view.
+// updateMembers passes the members of the current view to the node, if the view has changed.
 func (l *Leases) updateMembers() {
-	v := l.fleet.View()
-	if v == l.view && v != nil {
+	view := l.fleet.View()
+	if view == l.view && view != nil {
 		return
 	}
-	l.view = v
+	l.view = view
 	var members map[string]leaselog.Member
-	if v != nil {
-		members = make(map[string]leaselog.Member, len(v.Members))
-		for i := range v.Members {
-			m := &v.Members[i]
-			members[m.Name] = leaselog.Member{Site: m.Site, Addr: m.Addr.String()}
+	if view != nil {
+		members = make(map[string]leaselog.Member, len(view.Members))
+		for i := range view.Members {
+			member := &view.Members[i]
+			members[member.Name] = leaselog.Member{Site: member.Site, Addr: member.Addr.String()}
 		}
 	}
 	l.node.SetMembers(clock.Boot(), members)
 }
 
-// save hands over what must be on the disk.
+// submitSave passes the node's pending save to the disk writer.
 func (l *Leases) submitSave() {
 	if l.reopening {
 		return
 	}
-	if s := l.node.TakeSave(); s != nil {
-		l.writer.submit(s)
+	if save := l.node.TakeSave(); save != nil {
+		l.writer.submit(save)
 	}
 }
 
-// carry does what the council wants done.
+// flush sends the node's outgoing messages, delivers local replies and submits its saves.
 func (l *Leases) flush() {
 	l.submitSave()
-	outs, told := l.node.TakeOutgoing()
-	for len(outs)+len(told) > 0 {
-		for i := range outs {
-			outs[i].Message.Addr = l.fleet.Address().String()
-			b, err := leaselog.AppendMessage(nil, outs[i].Message)
+	messages, replies := l.node.TakeOutgoing()
+	for len(messages)+len(replies) > 0 {
+		for i := range messages {
+			messages[i].Message.Addr = l.fleet.Address().String()
+			body, err := leaselog.AppendMessage(nil, messages[i].Message)
 			if err != nil {
-				l.log.Error("a message of the leases can't be written", "err", err)
+				l.log.Error("encoding a message of the lease log failed", "err", err)
 				continue
 			}
-			at, _ := netip.ParseAddrPort(outs[i].Addr) // none is none
-			l.fleet.Send(outs[i].To, at, wire.TopicLease, b)
+			addr, _ := netip.ParseAddrPort(messages[i].Addr) // the zero address if it has none
+			l.fleet.Send(messages[i].To, addr, wire.TopicLease, body)
 		}
-		for i := range told {
-			l.handleReply(&told[i])
+		for i := range replies {
+			l.handleReply(&replies[i])
 		}
-		outs, told = l.node.TakeOutgoing()
+		messages, replies = l.node.TakeOutgoing()
 	}
 	l.submitSave()
 }
 
-// note logs what has changed, and tells whether the council must be made anew from the disk.
+// logChanges logs changes of the node's status, and reports whether the node must be created again
+// from the disk.
 func (l *Leases) logChanges() (reopen bool) {
-	now, was := l.node.StatusSummary(), l.lastStatus
-	if now == was {
+	current, previous := l.node.StatusSummary(), l.lastStatus
+	if current == previous {
 		return false
 	}
-	l.lastStatus = now
-	s := l.node.Status()
-	if now.IsLeader != was.IsLeader {
-		l.log.Info("the leases' log", "leads", now.IsLeader, "term", s.Term)
+	l.lastStatus = current
+	status := l.node.Status()
+	if current.IsLeader != previous.IsLeader {
+		l.log.Info("the lease log's leadership has changed", "leads", current.IsLeader, "term", status.Term)
 	}
-	if now.Index != was.Index {
+	if current.Index != previous.Index {
 		var names []string
-		for _, r := range s.Seats.Rows {
-			names = append(names, r.Name)
+		for _, voter := range status.Seats.Rows {
+			names = append(names, voter.Name)
 		}
-		l.log.Info("who votes on leases", "voters", names, "at", now.Index)
+		l.log.Info("the lease log's voters have changed", "voters", names, "at", current.Index)
 	}
-	if now.ID != was.ID {
-		l.log.Info("this node's voter", "number", fmt.Sprintf("%x", now.ID), "was", fmt.Sprintf("%x", was.ID))
+	if current.ID != previous.ID {
+		l.log.Info("this node's voter has changed", "number", fmt.Sprintf("%x", current.ID), "was", fmt.Sprintf("%x", previous.ID))
 	}
-	if now.DiskHung != was.DiskHung {
-		l.log.Warn("the leases' disk", "hangs", now.DiskHung)
+	if current.DiskHung != previous.DiskHung {
+		l.log.Warn("the lease log's disk has hung or recovered", "hangs", current.DiskHung)
 	}
-	if now.Conflict && !was.Conflict {
-		l.log.Error("another log of this fleet's leases was met: two were founded, and this node keeps to its own")
+	if current.Conflict && !previous.Conflict {
+		l.log.Error("found another lease log of this fleet: two were founded, and this node keeps its own")
 	}
-	if now.Broken && !was.Broken {
-		l.log.Error("the voter can't go on, and is started from its disk again", "err", s.Broken)
+	if current.Broken && !previous.Broken {
+		l.log.Error("the voter has failed, and is restarted from its disk", "err", status.Broken)
 		return true
 	}
 	return false
 }
 
-// call runs something on the goroutine that owns the council.
-func (l *Leases) call(ctx context.Context, do func()) error {
+// call runs a function on the goroutine that owns the node.
+func (l *Leases) call(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
-	case l.calls <- func() { do(); close(done) }:
+	case l.calls <- func() { f(); close(done) }:
 	case <-l.done:
-		return errors.New("the node ends")
+		return errors.New("leases: the node is shutting down")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -312,37 +313,37 @@
 	return nil
 }
 
-// Leave gives up what this node's tenants hold as their users let go of it, and the lead, and waits for that so long at the
-// most.
-func (l *Leases) Leave(patience time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Leave stops this node's clients, whose leases are released as their users stop, and then gives up
+// leadership. It waits for that up to the timeout.
+func (l *Leases) Leave(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if l.call(ctx, func() {
-		for _, h := range l.sessions {
-			h.client.Stop(clock.Boot(), lease.Holder{})
+		for _, s := range l.sessions {
+			s.client.Stop(clock.Boot(), lease.Holder{})
 		}
 	}) != nil {
 		return
 	}
-	look := time.NewTicker(sessionTickInterval)
-	defer look.Stop()
-	for left := 1; left > 0; {
-		if l.call(ctx, func() { left = len(l.sessions) }) != nil {
+	poll := time.NewTicker(sessionTickInterval)
+	defer poll.Stop()
+	for remaining := 1; remaining > 0; {
+		if l.call(ctx, func() { remaining = len(l.sessions) }) != nil {
 			break
 		}
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
-			left = 0
+			remaining = 0
 		}
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), tickInterval)
 	defer cancel()
 	if l.call(ctx, func() { l.node.Leave(clock.Boot()) }) == nil {
-		select { // a moment for the word to leave
+		select { // time for the message to be sent
 		case <-time.After(tickInterval / 2):
 		case <-l.done:
 		}
--- a/internal/node/leases/sessions.go
+++ b/internal/node/leases/sessions.go
@@ -12,29 +12,29 @@
 	"curlewring/internal/node/clock"
 )
 
-// holding is a tenant with its user.
+// session is a lease client on this node with its user.
 type session struct {
 	client *lease.Client
-	notify func(lease.Event) bool // must not wait; false: the user is gone
+	notify func(lease.Event) bool // must not block; false: the user is gone
 }
 
 const maxSessions = 4096
 
-// hold begins to ask for a lease. Run's goroutine alone may call it.
-func (l *Leases) startSession(name string, ttl time.Duration, tell func(lease.Event) bool) (*lease.Client, error) {
+// startSession starts a client that requests a lease. Only Run's goroutine may call it.
+func (l *Leases) startSession(name string, ttl time.Duration, notify func(lease.Event) bool) (*lease.Client, error) {
 	if len(l.sessions) >= maxSessions {
-		return nil, fmt.Errorf("%d leases are asked for at this node, which is the most", maxSessions)
+		return nil, fmt.Errorf("leases: this node already has the maximum of %d lease clients", maxSessions)
 	}
-	h := lease.Holder{Name: l.settings.Name, Incarnation: uint64(l.incarnation()), Life: rand.Uint64() | 1}
-	t, err := lease.NewClient(lease.Timing{}, name, h, ttl, clock.Boot())
+	holder := lease.Holder{Name: l.settings.Name, Incarnation: uint64(l.incarnation()), Life: rand.Uint64() | 1}
+	client, err := lease.NewClient(lease.Timing{}, name, holder, ttl, clock.Boot())
 	if err != nil {
 		return nil, err
 	}
-	l.sessions[h.Life] = &session{t, tell}
-	return t, nil
+	l.sessions[holder.Life] = &session{client, notify}
+	return client, nil
 }
 
-// incarnation is the node's, as the members know it; 0 before there is a view.
+// incarnation returns the node's incarnation in the current view, or 0 without one.
 func (l *Leases) incarnation() uint64 {
 	if l.view == nil {
 		return 0
@@ -45,69 +45,70 @@
 	return 0
 }
 
-// turn has each tenant do what is due.
+// tickSessions ticks each session's client.
 func (l *Leases) tickSessions() {
 	now := clock.Boot()
-	for life, h := range l.sessions {
-		l.tickSession(now, life, h)
+	for life, s := range l.sessions {
+		l.tickSession(now, life, s)
 	}
 }
 
-// turnOf has one of them do so.
-func (l *Leases) tickSession(now time.Duration, life uint64, h *session) {
-	tries := h.client.Attempts()
-	if c := h.client.Tick(now); c != nil && l.node.SendLeaseCommand(now, *c, 0, tries) != nil {
-		h.client.RetrySoon(now, c.Seq) // nobody to ask yet
+// tickSession sends the command that a client wants sent, passes its events to its user, and
+// removes the session once it is over.
+func (l *Leases) tickSession(now time.Duration, life uint64, s *session) {
+	attempt := s.client.Attempts()
+	if command := s.client.Tick(now); command != nil && l.node.SendLeaseCommand(now, *command, 0, attempt) != nil {
+		s.client.RetrySoon(now, command.Seq) // no voter is known yet
 	}
-	for _, e := range h.client.Events() {
-		if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding || e.Kind == lease.Extended {
-			h.client.BeginAct(now, e.Until-now) // the user acts as long as it may, unless it says otherwise
+	for _, event := range s.client.Events() {
+		if event.Kind == lease.PhaseChanged && event.Phase == lease.Holding || event.Kind == lease.Extended {
+			s.client.BeginAct(now, event.Until-now) // held until the lease ends, unless the user stops earlier
 		}
-		if !h.notify(e) {
-			h.client.Abandon()
+		if !s.notify(event) {
+			s.client.Abandon()
 		}
 	}
-	if h.client.Phase() == lease.Over {
+	if s.client.Phase() == lease.Over {
 		delete(l.sessions, life)
 	}
 }
 
-// disband tells all users that this node ends; what they hold runs out.
+// abandonSessions notifies all users that this node ends; the leases that they hold expire.
 func (l *Leases) abandonSessions() {
-	for _, h := range l.sessions {
-		h.client.Abandon()
-		for _, e := range h.client.Events() {
-			e.Why = "the node has ended; the lease runs out"
-			h.notify(e)
+	for _, s := range l.sessions {
+		s.client.Abandon()
+		for _, event := range s.client.Events() {
+			event.Why = "the node has ended; the lease expires"
+			s.notify(event)
 		}
 	}
 }
 
-// told hands out what came for this node's own.
-func (l *Leases) handleReply(m *leaselog.LocalReply) {
-	if h := l.sessions[m.Life]; h != nil {
-		switch m.Kind {
+// handleReply passes a reply to the session or query that it answers.
+func (l *Leases) handleReply(reply *leaselog.LocalReply) {
+	if s := l.sessions[reply.Life]; s != nil {
+		switch reply.Kind {
 		case leaselog.CommandAnswer:
-			h.client.HandleAnswer(clock.Boot(), m.Answer)
+			s.client.HandleAnswer(clock.Boot(), reply.Answer)
 		case leaselog.CannotServe:
-			h.client.RetrySoon(clock.Boot(), m.Seq)
+			s.client.RetrySoon(clock.Boot(), reply.Seq)
 		}
-		l.tickSession(clock.Boot(), m.Life, h)
+		l.tickSession(clock.Boot(), reply.Life, s)
 		return
 	}
-	if a := l.queries[m.Ref]; a != nil && m.Ref != 0 {
-		a.handleReply(m)
+	if q := l.queries[reply.Ref]; q != nil && reply.Ref != 0 {
+		q.handleReply(reply)
 	}
 }
 
-// asking is a question of an operator's, which is no tenant's.
+// query is a request to the voters that belongs to no session, such as an operator's.
 type query struct {
 	ref       uint64
 	startedAt time.Duration
 	sentAt    time.Duration
 	attempt   int
-	send      func(try int) error
-	onReply   func(m *leaselog.LocalReply) (done bool)
+	send      func(attempt int) error
+	onReply   func(reply *leaselog.LocalReply) (done bool)
 	onError   func(error)
 }
 
@@ -116,94 +117,95 @@
 	queryTimeout       = 5 * time.Second
 )
 
-// ask puts a question, and again until it is answered.
-func (l *Leases) startQuery(a *query) {
+// startQuery sends a query, and registers it to be sent again until it is answered.
+func (l *Leases) startQuery(q *query) {
 	l.lastRef++
-	a.ref, a.startedAt, a.sentAt = l.lastRef, clock.Boot(), clock.Boot()
-	if err := a.send(0); err != nil {
-		a.onError(err)
+	q.ref, q.startedAt, q.sentAt = l.lastRef, clock.Boot(), clock.Boot()
+	if err := q.send(0); err != nil {
+		q.onError(err)
 		return
 	}
-	l.queries[a.ref] = a
+	l.queries[q.ref] = q
 }
 
-func (a *query) handleReply(m *leaselog.LocalReply) {
-	if m.Kind == leaselog.CannotServe {
-		a.sentAt = min(a.sentAt, clock.Boot()-queryRetryInterval+50*time.Millisecond)
+func (q *query) handleReply(reply *leaselog.LocalReply) {
+	if reply.Kind == leaselog.CannotServe {
+		q.sentAt = min(q.sentAt, clock.Boot()-queryRetryInterval+50*time.Millisecond)
 		return
 	}
-	if a.onReply != nil && a.onReply(m) {
-		a.onReply = nil
+	if q.onReply != nil && q.onReply(reply) {
+		q.onReply = nil
 	}
 }
 
-// timeouts asks again where no answer has come, and ends what has taken too long.
+// retryQueries sends unanswered queries again, and fails those that have timed out.
 func (l *Leases) retryQueries() {
 	now := clock.Boot()
-	for ref, a := range l.queries {
+	for ref, q := range l.queries {
 		switch {
-		case a.onReply == nil:
+		case q.onReply == nil:
 			delete(l.queries, ref)
-		case now-a.startedAt > queryTimeout:
+		case now-q.startedAt > queryTimeout:
 			delete(l.queries, ref)
-			a.onError(errors.New("no majority of the voters answers: no leader was found within " + queryTimeout.String()))
-		case now-a.sentAt >= queryRetryInterval:
-			a.sentAt = now
-			a.attempt++
-			if err := a.send(a.attempt); err != nil {
+			q.onError(errors.New("leases: no majority of the voters answers: no leader was found within " + queryTimeout.String()))
+		case now-q.sentAt >= queryRetryInterval:
+			q.sentAt = now
+			q.attempt++
+			if err := q.send(q.attempt); err != nil {
 				delete(l.queries, ref)
-				a.onError(err)
+				q.onError(err)
 			}
 		}
 	}
 }
 
-// Local is a lease that this node itself asks for, or holds.
+// LocalLease is a lease that this node itself requests or holds.
 type LocalLease struct {
-	Events   chan lease.Event // what does not fit is lost: the newest phase is asked for by Holds
+	Events   chan lease.Event // an event that does not fit is dropped
 	leases   *Leases
 	name     string
 	ttl      time.Duration
 	released chan struct{}
 }
 
-// Hold asks for a lease on behalf of this node. It does not wait. The caller must Give it back.
+// Acquire requests a lease on behalf of this node. It does not block. The caller must Release it.
 func (l *Leases) Acquire(name string, ttl time.Duration) *LocalLease {
-	x := &LocalLease{Events: make(chan lease.Event, eventBuffer), leases: l, name: name, ttl: ttl, released: make(chan struct{})}
-	go x.run()
-	return x
+	held := &LocalLease{Events: make(chan lease.Event, eventBuffer), leases: l, name: name, ttl: ttl, released: make(chan struct{})}
+	go held.run()
+	return held
 }
 
-// run ends with Give, or with the leases.
-func (x *LocalLease) run() {
+// run ends after Release, or with the leases.
+func (l *LocalLease) run() {
 	ctx := context.Background() // a call ends with the leases
-	var t *lease.Client
-	tell := func(e lease.Event) bool {
+	var client *lease.Client
+	notify := func(event lease.Event) bool {
 		select {
-		case x.Events <- e:
+		case l.Events <- event:
 		default:
 		}
 		return true
 	}
-	if x.leases.call(ctx, func() { t, _ = x.leases.startSession(x.name, x.ttl, tell) }) != nil || t == nil {
+	if l.leases.call(ctx, func() { client, _ = l.leases.startSession(l.name, l.ttl, notify) }) != nil || client == nil {
 		return
 	}
 	select {
-	case <-x.released:
-	case <-x.leases.done:
+	case <-l.released:
+	case <-l.leases.done:
 		return
 	}
-	x.leases.call(ctx, func() {
-		t.ActsEnded(clock.Boot())
-		t.Stop(clock.Boot(), lease.Holder{})
+	l.leases.call(ctx, func() {
+		client.ActsEnded(clock.Boot())
+		client.Stop(clock.Boot(), lease.Holder{})
 	})
 }
 
-// Give gives the lease back, or the wish for it. What was done under it must be over.
-func (x *LocalLease) Release() {
+// Release releases the lease, or withdraws the request for it. What was done under the lease must
+// be complete.
+func (l *LocalLease) Release() {
 	select {
-	case <-x.released:
+	case <-l.released:
 	default:
-		close(x.released)
+		close(l.released)
 	}
 }
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -75,7 +75,7 @@
 // TrafficCounters count the traffic on the sockets.
 type TrafficCounters struct {
 	Datagrams, Bytes, Streams                        atomic.Int64 // sent
-	Received, Dropped                                atomic.Int64 // datagrams; of messages, those that did not fit into the inbox
+	Received, Dropped                                atomic.Int64 // datagrams; messages that did not fit into a queue
 	Malformed, BadChecksum, OtherFleet, OtherVersion atomic.Int64 // ignored, by reason
 }
 
