--- a/internal/leaseexec/group_linux.go
+++ b/internal/leaseexec/group_linux.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// group gives a command a process group of its own, and has the kernel end it with this process, however that ends.
-func group(cmd *exec.Cmd) {
+// setProcessGroup gives a command a process group of its own, and makes the kernel kill it when
+// this process ends, however that happens.
+func setProcessGroup(cmd *exec.Cmd) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/leaseexec/group_other.go
+++ b/internal/leaseexec/group_other.go
@@ -7,5 +7,6 @@
 	"syscall"
 )
 
-// group gives a command a process group of its own. Where this process is killed, nothing ends the command.
-func group(cmd *exec.Cmd) { cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} }
+// setProcessGroup gives a command a process group of its own. If this process is killed, the
+// command keeps running.
+func setProcessGroup(cmd *exec.Cmd) { cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/leaseexec/leaseexec.go
+++ b/internal/leaseexec/leaseexec.go
@@ -1,10 +1,10 @@
-// Package leaseexec runs a command under a lease of the fleet: it asks the node beside it for the
-// lease, starts the command once that is held, and ends it before the lease can pass on,
-// whether the node says so, falls silent or is gone.
+// Package leaseexec runs a command under a lease of the fleet: it requests the lease from the local
+// node, starts the command once the lease is held, and ends the command before the lease can pass
+// on, whether the node reports the lease's end, stops responding or is gone.
 //
-// Run owns the command and its process group. The lease's end is told in the machine's own
-// clock (clock.Boot), so nothing that the node can't say any more has to arrive in time.
-// What it can't do: end a command while this process itself stands still.
+// Run owns the command and its process group. The lease's end is a time of the machine's own clock
+// (clock.Boot), so the command is ended in time without any further message from the node. The
+// package cannot end a command while its own process is paused.
 package leaseexec
 
 import (
@@ -29,89 +29,90 @@
 	Lease     string
 	TTL       time.Duration
 	KillGrace time.Duration // between SIGTERM and SIGKILL; 0: a quarter of TTL
-	MaxWait   time.Duration // how long to wait for the lease; 0: not in line at all
+	MaxWait   time.Duration // how long to wait for the lease; 0: do not queue for it
 	Command   []string
-	Logf      func(format string, args ...any) // what an operator may want to know
+	Logf      func(format string, args ...any) // messages for the operator
 }
 
-// Errors of Run.
+// Errors returned by Run.
 var (
-	ErrNotHeld   = errors.New("the lease is not to be had")
-	ErrLeaseLost = errors.New("the lease could not be kept, and the command was ended")
+	ErrNotHeld   = errors.New("the lease could not be acquired")
+	ErrLeaseLost = errors.New("the lease was lost, and the command was ended")
 )
 
 const (
 	pollInterval   = 10 * time.Millisecond
-	releaseTimeout = 500 * time.Millisecond // for the node's word that the lease is free
-	silenceTimeout = 5 * time.Second        // a node that says nothing for so long, while nobody waits in line
+	releaseTimeout = 500 * time.Millisecond // for the node to report that the lease is released
+	silenceTimeout = 5 * time.Second        // without MaxWait, for the node's first answer on the lease
 )
 
-// Run runs the command, and returns its exit code. An error says that it did not start, or had to be ended.
-func Run(ctx context.Context, o Options) (code int, err error) {
-	h, err := leases.Acquire(ctx, o.StateDir, o.Lease, o.TTL)
+// Run runs the command and returns its exit code. An error means that the command did not start or
+// had to be ended.
+func Run(ctx context.Context, options Options) (code int, err error) {
+	held, err := leases.Acquire(ctx, options.StateDir, options.Lease, options.TTL)
 	if err != nil {
 		return 0, err
 	}
-	defer h.Close()
-	token, until, err := waitForLease(ctx, h, &o)
+	defer held.Close()
+	token, until, err := waitForLease(ctx, held, &options)
 	if err != nil {
 		return 0, err
 	}
-	return runCommand(ctx, h, &o, token, until)
+	return runCommand(ctx, held, &options, token, until)
 }
 
-// held waits until the lease is held.
-func waitForLease(ctx context.Context, h *leases.ClientLease, o *Options) (token uint64, until time.Duration, err error) {
-	begun := clock.Boot()
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
+// waitForLease waits until the lease is held.
+func waitForLease(ctx context.Context, held *leases.ClientLease, options *Options) (token uint64, until time.Duration, err error) {
+	startedAt := clock.Boot()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
 	for {
 		select {
-		case e, ok := <-h.Events:
+		case event, ok := <-held.Events:
 			switch {
 			case !ok:
 				return 0, 0, fmt.Errorf("%w: the node has ended", ErrNotHeld)
-			case e.Kind == lease.Unreachable:
-				if o.MaxWait == 0 {
+			case event.Kind == lease.Unreachable:
+				if options.MaxWait == 0 {
 					return 0, 0, fmt.Errorf("%w: no majority of the voters answers", ErrNotHeld)
 				}
-				o.Logf("no majority of the voters answers; waiting")
-			case e.Kind != lease.PhaseChanged:
-			case e.Phase == lease.Holding:
-				return e.Token, e.Until, nil
-			case e.Phase == lease.Queued && o.MaxWait == 0:
-				h.RequestRelease()
-				return 0, 0, fmt.Errorf("%w: another holds it", ErrNotHeld)
-			case e.Phase == lease.Queued:
-				o.Logf("in line for %q, place %d", o.Lease, e.Place)
-			case e.Phase == lease.Over:
-				return 0, 0, fmt.Errorf("%w: %s", ErrNotHeld, e.Why)
+				options.Logf("no majority of the voters answers; waiting")
+			case event.Kind != lease.PhaseChanged:
+			case event.Phase == lease.Holding:
+				return event.Token, event.Until, nil
+			case event.Phase == lease.Queued && options.MaxWait == 0:
+				held.RequestRelease()
+				return 0, 0, fmt.Errorf("%w: another client holds it or is queued for it", ErrNotHeld)
+			case event.Phase == lease.Queued:
+				options.Logf("queued for lease %q, place %d", options.Lease, event.Place)
+			case event.Phase == lease.Over:
+				return 0, 0, fmt.Errorf("%w: %s", ErrNotHeld, event.Why)
 			}
-		case <-look.C:
-			if waited := clock.Boot() - begun; o.MaxWait > 0 && waited > o.MaxWait || o.MaxWait == 0 && waited > silenceTimeout {
-				h.RequestRelease()
-				return 0, 0, fmt.Errorf("%w: not within %v", ErrNotHeld, waited.Round(time.Millisecond))
+		case <-poll.C:
+			if waited := clock.Boot() - startedAt; options.MaxWait > 0 && waited > options.MaxWait || options.MaxWait == 0 && waited > silenceTimeout {
+				held.RequestRelease()
+				return 0, 0, fmt.Errorf("%w: not held after %v", ErrNotHeld, waited.Round(time.Millisecond))
 			}
 		case <-ctx.Done():
-			h.RequestRelease()
+			held.RequestRelease()
 			return 0, 0, ctx.Err()
 		}
 	}
 }
 
-// act runs the command while the lease lasts.
-func runCommand(ctx context.Context, h *leases.ClientLease, o *Options, token uint64, until time.Duration) (int, error) {
-	w := lease.NewWatchdog(o.TTL, o.KillGrace, until)
-	if w.NextSignal(clock.Boot()) != lease.None {
-		return 0, fmt.Errorf("%w: it was over before the command could start", ErrNotHeld)
+// runCommand runs the command while the lease lasts.
+func runCommand(ctx context.Context, held *leases.ClientLease, options *Options, token uint64, until time.Duration) (int, error) {
+	watchdog := lease.NewWatchdog(options.TTL, options.KillGrace, until)
+	if watchdog.NextSignal(clock.Boot()) != lease.None {
+		return 0, fmt.Errorf("%w: it ended before the command could start", ErrNotHeld)
 	}
-	cmd := exec.Command(o.Command[0], o.Command[1:]...)
+	cmd := exec.Command(options.Command[0], options.Command[1:]...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = os.Stdin, os.Stdout, os.Stderr
-	cmd.Env = append(os.Environ(), "CURLEWRING_LEASE="+o.Lease, "CURLEWRING_TOKEN="+strconv.FormatUint(token, 10))
-	group(cmd)
+	cmd.Env = append(os.Environ(), "CURLEWRING_LEASE="+options.Lease, "CURLEWRING_TOKEN="+strconv.FormatUint(token, 10))
+	setProcessGroup(cmd)
 	ended := make(chan error, 1)
 	started := make(chan error, 1)
-	go func() { // the kernel ends the child with the thread that started it
+	go func() { // the kernel kills the child when the thread that started it ends
 		runtime.LockOSThread()
 		err := cmd.Start()
 		started <- err
@@ -120,75 +121,75 @@
 		}
 	}()
 	if err := <-started; err != nil {
-		h.ConfirmStopped()
+		held.ConfirmStopped()
 		return 0, err
 	}
-	kill := func(s syscall.Signal) { syscall.Kill(-cmd.Process.Pid, s) }
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
-	events, done := h.Events, ctx.Done()
-	var wrong error
-	gone := false // the lease, before the command was
+	signalGroup := func(signal syscall.Signal) { syscall.Kill(-cmd.Process.Pid, signal) }
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	events, canceled := held.Events, ctx.Done()
+	var waitErr error
+	leaseEnded := false // the lease ended before the command did
 	for running := true; running; {
 		select {
-		case e, ok := <-events:
+		case event, ok := <-events:
 			switch {
 			case !ok:
-				o.Logf("the node has ended; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
+				options.Logf("the node has ended; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
 				events = nil
-			case e.Kind == lease.Extended:
-				until = e.Until
-				w.Extend(until)
-			case e.Kind == lease.Unreachable:
-				o.Logf("no majority of the voters answers; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
-			case e.Kind == lease.PhaseChanged && e.Phase >= lease.Stopping:
-				o.Logf("the lease goes: %s", e.Why)
-				w.Stop(clock.Boot())
-				gone = true
+			case event.Kind == lease.Extended:
+				until = event.Until
+				watchdog.Extend(until)
+			case event.Kind == lease.Unreachable:
+				options.Logf("no majority of the voters answers; the command may go on for %v", (until - clock.Boot()).Round(time.Millisecond))
+			case event.Kind == lease.PhaseChanged && event.Phase >= lease.Stopping:
+				options.Logf("the lease is ending: %s", event.Why)
+				watchdog.Stop(clock.Boot())
+				leaseEnded = true
 			}
-		case <-look.C:
-		case <-done:
-			done = nil
-			w.Stop(clock.Boot())
-		case wrong = <-ended:
+		case <-poll.C:
+		case <-canceled:
+			canceled = nil
+			watchdog.Stop(clock.Boot())
+		case waitErr = <-ended:
 			running = false
 		}
 		if !running {
 			break
 		}
-		switch w.NextSignal(clock.Boot()) {
+		switch watchdog.NextSignal(clock.Boot()) {
 		case lease.Term:
-			kill(syscall.SIGTERM)
+			signalGroup(syscall.SIGTERM)
 		case lease.Kill:
-			kill(syscall.SIGKILL)
+			signalGroup(syscall.SIGKILL)
 		}
 	}
-	kill(syscall.SIGKILL) // what the command has left behind in its group acts no longer than it
-	h.ConfirmStopped()
-	waitForRelease(h)
-	if w.Lost() || gone {
+	signalGroup(syscall.SIGKILL) // background processes of the command must not outlive it
+	held.ConfirmStopped()
+	waitForRelease(held)
+	if watchdog.Lost() || leaseEnded {
 		return 0, ErrLeaseLost
 	}
-	var exit *exec.ExitError
-	if errors.As(wrong, &exit) {
-		if s, ok := exit.Sys().(syscall.WaitStatus); ok && s.Signaled() {
-			return 128 + int(s.Signal()), nil
+	var exitErr *exec.ExitError
+	if errors.As(waitErr, &exitErr) {
+		if status, ok := exitErr.Sys().(syscall.WaitStatus); ok && status.Signaled() {
+			return 128 + int(status.Signal()), nil
 		}
-		return exit.ExitCode(), nil
+		return exitErr.ExitCode(), nil
 	}
-	return 0, wrong
+	return 0, waitErr
 }
 
-// free waits a moment for the word that the lease is free.
-func waitForRelease(h *leases.ClientLease) {
-	late := time.After(releaseTimeout)
+// waitForRelease waits a moment for the node to report that the lease is released.
+func waitForRelease(held *leases.ClientLease) {
+	timeout := time.After(releaseTimeout)
 	for {
 		select {
-		case e, ok := <-h.Events:
-			if !ok || e.Phase == lease.Over {
+		case event, ok := <-held.Events:
+			if !ok || event.Phase == lease.Over {
 				return
 			}
-		case <-late:
+		case <-timeout:
 			return
 		}
 	}
--- a/internal/node/bootstrap/runner.go
+++ b/internal/node/bootstrap/runner.go
@@ -1,10 +1,10 @@
-// Package bootstrap puts package fleet/record on the members' sockets and the leases: how a
-// starting node without a list of servers comes by one.
+// Package bootstrap connects package fleet/bootstrap to the members' sockets and the leases: it
+// provides a server list to a node that starts without one.
 //
-// The goroutine in Run owns the Record. What it learns of lists comes by Told and Lost, which
-// do not wait; what it wants done goes out by the functions in Loop, which must not either.
+// The goroutine in Run owns the Bootstrapper. ListReceived and ListRejected notify it of lists
+// without blocking. It acts on the node through Hooks, which must not block it either.
 //
-// It must not look into a list, and does not ask discovery itself.
+// The package does not look into a list, and does not query discovery itself.
 package bootstrap
 
 import (
@@ -22,23 +22,23 @@
 	"curlewring/internal/node/leases"
 )
 
-// Fleet is what this package needs of the membership.
+// Fleet is the part of the membership that this package uses.
 type Fleet interface {
 	View() *membership.View
 	Address() netip.AddrPort
-	Send(to string, at netip.AddrPort, topic uint32, body []byte) bool
-	OnMessage(topic uint32, take func(body []byte))
-	LearnAddress(name string, at netip.AddrPort)
+	Send(to string, addr netip.AddrPort, topic uint32, body []byte) bool
+	OnMessage(topic uint32, handle func(body []byte))
+	LearnAddress(name string, addr netip.AddrPort)
 }
 
-// Loop is what it needs of the node's loop.
+// Hooks are the functions of the node's loop that this package uses.
 type Hooks struct {
-	AllowDiscovery func()                                  // discovery may be asked
-	DeliverList    func(list []byte, about bootstrap.List) // a list that was handed to this node
-	CurrentList    func(ctx context.Context) (list []byte) // the present one as discovery writes it; nil: none
+	AllowDiscovery func()                                  // allows this node to query discovery
+	DeliverList    func(list []byte, about bootstrap.List) // passes on a list that this node received
+	CurrentList    func(ctx context.Context) (list []byte) // returns the present list in discovery's encoding; nil: none
 }
 
-// Settings say who this node is.
+// Settings identify this node.
 type Settings struct {
 	Name, Site string
 	Seeds      []netip.AddrPort
@@ -47,15 +47,15 @@
 
 const (
 	tickInterval     = 50 * time.Millisecond
-	idleTickInterval = time.Second          // between two looks once there is a list
-	inboxSize        = 8192                 // messages that wait for the goroutine: of as many nodes at once
+	idleTickInterval = time.Second          // used once there is a list
+	inboxSize        = 8192                 // messages waiting for Run: one from each node of a planned fleet
 	sendInterval     = 5 * time.Millisecond // between two lists that are sent
 	maxQueuedSends   = 64
 	leaseTTL         = 5 * time.Second
 	listTimeout      = time.Second
 )
 
-// Record is one node's part.
+// Runner runs one node's part in passing on server lists.
 type Runner struct {
 	settings Settings
 	fleet    Fleet
@@ -72,43 +72,44 @@
 	rejected   bool
 }
 
-// New makes one. It must be called before the members run.
-func New(set Settings, fleet Fleet, l *leases.Leases, loop Hooks, log *slog.Logger) *Runner {
-	r := &Runner{settings: set, fleet: fleet, leases: l, hooks: loop, log: log, inbox: make(chan *wire.ListMessage, inboxSize), notices: make(chan listNotice, 4)}
+// New creates a Runner. It must be called before the members run.
+func New(settings Settings, fleet Fleet, nodeLeases *leases.Leases, hooks Hooks, log *slog.Logger) *Runner {
+	runner := &Runner{settings: settings, fleet: fleet, leases: nodeLeases, hooks: hooks, log: log, inbox: make(chan *wire.ListMessage, inboxSize), notices: make(chan listNotice, 4)}
 	fleet.OnMessage(wire.TopicList, func(body []byte) {
-		m, err := wire.ParseList(body)
+		message, err := wire.ParseList(body)
 		if err != nil {
 			return
 		}
-		if m.Addr.IsValid() && m.Addr.Port() != 0 {
-			fleet.LearnAddress(m.From, m.Addr)
+		if message.Addr.IsValid() && message.Addr.Port() != 0 {
+			fleet.LearnAddress(message.From, message.Addr)
 		}
 		select {
-		case r.inbox <- m:
-		default: // it is asked for again
+		case runner.inbox <- message:
+		default: // dropped: the peer repeats its message
 		}
 	})
-	return r
+	return runner
 }
 
-// Told tells that discovery has told this node a list.
+// ListReceived notifies the runner that discovery has returned a list.
 func (r *Runner) ListReceived(generation uint64, discovery string) {
 	r.notify(listNotice{generation, discovery, false})
 }
 
-// Lost tells that a list that was handed to this node could not be used.
+// ListRejected notifies the runner that a list which this node received from a peer could not be
+// used.
 func (r *Runner) ListRejected() { r.notify(listNotice{rejected: true}) }
 
-func (r *Runner) notify(t listNotice) {
+func (r *Runner) notify(notice listNotice) {
 	select {
-	case r.notices <- t:
-	default: // the newest word is as good
+	case r.notices <- notice:
+	default: // the newest notice replaces the oldest
 		select {
 		case <-r.notices:
 		default:
 		}
 		select {
-		case r.notices <- t:
+		case r.notices <- notice:
 		default:
 		}
 	}
@@ -116,130 +117,131 @@
 
 // Run takes part until the context ends.
 func (r *Runner) Run(ctx context.Context) {
-	c := bootstrap.New(bootstrap.Settings{Name: r.settings.Name}, r.settings.HasList, rand.Uint64(), clock.Boot())
-	look := time.NewTicker(tickInterval)
-	defer look.Stop()
-	hand := time.NewTicker(sendInterval)
-	defer hand.Stop()
-	hand.Stop()
-	var site *leases.LocalLease // the lease that this node asks for
-	var queue []string          // who is to be sent the list
+	bootstrapper := bootstrap.New(bootstrap.Settings{Name: r.settings.Name}, r.settings.HasList, rand.Uint64(), clock.Boot())
+	tick := time.NewTicker(tickInterval)
+	defer tick.Stop()
+	sendTick := time.NewTicker(sendInterval)
+	defer sendTick.Stop()
+	sendTick.Stop()
+	var siteLease *leases.LocalLease // the site's lease that this node requests, or nil
+	var sendQueue []string           // names of the nodes that are to be sent the list
 	defer func() {
-		if site != nil {
-			site.Release()
+		if siteLease != nil {
+			siteLease.Release()
 		}
 	}()
-	phase := c.Phase()
+	phase := bootstrapper.Phase()
 	var view *membership.View
-	c.SetPeers(r.peers(nil))
+	bootstrapper.SetPeers(r.peers(nil))
 	for {
 		var events <-chan lease.Event
-		if site != nil {
-			events = site.Events
+		if siteLease != nil {
+			events = siteLease.Events
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-			if v := r.fleet.View(); v != view {
-				view = v
-				c.SetPeers(r.peers(v))
+		case <-tick.C:
+			if current := r.fleet.View(); current != view {
+				view = current
+				bootstrapper.SetPeers(r.peers(current))
 			}
-			c.Tick(clock.Boot())
-		case m := <-r.inbox:
-			c.Receive(clock.Boot(), &m.Message)
-		case t := <-r.notices:
-			if t.rejected {
-				c.ListUnusable(clock.Boot())
+			bootstrapper.Tick(clock.Boot())
+		case message := <-r.inbox:
+			bootstrapper.Receive(clock.Boot(), &message.Message)
+		case notice := <-r.notices:
+			if notice.rejected {
+				bootstrapper.ListUnusable(clock.Boot())
 			} else {
-				c.DiscoveryAnswered(clock.Boot(), t.generation, t.discovery)
+				bootstrapper.DiscoveryAnswered(clock.Boot(), notice.generation, notice.discovery)
 			}
-		case e := <-events:
-			if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
-				r.log.Info("this node asks for the list of servers on behalf of its site", "site", r.settings.Site, "token", e.Token)
-				c.LeaseAcquired(clock.Boot())
+		case event := <-events:
+			if event.Kind == lease.PhaseChanged && event.Phase == lease.Holding {
+				r.log.Info("this node queries discovery for its site", "site", r.settings.Site, "token", event.Token)
+				bootstrapper.LeaseAcquired(clock.Boot())
 			}
-		case <-hand.C:
-			if len(queue) == 0 {
-				hand.Stop()
+		case <-sendTick.C:
+			if len(sendQueue) == 0 {
+				sendTick.Stop()
 				continue
 			}
-			r.sendList(ctx, c, queue[0])
-			queue = queue[1:]
+			r.sendList(ctx, bootstrapper, sendQueue[0])
+			sendQueue = sendQueue[1:]
 		}
-		outs, asks, list := c.Take()
-		for _, o := range outs {
-			if o.Kind == bootstrap.ListReply {
-				if len(queue) < maxQueuedSends {
-					if queue = append(queue, o.To); len(queue) == 1 {
-						hand.Reset(sendInterval)
+		messages, allowDiscovery, list := bootstrapper.Take()
+		for _, message := range messages {
+			if message.Kind == bootstrap.ListReply {
+				if len(sendQueue) < maxQueuedSends {
+					if sendQueue = append(sendQueue, message.To); len(sendQueue) == 1 {
+						sendTick.Reset(sendInterval)
 					}
 				}
 				continue
 			}
-			r.send(o.To, &bootstrap.Message{Kind: o.Kind})
+			r.send(message.To, &bootstrap.Message{Kind: message.Kind})
 		}
 		if list != nil {
 			r.hooks.DeliverList(list.Body, list.List)
 		}
-		if asks {
+		if allowDiscovery {
 			r.hooks.AllowDiscovery()
 		}
-		if p := c.Phase(); p != phase {
-			r.log.Debug("the list of servers", "was", phase.String(), "is", p.String())
-			if phase = p; p == bootstrap.HasList {
-				look.Reset(idleTickInterval)
+		if current := bootstrapper.Phase(); current != phase {
+			r.log.Debug("the bootstrap phase has changed", "was", phase.String(), "is", current.String())
+			if phase = current; current == bootstrap.HasList {
+				tick.Reset(idleTickInterval)
 			}
 		}
 		switch {
-		case c.WantsLease() && site == nil:
-			site = r.leases.Acquire("list/"+r.settings.Site, leaseTTL)
-		case !c.WantsLease() && phase == bootstrap.HasList && site != nil:
-			site.Release()
-			site = nil
+		case bootstrapper.WantsLease() && siteLease == nil:
+			siteLease = r.leases.Acquire("list/"+r.settings.Site, leaseTTL)
+		case !bootstrapper.WantsLease() && phase == bootstrap.HasList && siteLease != nil:
+			siteLease.Release()
+			siteLease = nil
 		}
 	}
 }
 
-// near is whom to ask: at the start the seeds, then those of the own site; and far those of others.
-func (r *Runner) peers(v *membership.View) (names, far []string) {
-	for _, s := range r.settings.Seeds {
-		if s != r.fleet.Address() {
-			names = append(names, s.String())
+// peers returns the nodes to query. Before there is a view, near are the addresses of the seeds;
+// with one, near are the other members of this site, and far those of other sites.
+func (r *Runner) peers(view *membership.View) (near, far []string) {
+	for _, seed := range r.settings.Seeds {
+		if seed != r.fleet.Address() {
+			near = append(near, seed.String())
 		}
 	}
-	if v == nil {
-		return names, nil
+	if view == nil {
+		return near, nil
 	}
-	names = names[:0]
-	for i := range v.Members {
-		switch m := &v.Members[i]; {
-		case m.Name == r.settings.Name:
-		case m.Site == r.settings.Site:
-			names = append(names, m.Name)
+	near = near[:0]
+	for i := range view.Members {
+		switch member := &view.Members[i]; {
+		case member.Name == r.settings.Name:
+		case member.Site == r.settings.Site:
+			near = append(near, member.Name)
 		default:
-			far = append(far, m.Name)
+			far = append(far, member.Name)
 		}
 	}
-	return names, far
+	return near, far
 }
 
-// send sends to a name, or to an address of one that has none here yet.
-func (r *Runner) send(to string, m *bootstrap.Message) {
-	m.From = r.settings.Name
-	at, _ := netip.ParseAddrPort(to) // a name is none
-	r.fleet.Send(to, at, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *m, Addr: r.fleet.Address()}))
+// send sends a message to a member, or to an address of a node whose name is not known yet.
+func (r *Runner) send(to string, message *bootstrap.Message) {
+	message.From = r.settings.Name
+	addr, _ := netip.ParseAddrPort(to) // the zero address if it is a name
+	r.fleet.Send(to, addr, wire.TopicList, wire.AppendList(nil, &wire.ListMessage{Message: *message, Addr: r.fleet.Address()}))
 }
 
-// hand sends the present list.
-func (r *Runner) sendList(ctx context.Context, c *bootstrap.Bootstrapper, to string) {
-	about, ok := c.List(clock.Boot())
+// sendList sends the present list.
+func (r *Runner) sendList(ctx context.Context, bootstrapper *bootstrap.Bootstrapper, to string) {
+	info, ok := bootstrapper.List(clock.Boot())
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	if list := r.hooks.CurrentList(ctx); list != nil {
-		r.send(to, &bootstrap.Message{Kind: bootstrap.ListReply, List: about, Body: list})
+		r.send(to, &bootstrap.Message{Kind: bootstrap.ListReply, List: info, Body: list})
 	}
 }
--- a/internal/node/leases/leases.go
+++ b/internal/node/leases/leases.go
@@ -37,9 +37,9 @@
 type Fleet interface {
 	View() *membership.View
 	Address() netip.AddrPort
-	Send(to string, at netip.AddrPort, topic uint32, body []byte) bool
-	LearnAddress(name string, at netip.AddrPort)
-	OnMessage(topic uint32, take func(body []byte))
+	Send(to string, addr netip.AddrPort, topic uint32, body []byte) bool
+	LearnAddress(name string, addr netip.AddrPort)
+	OnMessage(topic uint32, handle func(body []byte))
 }
 
 const (
