--- a/internal/leaseexec/leaseexec.go
+++ b/internal/leaseexec/leaseexec.go
@@ -127,7 +127,7 @@
 	signalGroup := func(signal syscall.Signal) { syscall.Kill(-cmd.Process.Pid, signal) }
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
-	events, canceled := held.Events, ctx.Done()
+	events, cancelled := held.Events, ctx.Done()
 	var waitErr error
 	leaseEnded := false // the lease ended before the command did
 	for running := true; running; {
@@ -148,8 +148,8 @@
 				leaseEnded = true
 			}
 		case <-poll.C:
-		case <-canceled:
-			canceled = nil
+		case <-cancelled:
+			cancelled = nil
 			watchdog.Stop(clock.Boot())
 		case waitErr = <-ended:
 			running = false
--- a/internal/node/bootstrap/runner.go
+++ b/internal/node/bootstrap/runner.go
@@ -35,7 +35,7 @@
 type Hooks struct {
 	AllowDiscovery func()                                  // allows this node to query discovery
 	DeliverList    func(list []byte, about bootstrap.List) // passes on a list that this node received
-	CurrentList    func(ctx context.Context) (list []byte) // returns the present list in discovery's encoding; nil: none
+	CurrentList    func(ctx context.Context) (list []byte) // the present list in discovery's encoding; nil: none
 }
 
 // Settings identify this node.
--- a/internal/supervisor/doc.go
+++ b/internal/supervisor/doc.go
@@ -1,7 +1,7 @@
-// Package supervisor runs the application that a sidecar stands beside, as its
-// child: it starts it once the sidecar serves, starts it again when it dies, and
-// tells the sidecar when it has ended for good.
+// Package supervisor runs a sidecar's application as its child process: it starts the
+// application once the sidecar serves, restarts it when it dies, and returns when it has ended
+// for good.
 //
-// The child's process is owned by Run. The package must not know what a node is,
-// and never sends anything to the application but signals.
+// Run owns the child process. The package knows nothing of nodes, and sends the application
+// nothing but signals.
 package supervisor
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -11,70 +11,70 @@
 	"time"
 )
 
-// Config says what to run.
+// Config says what to run, and how to restart and stop it.
 type Config struct {
 	Command           []string
-	Env               []string      // beside the sidecar's own
-	InitialBackoff    time.Duration // wait before the first new start
-	MaxBackoff        time.Duration // ... doubled up to this
-	BackoffResetAfter time.Duration // an application that ran for so long begins anew with First
-	StopTimeout       time.Duration // from the word to end until it is killed
+	Env               []string      // added to the sidecar's environment
+	InitialBackoff    time.Duration // wait before the first restart
+	MaxBackoff        time.Duration // the wait doubles with each restart, up to this
+	BackoffResetAfter time.Duration // the wait returns to InitialBackoff after an application ran this long
+	StopTimeout       time.Duration // time between SIGTERM and SIGKILL
 	Log               *slog.Logger
 }
 
-// Default are the waits of a sidecar.
+// DefaultConfig returns the configuration that sidecars use.
 func DefaultConfig(command []string, log *slog.Logger) Config {
 	return Config{
 		Command: command, InitialBackoff: 200 * time.Millisecond, MaxBackoff: 5 * time.Second, BackoffResetAfter: 10 * time.Second, StopTimeout: 10 * time.Second, Log: log,
 	}
 }
 
-// errStart says that the command cannot be run at all.
-var errStartFailed = errors.New("the application cannot be started")
+// errStartFailed means that the command could not be started at all.
+var errStartFailed = errors.New("starting the application failed")
 
-// Run runs the application until it ends by itself with code 0, or the context
-// ends: then it gets SIGTERM, and SIGKILL if it does not go. An application that
-// dies is started again. Run returns nil in both cases; an error says that the
-// command could not be started in the first place.
-func Run(ctx context.Context, c Config) error {
-	wait := c.InitialBackoff
+// Run runs the application until it exits with code 0 or the context ends. When the context ends,
+// the application gets SIGTERM, and SIGKILL if it does not exit in time. An application that dies
+// is restarted. Run returns nil in both cases; an error means that the first start failed.
+func Run(ctx context.Context, config Config) error {
+	backoff := config.InitialBackoff
 	for starts := 0; ; starts++ {
-		began := time.Now()
-		cmd := exec.Command(c.Command[0], c.Command[1:]...)
-		cmd.Env = append(os.Environ(), c.Env...)
+		startedAt := time.Now()
+		cmd := exec.Command(config.Command[0], config.Command[1:]...)
+		cmd.Env = append(os.Environ(), config.Env...)
 		cmd.Stdin, cmd.Stdout, cmd.Stderr = nil, os.Stdout, os.Stderr
-		// A group of its own: a signal to the sidecar's comes to the application by
-		// the sidecar alone, and in order.
+		// A process group of its own: signals to the sidecar's group reach the application only
+		// through the sidecar, and in order.
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
 			if starts == 0 {
 				return fmt.Errorf("%w: %w", errStartFailed, err)
 			}
-			c.Log.Error("the application cannot be started again", "err", err)
+			config.Log.Error("restarting the application failed", "err", err)
 		} else {
-			c.Log.Info("the application has started", "pid", cmd.Process.Pid, "starts", starts+1)
-			err, over := c.waitForExit(ctx, cmd)
-			if over {
+			config.Log.Info("the application has started", "pid", cmd.Process.Pid, "starts", starts+1)
+			err, final := config.waitForExit(ctx, cmd)
+			if final {
 				return nil
 			}
-			c.Log.Warn("the application died", "err", err, "after", time.Since(began).Round(time.Millisecond))
+			config.Log.Warn("the application died", "err", err, "after", time.Since(startedAt).Round(time.Millisecond))
 		}
-		if time.Since(began) >= c.BackoffResetAfter {
-			wait = c.InitialBackoff
+		if time.Since(startedAt) >= config.BackoffResetAfter {
+			backoff = config.InitialBackoff
 		}
-		alarm := time.NewTimer(wait)
+		timer := time.NewTimer(backoff)
 		select {
-		case <-alarm.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			alarm.Stop()
+			timer.Stop()
 			return nil
 		}
-		wait = min(2*wait, c.MaxBackoff)
+		backoff = min(2*backoff, config.MaxBackoff)
 	}
 }
 
-// follow waits for a child. over says that it is not to be started again.
-func (c *Config) waitForExit(ctx context.Context, cmd *exec.Cmd) (err error, over bool) {
+// waitForExit waits for a child, and ends it when the context ends. final means that the
+// application must not be restarted.
+func (c *Config) waitForExit(ctx context.Context, cmd *exec.Cmd) (err error, final bool) {
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }() // ends with the child
 	select {
@@ -86,12 +86,12 @@
 	case <-ctx.Done():
 	}
 	syscall.Kill(-cmd.Process.Pid, syscall.SIGTERM)
-	alarm := time.NewTimer(c.StopTimeout)
-	defer alarm.Stop()
+	timer := time.NewTimer(c.StopTimeout)
+	defer timer.Stop()
 	select {
 	case <-ended:
-	case <-alarm.C:
-		c.Log.Warn("the application did not end in time, and is killed")
+	case <-timer.C:
+		c.Log.Warn("the application did not exit in time; killing it")
 		syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 		<-ended
 	}
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -17,23 +17,23 @@
 	"go.uber.org/goleak"
 )
 
-// The test's program stands in for an application where this variable is set:
-// it notes its start in the file that it names, and does what comes behind.
-const asApplication = "CURLEWRING_TEST_APPLICATION"
+// With this variable set, the test binary acts as the application: it records its start in the file
+// named by the variable, and then behaves as the variable says.
+const applicationVariable = "CURLEWRING_TEST_APPLICATION"
 
 func TestMain(m *testing.M) {
-	if text := os.Getenv(asApplication); text != "" {
-		application(text)
+	if value := os.Getenv(applicationVariable); value != "" {
+		application(value)
 		return
 	}
 	goleak.VerifyTestMain(m)
 }
 
-func application(text string) {
-	file, way, _ := strings.Cut(text, " ")
-	ended := make(chan os.Signal, 1)
-	signal.Notify(ended, syscall.SIGTERM)
-	if way == "deaf" {
+func application(value string) {
+	file, behaviour, _ := strings.Cut(value, " ")
+	terminated := make(chan os.Signal, 1)
+	signal.Notify(terminated, syscall.SIGTERM)
+	if behaviour == "ignores SIGTERM" {
 		signal.Ignore(syscall.SIGTERM)
 	}
 	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
@@ -46,91 +46,91 @@
 		starts = strings.Count(string(text), "start")
 	}
 	switch {
-	case way == "dies" && starts < 3:
+	case behaviour == "dies" && starts < 3:
 		os.Exit(3)
-	case way == "dies", way == "ends":
+	case behaviour == "dies", behaviour == "exits":
 		os.Exit(0)
 	}
-	<-ended
+	<-terminated
 	fmt.Fprintf(f, "end\n")
 	os.Exit(0)
 }
 
-func config(t *testing.T, way string) (Config, string) {
+func testConfig(t *testing.T, behaviour string) (Config, string) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "log")
-	c := DefaultConfig([]string{os.Args[0]}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	c.Env = []string{asApplication + "=" + file + " " + way, "WHERE=127.0.0.1:1"}
-	c.InitialBackoff, c.MaxBackoff = time.Millisecond, 4*time.Millisecond
-	return c, file
+	config := DefaultConfig([]string{os.Args[0]}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	config.Env = []string{applicationVariable + "=" + file + " " + behaviour, "WHERE=127.0.0.1:1"}
+	config.InitialBackoff, config.MaxBackoff = time.Millisecond, 4*time.Millisecond
+	return config, file
 }
 
-func text(file string) string {
+func readFile(file string) string {
 	text, _ := os.ReadFile(file)
 	return string(text)
 }
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// An application that dies must be started again; one that ends well ends it all.
-func TestDeathAndEnd(t *testing.T) {
-	for way, starts := range map[string]int{"dies": 3, "ends": 1} {
-		c, file := config(t, way)
-		if err := Run(context.Background(), c); err != nil {
-			t.Error(way, err)
+// An application that dies must be restarted; one that exits with code 0 must not.
+func TestRestartsOnlyAfterFailure(t *testing.T) {
+	for behaviour, starts := range map[string]int{"dies": 3, "exits": 1} {
+		config, file := testConfig(t, behaviour)
+		if err := Run(context.Background(), config); err != nil {
+			t.Error(behaviour, err)
 		}
-		if got := text(file); got != strings.Repeat("start 127.0.0.1:1\n", starts) {
-			t.Errorf("%s: %q", way, got)
+		if got := readFile(file); got != strings.Repeat("start 127.0.0.1:1\n", starts) {
+			t.Errorf("%s: %q", behaviour, got)
 		}
 	}
 }
 
-// With the word to end the application gets SIGTERM and time for what it does
-// then; one that does not hear is killed.
-func TestWordToEnd(t *testing.T) {
-	for way, want := range map[string]string{"stays": "start 127.0.0.1:1\nend\n", "deaf": "start 127.0.0.1:1\n"} {
-		c, file := config(t, way)
-		if way == "deaf" {
-			c.StopTimeout = 10 * time.Millisecond
+// When the context ends, the application must get SIGTERM and time to act on it; one that ignores
+// SIGTERM must be killed.
+func TestStopTerminatesApplication(t *testing.T) {
+	for behaviour, want := range map[string]string{"runs on": "start 127.0.0.1:1\nend\n", "ignores SIGTERM": "start 127.0.0.1:1\n"} {
+		config, file := testConfig(t, behaviour)
+		if behaviour == "ignores SIGTERM" {
+			config.StopTimeout = 10 * time.Millisecond
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- Run(ctx, c) }()
-		waitFor(t, "it has started", func() bool { return strings.Contains(text(file), "start") })
+		go func() { ended <- Run(ctx, config) }()
+		waitFor(t, "it has started", func() bool { return strings.Contains(readFile(file), "start") })
 		stop()
 		if err := <-ended; err != nil {
-			t.Error(way, err)
+			t.Error(behaviour, err)
 		}
-		if got := text(file); got != want {
-			t.Errorf("%s: %q, want %q", way, got, want)
+		if got := readFile(file); got != want {
+			t.Errorf("%s: %q, want %q", behaviour, got, want)
 		}
 	}
 }
 
-// A command that cannot be run is told at once.
+// A command that cannot be started is reported at once.
 func TestNoSuchCommand(t *testing.T) {
-	c, _ := config(t, "stays")
-	c.Command = []string{"/nowhere/at/all"}
-	if err := Run(context.Background(), c); !errors.Is(err, errStartFailed) || !errors.Is(err, os.ErrNotExist) {
+	config, _ := testConfig(t, "runs on")
+	config.Command = []string{"/nowhere/at/all"}
+	if err := Run(context.Background(), config); !errors.Is(err, errStartFailed) || !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
 }
 
-// The word to end must come through while the wait before a new start runs.
-func TestWordToEndBetweenStarts(t *testing.T) {
-	c, file := config(t, "dies")
-	c.InitialBackoff, c.MaxBackoff = time.Hour, time.Hour
+// A stop must take effect during the backoff before a restart.
+func TestStopDuringBackoff(t *testing.T) {
+	config, file := testConfig(t, "dies")
+	config.InitialBackoff, config.MaxBackoff = time.Hour, time.Hour
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, c) }()
-	waitFor(t, "it has started", func() bool { return strings.Contains(text(file), "start") })
+	go func() { ended <- Run(ctx, config) }()
+	waitFor(t, "it has started", func() bool { return strings.Contains(readFile(file), "start") })
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
