--- a/internal/store/atomic_test.go
+++ b/internal/store/atomic_test.go
@@ -8,87 +8,89 @@
 	"time"
 )
 
-// promise writes one number into three rows in one commit; the store says whether it is durable.
-func promise(s *Store, now *time.Duration, n int, pad string) bool {
+// writeTriple writes one number into three rows with one commit, and returns whether the commit is
+// durable.
+func writeTriple(store *Store, now *time.Duration, number int, suffix string) bool {
 	var last uint64
 	for _, key := range []string{"a", "b", "c"} {
-		last, _ = s.Put(*now, 1, key, fmt.Appendf(nil, "%d%s", n, pad), true)
+		last, _ = store.Put(*now, 1, key, fmt.Appendf(nil, "%d%s", number, suffix), true)
 	}
-	*now += 2 * time.Minute // beyond any wait after a failure
-	s.Commit(*now)
-	return last > 0 && s.Durable() >= last
+	*now += 2 * time.Minute // longer than any retry delay
+	store.Commit(*now)
+	return last > 0 && store.Durable() >= last
 }
 
-func kept(s *Store) []string {
-	return slices.Compact([]string{string(s.Get(1, "a")), string(s.Get(1, "b")), string(s.Get(1, "c"))})
+func readTriple(store *Store) []string {
+	return slices.Compact([]string{string(store.Get(1, "a")), string(store.Get(1, "b")), string(store.Get(1, "c"))})
 }
 
-// What one commit wrote is there all of it or none after any power cut, and nothing that was durable is lost.
+// After any power failure each commit must be there as a whole or not at all, and nothing that was
+// durable may be lost.
 func TestCommitsAreWhole(t *testing.T) {
-	for seed := range uint64(3000) { // drawn evenly: what matters is rare among small draws
+	for seed := range uint64(3000) { // drawn uniformly: rapid favours small numbers and misses the relevant cases
 		draw := rand.New(rand.NewPCG(seed, 5)).IntN
-		d, now, n, durable := newDisk(), time.Hour, 0, 0
+		disk, now, written, durable := newDisk(), time.Hour, 0, 0
 		for range 1 + draw(4) {
-			s, report := Open(d, Settings{AtomicCommits: true, UrgentSyncInterval: 1})
-			got := kept(s)
-			if len(got) != 1 {
-				t.Fatalf("seed %d: half of a commit: %q (%v)", seed, got, report)
+			store, report := Open(disk, Settings{AtomicCommits: true, UrgentSyncInterval: 1})
+			rows := readTriple(store)
+			if len(rows) != 1 {
+				t.Fatalf("seed %d: part of a commit was recovered: %q (%v)", seed, rows, report)
 			}
-			have := 0
-			fmt.Sscan(got[0], &have)
-			if have < durable || have > n {
-				t.Fatalf("seed %d: %d is there; %d was durable, %d the last (%v)", seed, have, durable, n, report)
+			recovered := 0
+			fmt.Sscan(rows[0], &recovered)
+			if recovered < durable || recovered > written {
+				t.Fatalf("seed %d: recovered %d, want %d, which was durable, up to %d, the last written (%v)", seed, recovered, durable, written, report)
 			}
-			n, durable = have, have
+			written, durable = recovered, recovered
 			for range draw(4) {
-				d.fails[d.ops+1+draw(40)] = []string{"error", "torn", "short", "power"}[draw(4)]
+				disk.faults[disk.ops+1+draw(40)] = []string{"error", "torn", "short", "power"}[draw(4)]
 			}
 			for range draw(20) {
-				n++
-				if promise(s, &now, n, "") {
-					durable = n
+				written++
+				if writeTriple(store, &now, written, "") {
+					durable = written
 				}
 				if draw(4) == 0 {
-					s.journalBytes += minCompactBytes
+					store.journalBytes += minCompactBytes
 					for more := true; more; {
-						more, _ = s.Compact(now)
+						more, _ = store.Compact(now)
 					}
 				}
 			}
-			d = d.crash(draw)
+			disk = disk.crash(draw)
 		}
 	}
 }
 
-// A byte that changes in what was written is told, or changes nothing; the last commit alone may look as if it was never
-// ended.
-func TestDamageOfWholeCommitsIsTold(t *testing.T) {
-	d, now := newDisk(), time.Hour
-	s, _ := Open(d, Settings{AtomicCommits: true, UrgentSyncInterval: 1})
+// A changed byte in a file must be reported or change nothing. Only the last commit may look as if
+// it had never been completed.
+func TestDamagedAtomicCommitsAreReported(t *testing.T) {
+	disk, now := newDisk(), time.Hour
+	store, _ := Open(disk, Settings{AtomicCommits: true, UrgentSyncInterval: 1})
 	const last = 6
 	for n := 1; n <= last; n++ {
-		if !promise(s, &now, n, "") {
-			t.Fatal("not durable")
+		if !writeTriple(store, &now, n, "") {
+			t.Fatal("the commit is not durable")
 		}
 	}
-	silent := 0
-	for name, n := range d.files {
-		for at := range n.synced {
-			n.synced[at] ^= 0x41
-			s, report := Open(d, Settings{AtomicCommits: true})
-			told := report.DamagedBytes > 0 || report.NoSnapshot || report.IncompleteSnapshots > 0 || len(report.Notes) > 0
-			switch got := kept(s); {
-			case len(got) == 1 && got[0] == fmt.Sprint(last):
-			case told:
-			case len(got) == 1 && got[0] == fmt.Sprint(last-1) && report.TruncatedBytes > 0:
-				silent++
+	tornWrites := 0
+	for name, file := range disk.files {
+		for offset := range file.synced {
+			file.synced[offset] ^= 0x41
+			store, report := Open(disk, Settings{AtomicCommits: true})
+			reported := report.DamagedBytes > 0 || report.NoSnapshot || report.IncompleteSnapshots > 0 || len(report.Notes) > 0
+			switch rows := readTriple(store); {
+			case len(rows) == 1 && rows[0] == fmt.Sprint(last):
+			case reported:
+			case len(rows) == 1 && rows[0] == fmt.Sprint(last-1) && report.TruncatedBytes > 0:
+				tornWrites++
 			default:
-				t.Errorf("%s, byte %d: %q, and the report says %v", name, at, got, report)
+				t.Errorf("%s, byte %d changed: rows %q, report: %v", name, offset, rows, report)
 			}
-			n.synced[at] ^= 0x41
+			file.synced[offset] ^= 0x41
 		}
 	}
-	if silent == 0 {
-		t.Error("damage of the last commit was never taken for a torn write")
+	if tornWrites == 0 {
+		t.Error("no damage to the last commit was reported as a torn write")
 	}
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -12,40 +12,40 @@
 	"pgregory.net/rapid"
 )
 
-// disk is a folder in memory that forgets what was not synced when the power goes,
-// and whose operations fail on demand.
-type disk struct {
-	files map[string]*inode // as a running program sees them
-	safe  map[string]*inode // names that survive
-	ops   int
-	fails map[int]string // by operation's number: "error", "torn", "short", or "power", from which on none does anything
-	off   bool
+// fakeDisk is a folder in memory that loses what was not synced when the power fails, and whose
+// operations fail on demand.
+type fakeDisk struct {
+	files      map[string]*inode // as seen by the running process
+	durable    map[string]*inode // names that survive a power failure
+	ops        int
+	faults     map[int]string // by operation number: "error", "torn", "short", or "power", which lasts
+	poweredOff bool
 }
 
 type inode struct {
 	synced []byte
-	writes [][]byte // since
+	writes [][]byte // since the last sync
 }
 
-func newDisk() *disk {
-	return &disk{files: map[string]*inode{}, safe: map[string]*inode{}, fails: map[int]string{}}
+func newDisk() *fakeDisk {
+	return &fakeDisk{files: map[string]*inode{}, durable: map[string]*inode{}, faults: map[int]string{}}
 }
 
 var errDisk = errors.New("input/output error")
 
-func (d *disk) op() string {
+func (d *fakeDisk) nextFault() string {
 	d.ops++
-	if d.off = d.off || d.fails[d.ops] == "power"; d.off {
+	if d.poweredOff = d.poweredOff || d.faults[d.ops] == "power"; d.poweredOff {
 		return "error"
 	}
-	return d.fails[d.ops]
+	return d.faults[d.ops]
 }
 
-func (n *inode) all() []byte {
+func (n *inode) contents() []byte {
 	return slices.Concat(append([][]byte{n.synced}, n.writes...)...)
 }
 
-func (d *disk) List() (names []string, _ error) {
+func (d *fakeDisk) List() (names []string, _ error) {
 	for name := range d.files {
 		names = append(names, name)
 	}
@@ -53,25 +53,25 @@
 	return names, nil
 }
 
-func (d *disk) Read(name string, most int) ([]byte, error) {
-	n := d.files[name]
-	if n == nil {
+func (d *fakeDisk) Read(name string, maxBytes int) ([]byte, error) {
+	file := d.files[name]
+	if file == nil {
 		return nil, errDisk
 	}
-	return n.all(), nil
+	return file.contents(), nil
 }
 
-func (d *disk) Create(name string) (File, error) {
-	if d.op() != "" {
+func (d *fakeDisk) Create(name string) (File, error) {
+	if d.nextFault() != "" {
 		return nil, errDisk
 	}
-	n := &inode{}
-	d.files[name] = n
-	return &handle{d, n}, nil
+	file := &inode{}
+	d.files[name] = file
+	return &fakeFile{d, file}, nil
 }
 
-func (d *disk) Rename(from, to string) error {
-	if d.op() != "" {
+func (d *fakeDisk) Rename(from, to string) error {
+	if d.nextFault() != "" {
 		return errDisk
 	}
 	d.files[to] = d.files[from]
@@ -79,96 +79,96 @@
 	return nil
 }
 
-func (d *disk) Remove(name string) error {
-	if d.op() != "" {
+func (d *fakeDisk) Remove(name string) error {
+	if d.nextFault() != "" {
 		return errDisk
 	}
 	delete(d.files, name)
 	return nil
 }
 
-func (d *disk) SyncDir() error {
-	if d.op() != "" {
+func (d *fakeDisk) SyncDir() error {
+	if d.nextFault() != "" {
 		return errDisk
 	}
-	d.safe = map[string]*inode{}
-	for name, n := range d.files {
-		d.safe[name] = n
+	d.durable = map[string]*inode{}
+	for name, file := range d.files {
+		d.durable[name] = file
 	}
 	return nil
 }
 
-type handle struct {
-	disk *disk
-	node *inode
+type fakeFile struct {
+	disk  *fakeDisk
+	inode *inode
 }
 
-func (h *handle) Write(p []byte) (int, error) {
-	switch h.disk.op() {
+func (f *fakeFile) Write(data []byte) (int, error) {
+	switch f.disk.nextFault() {
 	case "torn":
-		h.node.writes = append(h.node.writes, slices.Clone(p[:len(p)/2]))
-		return len(p) / 2, errDisk
+		f.inode.writes = append(f.inode.writes, slices.Clone(data[:len(data)/2]))
+		return len(data) / 2, errDisk
 	case "short":
-		h.node.writes = append(h.node.writes, slices.Clone(p[:len(p)/3]))
-		return len(p) / 3, nil
+		f.inode.writes = append(f.inode.writes, slices.Clone(data[:len(data)/3]))
+		return len(data) / 3, nil
 	case "error":
 		return 0, errDisk
 	}
-	h.node.writes = append(h.node.writes, slices.Clone(p))
-	return len(p), nil
+	f.inode.writes = append(f.inode.writes, slices.Clone(data))
+	return len(data), nil
 }
 
-func (h *handle) Sync() error {
-	if h.disk.op() != "" {
-		if h.disk.off {
+func (f *fakeFile) Sync() error {
+	if f.disk.nextFault() != "" {
+		if f.disk.poweredOff {
 			return errDisk
 		}
-		h.node.writes = nil // the kernel may drop what it could not write, and say so once
+		f.inode.writes = nil // the kernel may drop pages that it could not write, and report the error once
 		return errDisk
 	}
-	h.node.synced, h.node.writes = h.node.all(), nil
+	f.inode.synced, f.inode.writes = f.inode.contents(), nil
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (f *fakeFile) Close() error { return nil }
 
-// crash is the disk after a power cut: names and bytes that were not synced may be
-// there or not, in any mixture, and one write may be torn.
-func (d *disk) crash(draw func(n int) int) *disk {
+// crash returns the disk after a power failure: names and bytes that were not synced may be there
+// or not, in any combination, and a write may be torn.
+func (d *fakeDisk) crash(draw func(bound int) int) *fakeDisk {
 	next := newDisk()
-	keep := func(name string, n *inode) {
-		data := slices.Clone(n.synced)
-		for k, w := range n.writes {
+	keepFile := func(name string, file *inode) {
+		data := slices.Clone(file.synced)
+		for i, write := range file.writes {
 			switch draw(4) {
-			case 0: // it is there
-				data = append(data, w...)
-			case 1: // torn
-				data = append(data, w[:draw(len(w)+1)]...)
-			case 2: // lost, and what follows it is not
-				if k < len(n.writes)-1 {
-					data = append(data, make([]byte, len(w))...)
+			case 0: // written
+				data = append(data, write...)
+			case 1: // written in part
+				data = append(data, write[:draw(len(write)+1)]...)
+			case 2: // lost, although later writes may not be
+				if i < len(file.writes)-1 {
+					data = append(data, make([]byte, len(write))...)
 				}
 			}
 		}
 		next.files[name] = &inode{synced: data}
 	}
-	for name, n := range d.safe {
-		if d.files[name] == n || draw(2) == 0 {
-			keep(name, n)
+	for name, file := range d.durable {
+		if d.files[name] == file || draw(2) == 0 {
+			keepFile(name, file)
 		}
 	}
-	for name, n := range d.files {
-		if d.safe[name] != n && draw(2) == 0 {
-			keep(name, n)
+	for name, file := range d.files {
+		if d.durable[name] != file && draw(2) == 0 {
+			keepFile(name, file)
 		}
 	}
 	next.SyncDir()
 	return next
 }
 
-// model is a plain map of what each row may be after a crash.
+// model records which values each row may have after a crash.
 type model struct {
-	values  map[string][]version // of each key, in order; "" is deleted
+	values  map[string][]version // versions of each key, in order; "" means deleted
 	durable uint64
 }
 
@@ -181,26 +181,26 @@
 	m.values[key] = append(m.values[key], version{seq, value})
 }
 
-// check tells what is wrong with a store after a crash: each row must be the last
-// version that was durable, or a later one.
+// check compares a reopened store with the model: each row must have its last durable version or a
+// later one.
 func (m *model) check(s *Store) error {
-	for key, all := range m.values {
-		got := string(s.Get(1, key))
+	for key, versions := range m.values {
+		value := string(s.Get(1, key))
 		ok := false
-		for k := len(all) - 1; k >= 0; k-- {
-			if all[k].value == got {
+		for i := len(versions) - 1; i >= 0; i-- {
+			if versions[i].value == value {
 				ok = true
 				break
 			}
-			if all[k].seq <= m.durable {
-				break // older ones must not come back
+			if versions[i].seq <= m.durable {
+				break // older versions must not reappear
 			}
-			if k == 0 && got == "" {
-				ok = true // none of it was durable
+			if i == 0 && value == "" {
+				ok = true // no version was durable
 			}
 		}
 		if !ok {
-			return fmt.Errorf("row %q is %q of %v, durable up to %d", key, got, all, m.durable)
+			return fmt.Errorf("row %q is %q; its versions are %v, durable up to change %d", key, value, versions, m.durable)
 		}
 	}
 	for _, key := range s.Keys(1) {
@@ -211,303 +211,303 @@
 	return nil
 }
 
-// restart makes the model know only what the store has.
-func (m *model) restart(s *Store) {
+// reset reduces the model to what the store contains.
+func (m *model) reset(s *Store) {
 	for key := range m.values {
 		m.values[key] = []version{{0, string(s.Get(1, key))}}
 	}
 	m.durable = s.Durable()
 }
 
-// play does things to a store, and to the model what the store says of them.
-func play(s *Store, m *model, now *time.Duration, draw func(n int) int, steps int) {
+// applyRandomSteps applies random operations to a store and records the results in the model.
+func applyRandomSteps(store *Store, expected *model, now *time.Duration, draw func(bound int) int, steps int) {
 	for range steps {
 		key := fmt.Sprint("k", draw(12))
 		switch draw(8) {
 		case 0, 1, 2:
 			value := fmt.Sprint("v", draw(1000), strings.Repeat(".", draw(40)))
-			if seq, err := s.Put(*now, 1, key, []byte(value), draw(3) == 0); err == nil {
-				m.set(key, value, seq)
+			if seq, err := store.Put(*now, 1, key, []byte(value), draw(3) == 0); err == nil {
+				expected.set(key, value, seq)
 			}
 		case 3:
-			if seq := s.Delete(*now, 1, key, draw(3) == 0); seq > 0 {
-				m.set(key, "", seq)
+			if seq := store.Delete(*now, 1, key, draw(3) == 0); seq > 0 {
+				expected.set(key, "", seq)
 			}
 		case 4, 5:
 			*now += time.Duration(draw(8)) * time.Second
-			s.Commit(*now)
+			store.Commit(*now)
 		case 6:
-			s.journalBytes += minCompactBytes // the journal has grown
+			store.journalBytes += minCompactBytes // makes the journal long enough to be compacted
 			for more := true; more; {
-				more, _ = s.Compact(*now)
+				more, _ = store.Compact(*now)
 				if draw(3) == 0 {
 					break
 				}
 			}
 		default:
 			*now += 10 * time.Millisecond
-			s.Commit(*now)
+			store.Commit(*now)
 		}
-		m.durable = max(m.durable, s.Durable())
+		expected.durable = max(expected.durable, store.Durable())
 	}
 }
 
-// Whatever is done, whichever operations fail, wherever the power goes and whatever of
-// the unsynced is left: the store opens, nothing that was durable is lost, nothing
-// comes back, and it goes on from there. Several lives in a row.
-func TestCrashes(t *testing.T) {
+// After any sequence of operations, disk faults and power failures, whatever of the unsynced data
+// is left, the store must open, lose nothing that was durable, restore nothing older, and go on
+// from there. Each case covers several runs of the store.
+func TestRandomCrashesKeepDurableRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		d, m, now := newDisk(), &model{values: map[string][]version{}}, time.Hour
-		for life := range rapid.IntRange(1, 4).Draw(t, "lives") {
-			s, report := Open(d, Settings{})
-			if err := m.check(s); err != nil {
-				t.Fatalf("life %d (%v): %v", life, report, err)
+		draw := func(bound int) int { return rapid.IntRange(0, bound-1).Draw(t, "n") }
+		disk, expected, now := newDisk(), &model{values: map[string][]version{}}, time.Hour
+		for run := range rapid.IntRange(1, 4).Draw(t, "lives") {
+			store, report := Open(disk, Settings{})
+			if err := expected.check(store); err != nil {
+				t.Fatalf("run %d (%v): %v", run, report, err)
 			}
-			m.restart(s)
+			expected.reset(store)
 			for range draw(4) {
-				d.fails[d.ops+1+draw(40)] = []string{"error", "torn", "short"}[draw(3)]
+				disk.faults[disk.ops+1+draw(40)] = []string{"error", "torn", "short"}[draw(3)]
 			}
-			play(s, m, &now, draw, rapid.IntRange(0, 40).Draw(t, "steps"))
+			applyRandomSteps(store, expected, &now, draw, rapid.IntRange(0, 40).Draw(t, "steps"))
 			if draw(3) == 0 {
-				s.Close(now)
-				m.durable = max(m.durable, s.Durable())
+				store.Close(now)
+				expected.durable = max(expected.durable, store.Durable())
 			}
-			d = d.crash(draw)
+			disk = disk.crash(draw)
 		}
 	})
 }
 
-// Each operation in turn fails, in each way, in one fixed life; then the power goes.
-func TestEachOperationFails(t *testing.T) {
-	for _, how := range []string{"error", "torn", "short"} {
-		for at := 1; ; at++ {
-			r := rand.New(rand.NewPCG(7, 7))
-			d, m, now := newDisk(), &model{values: map[string][]version{}}, time.Hour
-			d.fails[at] = how
-			s, _ := Open(d, Settings{})
-			play(s, m, &now, r.IntN, 120)
-			if d.ops < at {
+// Each disk operation of a fixed run fails in turn, in each way, followed by a power failure.
+func TestFaultAtEachOperation(t *testing.T) {
+	for _, fault := range []string{"error", "torn", "short"} {
+		for operation := 1; ; operation++ {
+			random := rand.New(rand.NewPCG(7, 7))
+			disk, expected, now := newDisk(), &model{values: map[string][]version{}}, time.Hour
+			disk.faults[operation] = fault
+			store, _ := Open(disk, Settings{})
+			applyRandomSteps(store, expected, &now, random.IntN, 120)
+			if disk.ops < operation {
 				break
 			}
-			for n := range 8 {
-				x := rand.New(rand.NewPCG(uint64(at), uint64(n)))
-				after, report := Open(d.crash(x.IntN), Settings{})
-				if err := m.check(after); err != nil {
-					t.Fatalf("%s at %d, power cut %d (%v): %v", how, at, n, report, err)
+			for powerFailure := range 8 {
+				random := rand.New(rand.NewPCG(uint64(operation), uint64(powerFailure)))
+				reopened, report := Open(disk.crash(random.IntN), Settings{})
+				if err := expected.check(reopened); err != nil {
+					t.Fatalf("%s at operation %d, power failure %d (%v): %v", fault, operation, powerFailure, report, err)
 				}
 			}
-			// It heals: later changes become durable.
+			// It recovers: later changes become durable.
 			now += 3 * time.Minute
-			seq, _ := s.Put(now, 1, "last", []byte("x"), true)
-			s.Commit(now)
-			if s.Durable() < seq || s.WriteError() != nil {
-				t.Fatalf("%s at %d: durable up to %d of %d, %v", how, at, s.Durable(), seq, s.WriteError())
+			seq, _ := store.Put(now, 1, "last", []byte("x"), true)
+			store.Commit(now)
+			if store.Durable() < seq || store.WriteError() != nil {
+				t.Fatalf("%s at operation %d: durable up to change %d, want %d; write error %v", fault, operation, store.Durable(), seq, store.WriteError())
 			}
 		}
 	}
 }
 
-// A file that was cut at any byte, or has any one byte changed, opens, and rows that
-// the damage did not touch are there.
-func TestDamage(t *testing.T) {
-	d, now := newDisk(), time.Hour
-	s, _ := Open(d, Settings{})
+// A file that is truncated at any byte, or has any one byte changed, must open, with the rows that
+// the damage did not touch.
+func TestTruncationAndChangedBytes(t *testing.T) {
+	disk, now := newDisk(), time.Hour
+	store, _ := Open(disk, Settings{})
 	const rows = 40
-	for n := range rows {
-		s.Put(now, 1, fmt.Sprint("k", n), []byte(strings.Repeat("v", n)), true)
+	for i := range rows {
+		store.Put(now, 1, fmt.Sprint("k", i), []byte(strings.Repeat("v", i)), true)
 		now += time.Second
-		s.Commit(now)
-	}
-	journal := fileName(journalPrefix, s.generation)
-	whole := d.files[journal].all()
-	for at := range whole {
-		for _, cut := range []bool{true, false} {
-			c := newDisk()
-			data := slices.Clone(whole)
-			if cut {
-				data = data[:at]
+		store.Commit(now)
+	}
+	journal := fileName(journalPrefix, store.generation)
+	intact := disk.files[journal].contents()
+	for offset := range intact {
+		for _, truncate := range []bool{true, false} {
+			damaged := newDisk()
+			data := slices.Clone(intact)
+			if truncate {
+				data = data[:offset]
 			} else {
-				data[at] ^= 1 << (at % 8)
+				data[offset] ^= 1 << (offset % 8)
 			}
-			c.files[journal] = &inode{synced: data}
-			got, report := Open(c, Settings{})
-			lost := rows - got.Len()
-			if !cut && lost > 1 || cut && got.Len() > rows || len(report.Notes) > 0 && at > 60 {
-				t.Fatalf("byte %d, cut %v: %d rows lost, %v", at, cut, lost, report)
+			damaged.files[journal] = &inode{synced: data}
+			reopened, report := Open(damaged, Settings{})
+			lostRows := rows - reopened.Len()
+			if !truncate && lostRows > 1 || truncate && reopened.Len() > rows || len(report.Notes) > 0 && offset > 60 {
+				t.Fatalf("byte %d, truncated %v: %d rows lost, report: %v", offset, truncate, lostRows, report)
 			}
-			for _, key := range got.Keys(1) {
-				var n int
-				fmt.Sscanf(key, "k%d", &n)
-				if string(got.Get(1, key)) != strings.Repeat("v", n) {
-					t.Fatalf("byte %d, cut %v: row %s is %q", at, cut, key, got.Get(1, key))
+			for _, key := range reopened.Keys(1) {
+				var i int
+				fmt.Sscanf(key, "k%d", &i)
+				if string(reopened.Get(1, key)) != strings.Repeat("v", i) {
+					t.Fatalf("byte %d, truncated %v: row %s is %q", offset, truncate, key, reopened.Get(1, key))
 				}
 			}
 		}
 	}
 }
 
-// Files of others, of a later version, of another generation and unreadable ones are
-// left alone, each with a note.
-func TestFilesOfOthers(t *testing.T) {
-	d := newDisk()
+// Files of a later version, of another generation or with unreadable contents must be left alone,
+// with a note each. Files with other names must be left alone, too.
+func TestForeignFilesAreLeftAlone(t *testing.T) {
+	disk := newDisk()
 	later := record{op: opBegin, value: []byte{Version + 1, 0}}
 	put := record{op: opPut, table: 1, seq: 9, key: "k", value: []byte("other")}
-	d.files["journal-5"] = &inode{synced: put.append(later.append(nil, 5), 5)}
-	d.files["journal-6"] = &inode{synced: []byte(strings.Repeat("not ours\n", 100))}
-	d.files["journal-7"] = &inode{synced: put.append(nil, 3)}
-	d.files["journal-08"] = &inode{synced: []byte("x")}
-	d.files["notes.txt"] = &inode{synced: []byte("x")}
-	s, report := Open(d, Settings{})
-	if s.Len() != 0 || len(report.Notes) != 3 || strings.Contains(report.String(), "\n") {
-		t.Errorf("%d rows, %v", s.Len(), report)
-	}
-	s.Put(0, 1, "k", []byte("mine"), true)
-	if err := s.Commit(time.Hour); err != nil || s.generation != 8 {
-		t.Errorf("generation %d, %v", s.generation, err)
-	}
-	if d.files["notes.txt"] == nil {
-		t.Error("a file of another was removed")
+	disk.files["journal-5"] = &inode{synced: put.append(later.append(nil, 5), 5)}
+	disk.files["journal-6"] = &inode{synced: []byte(strings.Repeat("not ours\n", 100))}
+	disk.files["journal-7"] = &inode{synced: put.append(nil, 3)}
+	disk.files["journal-08"] = &inode{synced: []byte("x")}
+	disk.files["notes.txt"] = &inode{synced: []byte("x")}
+	store, report := Open(disk, Settings{})
+	if store.Len() != 0 || len(report.Notes) != 3 || strings.Contains(report.String(), "\n") {
+		t.Errorf("%d rows, want 0 and 3 notes; report: %v", store.Len(), report)
+	}
+	store.Put(0, 1, "k", []byte("mine"), true)
+	if err := store.Commit(time.Hour); err != nil || store.generation != 8 {
+		t.Errorf("generation %d, want 8; error %v", store.generation, err)
+	}
+	if disk.files["notes.txt"] == nil {
+		t.Error("a foreign file was removed")
 	}
 }
 
-// A restart a second neither grows the files nor loses anything; bounds are kept.
-func TestRestartLoopAndBounds(t *testing.T) {
-	d, now := newDisk(), time.Hour
-	set := Settings{MaxRows: 100, MaxBytes: 4000}
-	for life := range 200 {
-		s, _ := Open(d, set)
-		if want := min(life, 100); s.Len() != want {
-			t.Fatalf("life %d: %d rows", life, s.Len())
+// A process that restarts every second must neither make the files grow nor lose rows, and the
+// limits must hold.
+func TestRestartLoopStaysWithinLimits(t *testing.T) {
+	disk, now := newDisk(), time.Hour
+	settings := Settings{MaxRows: 100, MaxBytes: 4000}
+	for run := range 200 {
+		store, _ := Open(disk, settings)
+		if want := min(run, 100); store.Len() != want {
+			t.Fatalf("run %d: %d rows", run, store.Len())
 		}
-		_, err := s.Put(now, 1, fmt.Sprintf("k%03d", life), []byte("value"), true)
-		if (err != nil) != (life >= 100) || err != nil && !errors.Is(err, ErrFull) {
-			t.Fatalf("life %d: %v", life, err)
+		_, err := store.Put(now, 1, fmt.Sprintf("k%03d", run), []byte("value"), true)
+		if (err != nil) != (run >= 100) || err != nil && !errors.Is(err, ErrFull) {
+			t.Fatalf("run %d: %v", run, err)
 		}
-		s.Put(now, 1, "k000", []byte(fmt.Sprint(life)), false)
+		store.Put(now, 1, "k000", []byte(fmt.Sprint(run)), false)
 		now += time.Second
-		if err := s.Close(now); err != nil {
+		if err := store.Close(now); err != nil {
 			t.Fatal(err)
 		}
-		bytes := 0
-		for _, n := range d.files {
-			bytes += len(n.all())
+		totalBytes := 0
+		for _, file := range disk.files {
+			totalBytes += len(file.contents())
 		}
-		if len(d.files) > 4 || bytes > 30_000 {
-			t.Fatalf("life %d: %d files, %d bytes", life, len(d.files), bytes)
+		if len(disk.files) > 4 || totalBytes > 30_000 {
+			t.Fatalf("run %d: %d files, %d bytes", run, len(disk.files), totalBytes)
 		}
 	}
 }
 
-// A month of churn: a hundredth of 10,000 rows changes each hour, and each is seen
-// again each hour. What is written stays within a stated multiple of that.
-func TestWritesOfAMonth(t *testing.T) {
-	d, now := newDisk(), time.Hour
-	s, _ := Open(d, Settings{})
-	r := rand.New(rand.NewPCG(1, 1))
+// One week in which 100 random rows of 10,000 change each hour. The files must stay below a fixed
+// size; the log shows how much is written for how much payload.
+func TestWriteVolumeOfAWeek(t *testing.T) {
+	disk, now := newDisk(), time.Hour
+	store, _ := Open(disk, Settings{})
+	random := rand.New(rand.NewPCG(1, 1))
 	value := make([]byte, 80)
-	for n := range 10_000 {
-		s.Put(now, 1, fmt.Sprint("box-", n), value, false)
+	for i := range 10_000 {
+		store.Put(now, 1, fmt.Sprint("srv-", i), value, false)
 	}
 	payload, largest := 0, 0
 	hours := 24 * 7
 	for range hours {
 		now += time.Hour
 		for range 100 {
-			key := fmt.Sprint("box-", r.IntN(10_000))
-			value[r.IntN(80)]++
-			s.Put(now, 1, key, value, false)
+			key := fmt.Sprint("srv-", random.IntN(10_000))
+			value[random.IntN(80)]++
+			store.Put(now, 1, key, value, false)
 			payload += len(key) + len(value)
 		}
-		s.Commit(now + time.Minute)
+		store.Commit(now + time.Minute)
 		for more := true; more; {
-			more, _ = s.Compact(now)
+			more, _ = store.Compact(now)
 		}
-		bytes := 0
-		for _, n := range d.files {
-			bytes += len(n.all())
+		totalBytes := 0
+		for _, file := range disk.files {
+			totalBytes += len(file.contents())
 		}
-		largest = max(largest, bytes)
+		largest = max(largest, totalBytes)
 	}
-	st := s.Stats()
-	t.Logf("%d hours: %.1f kB an hour for %.1f kB of rows, %d snapshots; files of %.1f MB at the most", hours,
-		float64(st.Bytes)/float64(hours)/1000, float64(payload)/float64(hours)/1000, st.Snapshots, float64(largest)/1e6)
+	stats := store.Stats()
+	t.Logf("%d hours: %.1f kB written per hour for %.1f kB of rows, %d snapshots; files of at most %.1f MB", hours,
+		float64(stats.Bytes)/float64(hours)/1000, float64(payload)/float64(hours)/1000, stats.Snapshots, float64(largest)/1e6)
 	if largest > 10<<20 {
-		t.Errorf("%d bytes of files", largest)
+		t.Errorf("the files grew to %d bytes", largest)
 	}
 }
 
-// The reader takes whatever it is given.
+// scan must accept any input.
 func FuzzScan(f *testing.F) {
-	b, p := beginRecord(3), record{op: opPut, table: 1, seq: 1, key: "k", value: []byte("v")}
-	f.Add(p.append(b.append(nil, 3), 3), uint64(3))
+	first, put := beginRecord(3), record{op: opPut, table: 1, seq: 1, key: "k", value: []byte("v")}
+	f.Add(put.append(first.append(nil, 3), 3), uint64(3))
 	f.Add([]byte(magic+magic+"x"), uint64(0))
 	f.Fuzz(func(t *testing.T, data []byte, generation uint64) {
-		got := scan(data, generation, false)
-		size := got.damagedBytes + got.truncatedBytes
-		for i := range got.records {
-			size += got.records[i].size()
+		result := scan(data, generation, false)
+		size := result.damagedBytes + result.truncatedBytes
+		for i := range result.records {
+			size += result.records[i].size()
 		}
 		if size > len(data) {
-			t.Fatalf("%d bytes of records and damage in %d", size, len(data))
+			t.Fatalf("%d bytes of records and damage in %d bytes of data", size, len(data))
 		}
 	})
 }
 
-// A journal's name is safe before anything in it is called durable.
-func TestNameOfANewJournalIsSafe(t *testing.T) {
-	d, now := newDisk(), time.Hour
-	s, _ := Open(d, Settings{})
-	s.Put(now, 1, "old", []byte("x"), true)
-	s.Commit(now)
-	s.journalBytes += minCompactBytes
-	if more, err := s.Compact(now); !more || err != nil { // a new journal, and no snapshot yet
+// A new journal's name must be durable before anything in the journal is reported as durable.
+func TestNewJournalNameIsDurable(t *testing.T) {
+	disk, now := newDisk(), time.Hour
+	store, _ := Open(disk, Settings{})
+	store.Put(now, 1, "old", []byte("x"), true)
+	store.Commit(now)
+	store.journalBytes += minCompactBytes
+	if more, err := store.Compact(now); !more || err != nil { // starts a new journal; no snapshot is written yet
 		t.Fatal(more, err)
 	}
 	now += time.Second
-	seq, _ := s.Put(now, 1, "new", []byte("y"), true)
-	if err := s.Commit(now); err != nil || s.Durable() < seq {
+	seq, _ := store.Put(now, 1, "new", []byte("y"), true)
+	if err := store.Commit(now); err != nil || store.Durable() < seq {
 		t.Fatal(err)
 	}
-	after, report := Open(d.crash(func(int) int { return 1 }), Settings{}) // what is not synced is lost
-	if string(after.Get(1, "new")) != "y" || string(after.Get(1, "old")) != "x" {
-		t.Errorf("lost: %v", report)
+	reopened, report := Open(disk.crash(func(int) int { return 1 }), Settings{}) // loses what is not synced
+	if string(reopened.Get(1, "new")) != "y" || string(reopened.Get(1, "old")) != "x" {
+		t.Errorf("rows lost; report: %v", report)
 	}
 }
 
-// With the newest snapshot damaged, the generation before gives what it had, and the
-// journals what has come since.
-func TestDamagedSnapshotFallsBack(t *testing.T) {
-	d, now := newDisk(), time.Hour
-	s, _ := Open(d, Settings{})
+// If the newest snapshot is damaged, the previous one and the journals since must provide all rows.
+func TestDamagedSnapshotFallsBackToPrevious(t *testing.T) {
+	disk, now := newDisk(), time.Hour
+	store, _ := Open(disk, Settings{})
 	const rows = 100
 	for generation := range 3 {
-		for n := range rows {
-			s.Put(now, 1, fmt.Sprint("k", n), []byte(fmt.Sprint("v", generation, "-", n)), false)
+		for i := range rows {
+			store.Put(now, 1, fmt.Sprint("k", i), []byte(fmt.Sprint("v", generation, "-", i)), false)
 		}
 		now += time.Minute
-		if err := s.Commit(now); err != nil {
+		if err := store.Commit(now); err != nil {
 			t.Fatal(err)
 		}
-		s.journalBytes += minCompactBytes
+		store.journalBytes += minCompactBytes
 		for more := true; more; {
 			var err error
-			if more, err = s.Compact(now); err != nil {
+			if more, err = store.Compact(now); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	newest := d.files[fileName(snapshotPrefix, s.generation)]
-	for at := 100; at < len(newest.synced); at += 50 { // hardly a record is left
-		newest.synced[at] ^= 0xff
+	newest := disk.files[fileName(snapshotPrefix, store.generation)]
+	for offset := 100; offset < len(newest.synced); offset += 50 { // leaves hardly any record intact
+		newest.synced[offset] ^= 0xff
 	}
-	got, report := Open(d, Settings{})
-	if got.Len() != rows || report.DamagedBytes == 0 {
-		t.Fatalf("%d of %d rows: %v", got.Len(), rows, report)
+	reopened, report := Open(disk, Settings{})
+	if reopened.Len() != rows || report.DamagedBytes == 0 {
+		t.Fatalf("%d of %d rows; report: %v", reopened.Len(), rows, report)
 	}
-	for n := range rows {
-		if value := string(got.Get(1, fmt.Sprint("k", n))); value != fmt.Sprint("v2-", n) {
-			t.Fatalf("row %d is %q: %v", n, value, report)
+	for i := range rows {
+		if value := string(reopened.Get(1, fmt.Sprint("k", i))); value != fmt.Sprint("v2-", i) {
+			t.Fatalf("row %d is %q: %v", i, value, report)
 		}
 	}
 }
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,12 +1,11 @@
-// Package store keeps small tables over restarts, crashes and damaged files.
+// Package store keeps small tables across restarts, crashes and damaged files.
 //
-// All rows are in memory; what changes goes to an append-only journal, and from time
-// to time everything to a snapshot. Opening never fails: whatever is sound is used, and
-// a report tells the rest.
+// All rows are in memory. Changes are appended to a journal, and from time to time all rows are
+// written to a snapshot. Opening never fails: it uses whatever is intact and reports the rest.
 //
-// It is pure: files are an interface, time comes in, and nothing happens but in a
-// call. A Store belongs to one goroutine; Commit and Compact wait for the disk, so
-// that goroutine must not be the loop's.
+// The package is pure: files are an interface, time is an argument, and nothing happens outside
+// a call. A Store belongs to one goroutine. Commit and Compact wait for the disk, so that
+// goroutine must not be the node's loop.
 //
-// It must not know what its rows mean.
+// The package does not know what its rows mean.
 package store
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -8,33 +8,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Version is that of the records written here. A file of a later one is left alone.
+// Version is the format version of the records written here. A file of a later version is left
+// untouched.
 const Version = 1
 
-// What a record is.
+// Operations of records.
 const (
-	opBegin  = 1 // of a file: version and generation
+	opBegin  = 1 // first in a file: version and generation
 	opPut    = 2
 	opDelete = 3
-	opEnd    = 4 // of a snapshot: how many rows it has
-	opCommit = 5 // of a commit: how many rows it has, all of which hold together
+	opEnd    = 4 // last in a snapshot: its number of rows
+	opCommit = 5 // last in an atomic commit: its number of rows
 )
 
-// A record, in little endian: magic 4, operation 1, table 1, length of the key 2, of the
-// value 4, sequence number 8, key, value, checksum 8.
+// Layout of a record, in little endian: magic 4 bytes, operation 1, table 1, length of the key 2,
+// length of the value 4, sequence number 8, key, value, checksum 8.
 const (
 	headerBytes   = 20
 	checksumBytes = 8
-	// MostKey and MostValue bound a row.
+	// MaxKeyBytes and MaxValueBytes bound a row.
 	MaxKeyBytes   = 1 << 10
 	MaxValueBytes = 64 << 10
 )
 
-// magic begins each record. It is no text, and changes its bytes where a file was
-// sent as such.
+// magic begins each record. It is not valid text, and includes a line feed, so that it is changed,
+// and the damage noticed, if a file was transferred as text.
 const magic = "\xc5w\nr"
 
-// record is one change.
+// record is one entry of a file.
 type record struct {
 	op    byte
 	table byte
@@ -43,125 +44,127 @@
 	value []byte
 }
 
-// size is what a record takes in a file.
+// size returns the encoded size.
 func (r *record) size() int { return headerBytes + len(r.key) + len(r.value) + checksumBytes }
 
-// append writes a record of a file of this generation.
-func (r *record) append(to []byte, generation uint64) []byte {
-	from := len(to)
-	to = append(append(to, magic...), r.op, r.table)
-	to = binary.LittleEndian.AppendUint16(to, uint16(len(r.key)))
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(r.value)))
-	to = binary.LittleEndian.AppendUint64(to, r.seq)
-	to = append(append(to, r.key...), r.value...)
-	return binary.LittleEndian.AppendUint64(to, checksum(to[from:], generation))
+// append appends the encoded record, for a file of the given generation.
+func (r *record) append(buf []byte, generation uint64) []byte {
+	start := len(buf)
+	buf = append(append(buf, magic...), r.op, r.table)
+	buf = binary.LittleEndian.AppendUint16(buf, uint16(len(r.key)))
+	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(r.value)))
+	buf = binary.LittleEndian.AppendUint64(buf, r.seq)
+	buf = append(append(buf, r.key...), r.value...)
+	return binary.LittleEndian.AppendUint64(buf, checksum(buf[start:], generation))
 }
 
-// sum is a record's checksum. The generation goes in, so that a block that an older
-// file left on the disk is none of this one's.
+// checksum returns a record's checksum. It is seeded with the generation, so that a block which an
+// older file left on the disk is not accepted as part of this one.
 func checksum(data []byte, generation uint64) uint64 {
-	var d xxhash.Digest
-	d.ResetWithSeed(generation)
-	d.Write(data)
-	return d.Sum64()
+	var digest xxhash.Digest
+	digest.ResetWithSeed(generation)
+	digest.Write(data)
+	return digest.Sum64()
 }
 
-// read takes the record that the data begins with.
-func readRecord(data []byte, generation uint64) (r record, size int, ok bool) {
+// readRecord decodes the record that the data begins with.
+func readRecord(data []byte, generation uint64) (decoded record, size int, ok bool) {
 	if len(data) < headerBytes+checksumBytes || string(data[:4]) != magic {
-		return r, 0, false
+		return decoded, 0, false
 	}
-	keyed := int(binary.LittleEndian.Uint16(data[6:]))
-	valued := int(binary.LittleEndian.Uint32(data[8:]))
-	if keyed > MaxKeyBytes || valued > MaxValueBytes {
-		return r, 0, false
+	keyLength := int(binary.LittleEndian.Uint16(data[6:]))
+	valueLength := int(binary.LittleEndian.Uint32(data[8:]))
+	if keyLength > MaxKeyBytes || valueLength > MaxValueBytes {
+		return decoded, 0, false
 	}
-	size = headerBytes + keyed + valued + checksumBytes
+	size = headerBytes + keyLength + valueLength + checksumBytes
 	if len(data) < size || binary.LittleEndian.Uint64(data[size-checksumBytes:]) != checksum(data[:size-checksumBytes], generation) {
-		return r, 0, false
+		return decoded, 0, false
 	}
-	r = record{op: data[4], table: data[5], seq: binary.LittleEndian.Uint64(data[12:])}
-	r.key = string(data[headerBytes : headerBytes+keyed])
-	r.value = bytes.Clone(data[headerBytes+keyed : headerBytes+keyed+valued])
-	return r, size, true
+	decoded = record{op: data[4], table: data[5], seq: binary.LittleEndian.Uint64(data[12:])}
+	decoded.key = string(data[headerBytes : headerBytes+keyLength])
+	decoded.value = bytes.Clone(data[headerBytes+keyLength : headerBytes+keyLength+valueLength])
+	return decoded, size, true
 }
 
-// begin is a file's first record.
+// beginRecord returns the first record of a file.
 func beginRecord(generation uint64) record {
 	value := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint16(nil, Version), generation)
 	return record{op: opBegin, value: value}
 }
 
-// file is what was read of one.
+// scannedFile is the result of reading one file.
 type scannedFile struct {
 	records        []record
-	damagedBytes   int  // bytes between sound records
-	truncatedBytes int  // bytes behind the last sound one: a write that was cut, most likely
-	complete       bool // a snapshot with all its rows
+	damagedBytes   int  // bytes between intact records
+	truncatedBytes int  // bytes after the last intact record: most likely a torn write
+	complete       bool // it is a snapshot with all its rows
 	problem        string
 }
 
-// scan reads a file of a generation. It passes over what is damaged. With commits set, rows hold only from whole commits:
-// those at the file's end that lack some were being written; others are damage.
-func scan(data []byte, generation uint64, commits bool) (f scannedFile) {
-	begun, rows, ended := false, 0, -1
-	held, pending, hole := 0, 0, 0 // records that hold; behind them bytes of sound ones, and of others
-	lost := 0
-	for at := 0; at < len(data); {
-		r, size, ok := readRecord(data[at:], generation)
+// scan reads a file of a generation, skipping damaged parts. With atomicCommits set, rows count
+// only as parts of complete commits: incomplete ones at the file's end were being written, any
+// others are damage.
+func scan(data []byte, generation uint64, atomicCommits bool) (result scannedFile) {
+	began, rowCount, endCount := false, 0, -1
+	// Records in complete commits, and the bytes of intact records and of damage after them.
+	committed, pendingBytes, gapBytes := 0, 0, 0
+	skippedBytes := 0
+	for offset := 0; offset < len(data); {
+		entry, size, ok := readRecord(data[offset:], generation)
 		if !ok {
-			next := bytes.Index(data[at+1:], []byte(magic))
+			next := bytes.Index(data[offset+1:], []byte(magic))
 			if next < 0 {
-				f.truncatedBytes = lost + len(data) - at
-				lost = 0
+				result.truncatedBytes = skippedBytes + len(data) - offset
+				skippedBytes = 0
 				break
 			}
-			lost += next + 1
-			at += next + 1
+			skippedBytes += next + 1
+			offset += next + 1
 			continue
 		}
-		if commits {
-			hole += lost
+		if atomicCommits {
+			gapBytes += skippedBytes
 		} else {
-			f.damagedBytes += lost
+			result.damagedBytes += skippedBytes
 		}
-		lost = 0
-		at += size
-		switch r.op {
+		skippedBytes = 0
+		offset += size
+		switch entry.op {
 		case opBegin:
-			if len(r.value) >= 2 {
-				if v := binary.LittleEndian.Uint16(r.value); v > Version {
-					return scannedFile{problem: fmt.Sprintf("it is of version %d, and this program reads %d", v, Version)}
+			if len(entry.value) >= 2 {
+				if version := binary.LittleEndian.Uint16(entry.value); version > Version {
+					return scannedFile{problem: fmt.Sprintf("it is of version %d, and this program reads %d", version, Version)}
 				}
 			}
-			begun = true
+			began = true
 		case opPut, opDelete:
-			rows++
-			pending += size
-			f.records = append(f.records, r)
+			rowCount++
+			pendingBytes += size
+			result.records = append(result.records, entry)
 		case opCommit:
-			if !commits {
+			if !atomicCommits {
 				continue
 			}
-			if len(r.value) != 8 || binary.LittleEndian.Uint64(r.value) != uint64(len(f.records)-held) {
-				f.records = f.records[:held]
-				f.damagedBytes += pending
+			if len(entry.value) != 8 || binary.LittleEndian.Uint64(entry.value) != uint64(len(result.records)-committed) {
+				result.records = result.records[:committed]
+				result.damagedBytes += pendingBytes
 			}
-			f.damagedBytes += hole // something sound follows it
-			held, pending, hole = len(f.records), 0, 0
+			result.damagedBytes += gapBytes // it lies before an intact commit
+			committed, pendingBytes, gapBytes = len(result.records), 0, 0
 		case opEnd:
-			if len(r.value) == 8 {
-				ended = int(binary.LittleEndian.Uint64(r.value))
+			if len(entry.value) == 8 {
+				endCount = int(binary.LittleEndian.Uint64(entry.value))
 			}
 		}
 	}
-	if commits {
-		f.records = f.records[:held]
-		f.truncatedBytes += pending + hole
+	if atomicCommits {
+		result.records = result.records[:committed]
+		result.truncatedBytes += pendingBytes + gapBytes
 	}
-	if !begun && len(f.records) == 0 && len(data) > 0 {
-		f.problem = "it is no file of this store"
+	if !began && len(result.records) == 0 && len(data) > 0 {
+		result.problem = "it is no file of this store"
 	}
-	f.complete = begun && ended == rows && f.damagedBytes == 0
-	return f
+	result.complete = began && endCount == rowCount && result.damagedBytes == 0
+	return result
 }
--- a/internal/store/report.go
+++ b/internal/store/report.go
@@ -12,18 +12,19 @@
 	Rows                                int // written to journals
 }
 
-// Report is what Open has found.
+// Report says what Open found.
 type Report struct {
 	Generation          uint64
 	Rows                int
-	DamagedBytes        int      // damaged bytes that were passed over
-	TruncatedBytes      int      // bytes of writes that were cut
-	IncompleteSnapshots int      // snapshots that are not whole
-	Notes               []string // what was wrong, a line each
-	NoSnapshot          bool     // no whole snapshot was there though there were files: rows may be missing, or deleted ones back
+	DamagedBytes        int      // damaged bytes that were skipped
+	TruncatedBytes      int      // bytes of torn writes
+	IncompleteSnapshots int      // snapshots without all their rows
+	Notes               []string // problems, one line each
+	// NoSnapshot: there are files, but no complete snapshot. Rows may be missing, or deleted ones restored.
+	NoSnapshot bool
 }
 
-// String is the report on one line.
+// String returns the report on one line.
 func (r Report) String() string {
 	text := fmt.Sprintf("generation %d, %d rows", r.Generation, r.Rows)
 	if r.DamagedBytes > 0 {
--- a/internal/store/rewrite.go
+++ b/internal/store/rewrite.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Rewrite begins a generation with a journal and a snapshot of everything.
+// Rewrite starts a generation with an empty journal and a snapshot of all rows.
 func (s *Store) Rewrite(now time.Duration) error {
 	s.closeFiles()
 	if err := s.startGeneration(); err != nil {
@@ -12,9 +12,9 @@
 		return s.recordFailure(now, err)
 	}
 	s.dirty, s.hasChanges, s.urgent, s.lastCommit, s.durable = s.dirty[:0], false, false, now, s.seq
-	for p, x := range s.rows {
-		if x.dirty = false; x.deleted {
-			delete(s.rows, p)
+	for key, entry := range s.rows {
+		if entry.dirty = false; entry.deleted {
+			delete(s.rows, key)
 		}
 	}
 	return nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -11,38 +11,38 @@
 	"time"
 )
 
-// FS is the folder of a store. Nothing written is safe before File.Sync, and no name
-// before SyncDir.
+// FS is the folder of a store. Data is durable only after File.Sync, and names only after SyncDir.
 type FS interface {
 	List() ([]string, error)
-	Read(name string, most int) ([]byte, error)
-	Create(name string) (File, error) // empty
+	Read(name string, maxBytes int) ([]byte, error)
+	Create(name string) (File, error) // the file is empty
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir() error
 }
 
-// File is one that is written from its start to its end.
+// File is written sequentially, from start to end.
 type File interface {
 	Write([]byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Settings bound a store.
+// Settings configure a store.
 type Settings struct {
 	MaxRows            int           // in all tables; 65,536 if 0
-	MaxBytes           int           // of their keys and values; 16 MiB if 0
-	SyncInterval       time.Duration // changes that are not urgent are synced so often; 5 s if 0
-	UrgentSyncInterval time.Duration // urgent ones at the most so often; 20 ms if 0
-	AtomicCommits      bool          // what one Commit writes is read back all of it or none; a store is opened with it always or never
+	MaxBytes           int           // of keys and values; 16 MiB if 0
+	SyncInterval       time.Duration // interval between commits of changes that are not urgent; 5 s if 0
+	UrgentSyncInterval time.Duration // minimum interval between commits of urgent changes; 20 ms if 0
+	// AtomicCommits: each Commit is recovered whole or not at all. A store is always opened with the same value.
+	AtomicCommits bool
 }
 
 const (
 	maxFileBytes      = 64 << 20
-	minCompactBytes   = 64 << 10 // bytes of a journal below which there is no snapshot
-	compactGrowth     = 2        // a journal grows to this many times what is live
-	snapshotBatchRows = 64       // rows between two looks whether to go on
+	minCompactBytes   = 64 << 10 // a smaller journal is not compacted
+	compactGrowth     = 2        // a journal is compacted once it exceeds this multiple of the live data
+	snapshotBatchRows = 64       // rows written per call of Compact
 	minRetryDelay     = time.Second
 	maxRetryDelay     = time.Minute
 	snapshotPrefix    = "snapshot-"
@@ -52,12 +52,12 @@
 	maxGeneration     = 1 << 62
 )
 
-// Error is one that does not change.
+// Error is a constant error.
 type Error string
 
 func (e Error) Error() string { return string(e) }
 
-// ErrFull says that a row does not fit the store's bounds. Nothing has changed.
+// ErrFull means that a row would exceed the store's limits. Nothing has changed.
 const ErrFull = Error("store: full")
 
 type rowKey struct {
@@ -68,28 +68,28 @@
 type row struct {
 	value   []byte
 	seq     uint64
-	deleted bool // deleted, and that is still to be written
+	deleted bool // the deletion is not written yet
 	dirty   bool
 }
 
-// Store is a set of tables. Make one with Open.
+// Store is a set of tables. Create one with Open.
 type Store struct {
 	fs       FS
 	settings Settings
 
 	rows      map[rowKey]*row
-	liveRows  int // rows that are there
-	liveBytes int // of them
+	liveRows  int // rows that are not deleted
+	liveBytes int // of their keys and values
 	dirty     []rowKey
-	urgent    bool // an urgent change waits
+	urgent    bool // an urgent change is waiting
 	seq       uint64
 
 	generation   uint64
-	journal      File // nil: nothing can be written for now
-	journalBytes int  // bytes of the journal
+	journal      File // nil: no generation is open for writing
+	journalBytes int  // size of the journal
 	changedSince time.Duration
-	hasChanges   bool          // changes wait since that time
-	lastCommit   time.Duration // commit
+	hasChanges   bool          // changes have been waiting since changedSince
+	lastCommit   time.Duration // time of the last commit
 	durable      uint64
 	retryAt      time.Duration
 	retryDelay   time.Duration
@@ -98,23 +98,23 @@
 	stats        Stats
 }
 
-// snapshot is one that is being written.
+// snapshotWriter is a snapshot being written.
 type snapshotWriter struct {
 	file      File
 	remaining []rowKey
 	rows      int
 }
 
-// Open reads what there is. It writes nothing: the first Commit begins a generation
-// of its own, so that a restart a second does not make the files grow.
-func Open(fs FS, set Settings) (*Store, Report) {
-	set.MaxRows, set.MaxBytes = cmp.Or(set.MaxRows, 1<<16), cmp.Or(set.MaxBytes, 16<<20)
-	set.SyncInterval, set.UrgentSyncInterval = cmp.Or(set.SyncInterval, 5*time.Second), cmp.Or(set.UrgentSyncInterval, 20*time.Millisecond)
-	s := &Store{fs: fs, settings: set, rows: map[rowKey]*row{}}
-	return s, s.load()
+// Open loads the existing files. It writes nothing: the first Commit starts a new generation, so
+// that a process that restarts every second does not make the files grow.
+func Open(fs FS, settings Settings) (*Store, Report) {
+	settings.MaxRows, settings.MaxBytes = cmp.Or(settings.MaxRows, 1<<16), cmp.Or(settings.MaxBytes, 16<<20)
+	settings.SyncInterval, settings.UrgentSyncInterval = cmp.Or(settings.SyncInterval, 5*time.Second), cmp.Or(settings.UrgentSyncInterval, 20*time.Millisecond)
+	store := &Store{fs: fs, settings: settings, rows: map[rowKey]*row{}}
+	return store, store.load()
 }
 
-// numbered finds the generation in a file's name.
+// parseGeneration returns the generation in a file's name.
 func parseGeneration(name, kind string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, kind)
 	if !ok {
@@ -128,150 +128,152 @@
 	return kind + strconv.FormatUint(generation, 10)
 }
 
-// recover reads the files.
-func (s *Store) load() (r Report) {
+// load reads the files.
+func (s *Store) load() (report Report) {
 	names, err := s.fs.List()
 	if err != nil {
-		r.Notes = append(r.Notes, "the folder can't be read: "+err.Error())
-		return r
+		report.Notes = append(report.Notes, "the folder can't be read: "+err.Error())
+		return report
 	}
-	type found struct {
+	type loadedFile struct {
 		generation uint64
 		journal    bool
 		scannedFile
 	}
-	var files []found
-	for _, n := range names {
-		generation, journal := parseGeneration(n, journalPrefix)
+	var files []loadedFile
+	for _, name := range names {
+		generation, journal := parseGeneration(name, journalPrefix)
 		snapshot := false
 		if !journal {
-			if generation, snapshot = parseGeneration(n, snapshotPrefix); !snapshot {
+			if generation, snapshot = parseGeneration(name, snapshotPrefix); !snapshot {
 				continue
 			}
 		}
 		s.generation = max(s.generation, generation)
-		data, err := s.fs.Read(n, maxFileBytes)
+		data, err := s.fs.Read(name, maxFileBytes)
 		if err != nil {
-			r.Notes = append(r.Notes, fmt.Sprintf("%s can't be read: %v", n, err))
+			report.Notes = append(report.Notes, fmt.Sprintf("%s can't be read: %v", name, err))
 			continue
 		}
-		f := scan(data, generation, s.settings.AtomicCommits && journal)
-		if f.problem != "" {
-			r.Notes = append(r.Notes, fmt.Sprintf("%s is left alone: %s", n, f.problem))
+		scanned := scan(data, generation, s.settings.AtomicCommits && journal)
+		if scanned.problem != "" {
+			report.Notes = append(report.Notes, fmt.Sprintf("%s is left alone: %s", name, scanned.problem))
 			continue
 		}
-		r.DamagedBytes, r.TruncatedBytes = r.DamagedBytes+f.damagedBytes, r.TruncatedBytes+f.truncatedBytes
-		files = append(files, found{generation, journal, f})
+		report.DamagedBytes, report.TruncatedBytes = report.DamagedBytes+scanned.damagedBytes, report.TruncatedBytes+scanned.truncatedBytes
+		files = append(files, loadedFile{generation, journal, scanned})
 	}
-	from, whole := uint64(0), false
-	for _, f := range files {
-		if !f.journal && !f.complete {
-			r.IncompleteSnapshots++
+	snapshotGeneration, hasSnapshot := uint64(0), false
+	for _, scanned := range files {
+		if !scanned.journal && !scanned.complete {
+			report.IncompleteSnapshots++
 		}
-		if !f.journal && f.complete && (!whole || f.generation > from) {
-			from, whole = f.generation, true
+		if !scanned.journal && scanned.complete && (!hasSnapshot || scanned.generation > snapshotGeneration) {
+			snapshotGeneration, hasSnapshot = scanned.generation, true
 		}
 	}
-	r.NoSnapshot = !whole && len(files) > 0
-	for _, f := range files {
-		if whole && f.generation < from {
-			continue // the snapshot says what became of it
+	report.NoSnapshot = !hasSnapshot && len(files) > 0
+	for _, scanned := range files {
+		if hasSnapshot && scanned.generation < snapshotGeneration {
+			continue // superseded by the snapshot
 		}
-		for i := range f.records {
-			s.apply(&f.records[i])
+		for i := range scanned.records {
+			s.apply(&scanned.records[i])
 		}
 	}
-	for p, x := range s.rows {
-		if x.deleted {
-			delete(s.rows, p)
+	for key, entry := range s.rows {
+		if entry.deleted {
+			delete(s.rows, key)
 			continue
 		}
 		s.liveRows++
-		s.liveBytes += len(p.key) + len(x.value)
+		s.liveBytes += len(key.key) + len(entry.value)
 	}
 	s.durable = s.seq
-	r.Generation, r.Rows = s.generation, s.liveRows
-	return r
+	report.Generation, report.Rows = s.generation, s.liveRows
+	return report
 }
 
-// apply takes a record in, unless a later one of its row has been there.
-func (s *Store) apply(r *record) {
-	s.seq = max(s.seq, r.seq)
-	p := rowKey{r.table, r.key}
-	if x := s.rows[p]; x != nil && x.seq >= r.seq {
+// apply applies a record, unless a later one of the same row has been applied.
+func (s *Store) apply(change *record) {
+	s.seq = max(s.seq, change.seq)
+	key := rowKey{change.table, change.key}
+	if entry := s.rows[key]; entry != nil && entry.seq >= change.seq {
 		return
 	}
-	s.rows[p] = &row{value: r.value, seq: r.seq, deleted: r.op == opDelete}
+	s.rows[key] = &row{value: change.value, seq: change.seq, deleted: change.op == opDelete}
 }
 
-// Get returns a row's value, which must not be written to, and nil if there is none.
+// Get returns a row's value, or nil if there is none. The value must not be modified.
 func (s *Store) Get(table byte, key string) []byte {
-	if x := s.rows[rowKey{table, key}]; x != nil && !x.deleted {
-		return x.value
+	if entry := s.rows[rowKey{table, key}]; entry != nil && !entry.deleted {
+		return entry.value
 	}
 	return nil
 }
 
-// Keys are a table's keys in order.
+// Keys returns a table's keys in order.
 func (s *Store) Keys(table byte) []string {
 	var keys []string
-	for p, x := range s.rows {
-		if p.table == table && !x.deleted {
-			keys = append(keys, p.key)
+	for entryKey, entry := range s.rows {
+		if entryKey.table == table && !entry.deleted {
+			keys = append(keys, entryKey.key)
 		}
 	}
 	slices.Sort(keys)
 	return keys
 }
 
-// Len is how many rows there are, and Bytes what their keys and values take.
+// Len returns the number of rows, and Bytes the size of their keys and values.
 func (s *Store) Len() int   { return s.liveRows }
 func (s *Store) Bytes() int { return s.liveBytes }
 
-// Put sets a row. It returns the change's number: once Durable has reached that, the
-// change survives a power cut. An urgent one is due to be written at once.
+// Put sets a row and returns the change's sequence number: the change survives a power failure once
+// Durable has reached that number. An urgent change is due to be written as soon as
+// UrgentSyncInterval allows.
 func (s *Store) Put(now time.Duration, table byte, key string, value []byte, urgent bool) (uint64, error) {
 	if len(key) > MaxKeyBytes || len(value) > MaxValueBytes {
-		return 0, fmt.Errorf("%w: a row of %d and %d bytes, at most %d and %d", ErrFull, len(key), len(value), MaxKeyBytes, MaxValueBytes)
+		return 0, fmt.Errorf("%w: a row with a key of %d and a value of %d bytes, at most %d and %d", ErrFull, len(key), len(value), MaxKeyBytes, MaxValueBytes)
 	}
-	p := rowKey{table, key}
-	x := s.rows[p]
-	more, rows := len(value), 1
+	entryKey := rowKey{table, key}
+	entry := s.rows[entryKey]
+	addedBytes, addedRows := len(value), 1
 	switch {
-	case x == nil || x.deleted:
-		more += len(key)
+	case entry == nil || entry.deleted:
+		addedBytes += len(key)
 	default:
-		more, rows = more-len(x.value), 0
+		addedBytes, addedRows = addedBytes-len(entry.value), 0
 	}
-	if s.liveRows+rows > s.settings.MaxRows || s.liveBytes+more > s.settings.MaxBytes {
-		return 0, fmt.Errorf("%w: %d rows of %d bytes, at most %d of %d", ErrFull, s.liveRows, s.liveBytes, s.settings.MaxRows, s.settings.MaxBytes)
+	if s.liveRows+addedRows > s.settings.MaxRows || s.liveBytes+addedBytes > s.settings.MaxBytes {
+		return 0, fmt.Errorf("%w: %d rows with %d bytes, at most %d with %d", ErrFull, s.liveRows, s.liveBytes, s.settings.MaxRows, s.settings.MaxBytes)
 	}
-	s.liveRows, s.liveBytes = s.liveRows+rows, s.liveBytes+more
-	return s.setRow(now, p, slices.Clone(value), false, urgent), nil
+	s.liveRows, s.liveBytes = s.liveRows+addedRows, s.liveBytes+addedBytes
+	return s.setRow(now, entryKey, slices.Clone(value), false, urgent), nil
 }
 
-// Delete removes a row, as Put sets it. It returns 0 if there is none.
+// Delete removes a row and returns the change's sequence number, like Put. It returns 0 if there is
+// no such row.
 func (s *Store) Delete(now time.Duration, table byte, key string, urgent bool) uint64 {
-	p := rowKey{table, key}
-	x := s.rows[p]
-	if x == nil || x.deleted {
+	entryKey := rowKey{table, key}
+	entry := s.rows[entryKey]
+	if entry == nil || entry.deleted {
 		return 0
 	}
-	s.liveRows, s.liveBytes = s.liveRows-1, s.liveBytes-len(key)-len(x.value)
-	return s.setRow(now, p, nil, true, urgent)
+	s.liveRows, s.liveBytes = s.liveRows-1, s.liveBytes-len(key)-len(entry.value)
+	return s.setRow(now, entryKey, nil, true, urgent)
 }
 
-func (s *Store) setRow(now time.Duration, p rowKey, value []byte, gone, urgent bool) uint64 {
-	x := s.rows[p]
-	if x == nil {
-		x = &row{}
-		s.rows[p] = x
+func (s *Store) setRow(now time.Duration, key rowKey, value []byte, deleted, urgent bool) uint64 {
+	entry := s.rows[key]
+	if entry == nil {
+		entry = &row{}
+		s.rows[key] = entry
 	}
 	s.seq++
-	x.value, x.seq, x.deleted = value, s.seq, gone
-	if !x.dirty { // a row that changes again before it was written is written once
-		x.dirty = true
-		s.dirty = append(s.dirty, p)
+	entry.value, entry.seq, entry.deleted = value, s.seq, deleted
+	if !entry.dirty { // a row that changes again before it is written is written once
+		entry.dirty = true
+		s.dirty = append(s.dirty, key)
 	}
 	if !s.hasChanges {
 		s.hasChanges, s.changedSince = true, now
@@ -280,75 +282,76 @@
 	return s.seq
 }
 
-// Seq is the last change's number, and Durable the last one's that survives a power cut.
+// Seq returns the sequence number of the last change, and Durable that of the last change that
+// survives a power failure.
 func (s *Store) Seq() uint64     { return s.seq }
 func (s *Store) Durable() uint64 { return s.durable }
 
-// Wrong is why nothing can be written for now, and nil if it can.
+// WriteError returns why nothing can be written at present, or nil.
 func (s *Store) WriteError() error { return s.writeErr }
 
-// Stats are the counts so far.
+// Stats returns the counts so far.
 func (s *Store) Stats() Stats { return s.stats }
 
-// Due is when Commit has something to do, and false if never.
-func (s *Store) Due() (at time.Duration, ok bool) {
+// Due returns when Commit next has something to do, and false if there is nothing to write.
+func (s *Store) Due() (due time.Duration, ok bool) {
 	if !s.hasChanges {
 		return 0, false
 	}
-	at = s.changedSince + s.settings.SyncInterval
+	due = s.changedSince + s.settings.SyncInterval
 	if s.urgent {
-		at = s.lastCommit + s.settings.UrgentSyncInterval
+		due = s.lastCommit + s.settings.UrgentSyncInterval
 	}
 	if s.writeErr != nil {
-		at = max(at, s.retryAt)
+		due = max(due, s.retryAt)
 	}
-	return at, true
+	return due, true
 }
 
-// Commit writes and syncs what has changed, if it is due. An error is told once; the
-// store goes on in memory, and tries again later.
+// Commit writes and syncs what has changed, if it is due. Of consecutive failures only the first is
+// returned; the store goes on in memory and retries later.
 func (s *Store) Commit(now time.Duration) error {
-	if at, ok := s.Due(); !ok || now < at {
+	if due, ok := s.Due(); !ok || now < due {
 		return nil
 	}
 	if s.journal == nil {
 		if err := s.startGeneration(); err != nil {
 			return s.recordFailure(now, err)
 		}
-		// The generation before may end in a write that nobody knows the end of:
-		// everything goes into this one.
+		// The previous generation may end in a write of unknown outcome, so all rows are written to
+		// this one.
 		if err := s.writeSnapshot(); err != nil {
 			return s.recordFailure(now, err)
 		}
 	}
-	var out []byte
-	for _, p := range s.dirty {
-		x := s.rows[p]
-		r := record{op: opPut, table: p.table, seq: x.seq, key: p.key, value: x.value}
-		if x.deleted {
-			r.op = opDelete
+	var data []byte
+	for _, key := range s.dirty {
+		entry := s.rows[key]
+		change := record{op: opPut, table: key.table, seq: entry.seq, key: key.key, value: entry.value}
+		if entry.deleted {
+			change.op = opDelete
 		}
-		out = r.append(out, s.generation)
+		data = change.append(data, s.generation)
 	}
 	if s.settings.AtomicCommits {
-		r := record{op: opCommit, value: binary.LittleEndian.AppendUint64(nil, uint64(len(s.dirty)))}
-		out = r.append(out, s.generation)
+		change := record{op: opCommit, value: binary.LittleEndian.AppendUint64(nil, uint64(len(s.dirty)))}
+		data = change.append(data, s.generation)
 	}
-	if err := s.writeAll(s.journal, out); err != nil {
+	if err := s.writeAll(s.journal, data); err != nil {
 		return s.recordFailure(now, err)
 	}
-	s.journalBytes += len(out)
+	s.journalBytes += len(data)
 	if err := s.journal.Sync(); err != nil {
 		return s.recordFailure(now, err)
 	}
 	s.stats.Commits++
 	s.stats.Syncs++
 	s.stats.Rows += len(s.dirty)
-	for _, p := range s.dirty {
-		if x := s.rows[p]; x.deleted {
-			delete(s.rows, p)
+	for _, key := range s.dirty {
+		if entry := s.rows[key]; entry.deleted {
+			delete(s.rows, key)
 		} else {
-			x.dirty = false
+			entry.dirty = false
 		}
 	}
 	s.dirty, s.hasChanges, s.urgent = s.dirty[:0], false, false
@@ -359,17 +362,18 @@
 	return nil
 }
 
-// write is a whole write, or an error.
-func (s *Store) writeAll(f File, p []byte) error {
-	n, err := f.Write(p)
-	s.stats.Bytes += n
-	if err == nil && n < len(p) {
+// writeAll writes all of the data or returns an error.
+func (s *Store) writeAll(file File, data []byte) error {
+	written, err := file.Write(data)
+	s.stats.Bytes += written
+	if err == nil && written < len(data) {
 		err = errors.New("the write was cut short")
 	}
 	return err
 }
 
-// fail closes what may hold half a write.
+// recordFailure closes the files, which may end in a partial write, and schedules a retry. It
+// returns the error if it is the first of a series.
 func (s *Store) recordFailure(now time.Duration, err error) error {
 	s.stats.Failures++
 	s.closeFiles()
@@ -383,7 +387,7 @@
 	return nil
 }
 
-// drop closes the files.
+// closeFiles closes the open files.
 func (s *Store) closeFiles() {
 	if s.journal != nil {
 		s.journal.Close()
@@ -394,36 +398,36 @@
 	s.journal, s.snapshot = nil, nil
 }
 
-// rotate begins a generation with an empty journal.
+// startGeneration starts a generation with an empty journal.
 func (s *Store) startGeneration() error {
 	generation := s.generation + 1
-	f, err := s.fs.Create(fileName(journalPrefix, generation))
+	journal, err := s.fs.Create(fileName(journalPrefix, generation))
 	if err != nil {
 		return err
 	}
-	s.generation = generation // also if what follows fails: its name is taken
-	b := beginRecord(generation)
-	out := b.append(nil, generation)
-	if err = s.writeAll(f, out); err == nil {
-		err = f.Sync()
+	s.generation = generation // even if a later step fails: the name is in use
+	first := beginRecord(generation)
+	header := first.append(nil, generation)
+	if err = s.writeAll(journal, header); err == nil {
+		err = journal.Sync()
 	}
 	if err == nil {
 		err = s.fs.SyncDir()
 	}
 	if err != nil {
-		f.Close()
-		s.fs.Remove(fileName(journalPrefix, generation)) // else each try on a full disk leaves one
+		journal.Close()
+		s.fs.Remove(fileName(journalPrefix, generation)) // otherwise each retry on a full disk would leave a file
 		return err
 	}
 	if s.journal != nil {
 		s.journal.Close()
 	}
-	s.journal, s.journalBytes = f, len(out)
+	s.journal, s.journalBytes = journal, len(header)
 	s.stats.Syncs++
 	return nil
 }
 
-// everything writes a snapshot in one go.
+// writeSnapshot writes a complete snapshot at once.
 func (s *Store) writeSnapshot() error {
 	if err := s.beginSnapshot(); err != nil {
 		return err
@@ -436,20 +440,20 @@
 	}
 }
 
-// NeedsCompact tells whether Compact has something to do.
+// NeedsCompact reports whether Compact has something to do.
 func (s *Store) NeedsCompact() bool {
 	return s.journal != nil && (s.snapshot != nil || s.journalBytes > max(minCompactBytes, compactGrowth*(s.liveBytes+s.liveRows*rowOverhead)))
 }
 
-// Compact goes on with a snapshot by a bounded number of rows, and begins one if the
-// journal has grown too long. It tells whether there is more.
+// Compact continues a snapshot by a bounded number of rows, or starts one if the journal has grown
+// too long. It reports whether there is more to do.
 func (s *Store) Compact(now time.Duration) (more bool, _ error) {
 	if !s.NeedsCompact() {
 		return false, nil
 	}
 	if s.snapshot == nil {
-		// What changes from now on goes to the new journal, and so does what Commit has
-		// yet to write: a row's latest number decides when both are read.
+		// Later changes, and those that Commit has yet to write, go to the new journal. When both
+		// are read, a row's highest sequence number decides.
 		err := s.startGeneration()
 		if err == nil {
 			err = s.beginSnapshot()
@@ -467,59 +471,60 @@
 }
 
 func (s *Store) beginSnapshot() error {
-	f, err := s.fs.Create(fileName(snapshotPrefix, s.generation) + tempSuffix)
+	file, err := s.fs.Create(fileName(snapshotPrefix, s.generation) + tempSuffix)
 	if err != nil {
 		return err
 	}
-	b := beginRecord(s.generation)
-	if err := s.writeAll(f, b.append(nil, s.generation)); err != nil {
-		f.Close()
+	first := beginRecord(s.generation)
+	if err := s.writeAll(file, first.append(nil, s.generation)); err != nil {
+		file.Close()
 		return err
 	}
-	left := make([]rowKey, 0, len(s.rows))
-	for p := range s.rows {
-		left = append(left, p)
+	keys := make([]rowKey, 0, len(s.rows))
+	for key := range s.rows {
+		keys = append(keys, key)
 	}
-	slices.SortFunc(left, func(x, y rowKey) int {
-		return cmp.Or(cmp.Compare(x.table, y.table), cmp.Compare(x.key, y.key))
+	slices.SortFunc(keys, func(a, b rowKey) int {
+		return cmp.Or(cmp.Compare(a.table, b.table), cmp.Compare(a.key, b.key))
 	})
-	s.snapshot = &snapshotWriter{file: f, remaining: left}
+	s.snapshot = &snapshotWriter{file: file, remaining: keys}
 	return nil
 }
 
-// stepSnapshot writes some rows, and at the end puts the snapshot in its place.
+// continueSnapshot writes some rows, and renames the snapshot to its final name when it is
+// complete.
 func (s *Store) continueSnapshot() (more bool, err error) {
-	n := s.snapshot
-	var out []byte
-	for range min(snapshotBatchRows, len(n.remaining)) {
-		p := n.remaining[0]
-		n.remaining = n.remaining[1:]
-		// A row that is deleted meanwhile is in the journal of this generation; one that
-		// was not yet written when this began stands there too.
-		if x := s.rows[p]; x != nil && !x.deleted {
-			r := record{op: opPut, table: p.table, seq: x.seq, key: p.key, value: x.value}
-			out = r.append(out, s.generation)
-			n.rows++
+	writer := s.snapshot
+	var data []byte
+	for range min(snapshotBatchRows, len(writer.remaining)) {
+		key := writer.remaining[0]
+		writer.remaining = writer.remaining[1:]
+		// A row that has been deleted since the snapshot was started is in this generation's
+		// journal, and so is one that was not committed at that time.
+		if entry := s.rows[key]; entry != nil && !entry.deleted {
+			change := record{op: opPut, table: key.table, seq: entry.seq, key: key.key, value: entry.value}
+			data = change.append(data, s.generation)
+			writer.rows++
 		}
 	}
-	if len(n.remaining) == 0 {
-		end := record{op: opEnd, value: binary.LittleEndian.AppendUint64(nil, uint64(n.rows))}
-		out = end.append(out, s.generation)
+	if len(writer.remaining) == 0 {
+		end := record{op: opEnd, value: binary.LittleEndian.AppendUint64(nil, uint64(writer.rows))}
+		data = end.append(data, s.generation)
 	}
-	if err := s.writeAll(n.file, out); err != nil {
+	if err := s.writeAll(writer.file, data); err != nil {
 		return false, err
 	}
-	if len(n.remaining) > 0 {
+	if len(writer.remaining) > 0 {
 		return true, nil
 	}
-	err = n.file.Sync()
-	if err2 := n.file.Close(); err == nil {
-		err = err2
+	err = writer.file.Sync()
+	if closeErr := writer.file.Close(); err == nil {
+		err = closeErr
 	}
 	s.snapshot = nil
-	to := fileName(snapshotPrefix, s.generation)
+	path := fileName(snapshotPrefix, s.generation)
 	if err == nil {
-		err = s.fs.Rename(to+tempSuffix, to)
+		err = s.fs.Rename(path+tempSuffix, path)
 	}
 	if err == nil {
 		err = s.fs.SyncDir()
@@ -532,29 +537,29 @@
 	return false, s.removeOldFiles()
 }
 
-// tidy removes all but this generation and the one before.
+// removeOldFiles removes the files of all generations before the previous snapshot's.
 func (s *Store) removeOldFiles() error {
 	names, err := s.fs.List()
 	if err != nil {
 		return err
 	}
-	var older []uint64 // whole snapshots before this one
-	for _, n := range names {
-		if g, ok := parseGeneration(n, snapshotPrefix); ok && g < s.generation {
-			older = append(older, g)
+	var older []uint64 // generations of complete snapshots before this one
+	for _, name := range names {
+		if generation, ok := parseGeneration(name, snapshotPrefix); ok && generation < s.generation {
+			older = append(older, generation)
 		}
 	}
 	keep := s.generation
 	if len(older) > 0 {
 		keep = slices.Max(older)
 	}
-	for _, n := range names {
-		g, ok := parseGeneration(strings.TrimSuffix(n, tempSuffix), snapshotPrefix)
+	for _, name := range names {
+		generation, ok := parseGeneration(strings.TrimSuffix(name, tempSuffix), snapshotPrefix)
 		if !ok {
-			g, ok = parseGeneration(n, journalPrefix)
+			generation, ok = parseGeneration(name, journalPrefix)
 		}
-		if ok && (g < keep || strings.HasSuffix(n, tempSuffix) && g < s.generation) {
-			if err := s.fs.Remove(n); err != nil {
+		if ok && (generation < keep || strings.HasSuffix(name, tempSuffix) && generation < s.generation) {
+			if err := s.fs.Remove(name); err != nil {
 				return err
 			}
 		}
@@ -562,7 +567,7 @@
 	return nil
 }
 
-// Close writes what has changed, whatever is due, and ends the store.
+// Close writes pending changes, even if they are not due yet, and closes the files.
 func (s *Store) Close(now time.Duration) error {
 	var err error
 	if s.hasChanges {
