--- a/internal/node/members/sockets.go
+++ b/internal/node/members/sockets.go
@@ -12,77 +12,77 @@
 	"curlewring/internal/node/accept"
 )
 
-// readDatagrams hands over what comes by UDP, until the socket is closed.
+// readDatagrams receives UDP datagrams until the socket is closed.
 func (m *Members) readDatagrams() {
-	b := make([]byte, wire.MaxDatagram+1)
+	buf := make([]byte, wire.MaxDatagram+1)
 	for {
-		size, _, err := m.udp.ReadFromUDPAddrPort(b)
+		size, _, err := m.udp.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // a port that nobody has any more answers to what was sent there
+			continue // an ICMP error for an earlier datagram to a closed port
 		}
-		m.counts.Received.Add(1)
+		m.counters.Received.Add(1)
 		if size > wire.MaxDatagram {
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 			continue
 		}
-		m.take(b[:size])
+		m.receive(buf[:size])
 	}
 }
 
-// take reads a message, and hands it over if there is room.
-func (m *Members) take(b []byte) {
-	x, err := wire.Parse(b, m.fleet, watchers)
-	var bad *wire.Error
-	if errors.As(err, &bad) {
-		switch bad.Fault {
+// receive decodes a message and queues it for Run; a message that does not fit is dropped.
+func (m *Members) receive(data []byte) {
+	message, err := wire.Parse(data, m.fleetNumber, watchersPerMember)
+	var parseErr *wire.Error
+	if errors.As(err, &parseErr) {
+		switch parseErr.Fault {
 		case wire.BadChecksum:
-			m.counts.BadChecksum.Add(1)
+			m.counters.BadChecksum.Add(1)
 		case wire.OtherFleet:
-			m.counts.OtherFleet.Add(1)
+			m.counters.OtherFleet.Add(1)
 		case wire.OtherVersion:
-			m.counts.OtherVersion.Add(1)
+			m.counters.OtherVersion.Add(1)
 		default:
-			m.counts.Malformed.Add(1)
+			m.counters.Malformed.Add(1)
 		}
 		return
 	}
 	select {
-	case m.in <- x:
+	case m.inbox <- message:
 	default:
-		m.counts.Dropped.Add(1)
+		m.counters.Dropped.Add(1)
 	}
 }
 
-// accept takes long messages by TCP: one a connection, a few connections at once.
-func (m *Members) accept(ctx context.Context) {
-	bounds := accept.Limits{MaxConnections: mostStreams, ConnectionTimeout: streamWait, OnReject: func() { m.counts.Dropped.Add(1) }}
-	accept.Serve(ctx, m.tcp, bounds, func(c net.Conn) {
-		b, err := io.ReadAll(io.LimitReader(c, wire.MaxStreamMessage+1))
-		if err != nil || len(b) > wire.MaxStreamMessage {
-			m.counts.Malformed.Add(1)
+// acceptStreams receives long messages over TCP: one per connection, a few connections at once.
+func (m *Members) acceptStreams(ctx context.Context) {
+	limits := accept.Limits{MaxConnections: maxStreams, ConnectionTimeout: streamTimeout, OnReject: func() { m.counters.Dropped.Add(1) }}
+	accept.Serve(ctx, m.tcp, limits, func(conn net.Conn) {
+		data, err := io.ReadAll(io.LimitReader(conn, wire.MaxStreamMessage+1))
+		if err != nil || len(data) > wire.MaxStreamMessage {
+			m.counters.Malformed.Add(1)
 			return
 		}
-		m.take(b)
+		m.receive(data)
 	})
 }
 
-// stream sends one long message.
-func (m *Members) stream(ctx context.Context, to netip.AddrPort, b []byte) {
-	ctx, cancel := context.WithTimeout(ctx, streamWait)
+// sendStream sends one long message over TCP.
+func (m *Members) sendStream(ctx context.Context, addr netip.AddrPort, data []byte) {
+	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
-	var d net.Dialer
-	c, err := d.DialContext(ctx, "tcp", to.String())
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
-		return // it is asked for again
+		return // the recipient requests it again
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if _, err := c.Write(b); err == nil {
-		m.counts.Streams.Add(1)
-		m.counts.Bytes.Add(int64(len(b)))
+	if _, err := conn.Write(data); err == nil {
+		m.counters.Streams.Add(1)
+		m.counters.Bytes.Add(int64(len(data)))
 	}
 }
