--- a/internal/node/front/other.go
+++ b/internal/node/front/other.go
@@ -5,4 +5,4 @@
 import "net"
 
 // NewTransport makes the transport that fits the system.
-func NewTransport(l net.Listener) (Transport, error) { return NewWaiting(l) }
+func NewTransport(l net.Listener) (Transport, error) { return NewGoroutineTransport(l) }
