--- a/internal/operators/apps/app.go
+++ b/internal/operators/apps/app.go
@@ -39,36 +39,36 @@
 	// blank: package routes reads it.
 	Routes []byte
 
-	broken   bool // its form is wrong: what is said across files may be a consequence
-	listen   netip.AddrPort
-	own      []netip.AddrPort
-	file     *routes.File
-	table    *routes.Table
-	settings *nodeSettings
+	invalid   bool // its form is wrong: what is said across files may be a consequence
+	listenAddress   netip.AddrPort
+	applicationAddresses      []netip.AddrPort
+	routesFile     *routes.File
+	routeTable    *routes.Table
+	nodeSettings *nodeSettings
 }
 
 func appKeys() []key[App] {
 	return []key[App]{
 		textKey("name", true, "what the sidecar is called, in the whole fleet", func(a *App) *Located[string] { return &a.Name }),
 		textKey("application", false, "the application that it is beside (the name)", func(a *App) *Located[string] { return &a.Application }),
-		wordsKey("sites", true, "the sites where the application runs", func(a *App) *Located[[]string] { return &a.Sites }),
-		wordsKey("hosts", false, "the hosts where it runs (all of its sites)", func(a *App) *Located[[]string] { return &a.Hosts }),
+		textListKey("sites", true, "the sites where the application runs", func(a *App) *Located[[]string] { return &a.Sites }),
+		textListKey("hosts", false, "the hosts where it runs (all of its sites)", func(a *App) *Located[[]string] { return &a.Hosts }),
 		textKey("service", true, "the service that it calls", func(a *App) *Located[string] { return &a.Service }),
-		wordsKey("classes", true, "the classes of its requests", func(a *App) *Located[[]string] { return &a.Classes }),
+		textListKey("classes", true, "the classes of its requests", func(a *App) *Located[[]string] { return &a.Classes }),
 		integerKey("port", 1, 65535, false, "where the sidecar listens for its application", func(a *App) *Located[int] { return &a.Port }),
 		textKey("address", false, "the loopback address of the port (127.0.0.1)", func(a *App) *Located[string] { return &a.Address }),
 		textKey("socket", false, "the path of a unix socket, in the place of a port", func(a *App) *Located[string] { return &a.Socket }),
-		wordsKey("own", false, "where the application itself listens, each host:port", func(a *App) *Located[[]string] { return &a.ListenAddresses }),
+		textListKey("own", false, "where the application itself listens, each host:port", func(a *App) *Located[[]string] { return &a.ListenAddresses }),
 		textKey("serves", false, "the service whose requests the application answers", func(a *App) *Located[string] { return &a.ServedService }),
 		durationKey("work", 0, time.Hour, false, "what the application's own work takes of a request's time, usually (0s)",
 			func(a *App) *Located[time.Duration] { return &a.WorkTime }),
 		numberKey("share", 1e-5, 1, false, "the part of the service's callers that each host's sidecar may have (1 / nodes)",
 			func(a *App) *Located[float64] { return &a.BudgetShare }),
 		textKey("discovery", false, "where discovery answers, host:port (the service's)", func(a *App) *Located[string] { return &a.Discovery }),
-		wordsKey("command", false, "the application's command: the sidecar then starts it, and ends with it",
+		textListKey("command", false, "the application's command: the sidecar then starts it, and ends with it",
 			func(a *App) *Located[[]string] { return &a.Command }),
-		integerKey("memory_mb", leastMemoryMB, 65536, false, "memory of the sidecar in MB (the platform's)", func(a *App) *Located[int] { return &a.MemoryMB }),
-		integerKey("descriptors", leastDescriptors, 1<<20, false, "file descriptors of the sidecar (the platform's)",
+		integerKey("memory_mb", minMemoryMB, 65536, false, "memory of the sidecar in MB (the platform's)", func(a *App) *Located[int] { return &a.MemoryMB }),
+		integerKey("descriptors", minDescriptors, 1<<20, false, "file descriptors of the sidecar (the platform's)",
 			func(a *App) *Located[int] { return &a.Descriptors }),
 		numberKey("cores", 0.01, 1, false, "cores of the sidecar (the platform's)", func(a *App) *Located[float64] { return &a.Cores }),
 	}
@@ -78,20 +78,20 @@
 func ReadApp(file string, data []byte, p *Platform, findings *Findings) *App {
 	a := &App{File: file}
 	before := len(*findings)
-	r := &reading{file: file, findings: findings}
+	r := &fileReader{file: file, findings: findings}
 	t := r.parse(data)
 	if t == nil {
-		a.broken = true
+		a.invalid = true
 		return a
 	}
-	r.schema(t)
-	take(r, t, "", appKeys(), []string{"schema", "route"}, a)
+	r.checkSchemaVersion(t)
+	readKeys(r, t, "", appKeys(), []string{"schema", "route"}, a)
 	if _, isTable := t.Values["route"].V.(*document.Table); !isTable { // of that package routes tells
-		r.list(t, "route", false)
+		r.tableList(t, "route", false)
 	}
-	a.broken = Findings((*findings)[before:]).Worst() == 2
+	a.invalid = Findings((*findings)[before:]).Worst() == 2
 	a.Routes = routeLines(t, data)
-	a.defaults(p)
+	a.applyDefaults(p)
 	a.check(r, p)
 	return a
 }
@@ -125,12 +125,12 @@
 }
 
 // defaults fills in what the description leaves to the platform.
-func (a *App) defaults(p *Platform) {
+func (a *App) applyDefaults(p *Platform) {
 	a.Application = a.Application.or(a.Name)
 	a.MemoryMB = a.MemoryMB.or(p.Sidecar.MemoryMB)
 	a.Descriptors = a.Descriptors.or(p.Sidecar.Descriptors)
 	a.Cores = a.Cores.or(p.Sidecar.Cores)
-	byDefault(&a.Address, "127.0.0.1")
+	setDefault(&a.Address, "127.0.0.1")
 	if s := p.service(a.Service.V); s != nil {
 		a.Discovery = a.Discovery.or(s.Discovery).or(p.Discovery)
 		if a.BudgetShare.Line == 0 && s.Nodes.V > 0 {
@@ -148,44 +148,44 @@
 }
 
 // check finds what is wrong with the description as it stands alone.
-func (a *App) check(r *reading, p *Platform) {
-	r.name("name", a.Name)
+func (a *App) check(r *fileReader, p *Platform) {
+	r.checkName("name", a.Name)
 	if a.Application.Line != a.Name.Line {
-		r.name("application", a.Application)
+		r.checkName("application", a.Application)
 	}
 	for _, s := range a.Sites.V {
 		if !contains(p.Sites.V, s) {
-			r.find(UnknownSite, a.Sites.Line, "sites", quote(s), strings.Join(p.Sites.V, ", "), "the platform names no such site")
+			r.report(UnknownSite, a.Sites.Line, "sites", quote(s), strings.Join(p.Sites.V, ", "), "the platform names no such site")
 		}
 	}
 	for _, name := range a.Hosts.V {
 		switch h := p.host(name); {
 		case h == nil:
-			r.find(UnknownHost, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "), "the platform names no such host")
+			r.report(UnknownHost, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "), "the platform names no such host")
 		case !contains(a.Sites.V, h.Site.V):
-			r.find(HostOutsideSites, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "),
+			r.report(HostOutsideSites, a.Hosts.Line, "hosts", quote(name), strings.Join(p.hostNames(a.Sites.V), ", "),
 				"the host is at "+quote(h.Site.V)+", where the application is not")
 		}
 	}
 	if len(a.Hosts.V) == 0 && !a.Sites.Invalid && a.Sites.Line > 0 {
-		r.find(UnknownHost, a.Sites.Line, "sites", "", "", "the platform names no host at these sites")
+		r.report(UnknownHost, a.Sites.Line, "sites", "", "", "the platform names no host at these sites")
 	}
 	a.checkService(r, p)
 	a.checkListener(r, p)
-	if a.settings = a.node(p); len(a.Routes) == 0 || a.settings == nil {
+	if a.nodeSettings = a.makeNodeSettings(p); len(a.Routes) == 0 || a.nodeSettings == nil {
 		return
 	}
 	var found []routes.Finding
-	a.file, found = routes.Parse(a.Routes)
-	table, more := routes.Check(a.file, a.settings.env())
-	a.table = table
+	a.routesFile, found = routes.Parse(a.Routes)
+	table, more := routes.Check(a.routesFile, a.nodeSettings.routesEnv())
+	a.routeTable = table
 	for _, f := range append(found, more...) {
-		a.broken = true
+		a.invalid = true
 		if f.Code == routes.UnknownClass && p.class(strings.Trim(f.Value, `"`)) != nil {
-			r.find(IdleRoute, f.Line, "route.class", f.Value, strings.Join(a.Classes.V, ", "), "the application does not use the class")
+			r.report(UnusedRoute, f.Line, "route.class", f.Value, strings.Join(a.Classes.V, ", "), "the application does not use the class")
 			continue
 		}
-		r.findings.route(r.file, f)
+		r.findings.addRouteFinding(r.file, f)
 	}
 }
 
@@ -207,20 +207,20 @@
 	return all
 }
 
-func (a *App) checkService(r *reading, p *Platform) {
+func (a *App) checkService(r *fileReader, p *Platform) {
 	s := p.service(a.Service.V)
 	if a.Service.IsSet() && s == nil {
-		r.find(UnknownService, a.Service.Line, "service", quote(a.Service.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
+		r.report(UnknownService, a.Service.Line, "service", quote(a.Service.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
 	}
 	if a.ServedService.IsSet() && p.service(a.ServedService.V) == nil {
-		r.find(UnknownService, a.ServedService.Line, "serves", quote(a.ServedService.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
+		r.report(UnknownService, a.ServedService.Line, "serves", quote(a.ServedService.V), strings.Join(p.serviceNames(), ", "), "the platform names no such service")
 	}
 	for _, c := range a.Classes.V {
 		switch {
 		case p.class(c) == nil:
-			r.find(UnknownClass, a.Classes.Line, "classes", quote(c), strings.Join(p.classNames(), ", "), "the platform names no such class")
+			r.report(UnknownClass, a.Classes.Line, "classes", quote(c), strings.Join(p.classNames(), ", "), "the platform names no such class")
 		case s != nil && !contains(s.Classes.V, c):
-			r.find(ClassNotServed, a.Classes.Line, "classes", quote(c), strings.Join(s.Classes.V, ", "),
+			r.report(ClassNotServed, a.Classes.Line, "classes", quote(c), strings.Join(s.Classes.V, ", "),
 				"the service "+quote(s.Name.V)+" does not serve the class")
 		}
 	}
@@ -228,25 +228,25 @@
 
 // mostSocket is what a unix socket's address holds (sys/un.h: sun_path, 108
 // bytes with the end's zero).
-const mostSocket = 107
+const maxSocketPath = 107
 
-func (a *App) checkListener(r *reading, p *Platform) {
+func (a *App) checkListener(r *fileReader, p *Platform) {
 	line := max(a.Port.Line, a.Socket.Line, 1)
 	switch {
 	case a.Port.Line > 0 && a.Socket.Line > 0:
-		r.find(NoListener, line, "port", "", "port or socket", "both a port and a socket")
-	case a.Port.Line == 0 && a.Socket.Line == 0 && !r.partial:
-		r.find(NoListener, line, "port", "", "port or socket", "neither a port nor a socket")
+		r.report(NoListener, line, "port", "", "port or socket", "both a port and a socket")
+	case a.Port.Line == 0 && a.Socket.Line == 0 && !r.hasSyntaxErrors:
+		r.report(NoListener, line, "port", "", "port or socket", "neither a port nor a socket")
 	}
-	if a.Socket.IsSet() && (!strings.HasPrefix(a.Socket.V, "/") || path.Clean(a.Socket.V) != a.Socket.V || len(a.Socket.V) > mostSocket || a.Socket.V == "/") {
-		r.find(InvalidSocket, a.Socket.Line, "socket", quote(a.Socket.V), fmt.Sprintf("absolute, at most %d bytes", mostSocket), "not a path that a socket can have")
+	if a.Socket.IsSet() && (!strings.HasPrefix(a.Socket.V, "/") || path.Clean(a.Socket.V) != a.Socket.V || len(a.Socket.V) > maxSocketPath || a.Socket.V == "/") {
+		r.report(InvalidSocket, a.Socket.Line, "socket", quote(a.Socket.V), fmt.Sprintf("absolute, at most %d bytes", maxSocketPath), "not a path that a socket can have")
 	}
 	for _, o := range a.ListenAddresses.V {
-		if at, ok := address(r, "own", Located[string]{V: o, File: a.ListenAddresses.File, Line: a.ListenAddresses.Line}); ok {
-			a.own = append(a.own, at)
+		if at, ok := parseAddress(r, "own", Located[string]{V: o, File: a.ListenAddresses.File, Line: a.ListenAddresses.Line}); ok {
+			a.applicationAddresses = append(a.applicationAddresses, at)
 		}
 	}
-	discovery, hasDiscovery := address(r, "discovery", Located[string]{V: a.Discovery.V, File: a.Discovery.File, Line: lineHere(a.Discovery, a.File)})
+	discovery, hasDiscovery := parseAddress(r, "discovery", Located[string]{V: a.Discovery.V, File: a.Discovery.File, Line: lineInFile(a.Discovery, a.File)})
 	if !hasDiscovery && a.Discovery.V != "" {
 		if at, err := netip.ParseAddrPort(a.Discovery.V); err == nil {
 			discovery, hasDiscovery = at, true
@@ -257,34 +257,34 @@
 	}
 	host, err := netip.ParseAddr(a.Address.V)
 	if err != nil {
-		r.find(InvalidAddress, a.Address.Line, "address", quote(a.Address.V), "127.0.0.1, ::1", "no numeric address")
+		r.report(InvalidAddress, a.Address.Line, "address", quote(a.Address.V), "127.0.0.1, ::1", "no numeric address")
 		return
 	}
 	if !host.Unmap().IsLoopback() {
-		r.find(NotLoopback, a.Address.Line, "address", quote(a.Address.V), "127.0.0.0/8, ::1", "it can be reached from elsewhere")
+		r.report(NotLoopback, a.Address.Line, "address", quote(a.Address.V), "127.0.0.0/8, ::1", "it can be reached from elsewhere")
 	}
 	port := uint16(a.Port.V)
-	a.listen = netip.AddrPortFrom(host, port)
+	a.listenAddress = netip.AddrPortFrom(host, port)
 	shown := fmt.Sprint(port)
 	if port < 1024 {
-		r.find(Privileged, a.Port.Line, "port", shown, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1), "a privileged port")
+		r.report(PrivilegedPort, a.Port.Line, "port", shown, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1), "a privileged port")
 	}
 	if a.Port.V >= p.EphemeralFrom.V && a.Port.V <= p.EphemeralTo.V {
-		r.find(Ephemeral, a.Port.Line, "port", shown, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1),
+		r.report(EphemeralPort, a.Port.Line, "port", shown, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1),
 			fmt.Sprintf("in the hosts' range of ephemeral ports, %d to %d", p.EphemeralFrom.V, p.EphemeralTo.V))
 	}
-	for _, o := range a.own {
-		if meet(a.listen, o) {
-			r.find(OwnPort, a.Port.Line, "port", shown, "", "the application itself listens on "+o.String())
+	for _, o := range a.applicationAddresses {
+		if conflicts(a.listenAddress, o) {
+			r.report(ApplicationPort, a.Port.Line, "port", shown, "", "the application itself listens on "+o.String())
 		}
 	}
-	if hasDiscovery && meet(a.listen, discovery) {
-		r.find(DiscoveryPort, a.Port.Line, "port", shown, "", "discovery listens on "+discovery.String())
+	if hasDiscovery && conflicts(a.listenAddress, discovery) {
+		r.report(DiscoveryPort, a.Port.Line, "port", shown, "", "discovery listens on "+discovery.String())
 	}
 }
 
 // lineHere is the line of a value, if it stands in this file.
-func lineHere[T any](a Located[T], file string) int {
+func lineInFile[T any](a Located[T], file string) int {
 	if a.File == file {
 		return a.Line
 	}
@@ -295,7 +295,7 @@
 // host or a wildcard. An IPv6 wildcard takes IPv4 too (ipv6(7): IPV6_V6ONLY is
 // off unless it is set), and an IPv4-mapped address is the IPv4 one (RFC 4291,
 // section 2.5.5.2).
-func meet(x, y netip.AddrPort) bool {
+func conflicts(x, y netip.AddrPort) bool {
 	if x.Port() != y.Port() {
 		return false
 	}
--- a/internal/operators/apps/apps_test.go
+++ b/internal/operators/apps/apps_test.go
@@ -74,7 +74,7 @@
 		{"[::ffff:0.0.0.0]:80", "127.0.0.1:80", true}, {"0.0.0.0:80", "[::]:80", true},
 	} {
 		a, b := netip.MustParseAddrPort(x.a), netip.MustParseAddrPort(x.b)
-		if meet(a, b) != x.meet || meet(b, a) != x.meet {
+		if conflicts(a, b) != x.meet || conflicts(b, a) != x.meet {
 			t.Errorf("%s and %s: %v", a, b, !x.meet)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 	for share, parts := range map[float64]int{1: 1, 0.5: 2, 0.3: 4, 1.0 / 3: 3, 0.1: 10, 0.07: 15} {
 		a := App{BudgetShare: Located[float64]{V: share}}
-		if got := a.parts(); got != parts {
+		if got := a.budgetParts(); got != parts {
 			t.Errorf("a share of %v makes %d parts, want %d", share, got, parts)
 		}
 	}
@@ -167,7 +167,7 @@
 		}
 	}
 	for word, want := range map[string]string{"/usr/bin/x": "/usr/bin/x", "a b": `"a b"`, "50%": "50%%", "$HOME": "$$HOME"} {
-		if got := escaped(word); got != want {
+		if got := escapeUnitWord(word); got != want {
 			t.Errorf("%s: %s, want %s", word, got, want)
 		}
 	}
--- a/internal/operators/apps/explain.go
+++ b/internal/operators/apps/explain.go
@@ -44,7 +44,7 @@
 	if !contains(a.Classes.V, class) {
 		return nil, fmt.Errorf("class %q at %q, which has %s: it does not use that", class, name, strings.Join(a.Classes.V, ", "))
 	}
-	at = or(at, "/"+class)
+	at = firstNonEmpty(at, "/"+class)
 	e := &Explanation{Sidecar: name, Class: class, Path: at}
 	c, p := s.Platform.class(class), s.Platform
 	add := func(key, value, from string) { e.Rows = append(e.Rows, Row{key, value, from}) }
@@ -56,7 +56,7 @@
 	}
 	add("aim", c.Aim.V.String(), from(c.Aim.File, c.Aim.Line))
 	add("deadline", c.Deadline.V.String(), from(c.Deadline.File, c.Deadline.Line))
-	add("worth", plain(c.Worth.V), from(c.Worth.File, c.Worth.Line))
+	add("worth", formatFloat(c.Worth.V), from(c.Worth.File, c.Worth.Line))
 	add("effect", c.Effect.V, from(c.Effect.File, c.Effect.Line))
 	if c.Window.IsSet() {
 		add("window", c.Window.V.String()+" of "+c.Group.V, from(c.Window.File, c.Window.Line))
@@ -64,7 +64,7 @@
 	// From the most specific route out: a key comes from the first that has it.
 	var lines []int
 	for _, r := range a.routeTables() {
-		if r.Class.V == class && under(at, r.Path.V) {
+		if r.Class.V == class && pathMatches(at, r.Path.V) {
 			lines = append(lines, r.Line)
 		}
 	}
@@ -91,7 +91,7 @@
 	value("backoff.most", func(n int) int { return a.routeAt(n).BackoffMax.Line },
 		func(n int) string { return a.routeAt(n).BackoffMax.V.String() }, "none", "default")
 	value("backoff.jitter", func(n int) int { return a.routeAt(n).BackoffJitter.Line },
-		func(n int) string { return plain(a.routeAt(n).BackoffJitter.V) }, "0", "default")
+		func(n int) string { return formatFloat(a.routeAt(n).BackoffJitter.V) }, "0", "default")
 	value("retry_on", func(n int) int { return a.routeAt(n).RetryOn.Line },
 		func(n int) string { return strings.Join(a.routeAt(n).RetryOn.V, ", ") }, "all outcomes", "default")
 	value("second_copy_after", func(n int) int { return a.routeAt(n).SecondCopyAfter.Line },
@@ -103,41 +103,41 @@
 		func(n int) string { return a.routeAt(n).RetryAfter.V.String() }, advice.V.String(), from(advice.File, advice.Line))
 	add("service", a.Service.V, from(a.Service.File, a.Service.Line))
 	add("discovery", a.Discovery.V, from(a.Discovery.File, a.Discovery.Line))
-	add("share", plain(a.BudgetShare.V), from(a.BudgetShare.File, a.BudgetShare.Line))
+	add("share", formatFloat(a.BudgetShare.V), from(a.BudgetShare.File, a.BudgetShare.Line))
 	add("memory_mb", fmt.Sprint(a.MemoryMB.V), from(a.MemoryMB.File, a.MemoryMB.Line))
 	add("descriptors", fmt.Sprint(a.Descriptors.V), from(a.Descriptors.File, a.Descriptors.Line))
-	e.chain(s, s.chains[name+"\x00"+class], at)
+	e.addChain(s, s.hops[name+"\x00"+class], at)
 	return e, nil
 }
 
-func under(at, prefix string) bool {
+func pathMatches(at, prefix string) bool {
 	return prefix == "" || strings.HasPrefix(at, prefix) && (len(at) == len(prefix) || at[len(prefix)] == '/')
 }
 
 // chain adds the steps from a sidecar inwards, each time by the inner one with
 // the most attempts.
-func (e *Explanation) chain(s *Set, c *chain, at string) {
+func (e *Explanation) addChain(s *Set, c *hop, at string) {
 	product, left := 1, time.Duration(0)
 	for c != nil {
-		o := c.options[0]
-		for _, x := range c.options {
-			if x.path != "" && under(at, x.path) && len(x.path) > len(o.path) {
+		o := c.policies[0]
+		for _, x := range c.policies {
+			if x.path != "" && pathMatches(at, x.path) && len(x.path) > len(o.path) {
 				o = x
 			}
 		}
 		if product == 1 && len(e.Chain) == 0 {
-			left = o.limit
+			left = o.deadline
 		}
 		product *= o.attempts
-		attempt := min(o.attempt(), left)
+		attempt := min(o.maxAttemptTime(), left)
 		step := Step{Sidecar: c.app.Name.V, Class: c.class, Attempts: o.attempts, CumulativeAttempts: product, MaxAttemptTime: attempt, MinTimeLeft: left,
-			MaxTotalTime: min(left, time.Duration(o.attempts)*attempt+o.waits)}
+			MaxTotalTime: min(left, time.Duration(o.attempts)*attempt+o.maxBackoff)}
 		if o.line > 0 {
 			step.Route = fmt.Sprintf("%s:%d", c.app.File, o.line)
 			step.SecondCopies = c.app.routeAt(o.line).SecondCopyAfter.IsSet()
 		}
 		e.Chain = append(e.Chain, step)
-		next := c.inner()
+		next := c.nextHop()
 		if next != nil {
 			left = max(0, attempt-next.app.WorkTime.V)
 			if next.class != c.class {
--- a/internal/operators/apps/finding.go
+++ b/internal/operators/apps/finding.go
@@ -16,13 +16,13 @@
 const (
 	Unreadable         Code = "SC001"
 	TooLarge           Code = "SC002"
-	Empty              Code = "SC003"
+	EmptyFile              Code = "SC003"
 	Syntax             Code = "SC004"
-	Duplicate          Code = "SC005"
+	DuplicateKey          Code = "SC005"
 	UnknownKey         Code = "SC006"
 	WrongType          Code = "SC007"
 	OutOfRange         Code = "SC008"
-	Missing            Code = "SC009"
+	MissingKey            Code = "SC009"
 	InvalidWord        Code = "SC010"
 	InvalidName        Code = "SC011"
 	NewSchema          Code = "SC013"
@@ -36,26 +36,26 @@
 	HostOutsideSites   Code = "SC025"
 	NoListener         Code = "SC026"
 	NotLoopback        Code = "SC027"
-	Privileged         Code = "SC028"
-	Ephemeral          Code = "SC029"
-	OwnPort            Code = "SC030"
+	PrivilegedPort         Code = "SC028"
+	EphemeralPort          Code = "SC029"
+	ApplicationPort            Code = "SC030"
 	DiscoveryPort      Code = "SC031"
 	InvalidAddress     Code = "SC032"
 	InvalidSocket      Code = "SC033"
-	IdleRoute          Code = "SC034"
+	UnusedRoute          Code = "SC034"
 	DuplicateName      Code = "SC040"
 	DuplicatePort      Code = "SC041"
 	PortOfOtherApp     Code = "SC042"
 	DuplicateSocket    Code = "SC043"
 	HostMemory         Code = "SC044"
-	HostFiles          Code = "SC045"
+	HostDescriptors          Code = "SC045"
 	HostCores          Code = "SC046"
 	SharesExceedBudget Code = "SC047"
 	CallLoop           Code = "SC050"
 	AttemptsMultiply   Code = "SC051"
-	ChainWindow        Code = "SC052"
+	ChainExceedsWindow        Code = "SC052"
 	NoTimeLeft         Code = "SC053"
-	TooLittleTime      Code = "SC054"
+	InsufficientTime      Code = "SC054"
 	ServiceNotServed   Code = "SC055"
 	HandEdited         Code = "SC060"
 	OutdatedFile       Code = "SC061"
@@ -83,13 +83,13 @@
 	return []CodeInfo{
 		{Unreadable, false, "form", "the file cannot be read", "give the tool the right to read it, or leave it out"},
 		{TooLarge, false, "form", "the file is larger than 1 MB", "a description needs ten lines"},
-		{Empty, false, "form", "the file holds nothing", "write a description, or remove the file"},
+		{EmptyFile, false, "form", "the file holds nothing", "write a description, or remove the file"},
 		{Syntax, false, "form", "the text is not TOML", "mend the line that is named"},
-		{Duplicate, false, "form", "a key stands twice", "remove one of them"},
+		{DuplicateKey, false, "form", "a key stands twice", "remove one of them"},
 		{UnknownKey, false, "form", "there is no such key", "see the schema in docs/; the bound lists the keys"},
 		{WrongType, false, "form", "the value is of another kind", "write it as the bound shows"},
 		{OutOfRange, false, "form", "the value is outside its bounds", "choose one within the bound"},
-		{Missing, false, "form", "a key that must be there is not", "add it"},
+		{MissingKey, false, "form", "a key that must be there is not", "add it"},
 		{InvalidWord, false, "form", "the word is none of those allowed", "use one that the bound lists"},
 		{InvalidName, false, "form", "the name cannot be one: it becomes a file's and a unit's name",
 			"letters and digits of any script, and - _ . within; composed (NFC), at most 64 bytes"},
@@ -104,28 +104,28 @@
 		{HostOutsideSites, false, "sense", "a host is at none of the application's sites", "add the site, or take another host"},
 		{NoListener, false, "sense", "the sidecar needs a port or a socket, and one only", "set port or socket"},
 		{NotLoopback, false, "sense", "a sidecar serves its own application only", "listen on 127.0.0.1 or ::1, or on a socket"},
-		{Privileged, false, "sense", "ports under 1024 take privileges", "choose a port from 1024 up to the ephemeral range"},
-		{Ephemeral, false, "sense", "the system gives such ports to outgoing connections: the start fails by chance",
+		{PrivilegedPort, false, "sense", "ports under 1024 take privileges", "choose a port from 1024 up to the ephemeral range"},
+		{EphemeralPort, false, "sense", "the system gives such ports to outgoing connections: the start fails by chance",
 			"choose a port below the range, or above it"},
-		{OwnPort, false, "sense", "the application itself listens there", "choose another port for the sidecar"},
+		{ApplicationPort, false, "sense", "the application itself listens there", "choose another port for the sidecar"},
 		{DiscoveryPort, false, "sense", "discovery listens there", "choose another port"},
 		{InvalidAddress, false, "form", "the address cannot be read", "write host:port with a numeric host"},
 		{InvalidSocket, false, "form", "the socket's path cannot be used", "an absolute path of at most 107 bytes, without . and .."},
-		{IdleRoute, false, "sense", "a route is for a class that the application does not use", "remove it, or add the class to classes"},
+		{UnusedRoute, false, "sense", "a route is for a class that the application does not use", "remove it, or add the class to classes"},
 		{DuplicateName, false, "sense", "two descriptions have one name", "rename one"},
 		{DuplicatePort, false, "sense", "two sidecars on a host have one port", "give one another port"},
 		{PortOfOtherApp, false, "sense", "another application on the host listens there", "choose another port"},
 		{DuplicateSocket, false, "sense", "two sidecars on a host have one socket", "give one another path"},
 		{HostMemory, false, "sense", "the sidecars of a host have more memory than it gives them", "lower memory_mb, or move one"},
-		{HostFiles, false, "sense", "the sidecars of a host have more descriptors than it gives them", "lower descriptors, or move one"},
+		{HostDescriptors, false, "sense", "the sidecars of a host have more descriptors than it gives them", "lower descriptors, or move one"},
 		{HostCores, true, "sense", "the sidecars of a host have more cores than it gives them", "lower cores, or move one"},
 		{SharesExceedBudget, false, "rule 4", "all sidecars before a service together may send a cold server more than its budget",
 			"lower share, or raise nodes of the service"},
 		{CallLoop, false, "rule 1", "applications call each other in a loop", "break the loop; a request would go round until its time is up"},
 		{AttemptsMultiply, true, "rule 2", "attempts of chained sidecars multiply beyond 4", "let one of them retry, best the innermost"},
-		{ChainWindow, false, "rule 2", "the last attempt of a chain may come after the key's window", "fewer attempts or shorter time-outs"},
+		{ChainExceedsWindow, false, "rule 2", "the last attempt of a chain may come after the key's window", "fewer attempts or shorter time-outs"},
 		{NoTimeLeft, false, "rule 1", "nothing is left of the time at the end of a chain", "longer time-outs outside, less work inside"},
-		{TooLittleTime, true, "rule 1", "an inner sidecar has more attempts than time for them", "longer time-outs outside, fewer attempts inside"},
+		{InsufficientTime, true, "rule 1", "an inner sidecar has more attempts than time for them", "longer time-outs outside, fewer attempts inside"},
 		{ServiceNotServed, false, "sense", "no application serves the service, and it has no discovery", "add discovery, or who serves it"},
 		{HandEdited, false, "sense", "a written file was edited by hand", "edit the description, and write again"},
 		{OutdatedFile, true, "sense", "a written file is older than its description", "write again"},
@@ -206,7 +206,7 @@
 }
 
 // route notes a finding of package routes.
-func (f *Findings) route(file string, r routes.Finding) {
+func (f *Findings) addRouteFinding(file string, r routes.Finding) {
 	*f = append(*f, Finding{string(r.Code), "error", r.Code.Rule(), file, r.Line, r.Key, r.Value, r.Bound, r.Text, ""})
 }
 
--- a/internal/operators/apps/keys.go
+++ b/internal/operators/apps/keys.go
@@ -14,12 +14,12 @@
 type kind int
 
 const (
-	text kind = iota
-	words
-	integer
-	number
-	duration
-	yesNo
+	kindText kind = iota
+	kindTextList
+	kindInteger
+	kindNumber
+	kindDuration
+	kindBool
 )
 
 func (k kind) String() string {
@@ -51,47 +51,47 @@
 type key[T any] struct {
 	name        string
 	kind        kind
-	least, most float64 // of numbers; of durations in seconds; of texts and lists the length
-	among       []string
-	must        bool
-	doc         string
-	put         func(to *T, r *reading, v document.Value)
+	min, max float64 // of numbers; of durations in seconds; of texts and lists the length
+	allowed       []string
+	required        bool
+	description         string
+	set         func(to *T, r *fileReader, v document.Value)
 }
 
 // reading is the reading of one file.
-type reading struct {
+type fileReader struct {
 	file     string
 	findings *Findings
-	partial  bool // the text is no TOML somewhere: what is missing may stand behind that
+	hasSyntaxErrors  bool // the text is no TOML somewhere: what is missing may stand behind that
 }
 
-func (r *reading) find(code Code, line int, key, value, bound, text string) {
+func (r *fileReader) report(code Code, line int, key, value, bound, text string) {
 	r.findings.add(code, r.file, line, key, value, bound, text)
 }
 
 // take reads the keys of a table. Tables that others read are named by except.
-func take[T any](r *reading, t *document.Table, in string, keys []key[T], except []string, to *T) {
+func readKeys[T any](r *fileReader, t *document.Table, in string, keys []key[T], except []string, to *T) {
 	seen := map[string]bool{}
 	for _, name := range t.KeyOrder {
 		v := t.Values[name]
-		k := find(keys, name)
+		k := findKey(keys, name)
 		if k == nil {
 			if !contains(except, name) {
-				r.find(UnknownKey, v.Line, in+name, v.Text, strings.Join(append(names(keys), except...), ", "), "there is no such key")
+				r.report(UnknownKey, v.Line, in+name, v.Text, strings.Join(append(keyNames(keys), except...), ", "), "there is no such key")
 			}
 			continue
 		}
 		seen[name] = true
-		k.put(to, r, v)
+		k.set(to, r, v)
 	}
 	for _, k := range keys {
-		if k.must && !seen[k.name] && !r.partial {
-			r.find(Missing, t.Line, in+k.name, "", k.bound(), k.doc)
+		if k.required && !seen[k.name] && !r.hasSyntaxErrors {
+			r.report(MissingKey, t.Line, in+k.name, "", k.bounds(), k.description)
 		}
 	}
 }
 
-func find[T any](keys []key[T], name string) *key[T] {
+func findKey[T any](keys []key[T], name string) *key[T] {
 	for i := range keys {
 		if keys[i].name == name {
 			return &keys[i]
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func names[T any](keys []key[T]) []string {
+func keyNames[T any](keys []key[T]) []string {
 	var all []string
 	for _, k := range keys {
 		all = append(all, k.name)
@@ -118,38 +118,38 @@
 }
 
 // bound is what a value of the key must be, in words.
-func (k *key[T]) bound() string {
+func (k *key[T]) bounds() string {
 	switch {
-	case len(k.among) > 0:
-		return strings.Join(k.among, ", ")
-	case k.kind == integer, k.kind == number:
-		return fmt.Sprintf("%s to %s", plain(k.least), plain(k.most))
-	case k.kind == duration:
-		return fmt.Sprintf("%v to %v", seconds(k.least), seconds(k.most))
+	case len(k.allowed) > 0:
+		return strings.Join(k.allowed, ", ")
+	case k.kind == kindInteger, k.kind == kindNumber:
+		return fmt.Sprintf("%s to %s", formatFloat(k.min), formatFloat(k.max))
+	case k.kind == kindDuration:
+		return fmt.Sprintf("%v to %v", toDuration(k.min), toDuration(k.max))
 	}
 	return k.kind.String()
 }
 
-func plain(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
+func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-func seconds(f float64) time.Duration { return time.Duration(math.Round(f * float64(time.Second))) }
+func toDuration(f float64) time.Duration { return time.Duration(math.Round(f * float64(time.Second))) }
 
 // textKey, and the others below, make keys whose value goes to a place of T.
 func textKey[T any](name string, must bool, doc string, place func(*T) *Located[string], among ...string) key[T] {
-	k := key[T]{name: name, kind: text, least: 1, most: 4096, must: must, doc: doc, among: among}
-	k.put = func(to *T, r *reading, v document.Value) {
+	k := key[T]{name: name, kind: kindText, min: 1, max: 4096, required: must, description: doc, allowed: among}
+	k.set = func(to *T, r *fileReader, v document.Value) {
 		at := place(to)
 		*at = Located[string]{File: r.file, Line: v.Line, Invalid: true}
 		s, ok := v.V.(string)
 		switch {
 		case !ok:
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 		case s == "" || len(s) > 4096:
-			r.find(OutOfRange, v.Line, name, v.Text, "1 to 4096 bytes", "of no or too great length")
+			r.report(OutOfRange, v.Line, name, v.Text, "1 to 4096 bytes", "of no or too great length")
 		case strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f || c == 0xfffd }):
-			r.find(OutOfRange, v.Line, name, v.Text, "no control characters", "it holds a control character")
+			r.report(OutOfRange, v.Line, name, v.Text, "no control characters", "it holds a control character")
 		case len(among) > 0 && !contains(among, s):
-			r.find(InvalidWord, v.Line, name, v.Text, strings.Join(among, ", "), "none of the words allowed")
+			r.report(InvalidWord, v.Line, name, v.Text, strings.Join(among, ", "), "none of the words allowed")
 		default:
 			at.V, at.Invalid = s, false
 		}
@@ -158,31 +158,31 @@
 }
 
 // mostWords is the most of a list of words: the hosts of an application may be all of a fleet.
-const mostWords = 6000
+const maxListLength = 6000
 
-func wordsKey[T any](name string, must bool, doc string, place func(*T) *Located[[]string]) key[T] {
-	k := key[T]{name: name, kind: words, least: 1, most: mostWords, must: must, doc: doc}
-	k.put = func(to *T, r *reading, v document.Value) {
+func textListKey[T any](name string, must bool, doc string, place func(*T) *Located[[]string]) key[T] {
+	k := key[T]{name: name, kind: kindTextList, min: 1, max: maxListLength, required: must, description: doc}
+	k.set = func(to *T, r *fileReader, v document.Value) {
 		at := place(to)
 		*at = Located[[]string]{File: r.file, Line: v.Line, Invalid: true}
 		list, ok := v.V.([]document.Value)
 		if !ok {
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 			return
 		}
-		if len(list) == 0 || len(list) > mostWords {
-			r.find(OutOfRange, v.Line, name, v.Text, fmt.Sprintf("1 to %d of them", mostWords), "an empty or too long list")
+		if len(list) == 0 || len(list) > maxListLength {
+			r.report(OutOfRange, v.Line, name, v.Text, fmt.Sprintf("1 to %d of them", maxListLength), "an empty or too long list")
 			return
 		}
 		var all []string
 		for _, x := range list {
 			s, ok := x.V.(string)
 			if !ok || s == "" || len(s) > 4096 || strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f }) {
-				r.find(WrongType, x.Line, name, x.Text, k.kind.String(), "one of the list is no plain text")
+				r.report(WrongType, x.Line, name, x.Text, k.kind.String(), "one of the list is no plain text")
 				return
 			}
 			if contains(all, s) {
-				r.find(Duplicate, x.Line, name, x.Text, "each once", "it stands twice in the list")
+				r.report(DuplicateKey, x.Line, name, x.Text, "each once", "it stands twice in the list")
 				return
 			}
 			all = append(all, s)
@@ -193,16 +193,16 @@
 }
 
 func integerKey[T any](name string, least, most int, must bool, doc string, place func(*T) *Located[int]) key[T] {
-	k := key[T]{name: name, kind: integer, least: float64(least), most: float64(most), must: must, doc: doc}
-	k.put = func(to *T, r *reading, v document.Value) {
+	k := key[T]{name: name, kind: kindInteger, min: float64(least), max: float64(most), required: must, description: doc}
+	k.set = func(to *T, r *fileReader, v document.Value) {
 		at := place(to)
 		*at = Located[int]{File: r.file, Line: v.Line, Invalid: true}
 		n, ok := v.V.(int64)
 		switch {
 		case !ok:
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 		case n < int64(least) || n > int64(most):
-			r.find(OutOfRange, v.Line, name, v.Text, k.bound(), "outside its bounds")
+			r.report(OutOfRange, v.Line, name, v.Text, k.bounds(), "outside its bounds")
 		default:
 			at.V, at.Invalid = int(n), false
 		}
@@ -211,8 +211,8 @@
 }
 
 func numberKey[T any](name string, least, most float64, must bool, doc string, place func(*T) *Located[float64]) key[T] {
-	k := key[T]{name: name, kind: number, least: least, most: most, must: must, doc: doc}
-	k.put = func(to *T, r *reading, v document.Value) {
+	k := key[T]{name: name, kind: kindNumber, min: least, max: most, required: must, description: doc}
+	k.set = func(to *T, r *fileReader, v document.Value) {
 		at := place(to)
 		*at = Located[float64]{File: r.file, Line: v.Line, Invalid: true}
 		var f float64
@@ -222,11 +222,11 @@
 		case float64:
 			f = x
 		default:
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 			return
 		}
 		if !(f >= least && f <= most) { // not a number included
-			r.find(OutOfRange, v.Line, name, v.Text, k.bound(), "outside its bounds")
+			r.report(OutOfRange, v.Line, name, v.Text, k.bounds(), "outside its bounds")
 			return
 		}
 		at.V, at.Invalid = f, false
@@ -235,21 +235,21 @@
 }
 
 func durationKey[T any](name string, least, most time.Duration, must bool, doc string, place func(*T) *Located[time.Duration]) key[T] {
-	k := key[T]{name: name, kind: duration, least: least.Seconds(), most: most.Seconds(), must: must, doc: doc}
-	k.put = func(to *T, r *reading, v document.Value) {
+	k := key[T]{name: name, kind: kindDuration, min: least.Seconds(), max: most.Seconds(), required: must, description: doc}
+	k.set = func(to *T, r *fileReader, v document.Value) {
 		at := place(to)
 		*at = Located[time.Duration]{File: r.file, Line: v.Line, Invalid: true}
 		s, ok := v.V.(string)
 		if !ok {
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 			return
 		}
 		d, err := time.ParseDuration(s)
 		switch {
 		case err != nil:
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "no duration")
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "no duration")
 		case d < least || d > most:
-			r.find(OutOfRange, v.Line, name, v.Text, k.bound(), "outside its bounds")
+			r.report(OutOfRange, v.Line, name, v.Text, k.bounds(), "outside its bounds")
 		default:
 			at.V, at.Invalid = d, false
 		}
@@ -257,15 +257,15 @@
 	return k
 }
 
-func yesNoKey[T any](name string, doc string, place func(*T) *Located[bool]) key[T] {
-	k := key[T]{name: name, kind: yesNo, doc: doc}
-	k.put = func(to *T, r *reading, v document.Value) {
+func boolKey[T any](name string, doc string, place func(*T) *Located[bool]) key[T] {
+	k := key[T]{name: name, kind: kindBool, description: doc}
+	k.set = func(to *T, r *fileReader, v document.Value) {
 		at := place(to)
 		*at = Located[bool]{File: r.file, Line: v.Line, Invalid: true}
 		if b, ok := v.V.(bool); ok {
 			at.V, at.Invalid = b, false
 		} else {
-			r.find(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
+			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 		}
 	}
 	return k
--- a/internal/operators/apps/platform.go
+++ b/internal/operators/apps/platform.go
@@ -29,7 +29,7 @@
 
 	Sidecar  Defaults
 	Limits   Limits
-	Cold     WarmUp
+	WarmUp     WarmUp
 	Classes  []Class
 	Hosts    []Host
 	Services []Service
@@ -124,15 +124,15 @@
 }
 
 const (
-	leastMemoryMB    = 32 // as the node's own reader has it
-	leastDescriptors = 64
-	longest          = 24 * time.Hour
+	minMemoryMB    = 32 // as the node's own reader has it
+	minDescriptors = 64
+	maxDuration          = 24 * time.Hour
 )
 
 func platformKeys() []key[Platform] {
 	return []key[Platform]{
 		textKey("name", false, "what the platform is called", func(p *Platform) *Located[string] { return &p.Name }),
-		wordsKey("sites", true, "the names of its sites", func(p *Platform) *Located[[]string] { return &p.Sites }),
+		textListKey("sites", true, "the names of its sites", func(p *Platform) *Located[[]string] { return &p.Sites }),
 		textKey("discovery", false, "where discovery answers, host:port; a service or an application may have its own",
 			func(p *Platform) *Located[string] { return &p.Discovery }),
 		integerKey("ephemeral_from", 1024, 65535, false, "the first port that hosts use for outgoing connections (32768)",
@@ -143,8 +143,8 @@
 
 func defaultsKeys() []key[Defaults] {
 	return []key[Defaults]{
-		integerKey("memory_mb", leastMemoryMB, 65536, false, "memory of a sidecar in MB (32)", func(d *Defaults) *Located[int] { return &d.MemoryMB }),
-		integerKey("descriptors", leastDescriptors, 1<<20, false, "file descriptors of a sidecar (256)",
+		integerKey("memory_mb", minMemoryMB, 65536, false, "memory of a sidecar in MB (32)", func(d *Defaults) *Located[int] { return &d.MemoryMB }),
+		integerKey("descriptors", minDescriptors, 1<<20, false, "file descriptors of a sidecar (256)",
 			func(d *Defaults) *Located[int] { return &d.Descriptors }),
 		numberKey("cores", 0.01, 1, false, "cores of a sidecar, of which it uses one at most (0.25)",
 			func(d *Defaults) *Located[float64] { return &d.Cores }),
@@ -160,9 +160,9 @@
 			func(l *Limits) *Located[int] { return &l.MaxAttempts }),
 		durationKey("retry_after", 0, time.Minute, false, `the longest advice in refusals; "0s" is none ("1s")`,
 			func(l *Limits) *Located[time.Duration] { return &l.MaxRetryAfter }),
-		yesNoKey("second_copies", "whether attempts of a repeatable request may overlap (false)",
+		boolKey("second_copies", "whether attempts of a repeatable request may overlap (false)",
 			func(l *Limits) *Located[bool] { return &l.SecondCopies }),
-		yesNoKey("budgets", "whether nodes share a budget of further attempts with the tiers below (false)",
+		boolKey("budgets", "whether nodes share a budget of further attempts with the tiers below (false)",
 			func(l *Limits) *Located[bool] { return &l.Budgets }),
 		durationKey("idle", time.Second, time.Hour, false, `after which servers close idle connections ("10s")`,
 			func(l *Limits) *Located[time.Duration] { return &l.ConnIdle }),
@@ -191,12 +191,12 @@
 func classKeys() []key[Class] {
 	return []key[Class]{
 		textKey("name", true, "what the class is called", func(c *Class) *Located[string] { return &c.Name }),
-		durationKey("aim", time.Millisecond, longest, true, "the wanted response time", func(c *Class) *Located[time.Duration] { return &c.Aim }),
-		durationKey("deadline", time.Millisecond, longest, true, "how long its callers wait", func(c *Class) *Located[time.Duration] { return &c.Deadline }),
+		durationKey("aim", time.Millisecond, maxDuration, true, "the wanted response time", func(c *Class) *Located[time.Duration] { return &c.Aim }),
+		durationKey("deadline", time.Millisecond, maxDuration, true, "how long its callers wait", func(c *Class) *Located[time.Duration] { return &c.Deadline }),
 		numberKey("worth", 0, 1e6, true, "what an answer in time counts, against others", func(c *Class) *Located[float64] { return &c.Worth }),
 		textKey("effect", true, "whether it may run again", func(c *Class) *Located[string] { return &c.Effect }, "repeatable", "keyed", "once"),
 		textKey("group", false, "which servers drop a repeat of a keyed request", func(c *Class) *Located[string] { return &c.Group }, "all", "site", "rack"),
-		durationKey("window", time.Millisecond, longest, false, "how long they remember its key", func(c *Class) *Located[time.Duration] { return &c.Window }),
+		durationKey("window", time.Millisecond, maxDuration, false, "how long they remember its key", func(c *Class) *Located[time.Duration] { return &c.Window }),
 	}
 }
 
@@ -204,8 +204,8 @@
 	return []key[Host]{
 		textKey("name", true, "what the host is called", func(h *Host) *Located[string] { return &h.Name }),
 		textKey("site", true, "where it stands", func(h *Host) *Located[string] { return &h.Site }),
-		integerKey("memory_mb", leastMemoryMB, 1<<24, false, "memory for all sidecars, in MB", func(h *Host) *Located[int] { return &h.MemoryMB }),
-		integerKey("descriptors", leastDescriptors, 1<<30, false, "file descriptors for all sidecars", func(h *Host) *Located[int] { return &h.Descriptors }),
+		integerKey("memory_mb", minMemoryMB, 1<<24, false, "memory for all sidecars, in MB", func(h *Host) *Located[int] { return &h.MemoryMB }),
+		integerKey("descriptors", minDescriptors, 1<<30, false, "file descriptors for all sidecars", func(h *Host) *Located[int] { return &h.Descriptors }),
 		numberKey("cores", 0.01, 4096, false, "cores for all sidecars", func(h *Host) *Located[float64] { return &h.Cores }),
 	}
 }
@@ -213,7 +213,7 @@
 func serviceKeys() []key[Service] {
 	return []key[Service]{
 		textKey("name", true, "what the service is called", func(s *Service) *Located[string] { return &s.Name }),
-		wordsKey("classes", true, "the classes that it serves", func(s *Service) *Located[[]string] { return &s.Classes }),
+		textListKey("classes", true, "the classes that it serves", func(s *Service) *Located[[]string] { return &s.Classes }),
 		textKey("discovery", false, "where discovery tells its servers, host:port", func(s *Service) *Located[string] { return &s.Discovery }),
 		integerKey("nodes", 1, 100000, true, "how many nodes may send to it at the most, sidecars and others",
 			func(s *Service) *Located[int] { return &s.Nodes }),
@@ -224,102 +224,102 @@
 // there are findings.
 func ReadPlatform(file string, data []byte, findings *Findings) *Platform {
 	p := &Platform{File: file}
-	r := &reading{file: file, findings: findings}
+	r := &fileReader{file: file, findings: findings}
 	t := r.parse(data)
 	if t == nil {
 		return p
 	}
-	r.schema(t)
+	r.checkSchemaVersion(t)
 	lists := []string{"schema", "sidecar", "limits", "cold", "class", "host", "service"}
-	take(r, t, "", platformKeys(), lists, p)
-	if s := r.sub(t, "sidecar"); s != nil {
-		take(r, s, "sidecar.", defaultsKeys(), nil, &p.Sidecar)
+	readKeys(r, t, "", platformKeys(), lists, p)
+	if s := r.subtable(t, "sidecar"); s != nil {
+		readKeys(r, s, "sidecar.", defaultsKeys(), nil, &p.Sidecar)
 	}
-	if s := r.sub(t, "limits"); s != nil {
-		take(r, s, "limits.", limitsKeys(), nil, &p.Limits)
+	if s := r.subtable(t, "limits"); s != nil {
+		readKeys(r, s, "limits.", limitsKeys(), nil, &p.Limits)
 	}
-	if s := r.sub(t, "cold"); s != nil {
-		take(r, s, "cold.", coldKeys(), nil, &p.Cold)
+	if s := r.subtable(t, "cold"); s != nil {
+		readKeys(r, s, "cold.", coldKeys(), nil, &p.WarmUp)
 	}
-	for _, s := range r.list(t, "class", true) {
+	for _, s := range r.tableList(t, "class", true) {
 		c := Class{Line: s.Line}
-		take(r, s, "class.", classKeys(), nil, &c)
+		readKeys(r, s, "class.", classKeys(), nil, &c)
 		p.Classes = append(p.Classes, c)
 	}
-	for _, s := range r.list(t, "host", false) {
+	for _, s := range r.tableList(t, "host", false) {
 		h := Host{Line: s.Line}
-		take(r, s, "host.", hostKeys(), nil, &h)
+		readKeys(r, s, "host.", hostKeys(), nil, &h)
 		p.Hosts = append(p.Hosts, h)
 	}
-	for _, s := range r.list(t, "service", true) {
+	for _, s := range r.tableList(t, "service", true) {
 		x := Service{Line: s.Line}
-		take(r, s, "service.", serviceKeys(), nil, &x)
+		readKeys(r, s, "service.", serviceKeys(), nil, &x)
 		p.Services = append(p.Services, x)
 	}
-	p.defaults()
+	p.applyDefaults()
 	p.check(r)
 	return p
 }
 
 // parse reads a file's form; nil where nothing could be read.
-func (r *reading) parse(data []byte) *document.Table {
+func (r *fileReader) parse(data []byte) *document.Table {
 	if len(data) > document.MaxFileSize {
-		r.find(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", document.MaxFileSize), "the file is too large")
+		r.report(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", document.MaxFileSize), "the file is too large")
 		return nil
 	}
 	if len(strings.TrimSpace(string(data))) == 0 {
-		r.find(Empty, 0, "", "", "", "the file is empty")
+		r.report(EmptyFile, 0, "", "", "", "the file is empty")
 		return nil
 	}
 	t, faults := document.Parse(data)
 	for _, f := range faults {
 		code := Syntax
 		if f.Duplicate {
-			code = Duplicate
+			code = DuplicateKey
 		} else {
-			r.partial = true
+			r.hasSyntaxErrors = true
 		}
-		r.find(code, f.Line, f.Key, "", "", f.Text)
+		r.report(code, f.Line, f.Key, "", "", f.Text)
 	}
 	return t
 }
 
 // schema checks the version of a file.
-func (r *reading) schema(t *document.Table) {
+func (r *fileReader) checkSchemaVersion(t *document.Table) {
 	v, there := t.Values["schema"]
 	n, ok := v.V.(int64)
 	switch {
-	case !there && r.partial:
+	case !there && r.hasSyntaxErrors:
 	case !there:
-		r.find(Missing, 1, "schema", "", fmt.Sprint(Schema), "the version of the description")
+		r.report(MissingKey, 1, "schema", "", fmt.Sprint(Schema), "the version of the description")
 	case !ok:
-		r.find(WrongType, v.Line, "schema", v.Text, fmt.Sprint(Schema), "not a whole number")
+		r.report(WrongType, v.Line, "schema", v.Text, fmt.Sprint(Schema), "not a whole number")
 	case n > Schema:
-		r.find(NewSchema, v.Line, "schema", v.Text, fmt.Sprintf("up to %d", Schema), "a newer schema than this program knows")
+		r.report(NewSchema, v.Line, "schema", v.Text, fmt.Sprintf("up to %d", Schema), "a newer schema than this program knows")
 	case n < 1:
-		r.find(OutOfRange, v.Line, "schema", v.Text, fmt.Sprintf("1 to %d", Schema), "no such schema")
+		r.report(OutOfRange, v.Line, "schema", v.Text, fmt.Sprintf("1 to %d", Schema), "no such schema")
 	}
 }
 
 // sub is a table of the file, if it is there.
-func (r *reading) sub(t *document.Table, name string) *document.Table {
+func (r *fileReader) subtable(t *document.Table, name string) *document.Table {
 	v, there := t.Values[name]
 	if !there {
 		return nil
 	}
 	s, ok := v.V.(*document.Table)
 	if !ok {
-		r.find(WrongType, v.Line, name, v.Text, "["+name+"]", "not a table")
+		r.report(WrongType, v.Line, name, v.Text, "["+name+"]", "not a table")
 	}
 	return s
 }
 
 // list is a list of tables of the file.
-func (r *reading) list(t *document.Table, name string, must bool) []*document.Table {
+func (r *fileReader) tableList(t *document.Table, name string, must bool) []*document.Table {
 	v, there := t.Values[name]
 	if !there {
-		if must && !r.partial {
-			r.find(Missing, 1, name, "", "[["+name+"]]", "there must be one at the least")
+		if must && !r.hasSyntaxErrors {
+			r.report(MissingKey, 1, name, "", "[["+name+"]]", "there must be one at the least")
 		}
 		return nil
 	}
@@ -334,62 +334,62 @@
 		tables = append(tables, s)
 	}
 	if !ok {
-		r.find(WrongType, v.Line, name, v.Text, "[["+name+"]]", "not a list of tables")
+		r.report(WrongType, v.Line, name, v.Text, "[["+name+"]]", "not a list of tables")
 		return nil
 	}
 	return tables
 }
 
-func byDefault[T any](a *Located[T], v T) {
+func setDefault[T any](a *Located[T], v T) {
 	if a.Line == 0 {
 		a.V = v
 	}
 }
 
 // defaults fills in what the file does not say.
-func (p *Platform) defaults() {
-	byDefault(&p.EphemeralFrom, 32768)
-	byDefault(&p.EphemeralTo, 60999)
-	byDefault(&p.Sidecar.MemoryMB, 32)
-	byDefault(&p.Sidecar.Descriptors, 256)
-	byDefault(&p.Sidecar.Cores, 0.25)
-	byDefault(&p.Sidecar.Binary, "/usr/local/bin/curlewring")
-	byDefault(&p.Sidecar.User, "curlewring")
-	byDefault(&p.Limits.MaxAttempts, 4)
-	byDefault(&p.Limits.MaxRetryAfter, time.Second)
-	byDefault(&p.Limits.ConnIdle, 10*time.Second)
-	byDefault(&p.Limits.ConnectTimeout, 250*time.Millisecond)
-	byDefault(&p.Limits.AnswerGrace, 10*time.Millisecond)
-	byDefault(&p.Limits.DrainGrace, 500*time.Millisecond)
-	byDefault(&p.Limits.AskWithin, 10*time.Second)
-	byDefault(&p.Cold.From, 0.4)
-	byDefault(&p.Cold.For, 5*time.Second)
-	byDefault(&p.Cold.FallMultiple, 2.5)
-	byDefault(&p.Cold.FallFor, time.Second)
+func (p *Platform) applyDefaults() {
+	setDefault(&p.EphemeralFrom, 32768)
+	setDefault(&p.EphemeralTo, 60999)
+	setDefault(&p.Sidecar.MemoryMB, 32)
+	setDefault(&p.Sidecar.Descriptors, 256)
+	setDefault(&p.Sidecar.Cores, 0.25)
+	setDefault(&p.Sidecar.Binary, "/usr/local/bin/curlewring")
+	setDefault(&p.Sidecar.User, "curlewring")
+	setDefault(&p.Limits.MaxAttempts, 4)
+	setDefault(&p.Limits.MaxRetryAfter, time.Second)
+	setDefault(&p.Limits.ConnIdle, 10*time.Second)
+	setDefault(&p.Limits.ConnectTimeout, 250*time.Millisecond)
+	setDefault(&p.Limits.AnswerGrace, 10*time.Millisecond)
+	setDefault(&p.Limits.DrainGrace, 500*time.Millisecond)
+	setDefault(&p.Limits.AskWithin, 10*time.Second)
+	setDefault(&p.WarmUp.From, 0.4)
+	setDefault(&p.WarmUp.For, 5*time.Second)
+	setDefault(&p.WarmUp.FallMultiple, 2.5)
+	setDefault(&p.WarmUp.FallFor, time.Second)
 }
 
 // check finds what contradicts itself.
-func (p *Platform) check(r *reading) {
+func (p *Platform) check(r *fileReader) {
 	if p.EphemeralFrom.V > p.EphemeralTo.V {
-		r.find(InvalidHost, max(p.EphemeralFrom.Line, p.EphemeralTo.Line), "ephemeral_from", fmt.Sprint(p.EphemeralFrom.V),
+		r.report(InvalidHost, max(p.EphemeralFrom.Line, p.EphemeralTo.Line), "ephemeral_from", fmt.Sprint(p.EphemeralFrom.V),
 			fmt.Sprintf("at most ephemeral_to, %d", p.EphemeralTo.V), "the range ends before it begins")
 	}
 	if p.Limits.Budgets.V && p.Limits.SecondCopies.V {
-		r.find(InvalidHost, max(p.Limits.Budgets.Line, p.Limits.SecondCopies.Line), "limits.budgets", "true", "second_copies = false",
+		r.report(InvalidHost, max(p.Limits.Budgets.Line, p.Limits.SecondCopies.Line), "limits.budgets", "true", "second_copies = false",
 			"what two copies spend below is not told apart")
 	}
-	address(r, "discovery", p.Discovery)
+	parseAddress(r, "discovery", p.Discovery)
 	for _, s := range p.Sites.V {
-		r.name("sites", Located[string]{V: s, File: r.file, Line: p.Sites.Line})
+		r.checkName("sites", Located[string]{V: s, File: r.file, Line: p.Sites.Line})
 	}
 	seen := map[string]int{}
 	once := func(what string, name Located[string]) {
 		if name.V == "" {
 			return
 		}
-		r.name(what+".name", name)
+		r.checkName(what+".name", name)
 		if before := seen[what+name.V]; before > 0 {
-			r.find(InvalidHost, name.Line, what+".name", quote(name.V), "", fmt.Sprintf("the name stands already in line %d", before))
+			r.report(InvalidHost, name.Line, what+".name", quote(name.V), "", fmt.Sprintf("the name stands already in line %d", before))
 		}
 		seen[what+name.V] = name.Line
 	}
@@ -397,20 +397,20 @@
 		c := &p.Classes[i]
 		once("class", c.Name)
 		if c.Aim.IsSet() && c.Deadline.IsSet() && c.Aim.V > c.Deadline.V {
-			r.find(InvalidClass, c.Aim.Line, "class.aim", c.Aim.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
+			r.report(InvalidClass, c.Aim.Line, "class.aim", c.Aim.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
 		}
 		keyed := c.Effect.V == "keyed"
 		if keyed && !c.Window.Invalid && c.Window.V == 0 {
-			r.find(InvalidClass, c.Line, "class.window", "", "a duration", "a keyed class needs the time for which its key is kept")
+			r.report(InvalidClass, c.Line, "class.window", "", "a duration", "a keyed class needs the time for which its key is kept")
 		}
 		if keyed && !c.Group.Invalid && c.Group.V == "" {
-			r.find(InvalidClass, c.Line, "class.group", "", "all, site, rack", "a keyed class needs the group that keeps its key")
+			r.report(InvalidClass, c.Line, "class.group", "", "all, site, rack", "a keyed class needs the group that keeps its key")
 		}
 		if !keyed && c.Effect.IsSet() && c.Window.IsSet() {
-			r.find(InvalidClass, c.Window.Line, "class.window", c.Window.V.String(), "", "only keyed classes have a window")
+			r.report(InvalidClass, c.Window.Line, "class.window", c.Window.V.String(), "", "only keyed classes have a window")
 		}
 		if !keyed && c.Effect.IsSet() && c.Group.IsSet() {
-			r.find(InvalidClass, c.Group.Line, "class.group", quote(c.Group.V), "", "only keyed classes have a group")
+			r.report(InvalidClass, c.Group.Line, "class.group", quote(c.Group.V), "", "only keyed classes have a group")
 		}
 	}
 	for i := range p.Classes {
@@ -420,23 +420,23 @@
 			served = served || contains(p.Services[j].Classes.V, c.Name.V) || p.Services[j].Classes.Invalid
 		}
 		if !served && len(p.Services) > 0 {
-			r.find(ClassNotServed, c.Name.Line, "class.name", quote(c.Name.V), "", "no service serves the class")
+			r.report(ClassNotServed, c.Name.Line, "class.name", quote(c.Name.V), "", "no service serves the class")
 		}
 	}
 	for i := range p.Hosts {
 		h := &p.Hosts[i]
 		once("host", h.Name)
 		if h.Site.IsSet() && len(p.Sites.V) > 0 && !contains(p.Sites.V, h.Site.V) {
-			r.find(UnknownSite, h.Site.Line, "host.site", quote(h.Site.V), strings.Join(p.Sites.V, ", "), "sites name no such site")
+			r.report(UnknownSite, h.Site.Line, "host.site", quote(h.Site.V), strings.Join(p.Sites.V, ", "), "sites name no such site")
 		}
 	}
 	for i := range p.Services {
 		s := &p.Services[i]
 		once("service", s.Name)
-		address(r, "service.discovery", s.Discovery)
+		parseAddress(r, "service.discovery", s.Discovery)
 		for _, c := range s.Classes.V {
 			if p.class(c) == nil {
-				r.find(UnknownClass, s.Classes.Line, "service.classes", quote(c), strings.Join(p.classNames(), ", "), "the platform names no such class")
+				r.report(UnknownClass, s.Classes.Line, "service.classes", quote(c), strings.Join(p.classNames(), ", "), "the platform names no such class")
 			}
 		}
 	}
@@ -453,7 +453,7 @@
 func quote(s string) string { return fmt.Sprintf("%q", s) }
 
 // name checks that a name can be a file's and a unit's, in any script.
-func (r *reading) name(key string, a Located[string]) {
+func (r *fileReader) checkName(key string, a Located[string]) {
 	if !a.IsSet() {
 		return
 	}
@@ -472,17 +472,17 @@
 	default:
 		return
 	}
-	r.find(InvalidName, a.Line, key, quote(a.V), "letters, digits, - _ .", why)
+	r.report(InvalidName, a.Line, key, quote(a.V), "letters, digits, - _ .", why)
 }
 
 // address checks a numeric host:port, and returns it.
-func address(r *reading, key string, a Located[string]) (netip.AddrPort, bool) {
+func parseAddress(r *fileReader, key string, a Located[string]) (netip.AddrPort, bool) {
 	if !a.IsSet() {
 		return netip.AddrPort{}, false
 	}
 	at, err := netip.ParseAddrPort(a.V)
 	if err != nil || at.Port() == 0 {
-		r.find(InvalidAddress, a.Line, key, quote(a.V), `as "127.0.0.1:8500" or "[::1]:8500"`, "no numeric address with a port")
+		r.report(InvalidAddress, a.Line, key, quote(a.V), `as "127.0.0.1:8500" or "[::1]:8500"`, "no numeric address with a port")
 		return netip.AddrPort{}, false
 	}
 	return at, true
--- a/internal/operators/apps/schema.go
+++ b/internal/operators/apps/schema.go
@@ -7,7 +7,7 @@
 
 // The parts of JSON Schema (draft 2020-12) that the schemas use, in the order
 // in which they are written.
-type schema struct {
+type jsonSchema struct {
 	Schema      string     `json:"$schema,omitempty"`
 	Title       string     `json:"title,omitempty"`
 	Description string     `json:"description,omitempty"`
@@ -18,12 +18,12 @@
 	MinLength   int        `json:"minLength,omitempty"`
 	Minimum     *float64   `json:"minimum,omitempty"`
 	Maximum     *float64   `json:"maximum,omitempty"`
-	Items       *schema    `json:"items,omitempty"`
+	Items       *jsonSchema    `json:"items,omitempty"`
 	MinItems    int        `json:"minItems,omitempty"`
-	Unique      bool       `json:"uniqueItems,omitempty"`
+	UniqueItems      bool       `json:"uniqueItems,omitempty"`
 	Properties  properties `json:"properties,omitempty"`
 	Required    []string   `json:"required,omitempty"`
-	Closed      *bool      `json:"additionalProperties,omitempty"`
+	AdditionalProperties      *bool      `json:"additionalProperties,omitempty"`
 }
 
 // properties keep their order.
@@ -31,7 +31,7 @@
 
 type property struct {
 	name string
-	is   schema
+	schema   jsonSchema
 }
 
 func (p properties) MarshalJSON() ([]byte, error) {
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, err
 		}
-		is, err := json.Marshal(x.is)
+		is, err := json.Marshal(x.schema)
 		if err != nil {
 			return nil, err
 		}
@@ -60,28 +60,28 @@
 // durationPattern is what a duration looks like, as time.ParseDuration reads it.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`
 
-func tableOf[T any](keys []key[T], more ...property) schema {
+func tableSchema[T any](keys []key[T], more ...property) jsonSchema {
 	closed := false
-	s := schema{Type: "object", Closed: &closed}
+	s := jsonSchema{Type: "object", AdditionalProperties: &closed}
 	for _, k := range keys {
-		is := schema{Description: k.doc, Enum: k.among}
+		is := jsonSchema{Description: k.description, Enum: k.allowed}
 		switch k.kind {
-		case text:
+		case kindText:
 			is.Type, is.MinLength = "string", 1
-		case words:
-			is.Type, is.Items, is.MinItems, is.Unique = "array", &schema{Type: "string", MinLength: 1}, 1, true
-		case integer, number:
-			is.Type, is.Minimum, is.Maximum = "number", &k.least, &k.most
-			if k.kind == integer {
+		case kindTextList:
+			is.Type, is.Items, is.MinItems, is.UniqueItems = "array", &jsonSchema{Type: "string", MinLength: 1}, 1, true
+		case kindInteger, kindNumber:
+			is.Type, is.Minimum, is.Maximum = "number", &k.min, &k.max
+			if k.kind == kindInteger {
 				is.Type = "integer"
 			}
-		case duration:
+		case kindDuration:
 			is.Type, is.Pattern = "string", durationPattern
-		case yesNo:
+		case kindBool:
 			is.Type = "boolean"
 		}
 		s.Properties = append(s.Properties, property{k.name, is})
-		if k.must {
+		if k.required {
 			s.Required = append(s.Required, k.name)
 		}
 	}
@@ -89,44 +89,44 @@
 	return s
 }
 
-func listOf(s schema) schema { return schema{Type: "array", Items: &s} }
+func arraySchema(s jsonSchema) jsonSchema { return jsonSchema{Type: "array", Items: &s} }
 
-func version() property {
+func versionProperty() property {
 	n := Schema
-	return property{"schema", schema{Type: "integer", Const: &n, Description: "the version of the description"}}
+	return property{"schema", jsonSchema{Type: "integer", Const: &n, Description: "the version of the description"}}
 }
 
 // PlatformSchema is the JSON schema of platform.toml.
 func PlatformSchema() ([]byte, error) {
-	s := tableOf(platformKeys(), version(),
-		property{"sidecar", tableOf(defaultsKeys())}, property{"limits", tableOf(limitsKeys())}, property{"cold", tableOf(coldKeys())},
-		property{"class", listOf(tableOf(classKeys()))}, property{"host", listOf(tableOf(hostKeys()))},
-		property{"service", listOf(tableOf(serviceKeys()))})
+	s := tableSchema(platformKeys(), versionProperty(),
+		property{"sidecar", tableSchema(defaultsKeys())}, property{"limits", tableSchema(limitsKeys())}, property{"cold", tableSchema(coldKeys())},
+		property{"class", arraySchema(tableSchema(classKeys()))}, property{"host", arraySchema(tableSchema(hostKeys()))},
+		property{"service", arraySchema(tableSchema(serviceKeys()))})
 	s.Title = "platform.toml of curlewring"
 	s.Required = append(s.Required, "schema", "class", "service")
-	return finish(s)
+	return marshalSchema(s)
 }
 
 // AppSchema is the JSON schema of an application's description.
 func AppSchema() ([]byte, error) {
-	outcome := schema{Type: "string", Enum: []string{"error", "reset", "spoilt", "timeout", "turned-away", "unconnected"}}
-	span := schema{Type: "string", Pattern: durationPattern}
+	outcome := jsonSchema{Type: "string", Enum: []string{"error", "reset", "spoilt", "timeout", "turned-away", "unconnected"}}
+	span := jsonSchema{Type: "string", Pattern: durationPattern}
 	zero, one, four, closed := 0.0, 1.0, 4.0, false
-	part := schema{Type: "number", Minimum: &zero, Maximum: &one}
-	route := schema{Type: "object", Closed: &closed, Required: []string{"class"}, Properties: properties{
-		{"class", schema{Type: "string", MinLength: 1}}, {"path", schema{Type: "string", Pattern: "^/"}}, {"tenant", schema{Type: "string", MinLength: 1}},
-		{"attempt_timeout", span}, {"attempts", schema{Type: "integer", Minimum: &one, Maximum: &four}},
-		{"backoff", schema{Type: "object", Closed: &closed, Properties: properties{{"first", span}, {"most", span}, {"jitter", part}}}},
-		{"retry_on", schema{Type: "array", Items: &outcome, MinItems: 1, Unique: true}},
+	part := jsonSchema{Type: "number", Minimum: &zero, Maximum: &one}
+	route := jsonSchema{Type: "object", AdditionalProperties: &closed, Required: []string{"class"}, Properties: properties{
+		{"class", jsonSchema{Type: "string", MinLength: 1}}, {"path", jsonSchema{Type: "string", Pattern: "^/"}}, {"tenant", jsonSchema{Type: "string", MinLength: 1}},
+		{"attempt_timeout", span}, {"attempts", jsonSchema{Type: "integer", Minimum: &one, Maximum: &four}},
+		{"backoff", jsonSchema{Type: "object", AdditionalProperties: &closed, Properties: properties{{"first", span}, {"most", span}, {"jitter", part}}}},
+		{"retry_on", jsonSchema{Type: "array", Items: &outcome, MinItems: 1, UniqueItems: true}},
 		{"second_copy_after", span}, {"deadline_cap", span}, {"retry_after", span},
 	}}
-	s := tableOf(appKeys(), version(), property{"route", listOf(route)})
+	s := tableSchema(appKeys(), versionProperty(), property{"route", arraySchema(route)})
 	s.Title = "a description of an application's sidecar, for curlewring"
 	s.Required = append(s.Required, "schema")
-	return finish(s)
+	return marshalSchema(s)
 }
 
-func finish(s schema) ([]byte, error) {
+func marshalSchema(s jsonSchema) ([]byte, error) {
 	s.Schema = "https://json-schema.org/draft/2020-12/schema"
 	text, err := json.MarshalIndent(s, "", "  ")
 	return append(text, '\n'), err
--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -17,14 +17,14 @@
 	Platform *Platform
 	Apps     []*App // by name
 
-	serving map[string][]*App // by service
-	chains  map[string]*chain // by App.Name and class
+	appsByService map[string][]*App // by service
+	hops  map[string]*hop // by App.Name and class
 }
 
 // NewSet puts descriptions together, and finds what is wrong between them. The
 // time is linear in their number.
 func NewSet(p *Platform, all []*App, findings *Findings) *Set {
-	s := &Set{Platform: p, serving: map[string][]*App{}, chains: map[string]*chain{}}
+	s := &Set{Platform: p, appsByService: map[string][]*App{}, hops: map[string]*hop{}}
 	names := map[string]*App{}
 	for _, a := range sortedApps(all) {
 		if before := names[a.Name.V]; before != nil && a.Name.IsSet() {
@@ -34,32 +34,32 @@
 		names[a.Name.V] = a
 		s.Apps = append(s.Apps, a)
 		if a.ServedService.IsSet() {
-			s.serving[a.ServedService.V] = append(s.serving[a.ServedService.V], a)
+			s.appsByService[a.ServedService.V] = append(s.appsByService[a.ServedService.V], a)
 		}
 	}
-	s.ports(findings)
-	s.hosts(findings)
-	s.shares(findings)
+	s.checkListeners(findings)
+	s.checkHostCapacity(findings)
+	s.checkBudgetShares(findings)
 	for _, a := range s.Apps {
 		if a.Discovery.V == "" && p.service(a.Service.V) != nil && !a.Discovery.Invalid {
 			findings.add(ServiceNotServed, a.File, a.Service.Line, "service", quote(a.Service.V), "", "neither the application, nor the service, nor the platform has a discovery")
 		}
 	}
-	if !s.loops(findings) {
-		s.follow(findings)
+	if !s.findCallLoops(findings) {
+		s.checkChains(findings)
 	}
 	return s
 }
 
 // listener is who listens where on a host.
 type listener struct {
-	at  netip.AddrPort
+	address  netip.AddrPort
 	app *App
-	own bool // the application itself
+	isApplication bool // the application itself
 }
 
 // ports finds two on a host that want one port or socket.
-func (s *Set) ports(findings *Findings) {
+func (s *Set) checkListeners(findings *Findings) {
 	type place struct {
 		host string
 		port uint16
@@ -69,7 +69,7 @@
 	sockets := map[path]*App{}
 	for _, a := range s.Apps { // what applications listen on comes first: it can't move
 		for _, h := range a.Hosts.V {
-			for _, o := range a.own {
+			for _, o := range a.applicationAddresses {
 				at := place{h, o.Port()}
 				taken[at] = append(taken[at], listener{o, a, true})
 			}
@@ -88,31 +88,31 @@
 						fmt.Sprintf("the sidecar %q (%s) has this socket on host %s", other.Name.V, other.File, h))
 				}
 			}
-			if !a.listen.IsValid() {
+			if !a.listenAddress.IsValid() {
 				continue
 			}
-			at := place{h, a.listen.Port()}
+			at := place{h, a.listenAddress.Port()}
 			for _, l := range taken[at] {
-				if !meet(l.at, a.listen) || told[l.app] || l.own && l.app == a {
+				if !conflicts(l.address, a.listenAddress) || told[l.app] || l.isApplication && l.app == a {
 					continue
 				}
 				told[l.app] = true
-				if l.own {
+				if l.isApplication {
 					findings.add(PortOfOtherApp, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
-						fmt.Sprintf("the application %q (%s) listens on %s on host %s", l.app.Application.V, l.app.File, l.at, h))
+						fmt.Sprintf("the application %q (%s) listens on %s on host %s", l.app.Application.V, l.app.File, l.address, h))
 				} else {
 					findings.add(DuplicatePort, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
-						fmt.Sprintf("the sidecar %q (%s) listens on %s on host %s", l.app.Name.V, l.app.File, l.at, h))
+						fmt.Sprintf("the sidecar %q (%s) listens on %s on host %s", l.app.Name.V, l.app.File, l.address, h))
 				}
 				break // one is enough, and keeps the time linear
 			}
-			taken[at] = append(taken[at], listener{a.listen, a, false})
+			taken[at] = append(taken[at], listener{a.listenAddress, a, false})
 		}
 	}
 }
 
 // hosts finds those that their sidecars ask too much of.
-func (s *Set) hosts(findings *Findings) {
+func (s *Set) checkHostCapacity(findings *Findings) {
 	type sum struct {
 		memory, descriptors, sidecars int
 		cores                         float64
@@ -141,12 +141,12 @@
 				fmt.Sprintf("%d at the least", n.memory), fmt.Sprintf("%s have %d MB together", text, n.memory))
 		}
 		if h.Descriptors.IsSet() && n.descriptors > h.Descriptors.V {
-			findings.add(HostFiles, s.Platform.File, h.Descriptors.Line, "host.descriptors", fmt.Sprint(h.Descriptors.V),
+			findings.add(HostDescriptors, s.Platform.File, h.Descriptors.Line, "host.descriptors", fmt.Sprint(h.Descriptors.V),
 				fmt.Sprintf("%d at the least", n.descriptors), fmt.Sprintf("%s have %d descriptors together", text, n.descriptors))
 		}
 		if h.Cores.IsSet() && n.cores > h.Cores.V*(1+1e-9) {
-			findings.add(HostCores, s.Platform.File, h.Cores.Line, "host.cores", plain(h.Cores.V),
-				plain(math.Ceil(n.cores*1000)/1000)+" at the least", fmt.Sprintf("%s have %.3f cores together", text, n.cores))
+			findings.add(HostCores, s.Platform.File, h.Cores.Line, "host.cores", formatFloat(h.Cores.V),
+				formatFloat(math.Ceil(n.cores*1000)/1000)+" at the least", fmt.Sprintf("%s have %.3f cores together", text, n.cores))
 		}
 	}
 }
@@ -154,7 +154,7 @@
 // parts is how many equal parts a node's share of a service's callers makes: the
 // node is told that it is one of so many, so that it never takes more of a cold
 // server's budget than its share.
-func (a *App) parts() int {
+func (a *App) budgetParts() int {
 	if a.BudgetShare.V <= 0 {
 		return 1
 	}
@@ -162,11 +162,11 @@
 }
 
 // shares finds services whose sidecars have more than all of its callers.
-func (s *Set) shares(findings *Findings) {
+func (s *Set) checkBudgetShares(findings *Findings) {
 	sums := map[string]float64{}
 	count := map[string]int{}
 	for _, a := range s.Apps {
-		sums[a.Service.V] += float64(len(a.Hosts.V)) / float64(a.parts())
+		sums[a.Service.V] += float64(len(a.Hosts.V)) / float64(a.budgetParts())
 		count[a.Service.V] += len(a.Hosts.V)
 	}
 	for i := range s.Platform.Services {
@@ -180,7 +180,7 @@
 
 // loops finds applications that call each other round about. Services stand
 // between them, so that there are no more edges than descriptions.
-func (s *Set) loops(findings *Findings) bool {
+func (s *Set) findCallLoops(findings *Findings) bool {
 	type node struct {
 		name    string
 		service bool
@@ -222,7 +222,7 @@
 			case under:
 				found = true
 				i := slices.IndexFunc(stack, func(f frame) bool { return f.at == to })
-				s.loop(findings, func(yield func(string, bool)) {
+				s.reportCallLoop(findings, func(yield func(string, bool)) {
 					for _, f := range stack[i:] {
 						yield(f.at.name, f.at.service)
 					}
@@ -237,7 +237,7 @@
 }
 
 // loop tells of one loop, at the last application of it.
-func (s *Set) loop(findings *Findings, each func(func(name string, service bool))) {
+func (s *Set) reportCallLoop(findings *Findings, each func(func(name string, service bool))) {
 	var round []string
 	service := ""
 	each(func(name string, isService bool) {
@@ -255,7 +255,7 @@
 			continue
 		}
 		closes := a.Service.V == service
-		for _, b := range s.serving[a.Service.V] {
+		for _, b := range s.appsByService[a.Service.V] {
 			closes = closes || b.Application.V == round[0]
 		}
 		if closes {
@@ -267,64 +267,64 @@
 }
 
 // option is what a route, or the want of one, lets a sidecar do with a request.
-type option struct {
+type requestPolicy struct {
 	line     int // of the route; 0: none
 	path     string
 	attempts int
-	timeout  time.Duration // of an attempt; 0: what the request has
-	waits    time.Duration // the longest, in sum
-	limit    time.Duration // of the request
+	attemptTimeout  time.Duration // of an attempt; 0: what the request has
+	maxBackoff    time.Duration // the longest, in sum
+	deadline    time.Duration // of the request
 }
 
 // least is what an attempt gives the next sidecar.
-func (o *option) attempt() time.Duration {
-	if o.timeout > 0 {
-		return min(o.timeout, o.limit)
+func (o *requestPolicy) maxAttemptTime() time.Duration {
+	if o.attemptTimeout > 0 {
+		return min(o.attemptTimeout, o.deadline)
 	}
-	return o.limit
+	return o.deadline
 }
 
 // last is when the last attempt may go out, after the first.
-func (o *option) last() time.Duration {
+func (o *requestPolicy) lastAttemptAfter() time.Duration {
 	switch {
 	case o.attempts < 2:
 		return 0
-	case o.timeout > 0:
-		return min(o.limit, time.Duration(o.attempts-1)*o.timeout+o.waits)
+	case o.attemptTimeout > 0:
+		return min(o.deadline, time.Duration(o.attempts-1)*o.attemptTimeout+o.maxBackoff)
 	}
-	return o.limit
+	return o.deadline
 }
 
 // options lists what may become of a class's requests at a sidecar. Its routes
 // must have been found in order.
-func (a *App) options(p *Platform, class string) []option {
+func (a *App) requestPolicies(p *Platform, class string) []requestPolicy {
 	c := p.class(class)
 	if c == nil {
 		return nil
 	}
-	plain := option{attempts: p.Limits.MaxAttempts.V, limit: c.Deadline.V}
+	plain := requestPolicy{attempts: p.Limits.MaxAttempts.V, deadline: c.Deadline.V}
 	if c.Effect.V == "once" {
 		plain.attempts = 1 // another only where nothing ran
 	}
-	all := []option{plain}
-	if a.file == nil || a.table == nil {
+	all := []requestPolicy{plain}
+	if a.routesFile == nil || a.routeTable == nil {
 		return all
 	}
-	for i := range a.file.Routes {
-		r := &a.file.Routes[i]
+	for i := range a.routesFile.Routes {
+		r := &a.routesFile.Routes[i]
 		if r.Class.V != class {
 			continue
 		}
-		b := a.table.Bounds()[a.table.Match(slices.Index(a.Classes.V, class), or(r.Path.V, "/"+class), -1)-1]
+		b := a.routeTable.Bounds()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
 		o := plain
-		o.line, o.path, o.timeout = r.Line, r.Path.V, b.AttemptTimeout
+		o.line, o.path, o.attemptTimeout = r.Line, r.Path.V, b.AttemptTimeout
 		if b.MaxAttempts > 0 && c.Effect.V != "once" {
 			o.attempts = b.MaxAttempts
 		}
 		if b.DeadlineCap > 0 {
-			o.limit = min(o.limit, b.DeadlineCap)
+			o.deadline = min(o.deadline, b.DeadlineCap)
 		}
-		o.waits = routes.MaxTotalBackoff(b, o.attempts)
+		o.maxBackoff = routes.MaxTotalBackoff(b, o.attempts)
 		if r.Path.V == "" {
 			all[0] = o
 		} else {
@@ -334,7 +334,7 @@
 	return all
 }
 
-func or(s, other string) string {
+func firstNonEmpty(s, other string) string {
 	if s != "" {
 		return s
 	}
@@ -342,45 +342,45 @@
 }
 
 // chain is the worst that can become of a class's requests from a sidecar on.
-type chain struct {
+type hop struct {
 	app      *App
 	class    string
-	options  []option
-	entered  []*entry      // by which requests come
-	next     *entry        // where its requests go; nil: to the end
+	policies  []requestPolicy
+	entries  []*serviceEntry      // by which requests come
+	next     *serviceEntry        // where its requests go; nil: to the end
 	attempts int           // at the far end, in product
-	last     time.Duration // when the last may go out there, after the first
-	left     time.Duration // the least time that such a request may come with
-	caller   *chain        // from whom
+	lastAttemptAfter     time.Duration // when the last may go out there, after the first
+	minTimeLeft     time.Duration // the least time that such a request may come with
+	caller   *hop        // from whom
 }
 
 // entry is a service for one class: what all that call it share, so that there
 // are no more edges than descriptions.
-type entry struct {
-	members  []*chain
-	worst    *chain // of these, with the most attempts
+type serviceEntry struct {
+	members  []*hop
+	worstMember    *hop // of these, with the most attempts
 	attempts int
-	last     time.Duration
-	gives    time.Duration // the least that a caller's attempt has
-	caller   *chain
+	lastAttemptAfter     time.Duration
+	minTimeGiven    time.Duration // the least that a caller's attempt has
+	caller   *hop
 }
 
 // follow finds out what chained sidecars make of each other's attempts and time.
 // There must be no loop.
-func (s *Set) follow(findings *Findings) {
-	var order []*chain // inner before outer
+func (s *Set) checkChains(findings *Findings) {
+	var order []*hop // inner before outer
 	type place struct{ service, class string }
-	entries := map[place]*entry{}
-	var visit func(a *App, class string) *chain
-	enter := func(service, class string) *entry {
+	entries := map[place]*serviceEntry{}
+	var visit func(a *App, class string) *hop
+	enter := func(service, class string) *serviceEntry {
 		at := place{service, class}
 		if e, there := entries[at]; there {
 			return e
 		}
-		var e *entry
-		for _, b := range s.serving[service] {
+		var e *serviceEntry
+		for _, b := range s.appsByService[service] {
 			if e == nil {
-				e = &entry{gives: math.MaxInt64}
+				e = &serviceEntry{minTimeGiven: math.MaxInt64}
 			}
 			if contains(b.Classes.V, class) {
 				e.members = append(e.members, visit(b, class))
@@ -390,25 +390,25 @@
 				e.members = append(e.members, visit(b, other))
 			}
 		}
-		for _, m := range e.all() {
-			m.entered = append(m.entered, e)
-			if e.worst == nil || m.attempts > e.worst.attempts {
-				e.worst = m
+		for _, m := range e.allMembers() {
+			m.entries = append(m.entries, e)
+			if e.worstMember == nil || m.attempts > e.worstMember.attempts {
+				e.worstMember = m
 			}
-			e.attempts, e.last = max(e.attempts, m.attempts), max(e.last, m.last)
+			e.attempts, e.lastAttemptAfter = max(e.attempts, m.attempts), max(e.lastAttemptAfter, m.lastAttemptAfter)
 		}
 		entries[at] = e
 		return e
 	}
-	visit = func(a *App, class string) *chain {
+	visit = func(a *App, class string) *hop {
 		key := a.Name.V + "\x00" + class
-		if c := s.chains[key]; c != nil {
+		if c := s.hops[key]; c != nil {
 			return c
 		}
-		c := &chain{app: a, class: class, options: a.options(s.Platform, class), left: math.MaxInt64}
-		s.chains[key] = c
+		c := &hop{app: a, class: class, policies: a.requestPolicies(s.Platform, class), minTimeLeft: math.MaxInt64}
+		s.hops[key] = c
 		c.next = enter(a.Service.V, class)
-		s.sum(c, findings)
+		s.checkAttempts(c, findings)
 		order = append(order, c)
 		return c
 	}
@@ -419,11 +419,11 @@
 	}
 	slices.Reverse(order) // outer before inner
 	for _, c := range order {
-		s.spend(c, findings)
+		s.checkTimeLeft(c, findings)
 	}
 }
 
-func (e *entry) all() []*chain {
+func (e *serviceEntry) allMembers() []*hop {
 	if e == nil {
 		return nil
 	}
@@ -431,36 +431,36 @@
 }
 
 // sum adds up attempts and sends of a chain from its inner end.
-func (s *Set) sum(c *chain, findings *Findings) {
+func (s *Set) checkAttempts(c *hop, findings *Findings) {
 	class := s.Platform.class(c.class)
-	for i := range c.options {
-		o := &c.options[i]
-		attempts, last := o.attempts, o.last()
+	for i := range c.policies {
+		o := &c.policies[i]
+		attempts, last := o.attempts, o.lastAttemptAfter()
 		if n := c.next; n != nil {
 			attempts = max(attempts, o.attempts*n.attempts)
-			last = max(last, min(o.limit, o.last()+n.last))
+			last = max(last, min(o.deadline, o.lastAttemptAfter()+n.lastAttemptAfter))
 		}
-		c.attempts, c.last = max(c.attempts, attempts), max(c.last, last)
+		c.attempts, c.lastAttemptAfter = max(c.attempts, attempts), max(c.lastAttemptAfter, last)
 	}
 	if class == nil || c.next == nil {
 		return
 	}
-	line := max(c.line(), 1)
+	line := max(c.busiestRouteLine(), 1)
 	if c.attempts > 4 {
 		findings.add(AttemptsMultiply, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "4 along the chain",
-			fmt.Sprintf("a request of class %s is tried up to %d times along %s", c.class, c.attempts, c.path()))
+			fmt.Sprintf("a request of class %s is tried up to %d times along %s", c.class, c.attempts, c.downstreamPath()))
 	}
-	if window := time.Duration(0.9 * float64(class.Window.V)); class.Effect.V == "keyed" && window > 0 && c.last > window {
-		findings.add(ChainWindow, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "the last send at most "+window.String()+" after the first",
+	if window := time.Duration(0.9 * float64(class.Window.V)); class.Effect.V == "keyed" && window > 0 && c.lastAttemptAfter > window {
+		findings.add(ChainExceedsWindow, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "the last send at most "+window.String()+" after the first",
 			fmt.Sprintf("the last attempt for a request of class %s may go out %v after the first along %s; its key is kept for %v",
-				c.class, c.last, c.path(), class.Window.V))
+				c.class, c.lastAttemptAfter, c.downstreamPath(), class.Window.V))
 	}
 }
 
 // line is where the route that allows the most attempts stands, or the classes.
-func (c *chain) line() int {
+func (c *hop) busiestRouteLine() int {
 	line, most := c.app.Classes.Line, 0
-	for _, o := range c.options {
+	for _, o := range c.policies {
 		if o.attempts > most && o.line > 0 {
 			line, most = o.line, o.attempts
 		}
@@ -469,24 +469,24 @@
 }
 
 // path names the sidecars of a chain, the longest way.
-func (c *chain) path() string {
+func (c *hop) downstreamPath() string {
 	var all []string
-	for ; c != nil; c = c.inner() {
+	for ; c != nil; c = c.nextHop() {
 		all = append(all, c.app.Name.V)
 	}
 	return strings.Join(all, " -> ")
 }
 
 // inner is the next sidecar, by the one with the most attempts; nil: there is none.
-func (c *chain) inner() *chain {
+func (c *hop) nextHop() *hop {
 	if c.next == nil {
 		return nil
 	}
-	return c.next.worst
+	return c.next.worstMember
 }
 
 // callers names the sidecars by which the least time comes.
-func (c *chain) callers() string {
+func (c *hop) upstreamPath() string {
 	var all []string
 	for ; c != nil; c = c.caller {
 		all = append(all, c.app.Name.V)
@@ -496,38 +496,38 @@
 }
 
 // spend takes from the time of a chain what each of its sidecars uses.
-func (s *Set) spend(c *chain, findings *Findings) {
-	for _, e := range c.entered { // all callers have been here before
-		if left := max(0, e.gives-c.app.WorkTime.V); e.caller != nil && left < c.left {
-			c.left, c.caller = left, e.caller
+func (s *Set) checkTimeLeft(c *hop, findings *Findings) {
+	for _, e := range c.entries { // all callers have been here before
+		if left := max(0, e.minTimeGiven-c.app.WorkTime.V); e.caller != nil && left < c.minTimeLeft {
+			c.minTimeLeft, c.caller = left, e.caller
 		}
 	}
 	if c.caller != nil {
-		left, needs := c.left, time.Duration(0)
-		for i := range c.options {
-			o := &c.options[i]
-			if o.timeout > 0 {
-				needs = max(needs, time.Duration(o.attempts)*o.timeout+o.waits)
+		left, needs := c.minTimeLeft, time.Duration(0)
+		for i := range c.policies {
+			o := &c.policies[i]
+			if o.attemptTimeout > 0 {
+				needs = max(needs, time.Duration(o.attempts)*o.attemptTimeout+o.maxBackoff)
 			}
 		}
-		line := max(c.line(), 1)
+		line := max(c.busiestRouteLine(), 1)
 		if least := s.Platform.Limits.AnswerGrace.V + time.Millisecond; left < least {
 			findings.add(NoTimeLeft, c.app.File, line, "classes", quote(c.class), "more than "+least.String(),
-				fmt.Sprintf("a request of class %s comes to the sidecar with %v along %s", c.class, left, c.callers()))
+				fmt.Sprintf("a request of class %s comes to the sidecar with %v along %s", c.class, left, c.upstreamPath()))
 			return // what lies behind has no more
 		}
 		if needs > left {
-			findings.add(TooLittleTime, c.app.File, line, "attempts", quote(c.class), "in all at most "+left.String(),
-				fmt.Sprintf("its attempts take %v, and a request may come with %v along %s", needs, left, c.callers()))
+			findings.add(InsufficientTime, c.app.File, line, "attempts", quote(c.class), "in all at most "+left.String(),
+				fmt.Sprintf("its attempts take %v, and a request may come with %v along %s", needs, left, c.upstreamPath()))
 		}
 	}
 	if c.next == nil {
 		return
 	}
-	for i := range c.options {
-		o := &c.options[i]
-		if gives := min(o.attempt(), c.left); gives < c.next.gives {
-			c.next.gives, c.next.caller = gives, c
+	for i := range c.policies {
+		o := &c.policies[i]
+		if gives := min(o.maxAttemptTime(), c.minTimeLeft); gives < c.next.minTimeGiven {
+			c.next.minTimeGiven, c.next.caller = gives, c
 		}
 	}
 }
--- a/internal/operators/apps/size_test.go
+++ b/internal/operators/apps/size_test.go
@@ -24,11 +24,11 @@
 	if findings.Worst() == 2 || len(p.Hosts) != planned+1 || len(a.Hosts.V) != planned {
 		t.Errorf("%d hosts, %d of the application: %v", len(p.Hosts), len(a.Hosts.V), findings)
 	}
-	platform, text = hosts(mostWords + 1)
+	platform, text = hosts(maxListLength + 1)
 	findings = Findings{}
 	ReadApp("a.toml", []byte(text), ReadPlatform("platform.toml", []byte(platform), &findings), &findings)
 	told := fmt.Sprint(findings)
-	if findings.Worst() != 2 || !strings.Contains(told, "hosts") || !strings.Contains(told, fmt.Sprintf("1 to %d of them", mostWords)) {
-		t.Errorf("%d hosts: %s", mostWords+1, told)
+	if findings.Worst() != 2 || !strings.Contains(told, "hosts") || !strings.Contains(told, fmt.Sprintf("1 to %d of them", maxListLength)) {
+		t.Errorf("%d hosts: %s", maxListLength+1, told)
 	}
 }
