--- a/internal/operators/apps/app.go
+++ b/internal/operators/apps/app.go
@@ -39,12 +39,12 @@
 	// blank: package routes reads it.
 	Routes []byte
 
-	invalid   bool // its form is wrong: what is said across files may be a consequence
-	listenAddress   netip.AddrPort
-	applicationAddresses      []netip.AddrPort
-	routesFile     *routes.File
-	routeTable    *routes.Table
-	nodeSettings *nodeSettings
+	invalid              bool // its form is wrong: what is said across files may be a consequence
+	listenAddress        netip.AddrPort
+	applicationAddresses []netip.AddrPort
+	routesFile           *routes.File
+	routeTable           *routes.Table
+	nodeSettings         *nodeSettings
 }
 
 func appKeys() []key[App] {
--- a/internal/operators/apps/generate.go
+++ b/internal/operators/apps/generate.go
@@ -24,7 +24,9 @@
 	decide  decide.Settings
 }
 
-func (n *nodeSettings) routesEnv() routes.Env { return routes.Env{Classes: n.classes, Settings: n.decide} }
+func (n *nodeSettings) routesEnv() routes.Env {
+	return routes.Env{Classes: n.classes, Settings: n.decide}
+}
 
 // The settings object, in the order in which it is written. The names are those
 // of the platform's page, as package settings reads them.
@@ -67,8 +69,8 @@
 	SecondCopies   bool          `json:"second_copies"`
 	RetryAfter     bool          `json:"retry_after"`
 	MaxRetryAfter  time.Duration `json:"max_retry_after_ns"`
-	MaxHeld       int           `json:"most_held"`
-	MaxTries      int           `json:"most_tries"`
+	MaxHeld        int           `json:"most_held"`
+	MaxTries       int           `json:"most_tries"`
 	StreamsPerConn int           `json:"streams_per_conn"`
 }
 
@@ -157,11 +159,11 @@
 
 // What a written file says of itself.
 type provenanceJSON struct {
-	Generator       string `json:"by"`
-	Source   string `json:"source"`
-	SourceSHA256 string `json:"source_sha256"`
+	Generator      string `json:"by"`
+	Source         string `json:"source"`
+	SourceSHA256   string `json:"source_sha256"`
 	PlatformSHA256 string `json:"platform_sha256"`
-	Checksum      string `json:"sum"`
+	Checksum       string `json:"sum"`
 }
 
 // By is the writer's name in what it has written.
@@ -182,7 +184,7 @@
 const (
 	jsonChecksumPrefix    = `"sum": "`
 	commentChecksumPrefix = "# sum "
-	checksumLength   = sha256.Size * 2
+	checksumLength        = sha256.Size * 2
 )
 
 // Sealed tells whether a written file is as it was written; marked says whether
@@ -247,7 +249,7 @@
 	}
 	c := struct {
 		Schema    int             `json:"schema"`
-		Written   provenanceJSON     `json:"written"`
+		Written   provenanceJSON  `json:"written"`
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
 		Discovery string          `json:"discovery"`
--- a/internal/operators/apps/keys.go
+++ b/internal/operators/apps/keys.go
@@ -51,18 +51,18 @@
 type key[T any] struct {
 	name        string
 	kind        kind
-	min, max float64 // of numbers; of durations in seconds; of texts and lists the length
-	allowed       []string
-	required        bool
-	description         string
+	min, max    float64 // of numbers; of durations in seconds; of texts and lists the length
+	allowed     []string
+	required    bool
+	description string
 	set         func(to *T, r *fileReader, v document.Value)
 }
 
 // reading is the reading of one file.
 type fileReader struct {
-	file     string
-	findings *Findings
-	hasSyntaxErrors  bool // the text is no TOML somewhere: what is missing may stand behind that
+	file            string
+	findings        *Findings
+	hasSyntaxErrors bool // the text is no TOML somewhere: what is missing may stand behind that
 }
 
 func (r *fileReader) report(code Code, line int, key, value, bound, text string) {
--- a/internal/operators/apps/platform.go
+++ b/internal/operators/apps/platform.go
@@ -29,7 +29,7 @@
 
 	Sidecar  Defaults
 	Limits   Limits
-	WarmUp     WarmUp
+	WarmUp   WarmUp
 	Classes  []Class
 	Hosts    []Host
 	Services []Service
@@ -126,7 +126,7 @@
 const (
 	minMemoryMB    = 32 // as the node's own reader has it
 	minDescriptors = 64
-	maxDuration          = 24 * time.Hour
+	maxDuration    = 24 * time.Hour
 )
 
 func platformKeys() []key[Platform] {
--- a/internal/operators/apps/schema.go
+++ b/internal/operators/apps/schema.go
@@ -8,30 +8,30 @@
 // The parts of JSON Schema (draft 2020-12) that the schemas use, in the order
 // in which they are written.
 type jsonSchema struct {
-	Schema      string     `json:"$schema,omitempty"`
-	Title       string     `json:"title,omitempty"`
-	Description string     `json:"description,omitempty"`
-	Type        string     `json:"type,omitempty"`
-	Const       *int       `json:"const,omitempty"`
-	Enum        []string   `json:"enum,omitempty"`
-	Pattern     string     `json:"pattern,omitempty"`
-	MinLength   int        `json:"minLength,omitempty"`
-	Minimum     *float64   `json:"minimum,omitempty"`
-	Maximum     *float64   `json:"maximum,omitempty"`
-	Items       *jsonSchema    `json:"items,omitempty"`
-	MinItems    int        `json:"minItems,omitempty"`
-	UniqueItems      bool       `json:"uniqueItems,omitempty"`
-	Properties  properties `json:"properties,omitempty"`
-	Required    []string   `json:"required,omitempty"`
-	AdditionalProperties      *bool      `json:"additionalProperties,omitempty"`
+	Schema               string      `json:"$schema,omitempty"`
+	Title                string      `json:"title,omitempty"`
+	Description          string      `json:"description,omitempty"`
+	Type                 string      `json:"type,omitempty"`
+	Const                *int        `json:"const,omitempty"`
+	Enum                 []string    `json:"enum,omitempty"`
+	Pattern              string      `json:"pattern,omitempty"`
+	MinLength            int         `json:"minLength,omitempty"`
+	Minimum              *float64    `json:"minimum,omitempty"`
+	Maximum              *float64    `json:"maximum,omitempty"`
+	Items                *jsonSchema `json:"items,omitempty"`
+	MinItems             int         `json:"minItems,omitempty"`
+	UniqueItems          bool        `json:"uniqueItems,omitempty"`
+	Properties           properties  `json:"properties,omitempty"`
+	Required             []string    `json:"required,omitempty"`
+	AdditionalProperties *bool       `json:"additionalProperties,omitempty"`
 }
 
 // properties keep their order.
 type properties []property
 
 type property struct {
-	name string
-	schema   jsonSchema
+	name   string
+	schema jsonSchema
 }
 
 func (p properties) MarshalJSON() ([]byte, error) {
--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -18,7 +18,7 @@
 	Apps     []*App // by name
 
 	appsByService map[string][]*App // by service
-	hops  map[string]*hop // by App.Name and class
+	hops          map[string]*hop   // by App.Name and class
 }
 
 // NewSet puts descriptions together, and finds what is wrong between them. The
@@ -53,8 +53,8 @@
 
 // listener is who listens where on a host.
 type listener struct {
-	address  netip.AddrPort
-	app *App
+	address       netip.AddrPort
+	app           *App
 	isApplication bool // the application itself
 }
 
@@ -268,12 +268,12 @@
 
 // option is what a route, or the want of one, lets a sidecar do with a request.
 type requestPolicy struct {
-	line     int // of the route; 0: none
-	path     string
-	attempts int
-	attemptTimeout  time.Duration // of an attempt; 0: what the request has
-	maxBackoff    time.Duration // the longest, in sum
-	deadline    time.Duration // of the request
+	line           int // of the route; 0: none
+	path           string
+	attempts       int
+	attemptTimeout time.Duration // of an attempt; 0: what the request has
+	maxBackoff     time.Duration // the longest, in sum
+	deadline       time.Duration // of the request
 }
 
 // least is what an attempt gives the next sidecar.
@@ -343,26 +343,26 @@
 
 // chain is the worst that can become of a class's requests from a sidecar on.
 type hop struct {
-	app      *App
-	class    string
-	policies  []requestPolicy
-	entries  []*serviceEntry      // by which requests come
-	next     *serviceEntry        // where its requests go; nil: to the end
-	attempts int           // at the far end, in product
-	lastAttemptAfter     time.Duration // when the last may go out there, after the first
-	minTimeLeft     time.Duration // the least time that such a request may come with
-	caller   *hop        // from whom
+	app              *App
+	class            string
+	policies         []requestPolicy
+	entries          []*serviceEntry // by which requests come
+	next             *serviceEntry   // where its requests go; nil: to the end
+	attempts         int             // at the far end, in product
+	lastAttemptAfter time.Duration   // when the last may go out there, after the first
+	minTimeLeft      time.Duration   // the least time that such a request may come with
+	caller           *hop            // from whom
 }
 
 // entry is a service for one class: what all that call it share, so that there
 // are no more edges than descriptions.
 type serviceEntry struct {
-	members  []*hop
-	worstMember    *hop // of these, with the most attempts
-	attempts int
-	lastAttemptAfter     time.Duration
-	minTimeGiven    time.Duration // the least that a caller's attempt has
-	caller   *hop
+	members          []*hop
+	worstMember      *hop // of these, with the most attempts
+	attempts         int
+	lastAttemptAfter time.Duration
+	minTimeGiven     time.Duration // the least that a caller's attempt has
+	caller           *hop
 }
 
 // follow finds out what chained sidecars make of each other's attempts and time.
