--- a/internal/operators/apps/app.go
+++ b/internal/operators/apps/app.go
@@ -13,19 +13,20 @@
 	"curlewring/internal/operators/routes"
 )
 
-// App is the description of an application's sidecar.
+// App is the description of an application's sidecar. A key that may be left out
+// gets its default from the platform.
 type App struct {
 	File            string
 	Name            Located[string]
-	Application     Located[string] // whose sidecar it is; by default its own name
+	Application     Located[string] // that the sidecar serves; by default Name
 	Sites           Located[[]string]
 	Hosts           Located[[]string]
 	Service         Located[string]
 	Classes         Located[[]string]
 	Port            Located[int]
-	Address         Located[string] // of the port; by default 127.0.0.1
+	Address         Located[string] // of Port; by default 127.0.0.1
 	Socket          Located[string]
-	ListenAddresses Located[[]string] // where the application itself listens
+	ListenAddresses Located[[]string] // of the application itself
 	ServedService   Located[string]
 	WorkTime        Located[time.Duration]
 	BudgetShare     Located[float64]
@@ -35,11 +36,11 @@
 	Descriptors     Located[int]
 	Cores           Located[float64]
 
-	// Routes is the text of the [[route]] tables in their lines, all other lines
-	// blank: package routes reads it.
+	// Routes is the description with all lines outside [[route]] tables blanked, so
+	// that package routes reports the line numbers of the description.
 	Routes []byte
 
-	invalid              bool // its form is wrong: what is said across files may be a consequence
+	invalid              bool // has errors, so findings across files may only follow from them
 	listenAddress        netip.AddrPort
 	applicationAddresses []netip.AddrPort
 	routesFile           *routes.File
@@ -74,43 +75,44 @@
 	}
 }
 
-// ReadApp reads a description, and checks it against the platform.
+// ReadApp parses a description and checks it against the platform. It returns what
+// could be read even if there are findings.
 func ReadApp(file string, data []byte, p *Platform, findings *Findings) *App {
 	a := &App{File: file}
 	before := len(*findings)
 	r := &fileReader{file: file, findings: findings}
-	t := r.parse(data)
-	if t == nil {
+	table := r.parse(data)
+	if table == nil {
 		a.invalid = true
 		return a
 	}
-	r.checkSchemaVersion(t)
-	readKeys(r, t, "", appKeys(), []string{"schema", "route"}, a)
-	if _, isTable := t.Values["route"].V.(*document.Table); !isTable { // of that package routes tells
-		r.tableList(t, "route", false)
+	r.checkSchemaVersion(table)
+	readKeys(r, table, "", appKeys(), []string{"schema", "route"}, a)
+	if _, isTable := table.Values["route"].V.(*document.Table); !isTable { // package routes reports a single table
+		r.tableList(table, "route", false)
 	}
 	a.invalid = Findings((*findings)[before:]).Worst() == 2
-	a.Routes = routeLines(t, data)
+	a.Routes = routeLines(table, data)
 	a.applyDefaults(p)
 	a.check(r, p)
 	return a
 }
 
-// routeLines blanks all lines that are of no [[route]] table.
-func routeLines(t *document.Table, data []byte) []byte {
-	v, there := t.Values["route"]
-	if !there {
+// routeLines returns data with all lines outside [[route]] tables blanked.
+func routeLines(table *document.Table, data []byte) []byte {
+	firstRoute, exists := table.Values["route"]
+	if !exists {
 		return nil
 	}
 	lines := bytes.SplitAfter(data, []byte("\n"))
 	keep := make([]bool, len(lines)+2)
-	in := false
+	inRoute := false
 	for i, l := range lines {
 		if s := bytes.TrimSpace(l); bytes.HasPrefix(s, []byte("[")) {
-			head := strings.Trim(strings.SplitN(string(s), "#", 2)[0], "[] \t")
-			in = head == "route" || strings.HasPrefix(head, "route.")
+			header := strings.Trim(strings.SplitN(string(s), "#", 2)[0], "[] \t")
+			inRoute = header == "route" || strings.HasPrefix(header, "route.")
 		}
-		keep[i] = in && i+1 >= v.Line
+		keep[i] = inRoute && i+1 >= firstRoute.Line
 	}
 	var out []byte
 	for i, l := range lines {
@@ -124,17 +126,17 @@
 	return out
 }
 
-// defaults fills in what the description leaves to the platform.
+// applyDefaults sets the keys that the description leaves to the platform.
 func (a *App) applyDefaults(p *Platform) {
 	a.Application = a.Application.or(a.Name)
 	a.MemoryMB = a.MemoryMB.or(p.Sidecar.MemoryMB)
 	a.Descriptors = a.Descriptors.or(p.Sidecar.Descriptors)
 	a.Cores = a.Cores.or(p.Sidecar.Cores)
 	setDefault(&a.Address, "127.0.0.1")
-	if s := p.service(a.Service.V); s != nil {
-		a.Discovery = a.Discovery.or(s.Discovery).or(p.Discovery)
-		if a.BudgetShare.Line == 0 && s.Nodes.V > 0 {
-			a.BudgetShare = Located[float64]{V: 1 / float64(s.Nodes.V), File: s.Nodes.File, Line: s.Nodes.Line}
+	if service := p.service(a.Service.V); service != nil {
+		a.Discovery = a.Discovery.or(service.Discovery).or(p.Discovery)
+		if a.BudgetShare.Line == 0 && service.Nodes.V > 0 {
+			a.BudgetShare = Located[float64]{V: 1 / float64(service.Nodes.V), File: service.Nodes.File, Line: service.Nodes.Line}
 		}
 	}
 	if a.Hosts.Line == 0 {
@@ -147,7 +149,8 @@
 	}
 }
 
-// check finds what is wrong with the description as it stands alone.
+// check reports the faults of this description, without looking at other
+// applications.
 func (a *App) check(r *fileReader, p *Platform) {
 	r.checkName("name", a.Name)
 	if a.Application.Line != a.Name.Line {
@@ -175,11 +178,11 @@
 	if a.nodeSettings = a.makeNodeSettings(p); len(a.Routes) == 0 || a.nodeSettings == nil {
 		return
 	}
-	var found []routes.Finding
-	a.routesFile, found = routes.Parse(a.Routes)
-	table, more := routes.Check(a.routesFile, a.nodeSettings.routesEnv())
+	var parseFindings []routes.Finding
+	a.routesFile, parseFindings = routes.Parse(a.Routes)
+	table, checkFindings := routes.Check(a.routesFile, a.nodeSettings.routesEnv())
 	a.routeTable = table
-	for _, f := range append(found, more...) {
+	for _, f := range append(parseFindings, checkFindings...) {
 		a.invalid = true
 		if f.Code == routes.UnknownClass && p.class(strings.Trim(f.Value, `"`)) != nil {
 			r.report(UnusedRoute, f.Line, "route.class", f.Value, strings.Join(a.Classes.V, ", "), "the application does not use the class")
@@ -189,16 +192,19 @@
 	}
 }
 
+// hostNames returns the names of the hosts at some sites, or of all hosts if no
+// site is given.
 func (p *Platform) hostNames(sites []string) []string {
-	var all []string
+	var names []string
 	for i := range p.Hosts {
 		if len(sites) == 0 || contains(sites, p.Hosts[i].Site.V) {
-			all = append(all, p.Hosts[i].Name.V)
+			names = append(names, p.Hosts[i].Name.V)
 		}
 	}
-	return all
+	return names
 }
 
+// serviceNames returns the names of all services.
 func (p *Platform) serviceNames() []string {
 	var all []string
 	for i := range p.Services {
@@ -207,6 +213,8 @@
 	return all
 }
 
+// checkService checks that the platform has the services and classes of the
+// description.
 func (a *App) checkService(r *fileReader, p *Platform) {
 	s := p.service(a.Service.V)
 	if a.Service.IsSet() && s == nil {
@@ -226,10 +234,12 @@
 	}
 }
 
-// mostSocket is what a unix socket's address holds (sys/un.h: sun_path, 108
-// bytes with the end's zero).
+// maxSocketPath is the longest path of a unix socket in bytes (sys/un.h: sun_path
+// has 108 bytes including the terminating zero).
 const maxSocketPath = 107
 
+// checkListener checks the sidecar's port or socket, and that its address doesn't
+// conflict with the application, discovery or the hosts' ephemeral ports.
 func (a *App) checkListener(r *fileReader, p *Platform) {
 	line := max(a.Port.Line, a.Socket.Line, 1)
 	switch {
@@ -242,14 +252,14 @@
 		r.report(InvalidSocket, a.Socket.Line, "socket", quote(a.Socket.V), fmt.Sprintf("absolute, at most %d bytes", maxSocketPath), "not a path that a socket can have")
 	}
 	for _, o := range a.ListenAddresses.V {
-		if at, ok := parseAddress(r, "own", Located[string]{V: o, File: a.ListenAddresses.File, Line: a.ListenAddresses.Line}); ok {
-			a.applicationAddresses = append(a.applicationAddresses, at)
+		if parsed, ok := parseAddress(r, "own", Located[string]{V: o, File: a.ListenAddresses.File, Line: a.ListenAddresses.Line}); ok {
+			a.applicationAddresses = append(a.applicationAddresses, parsed)
 		}
 	}
 	discovery, hasDiscovery := parseAddress(r, "discovery", Located[string]{V: a.Discovery.V, File: a.Discovery.File, Line: lineInFile(a.Discovery, a.File)})
 	if !hasDiscovery && a.Discovery.V != "" {
-		if at, err := netip.ParseAddrPort(a.Discovery.V); err == nil {
-			discovery, hasDiscovery = at, true
+		if parsed, err := netip.ParseAddrPort(a.Discovery.V); err == nil {
+			discovery, hasDiscovery = parsed, true
 		}
 	}
 	if !a.Port.IsSet() || a.Socket.Line > 0 {
@@ -265,36 +275,37 @@
 	}
 	port := uint16(a.Port.V)
 	a.listenAddress = netip.AddrPortFrom(host, port)
-	shown := fmt.Sprint(port)
+	portText := fmt.Sprint(port)
 	if port < 1024 {
-		r.report(PrivilegedPort, a.Port.Line, "port", shown, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1), "a privileged port")
+		r.report(PrivilegedPort, a.Port.Line, "port", portText, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1), "a privileged port")
 	}
 	if a.Port.V >= p.EphemeralFrom.V && a.Port.V <= p.EphemeralTo.V {
-		r.report(EphemeralPort, a.Port.Line, "port", shown, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1),
+		r.report(EphemeralPort, a.Port.Line, "port", portText, fmt.Sprintf("1024 to %d", p.EphemeralFrom.V-1),
 			fmt.Sprintf("in the hosts' range of ephemeral ports, %d to %d", p.EphemeralFrom.V, p.EphemeralTo.V))
 	}
 	for _, o := range a.applicationAddresses {
 		if conflicts(a.listenAddress, o) {
-			r.report(ApplicationPort, a.Port.Line, "port", shown, "", "the application itself listens on "+o.String())
+			r.report(ApplicationPort, a.Port.Line, "port", portText, "", "the application itself listens on "+o.String())
 		}
 	}
 	if hasDiscovery && conflicts(a.listenAddress, discovery) {
-		r.report(DiscoveryPort, a.Port.Line, "port", shown, "", "discovery listens on "+discovery.String())
+		r.report(DiscoveryPort, a.Port.Line, "port", portText, "", "discovery listens on "+discovery.String())
 	}
 }
 
-// lineHere is the line of a value, if it stands in this file.
-func lineInFile[T any](a Located[T], file string) int {
-	if a.File == file {
-		return a.Line
+// lineInFile returns the line of a value that comes from a file; 0 if it comes
+// from another one.
+func lineInFile[T any](value Located[T], file string) int {
+	if value.File == file {
+		return value.Line
 	}
 	return 0
 }
 
-// meet tells whether two addresses can't both be listened on: one port, and one
-// host or a wildcard. An IPv6 wildcard takes IPv4 too (ipv6(7): IPV6_V6ONLY is
-// off unless it is set), and an IPv4-mapped address is the IPv4 one (RFC 4291,
-// section 2.5.5.2).
+// conflicts reports whether two listeners can't be bound to these addresses on one
+// host: the ports are equal, and the hosts are equal or one is a wildcard. An IPv6
+// wildcard covers IPv4 too (ipv6(7): IPV6_V6ONLY is off by default), and an
+// IPv4-mapped address equals its IPv4 address (RFC 4291, section 2.5.5.2).
 func conflicts(x, y netip.AddrPort) bool {
 	if x.Port() != y.Port() {
 		return false
@@ -304,15 +315,15 @@
 		return true
 	}
 	any4, any6 := netip.IPv4Unspecified(), netip.IPv6Unspecified()
-	for _, p := range [][2]netip.Addr{{a, b}, {b, a}} {
-		if p[0] == any6 || p[0] == any4 && p[1].Is4() {
+	for _, pair := range [][2]netip.Addr{{a, b}, {b, a}} {
+		if pair[0] == any6 || pair[0] == any4 && pair[1].Is4() {
 			return true
 		}
 	}
 	return false
 }
 
-// sortedApps orders applications by name, then by file.
+// sortedApps returns a copy of the applications ordered by name, then by file.
 func sortedApps(all []*App) []*App {
 	all = slices.Clone(all)
 	slices.SortStableFunc(all, func(x, y *App) int {
--- a/internal/operators/apps/keys.go
+++ b/internal/operators/apps/keys.go
@@ -10,7 +10,7 @@
 	"curlewring/internal/operators/document"
 )
 
-// kind is what a value of a key is.
+// kind is the type of a key's value.
 type kind int
 
 const (
@@ -22,23 +22,24 @@
 	kindBool
 )
 
+// String describes the kind in findings.
 func (k kind) String() string {
 	return [...]string{"a text", "a list of texts", "a whole number", "a number", `a duration with its unit, as "250ms"`, "true or false"}[k]
 }
 
-// At is a value and where it stands: the file, and its line. File "" is a
-// default of the program.
+// Located is a value with the file and line that it comes from. A built-in default
+// has neither.
 type Located[T any] struct {
 	V       T
 	File    string
 	Line    int
-	Invalid bool // it stands there and could not be read; a finding says why
+	Invalid bool // present but rejected, with a finding that says why
 }
 
-// Set tells whether a file gives the value.
+// IsSet reports whether a file gives a valid value.
 func (a Located[T]) IsSet() bool { return a.Line > 0 && !a.Invalid }
 
-// or is the value, or another where no file gives it.
+// or returns the value, or another if no file has the key.
 func (a Located[T]) or(other Located[T]) Located[T] {
 	if a.Line > 0 {
 		return a
@@ -46,51 +47,55 @@
 	return other
 }
 
-// key is one key of a description: how it is read, what it is for, and where it
-// goes. The schema is made of the same.
+// key defines one key of a table whose values are stored in a T: its bounds, its
+// description, and how it is parsed. The JSON schemas are generated from it too.
 type key[T any] struct {
 	name        string
 	kind        kind
-	min, max    float64 // of numbers; of durations in seconds; of texts and lists the length
+	min, max    float64 // of numbers; of durations in seconds; of the length of texts and lists
 	allowed     []string
 	required    bool
 	description string
 	set         func(to *T, r *fileReader, v document.Value)
 }
 
-// reading is the reading of one file.
+// fileReader reads one file and collects its findings.
 type fileReader struct {
 	file            string
 	findings        *Findings
-	hasSyntaxErrors bool // the text is no TOML somewhere: what is missing may stand behind that
+	hasSyntaxErrors bool // a missing key may be in the part that couldn't be parsed
 }
 
+// report adds a finding about the file.
 func (r *fileReader) report(code Code, line int, key, value, bound, text string) {
 	r.findings.add(code, r.file, line, key, value, bound, text)
 }
 
-// take reads the keys of a table. Tables that others read are named by except.
-func readKeys[T any](r *fileReader, t *document.Table, in string, keys []key[T], except []string, to *T) {
-	seen := map[string]bool{}
-	for _, name := range t.KeyOrder {
-		v := t.Values[name]
+// readKeys stores the values of a table in a T, and reports unknown and missing
+// keys. The keys in except are read elsewhere. prefix is the name of the table in
+// findings, with a dot.
+func readKeys[T any](r *fileReader, table *document.Table, prefix string, keys []key[T], except []string, to *T) {
+	present := map[string]bool{}
+	for _, name := range table.KeyOrder {
+		v := table.Values[name]
 		k := findKey(keys, name)
 		if k == nil {
 			if !contains(except, name) {
-				r.report(UnknownKey, v.Line, in+name, v.Text, strings.Join(append(keyNames(keys), except...), ", "), "there is no such key")
+				r.report(UnknownKey, v.Line, prefix+name, v.Text, strings.Join(append(keyNames(keys), except...), ", "), "there is no such key")
 			}
 			continue
 		}
-		seen[name] = true
+		present[name] = true
 		k.set(to, r, v)
 	}
 	for _, k := range keys {
-		if k.required && !seen[k.name] && !r.hasSyntaxErrors {
-			r.report(MissingKey, t.Line, in+k.name, "", k.bounds(), k.description)
+		if k.required && !present[k.name] && !r.hasSyntaxErrors {
+			r.report(MissingKey, table.Line, prefix+k.name, "", k.bounds(), k.description)
 		}
 	}
 }
 
+// findKey returns the key with a name; nil if there is none.
 func findKey[T any](keys []key[T], name string) *key[T] {
 	for i := range keys {
 		if keys[i].name == name {
@@ -100,24 +105,25 @@
 	return nil
 }
 
+// keyNames returns the names of keys in their order.
 func keyNames[T any](keys []key[T]) []string {
-	var all []string
+	var result []string
 	for _, k := range keys {
-		all = append(all, k.name)
+		result = append(result, k.name)
 	}
-	return all
+	return result
 }
 
-func contains(all []string, x string) bool {
-	for _, a := range all {
-		if a == x {
+func contains(list []string, x string) bool {
+	for _, element := range list {
+		if element == x {
 			return true
 		}
 	}
 	return false
 }
 
-// bound is what a value of the key must be, in words.
+// bounds describes the values that the key allows.
 func (k *key[T]) bounds() string {
 	switch {
 	case len(k.allowed) > 0:
@@ -130,16 +136,19 @@
 	return k.kind.String()
 }
 
+// formatFloat returns the shortest decimal form of a number.
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
+// toDuration converts seconds to a duration.
 func toDuration(f float64) time.Duration { return time.Duration(math.Round(f * float64(time.Second))) }
 
-// textKey, and the others below, make keys whose value goes to a place of T.
-func textKey[T any](name string, must bool, doc string, place func(*T) *Located[string], among ...string) key[T] {
-	k := key[T]{name: name, kind: kindText, min: 1, max: 4096, required: must, description: doc, allowed: among}
+// textKey defines a key with a string value, one of allowed if any are given. As
+// with the constructors below, field returns the field of a T that takes the value.
+func textKey[T any](name string, required bool, description string, field func(*T) *Located[string], allowed ...string) key[T] {
+	k := key[T]{name: name, kind: kindText, min: 1, max: 4096, required: required, description: description, allowed: allowed}
 	k.set = func(to *T, r *fileReader, v document.Value) {
-		at := place(to)
-		*at = Located[string]{File: r.file, Line: v.Line, Invalid: true}
+		target := field(to)
+		*target = Located[string]{File: r.file, Line: v.Line, Invalid: true}
 		s, ok := v.V.(string)
 		switch {
 		case !ok:
@@ -148,23 +157,24 @@
 			r.report(OutOfRange, v.Line, name, v.Text, "1 to 4096 bytes", "of no or too great length")
 		case strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f || c == 0xfffd }):
 			r.report(OutOfRange, v.Line, name, v.Text, "no control characters", "it holds a control character")
-		case len(among) > 0 && !contains(among, s):
-			r.report(InvalidWord, v.Line, name, v.Text, strings.Join(among, ", "), "none of the words allowed")
+		case len(allowed) > 0 && !contains(allowed, s):
+			r.report(InvalidWord, v.Line, name, v.Text, strings.Join(allowed, ", "), "none of the words allowed")
 		default:
-			at.V, at.Invalid = s, false
+			target.V, target.Invalid = s, false
 		}
 	}
 	return k
 }
 
-// mostWords is the most of a list of words: the hosts of an application may be all of a fleet.
+// maxListLength bounds lists of texts: an application may name all hosts of a fleet.
 const maxListLength = 6000
 
-func textListKey[T any](name string, must bool, doc string, place func(*T) *Located[[]string]) key[T] {
-	k := key[T]{name: name, kind: kindTextList, min: 1, max: maxListLength, required: must, description: doc}
+// textListKey defines a key with a list of distinct, non-empty strings.
+func textListKey[T any](name string, required bool, description string, field func(*T) *Located[[]string]) key[T] {
+	k := key[T]{name: name, kind: kindTextList, min: 1, max: maxListLength, required: required, description: description}
 	k.set = func(to *T, r *fileReader, v document.Value) {
-		at := place(to)
-		*at = Located[[]string]{File: r.file, Line: v.Line, Invalid: true}
+		target := field(to)
+		*target = Located[[]string]{File: r.file, Line: v.Line, Invalid: true}
 		list, ok := v.V.([]document.Value)
 		if !ok {
 			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
@@ -187,34 +197,36 @@
 			}
 			all = append(all, s)
 		}
-		at.V, at.Invalid = all, false
+		target.V, target.Invalid = all, false
 	}
 	return k
 }
 
-func integerKey[T any](name string, least, most int, must bool, doc string, place func(*T) *Located[int]) key[T] {
-	k := key[T]{name: name, kind: kindInteger, min: float64(least), max: float64(most), required: must, description: doc}
+// integerKey defines a key with a whole number within bounds.
+func integerKey[T any](name string, minimum, maximum int, required bool, description string, field func(*T) *Located[int]) key[T] {
+	k := key[T]{name: name, kind: kindInteger, min: float64(minimum), max: float64(maximum), required: required, description: description}
 	k.set = func(to *T, r *fileReader, v document.Value) {
-		at := place(to)
-		*at = Located[int]{File: r.file, Line: v.Line, Invalid: true}
+		target := field(to)
+		*target = Located[int]{File: r.file, Line: v.Line, Invalid: true}
 		n, ok := v.V.(int64)
 		switch {
 		case !ok:
 			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
-		case n < int64(least) || n > int64(most):
+		case n < int64(minimum) || n > int64(maximum):
 			r.report(OutOfRange, v.Line, name, v.Text, k.bounds(), "outside its bounds")
 		default:
-			at.V, at.Invalid = int(n), false
+			target.V, target.Invalid = int(n), false
 		}
 	}
 	return k
 }
 
-func numberKey[T any](name string, least, most float64, must bool, doc string, place func(*T) *Located[float64]) key[T] {
-	k := key[T]{name: name, kind: kindNumber, min: least, max: most, required: must, description: doc}
+// numberKey defines a key with a number within bounds, whole or not.
+func numberKey[T any](name string, minimum, maximum float64, required bool, description string, field func(*T) *Located[float64]) key[T] {
+	k := key[T]{name: name, kind: kindNumber, min: minimum, max: maximum, required: required, description: description}
 	k.set = func(to *T, r *fileReader, v document.Value) {
-		at := place(to)
-		*at = Located[float64]{File: r.file, Line: v.Line, Invalid: true}
+		target := field(to)
+		*target = Located[float64]{File: r.file, Line: v.Line, Invalid: true}
 		var f float64
 		switch x := v.V.(type) {
 		case int64:
@@ -225,20 +237,21 @@
 			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 			return
 		}
-		if !(f >= least && f <= most) { // not a number included
+		if !(f >= minimum && f <= maximum) { // negated, so that NaN is rejected
 			r.report(OutOfRange, v.Line, name, v.Text, k.bounds(), "outside its bounds")
 			return
 		}
-		at.V, at.Invalid = f, false
+		target.V, target.Invalid = f, false
 	}
 	return k
 }
 
-func durationKey[T any](name string, least, most time.Duration, must bool, doc string, place func(*T) *Located[time.Duration]) key[T] {
-	k := key[T]{name: name, kind: kindDuration, min: least.Seconds(), max: most.Seconds(), required: must, description: doc}
+// durationKey defines a key with a duration such as "250ms" within bounds.
+func durationKey[T any](name string, minimum, maximum time.Duration, required bool, description string, field func(*T) *Located[time.Duration]) key[T] {
+	k := key[T]{name: name, kind: kindDuration, min: minimum.Seconds(), max: maximum.Seconds(), required: required, description: description}
 	k.set = func(to *T, r *fileReader, v document.Value) {
-		at := place(to)
-		*at = Located[time.Duration]{File: r.file, Line: v.Line, Invalid: true}
+		target := field(to)
+		*target = Located[time.Duration]{File: r.file, Line: v.Line, Invalid: true}
 		s, ok := v.V.(string)
 		if !ok {
 			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
@@ -248,22 +261,23 @@
 		switch {
 		case err != nil:
 			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "no duration")
-		case d < least || d > most:
+		case d < minimum || d > maximum:
 			r.report(OutOfRange, v.Line, name, v.Text, k.bounds(), "outside its bounds")
 		default:
-			at.V, at.Invalid = d, false
+			target.V, target.Invalid = d, false
 		}
 	}
 	return k
 }
 
-func boolKey[T any](name string, doc string, place func(*T) *Located[bool]) key[T] {
-	k := key[T]{name: name, kind: kindBool, description: doc}
+// boolKey defines a key that is true or false; it may be left out.
+func boolKey[T any](name string, description string, field func(*T) *Located[bool]) key[T] {
+	k := key[T]{name: name, kind: kindBool, description: description}
 	k.set = func(to *T, r *fileReader, v document.Value) {
-		at := place(to)
-		*at = Located[bool]{File: r.file, Line: v.Line, Invalid: true}
+		target := field(to)
+		*target = Located[bool]{File: r.file, Line: v.Line, Invalid: true}
 		if b, ok := v.V.(bool); ok {
-			at.V, at.Invalid = b, false
+			target.V, target.Invalid = b, false
 		} else {
 			r.report(WrongType, v.Line, name, v.Text, k.kind.String(), "not "+k.kind.String())
 		}
