--- a/internal/operators/apps/finding.go
+++ b/internal/operators/apps/finding.go
@@ -9,10 +9,10 @@
 	"curlewring/internal/operators/routes"
 )
 
-// Code names a kind of finding. It never changes its meaning.
+// Code identifies a kind of finding. Its meaning never changes.
 type Code string
 
-// The codes. What each means, and what to do, is in About.
+// The codes. Codes describes each of them.
 const (
 	Unreadable         Code = "SC001"
 	TooLarge           Code = "SC002"
@@ -69,16 +69,17 @@
 	InvalidHost        Code = "SC072"
 )
 
-// About is what a code means.
+// CodeInfo describes a code.
 type CodeInfo struct {
 	Code    Code
-	Warning bool   // it does not keep a sidecar from starting
-	Rule    string // which of the four rules it guards; "form" or "sense"
+	Warning bool   // a sidecar can start all the same
+	Rule    string // one of the four rules that it protects, or "form" or "sense"
 	Meaning string
 	Remedy  string // what to do
 }
 
-// Codes lists all codes in their order. Findings of routes have package routes' codes.
+// Codes lists all codes in their order. Findings in route tables have the codes of
+// package routes.
 func Codes() []CodeInfo {
 	return []CodeInfo{
 		{Unreadable, false, "form", "the file cannot be read", "give the tool the right to read it, or leave it out"},
@@ -140,7 +141,7 @@
 	}
 }
 
-// Finding is one fault.
+// Finding is one fault in a file.
 type Finding struct {
 	Code   string `json:"code"`
 	Level  string `json:"level"` // error, warning
@@ -149,12 +150,12 @@
 	Line   int    `json:"line"` // 1 is the first; 0: the file as a whole
 	Key    string `json:"key,omitempty"`
 	Value  string `json:"value,omitempty"`
-	Bound  string `json:"bound,omitempty"` // what it would have to be
+	Bound  string `json:"bound,omitempty"` // the values that are allowed
 	Text   string `json:"text"`
 	Remedy string `json:"instead,omitempty"`
 }
 
-// String is the finding on one line, as compilers print them.
+// String formats the finding on one line, in the manner of compiler errors.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -181,36 +182,36 @@
 	return b.String()
 }
 
-// Findings are all that was found.
+// Findings collects the results of a check.
 type Findings []Finding
 
-// add notes a finding of this package's own codes.
+// add appends a finding with a code of this package.
 func (f *Findings) add(code Code, file string, line int, key, value, bound, text string) {
-	for _, a := range Codes() {
-		if a.Code != code {
+	for _, info := range Codes() {
+		if info.Code != code {
 			continue
 		}
 		level := "error"
-		if a.Warning {
+		if info.Warning {
 			level = "warning"
 		}
-		*f = append(*f, Finding{string(code), level, a.Rule, file, line, key, value, bound, text, a.Remedy})
+		*f = append(*f, Finding{string(code), level, info.Rule, file, line, key, value, bound, text, info.Remedy})
 		return
 	}
-	panic("apps: a code without a description: " + string(code))
+	panic("apps: code is missing in Codes: " + string(code))
 }
 
-// Add notes a finding from outside of this package: of reading files, say.
+// Add appends a finding of another package, such as an unreadable file.
 func (f *Findings) Add(code Code, file string, line int, text string) {
 	f.add(code, file, line, "", "", "", text)
 }
 
-// route notes a finding of package routes.
+// addRouteFinding appends a finding of package routes.
 func (f *Findings) addRouteFinding(file string, r routes.Finding) {
 	*f = append(*f, Finding{string(r.Code), "error", r.Code.Rule(), file, r.Line, r.Key, r.Value, r.Bound, r.Text, ""})
 }
 
-// Sort orders findings by file, line and code, and removes those that say the same.
+// Sort orders findings by file, line and code, and removes duplicates.
 func (f *Findings) Sort() {
 	slices.SortStableFunc(*f, func(x, y Finding) int {
 		return cmp.Or(cmp.Compare(x.File, y.File), cmp.Compare(x.Line, y.Line), cmp.Compare(x.Code, y.Code),
@@ -219,7 +220,7 @@
 	*f = slices.Compact(*f)
 }
 
-// Worst is 0 without findings, 1 with warnings only, 2 with errors.
+// Worst returns 0 without findings, 1 with warnings only, 2 with errors.
 func (f Findings) Worst() int {
 	worst := 0
 	for i := range f {
--- a/internal/operators/apps/findings_page.go
+++ b/internal/operators/apps/findings_page.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Page is docs/operators/findings.md: every code, what it means, what to do.
+// FindingsPage returns the text of docs/operators/findings.md, with the meaning of
+// every code and the remedy.
 func FindingsPage() string {
 	var b strings.Builder
 	b.WriteString(`# Findings of curlewctl check
@@ -20,12 +21,12 @@
 | code | level | rule | what it means | what to do |
 | --- | --- | --- | --- | --- |
 `)
-	for _, a := range Codes() {
+	for _, info := range Codes() {
 		level := "error"
-		if a.Warning {
+		if info.Warning {
 			level = "warning"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", a.Code, level, a.Rule, a.Meaning, a.Remedy)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", info.Code, level, info.Rule, info.Meaning, info.Remedy)
 	}
 	b.WriteString(`
 The four rules: 1, each request gets one answer before its client's time is up; 2, no effect twice; 3, nothing new to a server
--- a/internal/operators/apps/platform.go
+++ b/internal/operators/apps/platform.go
@@ -13,18 +13,18 @@
 	"curlewring/internal/operators/settings"
 )
 
-// Schema is the version of descriptions, and of what is written of them. Version
-// 0 is a node's configuration of before there were descriptions: it has no schema
-// key. A node reads its own version, the one before and the one after.
+// Schema is the version of descriptions and of the files generated from them.
+// Version 0 is a node configuration from before descriptions existed, without a
+// schema key. A node reads its own version, the one before and the one after.
 const Schema = settings.Schema
 
-// Platform is what all applications share.
+// Platform is the description that all applications share.
 type Platform struct {
 	File      string
 	Name      Located[string]
 	Sites     Located[[]string]
 	Discovery Located[string]
-	// The hosts' range of ports for outgoing connections, both ends included.
+	// The hosts' range of ephemeral ports, both ends included.
 	EphemeralFrom, EphemeralTo Located[int]
 
 	Sidecar  Defaults
@@ -35,7 +35,8 @@
 	Services []Service
 }
 
-// Defaults are what a sidecar has where its application says nothing else.
+// Defaults are the limits of a sidecar whose description doesn't set them, and the
+// program and user of all sidecars.
 type Defaults struct {
 	MemoryMB    Located[int]
 	Descriptors Located[int]
@@ -44,10 +45,10 @@
 	User        Located[string]
 }
 
-// Limits are what the platform lets nodes do.
+// Limits bound what nodes may do on the platform.
 type Limits struct {
 	MaxAttempts    Located[int]
-	MaxRetryAfter  Located[time.Duration] // 0: refusals carry none
+	MaxRetryAfter  Located[time.Duration] // 0: refusals have no Retry-After
 	SecondCopies   Located[bool]
 	Budgets        Located[bool]
 	ConnIdle       Located[time.Duration]
@@ -57,7 +58,8 @@
 	AskWithin      Located[time.Duration]
 }
 
-// Cold is how servers warm up, and when a cold one falls over.
+// WarmUp describes how the capacity of servers grows after their start, and which
+// overload makes one fail.
 type WarmUp struct {
 	From         Located[float64]
 	For          Located[time.Duration]
@@ -65,7 +67,7 @@
 	FallFor      Located[time.Duration]
 }
 
-// Class is a class of requests.
+// Class is a class of requests: its times, its worth, and whether it may be repeated.
 type Class struct {
 	Line     int
 	Name     Located[string]
@@ -87,7 +89,7 @@
 	Cores       Located[float64]
 }
 
-// Service is what sidecars send to.
+// Service is a group of servers that sidecars send to.
 type Service struct {
 	Line      int
 	Name      Located[string]
@@ -96,6 +98,7 @@
 	Nodes     Located[int]
 }
 
+// service returns the service with a name; nil if there is none.
 func (p *Platform) service(name string) *Service {
 	for i := range p.Services {
 		if p.Services[i].Name.V == name {
@@ -105,6 +108,7 @@
 	return nil
 }
 
+// host returns the host with a name; nil if there is none.
 func (p *Platform) host(name string) *Host {
 	for i := range p.Hosts {
 		if p.Hosts[i].Name.V == name {
@@ -114,6 +118,7 @@
 	return nil
 }
 
+// class returns the class with a name; nil if there is none.
 func (p *Platform) class(name string) *Class {
 	for i := range p.Classes {
 		if p.Classes[i].Name.V == name {
@@ -124,11 +129,12 @@
 }
 
 const (
-	minMemoryMB    = 32 // as the node's own reader has it
+	minMemoryMB    = 32 // the node's own lower bound
 	minDescriptors = 64
 	maxDuration    = 24 * time.Hour
 )
 
+// platformKeys are the top-level keys of the platform file.
 func platformKeys() []key[Platform] {
 	return []key[Platform]{
 		textKey("name", false, "what the platform is called", func(p *Platform) *Located[string] { return &p.Name }),
@@ -141,6 +147,7 @@
 	}
 }
 
+// defaultsKeys are the keys of [sidecar].
 func defaultsKeys() []key[Defaults] {
 	return []key[Defaults]{
 		integerKey("memory_mb", minMemoryMB, 65536, false, "memory of a sidecar in MB (32)", func(d *Defaults) *Located[int] { return &d.MemoryMB }),
@@ -154,6 +161,7 @@
 	}
 }
 
+// limitsKeys are the keys of [limits].
 func limitsKeys() []key[Limits] {
 	return []key[Limits]{
 		integerKey("most_tries", 1, 4, false, "attempts of a request at a node, the first included (4)",
@@ -177,7 +185,8 @@
 	}
 }
 
-func coldKeys() []key[WarmUp] {
+// warmUpKeys are the keys of [cold].
+func warmUpKeys() []key[WarmUp] {
 	return []key[WarmUp]{
 		numberKey("from", 0.01, 1, false, "part of its capacity that a server has at its start (0.4)", func(c *WarmUp) *Located[float64] { return &c.From }),
 		durationKey("for", 0, time.Hour, false, `after which it has all of it ("5s")`, func(c *WarmUp) *Located[time.Duration] { return &c.For }),
@@ -188,6 +197,7 @@
 	}
 }
 
+// classKeys are the keys of a [[class]].
 func classKeys() []key[Class] {
 	return []key[Class]{
 		textKey("name", true, "what the class is called", func(c *Class) *Located[string] { return &c.Name }),
@@ -200,6 +210,7 @@
 	}
 }
 
+// hostKeys are the keys of a [[host]].
 func hostKeys() []key[Host] {
 	return []key[Host]{
 		textKey("name", true, "what the host is called", func(h *Host) *Located[string] { return &h.Name }),
@@ -210,6 +221,7 @@
 	}
 }
 
+// serviceKeys are the keys of a [[service]].
 func serviceKeys() []key[Service] {
 	return []key[Service]{
 		textKey("name", true, "what the service is called", func(s *Service) *Located[string] { return &s.Name }),
@@ -220,38 +232,38 @@
 	}
 }
 
-// ReadPlatform reads the shared file. What could be read is returned, also where
-// there are findings.
+// ReadPlatform parses and checks the platform file. It returns what could be read
+// even if there are findings.
 func ReadPlatform(file string, data []byte, findings *Findings) *Platform {
 	p := &Platform{File: file}
 	r := &fileReader{file: file, findings: findings}
-	t := r.parse(data)
-	if t == nil {
+	table := r.parse(data)
+	if table == nil {
 		return p
 	}
-	r.checkSchemaVersion(t)
-	lists := []string{"schema", "sidecar", "limits", "cold", "class", "host", "service"}
-	readKeys(r, t, "", platformKeys(), lists, p)
-	if s := r.subtable(t, "sidecar"); s != nil {
+	r.checkSchemaVersion(table)
+	readElsewhere := []string{"schema", "sidecar", "limits", "cold", "class", "host", "service"}
+	readKeys(r, table, "", platformKeys(), readElsewhere, p)
+	if s := r.subtable(table, "sidecar"); s != nil {
 		readKeys(r, s, "sidecar.", defaultsKeys(), nil, &p.Sidecar)
 	}
-	if s := r.subtable(t, "limits"); s != nil {
+	if s := r.subtable(table, "limits"); s != nil {
 		readKeys(r, s, "limits.", limitsKeys(), nil, &p.Limits)
 	}
-	if s := r.subtable(t, "cold"); s != nil {
-		readKeys(r, s, "cold.", coldKeys(), nil, &p.WarmUp)
+	if s := r.subtable(table, "cold"); s != nil {
+		readKeys(r, s, "cold.", warmUpKeys(), nil, &p.WarmUp)
 	}
-	for _, s := range r.tableList(t, "class", true) {
+	for _, s := range r.tableList(table, "class", true) {
 		c := Class{Line: s.Line}
 		readKeys(r, s, "class.", classKeys(), nil, &c)
 		p.Classes = append(p.Classes, c)
 	}
-	for _, s := range r.tableList(t, "host", false) {
+	for _, s := range r.tableList(table, "host", false) {
 		h := Host{Line: s.Line}
 		readKeys(r, s, "host.", hostKeys(), nil, &h)
 		p.Hosts = append(p.Hosts, h)
 	}
-	for _, s := range r.tableList(t, "service", true) {
+	for _, s := range r.tableList(table, "service", true) {
 		x := Service{Line: s.Line}
 		readKeys(r, s, "service.", serviceKeys(), nil, &x)
 		p.Services = append(p.Services, x)
@@ -261,7 +273,7 @@
 	return p
 }
 
-// parse reads a file's form; nil where nothing could be read.
+// parse parses the TOML of a file; nil if nothing could be read.
 func (r *fileReader) parse(data []byte) *document.Table {
 	if len(data) > document.MaxFileSize {
 		r.report(TooLarge, 0, "", "", fmt.Sprintf("%d bytes", document.MaxFileSize), "the file is too large")
@@ -271,8 +283,8 @@
 		r.report(EmptyFile, 0, "", "", "", "the file is empty")
 		return nil
 	}
-	t, faults := document.Parse(data)
-	for _, f := range faults {
+	table, syntaxErrors := document.Parse(data)
+	for _, f := range syntaxErrors {
 		code := Syntax
 		if f.Duplicate {
 			code = DuplicateKey
@@ -281,57 +293,57 @@
 		}
 		r.report(code, f.Line, f.Key, "", "", f.Text)
 	}
-	return t
+	return table
 }
 
-// schema checks the version of a file.
-func (r *fileReader) checkSchemaVersion(t *document.Table) {
-	v, there := t.Values["schema"]
-	n, ok := v.V.(int64)
+// checkSchemaVersion reports a missing, invalid or newer schema version.
+func (r *fileReader) checkSchemaVersion(table *document.Table) {
+	v, exists := table.Values["schema"]
+	version, ok := v.V.(int64)
 	switch {
-	case !there && r.hasSyntaxErrors:
-	case !there:
+	case !exists && r.hasSyntaxErrors:
+	case !exists:
 		r.report(MissingKey, 1, "schema", "", fmt.Sprint(Schema), "the version of the description")
 	case !ok:
 		r.report(WrongType, v.Line, "schema", v.Text, fmt.Sprint(Schema), "not a whole number")
-	case n > Schema:
+	case version > Schema:
 		r.report(NewSchema, v.Line, "schema", v.Text, fmt.Sprintf("up to %d", Schema), "a newer schema than this program knows")
-	case n < 1:
+	case version < 1:
 		r.report(OutOfRange, v.Line, "schema", v.Text, fmt.Sprintf("1 to %d", Schema), "no such schema")
 	}
 }
 
-// sub is a table of the file, if it is there.
-func (r *fileReader) subtable(t *document.Table, name string) *document.Table {
-	v, there := t.Values[name]
-	if !there {
+// subtable returns the table with a name; nil if there is none.
+func (r *fileReader) subtable(table *document.Table, name string) *document.Table {
+	v, exists := table.Values[name]
+	if !exists {
 		return nil
 	}
-	s, ok := v.V.(*document.Table)
+	subtable, ok := v.V.(*document.Table)
 	if !ok {
 		r.report(WrongType, v.Line, name, v.Text, "["+name+"]", "not a table")
 	}
-	return s
+	return subtable
 }
 
-// list is a list of tables of the file.
-func (r *fileReader) tableList(t *document.Table, name string, must bool) []*document.Table {
-	v, there := t.Values[name]
-	if !there {
-		if must && !r.hasSyntaxErrors {
+// tableList returns the tables of an array of tables; nil if there is none.
+func (r *fileReader) tableList(table *document.Table, name string, required bool) []*document.Table {
+	v, exists := table.Values[name]
+	if !exists {
+		if required && !r.hasSyntaxErrors {
 			r.report(MissingKey, 1, name, "", "[["+name+"]]", "there must be one at the least")
 		}
 		return nil
 	}
 	all, ok := v.V.([]document.Value)
 	var tables []*document.Table
-	for _, x := range all {
-		s, isTable := x.V.(*document.Table)
+	for _, element := range all {
+		elementTable, isTable := element.V.(*document.Table)
 		if !isTable {
 			ok = false
 			break
 		}
-		tables = append(tables, s)
+		tables = append(tables, elementTable)
 	}
 	if !ok {
 		r.report(WrongType, v.Line, name, v.Text, "[["+name+"]]", "not a list of tables")
@@ -340,13 +352,14 @@
 	return tables
 }
 
-func setDefault[T any](a *Located[T], v T) {
-	if a.Line == 0 {
-		a.V = v
+// setDefault sets a value that no file gives.
+func setDefault[T any](target *Located[T], value T) {
+	if target.Line == 0 {
+		target.V = value
 	}
 }
 
-// defaults fills in what the file does not say.
+// applyDefaults sets the values of keys that the file leaves out.
 func (p *Platform) applyDefaults() {
 	setDefault(&p.EphemeralFrom, 32768)
 	setDefault(&p.EphemeralTo, 60999)
@@ -368,7 +381,7 @@
 	setDefault(&p.WarmUp.FallFor, time.Second)
 }
 
-// check finds what contradicts itself.
+// check reports contradictions within the platform.
 func (p *Platform) check(r *fileReader) {
 	if p.EphemeralFrom.V > p.EphemeralTo.V {
 		r.report(InvalidHost, max(p.EphemeralFrom.Line, p.EphemeralTo.Line), "ephemeral_from", fmt.Sprint(p.EphemeralFrom.V),
@@ -382,20 +395,20 @@
 	for _, s := range p.Sites.V {
 		r.checkName("sites", Located[string]{V: s, File: r.file, Line: p.Sites.Line})
 	}
-	seen := map[string]int{}
-	once := func(what string, name Located[string]) {
+	firstLine := map[string]int{}
+	checkUnique := func(table string, name Located[string]) {
 		if name.V == "" {
 			return
 		}
-		r.checkName(what+".name", name)
-		if before := seen[what+name.V]; before > 0 {
-			r.report(InvalidHost, name.Line, what+".name", quote(name.V), "", fmt.Sprintf("the name stands already in line %d", before))
+		r.checkName(table+".name", name)
+		if first := firstLine[table+name.V]; first > 0 {
+			r.report(InvalidHost, name.Line, table+".name", quote(name.V), "", fmt.Sprintf("the name stands already in line %d", first))
 		}
-		seen[what+name.V] = name.Line
+		firstLine[table+name.V] = name.Line
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		once("class", c.Name)
+		checkUnique("class", c.Name)
 		if c.Aim.IsSet() && c.Deadline.IsSet() && c.Aim.V > c.Deadline.V {
 			r.report(InvalidClass, c.Aim.Line, "class.aim", c.Aim.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
 		}
@@ -425,14 +438,14 @@
 	}
 	for i := range p.Hosts {
 		h := &p.Hosts[i]
-		once("host", h.Name)
+		checkUnique("host", h.Name)
 		if h.Site.IsSet() && len(p.Sites.V) > 0 && !contains(p.Sites.V, h.Site.V) {
 			r.report(UnknownSite, h.Site.Line, "host.site", quote(h.Site.V), strings.Join(p.Sites.V, ", "), "sites name no such site")
 		}
 	}
 	for i := range p.Services {
 		s := &p.Services[i]
-		once("service", s.Name)
+		checkUnique("service", s.Name)
 		parseAddress(r, "service.discovery", s.Discovery)
 		for _, c := range s.Classes.V {
 			if p.class(c) == nil {
@@ -442,48 +455,50 @@
 	}
 }
 
+// classNames returns the names of all classes.
 func (p *Platform) classNames() []string {
-	var all []string
+	var names []string
 	for i := range p.Classes {
-		all = append(all, p.Classes[i].Name.V)
+		names = append(names, p.Classes[i].Name.V)
 	}
-	return all
+	return names
 }
 
 func quote(s string) string { return fmt.Sprintf("%q", s) }
 
-// name checks that a name can be a file's and a unit's, in any script.
-func (r *fileReader) checkName(key string, a Located[string]) {
-	if !a.IsSet() {
+// checkName checks that a name can be used in the names of files and systemd
+// units. Letters of any script are allowed.
+func (r *fileReader) checkName(key string, name Located[string]) {
+	if !name.IsSet() {
 		return
 	}
-	why := ""
+	problem := ""
 	switch {
-	case len(a.V) > 64:
-		why = "longer than 64 bytes"
-	case !norm.NFC.IsNormalString(a.V):
-		why = "not composed: another name could look the same"
-	case strings.ContainsFunc(a.V, func(c rune) bool {
+	case len(name.V) > 64:
+		problem = "longer than 64 bytes"
+	case !norm.NFC.IsNormalString(name.V):
+		problem = "not composed: another name could look the same"
+	case strings.ContainsFunc(name.V, func(c rune) bool {
 		return !unicode.IsLetter(c) && !unicode.IsDigit(c) && !unicode.IsMark(c) && !strings.ContainsRune("-_.", c)
 	}):
-		why = "it holds a character that names can't have"
-	case !unicode.IsLetter([]rune(a.V)[0]) && !unicode.IsDigit([]rune(a.V)[0]):
-		why = "it begins with no letter or digit"
+		problem = "it holds a character that names can't have"
+	case !unicode.IsLetter([]rune(name.V)[0]) && !unicode.IsDigit([]rune(name.V)[0]):
+		problem = "it begins with no letter or digit"
 	default:
 		return
 	}
-	r.report(InvalidName, a.Line, key, quote(a.V), "letters, digits, - _ .", why)
+	r.report(InvalidName, name.Line, key, quote(name.V), "letters, digits, - _ .", problem)
 }
 
-// address checks a numeric host:port, and returns it.
-func parseAddress(r *fileReader, key string, a Located[string]) (netip.AddrPort, bool) {
-	if !a.IsSet() {
+// parseAddress parses a numeric host:port, and reports one that is invalid.
+func parseAddress(r *fileReader, key string, value Located[string]) (netip.AddrPort, bool) {
+	if !value.IsSet() {
 		return netip.AddrPort{}, false
 	}
-	at, err := netip.ParseAddrPort(a.V)
-	if err != nil || at.Port() == 0 {
-		r.report(InvalidAddress, a.Line, key, quote(a.V), `as "127.0.0.1:8500" or "[::1]:8500"`, "no numeric address with a port")
+	address, err := netip.ParseAddrPort(value.V)
+	if err != nil || address.Port() == 0 {
+		r.report(InvalidAddress, value.Line, key, quote(value.V), `as "127.0.0.1:8500" or "[::1]:8500"`, "no numeric address with a port")
 		return netip.AddrPort{}, false
 	}
-	return at, true
+	return address, true
 }
--- a/internal/operators/apps/schema.go
+++ b/internal/operators/apps/schema.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// The parts of JSON Schema (draft 2020-12) that the schemas use, in the order
-// in which they are written.
+// jsonSchema has the keywords of JSON Schema (draft 2020-12) that the schemas use,
+// in the order in which they are written.
 type jsonSchema struct {
 	Schema               string      `json:"$schema,omitempty"`
 	Title                string      `json:"title,omitempty"`
@@ -26,7 +26,7 @@
 	AdditionalProperties *bool       `json:"additionalProperties,omitempty"`
 }
 
-// properties keep their order.
+// properties is encoded as an object that keeps the order of its elements.
 type properties []property
 
 type property struct {
@@ -34,72 +34,76 @@
 	schema jsonSchema
 }
 
+// MarshalJSON implements json.Marshaler.
 func (p properties) MarshalJSON() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteByte('{')
-	for i, x := range p {
+	for i, property := range p {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		name, err := json.Marshal(x.name)
+		name, err := json.Marshal(property.name)
 		if err != nil {
 			return nil, err
 		}
-		is, err := json.Marshal(x.schema)
+		value, err := json.Marshal(property.schema)
 		if err != nil {
 			return nil, err
 		}
 		b.Write(name)
 		b.WriteByte(':')
-		b.Write(is)
+		b.Write(value)
 	}
 	b.WriteByte('}')
 	return b.Bytes(), nil
 }
 
-// durationPattern is what a duration looks like, as time.ParseDuration reads it.
+// durationPattern matches durations in the syntax of time.ParseDuration.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`
 
+// tableSchema returns the schema of a table with some keys and further properties.
 func tableSchema[T any](keys []key[T], more ...property) jsonSchema {
-	closed := false
-	s := jsonSchema{Type: "object", AdditionalProperties: &closed}
+	additional := false
+	table := jsonSchema{Type: "object", AdditionalProperties: &additional}
 	for _, k := range keys {
-		is := jsonSchema{Description: k.description, Enum: k.allowed}
+		value := jsonSchema{Description: k.description, Enum: k.allowed}
 		switch k.kind {
 		case kindText:
-			is.Type, is.MinLength = "string", 1
+			value.Type, value.MinLength = "string", 1
 		case kindTextList:
-			is.Type, is.Items, is.MinItems, is.UniqueItems = "array", &jsonSchema{Type: "string", MinLength: 1}, 1, true
+			value.Type, value.Items, value.MinItems, value.UniqueItems = "array", &jsonSchema{Type: "string", MinLength: 1}, 1, true
 		case kindInteger, kindNumber:
-			is.Type, is.Minimum, is.Maximum = "number", &k.min, &k.max
+			value.Type, value.Minimum, value.Maximum = "number", &k.min, &k.max
 			if k.kind == kindInteger {
-				is.Type = "integer"
+				value.Type = "integer"
 			}
 		case kindDuration:
-			is.Type, is.Pattern = "string", durationPattern
+			value.Type, value.Pattern = "string", durationPattern
 		case kindBool:
-			is.Type = "boolean"
+			value.Type = "boolean"
 		}
-		s.Properties = append(s.Properties, property{k.name, is})
+		table.Properties = append(table.Properties, property{k.name, value})
 		if k.required {
-			s.Required = append(s.Required, k.name)
+			table.Required = append(table.Required, k.name)
 		}
 	}
-	s.Properties = append(s.Properties, more...)
-	return s
+	table.Properties = append(table.Properties, more...)
+	return table
 }
 
+// arraySchema returns the schema of an array.
 func arraySchema(s jsonSchema) jsonSchema { return jsonSchema{Type: "array", Items: &s} }
 
+// versionProperty returns the schema key, which has one valid value.
 func versionProperty() property {
-	n := Schema
-	return property{"schema", jsonSchema{Type: "integer", Const: &n, Description: "the version of the description"}}
+	version := Schema
+	return property{"schema", jsonSchema{Type: "integer", Const: &version, Description: "the version of the description"}}
 }
 
-// PlatformSchema is the JSON schema of platform.toml.
+// PlatformSchema returns the JSON schema of platform.toml.
 func PlatformSchema() ([]byte, error) {
 	s := tableSchema(platformKeys(), versionProperty(),
-		property{"sidecar", tableSchema(defaultsKeys())}, property{"limits", tableSchema(limitsKeys())}, property{"cold", tableSchema(coldKeys())},
+		property{"sidecar", tableSchema(defaultsKeys())}, property{"limits", tableSchema(limitsKeys())}, property{"cold", tableSchema(warmUpKeys())},
 		property{"class", arraySchema(tableSchema(classKeys()))}, property{"host", arraySchema(tableSchema(hostKeys()))},
 		property{"service", arraySchema(tableSchema(serviceKeys()))})
 	s.Title = "platform.toml of curlewring"
@@ -107,18 +111,18 @@
 	return marshalSchema(s)
 }
 
-// AppSchema is the JSON schema of an application's description.
+// AppSchema returns the JSON schema of an application's description.
 func AppSchema() ([]byte, error) {
 	outcome := jsonSchema{Type: "string", Enum: []string{"error", "reset", "spoilt", "timeout", "turned-away", "unconnected"}}
-	span := jsonSchema{Type: "string", Pattern: durationPattern}
-	zero, one, four, closed := 0.0, 1.0, 4.0, false
-	part := jsonSchema{Type: "number", Minimum: &zero, Maximum: &one}
-	route := jsonSchema{Type: "object", AdditionalProperties: &closed, Required: []string{"class"}, Properties: properties{
+	duration := jsonSchema{Type: "string", Pattern: durationPattern}
+	zero, one, four, additional := 0.0, 1.0, 4.0, false
+	fraction := jsonSchema{Type: "number", Minimum: &zero, Maximum: &one}
+	route := jsonSchema{Type: "object", AdditionalProperties: &additional, Required: []string{"class"}, Properties: properties{
 		{"class", jsonSchema{Type: "string", MinLength: 1}}, {"path", jsonSchema{Type: "string", Pattern: "^/"}}, {"tenant", jsonSchema{Type: "string", MinLength: 1}},
-		{"attempt_timeout", span}, {"attempts", jsonSchema{Type: "integer", Minimum: &one, Maximum: &four}},
-		{"backoff", jsonSchema{Type: "object", AdditionalProperties: &closed, Properties: properties{{"first", span}, {"most", span}, {"jitter", part}}}},
+		{"attempt_timeout", duration}, {"attempts", jsonSchema{Type: "integer", Minimum: &one, Maximum: &four}},
+		{"backoff", jsonSchema{Type: "object", AdditionalProperties: &additional, Properties: properties{{"first", duration}, {"most", duration}, {"jitter", fraction}}}},
 		{"retry_on", jsonSchema{Type: "array", Items: &outcome, MinItems: 1, UniqueItems: true}},
-		{"second_copy_after", span}, {"deadline_cap", span}, {"retry_after", span},
+		{"second_copy_after", duration}, {"deadline_cap", duration}, {"retry_after", duration},
 	}}
 	s := tableSchema(appKeys(), versionProperty(), property{"route", arraySchema(route)})
 	s.Title = "a description of an application's sidecar, for curlewring"
@@ -126,6 +130,7 @@
 	return marshalSchema(s)
 }
 
+// marshalSchema formats a complete schema.
 func marshalSchema(s jsonSchema) ([]byte, error) {
 	s.Schema = "https://json-schema.org/draft/2020-12/schema"
 	text, err := json.MarshalIndent(s, "", "  ")
