--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -11,24 +11,24 @@
 	"curlewring/internal/operators/routes"
 )
 
-// Set is a platform with its applications. Zero findings of level error mean
-// that all may be written and started together.
+// Set is a platform with its applications. If its check had no finding of level
+// error, all sidecars can be generated and started together.
 type Set struct {
 	Platform *Platform
-	Apps     []*App // by name
+	Apps     []*App // ordered by name
 
-	appsByService map[string][]*App // by service
-	hops          map[string]*hop   // by App.Name and class
+	appsByService map[string][]*App // by the service that they serve
+	hops          map[string]*hop   // by App.Name, zero byte and class
 }
 
-// NewSet puts descriptions together, and finds what is wrong between them. The
-// time is linear in their number.
+// NewSet combines descriptions and checks them against each other. Its time is
+// linear in their number.
 func NewSet(p *Platform, all []*App, findings *Findings) *Set {
 	s := &Set{Platform: p, appsByService: map[string][]*App{}, hops: map[string]*hop{}}
 	names := map[string]*App{}
 	for _, a := range sortedApps(all) {
-		if before := names[a.Name.V]; before != nil && a.Name.IsSet() {
-			findings.add(DuplicateName, a.File, a.Name.Line, "name", quote(a.Name.V), "", fmt.Sprintf("%s has this name already", before.File))
+		if first := names[a.Name.V]; first != nil && a.Name.IsSet() {
+			findings.add(DuplicateName, a.File, a.Name.Line, "name", quote(a.Name.V), "", fmt.Sprintf("%s has this name already", first.File))
 			continue
 		}
 		names[a.Name.V] = a
@@ -51,39 +51,40 @@
 	return s
 }
 
-// listener is who listens where on a host.
+// listener is an address in use on a host.
 type listener struct {
 	address       netip.AddrPort
 	app           *App
-	isApplication bool // the application itself
+	isApplication bool // of the application itself, not of its sidecar
 }
 
-// ports finds two on a host that want one port or socket.
+// checkListeners reports sidecars whose port or socket is used by another sidecar
+// or application on the same host.
 func (s *Set) checkListeners(findings *Findings) {
-	type place struct {
+	type hostPort struct {
 		host string
 		port uint16
 	}
-	type path struct{ host, path string }
-	taken := map[place][]listener{}
-	sockets := map[path]*App{}
-	for _, a := range s.Apps { // what applications listen on comes first: it can't move
+	type hostPath struct{ host, path string }
+	listeners := map[hostPort][]listener{}
+	sockets := map[hostPath]*App{}
+	for _, a := range s.Apps { // first, because the ports of applications can't be changed here
 		for _, h := range a.Hosts.V {
 			for _, o := range a.applicationAddresses {
-				at := place{h, o.Port()}
-				taken[at] = append(taken[at], listener{o, a, true})
+				key := hostPort{h, o.Port()}
+				listeners[key] = append(listeners[key], listener{o, a, true})
 			}
 		}
 	}
 	for _, a := range s.Apps {
-		told := map[*App]bool{} // once for two applications, whatever the hosts
+		reported := map[*App]bool{} // one finding for each pair of applications, not for each host
 		for _, h := range a.Hosts.V {
 			if a.Socket.IsSet() {
-				at := path{h, a.Socket.V}
-				if other := sockets[at]; other == nil {
-					sockets[at] = a
-				} else if !told[other] {
-					told[other] = true
+				key := hostPath{h, a.Socket.V}
+				if other := sockets[key]; other == nil {
+					sockets[key] = a
+				} else if !reported[other] {
+					reported[other] = true
 					findings.add(DuplicateSocket, a.File, a.Socket.Line, "socket", quote(a.Socket.V), "",
 						fmt.Sprintf("the sidecar %q (%s) has this socket on host %s", other.Name.V, other.File, h))
 				}
@@ -91,12 +92,12 @@
 			if !a.listenAddress.IsValid() {
 				continue
 			}
-			at := place{h, a.listenAddress.Port()}
-			for _, l := range taken[at] {
-				if !conflicts(l.address, a.listenAddress) || told[l.app] || l.isApplication && l.app == a {
+			key := hostPort{h, a.listenAddress.Port()}
+			for _, l := range listeners[key] {
+				if !conflicts(l.address, a.listenAddress) || reported[l.app] || l.isApplication && l.app == a {
 					continue
 				}
-				told[l.app] = true
+				reported[l.app] = true
 				if l.isApplication {
 					findings.add(PortOfOtherApp, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
 						fmt.Sprintf("the application %q (%s) listens on %s on host %s", l.app.Application.V, l.app.File, l.address, h))
@@ -104,56 +105,57 @@
 					findings.add(DuplicatePort, a.File, a.Port.Line, "port", fmt.Sprint(a.Port.V), "",
 						fmt.Sprintf("the sidecar %q (%s) listens on %s on host %s", l.app.Name.V, l.app.File, l.address, h))
 				}
-				break // one is enough, and keeps the time linear
+				break // one finding is enough, and keeps the time linear
 			}
-			taken[at] = append(taken[at], listener{a.listenAddress, a, false})
+			listeners[key] = append(listeners[key], listener{a.listenAddress, a, false})
 		}
 	}
 }
 
-// hosts finds those that their sidecars ask too much of.
+// checkHostCapacity reports hosts whose sidecars need more memory, descriptors or
+// cores than the host gives them.
 func (s *Set) checkHostCapacity(findings *Findings) {
-	type sum struct {
+	type usage struct {
 		memory, descriptors, sidecars int
 		cores                         float64
 	}
-	sums := map[string]*sum{}
+	totals := map[string]*usage{}
 	for _, a := range s.Apps {
 		for _, h := range a.Hosts.V {
-			if sums[h] == nil {
-				sums[h] = &sum{}
+			if totals[h] == nil {
+				totals[h] = &usage{}
 			}
-			sums[h].memory += a.MemoryMB.V
-			sums[h].descriptors += a.Descriptors.V
-			sums[h].cores += a.Cores.V
-			sums[h].sidecars++
+			totals[h].memory += a.MemoryMB.V
+			totals[h].descriptors += a.Descriptors.V
+			totals[h].cores += a.Cores.V
+			totals[h].sidecars++
 		}
 	}
 	for i := range s.Platform.Hosts {
 		h := &s.Platform.Hosts[i]
-		n := sums[h.Name.V]
-		if n == nil {
+		total := totals[h.Name.V]
+		if total == nil {
 			continue
 		}
-		text := fmt.Sprintf("%d sidecars on host %s", n.sidecars, h.Name.V)
-		if h.MemoryMB.IsSet() && n.memory > h.MemoryMB.V {
+		text := fmt.Sprintf("%d sidecars on host %s", total.sidecars, h.Name.V)
+		if h.MemoryMB.IsSet() && total.memory > h.MemoryMB.V {
 			findings.add(HostMemory, s.Platform.File, h.MemoryMB.Line, "host.memory_mb", fmt.Sprint(h.MemoryMB.V),
-				fmt.Sprintf("%d at the least", n.memory), fmt.Sprintf("%s have %d MB together", text, n.memory))
+				fmt.Sprintf("%d at the least", total.memory), fmt.Sprintf("%s have %d MB together", text, total.memory))
 		}
-		if h.Descriptors.IsSet() && n.descriptors > h.Descriptors.V {
+		if h.Descriptors.IsSet() && total.descriptors > h.Descriptors.V {
 			findings.add(HostDescriptors, s.Platform.File, h.Descriptors.Line, "host.descriptors", fmt.Sprint(h.Descriptors.V),
-				fmt.Sprintf("%d at the least", n.descriptors), fmt.Sprintf("%s have %d descriptors together", text, n.descriptors))
+				fmt.Sprintf("%d at the least", total.descriptors), fmt.Sprintf("%s have %d descriptors together", text, total.descriptors))
 		}
-		if h.Cores.IsSet() && n.cores > h.Cores.V*(1+1e-9) {
+		if h.Cores.IsSet() && total.cores > h.Cores.V*(1+1e-9) {
 			findings.add(HostCores, s.Platform.File, h.Cores.Line, "host.cores", formatFloat(h.Cores.V),
-				formatFloat(math.Ceil(n.cores*1000)/1000)+" at the least", fmt.Sprintf("%s have %.3f cores together", text, n.cores))
+				formatFloat(math.Ceil(total.cores*1000)/1000)+" at the least", fmt.Sprintf("%s have %.3f cores together", text, total.cores))
 		}
 	}
 }
 
-// parts is how many equal parts a node's share of a service's callers makes: the
-// node is told that it is one of so many, so that it never takes more of a cold
-// server's budget than its share.
+// budgetParts returns the number of nodes that the sidecar's node is configured
+// with. It is rounded up, so that the node never takes more of a cold server's
+// budget than its share.
 func (a *App) budgetParts() int {
 	if a.BudgetShare.V <= 0 {
 		return 1
@@ -161,179 +163,183 @@
 	return max(1, int(math.Ceil(1/a.BudgetShare.V-1e-9)))
 }
 
-// shares finds services whose sidecars have more than all of its callers.
+// checkBudgetShares reports services whose sidecars have budget shares of more than
+// 1 in sum.
 func (s *Set) checkBudgetShares(findings *Findings) {
 	sums := map[string]float64{}
-	count := map[string]int{}
+	counts := map[string]int{}
 	for _, a := range s.Apps {
 		sums[a.Service.V] += float64(len(a.Hosts.V)) / float64(a.budgetParts())
-		count[a.Service.V] += len(a.Hosts.V)
+		counts[a.Service.V] += len(a.Hosts.V)
 	}
 	for i := range s.Platform.Services {
-		x := &s.Platform.Services[i]
-		if sum := sums[x.Name.V]; sum > 1+1e-9 {
-			findings.add(SharesExceedBudget, s.Platform.File, x.Nodes.Line, "service.nodes", fmt.Sprint(x.Nodes.V), "",
-				fmt.Sprintf("%d sidecars send to %q, with %.3f of its callers in sum", count[x.Name.V], x.Name.V, sum))
+		service := &s.Platform.Services[i]
+		if sum := sums[service.Name.V]; sum > 1+1e-9 {
+			findings.add(SharesExceedBudget, s.Platform.File, service.Nodes.Line, "service.nodes", fmt.Sprint(service.Nodes.V), "",
+				fmt.Sprintf("%d sidecars send to %q, with %.3f of its callers in sum", counts[service.Name.V], service.Name.V, sum))
 		}
 	}
 }
 
-// loops finds applications that call each other round about. Services stand
-// between them, so that there are no more edges than descriptions.
+// findCallLoops reports cycles of applications that call each other. In its graph
+// applications and services are both nodes, so that the number of edges is linear
+// in the number of descriptions.
 func (s *Set) findCallLoops(findings *Findings) bool {
 	type node struct {
 		name    string
 		service bool
 	}
-	next := map[node][]node{}
+	edges := map[node][]node{}
 	for _, a := range s.Apps {
-		at := node{a.Application.V, false}
-		next[at] = append(next[at], node{a.Service.V, true})
+		application := node{a.Application.V, false}
+		edges[application] = append(edges[application], node{a.Service.V, true})
 		if a.ServedService.IsSet() {
-			from := node{a.ServedService.V, true}
-			next[from] = append(next[from], at)
+			served := node{a.ServedService.V, true}
+			edges[served] = append(edges[served], application)
 		}
 	}
-	// Depth first, without recursion: chains may be as long as there are applications.
-	const under, done = 1, 2
+	// Depth-first search without recursion: a chain may contain all applications.
+	const onStack, finished = 1, 2
 	state := map[node]int{}
 	found := false
 	type frame struct {
-		at   node
-		left []node
+		node      node
+		unvisited []node
 	}
 	for _, a := range s.Apps {
 		start := node{a.Application.V, false}
 		if state[start] != 0 {
 			continue
 		}
-		state[start] = under
-		stack := []frame{{start, next[start]}}
+		state[start] = onStack
+		stack := []frame{{start, edges[start]}}
 		for len(stack) > 0 {
 			top := &stack[len(stack)-1]
-			if len(top.left) == 0 {
-				state[top.at] = done
+			if len(top.unvisited) == 0 {
+				state[top.node] = finished
 				stack = stack[:len(stack)-1]
 				continue
 			}
-			to := top.left[0]
-			top.left = top.left[1:]
+			to := top.unvisited[0]
+			top.unvisited = top.unvisited[1:]
 			switch state[to] {
-			case under:
+			case onStack:
 				found = true
-				i := slices.IndexFunc(stack, func(f frame) bool { return f.at == to })
+				i := slices.IndexFunc(stack, func(f frame) bool { return f.node == to })
 				s.reportCallLoop(findings, func(yield func(string, bool)) {
 					for _, f := range stack[i:] {
-						yield(f.at.name, f.at.service)
+						yield(f.node.name, f.node.service)
 					}
 				})
 			case 0:
-				state[to] = under
-				stack = append(stack, frame{to, next[to]})
+				state[to] = onStack
+				stack = append(stack, frame{to, edges[to]})
 			}
 		}
 	}
 	return found
 }
 
-// loop tells of one loop, at the last application of it.
+// reportCallLoop reports one cycle, in the file of its last application. each
+// calls its argument for every node of the cycle.
 func (s *Set) reportCallLoop(findings *Findings, each func(func(name string, service bool))) {
-	var round []string
+	var applications []string
 	service := ""
 	each(func(name string, isService bool) {
 		if isService {
 			service = name
 		} else {
-			round = append(round, name)
+			applications = append(applications, name)
 		}
 	})
-	last := round[len(round)-1]
-	// The loop is closed by the service behind the last application: the last of
-	// the stack, or the first, where the loop was entered by a service.
+	last := applications[len(applications)-1]
+	// The last application closes the cycle by calling a service: the last node of the
+	// stack, or the first if the search entered the cycle at a service.
 	for _, a := range s.Apps {
 		if a.Application.V != last {
 			continue
 		}
-		closes := a.Service.V == service
+		closesCycle := a.Service.V == service
 		for _, b := range s.appsByService[a.Service.V] {
-			closes = closes || b.Application.V == round[0]
+			closesCycle = closesCycle || b.Application.V == applications[0]
 		}
-		if closes {
+		if closesCycle {
 			findings.add(CallLoop, a.File, a.Service.Line, "service", quote(a.Service.V), "",
-				"the loop: "+strings.Join(append(round, round[0]), " -> "))
+				"the loop: "+strings.Join(append(applications, applications[0]), " -> "))
 			return
 		}
 	}
 }
 
-// option is what a route, or the want of one, lets a sidecar do with a request.
+// requestPolicy says how a sidecar handles a request of one route, or of none.
 type requestPolicy struct {
 	line           int // of the route; 0: none
 	path           string
 	attempts       int
-	attemptTimeout time.Duration // of an attempt; 0: what the request has
-	maxBackoff     time.Duration // the longest, in sum
-	deadline       time.Duration // of the request
+	attemptTimeout time.Duration // 0: the time that the request has left
+	maxBackoff     time.Duration // sum of all backoffs of a request
+	deadline       time.Duration // of the request, from its arrival
 }
 
-// least is what an attempt gives the next sidecar.
-func (o *requestPolicy) maxAttemptTime() time.Duration {
-	if o.attemptTimeout > 0 {
-		return min(o.attemptTimeout, o.deadline)
+// maxAttemptTime is the longest duration of one attempt.
+func (p *requestPolicy) maxAttemptTime() time.Duration {
+	if p.attemptTimeout > 0 {
+		return min(p.attemptTimeout, p.deadline)
 	}
-	return o.deadline
+	return p.deadline
 }
 
-// last is when the last attempt may go out, after the first.
-func (o *requestPolicy) lastAttemptAfter() time.Duration {
+// lastAttemptAfter is the longest time from the first attempt to the last.
+func (p *requestPolicy) lastAttemptAfter() time.Duration {
 	switch {
-	case o.attempts < 2:
+	case p.attempts < 2:
 		return 0
-	case o.attemptTimeout > 0:
-		return min(o.deadline, time.Duration(o.attempts-1)*o.attemptTimeout+o.maxBackoff)
+	case p.attemptTimeout > 0:
+		return min(p.deadline, time.Duration(p.attempts-1)*p.attemptTimeout+p.maxBackoff)
 	}
-	return o.deadline
+	return p.deadline
 }
 
-// options lists what may become of a class's requests at a sidecar. Its routes
-// must have been found in order.
+// requestPolicies lists the policies for requests of a class, the one without a
+// path first. The routes must be without findings.
 func (a *App) requestPolicies(p *Platform, class string) []requestPolicy {
 	c := p.class(class)
 	if c == nil {
 		return nil
 	}
-	plain := requestPolicy{attempts: p.Limits.MaxAttempts.V, deadline: c.Deadline.V}
+	base := requestPolicy{attempts: p.Limits.MaxAttempts.V, deadline: c.Deadline.V}
 	if c.Effect.V == "once" {
-		plain.attempts = 1 // another only where nothing ran
+		base.attempts = 1 // it is sent again only if it was not executed
 	}
-	all := []requestPolicy{plain}
+	policies := []requestPolicy{base}
 	if a.routesFile == nil || a.routeTable == nil {
-		return all
+		return policies
 	}
 	for i := range a.routesFile.Routes {
 		r := &a.routesFile.Routes[i]
 		if r.Class.V != class {
 			continue
 		}
-		b := a.routeTable.Bounds()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
-		o := plain
-		o.line, o.path, o.attemptTimeout = r.Line, r.Path.V, b.AttemptTimeout
-		if b.MaxAttempts > 0 && c.Effect.V != "once" {
-			o.attempts = b.MaxAttempts
+		bounds := a.routeTable.Bounds()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
+		policy := base
+		policy.line, policy.path, policy.attemptTimeout = r.Line, r.Path.V, bounds.AttemptTimeout
+		if bounds.MaxAttempts > 0 && c.Effect.V != "once" {
+			policy.attempts = bounds.MaxAttempts
 		}
-		if b.DeadlineCap > 0 {
-			o.deadline = min(o.deadline, b.DeadlineCap)
+		if bounds.DeadlineCap > 0 {
+			policy.deadline = min(policy.deadline, bounds.DeadlineCap)
 		}
-		o.maxBackoff = routes.MaxTotalBackoff(b, o.attempts)
+		policy.maxBackoff = routes.MaxTotalBackoff(bounds, policy.attempts)
 		if r.Path.V == "" {
-			all[0] = o
+			policies[0] = policy
 		} else {
-			all = append(all, o)
+			policies = append(policies, policy)
 		}
 	}
-	return all
+	return policies
 }
 
+// firstNonEmpty returns s, or other if s is empty.
 func firstNonEmpty(s, other string) string {
 	if s != "" {
 		return s
@@ -341,53 +347,54 @@
 	return other
 }
 
-// chain is the worst that can become of a class's requests from a sidecar on.
+// hop is one sidecar in the call chains of a class, with the worst case over all
+// chains through it.
 type hop struct {
 	app              *App
 	class            string
 	policies         []requestPolicy
-	entries          []*serviceEntry // by which requests come
-	next             *serviceEntry   // where its requests go; nil: to the end
-	attempts         int             // at the far end, in product
-	lastAttemptAfter time.Duration   // when the last may go out there, after the first
-	minTimeLeft      time.Duration   // the least time that such a request may come with
-	caller           *hop            // from whom
+	entries          []*serviceEntry // through which requests arrive
+	next             *serviceEntry   // where its requests go; nil: no sidecar follows
+	attempts         int             // at the end of the chain: the product from this sidecar on
+	lastAttemptAfter time.Duration   // from the first attempt there to the last
+	minTimeLeft      time.Duration   // of an arriving request
+	caller           *hop            // from which a request arrives with minTimeLeft
 }
 
-// entry is a service for one class: what all that call it share, so that there
-// are no more edges than descriptions.
+// serviceEntry is a service for one class. All hops that call it share it, so that
+// the number of edges is linear in the number of descriptions.
 type serviceEntry struct {
 	members          []*hop
-	worstMember      *hop // of these, with the most attempts
+	worstMember      *hop // of members, the one with the most attempts
 	attempts         int
 	lastAttemptAfter time.Duration
-	minTimeGiven     time.Duration // the least that a caller's attempt has
+	minTimeGiven     time.Duration // of an attempt of any caller
 	caller           *hop
 }
 
-// follow finds out what chained sidecars make of each other's attempts and time.
-// There must be no loop.
+// checkChains computes how attempts multiply and time is used up along call chains,
+// and reports chains that exceed their limits. There must be no cycle.
 func (s *Set) checkChains(findings *Findings) {
-	var order []*hop // inner before outer
-	type place struct{ service, class string }
-	entries := map[place]*serviceEntry{}
+	var order []*hop // callees before callers
+	type serviceClass struct{ service, class string }
+	entries := map[serviceClass]*serviceEntry{}
 	var visit func(a *App, class string) *hop
 	enter := func(service, class string) *serviceEntry {
-		at := place{service, class}
-		if e, there := entries[at]; there {
+		key := serviceClass{service, class}
+		if e, exists := entries[key]; exists {
 			return e
 		}
 		var e *serviceEntry
-		for _, b := range s.appsByService[service] {
+		for _, app := range s.appsByService[service] {
 			if e == nil {
 				e = &serviceEntry{minTimeGiven: math.MaxInt64}
 			}
-			if contains(b.Classes.V, class) {
-				e.members = append(e.members, visit(b, class))
+			if contains(app.Classes.V, class) {
+				e.members = append(e.members, visit(app, class))
 				continue
 			}
-			for _, other := range b.Classes.V {
-				e.members = append(e.members, visit(b, other))
+			for _, other := range app.Classes.V {
+				e.members = append(e.members, visit(app, other))
 			}
 		}
 		for _, m := range e.allMembers() {
@@ -397,32 +404,33 @@
 			}
 			e.attempts, e.lastAttemptAfter = max(e.attempts, m.attempts), max(e.lastAttemptAfter, m.lastAttemptAfter)
 		}
-		entries[at] = e
+		entries[key] = e
 		return e
 	}
 	visit = func(a *App, class string) *hop {
 		key := a.Name.V + "\x00" + class
-		if c := s.hops[key]; c != nil {
-			return c
+		if h := s.hops[key]; h != nil {
+			return h
 		}
-		c := &hop{app: a, class: class, policies: a.requestPolicies(s.Platform, class), minTimeLeft: math.MaxInt64}
-		s.hops[key] = c
-		c.next = enter(a.Service.V, class)
-		s.checkAttempts(c, findings)
-		order = append(order, c)
-		return c
+		h := &hop{app: a, class: class, policies: a.requestPolicies(s.Platform, class), minTimeLeft: math.MaxInt64}
+		s.hops[key] = h
+		h.next = enter(a.Service.V, class)
+		s.checkAttempts(h, findings)
+		order = append(order, h)
+		return h
 	}
 	for _, a := range s.Apps {
 		for _, class := range a.Classes.V {
 			visit(a, class)
 		}
 	}
-	slices.Reverse(order) // outer before inner
-	for _, c := range order {
-		s.checkTimeLeft(c, findings)
+	slices.Reverse(order) // callers before callees
+	for _, h := range order {
+		s.checkTimeLeft(h, findings)
 	}
 }
 
+// allMembers returns the members; none of a nil entry.
 func (e *serviceEntry) allMembers() []*hop {
 	if e == nil {
 		return nil
@@ -430,104 +438,107 @@
 	return e.members
 }
 
-// sum adds up attempts and sends of a chain from its inner end.
-func (s *Set) checkAttempts(c *hop, findings *Findings) {
-	class := s.Platform.class(c.class)
-	for i := range c.policies {
-		o := &c.policies[i]
-		attempts, last := o.attempts, o.lastAttemptAfter()
-		if n := c.next; n != nil {
-			attempts = max(attempts, o.attempts*n.attempts)
-			last = max(last, min(o.deadline, o.lastAttemptAfter()+n.lastAttemptAfter))
-		}
-		c.attempts, c.lastAttemptAfter = max(c.attempts, attempts), max(c.lastAttemptAfter, last)
-	}
-	if class == nil || c.next == nil {
+// checkAttempts computes the attempts of a hop and the time of its last one, from
+// those of the hops that follow, and reports too many or too late ones.
+func (s *Set) checkAttempts(h *hop, findings *Findings) {
+	class := s.Platform.class(h.class)
+	for i := range h.policies {
+		policy := &h.policies[i]
+		attempts, last := policy.attempts, policy.lastAttemptAfter()
+		if next := h.next; next != nil {
+			attempts = max(attempts, policy.attempts*next.attempts)
+			last = max(last, min(policy.deadline, policy.lastAttemptAfter()+next.lastAttemptAfter))
+		}
+		h.attempts, h.lastAttemptAfter = max(h.attempts, attempts), max(h.lastAttemptAfter, last)
+	}
+	if class == nil || h.next == nil {
 		return
 	}
-	line := max(c.busiestRouteLine(), 1)
-	if c.attempts > 4 {
-		findings.add(AttemptsMultiply, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "4 along the chain",
-			fmt.Sprintf("a request of class %s is tried up to %d times along %s", c.class, c.attempts, c.downstreamPath()))
+	line := max(h.busiestRouteLine(), 1)
+	if h.attempts > 4 {
+		findings.add(AttemptsMultiply, h.app.File, line, "attempts", fmt.Sprint(h.attempts), "4 along the chain",
+			fmt.Sprintf("a request of class %s is tried up to %d times along %s", h.class, h.attempts, h.downstreamPath()))
 	}
-	if window := time.Duration(0.9 * float64(class.Window.V)); class.Effect.V == "keyed" && window > 0 && c.lastAttemptAfter > window {
-		findings.add(ChainExceedsWindow, c.app.File, line, "attempts", fmt.Sprint(c.attempts), "the last send at most "+window.String()+" after the first",
+	if window := time.Duration(0.9 * float64(class.Window.V)); class.Effect.V == "keyed" && window > 0 && h.lastAttemptAfter > window {
+		findings.add(ChainExceedsWindow, h.app.File, line, "attempts", fmt.Sprint(h.attempts), "the last send at most "+window.String()+" after the first",
 			fmt.Sprintf("the last attempt for a request of class %s may go out %v after the first along %s; its key is kept for %v",
-				c.class, c.lastAttemptAfter, c.downstreamPath(), class.Window.V))
+				h.class, h.lastAttemptAfter, h.downstreamPath(), class.Window.V))
 	}
 }
 
-// line is where the route that allows the most attempts stands, or the classes.
-func (c *hop) busiestRouteLine() int {
-	line, most := c.app.Classes.Line, 0
-	for _, o := range c.policies {
-		if o.attempts > most && o.line > 0 {
-			line, most = o.line, o.attempts
+// busiestRouteLine returns the line of the route with the most attempts, or that of
+// the classes if there is no route.
+func (h *hop) busiestRouteLine() int {
+	line, most := h.app.Classes.Line, 0
+	for _, policy := range h.policies {
+		if policy.attempts > most && policy.line > 0 {
+			line, most = policy.line, policy.attempts
 		}
 	}
 	return line
 }
 
-// path names the sidecars of a chain, the longest way.
-func (c *hop) downstreamPath() string {
-	var all []string
-	for ; c != nil; c = c.nextHop() {
-		all = append(all, c.app.Name.V)
+// downstreamPath names the sidecars from this one on, along the most attempts.
+func (h *hop) downstreamPath() string {
+	var names []string
+	for ; h != nil; h = h.nextHop() {
+		names = append(names, h.app.Name.V)
 	}
-	return strings.Join(all, " -> ")
+	return strings.Join(names, " -> ")
 }
 
-// inner is the next sidecar, by the one with the most attempts; nil: there is none.
-func (c *hop) nextHop() *hop {
-	if c.next == nil {
+// nextHop returns the following hop with the most attempts; nil at the end.
+func (h *hop) nextHop() *hop {
+	if h.next == nil {
 		return nil
 	}
-	return c.next.worstMember
+	return h.next.worstMember
 }
 
-// callers names the sidecars by which the least time comes.
-func (c *hop) upstreamPath() string {
-	var all []string
-	for ; c != nil; c = c.caller {
-		all = append(all, c.app.Name.V)
-	}
-	slices.Reverse(all)
-	return strings.Join(all, " -> ")
+// upstreamPath names the sidecars up to this one, along the least time left.
+func (h *hop) upstreamPath() string {
+	var names []string
+	for ; h != nil; h = h.caller {
+		names = append(names, h.app.Name.V)
+	}
+	slices.Reverse(names)
+	return strings.Join(names, " -> ")
 }
 
-// spend takes from the time of a chain what each of its sidecars uses.
-func (s *Set) checkTimeLeft(c *hop, findings *Findings) {
-	for _, e := range c.entries { // all callers have been here before
-		if left := max(0, e.minTimeGiven-c.app.WorkTime.V); e.caller != nil && left < c.minTimeLeft {
-			c.minTimeLeft, c.caller = left, e.caller
-		}
-	}
-	if c.caller != nil {
-		left, needs := c.minTimeLeft, time.Duration(0)
-		for i := range c.policies {
-			o := &c.policies[i]
-			if o.attemptTimeout > 0 {
-				needs = max(needs, time.Duration(o.attempts)*o.attemptTimeout+o.maxBackoff)
+// checkTimeLeft computes the least time that requests arrive with at a hop, reports
+// a hop where that is too short, and passes the rest on to the following hops.
+func (s *Set) checkTimeLeft(h *hop, findings *Findings) {
+	for _, e := range h.entries { // their callers have been visited already
+		if left := max(0, e.minTimeGiven-h.app.WorkTime.V); e.caller != nil && left < h.minTimeLeft {
+			h.minTimeLeft, h.caller = left, e.caller
+		}
+	}
+	if h.caller != nil {
+		left, needed := h.minTimeLeft, time.Duration(0)
+		for i := range h.policies {
+			policy := &h.policies[i]
+			if policy.attemptTimeout > 0 {
+				needed = max(needed, time.Duration(policy.attempts)*policy.attemptTimeout+policy.maxBackoff)
 			}
 		}
-		line := max(c.busiestRouteLine(), 1)
-		if least := s.Platform.Limits.AnswerGrace.V + time.Millisecond; left < least {
-			findings.add(NoTimeLeft, c.app.File, line, "classes", quote(c.class), "more than "+least.String(),
-				fmt.Sprintf("a request of class %s comes to the sidecar with %v along %s", c.class, left, c.upstreamPath()))
-			return // what lies behind has no more
+		line := max(h.busiestRouteLine(), 1)
+		if required := s.Platform.Limits.AnswerGrace.V + time.Millisecond; left < required {
+			findings.add(NoTimeLeft, h.app.File, line, "classes", quote(h.class), "more than "+required.String(),
+				fmt.Sprintf("a request of class %s comes to the sidecar with %v along %s", h.class, left, h.upstreamPath()))
+			return // the following hops would only repeat the finding
 		}
-		if needs > left {
-			findings.add(InsufficientTime, c.app.File, line, "attempts", quote(c.class), "in all at most "+left.String(),
-				fmt.Sprintf("its attempts take %v, and a request may come with %v along %s", needs, left, c.upstreamPath()))
+		if needed > left {
+			findings.add(InsufficientTime, h.app.File, line, "attempts", quote(h.class), "in all at most "+left.String(),
+				fmt.Sprintf("its attempts take %v, and a request may come with %v along %s", needed, left, h.upstreamPath()))
 		}
 	}
-	if c.next == nil {
+	if h.next == nil {
 		return
 	}
-	for i := range c.policies {
-		o := &c.policies[i]
-		if gives := min(o.maxAttemptTime(), c.minTimeLeft); gives < c.next.minTimeGiven {
-			c.next.minTimeGiven, c.next.caller = gives, c
+	for i := range h.policies {
+		policy := &h.policies[i]
+		if given := min(policy.maxAttemptTime(), h.minTimeLeft); given < h.next.minTimeGiven {
+			h.next.minTimeGiven, h.next.caller = given, h
 		}
 	}
 }
