--- a/internal/operators/apps/apps_test.go
+++ b/internal/operators/apps/apps_test.go
@@ -40,13 +40,14 @@
 nodes = 3
 `
 
-// app is a description, with more lines.
-func app(name, service, classes, more string) string {
+// appText returns a description with additional lines.
+func appText(name, service, classes, more string) string {
 	return "schema = 1\nname = \"" + name + "\"\nsites = [\"zuerich\"]\nservice = \"" + service + "\"\nclasses = [" + classes + "]\n" + more
 }
 
-// set reads descriptions, by file and text in turns, and wants no error.
-func set(t *testing.T, texts ...string) (*Set, Sources) {
+// readSet reads descriptions, given as file names and texts in turn, and fails the
+// test if a finding is an error.
+func readSet(t *testing.T, texts ...string) (*Set, Sources) {
 	t.Helper()
 	var findings Findings
 	p := ReadPlatform("platform.toml", []byte(platformText), &findings)
@@ -63,10 +64,10 @@
 	return s, sources
 }
 
-func TestAddressesThatMeet(t *testing.T) {
+func TestConflictingAddresses(t *testing.T) {
 	for _, x := range []struct {
-		a, b string
-		meet bool
+		a, b     string
+		conflict bool
 	}{
 		{"127.0.0.1:80", "127.0.0.1:80", true}, {"127.0.0.1:80", "127.0.0.1:81", false}, {"127.0.0.1:80", "127.0.0.2:80", false},
 		{"127.0.0.1:80", "0.0.0.0:80", true}, {"127.0.0.1:80", "[::]:80", true}, {"[::1]:80", "[::]:80", true},
@@ -74,16 +75,16 @@
 		{"[::ffff:0.0.0.0]:80", "127.0.0.1:80", true}, {"0.0.0.0:80", "[::]:80", true},
 	} {
 		a, b := netip.MustParseAddrPort(x.a), netip.MustParseAddrPort(x.b)
-		if conflicts(a, b) != x.meet || conflicts(b, a) != x.meet {
-			t.Errorf("%s and %s: %v", a, b, !x.meet)
+		if conflicts(a, b) != x.conflict || conflicts(b, a) != x.conflict {
+			t.Errorf("conflicts(%s, %s) is %v", a, b, !x.conflict)
 		}
 	}
 }
 
-// What is written must say to the node what the description and the platform
-// say, and a share must never be more than what it says.
-func TestWhatTheNodeIsTold(t *testing.T) {
-	s, sources := set(t, "a.toml", app("a", "boxen", `"stoerung"`, "port = 15001\nshare = 0.3\nmemory_mb = 48\ncores = 0.5\ncommand = [\"/bin/a\", \"<&>\"]\n"))
+// The generated configuration must have the values of the description and the
+// platform, and a share must be rounded so that it never grows.
+func TestGeneratedNodeConfig(t *testing.T) {
+	s, sources := readSet(t, "a.toml", appText("a", "boxen", `"stoerung"`, "port = 15001\nshare = 0.3\nmemory_mb = 48\ncores = 0.5\ncommand = [\"/bin/a\", \"<&>\"]\n"))
 	all := s.Generate(sources)
 	if len(all) != 2 {
 		t.Fatalf("%d files", len(all))
@@ -110,50 +111,49 @@
 		t.Errorf("%+v", got)
 	}
 	if !strings.Contains(string(all[0].Text), `"<&>"`) {
-		t.Error("the command is written otherwise than it stands")
+		t.Error("the command is escaped differently from the description")
 	}
 	for share, parts := range map[float64]int{1: 1, 0.5: 2, 0.3: 4, 1.0 / 3: 3, 0.1: 10, 0.07: 15} {
 		a := App{BudgetShare: Located[float64]{V: share}}
 		if got := a.budgetParts(); got != parts {
-			t.Errorf("a share of %v makes %d parts, want %d", share, got, parts)
+			t.Errorf("share %v: %d budget parts, want %d", share, got, parts)
 		}
 	}
 }
 
-// A sidecar's files must not change because another one came or went: only the
-// new one's do.
-func TestOthersChangeNothing(t *testing.T) {
-	a, b := app("a", "boxen", `"zustand"`, "port = 15001\n"), app("b", "boxen", `"zustand"`, "port = 15002\n")
-	one, sources := set(t, "a.toml", a)
-	two, more := set(t, "a.toml", a, "b.toml", b)
-	first, second := one.Generate(sources), two.Generate(more)
-	if len(second) != 2*len(first) {
-		t.Fatalf("%d and %d files", len(first), len(second))
+// Adding or removing an application must not change the files of the others.
+func TestFilesDependOnOwnDescriptionOnly(t *testing.T) {
+	a, b := appText("a", "boxen", `"zustand"`, "port = 15001\n"), appText("b", "boxen", `"zustand"`, "port = 15002\n")
+	alone, sources := readSet(t, "a.toml", a)
+	together, bothSources := readSet(t, "a.toml", a, "b.toml", b)
+	filesAlone, filesTogether := alone.Generate(sources), together.Generate(bothSources)
+	if len(filesTogether) != 2*len(filesAlone) {
+		t.Fatalf("%d and %d files", len(filesAlone), len(filesTogether))
 	}
-	for i := range first {
+	for i := range filesAlone {
 		found := false
-		for _, w := range second {
-			found = found || w.Path == first[i].Path && string(w.Text) == string(first[i].Text)
+		for _, w := range filesTogether {
+			found = found || w.Path == filesAlone[i].Path && string(w.Text) == string(filesAlone[i].Text)
 		}
 		if !found {
-			t.Errorf("%s changed", first[i].Path)
+			t.Errorf("%s changed", filesAlone[i].Path)
 		}
 	}
 }
 
-// Any byte of a written file that changes must show in its sum.
-func TestSeal(t *testing.T) {
-	s, sources := set(t, "a.toml", app("a", "boxen", `"zustand"`, "port = 15001\n[[route]]\nclass = \"zustand\"\nattempts = 2\n"))
+// The checksum of a generated file must detect a change of any byte.
+func TestChecksumDetectsChanges(t *testing.T) {
+	s, sources := readSet(t, "a.toml", appText("a", "boxen", `"zustand"`, "port = 15001\n[[route]]\nclass = \"zustand\"\nattempts = 2\n"))
 	for _, w := range s.Generate(sources) {
 		for i := range w.Text {
 			edited := []byte(string(w.Text))
 			edited[i] ^= 1
-			if sealed, _ := VerifyChecksum(edited); sealed {
-				t.Fatalf("%s: byte %d of %d was changed and does not show", w.Path, i, len(w.Text))
+			if valid, _ := VerifyChecksum(edited); valid {
+				t.Fatalf("%s: the change of byte %d of %d is not detected", w.Path, i, len(w.Text))
 			}
 		}
-		if sealed, _ := VerifyChecksum(append([]byte(string(w.Text)), '\n')); sealed {
-			t.Errorf("%s: a line more does not show", w.Path)
+		if valid, _ := VerifyChecksum(append([]byte(string(w.Text)), '\n')); valid {
+			t.Errorf("%s: an appended line is not detected", w.Path)
 		}
 	}
 }
@@ -173,10 +173,11 @@
 	}
 }
 
-// Explain must name the line that each value comes from: the most specific route
-// that has it, then the platform, then nobody; and multiply along the chain.
+// Explain must name the line that sets each value: in the most specific route that
+// sets it, else in the platform, else none (default). Attempts multiply along the
+// chain.
 func TestExplain(t *testing.T) {
-	outer := app("outer", "boxen", `"stoerung"`, `port = 15001
+	outer := appText("outer", "boxen", `"stoerung"`, `port = 15001
 [[route]]
 class = "stoerung"
 attempts = 2
@@ -186,7 +187,7 @@
 path = "/stoerung/kurz"
 attempt_timeout = "1s"
 `)
-	inner := app("inner", "archiv", `"stoerung"`, `port = 15002
+	inner := appText("inner", "archiv", `"stoerung"`, `port = 15002
 serves = "boxen"
 work = "100ms"
 [[route]]
@@ -194,7 +195,7 @@
 attempts = 2
 attempt_timeout = "400ms"
 `)
-	s, _ := set(t, "outer.toml", outer, "inner.toml", inner)
+	s, _ := readSet(t, "outer.toml", outer, "inner.toml", inner)
 	for _, x := range []struct {
 		path, route, timeout, from string
 		left                       time.Duration
@@ -203,38 +204,38 @@
 		{"/stoerung/kurz/1", "outer.toml:11", "1s", "outer.toml:14", 900 * time.Millisecond},
 		{"/stoerung/kurzum", "outer.toml:7", "2s", "outer.toml:10", 1900 * time.Millisecond},
 	} {
-		e, err := s.Explain("outer", "stoerung", x.path)
+		explanation, err := s.Explain("outer", "stoerung", x.path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		rows := map[string]Row{}
-		for _, r := range e.Rows {
-			rows[r.Key] = r
+		for _, row := range explanation.Rows {
+			rows[row.Key] = row
 		}
-		if e.Route != x.route || rows["attempt_timeout"] != (Row{"attempt_timeout", x.timeout, x.from}) {
-			t.Errorf("%s: %s, %+v", x.path, e.Route, rows["attempt_timeout"])
+		if explanation.Route != x.route || rows["attempt_timeout"] != (Row{"attempt_timeout", x.timeout, x.from}) {
+			t.Errorf("%s: %s, %+v", x.path, explanation.Route, rows["attempt_timeout"])
 		}
 		if rows["attempts"] != (Row{"attempts", "2", "outer.toml:9"}) || rows["deadline"] != (Row{"deadline", "6s", "platform.toml:13"}) ||
 			rows["deadline_cap"].From != "default" || rows["share"].From != "platform.toml:24" {
 			t.Errorf("%s: %+v", x.path, rows)
 		}
-		if len(e.Chain) != 2 || e.Chain[1].CumulativeAttempts != 4 || e.Chain[1].MinTimeLeft != x.left || e.Chain[1].MaxTotalTime != 800*time.Millisecond {
-			t.Errorf("%s: %+v", x.path, e.Chain)
+		if len(explanation.Chain) != 2 || explanation.Chain[1].CumulativeAttempts != 4 || explanation.Chain[1].MinTimeLeft != x.left || explanation.Chain[1].MaxTotalTime != 800*time.Millisecond {
+			t.Errorf("%s: %+v", x.path, explanation.Chain)
 		}
 	}
 	for _, bad := range [][2]string{{"nobody", "stoerung"}, {"outer", "zustand"}} {
 		if _, err := s.Explain(bad[0], bad[1], ""); err == nil {
-			t.Errorf("%v was explained", bad)
+			t.Errorf("%v: want an error", bad)
 		}
 	}
 }
 
-// FuzzReadApp: no text may break the reading; each finding has a line of the
-// text, a level and words; and what has no error is written in a form that the
-// node's settings take.
+// FuzzReadApp checks that no text makes the reader panic, that each finding has a
+// line within the text, a level, a rule and a message, and that the files generated
+// from a description without errors have a valid checksum.
 func FuzzReadApp(f *testing.F) {
-	f.Add(app("a", "boxen", `"zustand"`, "port = 15001\n"))
-	f.Add(app("ü", "boxen", `"stoerung"`, "socket = \"/run/x\"\nshare = 0.01\n[[route]]\nclass = \"stoerung\"\nattempts = 2\n[route.backoff]\nfirst = \"1ms\"\n"))
+	f.Add(appText("a", "boxen", `"zustand"`, "port = 15001\n"))
+	f.Add(appText("ü", "boxen", `"stoerung"`, "socket = \"/run/x\"\nshare = 0.01\n[[route]]\nclass = \"stoerung\"\nattempts = 2\n[route.backoff]\nfirst = \"1ms\"\n"))
 	f.Add("schema = 1\n[[route]]\n[route]\n")
 	f.Add("a.b = {c = [1]}\n[[route.x]]\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -252,8 +253,8 @@
 			return
 		}
 		for _, w := range s.Generate(Sources{"platform.toml": []byte(platformText), "a.toml": []byte(text)}) {
-			if sealed, marked := VerifyChecksum(w.Text); !sealed || !marked {
-				t.Errorf("%s is not sealed", w.Path)
+			if valid, present := VerifyChecksum(w.Text); !valid || !present {
+				t.Errorf("%s has no valid checksum", w.Path)
 			}
 		}
 	})
--- a/internal/operators/apps/generate.go
+++ b/internal/operators/apps/generate.go
@@ -17,19 +17,20 @@
 	"curlewring/internal/operators/settings"
 )
 
-// nodeSettings are the settings that a sidecar's node goes by.
+// nodeSettings are the settings of an application's sidecars, encoded and decoded.
 type nodeSettings struct {
 	classes []string
 	json    json.RawMessage
 	decide  decide.Settings
 }
 
+// routesEnv returns what package routes needs to check route tables.
 func (n *nodeSettings) routesEnv() routes.Env {
 	return routes.Env{Classes: n.classes, Settings: n.decide}
 }
 
-// The settings object, in the order in which it is written. The names are those
-// of the platform's page, as package settings reads them.
+// settingsJSON is the settings object in the order in which it is written. Package
+// settings reads the same keys.
 type settingsJSON struct {
 	Categories  []categoryJSON  `json:"categories"`
 	Limits      limitsJSON      `json:"limits"`
@@ -84,8 +85,8 @@
 	AnswerGrace  time.Duration `json:"grace_to_answer_ns"`
 }
 
-// node makes the settings of an application's sidecars, less what differs from
-// host to host; nil where the platform lacks what is needed for it.
+// makeNodeSettings builds the settings of an application's sidecars without the
+// values that depend on the host; nil if the platform is not complete enough.
 func (a *App) makeNodeSettings(p *Platform) *nodeSettings {
 	text := a.settingsFor(p, "", firstNonEmpty(firstOrEmpty(a.Sites.V), "-"))
 	n := &nodeSettings{json: text}
@@ -93,27 +94,29 @@
 	if json.Unmarshal(text, &object) != nil {
 		return nil
 	}
-	set, err := object.Translate()
+	translated, err := object.Translate()
 	if err != nil {
 		return nil
 	}
-	n.decide = set
-	for _, c := range object.Categories {
-		n.classes = append(n.classes, c.Name)
+	n.decide = translated
+	for _, category := range object.Categories {
+		n.classes = append(n.classes, category.Name)
 	}
 	return n
 }
 
-func firstOrEmpty(all []string) string {
-	if len(all) > 0 {
-		return all[0]
+// firstOrEmpty returns the first element, or "" of an empty list.
+func firstOrEmpty(list []string) string {
+	if len(list) > 0 {
+		return list[0]
 	}
 	return ""
 }
 
-// settingsFor makes the settings of a sidecar on a host.
+// settingsFor encodes the settings of a sidecar on a host; nil if they can't be
+// encoded.
 func (a *App) settingsFor(p *Platform, host, site string) json.RawMessage {
-	t := settingsJSON{
+	object := settingsJSON{
 		Limits: limitsJSON{
 			Cancel: true, ConnIdle: p.Limits.ConnIdle.V, ConnectTimeout: p.Limits.ConnectTimeout.V, SecondCopies: p.Limits.SecondCopies.V,
 			RetryAfter: p.Limits.MaxRetryAfter.V > 0, MaxRetryAfter: p.Limits.MaxRetryAfter.V, MaxTries: p.Limits.MaxAttempts.V, StreamsPerConn: 1,
@@ -125,39 +128,39 @@
 		Areas: p.Sites.V, Me: a.instanceNumber(host), Instances: a.budgetParts(), RegistryMode: "subscribe", Tiers: []string{firstNonEmpty(a.Service.V, "-")},
 		WeightSource: "none", Zone: site,
 	}
-	t.Callers.MarksRetry, t.Family.PassesDeadline = true, true
-	words := map[string]string{"repeatable": "repeatable", "keyed": "by_key", "once": "once"}
+	object.Callers.MarksRetry, object.Family.PassesDeadline = true, true
+	semantics := map[string]string{"repeatable": "repeatable", "keyed": "by_key", "once": "once"}
 	groups := map[string]string{"all": "all", "site": "zone", "rack": "cell"}
 	for _, name := range a.Classes.V {
 		if c := p.class(name); c != nil {
-			t.Categories = append(t.Categories, categoryJSON{
-				Name: name, Aim: c.Aim.V, Deadline: c.Deadline.V, Worth: c.Worth.V, Semantics: words[c.Effect.V],
+			object.Categories = append(object.Categories, categoryJSON{
+				Name: name, Aim: c.Aim.V, Deadline: c.Deadline.V, Worth: c.Worth.V, Semantics: semantics[c.Effect.V],
 				Group: firstNonEmpty(groups[c.Group.V], "all"), KeyTTL: c.Window.V,
 			})
 		}
 	}
-	text, err := json.Marshal(t)
-	if err != nil { // numbers that are none, which the reading keeps out
+	text, err := json.Marshal(object)
+	if err != nil { // only NaN or an infinity, which the reader rejects
 		return nil
 	}
 	return text
 }
 
-// number is a sidecar's among all nodes. It depends on nothing but names, so
-// that no other application changes it; two may share one.
+// instanceNumber returns the sidecar's number among all nodes. It is a hash of names
+// only, so that other applications never change it; two sidecars may share one.
 func (a *App) instanceNumber(host string) int {
-	h := fnv.New32a()
-	h.Write([]byte(a.Name.V + "\x00" + host))
-	return int(h.Sum32() >> 12)
+	hash := fnv.New32a()
+	hash.Write([]byte(a.Name.V + "\x00" + host))
+	return int(hash.Sum32() >> 12)
 }
 
-// Written is one file of a set.
+// GeneratedFile is one file of a generated set.
 type GeneratedFile struct {
-	Path string // with slashes, below the set's folder
+	Path string // separated by slashes, relative to the set's folder
 	Text []byte
 }
 
-// What a written file says of itself.
+// provenanceJSON says how a generated file was made.
 type provenanceJSON struct {
 	Generator      string `json:"by"`
 	Source         string `json:"source"`
@@ -166,77 +169,79 @@
 	Checksum       string `json:"sum"`
 }
 
-// By is the writer's name in what it has written.
+// GeneratorName is the generator's name in generated files.
 const GeneratorName = "curlewctl write"
 
-// zeros stand in the place of a file's sum while that is made.
+// checksumPlaceholder stands in for a file's checksum while that is computed.
 func checksumPlaceholder() string { return strings.Repeat("0", checksumLength) }
 
-// Sources are the texts that a set is made of, by the files' names.
+// Sources holds the texts that a set was read from, by file name.
 type Sources map[string][]byte
 
+// sha256Hex returns the SHA-256 of a text in hexadecimal.
 func sha256Hex(text []byte) string {
-	s := sha256.Sum256(text)
-	return hex.EncodeToString(s[:])
+	hash := sha256.Sum256(text)
+	return hex.EncodeToString(hash[:])
 }
 
-// sumMark is in front of a file's own sum, in JSON and in a comment alike.
+// A generated file contains its own checksum behind one of these prefixes.
 const (
 	jsonChecksumPrefix    = `"sum": "`
 	commentChecksumPrefix = "# sum "
 	checksumLength        = sha256.Size * 2
 )
 
-// Sealed tells whether a written file is as it was written; marked says whether
-// it claims to be one.
-func VerifyChecksum(text []byte) (sealed, marked bool) {
-	for _, mark := range []string{jsonChecksumPrefix, commentChecksumPrefix} {
-		at := bytes.Index(text, []byte(mark))
-		if at < 0 || at+len(mark)+checksumLength > len(text) {
+// VerifyChecksum reports whether a file contains a checksum, and whether that
+// matches its text.
+func VerifyChecksum(text []byte) (valid, present bool) {
+	for _, prefix := range []string{jsonChecksumPrefix, commentChecksumPrefix} {
+		start := bytes.Index(text, []byte(prefix))
+		if start < 0 || start+len(prefix)+checksumLength > len(text) {
 			continue
 		}
-		at += len(mark)
-		open := bytes.Clone(text)
-		copy(open[at:], checksumPlaceholder())
-		return sha256Hex(open) == string(text[at:at+checksumLength]), true
+		start += len(prefix)
+		cleared := bytes.Clone(text)
+		copy(cleared[start:], checksumPlaceholder())
+		return sha256Hex(cleared) == string(text[start:start+checksumLength]), true
 	}
 	return false, false
 }
 
-// seal puts a file's sum in the place of the zeros behind the first mark.
-func insertChecksum(text []byte, mark string) []byte {
-	s := sha256Hex(text)
-	at := bytes.Index(text, []byte(mark)) + len(mark)
-	copy(text[at:], s)
+// insertChecksum replaces the placeholder behind the first prefix by the checksum
+// of the text. It changes text in place.
+func insertChecksum(text []byte, prefix string) []byte {
+	checksum := sha256Hex(text)
+	start := bytes.Index(text, []byte(prefix)) + len(prefix)
+	copy(text[start:], checksum)
 	return text
 }
 
-// Write makes all files of a set: for each sidecar on each host its node's
-// configuration, its timing rules where it has any, and its unit. The same
-// sources give the same bytes. The set must hold no error.
+// Generate makes all files of a set: for each sidecar on each host its node's
+// configuration, its route table if it has routes, and its systemd unit. The same
+// sources give the same bytes. The set must be without errors.
 func (s *Set) Generate(sources Sources) []GeneratedFile {
-	all := []GeneratedFile{}
-	shared := sha256Hex(sources[s.Platform.File])
+	files := []GeneratedFile{}
+	platformSHA256 := sha256Hex(sources[s.Platform.File])
 	for _, a := range s.Apps {
-		source := sha256Hex(sources[a.File])
+		sourceSHA256 := sha256Hex(sources[a.File])
 		for _, host := range a.Hosts.V {
 			site := ""
 			if h := s.Platform.host(host); h != nil {
 				site = h.Site.V
 			}
 			dir := path.Join(host, a.Name.V)
-			all = append(all, GeneratedFile{path.Join(dir, "node.json"), a.nodeConfig(s.Platform, host, site, source, shared)})
+			files = append(files, GeneratedFile{path.Join(dir, "node.json"), a.nodeConfig(s.Platform, host, site, sourceSHA256, platformSHA256)})
 			if len(a.routeTables()) > 0 {
-				all = append(all, GeneratedFile{path.Join(dir, "operator.toml"), a.operatorFile(source)})
+				files = append(files, GeneratedFile{path.Join(dir, "operator.toml"), a.operatorFile(sourceSHA256)})
 			}
-			all = append(all, GeneratedFile{path.Join(host, "units", unitName(a.Name.V)), a.systemdUnit(s.Platform, host, source)})
+			files = append(files, GeneratedFile{path.Join(host, "units", unitName(a.Name.V)), a.systemdUnit(s.Platform, host, sourceSHA256)})
 		}
 	}
-	return all
+	return files
 }
 
-// config is a node's configuration.
-func (a *App) nodeConfig(p *Platform, host, site, source, shared string) []byte {
+// nodeConfig generates a node's configuration; nil if it can't be encoded.
+func (a *App) nodeConfig(p *Platform, host, site, sourceSHA256, platformSHA256 string) []byte {
 	type sidecar struct {
 		Application string   `json:"application"`
 		Socket      string   `json:"socket,omitempty"`
@@ -247,7 +252,7 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	}
-	c := struct {
+	config := struct {
 		Schema    int             `json:"schema"`
 		Written   provenanceJSON  `json:"written"`
 		Name      string          `json:"name"`
@@ -260,7 +265,7 @@
 		Settings  json.RawMessage `json:"settings"`
 	}{
 		Schema:    Schema,
-		Written:   provenanceJSON{GeneratorName, path.Base(a.File), source, shared, checksumPlaceholder()},
+		Written:   provenanceJSON{GeneratorName, path.Base(a.File), sourceSHA256, platformSHA256, checksumPlaceholder()},
 		Name:      a.Name.V + "@" + host,
 		Discovery: a.Discovery.V, Seed: sha256Hex([]byte(a.Name.V + "\x00" + host))[:16],
 		Limits:   limits{a.Cores.V, a.MemoryMB.V, a.Descriptors.V},
@@ -269,23 +274,23 @@
 		Settings: a.settingsFor(p, host, site),
 	}
 	if a.listenAddress.IsValid() {
-		c.Listen = a.listenAddress.String()
+		config.Listen = a.listenAddress.String()
 	}
 	var b bytes.Buffer
-	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false)
-	e.SetIndent("", "  ")
-	if err := e.Encode(c); err != nil { // numbers that are none, which the reading keeps out
+	encoder := json.NewEncoder(&b)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", "  ")
+	if err := encoder.Encode(config); err != nil { // only NaN or an infinity, which the reader rejects
 		return nil
 	}
 	return insertChecksum(b.Bytes(), jsonChecksumPrefix)
 }
 
-// operator is the node's file of timing rules: the application's routes in the
-// lines where they stand in its description.
-func (a *App) operatorFile(source string) []byte {
+// operatorFile generates the node's file of route tables from the routes of the
+// application's description.
+func (a *App) operatorFile(sourceSHA256 string) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", GeneratorName, path.Base(a.File), source)
+	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", GeneratorName, path.Base(a.File), sourceSHA256)
 	fmt.Fprintf(&b, "%s%s\n\n", commentChecksumPrefix, checksumPlaceholder())
 	fmt.Fprintf(&b, "route_count = %d\n\n", len(a.routeTables()))
 	b.Write(bytes.TrimLeft(a.Routes, "\n"))
@@ -295,6 +300,7 @@
 	return insertChecksum(b.Bytes(), commentChecksumPrefix)
 }
 
+// routeTables returns the routes of the description; none if they were not read.
 func (a *App) routeTables() []routes.Route {
 	if a.routesFile == nil {
 		return nil
@@ -302,8 +308,8 @@
 	return a.routesFile.Routes
 }
 
-// unitName is the unit's name, escaped as systemd does it (systemd.unit(5),
-// "String escaping for inclusion in unit names").
+// unitName returns the name of a sidecar's unit, escaped by the rules of systemd
+// (systemd.unit(5), "String escaping for inclusion in unit names").
 func unitName(name string) string {
 	var b strings.Builder
 	b.WriteString("curlewring-")
@@ -320,31 +326,32 @@
 	return b.String()
 }
 
-// unit is the sidecar's systemd unit (systemd.service(5), systemd.resource-control(5)).
-// With a command the sidecar starts its application; else the application's own
-// unit is bound to it: Requires= and After= in that, PartOf= in this one.
-func (a *App) systemdUnit(p *Platform, host, source string) []byte {
+// systemdUnit generates the sidecar's unit (systemd.service(5),
+// systemd.resource-control(5)). With a command the sidecar starts its application.
+// Without one the application's own unit has to be bound to the sidecar's: Requires=
+// and After= there, Before= and PartOf= here.
+func (a *App) systemdUnit(p *Platform, host, sourceSHA256 string) []byte {
 	dir := path.Join("/etc/curlewring/current", host, a.Name.V)
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", GeneratorName, path.Base(a.File), source)
+	fmt.Fprintf(&b, "# written by %s from %s (sha256 %s): edit that\n", GeneratorName, path.Base(a.File), sourceSHA256)
 	fmt.Fprintf(&b, "%s%s\n\n", commentChecksumPrefix, checksumPlaceholder())
 	fmt.Fprintf(&b, "[Unit]\nDescription=curlewring beside %s\nAfter=network.target\nStartLimitIntervalSec=0\n", escapeUnitWord(a.Application.V))
 	if len(a.Command.V) == 0 {
 		fmt.Fprintf(&b, "Before=%s.service\nPartOf=%s.service\n", unitNamePart(a.Application.V), unitNamePart(a.Application.V))
 	}
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, name := range a.Classes.V {
 		if c := p.class(name); c != nil {
-			longest = max(longest, c.Deadline.V)
+			longestDeadline = max(longestDeadline, c.Deadline.V)
 		}
 	}
-	exec := escapeUnitWord(p.Sidecar.Binary.V)
+	command := escapeUnitWord(p.Sidecar.Binary.V)
 	if len(a.routeTables()) > 0 {
-		exec += " --operator " + escapeUnitWord(path.Join(dir, "operator.toml"))
+		command += " --operator " + escapeUnitWord(path.Join(dir, "operator.toml"))
 	}
 	fmt.Fprintf(&b, "\n[Service]\nType=exec\nUser=%s\nEnvironment=%s\nExecStart=%s\nExecReload=/bin/kill -HUP $MAINPID\n",
-		escapeUnitWord(p.Sidecar.User.V), escapeUnitWord("LB_CONFIG="+path.Join(dir, "node.json")), exec)
-	fmt.Fprintf(&b, "Restart=always\nRestartSec=200ms\nKillSignal=SIGTERM\nKillMode=mixed\nTimeoutStopSec=%ds\n", int((longest + 5*time.Second).Seconds()))
+		escapeUnitWord(p.Sidecar.User.V), escapeUnitWord("LB_CONFIG="+path.Join(dir, "node.json")), command)
+	fmt.Fprintf(&b, "Restart=always\nRestartSec=200ms\nKillSignal=SIGTERM\nKillMode=mixed\nTimeoutStopSec=%ds\n", int((longestDeadline + 5*time.Second).Seconds()))
 	if a.Socket.IsSet() {
 		if dir, ok := strings.CutPrefix(path.Dir(a.Socket.V), "/run/"); ok && !strings.Contains(dir, "/") {
 			fmt.Fprintf(&b, "RuntimeDirectory=%s\nRuntimeDirectoryPreserve=yes\n", escapeUnitWord(dir))
@@ -357,12 +364,13 @@
 	return insertChecksum(b.Bytes(), commentChecksumPrefix)
 }
 
+// unitNamePart returns a name escaped for use in the name of a unit.
 func unitNamePart(name string) string {
 	return strings.TrimSuffix(strings.TrimPrefix(unitName(name), "curlewring-"), ".service")
 }
 
-// escaped quotes a word of a unit (systemd.syntax(7), "Quoting"); percent signs
-// and dollars would be replaced.
+// escapeUnitWord quotes a word of a unit (systemd.syntax(7), "Quoting") and escapes
+// percent signs and dollars, which systemd would expand.
 func escapeUnitWord(s string) string {
 	s = strings.NewReplacer("%", "%%", "$", "$$").Replace(s)
 	if strings.ContainsAny(s, " \t\"'\\;") {
@@ -371,6 +379,7 @@
 	return s
 }
 
+// routeAt returns the route that begins in a line; an empty one if there is none.
 func (a *App) routeAt(line int) *routes.Route {
 	for i := range a.routeTables() {
 		if a.routesFile.Routes[i].Line == line {
--- a/internal/operators/apps/limits_test.go
+++ b/internal/operators/apps/limits_test.go
@@ -6,29 +6,30 @@
 	"testing"
 )
 
-// An application runs on as many hosts as are planned; above the bound the finding names key, value and bound.
+// An application may name as many hosts as a fleet is planned to have. A list above
+// the bound must give a finding that names key and bound.
 func TestManyHosts(t *testing.T) {
 	hosts := func(n int) (platform, list string) {
-		var all, names strings.Builder
+		var tables, names strings.Builder
 		for i := range n {
-			fmt.Fprintf(&all, "[[host]]\nname = \"h%04d\"\nsite = \"zuerich\"\n", i)
+			fmt.Fprintf(&tables, "[[host]]\nname = \"h%04d\"\nsite = \"zuerich\"\n", i)
 			fmt.Fprintf(&names, "\"h%04d\", ", i)
 		}
-		return platformText + all.String(), app("a", "boxen", `"zustand"`, "port = 15001\nhosts = ["+names.String()+"]\n")
+		return platformText + tables.String(), appText("a", "boxen", `"zustand"`, "port = 15001\nhosts = ["+names.String()+"]\n")
 	}
-	const planned = 5400
-	platform, text := hosts(planned)
+	const plannedHosts = 5400
+	platform, text := hosts(plannedHosts)
 	var findings Findings
-	p := ReadPlatform("platform.toml", []byte(platform), &findings)
-	a := ReadApp("a.toml", []byte(text), p, &findings)
-	if findings.Worst() == 2 || len(p.Hosts) != planned+1 || len(a.Hosts.V) != planned {
-		t.Errorf("%d hosts, %d of the application: %v", len(p.Hosts), len(a.Hosts.V), findings)
+	parsedPlatform := ReadPlatform("platform.toml", []byte(platform), &findings)
+	application := ReadApp("a.toml", []byte(text), parsedPlatform, &findings)
+	if findings.Worst() == 2 || len(parsedPlatform.Hosts) != plannedHosts+1 || len(application.Hosts.V) != plannedHosts {
+		t.Errorf("%d hosts, %d of the application: %v", len(parsedPlatform.Hosts), len(application.Hosts.V), findings)
 	}
 	platform, text = hosts(maxListLength + 1)
 	findings = Findings{}
 	ReadApp("a.toml", []byte(text), ReadPlatform("platform.toml", []byte(platform), &findings), &findings)
-	told := fmt.Sprint(findings)
-	if findings.Worst() != 2 || !strings.Contains(told, "hosts") || !strings.Contains(told, fmt.Sprintf("1 to %d of them", maxListLength)) {
-		t.Errorf("%d hosts: %s", maxListLength+1, told)
+	reported := fmt.Sprint(findings)
+	if findings.Worst() != 2 || !strings.Contains(reported, "hosts") || !strings.Contains(reported, fmt.Sprintf("1 to %d of them", maxListLength)) {
+		t.Errorf("%d hosts: %s", maxListLength+1, reported)
 	}
 }
