--- a/internal/operators/appdir/check.go
+++ b/internal/operators/appdir/check.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	at := filepath.Join(dir, currentName)
+	at := filepath.Join(dir, currentLinkName)
 	wanted := map[string][]byte{}
 	for _, w := range want {
 		wanted[w.Path] = w.Text
--- a/internal/operators/appdir/dir_test.go
+++ b/internal/operators/appdir/dir_test.go
@@ -147,9 +147,9 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			l := &Descriptions{Sources: apps.Sources{}}
-			r := &reader{loaded: l}
-			r.look(".", true)
-			var inputs []input
+			r := &descriptionReader{result: l}
+			r.addPath(".", true)
+			var inputs []sourceFile
 			for _, f := range r.files {
 				in, ok := r.read(f)
 				if !ok {
@@ -157,12 +157,12 @@
 				}
 				inputs = append(inputs, in)
 			}
-			r.unchanged(inputs, []string{"."})
+			r.reportChanges(inputs, []string{"."})
 			if len(l.Findings) > 0 {
 				t.Fatal("nothing has changed yet", l.Findings)
 			}
 			x.change()
-			r.unchanged(inputs, []string{"."})
+			r.reportChanges(inputs, []string{"."})
 			if got := codes(l.Findings); !slices.Equal(got, []string{string(apps.ChangedDuringRead)}) {
 				t.Error(got)
 			}
@@ -323,11 +323,11 @@
 		t.Error("the old set is gone")
 	}
 	// A second writer is turned away.
-	unlock, err := lock(dir)
+	unlock, err := lockFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Write(dir, set(32)); !errors.Is(err, errBusy) {
+	if _, _, err := Write(dir, set(32)); !errors.Is(err, errLocked) {
 		t.Errorf("two writers: %v", err)
 	}
 	unlock()
--- a/internal/operators/appdir/load.go
+++ b/internal/operators/appdir/load.go
@@ -27,7 +27,7 @@
 }
 
 // input is a file as it was found and read.
-type input struct {
+type sourceFile struct {
 	path string
 	info fs.FileInfo // of the file itself, behind links
 	text []byte
@@ -38,16 +38,16 @@
 // the file that is given, or the one called platform.toml in the first folder.
 func LoadDescriptions(platform string, paths []string) *Descriptions {
 	l := &Descriptions{Sources: apps.Sources{}}
-	r := &reader{loaded: l}
+	r := &descriptionReader{result: l}
 	for _, p := range paths {
-		r.look(p, true)
+		r.addPath(p, true)
 	}
 	if platform == "" {
-		platform = r.platform(paths)
+		platform = r.findPlatform(paths)
 	}
-	r.files = slices.DeleteFunc(r.files, func(f string) bool { return same(f, platform) })
+	r.files = slices.DeleteFunc(r.files, func(f string) bool { return isSameFile(f, platform) })
 	if platform == "" {
-		l.Findings.Add(apps.NoPlatform, first(paths), 0, "no "+PlatformName+" beside the descriptions")
+		l.Findings.Add(apps.NoPlatform, firstOrDot(paths), 0, "no "+PlatformName+" beside the descriptions")
 		return l
 	}
 	in, ok := r.read(platform)
@@ -58,7 +58,7 @@
 	l.Platform = apps.ReadPlatform(platform, in.text, &l.Findings)
 	var all []*apps.App
 	byText := map[string]string{}
-	var inputs []input
+	var inputs []sourceFile
 	for _, f := range r.files {
 		in, ok := r.read(f)
 		if !ok {
@@ -74,12 +74,12 @@
 		all = append(all, apps.ReadApp(f, in.text, l.Platform, &l.Findings))
 	}
 	l.Set = apps.NewSet(l.Platform, all, &l.Findings)
-	r.unchanged(append(inputs, in), paths)
+	r.reportChanges(append(inputs, in), paths)
 	l.Findings.Sort()
 	return l
 }
 
-func first(all []string) string {
+func firstOrDot(all []string) string {
 	if len(all) > 0 {
 		return all[0]
 	}
@@ -87,49 +87,49 @@
 }
 
 // same tells whether two names are of one file.
-func same(x, y string) bool {
+func isSameFile(x, y string) bool {
 	a, err := os.Stat(x)
 	b, err2 := os.Stat(y)
 	return err == nil && err2 == nil && os.SameFile(a, b)
 }
 
-type reader struct {
-	loaded *Descriptions
-	files  []string
-	seen   []seenFile
-	known  map[fileKey][]int // of seen
+type descriptionReader struct {
+	result     *Descriptions
+	files      []string
+	found      []foundFile
+	foundByKey map[fileKey][]int // of seen
 }
 
-type seenFile struct {
+type foundFile struct {
 	path string
 	info fs.FileInfo
 }
 
 // fileKey makes files that may be the same few: os.SameFile tells.
 type fileKey struct {
-	size int64
-	time int64
+	size    int64
+	modTime int64
 }
 
 // look notes a file, or all descriptions below a folder. Links to files are
 // followed, those to folders are not: they may lead round in a circle.
-func (r *reader) look(path string, named bool) {
+func (r *descriptionReader) addPath(path string, named bool) {
 	info, err := os.Stat(path)
 	if err != nil {
-		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
+		r.result.Findings.Add(apps.Unreadable, path, 0, withoutPath(err))
 		return
 	}
 	if !info.IsDir() {
-		r.note(path, info)
+		r.addFile(path, info)
 		return
 	}
 	err = filepath.WalkDir(path, func(at string, d fs.DirEntry, err error) error {
 		if err != nil {
-			r.loaded.Findings.Add(apps.Unreadable, at, 0, plain(err))
+			r.result.Findings.Add(apps.Unreadable, at, 0, withoutPath(err))
 			return nil
 		}
 		if d.IsDir() {
-			if at != path && (strings.HasPrefix(d.Name(), ".") || isOutput(at)) {
+			if at != path && (strings.HasPrefix(d.Name(), ".") || isOutputFolder(at)) {
 				return filepath.SkipDir
 			}
 			return nil
@@ -139,51 +139,51 @@
 		}
 		info, err := os.Stat(at)
 		if err != nil {
-			r.loaded.Findings.Add(apps.Unreadable, at, 0, plain(err))
+			r.result.Findings.Add(apps.Unreadable, at, 0, withoutPath(err))
 			return nil
 		}
 		if info.IsDir() {
 			return nil
 		}
-		r.note(at, info)
+		r.addFile(at, info)
 		return nil
 	})
 	if err != nil {
-		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
+		r.result.Findings.Add(apps.Unreadable, path, 0, withoutPath(err))
 	}
 }
 
 // isOutput tells whether a folder is one that sets are written to.
-func isOutput(path string) bool {
-	info, err := os.Lstat(filepath.Join(path, currentName))
+func isOutputFolder(path string) bool {
+	info, err := os.Lstat(filepath.Join(path, currentLinkName))
 	if err != nil || info.Mode()&fs.ModeSymlink == 0 {
 		return false
 	}
-	_, err = os.Stat(filepath.Join(path, setsName))
+	_, err = os.Stat(filepath.Join(path, setsFolderName))
 	return err == nil
 }
 
 // note takes a file once, whatever its names.
-func (r *reader) note(path string, info fs.FileInfo) {
-	if r.known == nil {
-		r.known = map[fileKey][]int{}
+func (r *descriptionReader) addFile(path string, info fs.FileInfo) {
+	if r.foundByKey == nil {
+		r.foundByKey = map[fileKey][]int{}
 	}
 	key := fileKey{info.Size(), info.ModTime().UnixNano()}
-	for _, i := range r.known[key] {
-		if os.SameFile(r.seen[i].info, info) {
-			if r.seen[i].path != path {
-				r.loaded.Findings.Add(apps.DuplicateFile, path, 0, "it is the same file as "+r.seen[i].path)
+	for _, i := range r.foundByKey[key] {
+		if os.SameFile(r.found[i].info, info) {
+			if r.found[i].path != path {
+				r.result.Findings.Add(apps.DuplicateFile, path, 0, "it is the same file as "+r.found[i].path)
 			}
 			return
 		}
 	}
-	r.known[key] = append(r.known[key], len(r.seen))
-	r.seen = append(r.seen, seenFile{path, info})
+	r.foundByKey[key] = append(r.foundByKey[key], len(r.found))
+	r.found = append(r.found, foundFile{path, info})
 	r.files = append(r.files, path)
 }
 
 // platform finds the shared file in a folder that is named, or beside a file.
-func (r *reader) platform(paths []string) string {
+func (r *descriptionReader) findPlatform(paths []string) string {
 	for _, p := range paths {
 		dir := p
 		if info, err := os.Stat(p); err == nil && !info.IsDir() {
@@ -198,13 +198,13 @@
 }
 
 // read reads a file whole, up to one byte more than may be.
-func (r *reader) read(path string) (input, bool) {
+func (r *descriptionReader) read(path string) (sourceFile, bool) {
 	text, info, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
-		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
-		return input{}, false
+		r.result.Findings.Add(apps.Unreadable, path, 0, withoutPath(err))
+		return sourceFile{}, false
 	}
-	return input{path, info, text}, true
+	return sourceFile{path, info, text}, true
 }
 
 func readBounded(path string, most int64) ([]byte, fs.FileInfo, error) {
@@ -228,7 +228,7 @@
 }
 
 // plain is an error without the path, which the finding names.
-func plain(err error) string {
+func withoutPath(err error) string {
 	var p *fs.PathError
 	if errors.As(err, &p) {
 		return fmt.Sprintf("%s: %v", p.Op, p.Err)
@@ -238,21 +238,21 @@
 
 // unchanged finds files that are not any more what was read, and folders that
 // hold other files than before: what was found is of a state that never was.
-func (r *reader) unchanged(inputs []input, paths []string) {
+func (r *descriptionReader) reportChanges(inputs []sourceFile, paths []string) {
 	for _, in := range inputs {
 		text, info, err := readBounded(in.path, document.MaxFileSize)
 		if err != nil || !os.SameFile(info, in.info) || !bytes.Equal(text, in.text) {
-			r.loaded.Findings.Add(apps.ChangedDuringRead, in.path, 0, "the file changed, or went, while the check ran")
+			r.result.Findings.Add(apps.ChangedDuringRead, in.path, 0, "the file changed, or went, while the check ran")
 		}
 	}
 	var scratch Descriptions
-	again := &reader{loaded: &scratch}
+	again := &descriptionReader{result: &scratch}
 	for _, p := range paths {
-		again.look(p, true)
+		again.addPath(p, true)
 	}
 	for _, f := range again.files {
-		if !slices.ContainsFunc(r.seen, func(s seenFile) bool { return s.path == f }) {
-			r.loaded.Findings.Add(apps.ChangedDuringRead, f, 0, "the file came while the check ran")
+		if !slices.ContainsFunc(r.found, func(s foundFile) bool { return s.path == f }) {
+			r.result.Findings.Add(apps.ChangedDuringRead, f, 0, "the file came while the check ran")
 		}
 	}
 }
--- a/internal/operators/appdir/write.go
+++ b/internal/operators/appdir/write.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	setsName    = "sets"
-	currentName = "current"
-	lockName    = ".lock"
-	keptSets    = 3 // the current one and those before it, to go back to
+	setsFolderName  = "sets"
+	currentLinkName = "current"
+	lockFileName    = ".lock"
+	keptSets        = 3 // the current one and those before it, to go back to
 )
 
 // errBusy says that another writer holds the folder.
-var errBusy = errors.New("another writer is at work there")
+var errLocked = errors.New("another writer is at work there")
 
 // setName names a set by its content.
-func setName(all []apps.GeneratedFile) string {
+func contentName(all []apps.GeneratedFile) string {
 	h := sha256.New()
 	for _, w := range all {
 		fmt.Fprintf(h, "%d %s\n%d\n", len(w.Path), w.Path, len(w.Text))
@@ -40,53 +40,53 @@
 // old set or the new one, whatever happens meanwhile. It returns the set's name,
 // and whether anything changed.
 func Write(dir string, all []apps.GeneratedFile) (name string, changed bool, err error) {
-	if err := os.MkdirAll(filepath.Join(dir, setsName), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Join(dir, setsFolderName), 0o755); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
-	unlock, err := lock(dir)
+	unlock, err := lockFolder(dir)
 	if err != nil {
 		return "", false, fmt.Errorf("writing a set to %s: %w", dir, err)
 	}
 	defer unlock()
-	name = setName(all)
-	at := filepath.Join(dir, setsName, name)
-	if link, err := os.Readlink(filepath.Join(dir, currentName)); err == nil && filepath.Base(link) == name && whole(at, all) {
+	name = contentName(all)
+	at := filepath.Join(dir, setsFolderName, name)
+	if link, err := os.Readlink(filepath.Join(dir, currentLinkName)); err == nil && filepath.Base(link) == name && holdsExactly(at, all) {
 		return name, false, nil
 	}
-	if err := clean(dir); err != nil {
+	if err := removePartialSets(dir); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
-	if !whole(at, all) {
-		if err := place(dir, at, all); err != nil {
+	if !holdsExactly(at, all) {
+		if err := writeSet(dir, at, all); err != nil {
 			return "", false, fmt.Errorf("writing a set: %w", err)
 		}
 	}
 	// A link is replaced by renaming another over it (rename(2)): there is no
 	// moment without one.
-	next := filepath.Join(dir, "."+currentName)
+	next := filepath.Join(dir, "."+currentLinkName)
 	os.Remove(next)
-	if err := os.Symlink(filepath.Join(setsName, name), next); err != nil {
+	if err := os.Symlink(filepath.Join(setsFolderName, name), next); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
-	if err := os.Rename(next, filepath.Join(dir, currentName)); err != nil {
+	if err := os.Rename(next, filepath.Join(dir, currentLinkName)); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
 	if err := syncDir(dir); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
-	return name, true, prune(dir, name)
+	return name, true, removeOldSets(dir, name)
 }
 
 // lock takes the folder for this writer (flock(2)); it is free when its process ends.
-func lock(dir string) (func(), error) {
-	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o644)
+func lockFolder(dir string) (func(), error) {
+	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, errBusy
+			return nil, errLocked
 		}
 		return nil, err
 	}
@@ -94,14 +94,14 @@
 }
 
 // clean removes what a writer left that was stopped.
-func clean(dir string) error {
-	all, err := os.ReadDir(filepath.Join(dir, setsName))
+func removePartialSets(dir string) error {
+	all, err := os.ReadDir(filepath.Join(dir, setsFolderName))
 	if err != nil {
 		return err
 	}
 	for _, e := range all {
 		if strings.HasPrefix(e.Name(), ".") {
-			if err := os.RemoveAll(filepath.Join(dir, setsName, e.Name())); err != nil {
+			if err := os.RemoveAll(filepath.Join(dir, setsFolderName, e.Name())); err != nil {
 				return err
 			}
 		}
@@ -110,8 +110,8 @@
 }
 
 // place writes a set beside the others and gives it its name once it is whole.
-func place(dir, at string, all []apps.GeneratedFile) error {
-	next := filepath.Join(dir, setsName, "."+filepath.Base(at))
+func writeSet(dir, at string, all []apps.GeneratedFile) error {
+	next := filepath.Join(dir, setsFolderName, "."+filepath.Base(at))
 	folders := map[string]bool{next: true}
 	for _, w := range all {
 		path := filepath.Join(next, filepath.FromSlash(w.Path))
@@ -137,7 +137,7 @@
 	}
 	// One of this name that is not whole was edited.
 	if _, err := os.Lstat(at); err == nil {
-		old := filepath.Join(dir, setsName, ".edited-"+filepath.Base(at))
+		old := filepath.Join(dir, setsFolderName, ".edited-"+filepath.Base(at))
 		if err := os.Rename(at, old); err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 }
 
 // whole tells whether a folder holds a set and nothing else.
-func whole(at string, all []apps.GeneratedFile) bool {
+func holdsExactly(at string, all []apps.GeneratedFile) bool {
 	there, err := ReadSet(at)
 	if err != nil || len(there) != len(all) {
 		return false
@@ -214,7 +214,7 @@
 
 // Current reads the set that holds in a folder; none is no error.
 func ReadCurrentSet(dir string) (map[string][]byte, error) {
-	all, err := ReadSet(filepath.Join(dir, currentName))
+	all, err := ReadSet(filepath.Join(dir, currentLinkName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return map[string][]byte{}, nil
 	}
@@ -225,8 +225,8 @@
 }
 
 // prune removes the oldest sets.
-func prune(dir, current string) error {
-	all, err := os.ReadDir(filepath.Join(dir, setsName))
+func removeOldSets(dir, current string) error {
+	all, err := os.ReadDir(filepath.Join(dir, setsFolderName))
 	if err != nil {
 		return fmt.Errorf("removing old sets: %w", err)
 	}
@@ -248,7 +248,7 @@
 	})
 	for i, s := range sets {
 		if i >= keptSets-1 {
-			if err := os.RemoveAll(filepath.Join(dir, setsName, s.name)); err != nil {
+			if err := os.RemoveAll(filepath.Join(dir, setsFolderName, s.name)); err != nil {
 				return fmt.Errorf("removing old sets: %w", err)
 			}
 		}
