--- a/internal/operators/appdir/check.go
+++ b/internal/operators/appdir/check.go
@@ -13,20 +13,20 @@
 	"curlewring/internal/operators/apps"
 )
 
-// CheckWritten finds what is wrong with the set that holds in a folder: what was
-// edited by hand, what is older than its description, and what the node itself
-// refuses. want is what would be written now; nil: that is not known.
+// CheckGenerated checks the current set of a folder: it reports files that were
+// edited by hand, that are older than their description, or that the node refuses.
+// want is the set that would be written now; nil if that is unknown.
 func CheckGenerated(dir string, want []apps.GeneratedFile, findings *apps.Findings) error {
 	current, err := ReadCurrentSet(dir)
 	if err != nil {
 		return err
 	}
-	at := filepath.Join(dir, currentLinkName)
+	currentDir := filepath.Join(dir, currentLinkName)
 	wanted := map[string][]byte{}
 	for _, w := range want {
 		wanted[w.Path] = w.Text
-		if _, there := current[w.Path]; !there {
-			findings.Add(apps.NotWritten, filepath.Join(at, filepath.FromSlash(w.Path)), 0, "it would be written now")
+		if _, exists := current[w.Path]; !exists {
+			findings.Add(apps.NotWritten, filepath.Join(currentDir, filepath.FromSlash(w.Path)), 0, "it would be written now")
 		}
 	}
 	var names []string
@@ -35,17 +35,17 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		text, file := current[name], filepath.Join(at, filepath.FromSlash(name))
-		sealed, marked := apps.VerifyChecksum(text)
-		now, there := wanted[name]
+		text, file := current[name], filepath.Join(currentDir, filepath.FromSlash(name))
+		valid, present := apps.VerifyChecksum(text)
+		wantedText, exists := wanted[name]
 		switch {
-		case marked && !sealed:
+		case present && !valid:
 			findings.Add(apps.HandEdited, file, 0, "its sum is not that of its text")
-		case !marked && path.Base(name) != "node.json":
+		case !present && path.Base(name) != "node.json":
 			findings.Add(apps.HandEdited, file, 0, "it bears no sum: "+apps.GeneratorName+" did not write it")
-		case want != nil && !there:
+		case want != nil && !exists:
 			findings.Add(apps.OrphanFile, file, 0, "no description makes this file")
-		case want != nil && string(now) != string(text):
+		case want != nil && string(wantedText) != string(text):
 			findings.Add(apps.OutdatedFile, file, 0, "its description, or the platform, has changed since")
 		}
 		if path.Base(name) == "node.json" {
@@ -56,17 +56,18 @@
 	return nil
 }
 
-// CheckNode asks the node's own reader what it makes of a configuration.
+// CheckNode checks a node's configuration with the node's own reader. operator says
+// whether there is a file of route tables beside it.
 func CheckNode(file string, text []byte, operator bool, findings *apps.Findings) {
-	var head struct {
+	var header struct {
 		Schema *int `json:"schema"`
 	}
-	if json.Unmarshal(text, &head) == nil {
+	if json.Unmarshal(text, &header) == nil {
 		switch {
-		case head.Schema == nil:
+		case header.Schema == nil:
 			findings.Add(apps.SchemaTooOld, file, 0, "it has no schema: it is of version 0, of before there were descriptions")
-		case *head.Schema > apps.Schema+1:
-			findings.Add(apps.SchemaTooNew, file, 0, fmt.Sprintf("schema %d, and this program writes %d", *head.Schema, apps.Schema))
+		case *header.Schema > apps.Schema+1:
+			findings.Add(apps.SchemaTooNew, file, 0, fmt.Sprintf("schema %d, and this program writes %d", *header.Schema, apps.Schema))
 		}
 	}
 	files := node.Files{Config: file}
@@ -74,11 +75,11 @@
 		files.Operator = filepath.Join(filepath.Dir(file), "operator.toml")
 	}
 	_, err := files.Read()
-	var routes *node.Findings
+	var routeFindings *node.Findings
 	switch {
-	case errors.As(err, &routes):
-		for _, f := range routes.All {
-			findings.Add(apps.NodeRefuses, routes.File, f.Line, f.String())
+	case errors.As(err, &routeFindings):
+		for _, f := range routeFindings.All {
+			findings.Add(apps.NodeRefuses, routeFindings.File, f.Line, f.String())
 		}
 	case err != nil:
 		findings.Add(apps.NodeRefuses, file, 0, strings.TrimPrefix(err.Error(), "configuration "+file+": "))
--- a/internal/operators/appdir/doc.go
+++ b/internal/operators/appdir/doc.go
@@ -1,11 +1,12 @@
-// Package appdir reads descriptions from files, and writes sets of configurations
-// to a folder: the whole set or nothing.
+// Package appdir reads descriptions from files and writes the sets of files that
+// are generated from them to a folder, each set as a whole or not at all.
 //
-// What is written stands below the folder's sets, each set under a name made of
-// its content, and current is a link to the one that holds. A reader goes by
-// current and sees one set or the other, never a half. The folder is owned by
-// one writer at a time, which holds its lock.
+// Sets are stored below the folder's sets, each in a folder named by a hash of its
+// content, and current is a symbolic link to the active set. Since the link is
+// replaced in one step, a reader that follows it sees the old set or the new one,
+// never a mixture. Only one writer at a time may use the folder: it holds the
+// folder's lock.
 //
-// The package must not judge: what a description means is for package apps, and
-// what a node makes of a configuration for the node's own reader.
+// The package doesn't interpret what it reads: package apps checks descriptions,
+// and the node's own reader checks a node's configuration.
 package appdir
--- a/internal/operators/appdir/load.go
+++ b/internal/operators/appdir/load.go
@@ -15,10 +15,11 @@
 	"curlewring/internal/operators/document"
 )
 
-// PlatformName is the shared file's name where none is given.
+// PlatformName is the platform file's name unless another one is given.
 const PlatformName = "platform.toml"
 
-// Loaded is what was read.
+// Descriptions is the result of reading descriptions. Platform and Set are nil if
+// the platform file could not be read.
 type Descriptions struct {
 	Platform *apps.Platform
 	Set      *apps.Set
@@ -26,19 +27,20 @@
 	Findings apps.Findings
 }
 
-// input is a file as it was found and read.
+// sourceFile is a file with the text that was read from it.
 type sourceFile struct {
 	path string
-	info fs.FileInfo // of the file itself, behind links
+	info fs.FileInfo // of the file itself, not of a link to it
 	text []byte
 }
 
-// Load reads the platform and all descriptions that the paths name: files, or
-// folders with *.toml files below them. All faults are findings. The platform is
-// the file that is given, or the one called platform.toml in the first folder.
+// LoadDescriptions reads the platform file and all descriptions that the paths name:
+// files, or folders with *.toml files below them. All faults are findings. Unless a
+// platform file is given, it is the first platform.toml in a named folder or beside
+// a named file.
 func LoadDescriptions(platform string, paths []string) *Descriptions {
-	l := &Descriptions{Sources: apps.Sources{}}
-	r := &descriptionReader{result: l}
+	result := &Descriptions{Sources: apps.Sources{}}
+	r := &descriptionReader{result: result}
 	for _, p := range paths {
 		r.addPath(p, true)
 	}
@@ -47,72 +49,75 @@
 	}
 	r.files = slices.DeleteFunc(r.files, func(f string) bool { return isSameFile(f, platform) })
 	if platform == "" {
-		l.Findings.Add(apps.NoPlatform, firstOrDot(paths), 0, "no "+PlatformName+" beside the descriptions")
-		return l
+		result.Findings.Add(apps.NoPlatform, firstOrDot(paths), 0, "no "+PlatformName+" beside the descriptions")
+		return result
 	}
 	in, ok := r.read(platform)
 	if !ok {
-		return l
+		return result
 	}
-	l.Sources[platform] = in.text
-	l.Platform = apps.ReadPlatform(platform, in.text, &l.Findings)
-	var all []*apps.App
+	result.Sources[platform] = in.text
+	result.Platform = apps.ReadPlatform(platform, in.text, &result.Findings)
+	var applications []*apps.App
 	byText := map[string]string{}
-	var inputs []sourceFile
+	var sourceFiles []sourceFile
 	for _, f := range r.files {
 		in, ok := r.read(f)
 		if !ok {
 			continue
 		}
 		if other := byText[string(in.text)]; other != "" {
-			l.Findings.Add(apps.DuplicateFile, f, 0, "it holds the same as "+other)
+			result.Findings.Add(apps.DuplicateFile, f, 0, "it holds the same as "+other)
 			continue
 		}
 		byText[string(in.text)] = f
-		inputs = append(inputs, in)
-		l.Sources[f] = in.text
-		all = append(all, apps.ReadApp(f, in.text, l.Platform, &l.Findings))
+		sourceFiles = append(sourceFiles, in)
+		result.Sources[f] = in.text
+		applications = append(applications, apps.ReadApp(f, in.text, result.Platform, &result.Findings))
 	}
-	l.Set = apps.NewSet(l.Platform, all, &l.Findings)
-	r.reportChanges(append(inputs, in), paths)
-	l.Findings.Sort()
-	return l
+	result.Set = apps.NewSet(result.Platform, applications, &result.Findings)
+	r.reportChanges(append(sourceFiles, in), paths)
+	result.Findings.Sort()
+	return result
 }
 
-func firstOrDot(all []string) string {
-	if len(all) > 0 {
-		return all[0]
+// firstOrDot returns the first element, or "." of an empty list.
+func firstOrDot(list []string) string {
+	if len(list) > 0 {
+		return list[0]
 	}
 	return "."
 }
 
-// same tells whether two names are of one file.
-func isSameFile(x, y string) bool {
-	a, err := os.Stat(x)
-	b, err2 := os.Stat(y)
-	return err == nil && err2 == nil && os.SameFile(a, b)
+// isSameFile reports whether two paths lead to the same file.
+func isSameFile(path1, path2 string) bool {
+	info1, err1 := os.Stat(path1)
+	info2, err2 := os.Stat(path2)
+	return err1 == nil && err2 == nil && os.SameFile(info1, info2)
 }
 
+// descriptionReader finds and reads files, each once, and collects findings.
 type descriptionReader struct {
 	result     *Descriptions
 	files      []string
 	found      []foundFile
-	foundByKey map[fileKey][]int // of seen
+	foundByKey map[fileKey][]int // indexes of found
 }
 
+// foundFile is a file with the path under which it was found first.
 type foundFile struct {
 	path string
 	info fs.FileInfo
 }
 
-// fileKey makes files that may be the same few: os.SameFile tells.
+// fileKey narrows down the files that os.SameFile has to compare.
 type fileKey struct {
 	size    int64
 	modTime int64
 }
 
-// look notes a file, or all descriptions below a folder. Links to files are
-// followed, those to folders are not: they may lead round in a circle.
+// addPath adds a file, or all descriptions below a folder. Links to files are
+// followed. Links to folders are not, since they may form a cycle.
 func (r *descriptionReader) addPath(path string, named bool) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -153,7 +158,7 @@
 	}
 }
 
-// isOutput tells whether a folder is one that sets are written to.
+// isOutputFolder reports whether sets are written to a folder.
 func isOutputFolder(path string) bool {
 	info, err := os.Lstat(filepath.Join(path, currentLinkName))
 	if err != nil || info.Mode()&fs.ModeSymlink == 0 {
@@ -163,7 +168,7 @@
 	return err == nil
 }
 
-// note takes a file once, whatever its names.
+// addFile adds a file, and reports one that was found under another path before.
 func (r *descriptionReader) addFile(path string, info fs.FileInfo) {
 	if r.foundByKey == nil {
 		r.foundByKey = map[fileKey][]int{}
@@ -182,7 +187,8 @@
 	r.files = append(r.files, path)
 }
 
-// platform finds the shared file in a folder that is named, or beside a file.
+// findPlatform returns the first platform file in a named folder or beside a named
+// file; "" if there is none.
 func (r *descriptionReader) findPlatform(paths []string) string {
 	for _, p := range paths {
 		dir := p
@@ -197,7 +203,8 @@
 	return ""
 }
 
-// read reads a file whole, up to one byte more than may be.
+// read reads a file, up to one byte more than the maximum size, so that a larger one
+// is detected.
 func (r *descriptionReader) read(path string) (sourceFile, bool) {
 	text, info, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
@@ -207,8 +214,9 @@
 	return sourceFile{path, info, text}, true
 }
 
-func readBounded(path string, most int64) ([]byte, fs.FileInfo, error) {
-	// A pipe would be waited for when it is opened.
+// readBounded reads up to maxSize+1 bytes of a regular file.
+func readBounded(path string, maxSize int64) ([]byte, fs.FileInfo, error) {
+	// Checked before opening, since opening a pipe would block.
 	if info, err := os.Stat(path); err != nil {
 		return nil, nil, err
 	} else if !info.Mode().IsRegular() {
@@ -223,26 +231,26 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxSize+1))
 	return text, info, err
 }
 
-// plain is an error without the path, which the finding names.
+// withoutPath formats an error without its path, which the finding has already.
 func withoutPath(err error) string {
-	var p *fs.PathError
-	if errors.As(err, &p) {
-		return fmt.Sprintf("%s: %v", p.Op, p.Err)
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return fmt.Sprintf("%s: %v", pathError.Op, pathError.Err)
 	}
 	return err.Error()
 }
 
-// unchanged finds files that are not any more what was read, and folders that
-// hold other files than before: what was found is of a state that never was.
-func (r *descriptionReader) reportChanges(inputs []sourceFile, paths []string) {
-	for _, in := range inputs {
-		text, info, err := readBounded(in.path, document.MaxFileSize)
-		if err != nil || !os.SameFile(info, in.info) || !bytes.Equal(text, in.text) {
-			r.result.Findings.Add(apps.ChangedDuringRead, in.path, 0, "the file changed, or went, while the check ran")
+// reportChanges reports files that have changed, disappeared or appeared since they
+// were read: the findings may then be of a mixture of old and new files.
+func (r *descriptionReader) reportChanges(sourceFiles []sourceFile, paths []string) {
+	for _, source := range sourceFiles {
+		text, info, err := readBounded(source.path, document.MaxFileSize)
+		if err != nil || !os.SameFile(info, source.info) || !bytes.Equal(text, source.text) {
+			r.result.Findings.Add(apps.ChangedDuringRead, source.path, 0, "the file changed, or went, while the check ran")
 		}
 	}
 	var scratch Descriptions
--- a/internal/operators/appdir/write.go
+++ b/internal/operators/appdir/write.go
@@ -16,59 +16,59 @@
 	"curlewring/internal/operators/apps"
 )
 
+// The entries of a folder of sets, and the number of sets that are kept.
 const (
 	setsFolderName  = "sets"
 	currentLinkName = "current"
 	lockFileName    = ".lock"
-	keptSets        = 3 // the current one and those before it, to go back to
+	keptSets        = 3 // the current set and those before it, for a rollback
 )
 
-// errBusy says that another writer holds the folder.
-var errLocked = errors.New("another writer is at work there")
+// errLocked is returned while another writer holds the folder's lock.
+var errLocked = errors.New("another process is writing to this folder")
 
-// setName names a set by its content.
-func contentName(all []apps.GeneratedFile) string {
-	h := sha256.New()
-	for _, w := range all {
-		fmt.Fprintf(h, "%d %s\n%d\n", len(w.Path), w.Path, len(w.Text))
-		h.Write(w.Text)
+// contentName returns the name of a set: a hash of its content.
+func contentName(files []apps.GeneratedFile) string {
+	hash := sha256.New()
+	for _, file := range files {
+		fmt.Fprintf(hash, "%d %s\n%d\n", len(file.Path), file.Path, len(file.Text))
+		hash.Write(file.Text)
 	}
-	return hex.EncodeToString(h.Sum(nil))[:16]
+	return hex.EncodeToString(hash.Sum(nil))[:16]
 }
 
-// Write makes a set the current one of a folder. A reader of current sees the
-// old set or the new one, whatever happens meanwhile. It returns the set's name,
-// and whether anything changed.
-func Write(dir string, all []apps.GeneratedFile) (name string, changed bool, err error) {
+// Write makes a set the current one of a folder. At any time, a crash included, a
+// reader of current sees the whole old set or the whole new one. It returns the
+// set's name and whether anything changed.
+func Write(dir string, files []apps.GeneratedFile) (name string, changed bool, err error) {
 	if err := os.MkdirAll(filepath.Join(dir, setsFolderName), 0o755); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
 	unlock, err := lockFolder(dir)
 	if err != nil {
-		return "", false, fmt.Errorf("writing a set to %s: %w", dir, err)
+		return "", false, fmt.Errorf("locking %s to write a set: %w", dir, err)
 	}
 	defer unlock()
-	name = contentName(all)
-	at := filepath.Join(dir, setsFolderName, name)
-	if link, err := os.Readlink(filepath.Join(dir, currentLinkName)); err == nil && filepath.Base(link) == name && holdsExactly(at, all) {
+	name = contentName(files)
+	setDir := filepath.Join(dir, setsFolderName, name)
+	if link, err := os.Readlink(filepath.Join(dir, currentLinkName)); err == nil && filepath.Base(link) == name && holdsExactly(setDir, files) {
 		return name, false, nil
 	}
 	if err := removePartialSets(dir); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
-	if !holdsExactly(at, all) {
-		if err := writeSet(dir, at, all); err != nil {
+	if !holdsExactly(setDir, files) {
+		if err := writeSet(dir, setDir, files); err != nil {
 			return "", false, fmt.Errorf("writing a set: %w", err)
 		}
 	}
-	// A link is replaced by renaming another over it (rename(2)): there is no
-	// moment without one.
-	next := filepath.Join(dir, "."+currentLinkName)
-	os.Remove(next)
-	if err := os.Symlink(filepath.Join(setsFolderName, name), next); err != nil {
+	// Renaming a new link over the old one replaces it atomically (rename(2)).
+	newLink := filepath.Join(dir, "."+currentLinkName)
+	os.Remove(newLink)
+	if err := os.Symlink(filepath.Join(setsFolderName, name), newLink); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
-	if err := os.Rename(next, filepath.Join(dir, currentLinkName)); err != nil {
+	if err := os.Rename(newLink, filepath.Join(dir, currentLinkName)); err != nil {
 		return "", false, fmt.Errorf("writing a set: %w", err)
 	}
 	if err := syncDir(dir); err != nil {
@@ -77,7 +77,8 @@
 	return name, true, removeOldSets(dir, name)
 }
 
-// lock takes the folder for this writer (flock(2)); it is free when its process ends.
+// lockFolder takes the folder's lock (flock(2)) without waiting, and returns a
+// function that releases it. The lock ends with the process too.
 func lockFolder(dir string) (func(), error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
@@ -93,15 +94,15 @@
 	return func() { f.Close() }, nil
 }
 
-// clean removes what a writer left that was stopped.
+// removePartialSets removes what an interrupted writer has left.
 func removePartialSets(dir string) error {
-	all, err := os.ReadDir(filepath.Join(dir, setsFolderName))
+	entries, err := os.ReadDir(filepath.Join(dir, setsFolderName))
 	if err != nil {
 		return err
 	}
-	for _, e := range all {
-		if strings.HasPrefix(e.Name(), ".") {
-			if err := os.RemoveAll(filepath.Join(dir, setsFolderName, e.Name())); err != nil {
+	for _, entry := range entries {
+		if strings.HasPrefix(entry.Name(), ".") {
+			if err := os.RemoveAll(filepath.Join(dir, setsFolderName, entry.Name())); err != nil {
 				return err
 			}
 		}
@@ -109,46 +110,48 @@
 	return nil
 }
 
-// place writes a set beside the others and gives it its name once it is whole.
-func writeSet(dir, at string, all []apps.GeneratedFile) error {
-	next := filepath.Join(dir, setsFolderName, "."+filepath.Base(at))
-	folders := map[string]bool{next: true}
-	for _, w := range all {
-		path := filepath.Join(next, filepath.FromSlash(w.Path))
-		for d := filepath.Dir(path); !folders[d]; d = filepath.Dir(d) {
-			folders[d] = true
+// writeSet writes a set under a temporary name and renames it once it is complete
+// and on disk.
+func writeSet(dir, setDir string, files []apps.GeneratedFile) error {
+	partial := filepath.Join(dir, setsFolderName, "."+filepath.Base(setDir))
+	folders := map[string]bool{partial: true}
+	for _, file := range files {
+		path := filepath.Join(partial, filepath.FromSlash(file.Path))
+		for folder := filepath.Dir(path); !folders[folder]; folder = filepath.Dir(folder) {
+			folders[folder] = true
 		}
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			return err
 		}
-		if err := writeFile(path, w.Text); err != nil {
+		if err := writeFile(path, file.Text); err != nil {
 			return err
 		}
 	}
-	if len(all) == 0 {
-		if err := os.MkdirAll(next, 0o755); err != nil {
+	if len(files) == 0 {
+		if err := os.MkdirAll(partial, 0o755); err != nil {
 			return err
 		}
 	}
-	for d := range folders {
-		if err := syncDir(d); err != nil {
+	for folder := range folders {
+		if err := syncDir(folder); err != nil {
 			return err
 		}
 	}
-	// One of this name that is not whole was edited.
-	if _, err := os.Lstat(at); err == nil {
-		old := filepath.Join(dir, setsFolderName, ".edited-"+filepath.Base(at))
-		if err := os.Rename(at, old); err != nil {
+	// A set of this name with another content was edited by hand: replace it.
+	if _, err := os.Lstat(setDir); err == nil {
+		edited := filepath.Join(dir, setsFolderName, ".edited-"+filepath.Base(setDir))
+		if err := os.Rename(setDir, edited); err != nil {
 			return err
 		}
-		defer os.RemoveAll(old)
+		defer os.RemoveAll(edited)
 	}
-	if err := os.Rename(next, at); err != nil {
+	if err := os.Rename(partial, setDir); err != nil {
 		return err
 	}
-	return syncDir(filepath.Dir(at))
+	return syncDir(filepath.Dir(setDir))
 }
 
+// writeFile writes a file and flushes it to disk.
 func writeFile(path string, text []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644)
 	if err != nil {
@@ -157,44 +160,45 @@
 	if _, err = f.Write(text); err == nil {
 		err = f.Sync()
 	}
-	if err2 := f.Close(); err == nil {
-		err = err2
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
+// syncDir flushes the entries of a folder to disk.
 func syncDir(path string) error {
-	d, err := os.Open(path)
+	folder, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer d.Close()
-	return d.Sync()
+	defer folder.Close()
+	return folder.Sync()
 }
 
-// whole tells whether a folder holds a set and nothing else.
-func holdsExactly(at string, all []apps.GeneratedFile) bool {
-	there, err := ReadSet(at)
-	if err != nil || len(there) != len(all) {
+// holdsExactly reports whether a folder contains the files of a set and no others.
+func holdsExactly(setDir string, files []apps.GeneratedFile) bool {
+	existing, err := ReadSet(setDir)
+	if err != nil || len(existing) != len(files) {
 		return false
 	}
-	for _, w := range all {
-		text, ok := there[w.Path]
-		if !ok || !bytes.Equal(text, w.Text) {
+	for _, file := range files {
+		text, ok := existing[file.Path]
+		if !ok || !bytes.Equal(text, file.Text) {
 			return false
 		}
 	}
 	return true
 }
 
-// ReadSet reads all files of a set, by their paths with slashes.
-func ReadSet(at string) (map[string][]byte, error) {
-	at, err := filepath.EvalSymlinks(at)
+// ReadSet returns the texts of all files of a set, by their slash-separated paths.
+func ReadSet(setDir string) (map[string][]byte, error) {
+	setDir, err := filepath.EvalSymlinks(setDir)
 	if err != nil {
 		return nil, err
 	}
-	all := map[string][]byte{}
-	err = filepath.WalkDir(at, func(path string, d fs.DirEntry, err error) error {
+	files := map[string][]byte{}
+	err = filepath.WalkDir(setDir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
 		}
@@ -202,47 +206,48 @@
 		if err != nil {
 			return err
 		}
-		rel, err := filepath.Rel(at, path)
+		relative, err := filepath.Rel(setDir, path)
 		if err != nil {
 			return err
 		}
-		all[filepath.ToSlash(rel)] = text
+		files[filepath.ToSlash(relative)] = text
 		return nil
 	})
-	return all, err
+	return files, err
 }
 
-// Current reads the set that holds in a folder; none is no error.
+// ReadCurrentSet reads the current set of a folder. It returns an empty map if there
+// is none.
 func ReadCurrentSet(dir string) (map[string][]byte, error) {
-	all, err := ReadSet(filepath.Join(dir, currentLinkName))
+	files, err := ReadSet(filepath.Join(dir, currentLinkName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return map[string][]byte{}, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("reading the current set: %w", err)
 	}
-	return all, nil
+	return files, nil
 }
 
-// prune removes the oldest sets.
+// removeOldSets removes all sets but the current one and the newest of the others.
 func removeOldSets(dir, current string) error {
-	all, err := os.ReadDir(filepath.Join(dir, setsFolderName))
+	entries, err := os.ReadDir(filepath.Join(dir, setsFolderName))
 	if err != nil {
 		return fmt.Errorf("removing old sets: %w", err)
 	}
-	type aged struct {
-		name string
-		at   int64
+	type storedSet struct {
+		name    string
+		modTime int64
 	}
-	var sets []aged
-	for _, e := range all {
-		if info, err := e.Info(); err == nil && e.Name() != current && !strings.HasPrefix(e.Name(), ".") {
-			sets = append(sets, aged{e.Name(), info.ModTime().UnixNano()})
+	var sets []storedSet
+	for _, entry := range entries {
+		if info, err := entry.Info(); err == nil && entry.Name() != current && !strings.HasPrefix(entry.Name(), ".") {
+			sets = append(sets, storedSet{entry.Name(), info.ModTime().UnixNano()})
 		}
 	}
-	slices.SortFunc(sets, func(x, y aged) int {
-		if x.at != y.at {
-			return int(max(-1, min(1, y.at-x.at)))
+	slices.SortFunc(sets, func(x, y storedSet) int {
+		if x.modTime != y.modTime {
+			return int(max(-1, min(1, y.modTime-x.modTime)))
 		}
 		return strings.Compare(x.name, y.name)
 	})
