--- a/internal/operators/appdir/corpus_test.go
+++ b/internal/operators/appdir/corpus_test.go
@@ -15,8 +15,8 @@
 	"curlewring/internal/operators/apps"
 )
 
-// unpack writes an archive's files to a folder, and goes there: findings name
-// files as somebody who stands there would.
+// unpack writes an archive's files to a temporary folder and changes to it, so that
+// findings have relative file names.
 func unpack(t *testing.T, archive string) *txtar.Archive {
 	t.Helper()
 	a, err := txtar.ParseFile(archive)
@@ -32,120 +32,123 @@
 	return a
 }
 
-// wants are the findings that an archive says it must give: "file:line code", with the
-// rule where it names one. A line says so itself, a whole file in the head.
-func wants(a *txtar.Archive) (all []string, rules map[string]string) {
+// wantedFindings returns the findings that an archive expects, as "file:line code",
+// and the rules that it names for them. A finding of a line is expected by a comment
+// "# want CODE (rule N)" in that line, one of a whole file by "want FILE:0 CODE" in
+// the archive's comment.
+func wantedFindings(a *txtar.Archive) (keys []string, rules map[string]string) {
 	rules = map[string]string{}
-	head := regexp.MustCompile(`(?m)^want (\S+):0 (\w+)$`)
-	for _, m := range head.FindAllStringSubmatch(string(a.Comment), -1) {
-		all = append(all, m[1]+":0 "+m[2])
+	fileFinding := regexp.MustCompile(`(?m)^want (\S+):0 (\w+)$`)
+	for _, match := range fileFinding.FindAllStringSubmatch(string(a.Comment), -1) {
+		keys = append(keys, match[1]+":0 "+match[2])
 	}
-	mark := regexp.MustCompile(`# want (\w+)(?: \((rule \d)\))?\s*$`)
+	lineFinding := regexp.MustCompile(`# want (\w+)(?: \((rule \d)\))?\s*$`)
 	for _, f := range a.Files {
 		for i, line := range strings.Split(string(f.Data), "\n") {
-			if m := mark.FindStringSubmatch(line); m != nil {
-				w := fmt.Sprintf("%s:%d %s", f.Name, i+1, m[1])
-				all = append(all, w)
-				rules[w] = m[2]
+			if match := lineFinding.FindStringSubmatch(line); match != nil {
+				key := fmt.Sprintf("%s:%d %s", f.Name, i+1, match[1])
+				keys = append(keys, key)
+				rules[key] = match[2]
 			}
 		}
 	}
-	slices.Sort(all)
-	return all, rules
+	slices.Sort(keys)
+	return keys, rules
 }
 
+// archives returns the paths of the archives of a kind.
 func archives(t *testing.T, kind string) []string {
 	t.Helper()
-	all, err := filepath.Glob("testdata/" + kind + "/*.txt")
-	if err != nil || len(all) == 0 {
+	paths, err := filepath.Glob("testdata/" + kind + "/*.txt")
+	if err != nil || len(paths) == 0 {
 		t.Fatal("no archives", err)
 	}
-	for i := range all {
-		if all[i], err = filepath.Abs(all[i]); err != nil {
+	for i := range paths {
+		if paths[i], err = filepath.Abs(paths[i]); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return all
+	return paths
 }
 
-// Each broken set must give exactly the findings that it names, with line and
-// rule, and each finding must say what to do.
+// Each broken set must give exactly the findings that it expects, with line and
+// rule, and each finding must have a text and a remedy.
 func TestBrokenSets(t *testing.T) {
-	all := archives(t, "broken")
-	if len(all) < 80 {
-		t.Errorf("only %d broken sets", len(all))
+	paths := archives(t, "broken")
+	if len(paths) < 80 {
+		t.Errorf("only %d broken sets", len(paths))
 	}
 	seen := map[string]bool{}
-	for _, path := range all {
+	for _, path := range paths {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			a := unpack(t, path)
-			want, rules := wants(a)
+			want, rules := wantedFindings(a)
 			if len(want) == 0 {
-				t.Fatal("the set names no finding")
+				t.Fatal("the archive expects no finding")
 			}
-			l := LoadDescriptions("", []string{"."})
+			loaded := LoadDescriptions("", []string{"."})
 			var got []string
-			for _, f := range l.Findings {
-				w := fmt.Sprintf("%s:%d %s", f.File, f.Line, f.Code)
-				got = append(got, w)
+			for _, f := range loaded.Findings {
+				key := fmt.Sprintf("%s:%d %s", f.File, f.Line, f.Code)
+				got = append(got, key)
 				seen[f.Code] = true
-				if rule := rules[w]; rule != "" && rule != f.Rule {
-					t.Errorf("%s: %q, want %q", w, f.Rule, rule)
+				if rule := rules[key]; rule != "" && rule != f.Rule {
+					t.Errorf("%s: %q, want %q", key, f.Rule, rule)
 				}
 				if strings.HasPrefix(f.Code, "SC") && f.Remedy == "" || f.Text == "" {
-					t.Errorf("it says too little: %+v", f)
+					t.Errorf("text or remedy is missing: %+v", f)
 				}
 			}
 			slices.Sort(got)
 			if !slices.Equal(got, want) {
-				t.Errorf("got  %v\nwant %v\n%v", got, want, l.Findings)
+				t.Errorf("got  %v\nwant %v\n%v", got, want, loaded.Findings)
 			}
 		})
 	}
-	// The others are provoked by tests of their own.
-	elsewhere := []apps.Code{apps.Unreadable, apps.TooLarge, apps.ChangedDuringRead, apps.HandEdited, apps.OutdatedFile, apps.OrphanFile,
+	// These depend on the file system or on generated files and have their own tests.
+	testedElsewhere := []apps.Code{apps.Unreadable, apps.TooLarge, apps.ChangedDuringRead, apps.HandEdited, apps.OutdatedFile, apps.OrphanFile,
 		apps.NotWritten, apps.NodeRefuses, apps.SchemaTooOld, apps.SchemaTooNew}
-	for _, c := range apps.Codes() {
-		if !seen[string(c.Code)] && !slices.Contains(elsewhere, c.Code) {
-			t.Errorf("no broken set gives %s", c.Code)
+	for _, info := range apps.Codes() {
+		if !seen[string(info.Code)] && !slices.Contains(testedElsewhere, info.Code) {
+			t.Errorf("no broken set gives %s", info.Code)
 		}
 	}
 }
 
-// Good sets must give no finding, and what is written of them must be accepted by
-// the node's own reader, be the same for the same input, and check clean.
+// Good sets must give no finding. The files generated from them must be the same
+// each time, be accepted by the node's own reader, and pass the check.
 func TestGoodSets(t *testing.T) {
 	for _, path := range archives(t, "good") {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			unpack(t, path)
-			l := LoadDescriptions("", []string{"."})
-			if len(l.Findings) > 0 {
-				t.Fatal(l.Findings)
+			loaded := LoadDescriptions("", []string{"."})
+			if len(loaded.Findings) > 0 {
+				t.Fatal(loaded.Findings)
 			}
-			all := l.Set.Generate(l.Sources)
+			files := loaded.Set.Generate(loaded.Sources)
 			again := LoadDescriptions("", []string{"."})
-			if !slices.EqualFunc(all, again.Set.Generate(again.Sources), func(x, y apps.GeneratedFile) bool {
+			if !slices.EqualFunc(files, again.Set.Generate(again.Sources), func(x, y apps.GeneratedFile) bool {
 				return x.Path == y.Path && string(x.Text) == string(y.Text)
 			}) {
-				t.Error("written differently the second time")
+				t.Error("generated differently the second time")
 			}
-			if _, changed, err := Write("out", all); err != nil || !changed {
+			if _, changed, err := Write("out", files); err != nil || !changed {
 				t.Fatal(changed, err)
 			}
 			var findings apps.Findings
-			if err := CheckGenerated("out", all, &findings); err != nil || len(findings) > 0 {
+			if err := CheckGenerated("out", files, &findings); err != nil || len(findings) > 0 {
 				t.Error(err, findings)
 			}
-			for _, w := range all {
-				if sealed, marked := apps.VerifyChecksum(w.Text); !sealed || !marked {
-					t.Errorf("%s does not bear its sum", w.Path)
+			for _, w := range files {
+				if valid, present := apps.VerifyChecksum(w.Text); !valid || !present {
+					t.Errorf("%s has no valid checksum", w.Path)
 				}
 			}
 		})
 	}
 }
 
-// Every code is documented once, under the level and rule that findings have.
+// The page of findings must be the one that is generated from the codes.
 func TestFindingsPage(t *testing.T) {
 	text, err := os.ReadFile("../../../docs/operators/findings.md")
 	if err != nil && os.Getenv("CURLEWRING_WRITE") == "" {
@@ -162,10 +165,10 @@
 	}
 }
 
-// The schemas in docs are those of the code, and name the keys that are read.
+// The schemas in docs must be those that are generated from the keys.
 func TestSchemas(t *testing.T) {
-	for name, make := range map[string]func() ([]byte, error){"app": apps.AppSchema, "platform": apps.PlatformSchema} {
-		want, err := make()
+	for name, generate := range map[string]func() ([]byte, error){"app": apps.AppSchema, "platform": apps.PlatformSchema} {
+		want, err := generate()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/operators/appdir/dir_test.go
+++ b/internal/operators/appdir/dir_test.go
@@ -22,7 +22,7 @@
 	platform = "platform.toml"
 )
 
-// root is this package's folder: tests go elsewhere.
+// root is this package's folder; the tests change to others.
 var root string
 
 func TestMain(m *testing.M) {
@@ -33,12 +33,13 @@
 	os.Exit(m.Run())
 }
 
-// stand unpacks a good set and goes there.
-func stand(t *testing.T, name string) {
+// unpackGood unpacks a good set and changes to its folder.
+func unpackGood(t *testing.T, name string) {
 	t.Helper()
 	unpack(t, filepath.Join(root, "testdata/good", name+".txt"))
 }
 
+// write writes a file and creates its folder.
 func write(t *testing.T, name, text string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
@@ -49,6 +50,7 @@
 	}
 }
 
+// read returns the text of a file.
 func read(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -58,127 +60,131 @@
 	return string(text)
 }
 
-func codes(f apps.Findings) []string {
-	var all []string
-	for i := range f {
-		all = append(all, f[i].Code)
+// codes returns the codes of findings.
+func codes(findings apps.Findings) []string {
+	var result []string
+	for i := range findings {
+		result = append(result, findings[i].Code)
 	}
-	return all
+	return result
 }
 
+// mustWrite generates the set of the current folder and writes it to out.
 func mustWrite(t *testing.T) []apps.GeneratedFile {
 	t.Helper()
-	l := LoadDescriptions("", []string{"."})
-	if l.Findings.Worst() == 2 {
-		t.Fatal(l.Findings)
+	loaded := LoadDescriptions("", []string{"."})
+	if loaded.Findings.Worst() == 2 {
+		t.Fatal(loaded.Findings)
 	}
-	all := l.Set.Generate(l.Sources)
-	if _, _, err := Write("out", all); err != nil {
+	files := loaded.Set.Generate(loaded.Sources)
+	if _, _, err := Write("out", files); err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return files
 }
 
-// checked are the codes that a check of descriptions and written set gives.
-func checked(t *testing.T) []string {
+// checkedCodes checks the descriptions and the written set, and returns the codes of
+// the findings.
+func checkedCodes(t *testing.T) []string {
 	t.Helper()
-	l := LoadDescriptions("", []string{"."})
-	findings := l.Findings
-	if err := CheckGenerated("out", l.Set.Generate(l.Sources), &findings); err != nil {
+	loaded := LoadDescriptions("", []string{"."})
+	findings := loaded.Findings
+	if err := CheckGenerated("out", loaded.Set.Generate(loaded.Sources), &findings); err != nil {
 		t.Fatal(err)
 	}
 	return slices.Compact(codes(findings))
 }
 
-// Files that cannot be read, or should not be, are findings and nothing worse.
-func TestFilesThatCannotBeRead(t *testing.T) {
+// Files that can't be read, or should not be, must be reported as findings and not
+// keep the others from being read.
+func TestUnreadableFiles(t *testing.T) {
 	for _, x := range []struct {
 		name, code string
 		make       func() error
 	}{
-		{"a link to nothing", "SC001", func() error { return os.Symlink("nowhere", "x.toml") }},
-		{"a link to itself", "SC001", func() error { return os.Symlink("x.toml", "x.toml") }},
+		{"dangling link", "SC001", func() error { return os.Symlink("nowhere", "x.toml") }},
+		{"link to itself", "SC001", func() error { return os.Symlink("x.toml", "x.toml") }},
 		{"too large", "SC002", func() error { return os.WriteFile("x.toml", make([]byte, document.MaxFileSize+1), 0o644) }},
-		{"a link to a description", "SC015", func() error { return os.Symlink("leitstand.toml", "x.toml") }},
-		{"a hard link", "SC015", func() error { return os.Link("leitstand.toml", "x.toml") }},
+		{"link to a description", "SC015", func() error { return os.Symlink("leitstand.toml", "x.toml") }},
+		{"hard link", "SC015", func() error { return os.Link("leitstand.toml", "x.toml") }},
 		{"not UTF-8", "SC004", func() error { return os.WriteFile("x.toml", []byte("name = \"\xff\"\n"), 0o644) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			stand(t, goodSet)
+			unpackGood(t, goodSet)
 			if err := x.make(); err != nil {
 				t.Fatal(err)
 			}
-			l := LoadDescriptions("", []string{"."})
-			if got := codes(l.Findings); !slices.Contains(got, x.code) {
-				t.Errorf("got %v, want %s", l.Findings, x.code)
+			loaded := LoadDescriptions("", []string{"."})
+			if got := codes(loaded.Findings); !slices.Contains(got, x.code) {
+				t.Errorf("got %v, want %s", loaded.Findings, x.code)
 			}
-			if l.Set == nil || len(l.Set.Apps) == 0 {
-				t.Error("the good description is lost")
+			if loaded.Set == nil || len(loaded.Set.Apps) == 0 {
+				t.Error("the good description was not read")
 			}
 		})
 	}
-	t.Run("a folder in a circle, and a folder called x.toml", func(t *testing.T) {
-		stand(t, goodSet)
+	t.Run("link to its own folder, and a folder called x.toml", func(t *testing.T) {
+		unpackGood(t, goodSet)
 		os.Symlink(".", "round")
 		os.Mkdir("x.toml", 0o755)
-		if l := LoadDescriptions("", []string{"."}); len(l.Findings) > 0 {
-			t.Error(l.Findings)
+		if loaded := LoadDescriptions("", []string{"."}); len(loaded.Findings) > 0 {
+			t.Error(loaded.Findings)
 		}
 	})
-	t.Run("a file that is not there", func(t *testing.T) {
-		stand(t, goodSet)
+	t.Run("file that does not exist", func(t *testing.T) {
+		unpackGood(t, goodSet)
 		if got := codes(LoadDescriptions("", []string{"leitstand.toml", "gone.toml"}).Findings); !slices.Equal(got, []string{"SC001"}) {
 			t.Error(got)
 		}
 	})
 }
 
-// A folder that changes during the check is told: what was found is of no state
-// that ever was.
-func TestFolderThatChanges(t *testing.T) {
-	stand(t, goodSet)
+// Changes in the folder during the check must be reported, since the findings may be
+// of a mixture of old and new files.
+func TestChangesDuringCheck(t *testing.T) {
+	unpackGood(t, goodSet)
 	for _, x := range []struct {
 		name   string
 		change func()
 	}{
-		{"text", func() { write(t, "leitstand.toml", read(t, "leitstand.toml")+"# more\n") }},
-		{"gone", func() { os.Remove("leitstand.toml") }},
-		{"come", func() { write(t, "neu.toml", "schema = 1\n") }},
+		{"text changed", func() { write(t, "leitstand.toml", read(t, "leitstand.toml")+"# more\n") }},
+		{"file removed", func() { os.Remove("leitstand.toml") }},
+		{"file added", func() { write(t, "neu.toml", "schema = 1\n") }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			l := &Descriptions{Sources: apps.Sources{}}
-			r := &descriptionReader{result: l}
+			loaded := &Descriptions{Sources: apps.Sources{}}
+			r := &descriptionReader{result: loaded}
 			r.addPath(".", true)
-			var inputs []sourceFile
+			var sourceFiles []sourceFile
 			for _, f := range r.files {
-				in, ok := r.read(f)
+				source, ok := r.read(f)
 				if !ok {
-					t.Fatal(l.Findings)
+					t.Fatal(loaded.Findings)
 				}
-				inputs = append(inputs, in)
+				sourceFiles = append(sourceFiles, source)
 			}
-			r.reportChanges(inputs, []string{"."})
-			if len(l.Findings) > 0 {
-				t.Fatal("nothing has changed yet", l.Findings)
+			r.reportChanges(sourceFiles, []string{"."})
+			if len(loaded.Findings) > 0 {
+				t.Fatal("findings before any change:", loaded.Findings)
 			}
 			x.change()
-			r.reportChanges(inputs, []string{"."})
-			if got := codes(l.Findings); !slices.Equal(got, []string{string(apps.ChangedDuringRead)}) {
+			r.reportChanges(sourceFiles, []string{"."})
+			if got := codes(loaded.Findings); !slices.Equal(got, []string{string(apps.ChangedDuringRead)}) {
 				t.Error(got)
 			}
 		})
 	}
 }
 
-// What write makes is the text that is kept here, byte for byte.
+// The generated files must be those in testdata/golden, byte for byte.
 func TestGolden(t *testing.T) {
 	golden, err := filepath.Abs("testdata/golden")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stand(t, "routes-and-limits")
-	all := mustWrite(t)
-	for _, w := range all {
+	unpackGood(t, "routes-and-limits")
+	files := mustWrite(t)
+	for _, w := range files {
 		path := filepath.Join(golden, strings.ReplaceAll(w.Path, "/", "_"))
 		if os.Getenv("CURLEWRING_WRITE") != "" {
 			write(t, path, string(w.Text))
@@ -190,53 +196,54 @@
 	}
 }
 
-// Whatever is done to a written set by hand, or to its descriptions, is found.
+// The check must report edits to a written set, and changes of its descriptions
+// since it was written.
 func TestWrittenSets(t *testing.T) {
-	node := "out/current/zh-1/leitstand/node.json"
+	nodeConfig := "out/current/zh-1/leitstand/node.json"
 	for _, x := range []struct {
 		name string
 		want []string
 		do   func(t *testing.T)
 	}{
-		{"nothing", nil, func(t *testing.T) {}},
-		{"a number edited", []string{"SC060"}, func(t *testing.T) {
-			write(t, node, strings.Replace(read(t, node), `"memory_mb": 32`, `"memory_mb": 33`, 1))
+		{"no change", nil, func(t *testing.T) {}},
+		{"number edited", []string{"SC060"}, func(t *testing.T) {
+			write(t, nodeConfig, strings.Replace(read(t, nodeConfig), `"memory_mb": 32`, `"memory_mb": 33`, 1))
 		}},
-		{"a line appended to a unit", []string{"SC060"}, func(t *testing.T) {
+		{"line appended to a unit", []string{"SC060"}, func(t *testing.T) {
 			unit := "out/current/zh-1/units/curlewring-leitstand.service"
 			write(t, unit, read(t, unit)+"Nice=1\n")
 		}},
-		{"a file added", []string{"SC060"}, func(t *testing.T) { write(t, "out/current/zh-1/leitstand/more.txt", "x\n") }},
-		{"the description changed", []string{"SC061"}, func(t *testing.T) { write(t, "leitstand.toml", read(t, "leitstand.toml")+"# more\n") }},
-		{"the platform changed", []string{"SC061"}, func(t *testing.T) { write(t, platform, read(t, platform)+"# more\n") }},
-		{"the description gone", []string{"SC062"}, func(t *testing.T) { os.Remove("leitstand.toml") }},
-		{"a description more", []string{"SC063"}, func(t *testing.T) {
+		{"file added", []string{"SC060"}, func(t *testing.T) { write(t, "out/current/zh-1/leitstand/more.txt", "x\n") }},
+		{"description changed", []string{"SC061"}, func(t *testing.T) { write(t, "leitstand.toml", read(t, "leitstand.toml")+"# more\n") }},
+		{"platform changed", []string{"SC061"}, func(t *testing.T) { write(t, platform, read(t, platform)+"# more\n") }},
+		{"description removed", []string{"SC062"}, func(t *testing.T) { os.Remove("leitstand.toml") }},
+		{"description added", []string{"SC063"}, func(t *testing.T) {
 			write(t, "zweit.toml", strings.NewReplacer(`"leitstand"`, `"zweit"`, "15001", "15003", "8080", "8083").Replace(read(t, "leitstand.toml")))
 		}},
-		{"listening for all", []string{"SC060", "SC064"}, func(t *testing.T) {
-			write(t, node, strings.Replace(read(t, node), "127.0.0.1:15001", "0.0.0.0:15001", 1))
+		{"listening on all addresses", []string{"SC060", "SC064"}, func(t *testing.T) {
+			write(t, nodeConfig, strings.Replace(read(t, nodeConfig), "127.0.0.1:15001", "0.0.0.0:15001", 1))
 		}},
 		{"two schema steps ahead", []string{"SC060", "SC064", "SC066"}, func(t *testing.T) {
-			write(t, node, strings.Replace(read(t, node), `"schema": 1`, `"schema": 3`, 1))
+			write(t, nodeConfig, strings.Replace(read(t, nodeConfig), `"schema": 1`, `"schema": 3`, 1))
 		}},
-		{"of before there were descriptions", []string{"SC060", "SC065"}, func(t *testing.T) {
-			write(t, node, strings.Replace(read(t, node), "  \"schema\": 1,\n", "", 1))
+		{"without a schema version", []string{"SC060", "SC065"}, func(t *testing.T) {
+			write(t, nodeConfig, strings.Replace(read(t, nodeConfig), "  \"schema\": 1,\n", "", 1))
 		}},
-		{"no JSON", []string{"SC061", "SC064"}, func(t *testing.T) { write(t, node, "{\n") }},
+		{"invalid JSON", []string{"SC061", "SC064"}, func(t *testing.T) { write(t, nodeConfig, "{\n") }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			stand(t, goodSet)
+			unpackGood(t, goodSet)
 			mustWrite(t)
 			x.do(t)
-			got := checked(t)
+			got := checkedCodes(t)
 			slices.Sort(got)
 			if got = slices.Compact(got); !slices.Equal(got, x.want) {
 				t.Errorf("got %v, want %v", got, x.want)
 			}
-			// Writing again mends it all.
-			if x.name != "the description gone" {
+			// Writing the set again must repair all of it.
+			if x.name != "description removed" {
 				mustWrite(t)
-				if got := checked(t); len(got) > 0 {
+				if got := checkedCodes(t); len(got) > 0 {
 					t.Errorf("after writing again: %v", got)
 				}
 			}
@@ -244,9 +251,9 @@
 	}
 }
 
-// A reader of current must see one whole set or the other, however often it is
-// written over, and a writer that is stopped half-way must leave the old one.
-func TestSetsAreReplacedAtOnce(t *testing.T) {
+// A reader of current must see one complete set at any time while sets are written,
+// and an interrupted, failed or second writer must leave the current set as it is.
+func TestSetsAreReplacedAtomically(t *testing.T) {
 	dir := t.TempDir()
 	set := func(n int) (all []apps.GeneratedFile) {
 		for i := range 20 {
@@ -257,18 +264,18 @@
 	if _, _, err := Write(dir, set(0)); err != nil {
 		t.Fatal(err)
 	}
-	end := make(chan struct{})
+	stop := make(chan struct{})
 	var readers sync.WaitGroup
 	reads := 0
 	readers.Go(func() {
 		for {
 			select {
-			case <-end:
+			case <-stop:
 				return
 			default:
 			}
-			// The set behind current may be removed as too old while it is read; no
-			// half of one may be seen.
+			// The set that current pointed to may be removed as too old while it is read,
+			// but a mixture of two sets must never be seen.
 			link, err := os.Readlink(filepath.Join(dir, "current"))
 			if err != nil {
 				t.Errorf("no current set: %v", err)
@@ -285,7 +292,7 @@
 					first = text
 				}
 				if !bytes.Equal(first, text) {
-					t.Errorf("two sets at once: %q and %q", first, text)
+					t.Errorf("mixture of two sets: %q and %q", first, text)
 				}
 			}
 		}
@@ -295,34 +302,35 @@
 			t.Fatal(changed, err)
 		}
 	}
-	close(end)
+	close(stop)
 	readers.Wait()
 	if reads == 0 {
-		t.Error("nothing was read")
+		t.Error("no set was read")
 	}
 	if all, _ := os.ReadDir(filepath.Join(dir, "sets")); len(all) != keptSets {
 		t.Errorf("%d sets are kept, want %d", len(all), keptSets)
 	}
 	if name, changed, err := Write(dir, set(30)); err != nil || changed || name == "" {
-		t.Error("the same set again:", changed, err)
+		t.Error("writing the same set again:", changed, err)
 	}
-	// What a stopped writer left is cleared away, and never was current.
+	// What an interrupted writer has left must be removed.
 	os.MkdirAll(filepath.Join(dir, "sets", ".0123456789abcdef", "h0"), 0o755)
 	if _, _, err := Write(dir, set(31)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "sets", ".0123456789abcdef")); !errors.Is(err, fs.ErrNotExist) {
-		t.Error("a half set was left")
+		t.Error("a partial set was left")
 	}
-	// A file where the folder must go: nothing changes.
+	// A set that can't be written, with a path that is both file and folder, must
+	// change nothing.
 	before, _ := ReadCurrentSet(dir)
 	if _, _, err := Write(dir, []apps.GeneratedFile{{Path: "a", Text: []byte("x")}, {Path: "a/b", Text: []byte("y")}}); err == nil {
-		t.Error("an impossible set was written")
+		t.Error("a set with a path that is both file and folder was written")
 	}
 	if after, _ := ReadCurrentSet(dir); len(after) != len(before) || len(after) == 0 {
-		t.Error("the old set is gone")
+		t.Error("the old set was removed or changed")
 	}
-	// A second writer is turned away.
+	// A second writer must be rejected.
 	unlock, err := lockFolder(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -333,8 +341,8 @@
 	unlock()
 }
 
-// fleet writes so many descriptions, in chains of two.
-func fleet(t *testing.T, n int) {
+// writeFleet writes n descriptions that form call chains of two sidecars.
+func writeFleet(t *testing.T, n int) {
 	t.Helper()
 	text := strings.Replace(read(t, platform), "nodes = 16", "nodes = 5000", 1)
 	text = strings.Replace(text, "nodes = 8", "nodes = 5000", 1)
@@ -351,32 +359,32 @@
 	}
 }
 
-// The time of a check must grow with the number of descriptions and no faster.
+// The time of a check must be linear in the number of descriptions.
 func TestManyDescriptions(t *testing.T) {
 	sizes := []int{125, 250, 500, 1000}
-	var each []float64
+	var secondsEach []float64
 	for _, n := range sizes {
-		stand(t, goodSet)
-		fleet(t, n)
+		unpackGood(t, goodSet)
+		writeFleet(t, n)
 		best := time.Hour
 		for range 3 {
-			begun := time.Now()
-			l := LoadDescriptions("", []string{"."})
-			best = min(best, time.Since(begun))
-			if l.Findings.Worst() == 2 {
-				t.Fatal(l.Findings[0])
+			start := time.Now()
+			loaded := LoadDescriptions("", []string{"."})
+			best = min(best, time.Since(start))
+			if loaded.Findings.Worst() == 2 {
+				t.Fatal(loaded.Findings[0])
 			}
-			if len(l.Set.Apps) != n {
-				t.Fatalf("%d of %d descriptions", len(l.Set.Apps), n)
+			if len(loaded.Set.Apps) != n {
+				t.Fatalf("%d of %d descriptions", len(loaded.Set.Apps), n)
 			}
 		}
-		begun := time.Now()
+		start := time.Now()
 		mustWrite(t)
 		t.Logf("| %d descriptions | checked in %.0f ms, %.0f us each | written in %.0f ms |", n, best.Seconds()*1e3,
-			best.Seconds()*1e6/float64(n), time.Since(begun).Seconds()*1e3)
-		each = append(each, best.Seconds()/float64(n))
+			best.Seconds()*1e6/float64(n), time.Since(start).Seconds()*1e3)
+		secondsEach = append(secondsEach, best.Seconds()/float64(n))
 	}
-	if each[len(each)-1] > 4*each[0] {
-		t.Errorf("a description takes %.0f us among %d and %.0f us among %d", each[0]*1e6, sizes[0], each[len(each)-1]*1e6, sizes[len(sizes)-1])
+	if secondsEach[len(secondsEach)-1] > 4*secondsEach[0] {
+		t.Errorf("%.0f us for each of %d descriptions, %.0f us for each of %d", secondsEach[0]*1e6, sizes[0], secondsEach[len(secondsEach)-1]*1e6, sizes[len(sizes)-1])
 	}
 }
