--- a/cmd/curlewring/main.go
+++ b/cmd/curlewring/main.go
@@ -1,9 +1,10 @@
-// Command curlewring is a load-balancing node. LB_CONFIG names the file that
-// tells it where to listen, where discovery is, and what to go by; --operator
-// names a file of timing rules by route, --settings one of the node's own. On
-// SIGHUP it reads them again; on SIGTERM it ends in order. With --check it reads
-// them, prints what is wrong with them, and ends with 0 or 2 without binding
-// anything.
+// Command curlewring runs a load-balancing node.
+//
+// The environment variable LB_CONFIG names its configuration file, with the listen
+// address, the address of discovery and the platform's settings. --operator names
+// a file of route tables, and --settings a file of the node's own settings. On
+// SIGHUP it reloads the files, and on SIGTERM it shuts down gracefully. With
+// --check it only reads the files, prints their faults, and exits with 0 or 2.
 package main
 
 import (
@@ -27,11 +28,11 @@
 func main() {
 	flags := flag.NewFlagSet("curlewring", flag.ExitOnError)
 	files := node.Files{Config: os.Getenv("LB_CONFIG")}
-	flags.StringVar(&files.Operator, "operator", "", "the operators' `file` of timing rules by route")
+	flags.StringVar(&files.Operator, "operator", "", "the operators' `file` of route tables")
 	flags.StringVar(&files.Local, "settings", "", "the node's own settings `file`")
 	level := slog.LevelInfo
-	flags.TextVar(&level, "log", level, "the least `level` that is logged; debug has every request, attempt and call to discovery")
-	checkOnly := flags.Bool("check", false, "check the files, print what is wrong, and end with 0 or 2")
+	flags.TextVar(&level, "log", level, "the minimum log `level`; debug logs every request, attempt and discovery call")
+	checkOnly := flags.Bool("check", false, "check the files, print their faults, and exit with 0 or 2")
 	flags.Parse(os.Args[1:])
 	if flags.NArg() > 0 {
 		fmt.Fprintf(os.Stderr, "curlewring: unexpected argument %q\n", flags.Arg(0))
@@ -47,16 +48,16 @@
 	}
 }
 
-// check prints each fault of the files on a line, and returns the exit code.
+// check prints the faults of the files, one a line, and returns the exit code.
 func check(files node.Files, out io.Writer) int {
 	_, err := files.Read()
-	var bad *node.Findings
+	var findings *node.Findings
 	switch {
-	case errors.As(err, &bad):
-		for _, f := range bad.All {
-			fmt.Fprintln(out, f.InFile(bad.File))
+	case errors.As(err, &findings):
+		for _, f := range findings.All {
+			fmt.Fprintln(out, f.InFile(findings.File))
 		}
-		fmt.Fprintf(out, "%d faults\n", len(bad.All))
+		fmt.Fprintf(out, "%d faults\n", len(findings.All))
 		return 2
 	case err != nil:
 		fmt.Fprintln(out, err)
@@ -66,6 +67,8 @@
 	return 0
 }
 
+// run runs the node, and its application if it starts one, until either ends or a
+// signal asks it to shut down.
 func run(files node.Files, log *slog.Logger) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -74,72 +77,73 @@
 	if err != nil {
 		return err
 	}
-	// One core, which other nodes may share. Memory that the limit leaves over
-	// is for stacks, the program itself and the kernel's part. What lives is a few
-	// megabytes: collections cost little, and rarer ones would let the heap grow
-	// for minutes before the first.
+	// A node uses one core, which it may share with other nodes. A third of the memory
+	// limit is left for stacks, the program's code and kernel buffers. The live heap is
+	// a few megabytes, so collections are cheap, and a larger GC percentage would let
+	// the heap grow for minutes before the first one.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 2 / 3)
 	debug.SetGCPercent(100)
 
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
+	ctx, stopSignals := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stopSignals()
 	log = log.With("node", config.Name)
 	n, err := node.New(config, log)
 	if err != nil {
 		return err
 	}
-	serving, end := context.WithCancel(context.Background())
-	defer end()
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(serving) }()
-	beside := make(chan error, 1)
-	go func() { beside <- accompany(ctx, serving, n, config.Sidecar, log) }()
-	var wrong error
+	serving, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
+	nodeDone := make(chan error, 1)
+	go func() { nodeDone <- n.Run(serving) }()
+	applicationDone := make(chan error, 1)
+	go func() { applicationDone <- superviseApplication(ctx, serving, n, config.Sidecar, log) }()
+	var applicationErr error
 	for {
 		select {
-		case err := <-ended:
-			end()
-			stop() // its application must not outlive it
-			if beside != nil {
-				wrong = <-beside
+		case err := <-nodeDone:
+			stopServing()
+			stopSignals() // the application must not outlive its sidecar
+			if applicationDone != nil {
+				applicationErr = <-applicationDone
 			}
-			return errors.Join(err, wrong)
-		case wrong = <-beside: // the word to end, or the application's own end
-			end()
-			beside = nil
+			return errors.Join(err, applicationErr)
+		case applicationErr = <-applicationDone: // a signal, or the application's exit
+			stopServing()
+			applicationDone = nil
 		case <-reload:
-			n.Reload(files) // it logs what came of it
+			n.Reload(files) // it logs the result
 		}
 	}
 }
 
-// startPatience is how long an application waits for its sidecar to have a
-// server to send to: discovery may be out, and the application has other work.
-const startPatience = 5 * time.Second
+// readyTimeout bounds the wait for a server before the application is started:
+// discovery may be down, and the application has other work to do.
+const readyTimeout = 5 * time.Second
 
-// accompany returns when the node is to end: with the word to end, or, where the
-// node starts its application, once that has ended. The application ends first,
-// and its last requests get their answers.
-func accompany(ctx, serving context.Context, n *node.Node, s *node.Sidecar, log *slog.Logger) error {
-	if s == nil || len(s.Command) == 0 {
+// superviseApplication starts the sidecar's application, if it has a command, once
+// the node is ready. It returns when the node has to shut down: after ctx is done,
+// or after the application has exited. The application is stopped before the node,
+// so that its last requests are answered.
+func superviseApplication(ctx, serving context.Context, n *node.Node, sidecar *node.Sidecar, log *slog.Logger) error {
+	if sidecar == nil || len(sidecar.Command) == 0 {
 		<-ctx.Done()
 		return nil
 	}
-	waiting, cancel := context.WithTimeout(ctx, startPatience)
-	err := n.WaitReady(waiting)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
+	err := n.WaitReady(readyCtx)
 	cancel()
 	if ctx.Err() != nil || serving.Err() != nil {
 		return nil
 	}
 	if err != nil {
-		log.Warn("the application starts without a server to send to", "err", err)
+		log.Warn("starting the application although no server is available", "err", err)
 	}
-	c := supervisor.DefaultConfig(s.Command, log)
-	if s.Socket != "" {
-		c.Env = append(c.Env, "CURLEWRING_SOCKET="+s.Socket)
+	config := supervisor.DefaultConfig(sidecar.Command, log)
+	if sidecar.Socket != "" {
+		config.Env = append(config.Env, "CURLEWRING_SOCKET="+sidecar.Socket)
 	} else {
-		c.Env = append(c.Env, "CURLEWRING_ADDRESS="+n.Address().String())
+		config.Env = append(config.Env, "CURLEWRING_ADDRESS="+n.Address().String())
 	}
-	return supervisor.Run(ctx, c)
+	return supervisor.Run(ctx, config)
 }
--- a/cmd/curlewring/main_test.go
+++ b/cmd/curlewring/main_test.go
@@ -16,21 +16,22 @@
 	"time"
 )
 
-// The test's program stands in for the command where this variable is set.
-const asCommand = "CURLEWRING_TEST_COMMAND"
+// runAsCommand is the environment variable that makes the test binary run as the
+// command.
+const runAsCommand = "CURLEWRING_TEST_COMMAND"
 
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "application" {
-		application(os.Args[2])
+		runApplication(os.Args[2])
 	}
-	if os.Getenv(asCommand) != "" {
+	if os.Getenv(runAsCommand) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// logBuffer keeps what a running program writes.
+// logBuffer collects the output of a running program.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -48,24 +49,25 @@
 	return b.text.String()
 }
 
-// command prepares the program with a configuration.
-func command(t *testing.T, config string) (*exec.Cmd, *logBuffer) {
+// nodeCommand prepares the program with a configuration, and returns the buffer that
+// takes its log.
+func nodeCommand(t *testing.T, config string) (*exec.Cmd, *logBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asCommand+"=1", "LB_CONFIG="+path)
+	cmd.Env = append(os.Environ(), runAsCommand+"=1", "LB_CONFIG="+path)
 	log := &logBuffer{}
 	cmd.Stderr = log
 	return cmd, log
 }
 
-// A bad configuration must end the start with one clear line and a code that
-// the platform can see, not with a node that can't serve.
-func TestBadConfigurationEndsTheStart(t *testing.T) {
-	cmd, log := command(t, `{"listen":"nowhere"}`)
+// With an invalid configuration the program must print one line and exit with a code
+// other than 0, instead of running without being able to serve.
+func TestInvalidConfigurationFailsStart(t *testing.T) {
+	cmd, log := nodeCommand(t, `{"listen":"nowhere"}`)
 	err := cmd.Run()
 	if _, failed := err.(*exec.ExitError); !failed {
 		t.Errorf("ended with %v, want an exit code other than 0", err)
@@ -75,7 +77,7 @@
 	}
 }
 
-// freeAddress is one that a program can listen on.
+// freeAddress returns a loopback address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,6 +88,7 @@
 	return l.Addr().String()
 }
 
+// configText returns a configuration with a first list of one server.
 func configText(listen, discovery string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -95,7 +98,7 @@
 			"aim_ns":1000000000,"deadline_ns":2000000000,"worth":1}]}}`, listen, discovery)
 }
 
-// waitReady waits until a program serves.
+// waitReady waits until the program at an address is ready.
 func waitReady(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -107,14 +110,14 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("never ready: %v", err)
+			t.Fatalf("not ready after 20 s: %v", err)
 		}
 	}
 }
 
-// SIGHUP must make the program read its configuration again and ask discovery
-// where the new one says: by default the signal ends a Go program. A bad file
-// must change nothing but the log.
+// On SIGHUP the program must reload its configuration and call the discovery that
+// the new one names; by default the signal would end a Go program. An invalid file
+// must only be logged.
 func TestReload(t *testing.T) {
 	var calls [2]chan string
 	var discovery [2]*httptest.Server
@@ -122,28 +125,28 @@
 		calls[i] = make(chan string, 100)
 		discovery[i] = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls[i] <- r.URL.RawQuery
-			<-r.Context().Done() // the watch waits
+			<-r.Context().Done() // a watch without changes
 		}))
 		defer discovery[i].Close()
 		defer discovery[i].CloseClientConnections()
 	}
-	called := func(i int) {
+	waitForCall := func(i int) {
 		t.Helper()
 		select {
 		case <-calls[i]:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("discovery %d was not asked", i)
+			t.Fatalf("discovery %d was not called", i)
 		}
 	}
 	address := freeAddress(t)
-	cmd, log := command(t, configText(address, discovery[0].Listener.Addr().String()))
+	cmd, log := nodeCommand(t, configText(address, discovery[0].Listener.Addr().String()))
 	path := strings.TrimPrefix(cmd.Env[len(cmd.Env)-1], "LB_CONFIG=")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
 	waitReady(t, address)
-	called(0)
+	waitForCall(0)
 
 	reload := func(config string) {
 		t.Helper()
@@ -155,16 +158,16 @@
 		}
 	}
 	reload(configText(address, discovery[1].Listener.Addr().String()))
-	called(1)
+	waitForCall(1)
 	reload(`{"listen":"nowhere"}`)
 	for end := time.Now().Add(20 * time.Second); !strings.Contains(log.String(), "stays"); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("a bad configuration left no line")
+			t.Fatal("the invalid configuration was not logged")
 		}
 	}
 	waitReady(t, address)
 	reload(configText(address, discovery[0].Listener.Addr().String()))
-	called(0)
+	waitForCall(0)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -172,14 +175,15 @@
 		t.Errorf("ended with %v: %s", err, log)
 	}
 	if n := strings.Count(log.String(), "stays"); n != 1 {
-		t.Errorf("%d lines for one bad configuration: %s", n, log)
+		t.Errorf("%d lines for one invalid configuration: %s", n, log)
 	}
 }
 
-// The program must serve from its last list, and end in order on SIGTERM.
-func TestStartAndPlannedEnd(t *testing.T) {
+// The program must serve from the list in its configuration while discovery is down,
+// and shut down gracefully on SIGTERM.
+func TestStartAndGracefulShutdown(t *testing.T) {
 	address := freeAddress(t)
-	cmd, log := command(t, configText(address, "127.0.0.1:1"))
+	cmd, log := nodeCommand(t, configText(address, "127.0.0.1:1"))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/curlewring/operator_test.go
+++ b/cmd/curlewring/operator_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// checked runs the program with --check and returns what it printed and its code.
-func checked(t *testing.T, config, operator string) (string, int) {
+// runCheck runs the program with --check and returns its output and exit code.
+func runCheck(t *testing.T, config, operator string) (string, int) {
 	t.Helper()
-	cmd, log := command(t, config)
+	cmd, log := nodeCommand(t, config)
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, []byte(operator), 0o600); err != nil {
 		t.Fatal(err)
@@ -29,8 +29,8 @@
 	return string(out) + log.String(), cmd.ProcessState.ExitCode()
 }
 
-// --check must tell all faults, end with 0 or 2, and bind nothing: here the
-// address is taken, which a start would fail on.
+// --check must print all faults, exit with 0 or 2, and not bind the address: it is in
+// use here, so a start would fail.
 func TestCheck(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,29 +39,29 @@
 	defer l.Close()
 	config := configText(l.Addr().String(), "127.0.0.1:1")
 	const good = "[[route]]\nclass = \"look\"\nattempt_timeout = \"500ms\"\nattempts = 1\n"
-	if text, code := checked(t, config, good); code != 0 || !strings.Contains(text, "no fault") {
-		t.Errorf("a good file: %d %q", code, text)
+	if text, code := runCheck(t, config, good); code != 0 || !strings.Contains(text, "no fault") {
+		t.Errorf("valid file: %d %q", code, text)
 	}
 	const bad = "[[route]]\nclass = \"look\"\nattempt_timeout = \"5s\"\nattempts = 1\n[[route]]\nclass = \"nowhere\"\nattempts = 2\n"
-	text, code := checked(t, config, bad)
+	text, code := runCheck(t, config, bad)
 	if code != 2 || !strings.Contains(text, "operator.toml:3: RT031") || !strings.Contains(text, "operator.toml:6: RT021") {
-		t.Errorf("two faults: %d %q", code, text)
+		t.Errorf("file with two faults: %d %q", code, text)
 	}
-	if text, code := checked(t, `{"listen":"nowhere"}`, good); code != 2 || !strings.Contains(text, "listen") {
-		t.Errorf("a bad configuration: %d %q", code, text)
+	if text, code := runCheck(t, `{"listen":"nowhere"}`, good); code != 2 || !strings.Contains(text, "listen") {
+		t.Errorf("invalid configuration: %d %q", code, text)
 	}
-	cmd, log := command(t, config)
+	cmd, log := nodeCommand(t, config)
 	cmd.Args = append(cmd.Args, "--no-such-flag")
 	if err := cmd.Run(); err == nil || !strings.Contains(log.String(), "no-such-flag") {
-		t.Errorf("an unknown flag: %v %q", err, log)
+		t.Errorf("unknown flag: %v %q", err, log)
 	}
 }
 
-// Signals that come during a reload must lead to one more, so that the newest
-// file counts, whatever the order of file and signal.
-func TestSignalsAtOnce(t *testing.T) {
+// Signals that arrive during a reload must cause another one, so that the newest file
+// is read whatever the order of writes and signals.
+func TestSignalsDuringReload(t *testing.T) {
 	address := freeAddress(t)
-	cmd, log := command(t, configText(address, "127.0.0.1:1"))
+	cmd, log := nodeCommand(t, configText(address, "127.0.0.1:1"))
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
 		t.Helper()
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	// The last file is good; then a bad one must be the last word.
+	// The last file was valid. An invalid one now must be read and logged.
 	write("[[route]]\nclass = \"last\"\nattempts = 2\n")
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
--- a/cmd/curlewring/sidecar_test.go
+++ b/cmd/curlewring/sidecar_test.go
@@ -16,8 +16,9 @@
 	"time"
 )
 
-// ask makes a request through a sidecar, and returns the status.
-func ask(address, txn string) string {
+// sendRequest sends a request through a sidecar, and returns the status code or the
+// error as text.
+func sendRequest(address, txn string) string {
 	r, err := http.NewRequest(http.MethodGet, "http://"+address+"/look/"+txn, nil)
 	if err != nil {
 		return err.Error()
@@ -33,9 +34,9 @@
 	return strconv.Itoa(resp.StatusCode)
 }
 
-// application stands in for the one beside a sidecar. It notes what it sees in a
-// file, and makes a last request when it is told to end.
-func application(file string) {
+// runApplication is the application of a sidecar. It sends a request at its start and
+// another one on SIGTERM, writes the results to a file, and exits.
+func runApplication(file string) {
 	ended := make(chan os.Signal, 1)
 	signal.Notify(ended, syscall.SIGTERM)
 	f, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
@@ -43,14 +44,15 @@
 		os.Exit(9)
 	}
 	address := os.Getenv("CURLEWRING_ADDRESS")
-	fmt.Fprintf(f, "start %d %s\n", os.Getpid(), ask(address, "first"))
+	fmt.Fprintf(f, "start %d %s\n", os.Getpid(), sendRequest(address, "first"))
 	<-ended
-	fmt.Fprintf(f, "end %s\n", ask(address, "last"))
+	fmt.Fprintf(f, "end %s\n", sendRequest(address, "last"))
 	os.Exit(0)
 }
 
-// beside makes the configuration of a sidecar with an application.
-func beside(t *testing.T, listen, box, discovery string, command []string) string {
+// sidecarConfig returns the configuration of a sidecar with an application and one
+// server.
+func sidecarConfig(t *testing.T, listen, server, discovery string, command []string) string {
 	t.Helper()
 	var config map[string]any
 	if err := json.Unmarshal([]byte(configText(listen, discovery)), &config); err != nil {
@@ -58,7 +60,7 @@
 	}
 	config["schema"] = 1
 	config["sidecar"] = map[string]any{"application": "leitstand", "command": command}
-	config["known"].(map[string]any)["instances"] = []any{map[string]any{"instanceId": "s0", "hostPort": box, "lifecycle": "SERVING"}}
+	config["known"].(map[string]any)["instances"] = []any{map[string]any{"instanceId": "s0", "hostPort": server, "lifecycle": "SERVING"}}
 	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
@@ -66,24 +68,24 @@
 	return string(text)
 }
 
-// The application must start once its sidecar serves, be started again when it
-// dies, with the same sidecar, and have its last requests answered when the
-// sidecar is told to end; and a sidecar ends with its application.
-func TestSidecarAndItsApplication(t *testing.T) {
-	box := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "state") }))
-	defer box.Close()
+// The application must be started once its sidecar serves, be restarted by the same
+// sidecar when it is killed, and have its last request answered when the sidecar is
+// stopped.
+func TestSidecarSupervisesApplication(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "state") }))
+	defer server.Close()
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
 	file := filepath.Join(t.TempDir(), "application")
 	address := freeAddress(t)
-	cmd, log := command(t, beside(t, address, box.Listener.Addr().String(), discovery.Listener.Addr().String(),
+	cmd, log := nodeCommand(t, sidecarConfig(t, address, server.Listener.Addr().String(), discovery.Listener.Addr().String(),
 		[]string{os.Args[0], "application", file}))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer cmd.Process.Kill()
-	told := func(what string, n int) []string {
+	waitForLines := func(what string, n int) []string {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 			text, _ := os.ReadFile(file)
@@ -91,48 +93,49 @@
 				return all
 			}
 			if time.Now().After(end) {
-				t.Fatalf("waited in vain for %s: %q\n%s", what, text, log)
+				t.Fatalf("timed out waiting for %s: %q\n%s", what, text, log)
 			}
 		}
 	}
-	first := strings.Fields(told("the start", 1)[0])
+	first := strings.Fields(waitForLines("the start", 1)[0])
 	if len(first) != 3 || first[2] != "200" {
 		t.Fatalf("the application started before its sidecar served: %v", first)
 	}
-	// A second sidecar on the port must say so and go; the first must not notice.
-	second, secondLog := command(t, beside(t, address, box.Listener.Addr().String(), discovery.Listener.Addr().String(), nil))
+	// A second sidecar on the port must report it and exit, without an effect on the
+	// first.
+	second, secondLog := nodeCommand(t, sidecarConfig(t, address, server.Listener.Addr().String(), discovery.Listener.Addr().String(), nil))
 	if err := second.Run(); err == nil || !strings.Contains(secondLog.String(), "another process listens on "+address) {
-		t.Errorf("the second sidecar: %v %q", err, secondLog)
+		t.Errorf("second sidecar: %v %q", err, secondLog)
 	}
-	if got := ask(address, "between"); got != "200" {
+	if got := sendRequest(address, "between"); got != "200" {
 		t.Errorf("the first sidecar answers %s", got)
 	}
-	// The application dies.
+	// The application is killed.
 	pid, err := strconv.Atoi(first[1])
 	if err != nil || syscall.Kill(pid, syscall.SIGKILL) != nil {
 		t.Fatal("killing the application:", err)
 	}
-	if again := strings.Fields(told("the new start", 2)[1]); len(again) != 3 || again[1] == first[1] || again[2] != "200" {
-		t.Errorf("after its death: %v", again)
+	if restarted := strings.Fields(waitForLines("the restart", 2)[1]); len(restarted) != 3 || restarted[1] == first[1] || restarted[2] != "200" {
+		t.Errorf("after the restart: %v", restarted)
 	}
-	// The word to end: the application ends first, and its last request is answered.
+	// On SIGTERM the application is stopped first, and its last request is answered.
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("ended with %v\n%s", err, log)
 	}
-	if last := told("the end", 3)[2]; last != "end 200" {
-		t.Errorf("the last request: %q", last)
+	if last := waitForLines("the end", 3)[2]; last != "end 200" {
+		t.Errorf("last request: %q", last)
 	}
 }
 
-// A sidecar whose application ends by itself must end too.
-func TestSidecarEndsWithItsApplication(t *testing.T) {
+// A sidecar must exit when its application exits by itself.
+func TestSidecarExitsWithApplication(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
-	cmd, log := command(t, beside(t, freeAddress(t), "127.0.0.1:1", discovery.Listener.Addr().String(), []string{"/bin/sh", "-c", "exit 0"}))
+	cmd, log := nodeCommand(t, sidecarConfig(t, freeAddress(t), "127.0.0.1:1", discovery.Listener.Addr().String(), []string{"/bin/sh", "-c", "exit 0"}))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -146,6 +149,6 @@
 	case <-time.After(20 * time.Second):
 		cmd.Process.Kill()
 		<-ended
-		t.Errorf("the sidecar stays\n%s", log)
+		t.Errorf("the sidecar did not exit\n%s", log)
 	}
 }
