--- a/internal/operators/appdir/load.go
+++ b/internal/operators/appdir/load.go
@@ -15,10 +15,11 @@
 	"curlewring/internal/operators/document"
 )
 
-// PlatformName is the shared file's name where none is given.
+// PlatformName is the platform file's name unless another one is given.
 const PlatformName = "platform.toml"
 
-// Loaded is what was read.
+// Descriptions is the result of reading descriptions. Platform and Set are nil if
+// the platform file could not be read.
 type Descriptions struct {
 	Platform *apps.Platform
 	Set      *apps.Set
@@ -26,110 +27,114 @@
 	Findings apps.Findings
 }
 
-// input is a file as it was found and read.
-type input struct {
+// sourceFile is a file with the text that was read from it.
+type sourceFile struct {
 	path string
-	info fs.FileInfo // of the file itself, behind links
+	info fs.FileInfo // of the file itself, not of a link to it
 	text []byte
 }
 
-// Load reads the platform and all descriptions that the paths name: files, or
-// folders with *.toml files below them. All faults are findings. The platform is
-// the file that is given, or the one called platform.toml in the first folder.
+// LoadDescriptions reads the platform file and all descriptions that the paths name:
+// files, or folders with *.toml files below them. All faults are findings. Unless a
+// platform file is given, it is the first platform.toml in a named folder or beside
+// a named file.
 func LoadDescriptions(platform string, paths []string) *Descriptions {
-	l := &Descriptions{Sources: apps.Sources{}}
-	r := &reader{loaded: l}
+	result := &Descriptions{Sources: apps.Sources{}}
+	r := &descriptionReader{result: result}
 	for _, p := range paths {
-		r.look(p, true)
+		r.addPath(p, true)
 	}
 	if platform == "" {
-		platform = r.platform(paths)
+		platform = r.findPlatform(paths)
 	}
-	r.files = slices.DeleteFunc(r.files, func(f string) bool { return same(f, platform) })
+	r.files = slices.DeleteFunc(r.files, func(f string) bool { return isSameFile(f, platform) })
 	if platform == "" {
-		l.Findings.Add(apps.NoPlatform, first(paths), 0, "no "+PlatformName+" beside the descriptions")
-		return l
+		result.Findings.Add(apps.NoPlatform, firstOrDot(paths), 0, "no "+PlatformName+" beside the descriptions")
+		return result
 	}
 	in, ok := r.read(platform)
 	if !ok {
-		return l
+		return result
 	}
-	l.Sources[platform] = in.text
-	l.Platform = apps.ReadPlatform(platform, in.text, &l.Findings)
-	var all []*apps.App
+	result.Sources[platform] = in.text
+	result.Platform = apps.ReadPlatform(platform, in.text, &result.Findings)
+	var applications []*apps.App
 	byText := map[string]string{}
-	var inputs []input
+	var sourceFiles []sourceFile
 	for _, f := range r.files {
 		in, ok := r.read(f)
 		if !ok {
 			continue
 		}
 		if other := byText[string(in.text)]; other != "" {
-			l.Findings.Add(apps.DuplicateFile, f, 0, "it holds the same as "+other)
+			result.Findings.Add(apps.DuplicateFile, f, 0, "it holds the same as "+other)
 			continue
 		}
 		byText[string(in.text)] = f
-		inputs = append(inputs, in)
-		l.Sources[f] = in.text
-		all = append(all, apps.ReadApp(f, in.text, l.Platform, &l.Findings))
+		sourceFiles = append(sourceFiles, in)
+		result.Sources[f] = in.text
+		applications = append(applications, apps.ReadApp(f, in.text, result.Platform, &result.Findings))
 	}
-	l.Set = apps.NewSet(l.Platform, all, &l.Findings)
-	r.unchanged(append(inputs, in), paths)
-	l.Findings.Sort()
-	return l
+	result.Set = apps.NewSet(result.Platform, applications, &result.Findings)
+	r.reportChanges(append(sourceFiles, in), paths)
+	result.Findings.Sort()
+	return result
 }
 
-func first(all []string) string {
-	if len(all) > 0 {
-		return all[0]
+// firstOrDot returns the first element, or "." of an empty list.
+func firstOrDot(list []string) string {
+	if len(list) > 0 {
+		return list[0]
 	}
 	return "."
 }
 
-// same tells whether two names are of one file.
-func same(x, y string) bool {
-	a, err := os.Stat(x)
-	b, err2 := os.Stat(y)
-	return err == nil && err2 == nil && os.SameFile(a, b)
+// isSameFile reports whether two paths lead to the same file.
+func isSameFile(path1, path2 string) bool {
+	info1, err1 := os.Stat(path1)
+	info2, err2 := os.Stat(path2)
+	return err1 == nil && err2 == nil && os.SameFile(info1, info2)
 }
 
-type reader struct {
-	loaded *Descriptions
-	files  []string
-	seen   []seenFile
-	known  map[fileKey][]int // of seen
+// descriptionReader finds and reads files, each once, and collects findings.
+type descriptionReader struct {
+	result     *Descriptions
+	files      []string
+	found      []foundFile
+	foundByKey map[fileKey][]int // indexes of found
 }
 
-type seenFile struct {
+// foundFile is a file with the path under which it was found first.
+type foundFile struct {
 	path string
 	info fs.FileInfo
 }
 
-// fileKey makes files that may be the same few: os.SameFile tells.
+// fileKey narrows down the files that os.SameFile has to compare.
 type fileKey struct {
-	size int64
-	time int64
+	size    int64
+	modTime int64
 }
 
-// look notes a file, or all descriptions below a folder. Links to files are
-// followed, those to folders are not: they may lead round in a circle.
-func (r *reader) look(path string, named bool) {
+// addPath adds a file, or all descriptions below a folder. Links to files are
+// followed. Links to folders are not, since they may form a cycle.
+func (r *descriptionReader) addPath(path string, named bool) {
 	info, err := os.Stat(path)
 	if err != nil {
-		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
+		r.result.Findings.Add(apps.Unreadable, path, 0, withoutPath(err))
 		return
 	}
 	if !info.IsDir() {
-		r.note(path, info)
+		r.addFile(path, info)
 		return
 	}
 	err = filepath.WalkDir(path, func(at string, d fs.DirEntry, err error) error {
 		if err != nil {
-			r.loaded.Findings.Add(apps.Unreadable, at, 0, plain(err))
+			r.result.Findings.Add(apps.Unreadable, at, 0, withoutPath(err))
 			return nil
 		}
 		if d.IsDir() {
-			if at != path && (strings.HasPrefix(d.Name(), ".") || isOutput(at)) {
+			if at != path && (strings.HasPrefix(d.Name(), ".") || isOutputFolder(at)) {
 				return filepath.SkipDir
 			}
 			return nil
@@ -139,51 +144,52 @@
 		}
 		info, err := os.Stat(at)
 		if err != nil {
-			r.loaded.Findings.Add(apps.Unreadable, at, 0, plain(err))
+			r.result.Findings.Add(apps.Unreadable, at, 0, withoutPath(err))
 			return nil
 		}
 		if info.IsDir() {
 			return nil
 		}
-		r.note(at, info)
+		r.addFile(at, info)
 		return nil
 	})
 	if err != nil {
-		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
+		r.result.Findings.Add(apps.Unreadable, path, 0, withoutPath(err))
 	}
 }
 
-// isOutput tells whether a folder is one that sets are written to.
-func isOutput(path string) bool {
-	info, err := os.Lstat(filepath.Join(path, currentName))
+// isOutputFolder reports whether sets are written to a folder.
+func isOutputFolder(path string) bool {
+	info, err := os.Lstat(filepath.Join(path, currentLinkName))
 	if err != nil || info.Mode()&fs.ModeSymlink == 0 {
 		return false
 	}
-	_, err = os.Stat(filepath.Join(path, setsName))
+	_, err = os.Stat(filepath.Join(path, setsFolderName))
 	return err == nil
 }
 
-// note takes a file once, whatever its names.
-func (r *reader) note(path string, info fs.FileInfo) {
-	if r.known == nil {
-		r.known = map[fileKey][]int{}
+// addFile adds a file, and reports one that was found under another path before.
+func (r *descriptionReader) addFile(path string, info fs.FileInfo) {
+	if r.foundByKey == nil {
+		r.foundByKey = map[fileKey][]int{}
 	}
 	key := fileKey{info.Size(), info.ModTime().UnixNano()}
-	for _, i := range r.known[key] {
-		if os.SameFile(r.seen[i].info, info) {
-			if r.seen[i].path != path {
-				r.loaded.Findings.Add(apps.DuplicateFile, path, 0, "it is the same file as "+r.seen[i].path)
+	for _, i := range r.foundByKey[key] {
+		if os.SameFile(r.found[i].info, info) {
+			if r.found[i].path != path {
+				r.result.Findings.Add(apps.DuplicateFile, path, 0, "it is the same file as "+r.found[i].path)
 			}
 			return
 		}
 	}
-	r.known[key] = append(r.known[key], len(r.seen))
-	r.seen = append(r.seen, seenFile{path, info})
+	r.foundByKey[key] = append(r.foundByKey[key], len(r.found))
+	r.found = append(r.found, foundFile{path, info})
 	r.files = append(r.files, path)
 }
 
-// platform finds the shared file in a folder that is named, or beside a file.
-func (r *reader) platform(paths []string) string {
+// findPlatform returns the first platform file in a named folder or beside a named
+// file; "" if there is none.
+func (r *descriptionReader) findPlatform(paths []string) string {
 	for _, p := range paths {
 		dir := p
 		if info, err := os.Stat(p); err == nil && !info.IsDir() {
@@ -197,18 +203,20 @@
 	return ""
 }
 
-// read reads a file whole, up to one byte more than may be.
-func (r *reader) read(path string) (input, bool) {
+// read reads a file, up to one byte more than the maximum size, so that a larger one
+// is detected.
+func (r *descriptionReader) read(path string) (sourceFile, bool) {
 	text, info, err := readBounded(path, document.MaxFileSize)
 	if err != nil {
-		r.loaded.Findings.Add(apps.Unreadable, path, 0, plain(err))
-		return input{}, false
+		r.result.Findings.Add(apps.Unreadable, path, 0, withoutPath(err))
+		return sourceFile{}, false
 	}
-	return input{path, info, text}, true
+	return sourceFile{path, info, text}, true
 }
 
-func readBounded(path string, most int64) ([]byte, fs.FileInfo, error) {
-	// A pipe would be waited for when it is opened.
+// readBounded reads up to maxSize+1 bytes of a regular file.
+func readBounded(path string, maxSize int64) ([]byte, fs.FileInfo, error) {
+	// Checked before opening, since opening a pipe would block.
 	if info, err := os.Stat(path); err != nil {
 		return nil, nil, err
 	} else if !info.Mode().IsRegular() {
@@ -223,36 +231,36 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxSize+1))
 	return text, info, err
 }
 
-// plain is an error without the path, which the finding names.
-func plain(err error) string {
-	var p *fs.PathError
-	if errors.As(err, &p) {
-		return fmt.Sprintf("%s: %v", p.Op, p.Err)
+// withoutPath formats an error without its path, which the finding has already.
+func withoutPath(err error) string {
+	var pathError *fs.PathError
+	if errors.As(err, &pathError) {
+		return fmt.Sprintf("%s: %v", pathError.Op, pathError.Err)
 	}
 	return err.Error()
 }
 
-// unchanged finds files that are not any more what was read, and folders that
-// hold other files than before: what was found is of a state that never was.
-func (r *reader) unchanged(inputs []input, paths []string) {
-	for _, in := range inputs {
-		text, info, err := readBounded(in.path, document.MaxFileSize)
-		if err != nil || !os.SameFile(info, in.info) || !bytes.Equal(text, in.text) {
-			r.loaded.Findings.Add(apps.ChangedDuringRead, in.path, 0, "the file changed, or went, while the check ran")
+// reportChanges reports files that have changed, disappeared or appeared since they
+// were read: the findings may then be of a mixture of old and new files.
+func (r *descriptionReader) reportChanges(sourceFiles []sourceFile, paths []string) {
+	for _, source := range sourceFiles {
+		text, info, err := readBounded(source.path, document.MaxFileSize)
+		if err != nil || !os.SameFile(info, source.info) || !bytes.Equal(text, source.text) {
+			r.result.Findings.Add(apps.ChangedDuringRead, source.path, 0, "the file changed, or went, while the check ran")
 		}
 	}
 	var scratch Descriptions
-	again := &reader{loaded: &scratch}
+	again := &descriptionReader{result: &scratch}
 	for _, p := range paths {
-		again.look(p, true)
+		again.addPath(p, true)
 	}
 	for _, f := range again.files {
-		if !slices.ContainsFunc(r.seen, func(s seenFile) bool { return s.path == f }) {
-			r.loaded.Findings.Add(apps.ChangedDuringRead, f, 0, "the file came while the check ran")
+		if !slices.ContainsFunc(r.found, func(s foundFile) bool { return s.path == f }) {
+			r.result.Findings.Add(apps.ChangedDuringRead, f, 0, "the file came while the check ran")
 		}
 	}
 }
--- a/internal/operators/apps/finding.go
+++ b/internal/operators/apps/finding.go
@@ -9,20 +9,20 @@
 	"curlewring/internal/operators/routes"
 )
 
-// Code names a kind of finding. It never changes its meaning.
+// Code identifies a kind of finding. Its meaning never changes.
 type Code string
 
-// The codes. What each means, and what to do, is in About.
+// The codes. Codes describes each of them.
 const (
 	Unreadable         Code = "SC001"
 	TooLarge           Code = "SC002"
-	Empty              Code = "SC003"
+	EmptyFile          Code = "SC003"
 	Syntax             Code = "SC004"
-	Duplicate          Code = "SC005"
+	DuplicateKey       Code = "SC005"
 	UnknownKey         Code = "SC006"
 	WrongType          Code = "SC007"
 	OutOfRange         Code = "SC008"
-	Missing            Code = "SC009"
+	MissingKey         Code = "SC009"
 	InvalidWord        Code = "SC010"
 	InvalidName        Code = "SC011"
 	NewSchema          Code = "SC013"
@@ -36,26 +36,26 @@
 	HostOutsideSites   Code = "SC025"
 	NoListener         Code = "SC026"
 	NotLoopback        Code = "SC027"
-	Privileged         Code = "SC028"
-	Ephemeral          Code = "SC029"
-	OwnPort            Code = "SC030"
+	PrivilegedPort     Code = "SC028"
+	EphemeralPort      Code = "SC029"
+	ApplicationPort    Code = "SC030"
 	DiscoveryPort      Code = "SC031"
 	InvalidAddress     Code = "SC032"
 	InvalidSocket      Code = "SC033"
-	IdleRoute          Code = "SC034"
+	UnusedRoute        Code = "SC034"
 	DuplicateName      Code = "SC040"
 	DuplicatePort      Code = "SC041"
 	PortOfOtherApp     Code = "SC042"
 	DuplicateSocket    Code = "SC043"
 	HostMemory         Code = "SC044"
-	HostFiles          Code = "SC045"
+	HostDescriptors    Code = "SC045"
 	HostCores          Code = "SC046"
 	SharesExceedBudget Code = "SC047"
 	CallLoop           Code = "SC050"
 	AttemptsMultiply   Code = "SC051"
-	ChainWindow        Code = "SC052"
+	ChainExceedsWindow Code = "SC052"
 	NoTimeLeft         Code = "SC053"
-	TooLittleTime      Code = "SC054"
+	InsufficientTime   Code = "SC054"
 	ServiceNotServed   Code = "SC055"
 	HandEdited         Code = "SC060"
 	OutdatedFile       Code = "SC061"
@@ -69,27 +69,28 @@
 	InvalidHost        Code = "SC072"
 )
 
-// About is what a code means.
+// CodeInfo describes a code.
 type CodeInfo struct {
 	Code    Code
-	Warning bool   // it does not keep a sidecar from starting
-	Rule    string // which of the four rules it guards; "form" or "sense"
+	Warning bool   // a sidecar can start all the same
+	Rule    string // one of the four rules that it protects, or "form" or "sense"
 	Meaning string
 	Remedy  string // what to do
 }
 
-// Codes lists all codes in their order. Findings of routes have package routes' codes.
+// Codes lists all codes in their order. Findings in route tables have the codes of
+// package routes.
 func Codes() []CodeInfo {
 	return []CodeInfo{
 		{Unreadable, false, "form", "the file cannot be read", "give the tool the right to read it, or leave it out"},
 		{TooLarge, false, "form", "the file is larger than 1 MB", "a description needs ten lines"},
-		{Empty, false, "form", "the file holds nothing", "write a description, or remove the file"},
+		{EmptyFile, false, "form", "the file holds nothing", "write a description, or remove the file"},
 		{Syntax, false, "form", "the text is not TOML", "mend the line that is named"},
-		{Duplicate, false, "form", "a key stands twice", "remove one of them"},
+		{DuplicateKey, false, "form", "a key stands twice", "remove one of them"},
 		{UnknownKey, false, "form", "there is no such key", "see the schema in docs/; the bound lists the keys"},
 		{WrongType, false, "form", "the value is of another kind", "write it as the bound shows"},
 		{OutOfRange, false, "form", "the value is outside its bounds", "choose one within the bound"},
-		{Missing, false, "form", "a key that must be there is not", "add it"},
+		{MissingKey, false, "form", "a key that must be there is not", "add it"},
 		{InvalidWord, false, "form", "the word is none of those allowed", "use one that the bound lists"},
 		{InvalidName, false, "form", "the name cannot be one: it becomes a file's and a unit's name",
 			"letters and digits of any script, and - _ . within; composed (NFC), at most 64 bytes"},
@@ -104,28 +105,28 @@
 		{HostOutsideSites, false, "sense", "a host is at none of the application's sites", "add the site, or take another host"},
 		{NoListener, false, "sense", "the sidecar needs a port or a socket, and one only", "set port or socket"},
 		{NotLoopback, false, "sense", "a sidecar serves its own application only", "listen on 127.0.0.1 or ::1, or on a socket"},
-		{Privileged, false, "sense", "ports under 1024 take privileges", "choose a port from 1024 up to the ephemeral range"},
-		{Ephemeral, false, "sense", "the system gives such ports to outgoing connections: the start fails by chance",
+		{PrivilegedPort, false, "sense", "ports under 1024 take privileges", "choose a port from 1024 up to the ephemeral range"},
+		{EphemeralPort, false, "sense", "the system gives such ports to outgoing connections: the start fails by chance",
 			"choose a port below the range, or above it"},
-		{OwnPort, false, "sense", "the application itself listens there", "choose another port for the sidecar"},
+		{ApplicationPort, false, "sense", "the application itself listens there", "choose another port for the sidecar"},
 		{DiscoveryPort, false, "sense", "discovery listens there", "choose another port"},
 		{InvalidAddress, false, "form", "the address cannot be read", "write host:port with a numeric host"},
 		{InvalidSocket, false, "form", "the socket's path cannot be used", "an absolute path of at most 107 bytes, without . and .."},
-		{IdleRoute, false, "sense", "a route is for a class that the application does not use", "remove it, or add the class to classes"},
+		{UnusedRoute, false, "sense", "a route is for a class that the application does not use", "remove it, or add the class to classes"},
 		{DuplicateName, false, "sense", "two descriptions have one name", "rename one"},
 		{DuplicatePort, false, "sense", "two sidecars on a host have one port", "give one another port"},
 		{PortOfOtherApp, false, "sense", "another application on the host listens there", "choose another port"},
 		{DuplicateSocket, false, "sense", "two sidecars on a host have one socket", "give one another path"},
 		{HostMemory, false, "sense", "the sidecars of a host have more memory than it gives them", "lower memory_mb, or move one"},
-		{HostFiles, false, "sense", "the sidecars of a host have more descriptors than it gives them", "lower descriptors, or move one"},
+		{HostDescriptors, false, "sense", "the sidecars of a host have more descriptors than it gives them", "lower descriptors, or move one"},
 		{HostCores, true, "sense", "the sidecars of a host have more cores than it gives them", "lower cores, or move one"},
 		{SharesExceedBudget, false, "rule 4", "all sidecars before a service together may send a cold server more than its budget",
 			"lower share, or raise nodes of the service"},
 		{CallLoop, false, "rule 1", "applications call each other in a loop", "break the loop; a request would go round until its time is up"},
 		{AttemptsMultiply, true, "rule 2", "attempts of chained sidecars multiply beyond 4", "let one of them retry, best the innermost"},
-		{ChainWindow, false, "rule 2", "the last attempt of a chain may come after the key's window", "fewer attempts or shorter time-outs"},
+		{ChainExceedsWindow, false, "rule 2", "the last attempt of a chain may come after the key's window", "fewer attempts or shorter time-outs"},
 		{NoTimeLeft, false, "rule 1", "nothing is left of the time at the end of a chain", "longer time-outs outside, less work inside"},
-		{TooLittleTime, true, "rule 1", "an inner sidecar has more attempts than time for them", "longer time-outs outside, fewer attempts inside"},
+		{InsufficientTime, true, "rule 1", "an inner sidecar has more attempts than time for them", "longer time-outs outside, fewer attempts inside"},
 		{ServiceNotServed, false, "sense", "no application serves the service, and it has no discovery", "add discovery, or who serves it"},
 		{HandEdited, false, "sense", "a written file was edited by hand", "edit the description, and write again"},
 		{OutdatedFile, true, "sense", "a written file is older than its description", "write again"},
@@ -140,7 +141,7 @@
 	}
 }
 
-// Finding is one fault.
+// Finding is one fault in a file.
 type Finding struct {
 	Code   string `json:"code"`
 	Level  string `json:"level"` // error, warning
@@ -149,12 +150,12 @@
 	Line   int    `json:"line"` // 1 is the first; 0: the file as a whole
 	Key    string `json:"key,omitempty"`
 	Value  string `json:"value,omitempty"`
-	Bound  string `json:"bound,omitempty"` // what it would have to be
+	Bound  string `json:"bound,omitempty"` // the values that are allowed
 	Text   string `json:"text"`
 	Remedy string `json:"instead,omitempty"`
 }
 
-// String is the finding on one line, as compilers print them.
+// String formats the finding on one line, in the manner of compiler errors.
 func (f Finding) String() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -181,36 +182,36 @@
 	return b.String()
 }
 
-// Findings are all that was found.
+// Findings collects the results of a check.
 type Findings []Finding
 
-// add notes a finding of this package's own codes.
+// add appends a finding with a code of this package.
 func (f *Findings) add(code Code, file string, line int, key, value, bound, text string) {
-	for _, a := range Codes() {
-		if a.Code != code {
+	for _, info := range Codes() {
+		if info.Code != code {
 			continue
 		}
 		level := "error"
-		if a.Warning {
+		if info.Warning {
 			level = "warning"
 		}
-		*f = append(*f, Finding{string(code), level, a.Rule, file, line, key, value, bound, text, a.Remedy})
+		*f = append(*f, Finding{string(code), level, info.Rule, file, line, key, value, bound, text, info.Remedy})
 		return
 	}
-	panic("apps: a code without a description: " + string(code))
+	panic("apps: code is missing in Codes: " + string(code))
 }
 
-// Add notes a finding from outside of this package: of reading files, say.
+// Add appends a finding of another package, such as an unreadable file.
 func (f *Findings) Add(code Code, file string, line int, text string) {
 	f.add(code, file, line, "", "", "", text)
 }
 
-// route notes a finding of package routes.
-func (f *Findings) route(file string, r routes.Finding) {
+// addRouteFinding appends a finding of package routes.
+func (f *Findings) addRouteFinding(file string, r routes.Finding) {
 	*f = append(*f, Finding{string(r.Code), "error", r.Code.Rule(), file, r.Line, r.Key, r.Value, r.Bound, r.Text, ""})
 }
 
-// Sort orders findings by file, line and code, and removes those that say the same.
+// Sort orders findings by file, line and code, and removes duplicates.
 func (f *Findings) Sort() {
 	slices.SortStableFunc(*f, func(x, y Finding) int {
 		return cmp.Or(cmp.Compare(x.File, y.File), cmp.Compare(x.Line, y.Line), cmp.Compare(x.Code, y.Code),
@@ -219,7 +220,7 @@
 	*f = slices.Compact(*f)
 }
 
-// Worst is 0 without findings, 1 with warnings only, 2 with errors.
+// Worst returns 0 without findings, 1 with warnings only, 2 with errors.
 func (f Findings) Worst() int {
 	worst := 0
 	for i := range f {
--- a/internal/operators/apps/schema.go
+++ b/internal/operators/apps/schema.go
@@ -5,128 +5,133 @@
 	"encoding/json"
 )
 
-// The parts of JSON Schema (draft 2020-12) that the schemas use, in the order
-// in which they are written.
-type schema struct {
-	Schema      string     `json:"$schema,omitempty"`
-	Title       string     `json:"title,omitempty"`
-	Description string     `json:"description,omitempty"`
-	Type        string     `json:"type,omitempty"`
-	Const       *int       `json:"const,omitempty"`
-	Enum        []string   `json:"enum,omitempty"`
-	Pattern     string     `json:"pattern,omitempty"`
-	MinLength   int        `json:"minLength,omitempty"`
-	Minimum     *float64   `json:"minimum,omitempty"`
-	Maximum     *float64   `json:"maximum,omitempty"`
-	Items       *schema    `json:"items,omitempty"`
-	MinItems    int        `json:"minItems,omitempty"`
-	Unique      bool       `json:"uniqueItems,omitempty"`
-	Properties  properties `json:"properties,omitempty"`
-	Required    []string   `json:"required,omitempty"`
-	Closed      *bool      `json:"additionalProperties,omitempty"`
+// jsonSchema has the keywords of JSON Schema (draft 2020-12) that the schemas use,
+// in the order in which they are written.
+type jsonSchema struct {
+	Schema               string      `json:"$schema,omitempty"`
+	Title                string      `json:"title,omitempty"`
+	Description          string      `json:"description,omitempty"`
+	Type                 string      `json:"type,omitempty"`
+	Const                *int        `json:"const,omitempty"`
+	Enum                 []string    `json:"enum,omitempty"`
+	Pattern              string      `json:"pattern,omitempty"`
+	MinLength            int         `json:"minLength,omitempty"`
+	Minimum              *float64    `json:"minimum,omitempty"`
+	Maximum              *float64    `json:"maximum,omitempty"`
+	Items                *jsonSchema `json:"items,omitempty"`
+	MinItems             int         `json:"minItems,omitempty"`
+	UniqueItems          bool        `json:"uniqueItems,omitempty"`
+	Properties           properties  `json:"properties,omitempty"`
+	Required             []string    `json:"required,omitempty"`
+	AdditionalProperties *bool       `json:"additionalProperties,omitempty"`
 }
 
-// properties keep their order.
+// properties is encoded as an object that keeps the order of its elements.
 type properties []property
 
 type property struct {
-	name string
-	is   schema
+	name   string
+	schema jsonSchema
 }
 
+// MarshalJSON implements json.Marshaler.
 func (p properties) MarshalJSON() ([]byte, error) {
 	var b bytes.Buffer
 	b.WriteByte('{')
-	for i, x := range p {
+	for i, property := range p {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		name, err := json.Marshal(x.name)
+		name, err := json.Marshal(property.name)
 		if err != nil {
 			return nil, err
 		}
-		is, err := json.Marshal(x.is)
+		value, err := json.Marshal(property.schema)
 		if err != nil {
 			return nil, err
 		}
 		b.Write(name)
 		b.WriteByte(':')
-		b.Write(is)
+		b.Write(value)
 	}
 	b.WriteByte('}')
 	return b.Bytes(), nil
 }
 
-// durationPattern is what a duration looks like, as time.ParseDuration reads it.
+// durationPattern matches durations in the syntax of time.ParseDuration.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`
 
-func tableOf[T any](keys []key[T], more ...property) schema {
-	closed := false
-	s := schema{Type: "object", Closed: &closed}
+// tableSchema returns the schema of a table with some keys and further properties.
+func tableSchema[T any](keys []key[T], more ...property) jsonSchema {
+	additional := false
+	table := jsonSchema{Type: "object", AdditionalProperties: &additional}
 	for _, k := range keys {
-		is := schema{Description: k.doc, Enum: k.among}
+		value := jsonSchema{Description: k.description, Enum: k.allowed}
 		switch k.kind {
-		case text:
-			is.Type, is.MinLength = "string", 1
-		case words:
-			is.Type, is.Items, is.MinItems, is.Unique = "array", &schema{Type: "string", MinLength: 1}, 1, true
-		case integer, number:
-			is.Type, is.Minimum, is.Maximum = "number", &k.least, &k.most
-			if k.kind == integer {
-				is.Type = "integer"
+		case kindText:
+			value.Type, value.MinLength = "string", 1
+		case kindTextList:
+			value.Type, value.Items, value.MinItems, value.UniqueItems = "array", &jsonSchema{Type: "string", MinLength: 1}, 1, true
+		case kindInteger, kindNumber:
+			value.Type, value.Minimum, value.Maximum = "number", &k.min, &k.max
+			if k.kind == kindInteger {
+				value.Type = "integer"
 			}
-		case duration:
-			is.Type, is.Pattern = "string", durationPattern
-		case yesNo:
-			is.Type = "boolean"
+		case kindDuration:
+			value.Type, value.Pattern = "string", durationPattern
+		case kindBool:
+			value.Type = "boolean"
 		}
-		s.Properties = append(s.Properties, property{k.name, is})
-		if k.must {
-			s.Required = append(s.Required, k.name)
+		table.Properties = append(table.Properties, property{k.name, value})
+		if k.required {
+			table.Required = append(table.Required, k.name)
 		}
 	}
-	s.Properties = append(s.Properties, more...)
-	return s
+	table.Properties = append(table.Properties, more...)
+	return table
 }
 
-func listOf(s schema) schema { return schema{Type: "array", Items: &s} }
+// arraySchema returns the schema of an array.
+func arraySchema(s jsonSchema) jsonSchema { return jsonSchema{Type: "array", Items: &s} }
 
-func version() property {
-	n := Schema
-	return property{"schema", schema{Type: "integer", Const: &n, Description: "the version of the description"}}
+// versionProperty returns the schema key, which has one valid value.
+func versionProperty() property {
+	version := Schema
+	return property{"schema", jsonSchema{Type: "integer", Const: &version, Description: "the version of the description"}}
 }
 
-// PlatformSchema is the JSON schema of platform.toml.
+// PlatformSchema returns the JSON schema of platform.toml.
 func PlatformSchema() ([]byte, error) {
-	s := tableOf(platformKeys(), version(),
-		property{"sidecar", tableOf(defaultsKeys())}, property{"limits", tableOf(limitsKeys())}, property{"cold", tableOf(coldKeys())},
-		property{"class", listOf(tableOf(classKeys()))}, property{"host", listOf(tableOf(hostKeys()))},
-		property{"service", listOf(tableOf(serviceKeys()))})
+	s := tableSchema(platformKeys(), versionProperty(),
+		property{"sidecar", tableSchema(defaultsKeys())}, property{"limits", tableSchema(limitsKeys())}, property{"cold", tableSchema(warmUpKeys())},
+		property{"class", arraySchema(tableSchema(classKeys()))}, property{"host", arraySchema(tableSchema(hostKeys()))},
+		property{"service", arraySchema(tableSchema(serviceKeys()))})
 	s.Title = "platform.toml of curlewring"
 	s.Required = append(s.Required, "schema", "class", "service")
-	return finish(s)
+	return marshalSchema(s)
 }
 
-// AppSchema is the JSON schema of an application's description.
+// AppSchema returns the JSON schema of an application's description.
 func AppSchema() ([]byte, error) {
-	outcome := schema{Type: "string", Enum: []string{"error", "reset", "spoilt", "timeout", "turned-away", "unconnected"}}
-	span := schema{Type: "string", Pattern: durationPattern}
-	zero, one, four, closed := 0.0, 1.0, 4.0, false
-	part := schema{Type: "number", Minimum: &zero, Maximum: &one}
-	route := schema{Type: "object", Closed: &closed, Required: []string{"class"}, Properties: properties{
-		{"class", schema{Type: "string", MinLength: 1}}, {"path", schema{Type: "string", Pattern: "^/"}}, {"tenant", schema{Type: "string", MinLength: 1}},
-		{"attempt_timeout", span}, {"attempts", schema{Type: "integer", Minimum: &one, Maximum: &four}},
-		{"backoff", schema{Type: "object", Closed: &closed, Properties: properties{{"first", span}, {"most", span}, {"jitter", part}}}},
-		{"retry_on", schema{Type: "array", Items: &outcome, MinItems: 1, Unique: true}},
-		{"second_copy_after", span}, {"deadline_cap", span}, {"retry_after", span},
+	outcome := jsonSchema{Type: "string", Enum: []string{"error", "reset", "spoilt", "timeout", "turned-away", "unconnected"}}
+	duration := jsonSchema{Type: "string", Pattern: durationPattern}
+	zero, one, four, additional := 0.0, 1.0, 4.0, false
+	fraction := jsonSchema{Type: "number", Minimum: &zero, Maximum: &one}
+	route := jsonSchema{Type: "object", AdditionalProperties: &additional, Required: []string{"class"}, Properties: properties{
+		{"class", jsonSchema{Type: "string", MinLength: 1}}, {"path", jsonSchema{Type: "string", Pattern: "^/"}}, {"tenant", jsonSchema{Type: "string", MinLength: 1}},
+		{"attempt_timeout", duration}, {"attempts", jsonSchema{Type: "integer", Minimum: &one, Maximum: &four}},
+		{"backoff", jsonSchema{Type: "object", AdditionalProperties: &additional, Properties: properties{{"first", duration}, {"most", duration}, {"jitter", fraction}}}},
+		{"retry_on", jsonSchema{Type: "array", Items: &outcome, MinItems: 1, UniqueItems: true}},
+		{"second_copy_after", duration}, {"deadline_cap", duration}, {"retry_after", duration},
 	}}
-	s := tableOf(appKeys(), version(), property{"route", listOf(route)})
+	s := tableSchema(appKeys(), versionProperty(), property{"route", arraySchema(route)})
 	s.Title = "a description of an application's sidecar, for curlewring"
 	s.Required = append(s.Required, "schema")
-	return finish(s)
+	return marshalSchema(s)
 }
 
-func finish(s schema) ([]byte, error) {
+// marshalSchema formats a complete schema.
+func marshalSchema(s jsonSchema) ([]byte, error) {
 	s.Schema = "https://json-schema.org/draft/2020-12/schema"
 	text, err := json.MarshalIndent(s, "", "  ")
 	return append(text, '\n'), err
