--- a/cmd/curlewctl/recall_test.go
+++ b/cmd/curlewctl/recall_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"errors"
+	"maps"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -88,3 +91,33 @@
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
+
+// The keys of the output of recall show --json are read by operators' scripts. A field that is renamed in serverdb
+// without a tag would change them.
+func TestRecallShowJSONKeys(t *testing.T) {
+	var out bytes.Buffer
+	if err := (&recallShow{Folder: remembered(t), JSON: true, Gone: true}).print(&out, time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	var shown struct {
+		List    map[string]json.RawMessage   `json:"list"`
+		Servers []map[string]json.RawMessage `json:"servers"`
+	}
+	if err := json.Unmarshal(out.Bytes(), &shown); err != nil {
+		t.Fatalf("%v\n%s", err, &out)
+	}
+	if len(shown.Servers) != 3 {
+		t.Errorf("%d servers shown, want 3\n%s", len(shown.Servers), &out)
+	}
+	check := func(name string, object map[string]json.RawMessage, want ...string) {
+		t.Helper()
+		slices.Sort(want)
+		if keys := slices.Sorted(maps.Keys(object)); !slices.Equal(keys, want) {
+			t.Errorf("keys of %s: %q, want %q", name, keys, want)
+		}
+	}
+	check("list", shown.List, "Generation", "Discovery", "Confirmed", "Rate", "Servers", "Digest", "Sound")
+	for _, server := range shown.Servers {
+		check("a server", server, "ID", "Address", "Zone", "Cell", "Weight", "State", "Started", "Changed", "Served")
+	}
+}
--- a/internal/servers/serverdb/row.go
+++ b/internal/servers/serverdb/row.go
@@ -32,7 +32,8 @@
 	return fmt.Sprintf("state %d", byte(s))
 }
 
-// Server is what is known of one server. A zero time is unknown.
+// Server is what is known of one server. A zero time is unknown. Its JSON is printed by curlewctl recall show: the tags
+// keep keys that operators' scripts read.
 type Server struct {
 	ID         string
 	Address    string
@@ -41,19 +42,19 @@
 	Weight     float64
 	State      State
 	Started    time.Duration // since 1970, as reported by discovery; 0: unknown
-	StateSince time.Time     // wall time of the last change of State
-	LastServed time.Time     // wall time of the last answer, at the resolution of Settings.ServedResolution
+	StateSince time.Time     `json:"Changed"` // wall time of the last change of State
+	LastServed time.Time     `json:"Served"`  // wall time of the last answer, at the resolution of Settings.ServedResolution
 }
 
-// List is what is known of the list as a whole.
+// List is what is known of the list as a whole. Its JSON is printed by curlewctl recall show, as that of Server is.
 type List struct {
 	Generation   uint64
 	Discovery    string    // address
 	Confirmed    time.Time // wall time of the last answer of discovery, at the resolution of Settings.ConfirmInterval
-	ServerRate   float64   // answers per second of one server to this node; 0: unknown
-	ServingCount int       // number of serving servers at that time
+	ServerRate   float64   `json:"Rate"`    // answers per second of one server to this node; 0: unknown
+	ServingCount int       `json:"Servers"` // number of serving servers at that time
 	Digest       uint64    // of all servers as listed
-	Consistent   bool      // the rows of the servers belong to this generation; not written
+	Consistent   bool      `json:"Sound"` // the rows of the servers belong to this generation; not written
 }
 
 // rowVersion is the first byte of each value. Later versions append fields, and readers skip unknown ones. A version
