--- a/cmd/curlewctl/act.go
+++ b/cmd/curlewctl/act.go
@@ -9,30 +9,30 @@
 	"curlewring/internal/rig/resource"
 )
 
-// actCommand acts at a stand-in resource under the token that lease run gives.
+// actCommand accesses a stand-in resource with the fencing token that lease run passes in the environment.
 type actCommand struct {
-	At    string        `arg:"" help:"The resource's address."`
-	For   time.Duration `default:"1s" help:"How long the act lasts."`
-	Deaf  bool          `help:"Go on when told to end."`
-	Token uint64        `help:"Act under this token, whatever lease run says: for rogues."`
+	Address       string        `arg:"" name:"at" help:"The resource's address."`
+	Duration      time.Duration `name:"for" default:"1s" help:"How long the access lasts."`
+	IgnoreSignals bool          `name:"deaf" help:"Continue after SIGTERM or an interrupt."`
+	Token         uint64        `help:"Use this token instead of the one from lease run, to simulate a client that ignores its lease."`
 }
 
-// Run acts until it is told to end.
+// Run holds the access for the given time, or until the context ends.
 func (c *actCommand) Run(ctx context.Context) error {
-	if c.Deaf {
+	if c.IgnoreSignals {
 		ctx = context.Background()
 	}
 	token := c.Token
 	if token == 0 {
 		token, _ = strconv.ParseUint(os.Getenv("CURLEWRING_TOKEN"), 10, 64)
 	}
-	a, err := resource.Begin(c.At, strconv.Itoa(os.Getppid()), token)
+	access, err := resource.Begin(c.Address, strconv.Itoa(os.Getppid()), token)
 	if err != nil {
 		return err
 	}
-	defer a.End()
+	defer access.End()
 	select {
-	case <-time.After(c.For):
+	case <-time.After(c.Duration):
 	case <-ctx.Done():
 	}
 	return nil
--- a/cmd/curlewctl/forward.go
+++ b/cmd/curlewctl/forward.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// forwardCommand forwards each request to the next of the boxes: no admission,
-// no choice, no retries of its own. It has one core, as a node has.
+// forwardCommand forwards requests to the servers round robin, without admission control, load-based selection or
+// retries of its own. It is limited to one core, as a node is.
 type forwardCommand struct {
-	Listen string   `arg:""`
-	Boxes  []string `arg:""`
+	Listen  string   `arg:""`
+	Servers []string `arg:"" name:"boxes"`
 }
 
 // Run forwards until the context ends.
 func (c *forwardCommand) Run(ctx context.Context) error {
 	runtime.GOMAXPROCS(1)
-	var turn atomic.Uint64
+	var requests atomic.Uint64
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 9 * time.Second, DisableCompression: true}
 	proxy := &httputil.ReverseProxy{
 		Transport: transport,
 		Rewrite: func(r *httputil.ProxyRequest) {
-			r.SetURL(&url.URL{Scheme: "http", Host: c.Boxes[turn.Add(1)%uint64(len(c.Boxes))]})
+			r.SetURL(&url.URL{Scheme: "http", Host: c.Servers[requests.Add(1)%uint64(len(c.Servers))]})
 		},
 		ErrorLog: log.New(io.Discard, "", 0),
 	}
@@ -41,12 +41,12 @@
 		return err
 	}
 	done := make(chan struct{})
-	go func() { // ends with the context
+	go func() { // exits when the context ends
 		defer close(done)
 		<-ctx.Done()
-		end, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		server.Shutdown(end)
+		server.Shutdown(shutdownCtx)
 	}()
 	if err := server.Serve(listener); err != http.ErrServerClosed {
 		return err
--- a/cmd/curlewctl/lab.go
+++ b/cmd/curlewctl/lab.go
@@ -13,67 +13,69 @@
 	"curlewring/internal/servers/endpoints"
 )
 
+// labCommand runs nodes in front of stand-in servers, sends traffic, injects faults and checks the nodes' behaviour.
 type labCommand struct {
-	Rate      float64       `default:"300" help:"First tries a second."`
-	AtOnce    int           `help:"So many callers, each asking one request after another, instead of a rate."`
-	For       time.Duration `default:"8s" help:"How long requests come."`
-	Boxes     int           `default:"8" help:"Boxes in each tier."`
-	Cores     int           `default:"2" help:"Cores of a box."`
-	Nodes     int           `default:"2" help:"Nodes before the first tier."`
-	Sidecars  int           `help:"So many sidecars instead of nodes, each for an application of its own, from written files."`
-	Tiers     int           `default:"1" help:"Tiers of boxes; each box calls the next through a node of its own."`
-	Work      float64       `default:"1" help:"Times the usual work a request."`
-	Retries   int           `default:"1" help:"Retries of a request by its caller."`
-	Seed      uint64        `default:"1" help:"For all that is drawn."`
-	Fault     []string      `sep:"none" help:"What goes wrong, as slow:box=2,at=3s,for=2s,by=8. Kinds: ${kinds}."`
-	Operator  string        `type:"existingfile" help:"The operators' file for the nodes."`
-	Budgets   bool          `help:"Nodes share a budget of further attempts with the tiers below."`
-	Copies    bool          `help:"The platform lets attempts of a request overlap."`
-	Advice    time.Duration `default:"1s" help:"The platform's longest Retry-After; 0s: refusals carry none."`
-	Binary    string        `type:"existingfile" help:"The node's program; else it is built."`
-	MemoryMB  int           `default:"192" help:"Limit told to each node."`
-	Sockets   int           `default:"1024" help:"Limit told to each node."`
-	Idle      int           `help:"So many idle connections beside the traffic, over all nodes."`
-	Wake      time.Duration `help:"Each idle connection asks again so often; 0s: never. Up to 15000 of them do."`
-	StartFrom string        `type:"existingfile" placeholder:"FILE" help:"Nodes remember the list in this file, in discovery's form, beside the boxes."`
-	ListAge   time.Duration `help:"Nodes start on a list so old that they remember, while discovery is out."`
-	Stale     int           `help:"So many entries of that list are no more: half refuse, a quarter hang, a quarter are others'."`
-	Outage    time.Duration `default:"5s" help:"With --list-age: how long discovery stays out."`
-	Cold      bool          `help:"With --list-age: the boxes have just started."`
-	Arm       string        `default:"doubts" enum:"doubts,trusts,waits" help:"With --list-age: what nodes make of the list; trusts and waits are controls."`
-	Members   bool          `help:"Nodes know each other; faults of the links between them: cut, lose, late, twice, damage, and stop, kill."`
-	JSON      bool          `help:"Print the report as JSON."`
-	Control   bool          `help:"Afterwards run plain forwarding on the same boxes and load, and print ratios."`
+	Rate           float64       `default:"300" help:"First tries a second."`
+	Concurrency    int           `name:"at-once" help:"Number of clients that each send one request after another, instead of a rate."`
+	Duration       time.Duration `name:"for" default:"8s" help:"How long requests are sent."`
+	Servers        int           `name:"boxes" default:"8" help:"Servers in each tier."`
+	Cores          int           `default:"2" help:"Cores of a server."`
+	Nodes          int           `default:"2" help:"Nodes in front of the first tier."`
+	Sidecars       int           `help:"Run this many sidecars instead of nodes, each for its own application, from generated configurations."`
+	Tiers          int           `default:"1" help:"Tiers of servers; each server calls the next tier through a node of its own."`
+	Work           float64       `default:"1" help:"Factor on the usual work of a request."`
+	Retries        int           `default:"1" help:"Retries of a request by its client."`
+	Seed           uint64        `default:"1" help:"Seed of all random draws."`
+	Faults         []string      `name:"fault" sep:"none" help:"A fault to inject, as slow:box=2,at=3s,for=2s,by=8. Kinds: ${kinds}."`
+	OperatorFile   string        `name:"operator" type:"existingfile" help:"The operators' file for the nodes."`
+	ShareBudgets   bool          `name:"budgets" help:"Nodes share a budget of further attempts with the tiers below."`
+	AllowHedging   bool          `name:"copies" help:"The platform lets attempts of a request overlap."`
+	MaxRetryAfter  time.Duration `name:"advice" default:"1s" help:"The platform's longest Retry-After; 0s: refusals carry none."`
+	Binary         string        `type:"existingfile" help:"The node's program; built if not given."`
+	MemoryMB       int           `default:"192" help:"Memory limit configured at each node."`
+	Sockets        int           `default:"1024" help:"Socket limit configured at each node."`
+	IdleConns      int           `name:"idle" help:"Idle connections held beside the traffic, over all nodes."`
+	IdleInterval   time.Duration `name:"wake" help:"Interval at which each idle connection sends a request; 0s: never. For up to 15000 connections."`
+	StartFrom      string        `type:"existingfile" placeholder:"FILE" help:"Nodes start with the list in this file, in discovery's format, in addition to the servers."`
+	ListAge        time.Duration `help:"Nodes start with a stored list of this age, while discovery is unavailable."`
+	StaleEntries   int           `name:"stale" help:"Entries of that list without a server: half refuse connections, a quarter hang, a quarter are used by something else."`
+	Outage         time.Duration `default:"5s" help:"With --list-age: how long discovery is unavailable."`
+	ColdServers    bool          `name:"cold" help:"With --list-age: the servers have just started."`
+	OldListMode    string        `name:"arm" default:"doubts" enum:"doubts,trusts,waits" help:"With --list-age: how nodes use the list; trusts and waits are baselines to compare with."`
+	Membership     bool          `name:"members" help:"Nodes know each other; faults of the links between them: cut, lose, late, twice, damage, and stop, kill."`
+	JSON           bool          `help:"Print the report as JSON."`
+	CompareForward bool          `name:"control" help:"Afterwards run plain forwarding with the same servers and load, and print ratios."`
 }
 
+// Bounds of the flags.
 const (
-	mostRate  = 20000
-	mostFor   = 30 * time.Minute
-	mostBoxes = 3200
-	mostHosts = 200 // boxes that have a node of their own, in front of a further tier
-	mostNodes = 64
+	maxRate            = 20000
+	maxDuration        = 30 * time.Minute
+	maxServers         = 3200
+	maxServersWithNode = 200 // servers that call a further tier, each through a node of its own
+	maxNodes           = 64
 )
 
-// Validate checks the bounds; kong calls it.
+// Validate checks the bounds of the flags, and which of them go together. It is called by kong.
 func (c *labCommand) Validate() error {
 	switch {
-	case !(c.Rate > 0 && c.Rate <= mostRate):
-		return fmt.Errorf("--rate is %v, allowed: above 0, up to %d", c.Rate, mostRate)
-	case c.AtOnce < 0 || c.AtOnce > 5000:
-		return fmt.Errorf("--at-once is %d, allowed: 0 to 5000", c.AtOnce)
-	case c.For <= 0 || c.For > mostFor:
-		return fmt.Errorf("--for is %v, allowed: above 0, up to %v", c.For, mostFor)
-	case c.Boxes < 1 || c.Boxes > mostBoxes:
-		return fmt.Errorf("--boxes is %d, allowed: 1 to %d", c.Boxes, mostBoxes)
-	case c.Tiers > 1 && c.Boxes > mostHosts:
-		return fmt.Errorf("--boxes is %d, allowed with --tiers above 1: 1 to %d, as each box has a node", c.Boxes, mostHosts)
+	case !(c.Rate > 0 && c.Rate <= maxRate):
+		return fmt.Errorf("--rate is %v, allowed: above 0, up to %d", c.Rate, maxRate)
+	case c.Concurrency < 0 || c.Concurrency > 5000:
+		return fmt.Errorf("--at-once is %d, allowed: 0 to 5000", c.Concurrency)
+	case c.Duration <= 0 || c.Duration > maxDuration:
+		return fmt.Errorf("--for is %v, allowed: above 0, up to %v", c.Duration, maxDuration)
+	case c.Servers < 1 || c.Servers > maxServers:
+		return fmt.Errorf("--boxes is %d, allowed: 1 to %d", c.Servers, maxServers)
+	case c.Tiers > 1 && c.Servers > maxServersWithNode:
+		return fmt.Errorf("--boxes is %d, allowed with --tiers above 1: 1 to %d, as each box has a node", c.Servers, maxServersWithNode)
 	case c.Cores < 1 || c.Cores > 256:
 		return fmt.Errorf("--cores is %d, allowed: 1 to 256", c.Cores)
-	case c.Nodes < 1 || c.Nodes > mostNodes:
-		return fmt.Errorf("--nodes is %d, allowed: 1 to %d", c.Nodes, mostNodes)
-	case c.Sidecars < 0 || c.Sidecars > mostNodes:
-		return fmt.Errorf("--sidecars is %d, allowed: 0 to %d", c.Sidecars, mostNodes)
-	case c.Sidecars > 0 && (c.Operator != "" || c.Control):
+	case c.Nodes < 1 || c.Nodes > maxNodes:
+		return fmt.Errorf("--nodes is %d, allowed: 1 to %d", c.Nodes, maxNodes)
+	case c.Sidecars < 0 || c.Sidecars > maxNodes:
+		return fmt.Errorf("--sidecars is %d, allowed: 0 to %d", c.Sidecars, maxNodes)
+	case c.Sidecars > 0 && (c.OperatorFile != "" || c.CompareForward):
 		return fmt.Errorf("--sidecars does not go with --operator or --control")
 	case c.Tiers < 1 || c.Tiers > 4:
 		return fmt.Errorf("--tiers is %d, allowed: 1 to 4", c.Tiers)
@@ -81,151 +83,152 @@
 		return fmt.Errorf("--work is %v, allowed: above 0, up to 1000", c.Work)
 	case c.Retries < 0 || c.Retries > 3:
 		return fmt.Errorf("--retries is %d, allowed: 0 to 3", c.Retries)
-	case c.Idle < 0 || c.Idle > 19500*c.Nodes:
-		return fmt.Errorf("--idle is %d, allowed: 0 to %d, 19500 a node", c.Idle, 19500*c.Nodes)
-	case c.Wake < 0 || c.Wake > 0 && c.Wake < time.Second:
-		return fmt.Errorf("--wake is %v, allowed: 0s, or from 1s", c.Wake)
-	case c.Wake > 0 && (c.Idle == 0 || c.Idle > 15000):
+	case c.IdleConns < 0 || c.IdleConns > 19500*c.Nodes:
+		return fmt.Errorf("--idle is %d, allowed: 0 to %d, 19500 a node", c.IdleConns, 19500*c.Nodes)
+	case c.IdleInterval < 0 || c.IdleInterval > 0 && c.IdleInterval < time.Second:
+		return fmt.Errorf("--wake is %v, allowed: 0s, or from 1s", c.IdleInterval)
+	case c.IdleInterval > 0 && (c.IdleConns == 0 || c.IdleConns > 15000):
 		return fmt.Errorf("--wake goes with --idle from 1 to 15000")
-	case c.Idle > 0 && (c.Sidecars > 0 || c.Control):
+	case c.IdleConns > 0 && (c.Sidecars > 0 || c.CompareForward):
 		return fmt.Errorf("--idle does not go with --sidecars or --control")
-	case (c.ListAge > 0 || c.StartFrom != "") && (c.Sidecars > 0 || c.Control || c.Tiers > 1):
+	case (c.ListAge > 0 || c.StartFrom != "") && (c.Sidecars > 0 || c.CompareForward || c.Tiers > 1):
 		return fmt.Errorf("--list-age and --start-from do not go with --sidecars, --control or --tiers")
-	case c.Stale > 0 && c.ListAge == 0:
+	case c.StaleEntries > 0 && c.ListAge == 0:
 		return fmt.Errorf("--stale goes with --list-age")
-	case c.Outage < 0 || c.Outage > mostFor:
-		return fmt.Errorf("--outage is %v, allowed: 0s to %v", c.Outage, mostFor)
-	case c.Budgets && c.Copies:
+	case c.Outage < 0 || c.Outage > maxDuration:
+		return fmt.Errorf("--outage is %v, allowed: 0s to %v", c.Outage, maxDuration)
+	case c.ShareBudgets && c.AllowHedging:
 		return fmt.Errorf("--budgets does not go with --copies")
-	case c.Advice < 0 || c.Advice > time.Minute:
-		return fmt.Errorf("--advice is %v, allowed: 0s to 1m", c.Advice)
-	case c.Members && (c.Sidecars > 0 || c.Control || c.ListAge > 0 || c.StartFrom != "" || c.Nodes > 32):
+	case c.MaxRetryAfter < 0 || c.MaxRetryAfter > time.Minute:
+		return fmt.Errorf("--advice is %v, allowed: 0s to 1m", c.MaxRetryAfter)
+	case c.Membership && (c.Sidecars > 0 || c.CompareForward || c.ListAge > 0 || c.StartFrom != "" || c.Nodes > 32):
 		return fmt.Errorf("--members goes with up to 32 nodes, and not with --sidecars, --control, --list-age or --start-from")
-	case c.Control && c.Tiers > 1:
+	case c.CompareForward && c.Tiers > 1:
 		return fmt.Errorf("--control goes with one tier")
 	}
 	return nil
 }
 
-// options are the lab's from the command line.
+// options returns the options of the lab that the flags select.
 func (c *labCommand) options() (lab.Options, error) {
 	plan := standin.DefaultPlan()
-	plan.Seed, plan.Servers, plan.Cores, plan.Tiers = c.Seed, c.Boxes, c.Cores, c.Tiers
+	plan.Seed, plan.Servers, plan.Cores, plan.Tiers = c.Seed, c.Servers, c.Cores, c.Tiers
 	for i := range plan.Classes {
 		plan.Classes[i].Work = time.Duration(float64(plan.Classes[i].Work) * c.Work)
 	}
-	o := lab.Options{
-		Plan: plan, Nodes: c.Nodes, Binary: c.Binary, Operator: c.Operator, MemoryMB: c.MemoryMB, Sockets: c.Sockets,
-		ShareBudgets: c.Budgets, AllowHedging: c.Copies, MaxRetryAfter: c.Advice, Membership: c.Members,
-		Traffic: standin.Traffic{Rate: c.Rate, Concurrency: c.AtOnce, Duration: c.For, Retries: c.Retries, Backoff: 100 * time.Millisecond, BodyBytes: 200},
+	options := lab.Options{
+		Plan: plan, Nodes: c.Nodes, Binary: c.Binary, Operator: c.OperatorFile, MemoryMB: c.MemoryMB, Sockets: c.Sockets,
+		ShareBudgets: c.ShareBudgets, AllowHedging: c.AllowHedging, MaxRetryAfter: c.MaxRetryAfter, Membership: c.Membership,
+		Traffic: standin.Traffic{Rate: c.Rate, Concurrency: c.Concurrency, Duration: c.Duration, Retries: c.Retries, Backoff: 100 * time.Millisecond, BodyBytes: 200},
 	}
-	if c.Idle > 0 {
+	if c.IdleConns > 0 {
 		self, err := os.Executable()
 		if err != nil {
-			return o, err
+			return options, err
 		}
-		o.IdleConns, o.IdleInterval, o.ToolBinary = c.Idle, c.Wake, self
+		options.IdleConns, options.IdleInterval, options.ToolBinary = c.IdleConns, c.IdleInterval, self
 	}
 	if c.ListAge > 0 || c.StartFrom != "" {
-		arms := map[string]lab.OldListMode{"doubts": lab.VerifyList, "trusts": lab.TrustList, "waits": lab.DiscardList}
-		o.OldList = &lab.OldList{Mode: arms[c.Arm], Age: c.ListAge, StaleEntries: c.Stale, Outage: c.Outage, ColdServers: c.Cold}
-		if err := o.OldList.Validate(); err != nil {
-			return o, err
+		modes := map[string]lab.OldListMode{"doubts": lab.VerifyList, "trusts": lab.TrustList, "waits": lab.DiscardList}
+		options.OldList = &lab.OldList{Mode: modes[c.OldListMode], Age: c.ListAge, StaleEntries: c.StaleEntries, Outage: c.Outage, ColdServers: c.ColdServers}
+		if err := options.OldList.Validate(); err != nil {
+			return options, err
 		}
 		if c.StartFrom != "" {
 			text, err := os.ReadFile(c.StartFrom)
 			if err != nil {
-				return o, err
+				return options, err
 			}
-			if o.OldList.Extra, err = endpoints.Parse(text); err != nil {
-				return o, fmt.Errorf("%s: %w", c.StartFrom, err)
+			if options.OldList.Extra, err = endpoints.Parse(text); err != nil {
+				return options, fmt.Errorf("%s: %w", c.StartFrom, err)
 			}
 		}
 	}
 	if c.Sidecars > 0 {
-		o.Nodes, o.Sidecars, o.MemoryMB, o.Sockets = c.Sidecars, true, 32, 256
+		options.Nodes, options.Sidecars, options.MemoryMB, options.Sockets = c.Sidecars, true, 32, 256
 	}
-	for _, text := range c.Fault {
-		f, err := standin.ParseFault(text)
+	for _, text := range c.Faults {
+		fault, err := standin.ParseFault(text)
 		if err != nil {
-			return o, err
+			return options, err
 		}
-		o.Faults = append(o.Faults, f)
+		options.Faults = append(options.Faults, fault)
 	}
-	return o, nil
+	return options, nil
 }
 
-// Run plays the lab.
+// Run runs the lab once, and once more with plain forwarding if a comparison is wanted. It returns errRuleBroken if the
+// nodes broke a rule.
 func (c *labCommand) Run(ctx context.Context) error {
-	o, err := c.options()
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
-	say := func(format string, args ...any) {
+	printf := func(format string, args ...any) {
 		if !c.JSON {
 			fmt.Printf(format, args...)
 		}
 	}
-	say("%d nodes, %d tier(s) of %d boxes with %d cores, %.0f requests a second for %v (capacity about %.0f), seed %d\n",
-		o.Nodes, c.Tiers, c.Boxes, c.Cores, c.Rate, c.For, o.Plan.Capacity(), c.Seed)
-	first, err := c.play(ctx, o, say)
+	printf("%d nodes, %d tier(s) of %d boxes with %d cores, %.0f requests a second for %v (capacity about %.0f), seed %d\n",
+		options.Nodes, c.Tiers, c.Servers, c.Cores, c.Rate, c.Duration, options.Plan.Capacity(), c.Seed)
+	nodeReport, err := c.runOnce(ctx, options, printf)
 	if err != nil {
 		return err
 	}
-	reports := map[string]*lab.Report{"node": first}
-	if c.Control {
+	reports := map[string]*lab.Report{"node": nodeReport}
+	if c.CompareForward {
 		self, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		o.ForwardCommand = []string{self, "forward"}
-		say("\nthe control: plain forwarding by net/http/httputil.ReverseProxy\n")
-		if reports["control"], err = c.play(ctx, o, say); err != nil {
+		options.ForwardCommand = []string{self, "forward"}
+		printf("\nthe control: plain forwarding by net/http/httputil.ReverseProxy\n")
+		if reports["control"], err = c.runOnce(ctx, options, printf); err != nil {
 			return err
 		}
-		ratio := func(x, y float64) float64 { return x / max(y, 1e-9) }
-		say("\nnode to control     CPU a request %.2f; weighted service %.2f\n", ratio(first.CPUMicrosPerRequest, reports["control"].CPUMicrosPerRequest),
-			ratio(first.ServedWorth, reports["control"].ServedWorth))
-		for i, row := range first.Classes {
-			other := reports["control"].Classes[i]
-			say("  %-16s p50 %.2f  p90 %.2f  p99 %.2f\n", row.Class, ratio(row.P50, other.P50), ratio(row.P90, other.P90),
-				ratio(row.P99, other.P99))
+		ratio := func(value, baseline float64) float64 { return value / max(baseline, 1e-9) }
+		printf("\nnode to control     CPU a request %.2f; weighted service %.2f\n", ratio(nodeReport.CPUMicrosPerRequest, reports["control"].CPUMicrosPerRequest),
+			ratio(nodeReport.ServedWorth, reports["control"].ServedWorth))
+		for i, class := range nodeReport.Classes {
+			baseline := reports["control"].Classes[i]
+			printf("  %-16s p50 %.2f  p90 %.2f  p99 %.2f\n", class.Class, ratio(class.P50, baseline.P50), ratio(class.P90, baseline.P90),
+				ratio(class.P99, baseline.P99))
 		}
 	}
 	if c.JSON {
-		out := json.NewEncoder(os.Stdout)
-		out.SetIndent("", "  ")
-		var value any = first
-		if c.Control {
-			value = reports
+		encoder := json.NewEncoder(os.Stdout)
+		encoder.SetIndent("", "  ")
+		var output any = nodeReport
+		if c.CompareForward {
+			output = reports
 		}
-		if err := out.Encode(value); err != nil {
+		if err := encoder.Encode(output); err != nil {
 			return err
 		}
 	}
-	if !first.Passed() {
-		return errBreach
+	if !nodeReport.Passed() {
+		return errRuleBroken
 	}
 	return nil
 }
 
-// play runs one lab to its end.
-func (c *labCommand) play(ctx context.Context, o lab.Options, say func(string, ...any)) (*lab.Report, error) {
-	l, err := lab.Open(ctx, o)
+// runOnce runs one lab to its end, and prints its progress and its report through printf.
+func (c *labCommand) runOnce(ctx context.Context, options lab.Options, printf func(string, ...any)) (*lab.Report, error) {
+	testLab, err := lab.Open(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
-	r, err := l.Run(ctx, func(p lab.Progress) {
-		say("%4.0fs  asked %6d  out %4d  served %6d  refused %5d  failed %4d  lost %d\n", p.At.Seconds(), p.Requests, p.Pending,
-			p.Tries[judge.Served], p.Tries[judge.Refused], p.Tries[judge.Failed], p.Tries[judge.ConnectionLost]+p.Tries[judge.ClientLeft])
+	defer testLab.Close()
+	report, err := testLab.Run(ctx, func(progress lab.Progress) {
+		printf("%4.0fs  asked %6d  out %4d  served %6d  refused %5d  failed %4d  lost %d\n", progress.At.Seconds(), progress.Requests, progress.Pending,
+			progress.Tries[judge.Served], progress.Tries[judge.Refused], progress.Tries[judge.Failed], progress.Tries[judge.ConnectionLost]+progress.Tries[judge.ClientLeft])
 	})
 	if err != nil {
 		return nil, err
 	}
-	say("\n")
+	printf("\n")
 	if !c.JSON {
-		r.Print(os.Stdout)
+		report.Print(os.Stdout)
 	}
-	return r, nil
+	return report, nil
 }
--- a/cmd/curlewctl/lab_test.go
+++ b/cmd/curlewctl/lab_test.go
@@ -18,18 +18,19 @@
 	"curlewring/internal/rig/standin"
 )
 
-// The test's program stands in for a node that makes its answers up.
-const asRogue = "CURLEWCTL_TEST_ROGUE"
+// fakeNodeEnv makes the test binary run as a node that answers requests itself instead of forwarding them.
+const fakeNodeEnv = "CURLEWCTL_TEST_FAKE_NODE"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asRogue) != "" {
-		rogue()
+	if os.Getenv(fakeNodeEnv) != "" {
+		runFakeNode()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-func rogue() {
+// runFakeNode answers each request with a made-up body, until SIGTERM.
+func runFakeNode() {
 	text, err := os.ReadFile(os.Getenv("LB_CONFIG"))
 	if err != nil {
 		panic(err)
@@ -47,51 +48,52 @@
 	server.ListenAndServe()
 }
 
-// parse reads a command line as the program does.
-func parse(t *testing.T, args ...string) (*tool, error) {
+// parse parses a command line as the program does.
+func parse(t *testing.T, args ...string) (*cli, error) {
 	t.Helper()
-	var c tool
-	p, err := kong.New(&c, kong.Vars{"kinds": strings.Join(standin.FaultKinds(), ", ")})
+	var c cli
+	parser, err := kong.New(&c, kong.Vars{"kinds": strings.Join(standin.FaultKinds(), ", ")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = p.Parse(args)
+	_, err = parser.Parse(args)
 	return &c, err
 }
 
-// quietly keeps what a test makes the command print out of the test's own output.
-func quietly(t *testing.T) {
+// discardStdout discards what commands print to standard output until the test ends.
+func discardStdout(t *testing.T) {
 	t.Helper()
 	null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	was := os.Stdout
+	stdout := os.Stdout
 	os.Stdout = null
 	t.Cleanup(func() {
-		os.Stdout = was
+		os.Stdout = stdout
 		null.Close()
 	})
 }
 
-// A broken rule must end the lab with its own error, which main turns into 1.
-func TestBreachEndsWithOne(t *testing.T) {
-	quietly(t)
-	t.Setenv(asRogue, "1")
-	for _, json := range []bool{false, true} {
+// If a node breaks a rule, the lab must return errRuleBroken, for which main exits with 1.
+func TestLabReturnsErrRuleBroken(t *testing.T) {
+	discardStdout(t)
+	t.Setenv(fakeNodeEnv, "1")
+	for _, asJSON := range []bool{false, true} {
 		c, err := parse(t, "lab", "--rate", "50", "--for", "300ms", "--nodes", "1", "--binary", os.Args[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Lab.JSON = json
-		if err := c.Lab.Run(context.Background()); !errors.Is(err, errBreach) {
-			t.Errorf("ended with %v", err)
+		c.Lab.JSON = asJSON
+		if err := c.Lab.Run(context.Background()); !errors.Is(err, errRuleBroken) {
+			t.Errorf("lab returned error %v, not that a rule was broken", err)
 		}
 	}
 }
 
-func TestBoundsOfTheLab(t *testing.T) {
-	if c, err := parse(t, "lab"); err != nil || c.Lab.For != 8*time.Second || c.Lab.Boxes != 8 {
+// Flags out of bounds, and flags that exclude each other, must be rejected before the lab starts.
+func TestLabFlagBounds(t *testing.T) {
+	if c, err := parse(t, "lab"); err != nil || c.Lab.Duration != 8*time.Second || c.Lab.Servers != 8 {
 		t.Errorf("defaults: %+v, %v", c.Lab, err)
 	}
 	for _, args := range []string{
@@ -100,21 +102,21 @@
 		"--advice=-1s", "--control --tiers=2", "--operator=/does/not/exist", "--no-such-flag", "--for=8",
 	} {
 		if _, err := parse(t, append([]string{"lab"}, strings.Fields(args)...)...); err == nil {
-			t.Errorf("%s was taken", args)
+			t.Errorf("%s was accepted", args)
 		}
 	}
 	if _, err := parse(t, "lab", "--boxes=3200"); err != nil {
-		t.Errorf("3200 boxes: %v", err)
+		t.Errorf("--boxes=3200: %v", err)
 	}
 	c, err := parse(t, "lab", "--fault", "slow:box=1,by=2", "--fault", "outage")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := c.Lab.options(); err != nil || len(o.Faults) != 2 {
-		t.Errorf("faults %+v, %v", o.Faults, err)
+	if options, err := c.Lab.options(); err != nil || len(options.Faults) != 2 {
+		t.Errorf("faults %+v, %v", options.Faults, err)
 	}
-	c.Lab.Fault = []string{"nonsense"}
+	c.Lab.Faults = []string{"nonsense"}
 	if _, err := c.Lab.options(); err == nil {
-		t.Error("nonsense was taken for a fault")
+		t.Error("\"nonsense\" was accepted as a fault")
 	}
 }
--- a/cmd/curlewctl/recall_test.go
+++ b/cmd/curlewctl/recall_test.go
@@ -17,8 +17,8 @@
 	"curlewring/internal/servers/serverdb"
 )
 
-// remembered writes a folder as a node leaves it, an hour ago.
-func remembered(t *testing.T) string {
+// writeStateFolder writes a state folder as a node would have left it an hour ago.
+func writeStateFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	then := time.Now().Add(-time.Hour)
@@ -33,10 +33,10 @@
 	return folder
 }
 
-// What is damaged is told, with a code by what it costs; a repair leaves a sound folder with all that was sound. What
-// is only looked at may be held by a node, and is not changed.
+// Verify must report damage with the exit code of its severity, and repair must leave a folder with all undamaged rows.
+// Show and verify must work while a node has locked the folder, and must not change it; repair must refuse.
 func TestRecall(t *testing.T) {
-	folder := remembered(t)
+	folder := writeStateFolder(t)
 	owner, err := disk.Open(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -47,17 +47,17 @@
 	}
 	for _, want := range []string{"generation 9", "1h0m0s old, complete", "1 serving, 1 draining, 1 gone", "box-1", "box-2"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, out.String())
+			t.Errorf("%q is missing in the output\n%s", want, out.String())
 		}
 	}
 	if strings.Contains(out.String(), "box-3") {
-		t.Error("one that is gone is shown unasked")
+		t.Error("a server that is gone is shown without --gone")
 	}
 	if err := (&recallVerify{Folder: folder}).print(&out); err != nil {
-		t.Errorf("a sound folder: %v", err)
+		t.Errorf("verify of an undamaged folder: %v", err)
 	}
 	if err := (&recallRepair{Folder: folder}).print(&out); err == nil {
-		t.Error("a folder that a node holds was repaired")
+		t.Error("repair succeeded in a folder that a node has locked")
 	}
 	owner.Close()
 
@@ -65,30 +65,30 @@
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("%v, %v", paths, err)
 	}
-	for _, p := range paths { // one bit in the middle of each file
-		data, err := os.ReadFile(p)
+	for _, path := range paths { // flip one bit in the middle of each file
+		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		data[len(data)/2] ^= 4
-		if err := os.WriteFile(p, data, 0o600); err != nil {
+		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var code found
+	var code exitCode
 	if err := (&recallVerify{Folder: folder}).print(&out); !errors.As(err, &code) || code != 2 {
-		t.Errorf("a damaged folder: %v", err)
+		t.Errorf("verify of a damaged folder: %v, want exit code 2", err)
 	}
 	if err := (&recallRepair{Folder: folder}).print(&out); err != nil {
 		t.Fatal(err)
 	}
 	out.Reset()
 	if err := (&recallVerify{Folder: folder}).print(&out); errors.As(err, &code) && code == 2 {
-		t.Errorf("after the repair: %v\n%s", err, out.String())
+		t.Errorf("verify after the repair: %v\n%s", err, out.String())
 	}
 	out.Reset()
-	if err := (&recallShow{Folder: folder, JSON: true, Gone: true}).print(&out, time.Now()); err != nil || !strings.Contains(out.String(), `"servers"`) {
-		t.Errorf("%v\n%s", err, out.String())
+	if err := (&recallShow{Folder: folder, JSON: true, ShowGone: true}).print(&out, time.Now()); err != nil || !strings.Contains(out.String(), `"servers"`) {
+		t.Errorf("show after the repair: %v\n%s", err, out.String())
 	}
 }
 
@@ -96,7 +96,7 @@
 // without a tag would change them.
 func TestRecallShowJSONKeys(t *testing.T) {
 	var out bytes.Buffer
-	if err := (&recallShow{Folder: remembered(t), JSON: true, Gone: true}).print(&out, time.Now()); err != nil {
+	if err := (&recallShow{Folder: writeStateFolder(t), JSON: true, ShowGone: true}).print(&out, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	var shown struct {
--- a/cmd/curlewctl/sarif.go
+++ b/cmd/curlewctl/sarif.go
@@ -8,14 +8,14 @@
 	"curlewring/internal/operators/apps"
 )
 
-// printJSON prints as people read it.
-func printJSON(out io.Writer, x any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(x)
+// printJSON prints a value as indented JSON.
+func printJSON(out io.Writer, value any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
 
-// The parts of SARIF (OASIS, version 2.1.0) that findings need.
+// The properties of SARIF (OASIS, version 2.1.0) that findings use.
 type (
 	sarifLog struct {
 		Schema  string     `json:"$schema"`
@@ -34,10 +34,10 @@
 		Rules []sarifRule `json:"rules"`
 	}
 	sarifRule struct {
-		ID      string    `json:"id"`
-		Short   sarifText `json:"shortDescription"`
-		Help    sarifText `json:"help"`
-		Default struct {
+		ID                   string    `json:"id"`
+		ShortDescription     sarifText `json:"shortDescription"`
+		Help                 sarifText `json:"help"`
+		DefaultConfiguration struct {
 			Level string `json:"level"`
 		} `json:"defaultConfiguration"`
 	}
@@ -45,54 +45,55 @@
 		Text string `json:"text"`
 	}
 	sarifResult struct {
-		Rule      string          `json:"ruleId"`
+		RuleID    string          `json:"ruleId"`
 		Level     string          `json:"level"`
 		Message   sarifText       `json:"message"`
 		Locations []sarifLocation `json:"locations"`
 	}
 	sarifLocation struct {
-		Physical struct {
-			Artifact struct {
+		PhysicalLocation struct {
+			ArtifactLocation struct {
 				URI string `json:"uri"`
 			} `json:"artifactLocation"`
 			Region *sarifRegion `json:"region,omitempty"`
 		} `json:"physicalLocation"`
 	}
 	sarifRegion struct {
-		Line int `json:"startLine"`
+		StartLine int `json:"startLine"`
 	}
 )
 
+// printSARIF prints findings as a SARIF log with one run, whose rules are all finding codes.
 func printSARIF(out io.Writer, findings apps.Findings) error {
 	run := sarifRun{Tool: sarifTool{sarifDriver{Name: "curlewctl check"}}, Results: []sarifResult{}}
-	for _, a := range apps.Codes() {
-		rule := sarifRule{ID: string(a.Code), Short: sarifText{a.Meaning}, Help: sarifText{a.Remedy}}
-		rule.Default.Level = "error"
-		if a.Warning {
-			rule.Default.Level = "warning"
+	for _, code := range apps.Codes() {
+		rule := sarifRule{ID: string(code.Code), ShortDescription: sarifText{code.Meaning}, Help: sarifText{code.Remedy}}
+		rule.DefaultConfiguration.Level = "error"
+		if code.Warning {
+			rule.DefaultConfiguration.Level = "warning"
 		}
 		run.Tool.Driver.Rules = append(run.Tool.Driver.Rules, rule)
 	}
 	for i := range findings {
-		f := &findings[i]
-		text := f.Text
-		if f.Key != "" {
-			text = f.Key + ": " + text
+		finding := &findings[i]
+		text := finding.Text
+		if finding.Key != "" {
+			text = finding.Key + ": " + text
 		}
-		if f.Bound != "" {
-			text += "; allowed: " + f.Bound
+		if finding.Bound != "" {
+			text += "; allowed: " + finding.Bound
 		}
-		if f.Remedy != "" {
-			text += "; instead: " + f.Remedy
+		if finding.Remedy != "" {
+			text += "; instead: " + finding.Remedy
 		}
-		var at sarifLocation
-		at.Physical.Artifact.URI = filepath.ToSlash(f.File)
-		if f.Line > 0 {
-			at.Physical.Region = &sarifRegion{f.Line}
+		var location sarifLocation
+		location.PhysicalLocation.ArtifactLocation.URI = filepath.ToSlash(finding.File)
+		if finding.Line > 0 {
+			location.PhysicalLocation.Region = &sarifRegion{finding.Line}
 		}
-		run.Results = append(run.Results, sarifResult{f.Code, f.Level, sarifText{text}, []sarifLocation{at}})
+		run.Results = append(run.Results, sarifResult{finding.Code, finding.Level, sarifText{text}, []sarifLocation{location}})
 	}
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(sarifLog{"https://json.schemastore.org/sarif-2.1.0.json", "2.1.0", []sarifRun{run}})
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(sarifLog{"https://json.schemastore.org/sarif-2.1.0.json", "2.1.0", []sarifRun{run}})
 }
--- a/cmd/curlewctl/sidecars.go
+++ b/cmd/curlewctl/sidecars.go
@@ -16,115 +16,118 @@
 	"curlewring/internal/operators/apps"
 )
 
-// descriptions are the files that a command reads.
-type descriptions struct {
-	Paths    []string `arg:"" optional:"" type:"path" help:"Descriptions, or folders of them."`
-	Dir      []string `type:"path" placeholder:"DIR" help:"A folder of descriptions: a whole host or fleet."`
-	Platform string   `type:"path" placeholder:"FILE" help:"The shared file; by default platform.toml beside the descriptions."`
+// descriptionFiles are the arguments and flags that name the descriptions of applications.
+type descriptionFiles struct {
+	Paths        []string `arg:"" optional:"" type:"path" help:"Descriptions, or folders of them."`
+	Dirs         []string `name:"dir" type:"path" placeholder:"DIR" help:"A folder of descriptions: a whole host or fleet."`
+	PlatformFile string   `name:"platform" type:"path" placeholder:"FILE" help:"The shared file; by default platform.toml beside the descriptions."`
 }
 
-func (d *descriptions) load() (*appdir.Descriptions, error) {
-	paths := append(slices.Clone(d.Paths), d.Dir...)
+// load reads the descriptions. Their faults are findings; an error says that none were named.
+func (d *descriptionFiles) load() (*appdir.Descriptions, error) {
+	paths := append(slices.Clone(d.Paths), d.Dirs...)
 	if len(paths) == 0 {
-		return nil, errors.New("name a description, or a folder by --dir")
+		return nil, errors.New("no descriptions given: name files, or folders with --dir")
 	}
-	return appdir.LoadDescriptions(d.Platform, relative(paths)), nil
+	return appdir.LoadDescriptions(d.PlatformFile, relativePaths(paths)), nil
 }
 
-// relative names files as somebody who stands in this folder would: what is
-// printed and written must not hold where that lies.
-func relative(paths []string) []string {
-	here, err := os.Getwd()
-	for i, p := range paths {
-		if rel, err2 := filepath.Rel(here, p); err == nil && err2 == nil && !strings.HasPrefix(rel, "..") {
+// relativePaths makes paths below the working directory relative to it, in place: findings and generated files must not
+// depend on where that directory is.
+func relativePaths(paths []string) []string {
+	workingDir, err := os.Getwd()
+	for i, path := range paths {
+		if rel, relErr := filepath.Rel(workingDir, path); err == nil && relErr == nil && !strings.HasPrefix(rel, "..") {
 			paths[i] = rel
 		}
 	}
 	return paths
 }
 
-// found is the exit code of a command: 1 for warnings, 2 for errors.
-type found int
+// exitCode is an error that ends the program with this exit code and without a message.
+type exitCode int
 
-func (f found) Error() string { return fmt.Sprintf("findings (%d)", int(f)) }
+func (c exitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
-func verdict(f apps.Findings) error {
-	if worst := f.Worst(); worst > 0 {
-		return found(worst)
+// worstFinding returns exit code 1 if there are only warnings, 2 if there are errors, and nil if there are no findings.
+func worstFinding(findings apps.Findings) error {
+	if worst := findings.Worst(); worst > 0 {
+		return exitCode(worst)
 	}
 	return nil
 }
 
-// tell prints findings one a line, and how many.
-func tell(w io.Writer, f apps.Findings) {
-	errs := 0
-	for i := range f {
-		fmt.Fprintln(w, f[i])
-		if f[i].Level == "error" {
-			errs++
+// printFindings prints one finding a line, then the numbers of errors and warnings.
+func printFindings(w io.Writer, findings apps.Findings) {
+	errorCount := 0
+	for i := range findings {
+		fmt.Fprintln(w, findings[i])
+		if findings[i].Level == "error" {
+			errorCount++
 		}
 	}
-	fmt.Fprintf(w, "%d errors, %d warnings\n", errs, len(f)-errs)
+	fmt.Fprintf(w, "%d errors, %d warnings\n", errorCount, len(findings)-errorCount)
 }
 
-// writeCommand writes node configurations from descriptions.
+// writeCommand generates node configurations from descriptions.
 type writeCommand struct {
-	descriptions
-	Out  string `required:"" type:"path" placeholder:"DIR" help:"The folder of the sets; current in it is the one that holds."`
-	Diff bool   `help:"Show what would change, and write nothing."`
+	descriptionFiles
+	OutDir string `name:"out" required:"" type:"path" placeholder:"DIR" help:"The folder of the generated sets; current in it links to the set in use."`
+	Diff   bool   `help:"Print what would change, and write nothing."`
 }
 
 func (c *writeCommand) Run() error { return c.run(os.Stdout, os.Stderr) }
 
+// run writes results to out and findings to errs. It writes no files if there are errors.
 func (c *writeCommand) run(out, errs io.Writer) error {
-	l, err := c.load()
+	loaded, err := c.load()
 	if err != nil {
 		return err
 	}
-	if l.Findings.Worst() == 2 {
-		tell(errs, l.Findings)
-		return found(2)
+	if loaded.Findings.Worst() == 2 {
+		printFindings(errs, loaded.Findings)
+		return exitCode(2)
 	}
-	all := l.Set.Generate(l.Sources)
+	files := loaded.Set.Generate(loaded.Sources)
 	if c.Diff {
-		return c.diff(out, all)
+		return c.diff(out, files)
 	}
-	name, changed, err := appdir.Write(c.Out, all)
+	name, changed, err := appdir.Write(c.OutDir, files)
 	if err != nil {
 		return err
 	}
 	if changed {
-		fmt.Fprintf(out, "%d files written for %d sidecars, set %s\n", len(all), len(l.Set.Apps), name)
+		fmt.Fprintf(out, "%d files written for %d sidecars, set %s\n", len(files), len(loaded.Set.Apps), name)
 	} else {
 		fmt.Fprintf(out, "nothing changed, set %s\n", name)
 	}
-	if len(l.Findings) > 0 {
-		tell(errs, l.Findings)
+	if len(loaded.Findings) > 0 {
+		printFindings(errs, loaded.Findings)
 	}
 	return nil
 }
 
-// diff prints what writing would change (unified, as diff -u does).
-func (c *writeCommand) diff(out io.Writer, all []apps.GeneratedFile) error {
-	current, err := appdir.ReadCurrentSet(c.Out)
+// diff prints the changes to the current set as unified diffs, as diff -u does.
+func (c *writeCommand) diff(out io.Writer, files []apps.GeneratedFile) error {
+	current, err := appdir.ReadCurrentSet(c.OutDir)
 	if err != nil {
 		return err
 	}
-	names := map[string][]byte{}
-	var order []string
-	for _, w := range all {
-		names[w.Path] = w.Text
-		order = append(order, w.Path)
+	generated := map[string][]byte{}
+	var names []string
+	for _, file := range files {
+		generated[file.Path] = file.Text
+		names = append(names, file.Path)
 	}
 	for name := range current {
-		if names[name] == nil {
-			order = append(order, name)
+		if generated[name] == nil {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(order)
+	slices.Sort(names)
 	changed := 0
-	for _, name := range order {
-		if string(current[name]) == string(names[name]) {
+	for _, name := range names {
+		if string(current[name]) == string(generated[name]) {
 			continue
 		}
 		changed++
@@ -132,68 +135,70 @@
 		if current[name] == nil {
 			from = os.DevNull
 		}
-		if names[name] == nil {
+		if generated[name] == nil {
 			to = os.DevNull
 		}
-		d := difflib.UnifiedDiff{A: lines(current[name]), B: lines(names[name]), FromFile: from, ToFile: to, Context: 2}
-		if err := difflib.WriteUnifiedDiff(out, d); err != nil {
+		unified := difflib.UnifiedDiff{A: splitLines(current[name]), B: splitLines(generated[name]), FromFile: from, ToFile: to, Context: 2}
+		if err := difflib.WriteUnifiedDiff(out, unified); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(out, "%d of %d files would change\n", changed, len(order))
+	fmt.Fprintf(out, "%d of %d files would change\n", changed, len(names))
 	return nil
 }
 
-func lines(text []byte) []string {
+// splitLines splits a text into lines, each with its line break. An empty text has none.
+func splitLines(text []byte) []string {
 	if len(text) == 0 {
 		return nil
 	}
-	all := strings.SplitAfter(string(text), "\n")
-	if all[len(all)-1] == "" {
-		all = all[:len(all)-1]
+	lines := strings.SplitAfter(string(text), "\n")
+	if lines[len(lines)-1] == "" {
+		lines = lines[:len(lines)-1]
 	}
-	return all
+	return lines
 }
 
-// checkCommand checks descriptions, and what was written of them.
+// checkCommand checks descriptions, node configurations, and the files generated from descriptions.
 type checkCommand struct {
-	descriptions
-	Written string `type:"path" placeholder:"DIR" help:"A folder that write wrote to: checked too, against the descriptions if any are named."`
-	JSON    bool   `name:"json" xor:"form" help:"Print findings as JSON."`
-	SARIF   bool   `name:"sarif" xor:"form" help:"Print findings as SARIF 2.1.0, for continuous integration."`
+	descriptionFiles
+	GeneratedDir string `name:"written" type:"path" placeholder:"DIR" help:"An output folder of write to check as well, against the descriptions if any are named."`
+	JSON         bool   `name:"json" xor:"form" help:"Print findings as JSON."`
+	SARIF        bool   `name:"sarif" xor:"form" help:"Print findings as SARIF 2.1.0, for continuous integration."`
 }
 
 func (c *checkCommand) Run() error { return c.run(os.Stdout) }
 
+// run writes the findings to out in the chosen format, and returns an exitCode error if there are any.
 func (c *checkCommand) run(out io.Writer) error {
 	var findings apps.Findings
-	var want []apps.GeneratedFile
-	if len(c.Paths)+len(c.Dir) > 0 || c.Written == "" {
-		// A node's configuration may be named as it is.
+	var expected []apps.GeneratedFile
+	if len(c.Paths)+len(c.Dirs) > 0 || c.GeneratedDir == "" {
+		// Paths to *.json are node configurations, which are checked by themselves.
 		var nodes []string
-		c.Paths = slices.DeleteFunc(c.Paths, func(p string) bool {
-			if filepath.Ext(p) != ".json" {
+		c.Paths = slices.DeleteFunc(c.Paths, func(path string) bool {
+			if filepath.Ext(path) != ".json" {
 				return false
 			}
-			nodes = append(nodes, p)
+			nodes = append(nodes, path)
 			return true
 		})
-		for _, p := range relative(nodes) {
-			checkNode(p, &findings)
+		for _, path := range relativePaths(nodes) {
+			checkNode(path, &findings)
 		}
-		if len(c.Paths)+len(c.Dir) > 0 || len(nodes) == 0 {
-			l, err := c.load()
+		if len(c.Paths)+len(c.Dirs) > 0 || len(nodes) == 0 {
+			loaded, err := c.load()
 			if err != nil {
 				return err
 			}
-			findings = append(findings, l.Findings...)
-			if l.Set != nil && l.Findings.Worst() < 2 {
-				want = l.Set.Generate(l.Sources)
+			findings = append(findings, loaded.Findings...)
+			if loaded.Set != nil && loaded.Findings.Worst() < 2 {
+				expected = loaded.Set.Generate(loaded.Sources)
 			}
 		}
 	}
-	if c.Written != "" {
-		if err := appdir.CheckGenerated(relative([]string{c.Written})[0], want, &findings); err != nil {
+	if c.GeneratedDir != "" {
+		if err := appdir.CheckGenerated(relativePaths([]string{c.GeneratedDir})[0], expected, &findings); err != nil {
 			return err
 		}
 	}
@@ -202,97 +207,100 @@
 	switch {
 	case c.JSON:
 		if findings == nil {
-			findings = apps.Findings{} // an empty list, not none
+			findings = apps.Findings{} // encoded as [] instead of null
 		}
 		err = printJSON(out, findings)
 	case c.SARIF:
 		err = printSARIF(out, findings)
 	default:
-		tell(out, findings)
+		printFindings(out, findings)
 	}
 	if err != nil {
 		return err
 	}
-	return verdict(findings)
+	return worstFinding(findings)
 }
 
+// checkNode checks a node configuration, and that it was not edited by hand if it was generated.
 func checkNode(path string, findings *apps.Findings) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		findings.Add(apps.Unreadable, path, 0, err.Error())
 		return
 	}
-	if sealed, marked := apps.VerifyChecksum(text); marked && !sealed {
+	if valid, generated := apps.VerifyChecksum(text); generated && !valid {
 		findings.Add(apps.HandEdited, path, 0, "its sum is not that of its text")
 	}
 	_, err = os.Stat(filepath.Join(filepath.Dir(path), "operator.toml"))
 	appdir.CheckNode(path, text, err == nil, findings)
 }
 
-// explainCommand says what becomes of a request, and why.
+// explainCommand shows how a sidecar handles requests of a class, and where each value is set.
 type explainCommand struct {
 	Sidecar string `arg:"" help:"The sidecar's name."`
 	Class   string `arg:"" help:"The request's class."`
 	Path    string `arg:"" optional:"" help:"The request's path; by default that of the class."`
 
-	Dir      []string `required:"" type:"path" placeholder:"DIR" help:"A folder of descriptions, or one description."`
-	Platform string   `type:"path" placeholder:"FILE" help:"The shared file; by default platform.toml beside the descriptions."`
+	Dirs         []string `name:"dir" required:"" type:"path" placeholder:"DIR" help:"A folder of descriptions, or one description."`
+	PlatformFile string   `name:"platform" type:"path" placeholder:"FILE" help:"The shared file; by default platform.toml beside the descriptions."`
 }
 
 func (c *explainCommand) Run() error { return c.run(os.Stdout, os.Stderr) }
 
+// run writes the explanation to out, and findings to errs if the descriptions have errors.
 func (c *explainCommand) run(out, errs io.Writer) error {
-	l := appdir.LoadDescriptions(c.Platform, relative(c.Dir))
-	if l.Findings.Worst() == 2 {
-		tell(errs, l.Findings)
-		return found(2)
+	loaded := appdir.LoadDescriptions(c.PlatformFile, relativePaths(c.Dirs))
+	if loaded.Findings.Worst() == 2 {
+		printFindings(errs, loaded.Findings)
+		return exitCode(2)
 	}
-	e, err := l.Set.Explain(c.Sidecar, c.Class, c.Path)
+	explanation, err := loaded.Set.Explain(c.Sidecar, c.Class, c.Path)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s, class %s, path %s\n", e.Sidecar, e.Class, e.Path)
-	if e.Route != "" {
-		fmt.Fprintf(out, "route: %s\n", e.Route)
+	fmt.Fprintf(out, "%s, class %s, path %s\n", explanation.Sidecar, explanation.Class, explanation.Path)
+	if explanation.Route != "" {
+		fmt.Fprintf(out, "route: %s\n", explanation.Route)
 	} else {
 		fmt.Fprintln(out, "route: none; the platform's settings hold")
 	}
 	fmt.Fprintln(out)
-	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "key\tvalue\tfrom")
-	for _, r := range e.Rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", r.Key, r.Value, r.From)
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "key\tvalue\tfrom")
+	for _, row := range explanation.Rows {
+		fmt.Fprintf(table, "%s\t%s\t%s\n", row.Key, row.Value, row.From)
 	}
-	t.Flush()
+	table.Flush()
 	fmt.Fprintln(out, "\nat the worst, along the chain:")
-	t = tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "sidecar\tclass\troute\tattempts\tin all\tone lasts\ttogether\tcomes with\tcopies at once")
-	for _, s := range e.Chain {
-		copies := 1
-		if s.SecondCopies {
-			copies = 2
+	table = tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "sidecar\tclass\troute\tattempts\tin all\tone lasts\ttogether\tcomes with\tcopies at once")
+	for _, step := range explanation.Chain {
+		concurrentCopies := 1
+		if step.SecondCopies {
+			concurrentCopies = 2
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%v\t%v\t%v\t%d\n", s.Sidecar, s.Class, or(s.Route, "-"), s.Attempts, s.CumulativeAttempts, s.MaxAttemptTime, s.MaxTotalTime,
-			s.MinTimeLeft, copies)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%v\t%v\t%v\t%d\n", step.Sidecar, step.Class, orDefault(step.Route, "-"), step.Attempts,
+			step.CumulativeAttempts, step.MaxAttemptTime, step.MaxTotalTime, step.MinTimeLeft, concurrentCopies)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-func or(s, other string) string {
-	if s != "" {
-		return s
+// orDefault returns the value, or the default if the value is empty.
+func orDefault(value, defaultValue string) string {
+	if value != "" {
+		return value
 	}
-	return other
+	return defaultValue
 }
 
-// schemaCommand prints the schemas, for editors.
+// schemaCommand prints the JSON schema of a kind of description file, for editors.
 type schemaCommand struct {
-	Of string `arg:"" enum:"app,platform" help:"Of which file: app or platform."`
+	Kind string `arg:"" name:"of" enum:"app,platform" help:"The kind of file: app or platform."`
 }
 
 func (c *schemaCommand) Run() error {
 	schema := apps.AppSchema
-	if c.Of == "platform" {
+	if c.Kind == "platform" {
 		schema = apps.PlatformSchema
 	}
 	text, err := schema()
--- a/cmd/curlewctl/sidecars_test.go
+++ b/cmd/curlewctl/sidecars_test.go
@@ -15,61 +15,62 @@
 	"curlewring/internal/operators/apps"
 )
 
-// unpack writes a set of the corpus to a folder and goes there.
+// unpack writes the files of a test set to a temporary folder and makes it the working directory.
 func unpack(t *testing.T, name string) {
 	t.Helper()
 	path, err := filepath.Abs("../../internal/operators/appdir/testdata/" + name + ".txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := txtar.ParseFile(path)
+	archive, err := txtar.ParseFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Chdir(t.TempDir())
-	for _, f := range a.Files {
-		if err := os.WriteFile(f.Name, f.Data, 0o644); err != nil {
+	for _, file := range archive.Files {
+		if err := os.WriteFile(file.Name, file.Data, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// code is what a command would end with.
-func code(err error) int {
-	var f found
+// exitCodeOf returns the exit code of a command that returns the error; -1 if it is not an exitCode.
+func exitCodeOf(err error) int {
+	var code exitCode
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &f):
-		return int(f)
+	case errors.As(err, &code):
+		return int(code)
 	}
 	return -1
 }
 
-func here() descriptions { return descriptions{Dir: []string{"."}} }
+// workingDir names the descriptions in the working directory.
+func workingDir() descriptionFiles { return descriptionFiles{Dirs: []string{"."}} }
 
-// The exit code must be 0 without findings, 1 with warnings only, 2 with errors,
-// in each form, and the forms for programs must hold every finding.
+// The exit code must be 0 without findings, 1 with warnings only and 2 with errors in each output format, and JSON and
+// SARIF must contain every finding.
 func TestCheckCommand(t *testing.T) {
 	for name, want := range map[string]int{"good/one": 0, "broken/host-cores": 1, "broken/port-twice": 2} {
 		t.Run(name, func(t *testing.T) {
 			unpack(t, name)
-			var text, object, sarif bytes.Buffer
-			if got := code((&checkCommand{descriptions: here()}).run(&text)); got != want {
-				t.Errorf("ends with %d, want %d\n%s", got, want, &text)
+			var textOut, jsonOut, sarifOut bytes.Buffer
+			if got := exitCodeOf((&checkCommand{descriptionFiles: workingDir()}).run(&textOut)); got != want {
+				t.Errorf("exit code %d, want %d\n%s", got, want, &textOut)
 			}
-			if got := code((&checkCommand{descriptions: here(), JSON: true}).run(&object)); got != want {
-				t.Errorf("--json ends with %d, want %d", got, want)
+			if got := exitCodeOf((&checkCommand{descriptionFiles: workingDir(), JSON: true}).run(&jsonOut)); got != want {
+				t.Errorf("exit code with --json %d, want %d", got, want)
 			}
-			if got := code((&checkCommand{descriptions: here(), SARIF: true}).run(&sarif)); got != want {
-				t.Errorf("--sarif ends with %d, want %d", got, want)
+			if got := exitCodeOf((&checkCommand{descriptionFiles: workingDir(), SARIF: true}).run(&sarifOut)); got != want {
+				t.Errorf("exit code with --sarif %d, want %d", got, want)
 			}
-			var all []apps.Finding
-			if err := json.Unmarshal(object.Bytes(), &all); err != nil || all == nil {
-				t.Fatal(err, object.String())
+			var findings []apps.Finding
+			if err := json.Unmarshal(jsonOut.Bytes(), &findings); err != nil || findings == nil {
+				t.Fatal(err, jsonOut.String())
 			}
-			if (want == 0) != (len(all) == 0) || strings.Count(text.String(), "\n") != len(all)+1 {
-				t.Errorf("%d findings, and the text is\n%s", len(all), &text)
+			if (want == 0) != (len(findings) == 0) || strings.Count(textOut.String(), "\n") != len(findings)+1 {
+				t.Errorf("%d findings in JSON, but the text is\n%s", len(findings), &textOut)
 			}
 			var log struct {
 				Version string
@@ -88,36 +89,37 @@
 					}
 				}
 			}
-			if err := json.Unmarshal(sarif.Bytes(), &log); err != nil || log.Version != "2.1.0" || len(log.Runs) != 1 {
-				t.Fatal(err, sarif.String())
+			if err := json.Unmarshal(sarifOut.Bytes(), &log); err != nil || log.Version != "2.1.0" || len(log.Runs) != 1 {
+				t.Fatal(err, sarifOut.String())
 			}
 			run := log.Runs[0]
-			if len(run.Results) != len(all) || len(run.Tool.Driver.Rules) != len(apps.Codes()) {
-				t.Errorf("SARIF has %d results of %d, %d rules", len(run.Results), len(all), len(run.Tool.Driver.Rules))
+			if len(run.Results) != len(findings) || len(run.Tool.Driver.Rules) != len(apps.Codes()) {
+				t.Errorf("SARIF has %d results for %d findings, and %d rules", len(run.Results), len(findings), len(run.Tool.Driver.Rules))
 			}
-			for i, r := range run.Results {
-				at := r.Locations[0].PhysicalLocation
-				if r.RuleID != all[i].Code || r.Level != all[i].Level || at.ArtifactLocation.URI != all[i].File || at.Region.StartLine != all[i].Line {
-					t.Errorf("%+v, and the finding is %+v", r, all[i])
+			for i, result := range run.Results {
+				location := result.Locations[0].PhysicalLocation
+				if result.RuleID != findings[i].Code || result.Level != findings[i].Level || location.ArtifactLocation.URI != findings[i].File ||
+					location.Region.StartLine != findings[i].Line {
+					t.Errorf("SARIF result %+v differs from finding %+v", result, findings[i])
 				}
 			}
 		})
 	}
 }
 
-// Write must write what is right, tell what would change before it does, and
-// leave everything as it is where there are errors.
+// Write must generate the files, print with --diff what would change without writing, and leave the current set
+// unchanged if the descriptions have errors.
 func TestWriteCommand(t *testing.T) {
 	unpack(t, "good/one")
 	var out, errs bytes.Buffer
-	write := &writeCommand{descriptions: here(), Out: "out"}
-	diff := &writeCommand{descriptions: here(), Out: "out", Diff: true}
+	write := &writeCommand{descriptionFiles: workingDir(), OutDir: "out"}
+	diff := &writeCommand{descriptionFiles: workingDir(), OutDir: "out", Diff: true}
 	if err := diff.run(&out, &errs); err != nil || !strings.Contains(out.String(), "2 of 2 files would change") ||
 		!strings.Contains(out.String(), `+  "listen": "127.0.0.1:15001",`) {
 		t.Errorf("%v\n%s", err, &out)
 	}
 	if _, err := os.Stat("out"); !os.IsNotExist(err) {
-		t.Fatal("--diff has written")
+		t.Fatal("write --diff has written files")
 	}
 	if err := write.run(io.Discard, &errs); err != nil {
 		t.Fatal(err, errs.String())
@@ -134,27 +136,28 @@
 	}
 	before, _ := os.Readlink("out/current")
 	os.WriteFile("leitstand.toml", bytes.Replace(text, []byte("15001"), []byte("40000"), 1), 0o644)
-	if got := code(write.run(io.Discard, &errs)); got != 2 || !strings.Contains(errs.String(), "SC029") {
-		t.Errorf("ends with %d\n%s", got, &errs)
+	if got := exitCodeOf(write.run(io.Discard, &errs)); got != 2 || !strings.Contains(errs.String(), "SC029") {
+		t.Errorf("exit code %d, want 2 and SC029\n%s", got, &errs)
 	}
 	if after, _ := os.Readlink("out/current"); after != before || before == "" {
-		t.Error("a set with errors was written")
+		t.Error("write has changed the current set in spite of errors")
 	}
-	if got := code((&checkCommand{descriptions: descriptions{Paths: []string{"out/current/zh-1/leitstand/node.json"}}}).run(&out)); got != 0 {
-		t.Errorf("a written configuration by itself: %d\n%s", got, &out)
+	if got := exitCodeOf((&checkCommand{descriptionFiles: descriptionFiles{Paths: []string{"out/current/zh-1/leitstand/node.json"}}}).run(&out)); got != 0 {
+		t.Errorf("check of a generated configuration by itself: exit code %d\n%s", got, &out)
 	}
 }
 
+// Explain must name the lines that set the values, and the worst case along the chain.
 func TestExplainCommand(t *testing.T) {
 	unpack(t, "good/chain")
 	var out bytes.Buffer
-	c := &explainCommand{Sidecar: "leitstand", Class: "stoerung", Dir: []string{"."}}
+	c := &explainCommand{Sidecar: "leitstand", Class: "stoerung", Dirs: []string{"."}}
 	if err := c.run(&out, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	for _, part := range []string{"leitstand.toml:8", "attempts", "platform.toml:24", "archivar", "at the worst"} {
 		if !strings.Contains(out.String(), part) {
-			t.Errorf("%q is missing in\n%s", part, &out)
+			t.Errorf("%q is missing in the output\n%s", part, &out)
 		}
 	}
 }
