--- a/cmd/curlewctl/lease.go
+++ b/cmd/curlewctl/lease.go
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// Run acquires the lease and runs the command while the lease is held. It returns an exitCode error if the code isn't 0.
+// Run acquires the lease and runs the command while the lease is held. Any exit code but 0 is returned as an exitCode
+// error.
 func (c *leaseRun) Run(ctx context.Context) error {
 	command := c.Command
 	if len(command) > 0 && command[0] == "--" {
