--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -29,7 +29,7 @@
 	lists   [maxLists][]decide.Server
 	actions []decide.Action
 	now     time.Duration
-	open    bool // inside a batch
+	inBatch bool // between the start of a batch and its commit
 }
 
 func newHost(in *bufio.Reader, out *bufio.Writer) *host {
@@ -41,7 +41,7 @@
 	for number := 1; ; number++ {
 		line, err := h.readLine()
 		if errors.Is(err, io.EOF) && len(line) == 0 {
-			if h.open {
+			if h.inBatch {
 				return fmt.Errorf("line %d: input ends inside a batch", number)
 			}
 			return nil
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	if (m.Turn == nil) != h.open {
+	if (m.Turn == nil) != h.inBatch {
 		return errors.New("event outside a batch, or start of a batch inside another one")
 	}
 	switch {
@@ -83,10 +83,10 @@
 		if m.Turn.Clock == nil || *m.Turn.Clock < h.now {
 			return errors.New("a batch needs a clock value that does not run backwards")
 		}
-		h.now, h.open = *m.Turn.Clock, true
+		h.now, h.inBatch = *m.Turn.Clock, true
 		return nil
 	case m.Commit != nil:
-		h.open = false
+		h.inBatch = false
 		if _, err := h.out.WriteString("{\"done\":{}}\n"); err != nil {
 			return fmt.Errorf("writing the reply: %w", err)
 		}
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -11,7 +11,7 @@
 const (
 	shedAllRatio       = 1.0  // latency ratio at which even the highest worth is refused
 	shedStartRatio     = 0.6  // latency ratio below which even the lowest worth is admitted
-	rareWorthExponent  = 4    // exponent by which the curve of a rare worth is shifted
+	rareWorthExponent  = 4    // a level's curve is shifted by (share of the traffic below it)^4
 	shedAllUtilization = 2    // utilization at which even the highest worth is refused
 	serverGrowthRate   = 0.15 // growth per second of the servers that count as capacity
 )
@@ -51,7 +51,7 @@
 	level := b.worthLevel(worth)
 	width := 1 / float64(len(b.worthLevels))
 	start := width * float64(level)
-	if worth < b.worthLevels[0] { // a request worth nothing any more: below all others
+	if worth < b.worthLevels[0] {
 		start -= width // worth nothing any more: below all levels
 	} else if level > 0 {
 		start += math.Pow(1-b.shareAtOrAbove(level), rareWorthExponent)
--- a/decide/api.go
+++ b/decide/api.go
@@ -186,10 +186,10 @@
 	MaxAttempts    int           // including the first attempt and hedged ones; 0: Settings.MaxAttempts
 	BackoffInitial time.Duration // wait before the second attempt, doubled for each further one ...
 	BackoffMax     time.Duration // ... up to this; 0: unbounded
-	BackoffJitter  float64       // random fraction of a wait that is subtracted at most, 0 to 1
+	BackoffJitter  float64       // up to this fraction of a wait, 0 to 1, is subtracted at random
 	RetryOn        ResultSet     // results that may be retried; 0: any
 	HedgeAfter     time.Duration // a hedged attempt starts this long after the first; 0: never
-	DeadlineCap    time.Duration // given up this long after its arrival; 0: at its own deadline
+	DeadlineCap    time.Duration // a request is given up this long after its arrival; 0: at its deadline
 	MaxRetryAfter  time.Duration // longest retry-after of a refusal; 0: Settings.MaxRetryAfter
 }
 
@@ -330,7 +330,7 @@
 	Server   string
 	Zone     string
 	Started  time.Duration
-	SendRate float64 // this node's share of the send budget, usable in whole sends per second
+	SendRate float64 // this node's share of the send budget, in sends per second; spent in whole sends
 	// MeanSendRate is the average number of sends per second that this node makes to a server; 0 if the
 	// node uses this server only when no server of its own zone is available.
 	MeanSendRate float64
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -29,11 +29,11 @@
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			d, _ := benchFleet(n)
-			type flying struct {
+			type openAttempt struct {
 				id     uint64
 				server string
 			}
-			var out []flying
+			var out []openAttempt
 			var buf []Action
 			now := time.Second
 			b.ReportAllocs()
@@ -43,7 +43,7 @@
 				buf = d.HandleRequest(now, r, buf[:0])
 				for _, a := range buf {
 					if a.Kind == Send {
-						out = append(out, flying{a.Request, a.Server})
+						out = append(out, openAttempt{a.Request, a.Server})
 					}
 				}
 				if len(out) > 8 {
--- a/decide/choice.go
+++ b/decide/choice.go
@@ -10,11 +10,11 @@
 
 const (
 	sampleThreshold         = 16              // longer lists are sampled at random instead of searched
-	maxDraws                = 12              // draws after which a long list is searched all the same
-	connectFailureThreshold = 0.1             // failure rate above which existing ones are preferred
+	maxDraws                = 12              // draws after which a long list is searched anyway
+	connectFailureThreshold = 0.1             // connect failure rate above which idle ones are preferred
 	ejectAfterFailures      = 3               // consecutive failures that eject a server
 	baseEjectionTime        = time.Second     // doubled with each further ejection
-	coldOwnShare            = 0.5             // fraction of the cold budget that a node uses without a grant
+	coldOwnShare            = 0.5             // part of the cold budget used without grants, at random times
 	slownessGain            = 0.25            // weight of a server's newest response time
 	slownessMemory          = 2 * time.Second // time constant with which a server's measured slowness decays
 )
@@ -94,8 +94,8 @@
 		}
 		return b.leastDoubtful(c)
 	}
-	_, ejected := b.countEjected()
-	honorEjections := 2*ejected < len(b.localSubset)+len(b.remoteSubset)
+	_, ejectedNow := b.countEjected()
+	honorEjections := 2*ejectedNow < len(b.localSubset)+len(b.remoteSubset)
 	local := b.pickFrom(c, b.localSubset, honorEjections)
 	b.noLocalServer = local == nil
 	remote := b.pickFrom(c, b.remoteSubset, honorEjections)
@@ -103,17 +103,17 @@
 		return b.leastDoubtful(c)
 	}
 	if local == nil || remote != nil &&
-		(b.priceFactor(b.cfg.Penalties.CrossZone)*b.load(remote) < b.load(local)) {
+		(b.penaltyFactor(b.cfg.Penalties.CrossZone)*b.load(remote) < b.load(local)) {
 		return remote
 	}
 	return local
 }
 
-// priceFactor returns by what factor a server's load counts if a send to it incurs a penalty. At a mean
+// penaltyFactor returns by what factor a server's load counts if a send to it incurs a penalty. At a mean
 // latency of m targets, a server with 1/x of the load saves m*(1-1/x) targets. A target saved is valued at
 // one request, and the saving must exceed the penalty.
-func (b *Balancer) priceFactor(price float64) float64 {
-	return 1 / max(1e-3, 1-price/max(b.meanLatency, 1e-6))
+func (b *Balancer) penaltyFactor(penalty float64) float64 {
+	return 1 / max(1e-3, 1-penalty/max(b.meanLatency, 1e-6))
 }
 
 // pickFrom returns the less loaded of two random eligible servers of a list. Long lists are sampled; short
@@ -167,7 +167,7 @@
 func (b *Balancer) load(s *server) float64 {
 	load := float64(s.inflight+1) * b.slowness(s)
 	if len(s.idleConns) == 0 {
-		load *= b.priceFactor(b.cfg.Penalties.Handshake)
+		load *= b.penaltyFactor(b.cfg.Penalties.Handshake)
 	}
 	return load
 }
@@ -197,7 +197,7 @@
 		b.doubtful(s) || !b.permitted(c, s) {
 		return false
 	}
-	// Not the server that has just failed, unless a keyed call has no other: it would wait for nothing.
+	// Not the server that has just failed, unless a keyed call has no other: it would wait in vain.
 	n := len(c.attempts)
 	return !(honorEjections && n > 0 && c.attempts[n-1].server == s && hasAlternative)
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -10,7 +10,7 @@
 // simulateBurst runs several nodes with one server that all of them have kept busy. The server restarts, no
 // requests come during a lull, and then each node gets some at once. It returns the largest number of sends
 // in a window, and the bound on it, for the window that comes closest to its bound.
-func simulateBurst(nodes int, busy float64, lull time.Duration, each int, seed uint64) (
+func simulateBurst(nodes int, requestRate float64, lull time.Duration, each int, seed uint64) (
 	worst, bound float64) {
 	cfg := Settings{
 		Nodes: nodes, MaxAttempts: 4, ColdCapacity: 0.3, WarmupTime: 8400 * ms, CollapseMultiple: 2.5,
@@ -24,7 +24,7 @@
 		cfg.Node = i
 		all[i] = New(cfg, seed*1000+uint64(i), 0)
 		all[i].HandleList(0, ListUpdate{Kind: ListFull, Servers: []Server{{ID: "a"}}}, nil)
-		every := time.Duration(float64(nodes) / busy * float64(time.Second))
+		every := time.Duration(float64(nodes) / requestRate * float64(time.Second))
 		id := uint64(0)
 		for now := warm + every*time.Duration(i)/time.Duration(nodes); now < start; now += every {
 			id++
@@ -74,8 +74,8 @@
 				n++
 			}
 		}
-		warmth := cfg.ColdCapacity + (1-cfg.ColdCapacity)*min(1, float64(at-start)/float64(cfg.WarmupTime))
-		if calls := cfg.CollapseMultiple * warmth * busy; warmth < 1 &&
+		capacity := cfg.ColdCapacity + (1-cfg.ColdCapacity)*min(1, float64(at-start)/float64(cfg.WarmupTime))
+		if calls := cfg.CollapseMultiple * capacity * requestRate; capacity < 1 &&
 			float64(n)/(calls+2*math.Sqrt(calls)+2) > worst/max(bound, 1e-9) {
 			worst, bound = float64(n), calls+2*math.Sqrt(calls)+2
 		}
@@ -88,15 +88,15 @@
 // and all of them earn a send during the lull, which they use at once when requests come again.
 func TestLullEarnsNoColdBudget(t *testing.T) {
 	for _, c := range []struct {
-		nodes int
-		busy  float64
-		lull  time.Duration
+		nodes       int
+		requestRate float64
+		lull        time.Duration
 	}{{20, 3, 7 * time.Second}, {30, 5, 7 * time.Second}, {30, 5, 5 * time.Second},
 		{60, 10, 7 * time.Second}, {300, 40, 7 * time.Second}} {
-		t.Run(fmt.Sprintf("%d nodes, %v a second, %v", c.nodes, c.busy, c.lull), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d nodes, %v a second, %v", c.nodes, c.requestRate, c.lull), func(t *testing.T) {
 			over, worstRatio := 0, 0.0
 			for seed := range uint64(10) {
-				worst, bound := simulateBurst(c.nodes, c.busy, c.lull, 3, seed)
+				worst, bound := simulateBurst(c.nodes, c.requestRate, c.lull, 3, seed)
 				worstRatio = max(worstRatio, worst/bound)
 				if worst > bound {
 					over++
--- a/decide/concurrency_test.go
+++ b/decide/concurrency_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// A node that starts during an overload has no response to go by, but it waits for one: the longer, the
+// A node that starts during an overload has no response times yet, but it waits for one: the longer, the
 // lower the limit. Without calls it waits for nothing.
 func TestLimitWhileFirstResponseIsOutstanding(t *testing.T) {
 	limit := newConcurrencyLimit(LimitLearned, 5, 0, time.Second)
@@ -236,14 +236,14 @@
 	}
 	b := start(300)
 	if sent := offer(b, time.Second, 1, 1); sent > 0 {
-		t.Error("an unsafe request went to an untried server")
+		t.Error("a request that must not run twice went to an unverified server")
 	}
 	verified := list[0]
 	verified.Unverified = false
 	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{verified}, FleetSize: 300},
 		nil)
 	if sent := offer(b, time.Second, 1, 2); sent != 2 {
-		t.Errorf("%d of 2 unsafe requests went to the one that has answered", sent)
+		t.Errorf("%d of 2 requests that must not run twice went to the verified server", sent)
 	}
 }
 
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -15,7 +15,7 @@
 	openCallsMemory       = 8                      // arrivals over which the open calls are averaged
 	trafficMixMemory      = 64                     // arrivals over which the mix of worths is averaged
 	latencyRatioMemory    = 24                     // outcomes over which the latency ratio is averaged
-	retryBudgetPerRequest = 0.2                    // retries earned by each admitted request
+	retryBudgetPerRequest = 0.2                    // retries that each admitted request adds to the budget
 	retryBudgetMax        = 10
 	idleBuckets           = 8                     // buckets of idle time, each twice as long as the previous
 	idleStatsMemory       = 10 * time.Second      // time constant of the idle statistics
@@ -65,7 +65,7 @@
 	periodEnd             time.Duration
 	answerRate            float64 // responses per second, smoothed
 	answerRateAt          time.Duration
-	priorRate             float64 // responses per second of a server before this node's restart; 0: unknown
+	priorRate             float64 // responses/s of a server to one node before the restart; 0: unknown
 	fleetSize             float64 // number of servers if the list is part of a stored one, else 0
 	retryBudget           float64
 	idleStats             [idleBuckets]idleStat
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// node returns the only front proxy before n servers, with classes of worth 1 and worth 9.
+// newFrontNode returns the only front proxy before n servers, with classes of worth 1 and worth 9.
 func newFrontNode(n int) *Balancer {
 	b := New(Settings{
 		Nodes: 1, MaxAttempts: 3, AnswerGrace: 10 * ms,
@@ -72,7 +72,8 @@
 	}
 }
 
-// twoZones returns one of four front proxies in zone x, before two servers in each of the zones x and y.
+// newFrontNodeInZoneX returns one of four front proxies in zone x, before two servers in each of the zones
+// x and y.
 func newFrontNodeInZoneX(penalty float64) *Balancer {
 	b := New(Settings{
 		Nodes: 4, MaxAttempts: 3, AnswerGrace: 10 * ms, Zone: "x", Penalties: Penalties{CrossZone: penalty},
@@ -91,7 +92,7 @@
 	}{{0, 0.4, 1}, {0.2, 0.4, 2}, {0.2, 0.25, 5}, {0.2, 0.1, 1000}, {0.2, 0, 1000}} {
 		b := newFrontNodeInZoneX(c.penalty)
 		b.meanLatency = c.meanLatency
-		if got := b.priceFactor(b.cfg.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
+		if got := b.penaltyFactor(b.cfg.Penalties.CrossZone); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("penalty %v, response time %v: the load of a remote server counts %v times, want %v",
 				c.penalty, c.meanLatency, got, c.want)
 		}
--- a/decide/members.go
+++ b/decide/members.go
@@ -14,10 +14,10 @@
 	subsetSizeInner  = 5                      // below the front: more of a node's calls on each
 	localShare       = 0.75                   // fraction of the subset in the own zone
 	watchRetryMin    = 250 * time.Millisecond // first wait before renewing a failed watch
-	watchRetryMax    = 3 * time.Second / 2    // a lost call must fit into the 6 s of announcementDelay
+	watchRetryMax    = 3 * time.Second / 2    // a lost call is repeated within announcementDelay
 	subsetSizeSlack  = 1.0 / 16               // allowed relative deviation from the even size
 	ringStartSlack   = 32                     // a start on the ring may deviate by 1/32 of the ring
-	ringStartSpacing = 0.63224128846          // multiples modulo 1 are even, every 2nd to 16th too
+	ringStartSpacing = 0.63224128846          // multiples modulo 1 are evenly spread, every 2nd to 16th too
 )
 
 // HandleList takes an update of the server list.
@@ -111,7 +111,7 @@
 	want := max(float64(size), float64(size*all)/float64(max(1, b.cfg.Nodes)))
 	b.subsetSize = min(max(b.subsetSize, want*(1-subsetSizeSlack)), want*(1+subsetSizeSlack))
 	size = min(int(math.Ceil(b.subsetSize)), all)
-	// A larger fleet does not prove more capacity, since the tier below may be the bottleneck. The counted
+	// A larger fleet is no proof of more capacity, since the tier below may be the bottleneck. The counted
 	// servers follow while the latency ratio stays low.
 	if b.countedServers == 0 {
 		b.countedServers = float64(all)
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -261,9 +261,9 @@
 	b.recycleCall(c)
 }
 
-// removeCall deletes a finished call and records its response time in units of its latency target. A call
-// that was not served counts as at least the minimum: otherwise quick failures would look like a fast
-// service and admit more.
+// removeCall deletes a finished call and records its response time in units of its latency target. An
+// unserved call counts with at least minLatency: otherwise quick failures would look like a fast service and
+// admit more.
 func (b *Balancer) removeCall(c *call, minLatency time.Duration) {
 	delete(b.calls, c.ID)
 	target := float64(max(1, b.latencyTarget(&c.Request)))
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -508,7 +508,7 @@
 		all = append(all, b)
 	}
 	var sends []time.Duration
-	var flying []due
+	var outstanding []due
 	id := uint64(0)
 	for now := time.Duration(0); now < length; now += 10 * ms {
 		if started, yes := restart(int(now / (10 * ms))); yes {
@@ -517,9 +517,9 @@
 					nil)
 			}
 		}
-		for len(flying) > 0 && flying[0].at <= now {
-			all[flying[0].node].HandleOutcome(now, flying[0].outcome, nil)
-			flying = flying[1:]
+		for len(outstanding) > 0 && outstanding[0].at <= now {
+			all[outstanding[0].node].HandleOutcome(now, outstanding[0].outcome, nil)
+			outstanding = outstanding[1:]
 		}
 		for i, b := range all {
 			id++
@@ -530,7 +530,7 @@
 				if a.Server == "s0" {
 					sends = append(sends, now)
 				}
-				flying = append(flying, due{now + elapsed, i,
+				outstanding = append(outstanding, due{now + elapsed, i,
 					Outcome{Request: id, Server: a.Server, Elapsed: elapsed, Final: true}})
 			}
 		}
--- a/decide/state.go
+++ b/decide/state.go
@@ -48,7 +48,7 @@
 	tokens          float64       // sends that it may get while cold
 	refilledAt      time.Duration
 	grantState
-	uptime     timeSpan        // known to be of one and the same process
+	uptime     timeSpan        // in which the same process is known to have been running
 	idleConns  []time.Duration // when each idle connection became idle; the last one is used first
 	inFullList bool            // named by the full list that is being applied
 	listed     bool            // among localServers or remoteServers
--- a/decide/unconfirmed.go
+++ b/decide/unconfirmed.go
@@ -60,8 +60,8 @@
 	default:
 		return
 	}
-	// The process is the one that the list names.
 	if s.Started > 0 && opened >= s.Started && opened <= s.Started+acceptanceValidFor {
+		// It was opened so soon after the listed start that it belongs to the process that the list names.
 		opened = s.Started
 	}
 	s.uptime.extend(opened, sent)
@@ -208,9 +208,9 @@
 	return at > 0 && at+listingDelay > b.confirmedAt
 }
 
-// refusedSince reports whether the server has rejected work since it last accepted some or discovery last
-// confirmed it.
-func (b *Balancer) refusedSince(s *server) bool {
+// rejectedSinceAccepted reports whether the server has rejected work since it last accepted some or
+// discovery last confirmed it.
+func (b *Balancer) rejectedSinceAccepted(s *server) bool {
 	return s.rejectedAt > s.acceptedAt && b.maybeUnlisted(s.rejectedAt)
 }
 
@@ -244,7 +244,7 @@
 			b.sameProcess(s) != running {
 			continue
 		}
-		if b.refusedSince(s) || s.unavailable(b.now) || b.maybeLostWithNode(s) {
+		if b.rejectedSinceAccepted(s) || s.unavailable(b.now) || b.maybeLostWithNode(s) {
 			continue
 		}
 		if (best == nil || s.lastAccepted() > best.lastAccepted()) && b.permitted(c, s) {
--- a/decide/unconfirmed_test.go
+++ b/decide/unconfirmed_test.go
@@ -273,7 +273,7 @@
 		b := subscribedNode("a")
 		b.servers["a"].recordOutcome(3*time.Second, &Outcome{Result: Rejected})
 		b.confirmedAt = confirmedAt
-		if got := b.refusedSince(b.servers["a"]); got != refused {
+		if got := b.rejectedSinceAccepted(b.servers["a"]); got != refused {
 			t.Errorf("rejected at 3 s, list as of %v: still refused %v, want %v", confirmedAt, got, refused)
 		}
 	}
@@ -357,7 +357,7 @@
 		near         int
 		far          int
 		failures     []time.Duration // times after the loss
-		connsSurvive bool            // connections survive
+		connsSurvive bool            // those opened before the loss
 		confirmedAt  time.Duration
 		now          time.Duration
 		used         bool // whether the zone is used
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -30,7 +30,7 @@
 
 // FindLoop reports whether the request has passed a node, and returns the loop: the path from that node on,
 // followed by the node again.
-func (b *Budget) FindLoop(node string) (loop []string, crossed bool) {
+func (b *Budget) FindLoop(node string) (loop []string, found bool) {
 	for i, name := range b.Path {
 		if name == node {
 			return append(append([]string{}, b.Path[i:]...), node), true
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -158,10 +158,10 @@
 
 func TestLoops(t *testing.T) {
 	b := Budget{Path: []string{"a", "b", "c"}}
-	if loop, crossed := b.FindLoop("b"); !crossed || strings.Join(loop, ">") != "b>c>b" {
-		t.Error(loop, crossed)
+	if loop, found := b.FindLoop("b"); !found || strings.Join(loop, ">") != "b>c>b" {
+		t.Error(loop, found)
 	}
-	if _, crossed := b.FindLoop("d"); crossed {
+	if _, found := b.FindLoop("d"); found {
 		t.Error("found a loop where there is none")
 	}
 }
--- a/internal/servers/endpoints/pollschedule.go
+++ b/internal/servers/endpoints/pollschedule.go
@@ -13,7 +13,7 @@
 	pollPeriodPerNode = 1500 * time.Millisecond
 	minPollPeriod     = 6 * time.Second
 	maxPollPeriod     = 48 * time.Second // a wait can be a quarter longer; the limit of the protocol is a minute
-	pollJitterDivisor = 32               // random part of the period that separates nodes with the same number
+	pollJitterDivisor = 32               // up to 1/32 of the period, at random, separates nodes with the same number
 	// A poll that would end sooner than this, or than a quarter of the period, waits for the time slot after that.
 	minPollWait = 3 * time.Second
 	// The node counts as notified of what a poll has to deliver 2 s after the end of its wait, whether or not the
--- a/internal/servers/serverdb/row.go
+++ b/internal/servers/serverdb/row.go
@@ -156,7 +156,7 @@
 	return x
 }
 
-// maxMillis is the longest duration that fits a time.Duration.
+// maxMillis is the longest time.Duration, in milliseconds.
 const maxMillis = math.MaxInt64 / int64(time.Millisecond)
 
 // millis reads a duration. An invalid one becomes 0.
--- a/internal/servers/stalelist/table.go
+++ b/internal/servers/stalelist/table.go
@@ -154,7 +154,7 @@
 	return t.probability(c)
 }
 
-// probability is GoneProbability of a server in the table.
+// probability returns the probability that a server of the table is gone.
 func (t *Table) probability(c *candidate) float64 {
 	logOdds := t.priorLogOdds + c.logOdds + t.fleet.logOdds(fleetWeight) + t.racks[c.Rack].logOdds(rackWeight)
 	return 1 / (1 + math.Exp(-logOdds))
