--- a/decide/choice.go
+++ b/decide/choice.go
@@ -14,7 +14,7 @@
 	connectFailureThreshold = 0.1             // connect failure rate above which idle ones are preferred
 	ejectAfterFailures      = 3               // consecutive failures that eject a server
 	baseEjectionTime        = time.Second     // doubled with each further ejection
-	coldOwnShare            = 0.5             // part of the cold budget used without grants, at random times
+	coldOwnShare            = 0.5             // part of the cold budget used without grants, as tokens
 	slownessGain            = 0.25            // weight of a server's newest response time
 	slownessMemory          = 2 * time.Second // time constant with which a server's measured slowness decays
 )
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -306,7 +306,7 @@
 	return b.actions
 }
 
-// HandleProbe takes the result of a probe.
+// HandleProbe takes the result of a probe, which no decision uses.
 func (b *Balancer) HandleProbe(now time.Duration, p ProbeResult, out []Action) []Action {
 	b.beginEvent(now, out)
 	return b.actions
--- a/decide/members.go
+++ b/decide/members.go
@@ -14,7 +14,7 @@
 	subsetSizeInner  = 5                      // below the front: more of a node's calls on each
 	localShare       = 0.75                   // fraction of the subset in the own zone
 	watchRetryMin    = 250 * time.Millisecond // first wait before renewing a failed watch
-	watchRetryMax    = 3 * time.Second / 2    // a lost call is repeated within announcementDelay
+	watchRetryMax    = 3 * time.Second / 2    // a lost call and its retry fit into announcementDelay
 	subsetSizeSlack  = 1.0 / 16               // allowed relative deviation from the even size
 	ringStartSlack   = 32                     // a start on the ring may deviate by 1/32 of the ring
 	ringStartSpacing = 0.63224128846          // multiples modulo 1 are evenly spread, every 2nd to 16th too
