--- a/internal/rig/timeline/timeline.go
+++ b/internal/rig/timeline/timeline.go
@@ -57,13 +57,13 @@
 	e.queue[last] = event{}
 	e.queue = e.queue[:last]
 	if last > 0 {
-		e.sink(moved)
+		e.siftDown(moved)
 	}
 	return first.at, first.do
 }
 
 // sink puts an event in the place of the first.
-func (e *Events) sink(moved event) {
+func (e *Events) siftDown(moved event) {
 	queue, gap := e.queue, 0
 	for {
 		child := gap*fanOut + 1
--- a/internal/rig/timeline/timeline_test.go
+++ b/internal/rig/timeline/timeline_test.go
@@ -10,7 +10,7 @@
 
 // Events must come by their time, and those of one moment in the order in which they were planned, whatever is planned while
 // others are carried out: a run would else not repeat from its seed.
-func TestEventsComeInOrder(t *testing.T) {
+func TestEventsRunInOrder(t *testing.T) {
 	type planned struct {
 		at    time.Duration
 		order int
--- a/internal/rig/virtual/cold_test.go
+++ b/internal/rig/virtual/cold_test.go
@@ -7,15 +7,15 @@
 )
 
 // lull is a day on which boxes start cold in a lull, after which all traffic is back at once.
-func lull(nodes int, kinds []ServerKind, part float64, seed uint64) Config {
-	c := mass()
+func coldStartAfterLull(nodes int, kinds []ServerKind, part float64, seed uint64) Config {
+	c := largeFleet()
 	c.Seed, c.Nodes = seed, nodes
 	if kinds != nil {
 		c.Kinds = kinds
 	}
 	c.Rate = c.Capacity() * 0.6
 	c.Duration = 11 * time.Second
-	c.Steps = append(replaced(part, 3*time.Second, time.Second, 1), Step{At: 4500 * time.Millisecond, RateFactor: 0.03},
+	c.Steps = append(replaceServers(part, 3*time.Second, time.Second, 1), Step{At: 4500 * time.Millisecond, RateFactor: 0.03},
 		Step{At: 7 * time.Second, RateFactor: 1.3})
 	return c
 }
@@ -23,7 +23,7 @@
 // What all nodes together send a cold box in any window stays within what the rule allows and what chance explains, also
 // right after a lull: chances that nobody used are not saved up by every node, to be used by all of them at once. The
 // small boxes may be sent less than one request a node.
-func TestColdBoxesAfterALull(t *testing.T) {
+func TestColdServersAfterALull(t *testing.T) {
 	usual := []ServerKind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 10, Cores: 2, Speed: 0.97}, {Count: 8, Cores: 2, Speed: 0.6}}
 	small := []ServerKind{{Count: 12, Cores: 1, Speed: 0.5}}
 	among := []ServerKind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 6, Cores: 1, Speed: 0.3}}
@@ -47,17 +47,17 @@
 		{"30 nodes, small boxes, all cold", 30, small, 0.95, false},
 		{"30 nodes, small boxes among others, all cold", 30, among, 0.95, true},
 	} {
-		if !day.ci && !long() {
+		if !day.ci && !longTests() {
 			continue
 		}
 		seeds := 1
-		if long() {
+		if longTests() {
 			seeds = 10
 		}
 		var worst []float64
 		toCold, service := 0, 0.0
 		for seed := range seeds {
-			c := lull(day.nodes, day.kinds, day.part, uint64(seed)+1)
+			c := coldStartAfterLull(day.nodes, day.kinds, day.part, uint64(seed)+1)
 			r := Run(c)
 			worst = append(worst, r.ColdRequestRatio)
 			toCold += r.ColdAttempts
--- a/internal/rig/virtual/config.go
+++ b/internal/rig/virtual/config.go
@@ -130,8 +130,8 @@
 type ClassResult struct {
 	Requests, Served, Late, Refused, Failed int
 	WrongRefusals                           int // refusals of tries that an average box would have answered within the aim
-	Tries                                   int
-	sum                                     time.Duration
+	ClientAttempts                                   int
+	totalResponseTime                                     time.Duration
 }
 
 // Result is what came of a run.
@@ -164,7 +164,7 @@
 // Mean is the mean response time of what a class was served.
 func (r *ClassResult) Mean() time.Duration {
 	if n := r.Served + r.Late; n > 0 {
-		return r.sum / time.Duration(n)
+		return r.totalResponseTime / time.Duration(n)
 	}
 	return 0
 }
--- a/internal/rig/virtual/hard_test.go
+++ b/internal/rig/virtual/hard_test.go
@@ -10,10 +10,10 @@
 )
 
 // spread is a figure over seeds.
-type spread struct{ mean, least, most float64 }
+type summary struct{ mean, min, max float64 }
 
 // over plays a configuration with so many seeds under a rule.
-func over(c Config, rule decide.LimitMode, seeds int, figure func(*Result) float64) (s spread, breaches []string) {
+func playSeeds(c Config, rule decide.LimitMode, seeds int, figure func(*Result) float64) (s summary, breaches []string) {
 	all := make([]*Result, seeds)
 	var wg sync.WaitGroup
 	for i := range seeds {
@@ -24,23 +24,23 @@
 		})
 	}
 	wg.Wait()
-	s.least, s.most = math.Inf(1), math.Inf(-1)
+	s.min, s.max = math.Inf(1), math.Inf(-1)
 	for _, r := range all {
 		x := figure(r)
-		s.mean, s.least, s.most = s.mean+x/float64(seeds), min(s.least, x), max(s.most, x)
+		s.mean, s.min, s.max = s.mean+x/float64(seeds), min(s.min, x), max(s.max, x)
 		breaches = append(breaches, r.Breaches...)
 	}
 	return s, breaches
 }
 
-func everyBox(int, int) bool { return true }
+func allServers(int, int) bool { return true }
 
 // The days on which room could learn the wrong thing, or has nothing to learn
 // from. On each the learned room must serve what it should, and no less than the
 // presumed one.
-func TestHardCases(t *testing.T) {
+func TestLearnedLimitUnderAdverseConditions(t *testing.T) {
 	seeds := 2
-	if long() {
+	if longTests() {
 		seeds = 10
 	}
 	for _, x := range []struct {
@@ -49,10 +49,10 @@
 		set   func(c *Config)
 	}{
 		{"a slowness of all boxes for 6 s, four times", 0.88, func(c *Config) {
-			c.Steps = []Step{{At: 6 * time.Second, Servers: everyBox, Slowdown: 4}, {At: 12 * time.Second, Servers: everyBox, Slowdown: 1}}
+			c.Steps = []Step{{At: 6 * time.Second, Servers: allServers, Slowdown: 4}, {At: 12 * time.Second, Servers: allServers, Slowdown: 1}}
 		}},
 		{"slow from the start, usual after 8 s", 0.86, func(c *Config) {
-			c.Steps = []Step{{At: 0, Servers: everyBox, Slowdown: 4}, {At: 8 * time.Second, Servers: everyBox, Slowdown: 1}}
+			c.Steps = []Step{{At: 0, Servers: allServers, Slowdown: 4}, {At: 8 * time.Second, Servers: allServers, Slowdown: 1}}
 		}},
 		{"the first second after a start, load 0.9", 0.97, func(c *Config) {
 			c.Duration, c.Rate = time.Second, c.Capacity()*0.9
@@ -62,7 +62,7 @@
 		}},
 		{"boxes twice as fast after a release, and twice the traffic", 0.97, func(c *Config) {
 			c.Rate = c.Capacity() * 0.7
-			c.Steps = []Step{{At: 8 * time.Second, Servers: everyBox, Slowdown: 0.5}, {At: 9 * time.Second, RateFactor: 2}}
+			c.Steps = []Step{{At: 8 * time.Second, Servers: allServers, Slowdown: 0.5}, {At: 9 * time.Second, RateFactor: 2}}
 		}},
 		{"0.85% of a class cost 29 times the usual", 0.97, func(c *Config) {
 			c.Classes[1].HeavyShare, c.Classes[1].HeavyFactor = 0.0085, 29
@@ -106,24 +106,24 @@
 		c := Default()
 		x.set(&c)
 		service := func(r *Result) float64 { return r.ServedWorth }
-		learned, breaches := over(c, decide.LimitLearned, seeds, service)
-		presumed, _ := over(c, decide.LimitFixed, seeds, service)
-		alone, _ := over(c, decide.LimitNone, seeds, service)
-		t.Logf("| %s | %.3f (%.3f to %.3f) | %.3f | %.3f |", x.name, learned.mean, learned.least, learned.most, presumed.mean, alone.mean)
+		learned, breaches := playSeeds(c, decide.LimitLearned, seeds, service)
+		presumed, _ := playSeeds(c, decide.LimitFixed, seeds, service)
+		alone, _ := playSeeds(c, decide.LimitNone, seeds, service)
+		t.Logf("| %s | %.3f (%.3f to %.3f) | %.3f | %.3f |", x.name, learned.mean, learned.min, learned.max, presumed.mean, alone.mean)
 		if learned.mean < x.least || learned.mean < presumed.mean-0.03 {
 			t.Errorf("%s: learned %.3f, presumed %.3f, at least %.3f is wanted", x.name, learned.mean, presumed.mean, x.least)
 		}
 		if len(breaches) > 0 {
-			t.Errorf("%s: %s", x.name, first(breaches))
+			t.Errorf("%s: %s", x.name, firstBreach(breaches))
 		}
 	}
 }
 
 // A site that has lost most of its boxes leans on the others. These must go on
 // serving their own: what spills over is bounded by what they have to spare.
-func TestSpillOverIsBounded(t *testing.T) {
+func TestSpilloverIsBounded(t *testing.T) {
 	seeds := 2
-	if long() {
+	if longTests() {
 		seeds = 10
 	}
 	for _, x := range []struct {
@@ -136,17 +136,17 @@
 			return (r.ServedWorthBySite[0] + r.ServedWorthBySite[2] + r.ServedWorthBySite[3]) / 3
 		}
 		hurt := func(r *Result) float64 { return r.ServedWorthBySite[1] }
-		before, _ := over(c, decide.LimitLearned, seeds, others)
+		before, _ := playSeeds(c, decide.LimitLearned, seeds, others)
 		c.Steps = []Step{{At: 4 * time.Second, Servers: func(i, site int) bool { return site == 1 && i%20 != 1 }, Down: true}}
-		after, breaches := over(c, decide.LimitLearned, seeds, others)
-		own, _ := over(c, decide.LimitLearned, seeds, hurt)
-		t.Logf("| %.1f | %.3f | %.3f (%.3f to %.3f) | %.3f (%.3f to %.3f) |", x.load, before.mean, after.mean, after.least, after.most,
-			own.mean, own.least, own.most)
+		after, breaches := playSeeds(c, decide.LimitLearned, seeds, others)
+		own, _ := playSeeds(c, decide.LimitLearned, seeds, hurt)
+		t.Logf("| %.1f | %.3f | %.3f (%.3f to %.3f) | %.3f (%.3f to %.3f) |", x.load, before.mean, after.mean, after.min, after.max,
+			own.mean, own.min, own.max)
 		if after.mean < x.least {
 			t.Errorf("load %.1f: the other sites serve %.3f, %.3f before", x.load, after.mean, before.mean)
 		}
 		if len(breaches) > 0 {
-			t.Error(first(breaches))
+			t.Error(firstBreach(breaches))
 		}
 	}
 }
--- a/internal/rig/virtual/mass_test.go
+++ b/internal/rig/virtual/mass_test.go
@@ -9,7 +9,7 @@
 
 // mass is a fleet of 300 nodes before 120 boxes of the kinds of the service, at
 // four sites: each node sees a few requests a second, each box many nodes.
-func mass() Config {
+func largeFleet() Config {
 	c := Default()
 	c.Nodes, c.Sites = 300, 4
 	c.Kinds = []ServerKind{{Count: 44, Cores: 2, Speed: 1.6}, {Count: 50, Cores: 2, Speed: 0.97}, {Count: 26, Cores: 2, Speed: 0.6}}
@@ -26,7 +26,7 @@
 }
 
 // replaced takes a share of the boxes out in steps, and starts others in their places.
-func replaced(share float64, from, over time.Duration, steps int) []Step {
+func replaceServers(share float64, from, over time.Duration, steps int) []Step {
 	var all []Step
 	for k := range steps {
 		all = append(all, Step{At: from + over*time.Duration(k)/time.Duration(steps), Replace: true, Servers: func(i, _ int) bool {
@@ -37,7 +37,7 @@
 }
 
 // restarted kills a tenth of the nodes after the other and starts it again.
-func restarted(from, over time.Duration) []Step {
+func restartNodes(from, over time.Duration) []Step {
 	var all []Step
 	for k := range 10 {
 		at := from + over*time.Duration(k)/10
@@ -49,7 +49,7 @@
 
 // The troubles of the operators' days at full size. On each the rules hold and
 // a floor is served, a little under what ten seeds gave (docs/operators/fleet-test.md).
-func TestMassDays(t *testing.T) {
+func TestLargeFleetFaults(t *testing.T) {
 	half, none := 0.04, 0.0
 	for _, x := range []struct {
 		name  string
@@ -61,11 +61,11 @@
 			c.Steps = []Step{{At: 5 * time.Second, RateFactor: 1.5}, {At: 9 * time.Second, RateFactor: 1}}
 		}},
 		{"half of the boxes replaced while the nodes restart by tenths", false, 0.94, func(c *Config) {
-			c.Steps = append(replaced(0.5, 2*time.Second, 8*time.Second, 4), restarted(2*time.Second, 8*time.Second)...)
+			c.Steps = append(replaceServers(0.5, 2*time.Second, 8*time.Second, 4), restartNodes(2*time.Second, 8*time.Second)...)
 		}},
 		{"seven in ten nodes killed at once, discovery slow, one box in eight bad", false, 0.94, func(c *Config) {
 			c.ListLineRate = 12000
-			c.Steps = append(replaced(0.3, 2*time.Second, 6*time.Second, 3),
+			c.Steps = append(replaceServers(0.3, 2*time.Second, 6*time.Second, 3),
 				Step{At: 0, Servers: func(i, _ int) bool { return i%8 == 3 }, FailFast: true},
 				Step{At: 5 * time.Second, Nodes: func(i int) bool { return i%10 < 7 }, KillNodes: true},
 				Step{At: 7 * time.Second, Nodes: func(i int) bool { return i%10 < 7 }, StartNodes: true})
@@ -87,27 +87,27 @@
 			}
 		}},
 		{"six in ten boxes replaced within 7 s under a burst", true, 0.93, func(c *Config) {
-			c.Steps = append(replaced(0.6, 3*time.Second, 7*time.Second, 3), Step{At: 3 * time.Second, RateFactor: 1.3}, Step{At: 9 * time.Second, RateFactor: 1})
+			c.Steps = append(replaceServers(0.6, 3*time.Second, 7*time.Second, 3), Step{At: 3 * time.Second, RateFactor: 1.3}, Step{At: 9 * time.Second, RateFactor: 1})
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			if !x.ci && !long() {
+			if !x.ci && !longTests() {
 				t.Skip("set CURLEWRING_LONG=1")
 			}
 			seeds := uint64(1)
-			if long() {
+			if longTests() {
 				seeds = 10
 			}
 			for seed := range seeds {
-				c := mass()
+				c := largeFleet()
 				x.set(&c)
 				c.Seed = seed + 1
 				r := Run(c)
 				if len(r.Breaches) > 0 {
-					t.Errorf("seed %d: %s", c.Seed, first(r.Breaches))
+					t.Errorf("seed %d: %s", c.Seed, firstBreach(r.Breaches))
 				}
 				t.Logf("seed %d: service %.3f, %.2f attempts a request, at most %.2f of a cold box's budget",
-					c.Seed, r.ServedWorth, float64(r.Attempts)/float64(asked(r)), r.ColdWorkRatio)
+					c.Seed, r.ServedWorth, float64(r.Attempts)/float64(requestCount(r)), r.ColdWorkRatio)
 				if r.ServedWorth < x.least {
 					t.Errorf("seed %d: service %.3f, at least %.3f is wanted", c.Seed, r.ServedWorth, x.least)
 				}
@@ -116,7 +116,7 @@
 	}
 }
 
-func asked(r *Result) (n int) {
+func requestCount(r *Result) (n int) {
 	for _, c := range r.Classes {
 		n += c.Requests
 	}
@@ -124,8 +124,8 @@
 }
 
 // Where a new connection has a price fewer are made, and no less is served.
-func TestConnectionsCostWhatTheyCost(t *testing.T) {
-	free, priced := mass(), mass()
+func TestHandshakePenaltyReducesConnections(t *testing.T) {
+	free, priced := largeFleet(), largeFleet()
 	free.HandshakePenalty = 0
 	free.Duration, priced.Duration = 8*time.Second, 8*time.Second
 	a, b := Run(free), Run(priced)
--- a/internal/rig/virtual/nodes.go
+++ b/internal/rig/virtual/nodes.go
@@ -8,117 +8,117 @@
 )
 
 // connectWithin is how long a node waits for a connection.
-const connectWithin = 250 * time.Millisecond
+const connectTimeout = 250 * time.Millisecond
 
 // carry does what a module wants done.
-func (r *run) carry(n *node, actions []decide.Action) {
-	n.buf = nil // handlers nest here: each has a buffer of its own
-	life := n.life
+func (r *run) perform(n *node, actions []decide.Action) {
+	n.actionBuffer = nil // handlers nest here: each has a buffer of its own
+	life := n.incarnation
 	for _, a := range actions {
 		switch a.Kind {
 		case decide.Send:
-			r.send(n, n.calls[a.Request], a)
+			r.send(n, n.requests[a.Request], a)
 		case decide.Refuse:
-			if c := n.calls[a.Request]; c != nil {
-				r.answer(n, c, judge.Refused, a.Wait, "")
+			if c := n.requests[a.Request]; c != nil {
+				r.finishRequest(n, c, judge.Refused, a.Wait, "")
 			}
 		case decide.Fail:
-			if c := n.calls[a.Request]; c != nil {
-				r.answer(n, c, judge.Failed, 0, "")
+			if c := n.requests[a.Request]; c != nil {
+				r.finishRequest(n, c, judge.Failed, 0, "")
 			}
 		case decide.StartTimer:
 			token := a.Token
 			r.after(a.Wait, func() {
-				if n.life == life && !n.dead {
-					r.carry(n, n.b.HandleTimer(r.start(r.now), decide.Timer{Token: token}, n.buf[:0]))
+				if n.incarnation == life && !n.dead {
+					r.perform(n, n.balancer.HandleTimer(r.balancerTime(r.now), decide.Timer{Token: token}, n.actionBuffer[:0]))
 				}
 			})
 		}
 	}
-	if n.life == life {
-		n.buf = actions[:0]
+	if n.incarnation == life {
+		n.actionBuffer = actions[:0]
 	}
 }
 
 // send makes an attempt.
-func (r *run) send(n *node, c *call, a decide.Action) {
-	b := r.byID[n.tier][a.Server]
+func (r *run) send(n *node, c *nodeRequest, a decide.Action) {
+	b := r.serversByID[n.tier][a.Server]
 	if c == nil || b == nil {
 		return
 	}
-	t := &task{call: c, node: n, number: len(c.tries), box: b, sent: r.now, arrived: -1, work: c.work}
-	c.tries = append(c.tries, t)
+	t := &serverAttempt{request: c, node: n, number: len(c.attempts), server: b, sentAt: r.now, judgeID: -1, work: c.work}
+	c.attempts = append(c.attempts, t)
 	r.result.Attempts++
-	way := r.c.SiteLatency
+	way := r.config.SiteLatency
 	if b.site != n.site {
-		way = r.c.CrossSiteLatency
+		way = r.config.CrossSiteLatency
 	}
-	life := n.life
-	if b.stale > 0 {
-		r.sendOld(t, a.Wait, way)
+	life := n.incarnation
+	if b.staleKind > 0 {
+		r.sendToStaleAddress(t, a.Wait, way)
 		return
 	}
-	cut := r.cutOff(n, b)
+	cut := r.unreachable(n, b)
 	if b.down && !cut {
-		r.after(2*way, func() { r.outcome(t, life, decide.ConnectFailed) })
+		r.after(2*way, func() { r.reportOutcome(t, life, decide.ConnectFailed) })
 		return
 	}
-	if _, has := n.used[b]; cut && !has { // no connection can be made
-		r.after(min(a.Wait, connectWithin), func() { r.outcome(t, life, decide.ConnectFailed) })
+	if _, has := n.connectedSince[b]; cut && !has { // no connection can be made
+		r.after(min(a.Wait, connectTimeout), func() { r.reportOutcome(t, life, decide.ConnectFailed) })
 		return
 	}
 	r.after(a.Wait, func() { // the node stops waiting
-		if !t.over {
-			t.left = true
-			r.end(t, judge.Abandoned)
-			r.outcome(t, life, decide.TimedOut)
+		if !t.reported {
+			t.abandoned = true
+			r.recordEnd(t, judge.Abandoned)
+			r.reportOutcome(t, life, decide.TimedOut)
 		}
 	})
 	if cut { // it goes out on a connection that is there, and is never heard of again
 		return
 	}
-	if _, has := n.used[b]; !has {
-		n.used[b] = r.now
+	if _, has := n.connectedSince[b]; !has {
+		n.connectedSince[b] = r.now
 	}
-	if n.idle[b] > 0 {
-		n.idle[b]--
+	if n.idleConns[b] > 0 {
+		n.idleConns[b]--
 	} else {
 		r.result.Handshakes++
 	}
-	r.after(way, func() { r.come(t, way, life) })
+	r.after(way, func() { r.handleArrival(t, way, life) })
 }
 
 // outcome tells a node how an attempt ended.
-func (r *run) outcome(t *task, life int, result decide.Result) {
+func (r *run) reportOutcome(t *serverAttempt, life int, result decide.Result) {
 	n := t.node
-	if t.over || n.life != life || n.dead {
+	if t.reported || n.incarnation != life || n.dead {
 		return
 	}
-	t.over = true
+	t.reported = true
 	if result == decide.Served || result == decide.Errored || result == decide.Rejected {
-		n.idle[t.box]++
+		n.idleConns[t.server]++
 	}
 	age := time.Duration(0)
-	if since, has := n.used[t.box]; has {
+	if since, has := n.connectedSince[t.server]; has {
 		age = r.now - since
 	}
 	if result == decide.ConnectFailed {
-		delete(n.used, t.box)
+		delete(n.connectedSince, t.server)
 	}
-	final := t.call.answered
+	final := t.request.answered
 	if result == decide.Served && !final {
-		r.answer(n, t.call, judge.Served, 0, t.box.id)
+		r.finishRequest(n, t.request, judge.Served, 0, t.server.id)
 		final = true
 	}
-	r.carry(n, n.b.HandleOutcome(r.start(r.now), decide.Outcome{
-		Request: t.call.id, Attempt: t.number, Server: t.box.id, Result: result, Elapsed: r.now - t.sent, ConnAge: age, Final: final,
-	}, n.buf[:0]))
-	r.weigh(n, t.box.id, result)
+	r.perform(n, n.balancer.HandleOutcome(r.balancerTime(r.now), decide.Outcome{
+		Request: t.request.id, Attempt: t.number, Server: t.server.id, Result: result, Elapsed: r.now - t.sentAt, ConnAge: age, Final: final,
+	}, n.actionBuffer[:0]))
+	r.recordListResult(n, t.server.id, result)
 }
 
-func (r *run) end(t *task, how judge.AttemptOutcome) {
-	if t.arrived >= 0 && !t.ended {
-		t.ended = true
-		r.judge.AttemptEnded(r.now, t.call.key, t.arrived, how)
+func (r *run) recordEnd(t *serverAttempt, how judge.AttemptOutcome) {
+	if t.judgeID >= 0 && !t.endRecorded {
+		t.endRecorded = true
+		r.judge.AttemptEnded(r.now, t.request.judgeKey, t.judgeID, how)
 	}
 }
--- a/internal/rig/virtual/past_test.go
+++ b/internal/rig/virtual/past_test.go
@@ -11,7 +11,7 @@
 
 // oldList is 20 nodes that start at once on a list of a week with three fifths of it stale, before 24 boxes that
 // have just started, with the load of all day.
-func oldList(arm OldListMode, seed uint64, load float64) Config {
+func oldListConfig(arm OldListMode, seed uint64, load float64) Config {
 	c := Default()
 	c.Seed, c.Nodes = seed, 20
 	c.Kinds = []ServerKind{{Count: 24, Cores: 2, Speed: 1}}
@@ -34,7 +34,7 @@
 			var service, desk, misses, attempts []float64
 			fallen, strangers, unsafe := 0, 0, 0
 			for seed := range seeds {
-				c := oldList(OldListMode(arm), seed+1, load)
+				c := oldListConfig(OldListMode(arm), seed+1, load)
 				r := Run(c)
 				asked := r.Classes[0].Requests + r.Classes[1].Requests
 				service, desk = append(service, r.ServedWorth), append(desk, float64(r.Classes[0].Served)/float64(r.Classes[0].Requests))
@@ -63,7 +63,7 @@
 // 300 nodes that start at once on such a list: the boxes that are left, few and cold, are not pushed over.
 func TestManyNodesOnAnOldList(t *testing.T) {
 	for _, arm := range []OldListMode{VerifyList, TrustList} {
-		c := oldList(arm, 1, 0.8)
+		c := oldListConfig(arm, 1, 0.8)
 		c.Nodes, c.Duration = 300, 12*time.Second
 		c.OldList.Outage = 8 * time.Second
 		c.OldList.StaleEntries = 400
--- a/internal/rig/virtual/pool.go
+++ b/internal/rig/virtual/pool.go
@@ -18,94 +18,94 @@
 }
 
 // poolTick is what the real node has.
-const poolTick = 100 * time.Millisecond
+const poolTickInterval = 100 * time.Millisecond
 
 // pooling is a node's part.
-type pooling struct {
-	member uint64 // of its life
-	holder *allowance.Lender
-	dealer *allowance.Allocator
-	colds  []decide.ColdServer
+type poolParticipant struct {
+	memberID uint64 // of its life
+	lender *allowance.Lender
+	allocator *allowance.Allocator
+	coldServers  []decide.ColdServer
 }
 
 // enroll begins a life's part in the pool.
-func (r *run) enroll(n *node) {
-	if r.c.Pool == nil || n.tier > 0 {
+func (r *run) joinPool(n *node) {
+	if r.config.Pool == nil || n.tier > 0 {
 		return
 	}
-	now := r.start(r.now)
-	set := allowance.Settings{Window: r.set.CollapseWindow}
+	now := r.balancerTime(r.now)
+	set := allowance.Settings{Window: r.settings.CollapseWindow}
 	born := now
 	if r.now == 0 { // none has had a life before
 		born = now - time.Minute
 	}
-	n.pool = &pooling{
-		member: uint64(n.index+1)<<20 | uint64(n.life+1),
-		holder: allowance.NewLender(set, r.rng.Uint64(), born), dealer: allowance.NewAllocator(set),
+	n.pool = &poolParticipant{
+		memberID: uint64(n.index+1)<<20 | uint64(n.incarnation+1),
+		lender: allowance.NewLender(set, r.rng.Uint64(), born), allocator: allowance.NewAllocator(set),
 	}
-	life := n.life
-	me := allowance.Member{Life: n.pool.member, Site: strconv.Itoa(n.site)}
+	life := n.incarnation
+	me := allowance.Member{Life: n.pool.memberID, Site: strconv.Itoa(n.site)}
 	join := func() {
-		if n.life == life && !n.dead {
-			r.roll = append(r.roll, me)
+		if n.incarnation == life && !n.dead {
+			r.poolMembers = append(r.poolMembers, me)
 		}
 	}
 	if r.now == 0 { // the fleet has long agreed
 		join()
 	} else {
-		r.after(r.c.Pool.DetectionTime/2, join)
+		r.after(r.config.Pool.DetectionTime/2, join)
 	}
 	var tick func()
 	tick = func() {
-		if n.life != life || n.dead {
+		if n.incarnation != life || n.dead {
 			return
 		}
-		r.poolStep(n)
-		if r.now < r.c.Duration {
-			r.after(poolTick, tick)
+		r.runPoolTick(n)
+		if r.now < r.config.Duration {
+			r.after(poolTickInterval, tick)
 		}
 	}
-	r.after(time.Duration(r.rng.Int64N(int64(poolTick))), tick)
+	r.after(time.Duration(r.rng.Int64N(int64(poolTickInterval))), tick)
 }
 
 // unroll has all others know of a node's death, later.
-func (r *run) unroll(n *node) {
+func (r *run) leavePool(n *node) {
 	if n.pool == nil {
 		return
 	}
-	gone := n.pool.member
-	r.after(r.c.Pool.DetectionTime, func() {
-		r.roll = slices.DeleteFunc(r.roll, func(m allowance.Member) bool { return m.Life == gone })
+	gone := n.pool.memberID
+	r.after(r.config.Pool.DetectionTime, func() {
+		r.poolMembers = slices.DeleteFunc(r.poolMembers, func(m allowance.Member) bool { return m.Life == gone })
 	})
 }
 
 // poolStep is one tick of a node's holder.
-func (r *run) poolStep(n *node) {
-	now := r.start(r.now)
-	n.pool.colds = n.b.ColdServers(now, n.pool.colds[:0])
-	if len(n.pool.colds) == 0 && n.pool.holder.LentServers(now) == 0 {
+func (r *run) runPoolTick(n *node) {
+	now := r.balancerTime(r.now)
+	n.pool.coldServers = n.balancer.ColdServers(now, n.pool.coldServers[:0])
+	if len(n.pool.coldServers) == 0 && n.pool.lender.LentServers(now) == 0 {
 		return
 	}
-	outs, deals := n.pool.holder.Tick(now, r.roll, n.pool.colds)
+	outs, deals := n.pool.lender.Tick(now, r.poolMembers, n.pool.coldServers)
 	if len(deals) > 0 {
-		r.carry(n, n.b.HandleGrants(now, deals, n.buf[:0]))
+		r.perform(n, n.balancer.HandleGrants(now, deals, n.actionBuffer[:0]))
 	}
 	for _, o := range outs {
 		claim := o.Claim
 		r.result.Claims++
-		r.word(n, o.To, func(d *node) {
-			g, ok := d.pool.dealer.HandleClaim(r.start(r.now), &claim)
+		r.sendPoolMessage(n, o.To, func(d *node) {
+			g, ok := d.pool.allocator.HandleClaim(r.balancerTime(r.now), &claim)
 			if !ok {
 				return
 			}
-			from := d.pool.member
-			r.word(d, n.pool.member, func(n *node) {
-				now := r.start(r.now)
-				if deals := n.pool.holder.HandleGrant(now, from, &g); len(deals) > 0 {
+			from := d.pool.memberID
+			r.sendPoolMessage(d, n.pool.memberID, func(n *node) {
+				now := r.balancerTime(r.now)
+				if deals := n.pool.lender.HandleGrant(now, from, &g); len(deals) > 0 {
 					for _, x := range deals {
 						r.result.GrantedSends += x.Sends
 					}
-					r.carry(n, n.b.HandleGrants(now, deals, n.buf[:0]))
+					r.perform(n, n.balancer.HandleGrants(now, deals, n.actionBuffer[:0]))
 				}
 			})
 		})
@@ -113,18 +113,18 @@
 }
 
 // word brings a message from one node to another's life.
-func (r *run) word(from *node, to uint64, do func(*node)) {
+func (r *run) sendPoolMessage(from *node, to uint64, do func(*node)) {
 	i := int(to>>20) - 1
-	if i < 0 || i >= len(r.nodes) || r.rng.Float64() < r.c.Pool.MessageLoss {
+	if i < 0 || i >= len(r.nodes) || r.rng.Float64() < r.config.Pool.MessageLoss {
 		return
 	}
 	n := r.nodes[i]
-	way := r.c.SiteLatency
+	way := r.config.SiteLatency
 	if n.site != from.site {
-		way = r.c.CrossSiteLatency
+		way = r.config.CrossSiteLatency
 	}
 	r.after(way, func() {
-		if n.dead || n.pool == nil || n.pool.member != to || n.site != from.site && r.apart != nil && (r.apart(n.site, from.site) || r.apart(from.site, n.site)) {
+		if n.dead || n.pool == nil || n.pool.memberID != to || n.site != from.site && r.sitesCut != nil && (r.sitesCut(n.site, from.site) || r.sitesCut(from.site, n.site)) {
 			return
 		}
 		do(n)
--- a/internal/rig/virtual/pool_test.go
+++ b/internal/rig/virtual/pool_test.go
@@ -8,14 +8,14 @@
 // poolDay is a day on which cold boxes matter.
 type poolDay struct {
 	name string
-	ci   bool
+	inCI   bool
 	set  func(c *Config)
 }
 
 // poolDays are days of 300 nodes but for the last, which has six.
 func poolDays() []poolDay {
-	usual := mass()
-	gone := replaced(0.6, 3*time.Second, 7*time.Second, 3)
+	usual := largeFleet()
+	gone := replaceServers(0.6, 3*time.Second, 7*time.Second, 3)
 	return []poolDay{
 		{"six in ten boxes replaced within 7 s", false, func(c *Config) { c.Steps = gone }},
 		{"the same, a site cut off meanwhile", false, func(c *Config) {
@@ -27,7 +27,7 @@
 			c.Steps = append(gone[:len(gone):len(gone)], Step{At: 5 * time.Second, Nodes: half, KillNodes: true}, Step{At: 7 * time.Second, Nodes: half, StartNodes: true})
 		}},
 		{"the same, nodes restarted by tenths, a fifth of their word lost", false, func(c *Config) {
-			c.Steps = append(gone[:len(gone):len(gone)], restarted(2*time.Second, 8*time.Second)...)
+			c.Steps = append(gone[:len(gone):len(gone)], restartNodes(2*time.Second, 8*time.Second)...)
 			if c.Pool != nil {
 				c.Pool.MessageLoss = 0.2
 			}
@@ -51,18 +51,18 @@
 func TestPooledBudgets(t *testing.T) {
 	for _, day := range poolDays() {
 		for _, load := range []float64{0.6, 0.8, 0.9} {
-			if !long() && (!day.ci || load != 0.6) {
+			if !longTests() && (!day.inCI || load != 0.6) {
 				continue
 			}
 			seeds := 1
-			if long() {
+			if longTests() {
 				seeds = 10
 			}
 			var service [2]float64
 			var fallen, toCold, claims [2]int
 			for seed := range seeds {
 				for arm := range 2 {
-					c := mass()
+					c := largeFleet()
 					c.Seed = uint64(seed) + 1
 					c.Rate = c.Capacity() * load
 					if arm == 1 {
@@ -73,7 +73,7 @@
 					service[arm] += r.ServedWorth / float64(seeds)
 					fallen[arm], toCold[arm], claims[arm] = fallen[arm]+r.Collapsed, toCold[arm]+r.ColdAttempts, claims[arm]+r.Claims
 					if len(r.Breaches) > r.Collapsed {
-						t.Errorf("%s, load %.1f, seed %d: more broken than budgets: %s", day.name, load, seed+1, first(r.Breaches))
+						t.Errorf("%s, load %.1f, seed %d: more broken than budgets: %s", day.name, load, seed+1, firstBreach(r.Breaches))
 					}
 				}
 			}
--- a/internal/rig/virtual/registry_cases_test.go
+++ b/internal/rig/virtual/registry_cases_test.go
@@ -6,16 +6,16 @@
 )
 
 // herdDay is a day on which the registry is down for 8 s into a release, and most front nodes start anew after it.
-func herdDay() fleetDay {
+func thunderingHerdDay() fleetDay {
 	const callsPerSecond = 42
 	day := fleetDay{
-		tiers: []int{47, 120, 153}, overbook: usualBook, askWithin: usualWithin,
-		servers: 100,
-		warmUp:  30 * time.Second, length: 48 * time.Second,
+		tiers: []int{47, 120, 153}, backlogFactor: defaultBacklogFactor, resubscribeWithin: defaultResubscribeWithin,
+		listLines: 100,
+		warmUp:  30 * time.Second, duration: 48 * time.Second,
 		outages: []outage{{3200 * time.Millisecond, 11200 * time.Millisecond, failsSlowly}},
-		killed:  []restart{{at: 12760 * time.Millisecond, share: 0.7}},
+		restarts:  []restart{{at: 12760 * time.Millisecond, share: 0.7}},
 	}
-	day.callOfEach = time.Duration(float64(day.allNodes()) / callsPerSecond * float64(time.Second))
+	day.fleetCallTime = time.Duration(float64(day.nodeCount()) / callsPerSecond * float64(time.Second))
 	for at := 11060 * time.Millisecond; at < 23*time.Second; at += 850 * time.Millisecond {
 		day.changes = append(day.changes, change{at, 20})
 	}
@@ -25,12 +25,12 @@
 // After an outage the calls of a fleet must not outgrow what the registry can work through, or it answers nobody.
 func TestNoCongestionCollapse(t *testing.T) {
 	seeds := uint64(3)
-	if long() {
+	if longTests() {
 		seeds = 10
 	}
 	for seed := range seeds {
-		x := playFleet(herdDay(), seed)
-		last := x.between(43*time.Second, 48*time.Second)
+		x := playFleet(thunderingHerdDay(), seed)
+		last := x.sumBetween(43*time.Second, 48*time.Second)
 		t.Logf("seed %d: %v", seed, x)
 		t.Logf("last 5 s: %+v", last)
 		if seed == 0 {
--- a/internal/rig/virtual/registry_fleet_test.go
+++ b/internal/rig/virtual/registry_fleet_test.go
@@ -13,7 +13,7 @@
 
 const (
 	emptyCallLines = 40
-	usualTimeout   = 2 * time.Second
+	defaultQueueTimeout   = 2 * time.Second
 	// drainGrace is by how much later than it counts as told a change may come.
 	drainGrace = 500 * time.Millisecond
 )
@@ -33,46 +33,46 @@
 // fleetDay is a fleet, its registry, and what happens to both. Times are after the warm-up.
 type fleetDay struct {
 	tiers      []int         // nodes in each; the first is the front, and its list alone changes
-	callOfEach time.Duration // in which the registry works through an empty call of each node
-	timeout    time.Duration // of a call in the queue; 0: the usual one
-	overbook   float64
-	others     float64 // share of the capacity that callers outside the fleet ask for
-	askWithin  time.Duration
-	servers    int  // lines of the whole list
-	wholeLists bool // answers with news hold it, and not the changes
+	fleetCallTime time.Duration // in which the registry works through an empty call of each node
+	queueTimeout    time.Duration // of a call in the queue; 0: the usual one
+	backlogFactor   float64
+	externalShare     float64 // share of the capacity that callers outside the fleet ask for
+	resubscribeWithin  time.Duration
+	listLines    int  // lines of the whole list
+	fullListAnswers bool // answers with news hold it, and not the changes
 
 	warmUp  time.Duration // 0: all begin in the first second
-	length  time.Duration // after the warm-up
+	duration  time.Duration // after the warm-up
 	outages []outage
 	changes []change
-	killed  []restart
-	moves   []time.Duration // of the registry, told to all nodes
-	silent  []time.Duration // when open polls fall silent, once
-	crowds  []crowd         // of callers outside the fleet
-	anyWall bool            // the wall clock, by which nodes take turns, is drawn
+	restarts  []restart
+	registryMoves   []time.Duration // of the registry, told to all nodes
+	pollSilences  []time.Duration // when open polls fall silent, once
+	externalBursts  []externalBurst         // of callers outside the fleet
+	randomWallClock bool            // the wall clock, by which nodes take turns, is drawn
 }
 
 // crowd is work of callers outside the fleet that comes at once.
-type crowd struct{ at, work time.Duration }
+type externalBurst struct{ at, work time.Duration }
 
 const (
-	wallVaries   = time.Minute
-	restartTakes = 500 * time.Millisecond
+	maxWallClockOffset   = time.Minute
+	restartTime = 500 * time.Millisecond
 	moveSpread   = 200 * time.Millisecond // SIGHUP does not reach all at once
-	usualBook    = 2
-	usualWithin  = 10 * time.Second
+	defaultBacklogFactor    = 2
+	defaultResubscribeWithin  = 10 * time.Second
 )
 
 // fleetRun is a day as it is played.
 type fleetRun struct {
-	service
+	registryService
 	day  fleetDay
 	rng  *rand.Rand
 	seed uint64
 }
 
 // allNodes is how many nodes there are.
-func (d *fleetDay) allNodes() (all int) {
+func (d *fleetDay) nodeCount() (all int) {
 	for _, nodes := range d.tiers {
 		all += nodes
 	}
@@ -81,7 +81,7 @@
 
 // capacity is what the registry works through, in lines a second.
 func (d *fleetDay) capacity() float64 {
-	return float64(d.allNodes()*emptyCallLines) / d.callOfEach.Seconds()
+	return float64(d.nodeCount()*emptyCallLines) / d.fleetCallTime.Seconds()
 }
 
 // playFleet plays a day. The same day and seed give the same result.
@@ -91,92 +91,92 @@
 func runFleet(day fleetDay, seed uint64) *fleetRun {
 	r := &fleetRun{day: day, rng: rand.New(rand.NewPCG(seed, 0x666c656574)), seed: seed}
 	r.callLines = emptyCallLines
-	r.wall = wallAtStart
-	if day.anyWall {
-		r.wall += r.draw(wallVaries)
+	r.wallStart = minWallClock
+	if day.randomWallClock {
+		r.wallStart += r.randomUpTo(maxWallClockOffset)
 	}
 	r.queue = registry.New(registry.Settings{
-		LinesPerSecond: day.capacity(), LinesPerCall: emptyCallLines, QueueTimeout: cmp.Or(day.timeout, usualTimeout), BacklogFactor: day.overbook,
-		ExternalLinesPerSecond: day.others * day.capacity(),
+		LinesPerSecond: day.capacity(), LinesPerCall: emptyCallLines, QueueTimeout: cmp.Or(day.queueTimeout, defaultQueueTimeout), BacklogFactor: day.backlogFactor,
+		ExternalLinesPerSecond: day.externalShare * day.capacity(),
 	})
-	r.people()
-	r.plan()
-	end := day.warmUp + day.length
+	r.createNodes()
+	r.scheduleDay()
+	end := day.warmUp + day.duration
 	r.events.Run(end, &r.now)
-	r.settle()
+	r.markLate()
 	for _, n := range r.nodes {
-		n.giveUpMissing()
+		n.abandonPending()
 	}
 	return r
 }
 
 // people sets the nodes up, and has them begin within the warm-up.
-func (r *fleetRun) people() {
+func (r *fleetRun) createNodes() {
 	r.lists = make([]tierList, len(r.day.tiers))
 	begin := max(r.day.warmUp/2, time.Second)
 	for tier, nodes := range r.day.tiers {
-		r.lists[tier] = tierList{servers: r.day.servers, whole: r.day.wholeLists}
+		r.lists[tier] = tierList{totalLines: r.day.listLines, fullAnswers: r.day.fullListAnswers}
 		for i := range nodes {
 			n := &fleetNode{
-				service: &r.service, tier: tier, askWithin: r.day.askWithin,
-				place: endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Tier: tier, ListObligation: r.day.askWithin},
+				registry: &r.registryService, tier: tier, resubscribeWithin: r.day.resubscribeWithin,
+				position: endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Tier: tier, ListObligation: r.day.resubscribeWithin},
 			}
 			r.nodes = append(r.nodes, n)
-			r.events.At(r.draw(begin), func() { r.startNode(n) })
+			r.events.At(r.randomUpTo(begin), func() { r.startNode(n) })
 		}
 	}
 }
 
 // draw is a random part of a time.
-func (r *fleetRun) draw(most time.Duration) time.Duration {
+func (r *fleetRun) randomUpTo(most time.Duration) time.Duration {
 	return time.Duration(r.rng.Float64() * float64(most))
 }
 
 func (r *fleetRun) startNode(n *fleetNode) { n.start(r.rng.Uint64(), r.rng.Float64()) }
 
 // at plans something of the day.
-func (r *fleetRun) at(when time.Duration, do func()) { r.events.At(r.day.warmUp+when, do) }
+func (r *fleetRun) scheduleAt(when time.Duration, do func()) { r.events.At(r.day.warmUp+when, do) }
 
 // plan plans what happens on the day.
-func (r *fleetRun) plan() {
+func (r *fleetRun) scheduleDay() {
 	for _, o := range r.day.outages {
-		r.at(o.from, func() { r.goDown(o.kind) })
+		r.scheduleAt(o.from, func() { r.startOutage(o.kind) })
 		if !slices.ContainsFunc(r.day.outages, func(next outage) bool { return next.from == o.until }) {
-			r.at(o.until, r.comeBack)
+			r.scheduleAt(o.until, r.endOutage)
 		}
 	}
 	for _, c := range r.day.changes {
-		r.at(c.at, func() { r.change(0, c.lines) })
+		r.scheduleAt(c.at, func() { r.publishChange(0, c.lines) })
 	}
-	for _, k := range r.day.killed {
-		r.planRestart(k)
+	for _, k := range r.day.restarts {
+		r.scheduleRestart(k)
 	}
-	for _, when := range r.day.moves {
+	for _, when := range r.day.registryMoves {
 		for _, n := range r.nodes {
-			r.at(when+r.draw(moveSpread), func() {
+			r.scheduleAt(when+r.randomUpTo(moveSpread), func() {
 				if n.alive {
-					n.moved()
+					n.handleMove()
 				}
 			})
 		}
 	}
-	for _, c := range r.day.crowds {
-		r.at(c.at, func() { r.queue.EnqueueLines(r.now, int(r.day.capacity()*c.work.Seconds())) })
+	for _, c := range r.day.externalBursts {
+		r.scheduleAt(c.at, func() { r.queue.EnqueueLines(r.now, int(r.day.capacity()*c.work.Seconds())) })
 	}
-	for _, when := range r.day.silent {
-		r.at(when, r.silence)
+	for _, when := range r.day.pollSilences {
+		r.scheduleAt(when, r.silencePolls)
 	}
 }
 
 // planRestart kills nodes of the front, and starts them anew.
-func (r *fleetRun) planRestart(k restart) {
+func (r *fleetRun) scheduleRestart(k restart) {
 	front := r.day.tiers[0]
 	killed := max(1, int(k.share*float64(front)))
 	for i, which := range r.rng.Perm(front)[:killed] {
 		n := r.nodes[which]
 		when := k.at + k.over*time.Duration(i)/time.Duration(killed)
-		r.at(when, n.stop)
-		r.at(when+restartTakes+r.draw(restartTakes), func() { r.startNode(n) })
+		r.scheduleAt(when, n.stop)
+		r.scheduleAt(when+restartTime+r.randomUpTo(restartTime), func() { r.startNode(n) })
 	}
 }
 
@@ -184,16 +184,16 @@
 type fleetResult struct {
 	lateness  []time.Duration // of each telling to a front node, sorted
 	ages      []time.Duration // of each change as it was told, sorted
-	never     int             // tellings that did not come
+	undelivered     int             // tellings that did not come
 	lateNodes float64         // share of front nodes that were told too late, beyond the grace
-	perSecond []secondOfCalls // from the warm-up's end
-	reached   time.Duration   // from the last return until each node has been heard once; below 0: not all were
-	newest    time.Duration   // from the last return or change, whichever was later, until all have the newest list; below 0: not all have
+	perSecond []callCounts // from the warm-up's end
+	allReachedAfter   time.Duration   // from the last return until each node has been heard once; below 0: not all were
+	allCurrentAfter    time.Duration   // from the last return or change, whichever was later, until all have the newest list; below 0: not all have
 	capacity  float64
 }
 
 // secondOfCalls is what came in one second, by the time of the call.
-type secondOfCalls struct {
+type callCounts struct {
 	calls, answered, timedOut, rejected, refused int
 	lines                                        float64
 }
@@ -201,7 +201,7 @@
 // result sums a run up.
 func (r *fleetRun) result() *fleetResult {
 	front := r.day.tiers[0]
-	x := &fleetResult{capacity: r.day.capacity() * (1 - r.day.others), perSecond: make([]secondOfCalls, int(r.day.length/time.Second)+1)}
+	x := &fleetResult{capacity: r.day.capacity() * (1 - r.day.externalShare), perSecond: make([]callCounts, int(r.day.duration/time.Second)+1)}
 	late := 0
 	lastChange := time.Duration(0)
 	for _, c := range r.lists[0].changes {
@@ -209,11 +209,11 @@
 	}
 	for _, n := range r.nodes[:front] {
 		tooLate := false
-		for _, t := range n.tellings {
+		for _, t := range n.deliveries {
 			x.lateness = append(x.lateness, t.lateness)
 			tooLate = tooLate || t.lateness > drainGrace
-			if t.never {
-				x.never++
+			if t.undelivered {
+				x.undelivered++
 			} else {
 				x.ages = append(x.ages, t.age)
 			}
@@ -221,28 +221,28 @@
 		if tooLate {
 			late++
 		}
-		x.newest = max(x.newest, n.newestToldAt-max(r.back, lastChange))
+		x.allCurrentAfter = max(x.allCurrentAfter, n.newestDeliveredAt-max(r.reachableSince, lastChange))
 	}
 	x.lateNodes = float64(late) / float64(front)
 	for _, n := range r.nodes {
-		if n.known < len(r.lists[n.tier].changes) {
-			x.newest = -1
+		if n.knownChanges < len(r.lists[n.tier].changes) {
+			x.allCurrentAfter = -1
 		}
-		if x.reached >= 0 {
-			x.reached = max(x.reached, n.heardFirst-r.back)
+		if x.allReachedAfter >= 0 {
+			x.allReachedAfter = max(x.allReachedAfter, n.firstContactAt-r.reachableSince)
 		}
-		if n.heardFirst < r.back {
-			x.reached = -1
+		if n.firstContactAt < r.reachableSince {
+			x.allReachedAfter = -1
 		}
 	}
 	slices.Sort(x.lateness)
 	slices.Sort(x.ages)
-	r.count(x)
+	r.countCalls(x)
 	return x
 }
 
 // count sums calls up by seconds.
-func (r *fleetRun) count(x *fleetResult) {
+func (r *fleetRun) countCalls(x *fleetResult) {
 	for _, c := range r.calls {
 		if c.at < r.day.warmUp {
 			continue
@@ -264,7 +264,7 @@
 }
 
 // between sums seconds up.
-func (x *fleetResult) between(from, until time.Duration) (sum secondOfCalls) {
+func (x *fleetResult) sumBetween(from, until time.Duration) (sum callCounts) {
 	for _, s := range x.perSecond[min(len(x.perSecond), int(from/time.Second)):min(len(x.perSecond), int(until/time.Second))] {
 		sum.calls += s.calls
 		sum.answered += s.answered
@@ -277,7 +277,7 @@
 }
 
 // answeredShare is the share of calls that were answered; all of none.
-func (s secondOfCalls) answeredShare() float64 {
+func (s callCounts) answeredShare() float64 {
 	if s.calls == 0 {
 		return 1
 	}
@@ -285,9 +285,9 @@
 }
 
 // quietAfter is how long after a time the registry is offered more than its capacity for the last time.
-func (x *fleetResult) quietAfter(disturbed time.Duration) time.Duration {
+func (x *fleetResult) overloadedFor(disturbed time.Duration) time.Duration {
 	last := disturbed
-	const window = int(usualTimeout / time.Second) // a burst that the queue holds for that long is no overload
+	const window = int(defaultQueueTimeout / time.Second) // a burst that the queue holds for that long is no overload
 	for second := window - 1; second < len(x.perSecond); second++ {
 		lines := 0.0
 		for _, s := range x.perSecond[second-window+1 : second+1] {
@@ -301,7 +301,7 @@
 }
 
 // part is a quantile of sorted times.
-func part(sorted []time.Duration, share float64) time.Duration {
+func quantile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
@@ -309,7 +309,7 @@
 }
 
 // worst is the last of sorted times.
-func worst(sorted []time.Duration) time.Duration { return part(sorted, 1) }
+func worst(sorted []time.Duration) time.Duration { return quantile(sorted, 1) }
 
 // orNever names a time below 0 as never.
 func orNever(d time.Duration) string {
@@ -322,8 +322,8 @@
 // String is one row of a table.
 func (x *fleetResult) String() string {
 	seconds := float64(len(x.perSecond) - 1)
-	all := x.between(0, time.Duration(len(x.perSecond))*time.Second)
+	all := x.sumBetween(0, time.Duration(len(x.perSecond))*time.Second)
 	return fmt.Sprintf("lateness p50 %v p99 %v worst %v, never %d, late nodes %.2f | %.1f calls/s, answered %.3f | all heard after %v, newest after %v",
-		part(x.lateness, 0.5), part(x.lateness, 0.99), worst(x.lateness), x.never, x.lateNodes,
-		float64(all.calls)/seconds, all.answeredShare(), orNever(x.reached), orNever(x.newest))
+		quantile(x.lateness, 0.5), quantile(x.lateness, 0.99), worst(x.lateness), x.undelivered, x.lateNodes,
+		float64(all.calls)/seconds, all.answeredShare(), orNever(x.allReachedAfter), orNever(x.allCurrentAfter))
 }
--- a/internal/rig/virtual/registry_hard_test.go
+++ b/internal/rig/virtual/registry_hard_test.go
@@ -11,14 +11,14 @@
 	// recoveredWithin is the time after the last disturbance from which the registry is offered less than its capacity.
 	// Where a call of each node takes longer than fastRegistry, other callers' share included, no call that waits in the
 	// queue with a part of the others' is answered at first, and the pauses must grow until that has ended.
-	recoveredWithin     = 20 * time.Second
-	slowRecoveredWithin = 100 * time.Second
-	fastRegistry        = 4 * time.Second
+	maxRecoveryTime     = 20 * time.Second
+	maxSlowRecoveryTime = 100 * time.Second
+	maxFastCallTime        = 4 * time.Second
 	// recoveredShare is the least share of the calls of a day's last seconds that must be answered.
-	recoveredShare = 0.95
-	lastPart       = 5 * time.Second
+	minAnsweredShare = 0.95
+	finalPeriod       = 5 * time.Second
 	// toldInTime is the time for a call of each node within which all changes must be told in time as well.
-	toldInTime = 2 * time.Second
+	maxTimelyCallTime = 2 * time.Second
 )
 
 // fleetSize is a fleet and how fast its registry is.
@@ -29,7 +29,7 @@
 
 // fleetSizes are those of the table: few, or all.
 func fleetSizes() (sizes []fleetSize) {
-	if !long() {
+	if !longTests() {
 		return []fleetSize{{30, 4 * time.Second}, {267, 2 * time.Second}, {350, 8 * time.Second}}
 	}
 	for _, nodes := range []int{5, 30, 120, 267, 350, 1000} {
@@ -41,39 +41,39 @@
 }
 
 // hardRow sums one case up over its seeds.
-type hardRow struct {
+type faultSummary struct {
 	lateness       []time.Duration
-	never          int
+	undelivered          int
 	lateNodes      float64 // mean
 	calls          float64 // a second, mean
 	answered       float64 // of the last seconds, least
-	quiet          time.Duration
-	reached        time.Duration
-	newest         time.Duration
-	reachedByNone  int // runs in which not all nodes were heard
-	outdatedAtLast int // runs in which not all nodes had the newest list
+	overloadedFor          time.Duration
+	allReachedAfter        time.Duration
+	allCurrentAfter         time.Duration
+	unreachedRuns  int // runs in which not all nodes were heard
+	outdatedRuns int // runs in which not all nodes had the newest list
 }
 
 // playHard plays a day over seeds.
-func playHard(day func(seed uint64) hardDay, seeds uint64) hardRow {
-	row := hardRow{answered: 1}
+func playFaultDay(day func(seed uint64) faultDay, seeds uint64) faultSummary {
+	row := faultSummary{answered: 1}
 	for seed := range seeds {
 		d := day(seed)
 		x := playFleet(d.fleetDay, seed)
 		row.lateness = append(row.lateness, x.lateness...)
-		row.never += x.never
+		row.undelivered += x.undelivered
 		row.lateNodes += x.lateNodes / float64(seeds)
-		all := x.between(0, d.length)
-		row.calls += float64(all.calls) / d.length.Seconds() / float64(seeds)
-		last := x.between(d.length-lastPart, d.length)
+		all := x.sumBetween(0, d.duration)
+		row.calls += float64(all.calls) / d.duration.Seconds() / float64(seeds)
+		last := x.sumBetween(d.duration-finalPeriod, d.duration)
 		row.answered = min(row.answered, last.answeredShare())
-		row.quiet = max(row.quiet, x.quietAfter(d.disturbed))
-		row.reached, row.newest = max(row.reached, x.reached), max(row.newest, x.newest)
-		if x.reached < 0 {
-			row.reachedByNone++
+		row.overloadedFor = max(row.overloadedFor, x.overloadedFor(d.lastFaultAt))
+		row.allReachedAfter, row.allCurrentAfter = max(row.allReachedAfter, x.allReachedAfter), max(row.allCurrentAfter, x.allCurrentAfter)
+		if x.allReachedAfter < 0 {
+			row.unreachedRuns++
 		}
-		if x.newest < 0 {
-			row.outdatedAtLast++
+		if x.allCurrentAfter < 0 {
+			row.outdatedRuns++
 		}
 	}
 	slices.Sort(row.lateness)
@@ -81,13 +81,13 @@
 }
 
 // String is the row in a table.
-func (r hardRow) String() string {
-	return fmt.Sprintf("%v | %v | %v | %.2f | %.1f | %.2f | %v | %v%s | %v%s |", part(r.lateness, 0.5), part(r.lateness, 0.99), worst(r.lateness),
-		r.lateNodes, r.calls, r.answered, r.quiet.Round(ms), r.reached.Round(ms), notAll(r.reachedByNone), r.newest.Round(ms), notAll(r.outdatedAtLast))
+func (r faultSummary) String() string {
+	return fmt.Sprintf("%v | %v | %v | %.2f | %.1f | %.2f | %v | %v%s | %v%s |", quantile(r.lateness, 0.5), quantile(r.lateness, 0.99), worst(r.lateness),
+		r.lateNodes, r.calls, r.answered, r.overloadedFor.Round(ms), r.allReachedAfter.Round(ms), runsWithout(r.unreachedRuns), r.allCurrentAfter.Round(ms), runsWithout(r.outdatedRuns))
 }
 
 // notAll marks a figure that some runs lack.
-func notAll(runs int) string {
+func runsWithout(runs int) string {
 	if runs == 0 {
 		return ""
 	}
@@ -95,44 +95,44 @@
 }
 
 // recovers checks that calls fell below the capacity, and were answered again.
-func (r hardRow) recovers(t *testing.T, within time.Duration) {
-	if r.quiet > within {
-		t.Errorf("more calls than the registry can take up to %v after the last disturbance", r.quiet)
+func (r faultSummary) checkRecovery(t *testing.T, within time.Duration) {
+	if r.overloadedFor > within {
+		t.Errorf("more calls than the registry can take up to %v after the last disturbance", r.overloadedFor)
 	}
-	if r.answered < recoveredShare {
+	if r.answered < minAnsweredShare {
 		t.Errorf("%.2f of the calls at the end are answered", r.answered)
 	}
-	if r.reachedByNone+r.outdatedAtLast > 0 {
-		t.Errorf("some nodes were not heard in %d runs, or had an old list in %d", r.reachedByNone, r.outdatedAtLast)
+	if r.unreachedRuns+r.outdatedRuns > 0 {
+		t.Errorf("some nodes were not heard in %d runs, or had an old list in %d", r.unreachedRuns, r.outdatedRuns)
 	}
 }
 
 // recovery is the time within which calls must fall below the capacity.
-func (d *hardDay) recovery() time.Duration {
-	if float64(d.callOfEach) > float64(fastRegistry)*(1-d.others) {
-		return slowRecoveredWithin
+func (d *faultDay) recoveryLimit() time.Duration {
+	if float64(d.fleetCallTime) > float64(maxFastCallTime)*(1-d.externalShare) {
+		return maxSlowRecoveryTime
 	}
-	return recoveredWithin
+	return maxRecoveryTime
 }
 
 // hardSeeds is how many seeds a row has.
-func hardSeeds() uint64 {
-	if long() {
+func registrySeeds() uint64 {
+	if longTests() {
 		return 10
 	}
 	return 2
 }
 
 // The hard cases: all must recover, and where the registry is fast enough changes must be told in time.
-func TestRegistryHardCases(t *testing.T) {
+func TestRegistryFaultCases(t *testing.T) {
 	t.Log("| nodes, call of each in, case | lateness p50 | p99 | worst | late nodes | calls/s | answered at last | over capacity for | all heard after | newest after |")
 	for _, size := range fleetSizes() {
-		for i, day := range hardDays(size.nodes, size.callOfEach) {
+		for i, day := range faultDays(size.nodes, size.callOfEach) {
 			t.Run(fmt.Sprintf("%d nodes, %v, %s", size.nodes, size.callOfEach, day.name), func(t *testing.T) {
-				row := playHard(func(uint64) hardDay { return hardDays(size.nodes, size.callOfEach)[i] }, hardSeeds())
+				row := playFaultDay(func(uint64) faultDay { return faultDays(size.nodes, size.callOfEach)[i] }, registrySeeds())
 				t.Logf("| %d, %v, %s | %v", size.nodes, size.callOfEach, day.name, row)
-				row.recovers(t, day.recovery())
-				if last := worst(row.lateness); size.callOfEach <= toldInTime && last > drainGrace {
+				row.checkRecovery(t, day.recoveryLimit())
+				if last := worst(row.lateness); size.callOfEach <= maxTimelyCallTime && last > drainGrace {
 					t.Errorf("a change comes %v after it counts as told", last)
 				}
 			})
@@ -141,35 +141,35 @@
 }
 
 // Whatever goes wrong, and in whatever order, calls fall below the capacity soon after the last of it, and are answered.
-func TestRegistryRecoversFromTroublesInAnyOrder(t *testing.T) {
+func TestRegistryRecoversFromRandomFaults(t *testing.T) {
 	for _, size := range fleetSizes() {
 		t.Run(fmt.Sprintf("%d nodes, %v", size.nodes, size.callOfEach), func(t *testing.T) {
-			row := playHard(func(seed uint64) hardDay { return randomDay(size.nodes, size.callOfEach, seed) }, 2*hardSeeds())
+			row := playFaultDay(func(seed uint64) faultDay { return randomFaultDay(size.nodes, size.callOfEach, seed) }, 2*registrySeeds())
 			t.Logf("| %d, %v, troubles in any order | %v", size.nodes, size.callOfEach, row)
-			row.recovers(t, slowRecoveredWithin)
+			row.checkRecovery(t, maxSlowRecoveryTime)
 		})
 	}
 }
 
 // One node alone makes no congestion: whatever it pauses for, it asks again as soon after an outage as nodes did before
 // there was a queue to spare.
-func TestOneNodeAloneIsToldSoonAfterAnOutage(t *testing.T) {
+func TestSingleNodeIsUpdatedSoonAfterAnOutage(t *testing.T) {
 	// A call may have begun just before the return and fail after 2 s, or be given up after 4 s, and a pause follow it.
 	const pauseMost = 1500 * time.Millisecond
 	within := map[outageKind]time.Duration{
-		failsSlowly: slowFailure + pauseMost, rejectsAtOnce: pauseMost, resetsAtOnce: pauseMost, swallowsCalls: 4 * time.Second,
+		failsSlowly: slowFailureTime + pauseMost, rejectsAtOnce: pauseMost, resetsConnections: pauseMost, dropsCalls: 4 * time.Second,
 	}
 	for kind, most := range within {
-		for seed := range 5 * hardSeeds() {
-			day := plainDay(1, 20*time.Millisecond)
-			day.outages = []outage{{outageFrom, outageUntil, kind}}
+		for seed := range 5 * registrySeeds() {
+			day := uneventfulDay(1, 20*time.Millisecond)
+			day.outages = []outage{{outageStart, outageEnd, kind}}
 			day.changes = []change{{8 * time.Second, 1}, {20 * time.Second, 1}}
 			// Of a silent outage that ends before the open poll does, nothing tells.
-			if kind == swallowsCalls {
+			if kind == dropsCalls {
 				day.outages[0].until += 10 * time.Second
 				day.changes[1].at += 10 * time.Second
 			}
-			day.length = time.Minute
+			day.duration = time.Minute
 			x := playFleet(day, seed)
 			if len(x.ages) != 2 {
 				t.Fatalf("%v, seed %d: told %d times", kind, seed, len(x.ages))
--- a/internal/rig/virtual/registry_node_test.go
+++ b/internal/rig/virtual/registry_node_test.go
@@ -9,286 +9,286 @@
 
 const (
 	// What the registry has had for so long, and could be reached, counts as told after a call without an answer.
-	toldAfter = 6 * time.Second
+	deemedKnownAfter = 6 * time.Second
 	// What a silent long poll misses counts as told so long after its wait is over, if that is later.
-	toldAfterWait = 2 * time.Second
+	deemedKnownAfterPoll = 2 * time.Second
 	// A watch goes on if the next call comes within this after an answer.
 	watchGap = 200 * time.Millisecond
 )
 
 // standing is what decides from when on a node is held to changes that it has not been told.
-type standing int
+type watchState int
 
 const (
-	unanswered standing = iota // a new process, or the last call failed, was refused or given up
+	unanswered watchState = iota // a new process, or the last call failed, was refused or given up
 	paused                     // the last call was answered, and no watch is open
 	watching                   // a long poll is open, or goes on
 )
 
 // gap is the time from an answer to a watch until the call that goes on with it, or watchGap if none does.
-type gap struct{ from, until time.Duration }
+type callGap struct{ from, until time.Duration }
 
 // missed is a change that a node has not been told.
-type missed struct {
-	at     time.Duration // when it was made
+type pendingChange struct {
+	madeAt     time.Duration // when it was made
 	inGap  bool          // between an answer to a watch and the call that goes on with it
 	late   bool
-	lateAt time.Duration // when it came to count as told
+	dueAt time.Duration // when it came to count as told
 }
 
 // telling is how a node was told a change, or that it was not.
-type telling struct {
-	made     time.Duration
+type delivery struct {
+	madeAt     time.Duration
 	age      time.Duration // since the change was made
 	lateness time.Duration // since it counted as told; below 0: in time
 	inGap    bool          // it was made between an answer to a watch and the call that goes on with it
-	never    bool          // the node's life or the run ended first
+	undelivered    bool          // the node's life or the run ended first
 }
 
 // fleetNode is one node as it asks the registry, and the judge of what it was told in time.
 type fleetNode struct {
-	service   *service
-	place     endpoints.FleetPosition
+	registry   *registryService
+	position     endpoints.FleetPosition
 	tier      int
-	askWithin time.Duration
-	asker     *asker
+	resubscribeWithin time.Duration
+	client     *registryClient
 	alive     bool
-	life      int // counts starts: pauses of older ones are dropped
+	incarnation      int // counts starts: pauses of older ones are dropped
 	call      *registryCall
-	known     int // changes of its list that it has been told
+	knownChanges     int // changes of its list that it has been told
 
-	standing     standing
-	since        time.Duration // of the standing
-	started      time.Duration
-	lastAnswer   time.Duration
-	heardFirst   time.Duration // the first answer, or poll taken up, since the registry was last back
+	state     watchState
+	stateSince        time.Duration // of the standing
+	startedAt      time.Duration
+	lastAnswerAt   time.Duration
+	firstContactAt   time.Duration // the first answer, or poll taken up, since the registry was last back
 	pollEnd      time.Duration // of the watch's present poll
-	silent       bool
-	excused      time.Duration // what silent calls have missed counts as told no sooner
-	gaps         []gap         // after each answer to a watch
-	missing      []missed
-	tellings     []telling
-	newestToldAt time.Duration
+	pollSilent       bool
+	excusedUntil      time.Duration // what silent calls have missed counts as told no sooner
+	gaps         []callGap         // after each answer to a watch
+	pending      []pendingChange
+	deliveries     []delivery
+	newestDeliveredAt time.Duration
 }
 
 // start begins a life of the node, with the list of the one before.
 func (n *fleetNode) start(seed uint64, draw float64) {
-	s := n.service
-	n.life++
-	n.alive, n.started = true, s.now
-	n.place.Seed = seed
-	n.asker = newAsker(s.now, s.wall, n.place, n.askWithin, draw)
-	n.become(unanswered)
-	n.resumeAfter(n.asker.started(s.now), n.asker.first)
+	s := n.registry
+	n.incarnation++
+	n.alive, n.startedAt = true, s.now
+	n.position.Seed = seed
+	n.client = newRegistryClient(s.now, s.wallStart, n.position, n.resubscribeWithin, draw)
+	n.setState(unanswered)
+	n.retryAfter(n.client.handleStart(s.now), n.client.startDelay)
 }
 
 // stop ends a life of the node.
 func (n *fleetNode) stop() {
-	n.settle()
+	n.markLate()
 	n.endCall()
-	n.life++
+	n.incarnation++
 	n.alive = false
-	n.giveUpMissing()
+	n.abandonPending()
 }
 
 // giveUpMissing notes what the node will not be told any more and is late. A next life is held to it anew.
-func (n *fleetNode) giveUpMissing() {
-	for i := range n.missing {
-		if m := &n.missing[i]; m.late {
-			n.tellings = append(n.tellings, telling{m.at, n.service.now - m.at, n.service.now - m.lateAt, m.inGap, true})
+func (n *fleetNode) abandonPending() {
+	for i := range n.pending {
+		if m := &n.pending[i]; m.late {
+			n.deliveries = append(n.deliveries, delivery{m.madeAt, n.registry.now - m.madeAt, n.registry.now - m.dueAt, m.inGap, true})
 			m.late = false
 		}
 	}
 }
 
 // resumeAfter asks again after a pause.
-func (n *fleetNode) resumeAfter(p pause, more time.Duration) {
-	s, life := n.service, n.life
+func (n *fleetNode) retryAfter(p retryTimer, more time.Duration) {
+	s, life := n.registry, n.incarnation
 	s.after(p.wait, func() {
-		if n.life == life && n.asker.resume(s.now, p.token) {
-			s.after(more, func() { n.pollIn(life) })
+		if n.incarnation == life && n.client.handleTimer(s.now, p.token) {
+			s.after(more, func() { n.pollIfAlive(life) })
 		}
 	})
 }
 
 // pollIn makes the next call if the node still lives.
-func (n *fleetNode) pollIn(life int) {
-	if n.life == life && n.call == nil {
+func (n *fleetNode) pollIfAlive(life int) {
+	if n.incarnation == life && n.call == nil {
 		n.poll()
 	}
 }
 
 // poll makes the next call.
 func (n *fleetNode) poll() {
-	s := n.service
-	wait, patience := n.asker.wait(s.now)
-	if n.standing == watching && s.now-n.lastAnswer > watchGap {
-		n.become(paused)
+	s := n.registry
+	wait, patience := n.client.nextPoll(s.now)
+	if n.state == watching && s.now-n.lastAnswerAt > watchGap {
+		n.setState(paused)
 	}
-	c := &registryCall{node: n, begun: s.now, waitEnd: s.now + wait, whole: n.asker.pace.FetchesWholeList()}
+	c := &registryCall{node: n, startedAt: s.now, pollEnd: s.now + wait, whole: n.client.pacer.FetchesWholeList()}
 	n.call = c
 	if last := len(n.gaps) - 1; last >= 0 {
 		n.gaps[last].until = min(n.gaps[last].until, s.now)
 	}
-	if n.standing == watching {
-		n.settle()
-		n.pollEnd = c.waitEnd
+	if n.state == watching {
+		n.markLate()
+		n.pollEnd = c.pollEnd
 	}
 	s.after(patience, func() {
-		if !c.over {
-			n.gaveUp()
+		if !c.ended {
+			n.handleTimeout()
 		}
 	})
-	s.receive(c)
+	s.handleCall(c)
 }
 
 // endCall ends the call that is out.
 func (n *fleetNode) endCall() {
 	if n.call != nil {
-		n.call.over = true
+		n.call.ended = true
 		n.call = nil
 	}
 }
 
 // opened takes that the registry has taken up a long poll.
-func (n *fleetNode) opened(c *registryCall) {
-	n.become(watching)
-	n.pollEnd = c.waitEnd
-	n.hear()
+func (n *fleetNode) handleOpened(c *registryCall) {
+	n.setState(watching)
+	n.pollEnd = c.pollEnd
+	n.noteContact()
 }
 
 // answered takes an answer with the list up to a version.
-func (n *fleetNode) answered(c *registryCall, version int) {
-	s := n.service
-	news := version > n.known
-	n.told(version)
+func (n *fleetNode) handleAnswer(c *registryCall, version int) {
+	s := n.registry
+	news := version > n.knownChanges
+	n.deliver(version)
 	n.endCall()
 	if c.whole {
-		n.become(paused)
+		n.setState(paused)
 	} else {
-		n.become(watching)
-		n.gaps = append(n.gaps, gap{s.now, s.now + watchGap})
+		n.setState(watching)
+		n.gaps = append(n.gaps, callGap{s.now, s.now + watchGap})
 	}
 	n.pollEnd = s.now // until the next call
-	n.lastAnswer = s.now
-	n.hear()
-	whole := c.whole || s.lists[n.tier].whole && news
-	pause := n.asker.answered(s.now, whole, endpoints.Answer{Took: s.now - c.begun, Whole: c.whole, Changed: news})
-	life := n.life
-	s.after(networkDelay+pause, func() { n.pollIn(life) })
+	n.lastAnswerAt = s.now
+	n.noteContact()
+	whole := c.whole || s.lists[n.tier].fullAnswers && news
+	pause := n.client.handleAnswer(s.now, whole, endpoints.Answer{Took: s.now - c.startedAt, Whole: c.whole, Changed: news})
+	life := n.incarnation
+	s.after(networkDelay+pause, func() { n.pollIfAlive(life) })
 }
 
 // failed takes the end of a call without an answer.
-func (n *fleetNode) failed(c *registryCall, how failure) {
+func (n *fleetNode) handleFailure(c *registryCall, how callFailure) {
 	n.endCall()
-	n.become(unanswered)
-	n.resumeAfter(n.asker.failed(n.service.now, n.service.now-c.begun, n.service.lists[n.tier].servers, how), 0)
+	n.setState(unanswered)
+	n.retryAfter(n.client.handleFailure(n.registry.now, n.registry.now-c.startedAt, n.registry.lists[n.tier].totalLines, how), 0)
 }
 
 // gaveUp takes that a call had no answer in its time.
-func (n *fleetNode) gaveUp() {
+func (n *fleetNode) handleTimeout() {
 	n.endCall()
-	n.become(unanswered)
-	n.asker.gaveUp()
+	n.setState(unanswered)
+	n.client.handleTimeout()
 	n.poll()
 }
 
 // moved takes a new address of the registry: the call that is out is made anew there.
-func (n *fleetNode) moved() {
-	pause := n.asker.moved()
+func (n *fleetNode) handleMove() {
+	pause := n.client.handleMove()
 	if n.call == nil {
 		return
 	}
 	n.endCall()
-	life := n.life
-	n.service.after(pause, func() { n.pollIn(life) })
+	life := n.incarnation
+	n.registry.after(pause, func() { n.pollIfAlive(life) })
 }
 
 // swallow takes that nothing reaches the node any more on the call that is out.
-func (n *fleetNode) swallow() {
-	if n.call.swallowed {
+func (n *fleetNode) dropCall() {
+	if n.call.dropped {
 		return
 	}
-	n.settle()
-	n.call.swallowed = true
-	n.silent, n.pollEnd = true, n.call.waitEnd
-	n.excused = max(n.excused, n.service.now+toldAfter, n.pollEnd+toldAfterWait)
+	n.markLate()
+	n.call.dropped = true
+	n.pollSilent, n.pollEnd = true, n.call.pollEnd
+	n.excusedUntil = max(n.excusedUntil, n.registry.now+deemedKnownAfter, n.pollEnd+deemedKnownAfterPoll)
 }
 
 // become changes what the node is held to, from now on.
-func (n *fleetNode) become(next standing) {
-	n.settle()
-	n.standing, n.since, n.silent = next, n.service.now, false
+func (n *fleetNode) setState(next watchState) {
+	n.markLate()
+	n.state, n.stateSince, n.pollSilent = next, n.registry.now, false
 }
 
 // due is when a change counts as told, as things stand. While the registry is down it does so only for what went
 // wrong before.
-func (n *fleetNode) due(made time.Duration) (at time.Duration, ok bool) {
-	if n.standing != watching && n.service.outage != up {
+func (n *fleetNode) dueTime(made time.Duration) (at time.Duration, ok bool) {
+	if n.state != watching && n.registry.outage != reachable {
 		return 0, false
 	}
-	return max(n.dueByStanding(made), n.excused), true
+	return max(n.dueByState(made), n.excusedUntil), true
 }
 
 // dueByStanding is when a change counts as told if no call is silent.
-func (n *fleetNode) dueByStanding(made time.Duration) time.Duration {
+func (n *fleetNode) dueByState(made time.Duration) time.Duration {
 	switch {
-	case n.standing == watching && n.silent:
+	case n.state == watching && n.pollSilent:
 		return made
-	case n.standing == watching:
-		return max(made+toldAfter, n.pollEnd+toldAfterWait)
-	case n.standing == paused:
-		return max(max(made, n.lastAnswer)+n.askWithin, n.service.back)
+	case n.state == watching:
+		return max(made+deemedKnownAfter, n.pollEnd+deemedKnownAfterPoll)
+	case n.state == paused:
+		return max(max(made, n.lastAnswerAt)+n.resubscribeWithin, n.registry.reachableSince)
 	default:
-		return max(made, n.started, n.service.back) + toldAfter
+		return max(made, n.startedAt, n.registry.reachableSince) + deemedKnownAfter
 	}
 }
 
 // settle notes which changes have come to count as told since the last change of standing.
-func (n *fleetNode) settle() {
+func (n *fleetNode) markLate() {
 	if !n.alive {
 		return
 	}
-	n.notice()
-	for i := range n.missing {
-		m := &n.missing[i]
-		if at, ok := n.due(m.at); ok && !m.late && at < n.service.now {
-			m.late, m.lateAt = true, max(at, n.since)
+	n.collectPending()
+	for i := range n.pending {
+		m := &n.pending[i]
+		if at, ok := n.dueTime(m.madeAt); ok && !m.late && at < n.registry.now {
+			m.late, m.dueAt = true, max(at, n.stateSince)
 		}
 	}
 }
 
 // notice takes up changes that were made since the last look.
-func (n *fleetNode) notice() {
-	changes := n.service.lists[n.tier].changes
-	for _, c := range changes[n.known+len(n.missing):] {
-		inGap := slices.ContainsFunc(n.gaps, func(g gap) bool { return c.at > g.from && c.at <= g.until })
-		n.missing = append(n.missing, missed{at: c.at, inGap: inGap})
+func (n *fleetNode) collectPending() {
+	changes := n.registry.lists[n.tier].changes
+	for _, c := range changes[n.knownChanges+len(n.pending):] {
+		inGap := slices.ContainsFunc(n.gaps, func(g callGap) bool { return c.at > g.from && c.at <= g.until })
+		n.pending = append(n.pending, pendingChange{madeAt: c.at, inGap: inGap})
 	}
 }
 
 // told takes the list up to a version.
-func (n *fleetNode) told(version int) {
-	n.settle()
-	now := n.service.now
-	for version > n.known {
-		m := n.missing[0]
-		n.missing = n.missing[1:]
-		n.known++
+func (n *fleetNode) deliver(version int) {
+	n.markLate()
+	now := n.registry.now
+	for version > n.knownChanges {
+		m := n.pending[0]
+		n.pending = n.pending[1:]
+		n.knownChanges++
 		lateness := time.Duration(0)
 		if m.late {
-			lateness = now - m.lateAt
-		} else if at, ok := n.due(m.at); ok {
+			lateness = now - m.dueAt
+		} else if at, ok := n.dueTime(m.madeAt); ok {
 			lateness = now - at
 		}
-		n.tellings = append(n.tellings, telling{m.at, now - m.at, lateness, m.inGap, false})
-		n.newestToldAt = now
+		n.deliveries = append(n.deliveries, delivery{m.madeAt, now - m.madeAt, lateness, m.inGap, false})
+		n.newestDeliveredAt = now
 	}
 }
 
 // hear notes that the registry has answered, or has taken up a poll.
-func (n *fleetNode) hear() {
-	if n.heardFirst < n.service.back {
-		n.heardFirst = n.service.now
+func (n *fleetNode) noteContact() {
+	if n.firstContactAt < n.registry.reachableSince {
+		n.firstContactAt = n.registry.now
 	}
 }
--- a/internal/rig/virtual/registry_reset_test.go
+++ b/internal/rig/virtual/registry_reset_test.go
@@ -12,21 +12,21 @@
 	for _, n := range tiers {
 		nodes += n
 	}
-	day := plainDay(nodes, callOfEach)
+	day := uneventfulDay(nodes, callOfEach)
 	day.tiers = tiers
-	day.outages = []outage{{3 * time.Second, 3010 * time.Millisecond, resetsAtOnce}}
+	day.outages = []outage{{3 * time.Second, 3010 * time.Millisecond, resetsConnections}}
 	for i := range 4 {
 		day.changes = append(day.changes, change{8*time.Second + time.Duration(i)*300*time.Millisecond, 1})
 	}
-	day.length = calmAfter
+	day.duration = recoveryPeriod
 	return day
 }
 
 // Polls that are reset at once must not bring all nodes back to the registry at once: calls that wait in its queue for too
 // long fail, have cost it their work, and keep those after them from being answered. Where only a part of the nodes watches
 // the list that changes, changes must be told in time; where all do, each change has all of them call again, and some are late.
-func TestResetPollsComeBackInTurn(t *testing.T) {
-	seeds := 15 * hardSeeds()
+func TestResetPollsReconnectInTurn(t *testing.T) {
+	seeds := 15 * registrySeeds()
 	for _, c := range []struct {
 		tiers      []int
 		callOfEach time.Duration
--- a/internal/rig/virtual/scale_test.go
+++ b/internal/rig/virtual/scale_test.go
@@ -16,7 +16,7 @@
 		churn               float64
 	}
 	sizes := []size{{10, 10, 1, 4 * time.Second, 0}, {10, 100, 4, 4 * time.Second, 0.05}}
-	if long() {
+	if longTests() {
 		sizes = append(sizes, size{100, 1000, 12, 20 * time.Second, 0}, size{100, 1000, 12, 20 * time.Second, 0.05},
 			size{2000, 1000, 12, 10 * time.Second, 0}, size{2000, 10000, 12, 4 * time.Second, 0.05}, size{2000, 10000, 12, 60 * time.Second, 0})
 	}
@@ -33,12 +33,12 @@
 			s.nodes, s.boxes, s.sites, 100*s.churn, r.ServedWorth, r.PeakLoadRatio, r.ConnsPerServer, s.length, time.Since(begun).Seconds(),
 			float64(r.Events)/1e6, float64(m.HeapSys)/(1<<30))
 		if r.ServedWorth < 0.98 || len(r.Breaches) > 0 {
-			t.Errorf("%+v: service %.4f, %v", s, r.ServedWorth, first(r.Breaches))
+			t.Errorf("%+v: service %.4f, %v", s, r.ServedWorth, firstBreach(r.Breaches))
 		}
 	}
 }
 
-func first(all []string) string {
+func firstBreach(all []string) string {
 	if len(all) == 0 {
 		return "no breach"
 	}
@@ -47,7 +47,7 @@
 
 // A site that is lost and comes back cold must not drown the others, nor be
 // pushed over itself.
-func TestSiteLostAndBack(t *testing.T) {
+func TestSiteLossAndReturn(t *testing.T) {
 	c := Default()
 	c.Nodes, c.Sites, c.Kinds = 8, 4, []ServerKind{{Count: 40, Cores: 2, Speed: 1}}
 	c.Duration = 20 * time.Second
@@ -57,7 +57,7 @@
 	r := Run(c)
 	t.Logf("service %.4f, %d attempts, %+v", r.ServedWorth, r.Attempts, r.Classes)
 	if len(r.Breaches) > 0 {
-		t.Error(first(r.Breaches))
+		t.Error(firstBreach(r.Breaches))
 	}
 	// Three quarters of the boxes are left for four fifths of their capacity in traffic.
 	if r.ServedWorth < 0.95 {
--- a/internal/rig/virtual/sidecar_test.go
+++ b/internal/rig/virtual/sidecar_test.go
@@ -12,17 +12,17 @@
 // within a cold box's budget together.
 func TestSidecarsAgainstSharedNodes(t *testing.T) {
 	seeds := 2
-	if long() {
+	if longTests() {
 		seeds = 10
 	}
 	service := func(r *Result) float64 { return r.ServedWorth }
-	play := func(load float64, nodes int, steps []Step) (spread, float64, []string) {
+	play := func(load float64, nodes int, steps []Step) (summary, float64, []string) {
 		c := Default()
 		c.Nodes, c.Steps, c.Duration = nodes, steps, 20*time.Second
 		c.Kinds = []ServerKind{{Count: 24, Cores: 2, Speed: 1}}
 		c.Rate = c.Capacity() * load
-		s, breaches := over(c, decide.LimitLearned, seeds, service)
-		conns, _ := over(c, decide.LimitLearned, 1, func(r *Result) float64 { return r.ConnsPerServer })
+		s, breaches := playSeeds(c, decide.LimitLearned, seeds, service)
+		conns, _ := playSeeds(c, decide.LimitLearned, 1, func(r *Result) float64 { return r.ConnsPerServer })
 		return s, conns.mean, breaches
 	}
 	restart := []Step{
@@ -40,13 +40,13 @@
 	} {
 		shared, sharedConns, _ := play(x.load, 3, x.steps)
 		sidecars, conns, breaches := play(x.load, 40, x.steps)
-		t.Logf("| %s | %.3f (%.3f to %.3f) | %.3f (%.3f to %.3f) | %.1f | %.1f |", x.name, shared.mean, shared.least, shared.most,
-			sidecars.mean, sidecars.least, sidecars.most, sharedConns, conns)
+		t.Logf("| %s | %.3f (%.3f to %.3f) | %.3f (%.3f to %.3f) | %.1f | %.1f |", x.name, shared.mean, shared.min, shared.max,
+			sidecars.mean, sidecars.min, sidecars.max, sharedConns, conns)
 		if sidecars.mean < shared.mean-x.less {
 			t.Errorf("load %s: sidecars %.3f, shared nodes %.3f", x.name, sidecars.mean, shared.mean)
 		}
 		if len(breaches) > 0 {
-			t.Errorf("load %s: %s", x.name, first(breaches))
+			t.Errorf("load %s: %s", x.name, firstBreach(breaches))
 		}
 	}
 }
--- a/internal/rig/virtual/sort.go
+++ b/internal/rig/virtual/sort.go
@@ -6,4 +6,4 @@
 )
 
 // ids lists calls in order, so that a run does not depend on a map's.
-func ids(calls map[uint64]*call) []uint64 { return slices.Sorted(maps.Keys(calls)) }
+func sortedIDs(calls map[uint64]*nodeRequest) []uint64 { return slices.Sorted(maps.Keys(calls)) }
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -18,10 +18,10 @@
 
 const ms = time.Millisecond
 
-func long() bool { return os.Getenv("CURLEWRING_LONG") != "" }
+func longTests() bool { return os.Getenv("CURLEWRING_LONG") != "" }
 
 // The same configuration must give the same run, or no figure can be repeated.
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	c := Default()
 	c.LowerKinds, c.CallsPerRequest, c.Churn = []ServerKind{{Count: 12, Cores: 2, Speed: 1}}, 2, 0.05
 	c.Steps = []Step{
@@ -42,7 +42,7 @@
 
 // Boxes must behave as queues do: at half load little waits, and capacity is what
 // the cores can do.
-func TestBoxesAreQueues(t *testing.T) {
+func TestServersBehaveAsQueues(t *testing.T) {
 	c := Default()
 	c.Rate = c.Capacity() / 2
 	r := Run(c)
@@ -61,9 +61,9 @@
 }
 
 // Whatever fleet and faults, the real module must keep the four rules.
-func TestRulesOverRandomFleets(t *testing.T) {
+func TestRandomFleetsKeepTheRules(t *testing.T) {
 	checks := 40
-	if long() {
+	if longTests() {
 		checks = 1000
 	}
 	n := 0
@@ -135,7 +135,7 @@
 
 // More worth must never be refused before less: at every load the share refused
 // of the worthier class is at most that of the other.
-func TestWorthIsRefusedLast(t *testing.T) {
+func TestHigherWorthIsRefusedLast(t *testing.T) {
 	for _, load := range []float64{0.3, 0.7, 0.9, 1, 1.2, 1.5, 2, 3} {
 		high, low, highAsked, lowAsked := 0, 0, 0, 0
 		for seed := range uint64(3) {
@@ -158,19 +158,19 @@
 }
 
 // cell is one place of the table over boxes, service times and loads.
-type cell struct {
+type loadCase struct {
 	cores   int
-	service time.Duration
+	work time.Duration
 	load    float64
 }
 
 // play runs a cell under a rule and returns service, wrong refusals and lateness.
-func (x cell) play(rule decide.LimitMode, seed uint64) (service, wrong, late float64) {
+func (x loadCase) play(rule decide.LimitMode, seed uint64) (service, wrong, late float64) {
 	c := Default()
 	c.Seed, c.LimitMode, c.Nodes = seed, rule, 4
 	c.Kinds = []ServerKind{{Count: max(4, 16/x.cores), Cores: x.cores, Speed: 1, Slots: 32 * x.cores, Queue: 64 * x.cores}}
 	for i := range c.Classes {
-		c.Classes[i].Work = x.service
+		c.Classes[i].Work = x.work
 	}
 	c.Rate = c.Capacity() * x.load
 	c.Duration = time.Duration(min(8, max(2, 40000/c.Rate)) * float64(time.Second))
@@ -183,11 +183,11 @@
 
 // No kind of boxes may be served clearly worse with learned room than with the
 // presumed one, at any load; where that refused needlessly it must be better.
-func TestLearnedRoomAgainstTheOldRule(t *testing.T) {
+func TestLearnedLimitAgainstFixedLimit(t *testing.T) {
 	cores, services, loads, seeds := []int{2, 8, 64}, []time.Duration{ms, 20 * ms, 200 * ms}, []float64{0.3, 0.9, 2}, 2
 	rules := []decide.LimitMode{decide.LimitLearned, decide.LimitFixed, decide.LimitNone}
 	names := "learned | presumed | r alone"
-	if long() {
+	if longTests() {
 		cores, loads, seeds = []int{1, 2, 8, 64}, []float64{0.3, 0.6, 0.9, 1.2, 2, 3}, 10
 	}
 	var table strings.Builder
@@ -195,10 +195,10 @@
 	for _, n := range cores {
 		for _, s := range services {
 			for _, load := range loads {
-				if capacity := float64(max(4, 16/n)*n) / s.Seconds(); capacity*load > 3000 && !long() || capacity*load > 30000 {
+				if capacity := float64(max(4, 16/n)*n) / s.Seconds(); capacity*load > 3000 && !longTests() || capacity*load > 30000 {
 					continue // more of the same, for much time
 				}
-				x := cell{n, s, load}
+				x := loadCase{n, s, load}
 				fmt.Fprintf(&table, "| %d | %v | %.1f |", n, s, load)
 				means := map[decide.LimitMode]float64{}
 				for _, rule := range rules {
@@ -228,7 +228,7 @@
 }
 
 // Each box must get the share that it can serve, whatever is wrong with others.
-func TestShareAgainstCapacity(t *testing.T) {
+func TestFaultyServersGetASmallShare(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		step  Step
@@ -261,7 +261,7 @@
 
 // A node whose peers are gone must come to use what they could: the boxes are as
 // idle as before, and more calls do not lengthen answers.
-func TestNodeLeftAlone(t *testing.T) {
+func TestLastNodeUsesFreeCapacity(t *testing.T) {
 	play := func(rule decide.LimitMode) *Result {
 		c := Default()
 		c.LimitMode, c.Nodes, c.Duration = rule, 8, 40*time.Second
