--- a/internal/rig/virtual/boxes.go
+++ b/internal/rig/virtual/boxes.go
@@ -9,88 +9,89 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// come is the arrival of an attempt at its box.
-func (r *run) handleArrival(t *serverAttempt, way time.Duration, life int) {
-	b := t.server
-	if b.down {
-		r.after(way, func() { r.reportOutcome(t, life, decide.ConnectFailed) })
+// handleArrival processes the arrival of an attempt at its server.
+func (r *run) handleArrival(attempt *serverAttempt, latency time.Duration, nodeIncarnation int) {
+	srv := attempt.server
+	if srv.down {
+		r.after(latency, func() { r.reportOutcome(attempt, nodeIncarnation, decide.ConnectFailed) })
 		return
 	}
-	b.attempts++
-	b.attemptsThisSecond++
-	if t.request.judgeKey != "" {
-		t.judgeID = r.judge.AttemptArrived(r.now, t.request.judgeKey, b.id, t.request.judgeKey)
+	srv.attempts++
+	srv.attemptsThisSecond++
+	if attempt.request.judgeKey != "" {
+		attempt.judgeID = r.judge.AttemptArrived(r.now, attempt.request.judgeKey, srv.id, attempt.request.judgeKey)
 	}
-	t.serverIncarnation = b.incarnation
+	attempt.serverIncarnation = srv.incarnation
 	switch {
-	case b.failsFast:
-		r.recordEnd(t, judge.Errored)
-		r.after(way, func() { r.reportOutcome(t, life, decide.Errored) })
+	case srv.failsFast:
+		r.recordEnd(attempt, judge.Errored)
+		r.after(latency, func() { r.reportOutcome(attempt, nodeIncarnation, decide.Errored) })
 		return
-	case b.rejectsAll || b.inFlight >= b.maxRequests || t.abandoned:
-		r.recordEnd(t, judge.Rejected)
-		r.after(way, func() { r.reportOutcome(t, life, decide.Rejected) })
+	case srv.rejectsAll || srv.inFlight >= srv.maxRequests || attempt.abandoned:
+		r.recordEnd(attempt, judge.Rejected)
+		r.after(latency, func() { r.reportOutcome(attempt, nodeIncarnation, decide.Rejected) })
 		return
 	}
-	if r.collapses(b, r.config.Classes[t.request.class].Work) {
-		r.stopServer(b)
-		r.after(way, func() { r.reportOutcome(t, life, decide.ConnectionLost) })
+	if r.collapses(srv, r.config.Classes[attempt.request.class].Work) {
+		r.stopServer(srv)
+		r.after(latency, func() { r.reportOutcome(attempt, nodeIncarnation, decide.ConnectionLost) })
 		return
 	}
-	r.updateCongestion(b)
-	b.inFlight++
-	b.backlog += t.work
-	t.lowerCallsLeft = 0
-	if b.lowerNode != nil {
-		t.lowerCallsLeft = r.config.CallsPerRequest
+	r.updateCongestion(srv)
+	srv.inFlight++
+	srv.backlog += attempt.work
+	attempt.lowerCallsLeft = 0
+	if srv.lowerNode != nil {
+		attempt.lowerCallsLeft = r.config.CallsPerRequest
 	}
-	b.queue = append(b.queue, t)
-	r.dispatch(b, way, life)
+	srv.queue = append(srv.queue, attempt)
+	r.dispatch(srv, latency, nodeIncarnation)
 }
 
-// work lets a box's free cores take what waits.
-func (r *run) dispatch(b *server, way time.Duration, life int) {
-	for b.busyCores < b.cores && len(b.queue) > 0 {
-		t := b.queue[0]
-		b.queue[0] = nil
-		b.queue = b.queue[1:]
-		if t.abandoned && !t.started { // dropped unseen
-			b.inFlight--
-			b.backlog -= t.work
+// dispatch starts queued attempts on the free cores of a server.
+func (r *run) dispatch(srv *server, latency time.Duration, triggerIncarnation int) {
+	for srv.busyCores < srv.cores && len(srv.queue) > 0 {
+		attempt := srv.queue[0]
+		srv.queue[0] = nil
+		srv.queue = srv.queue[1:]
+		if attempt.abandoned && !attempt.started { // its node has cancelled it in the queue
+			srv.inFlight--
+			srv.backlog -= attempt.work
 			continue
 		}
-		if !t.started {
-			t.started = true
-			if t.judgeID >= 0 && r.firstExecution(t) {
-				r.judge.AttemptExecuted(r.now, t.request.judgeKey, t.judgeID)
+		if !attempt.started {
+			attempt.started = true
+			if attempt.judgeID >= 0 && r.firstExecution(attempt) {
+				r.judge.AttemptExecuted(r.now, attempt.request.judgeKey, attempt.judgeID)
 			}
 		}
-		b.busyCores++
-		took := time.Duration(float64(t.work) * b.currentSlowdown(r) / (b.speed * r.warmupFactor(b)))
-		process := b.incarnation
-		owner := t.node.incarnation
-		r.after(took, func() {
-			if b.incarnation != process {
+		srv.busyCores++
+		duration := time.Duration(float64(attempt.work) * srv.currentSlowdown(r) / (srv.speed * r.warmupFactor(srv)))
+		incarnation := srv.incarnation
+		nodeIncarnation := attempt.node.incarnation
+		r.after(duration, func() {
+			if srv.incarnation != incarnation {
 				return
 			}
-			b.busyCores--
-			if t.lowerCallsLeft > 0 {
-				r.callLowerTier(t, way, owner)
+			srv.busyCores--
+			if attempt.lowerCallsLeft > 0 {
+				r.callLowerTier(attempt, latency, nodeIncarnation)
 			} else {
-				r.reply(t, way, owner, true)
+				r.reply(attempt, latency, nodeIncarnation, true)
 			}
-			r.dispatch(b, way, life)
+			r.dispatch(srv, latency, triggerIncarnation)
 		})
 	}
 }
 
-// first tells whether a box's rack has not seen a keyed request within its window.
-func (r *run) firstExecution(t *serverAttempt) bool {
-	class := &r.config.Classes[t.request.class]
+// firstExecution reports whether an attempt's request has not run in the server's rack within its key TTL. A request
+// without a key always counts as a first execution.
+func (r *run) firstExecution(attempt *serverAttempt) bool {
+	class := &r.config.Classes[attempt.request.class]
 	if class.Idempotency != decide.Keyed {
 		return true
 	}
-	key := fmt.Sprintf("%d/%d/%s", t.server.tier, r.rack(t.server), t.request.judgeKey)
+	key := fmt.Sprintf("%d/%d/%s", attempt.server.tier, r.rack(attempt.server), attempt.request.judgeKey)
 	if at, ok := r.keyExecutedAt[key]; ok && r.now-at < class.KeyTTL {
 		return false
 	}
@@ -98,160 +99,161 @@
 	return true
 }
 
-// callBelow makes the next call of a task to the second tier: it keeps its slot, no core.
-func (r *run) callLowerTier(t *serverAttempt, way time.Duration, life int) {
-	b := t.server
-	process := b.incarnation
-	left := t.request.startedAt + t.request.ttl - r.now
-	if left < time.Millisecond {
-		r.reply(t, way, life, false)
+// callLowerTier makes an attempt's next call to the second tier. The attempt keeps its slot, but no core, meanwhile.
+func (r *run) callLowerTier(attempt *serverAttempt, latency time.Duration, nodeIncarnation int) {
+	srv := attempt.server
+	incarnation := srv.incarnation
+	remaining := attempt.request.startedAt + attempt.request.ttl - r.now
+	if remaining < time.Millisecond {
+		r.reply(attempt, latency, nodeIncarnation, false)
 		return
 	}
-	if b.stuck { // until the request's time is up
-		r.after(left, func() {
-			if b.incarnation == process {
-				r.reply(t, way, life, false)
+	if srv.stuck { // until the request's deadline
+		r.after(remaining, func() {
+			if srv.incarnation == incarnation {
+				r.reply(attempt, latency, nodeIncarnation, false)
 			}
 		})
 		return
 	}
-	r.submit(b.lowerNode, t.request.class, t.request.work, left, false, func(e judge.RequestOutcome, _ time.Duration) {
-		if b.incarnation != process {
+	r.submit(srv.lowerNode, attempt.request.class, attempt.request.work, remaining, false, func(requestOutcome judge.RequestOutcome, _ time.Duration) {
+		if srv.incarnation != incarnation {
 			return
 		}
-		t.lowerCallsLeft--
+		attempt.lowerCallsLeft--
 		switch {
-		case e != judge.Served:
-			r.reply(t, way, life, false)
-		case t.lowerCallsLeft > 0:
-			r.callLowerTier(t, way, life)
+		case requestOutcome != judge.Served:
+			r.reply(attempt, latency, nodeIncarnation, false)
+		case attempt.lowerCallsLeft > 0:
+			r.callLowerTier(attempt, latency, nodeIncarnation)
 		default:
-			r.reply(t, way, life, true)
+			r.reply(attempt, latency, nodeIncarnation, true)
 		}
 	})
 }
 
-// reply ends a task at its box.
-func (r *run) reply(t *serverAttempt, way time.Duration, life int, good bool) {
-	b := t.server
-	r.updateCongestion(b)
-	b.inFlight--
-	b.backlog -= t.work
-	result, how := decide.Served, judge.Succeeded
-	if !good {
-		result, how = decide.Errored, judge.Errored
+// reply ends an attempt at its server, and sends the response.
+func (r *run) reply(attempt *serverAttempt, latency time.Duration, nodeIncarnation int, success bool) {
+	srv := attempt.server
+	r.updateCongestion(srv)
+	srv.inFlight--
+	srv.backlog -= attempt.work
+	result, judgeOutcome := decide.Served, judge.Succeeded
+	if !success {
+		result, judgeOutcome = decide.Errored, judge.Errored
 	}
-	r.recordEnd(t, how)
+	r.recordEnd(attempt, judgeOutcome)
 	switch {
-	case r.unreachable(t.node, b) || r.answerLoss > 0 && r.rng.Float64() < r.answerLoss:
-		return // the node waits until the attempt's time is up
+	case r.unreachable(attempt.node, srv) || r.answerLoss > 0 && r.rng.Float64() < r.answerLoss:
+		return // the response is lost: the node waits until the attempt times out
 	case r.resetShare > 0 && r.rng.Float64() < r.resetShare:
 		result = decide.ConnectionLost
 	}
-	r.after(way, func() { r.reportOutcome(t, life, result) })
+	r.after(latency, func() { r.reportOutcome(attempt, nodeIncarnation, result) })
 }
 
-// warmth is the part of its capacity that a box has.
-func (r *run) warmupFactor(b *server) float64 {
-	if b.started == 0 || r.config.WarmupTime <= 0 {
+// warmupFactor returns the fraction of its capacity that a server has.
+func (r *run) warmupFactor(srv *server) float64 {
+	if srv.started == 0 || r.config.WarmupTime <= 0 {
 		return 1
 	}
-	age := float64(r.balancerTime(r.now)-b.started) / float64(r.config.WarmupTime)
+	age := float64(r.balancerTime(r.now)-srv.started) / float64(r.config.WarmupTime)
 	return min(1, r.config.ColdCapacity+(1-r.config.ColdCapacity)*age)
 }
 
-// slow is how many times slower a box is now.
-func (b *server) currentSlowdown(r *run) float64 {
-	if b.congestedUntil > r.now {
-		return b.slowdown * r.config.Congestion.Slowdown
+// currentSlowdown returns by what factor a server is slowed down.
+func (srv *server) currentSlowdown(r *run) float64 {
+	if srv.congestedUntil > r.now {
+		return srv.slowdown * r.config.Congestion.Slowdown
 	}
-	return b.slowdown
+	return srv.slowdown
 }
 
-// mean follows what a box holds, and chokes it.
-func (r *run) updateCongestion(b *server) {
-	c := r.config.Congestion
-	if c == nil {
+// updateCongestion updates the mean number of requests in flight, and starts or ends congestion.
+func (r *run) updateCongestion(srv *server) {
+	congestion := r.config.Congestion
+	if congestion == nil {
 		return
 	}
-	part := math.Exp(-float64(r.now-b.meanUpdatedAt) / float64(c.AveragingTime))
-	b.meanInFlight = b.meanInFlight*part + float64(b.inFlight)*(1-part)
-	b.meanUpdatedAt = r.now
-	limit := float64(b.cores) + c.Threshold*math.Sqrt(float64(b.cores))
-	if b.congestedUntil <= r.now && b.meanInFlight > limit {
-		b.congestedUntil = r.now + c.MaxDuration
-	} else if b.congestedUntil > r.now && b.meanInFlight < float64(b.cores)*0.3 {
-		b.congestedUntil = r.now
+	decay := math.Exp(-float64(r.now-srv.meanUpdatedAt) / float64(congestion.AveragingTime))
+	srv.meanInFlight = srv.meanInFlight*decay + float64(srv.inFlight)*(1-decay)
+	srv.meanUpdatedAt = r.now
+	limit := float64(srv.cores) + congestion.Threshold*math.Sqrt(float64(srv.cores))
+	if srv.congestedUntil <= r.now && srv.meanInFlight > limit {
+		srv.congestedUntil = r.now + congestion.MaxDuration
+	} else if srv.congestedUntil > r.now && srv.meanInFlight < float64(srv.cores)*0.3 {
+		srv.congestedUntil = r.now
 	}
 }
 
-// tooMuch books work sent to a cold box, and tells whether it falls over. What
-// counts is the mean work of the class, as no node can know a request's own, and
-// there is room for chance: a tenth, and two requests.
-func (r *run) collapses(b *server, work time.Duration) bool {
-	if r.warmupFactor(b) >= 1 {
-		b.coldArrivals = nil
+// collapses records work sent to a cold server, and reports whether the server fails under it. Each request counts
+// with the mean work of its class, as no node can know its own. A tenth, plus two requests, is allowed for random
+// variation.
+func (r *run) collapses(srv *server, work time.Duration) bool {
+	if r.warmupFactor(srv) >= 1 {
+		srv.coldArrivals = nil
 		return false
 	}
 	r.result.ColdAttempts++
-	b.coldArrivals = append(b.coldArrivals, arrival{r.now, work})
+	srv.coldArrivals = append(srv.coldArrivals, arrival{r.now, work})
 	sum := time.Duration(0)
-	for i := len(b.coldArrivals) - 1; i >= 0 && r.now-b.coldArrivals[i].at < r.settings.CollapseWindow; i-- {
-		sum += b.coldArrivals[i].work
+	for i := len(srv.coldArrivals) - 1; i >= 0 && r.now-srv.coldArrivals[i].at < r.settings.CollapseWindow; i-- {
+		sum += srv.coldArrivals[i].work
 	}
-	can := float64(r.settings.CollapseWindow) * float64(b.cores) * b.speed * r.warmupFactor(b)
-	calls := r.settings.CollapseMultiple * can / float64(r.config.meanWork())
-	r.result.ColdRequestRatio = max(r.result.ColdRequestRatio, float64(sum)/float64(r.config.meanWork())/(calls+2*math.Sqrt(calls)+2))
-	r.result.ColdWorkRatio = max(r.result.ColdWorkRatio, float64(sum)/(1.1*r.settings.CollapseMultiple*can+float64(2*work)))
-	if float64(sum) > 1.1*r.settings.CollapseMultiple*can+float64(2*work) {
-		b.collapsed = true
+	windowCapacity := float64(r.settings.CollapseWindow) * float64(srv.cores) * srv.speed * r.warmupFactor(srv)
+	maxRequests := r.settings.CollapseMultiple * windowCapacity / float64(r.config.meanWork())
+	r.result.ColdRequestRatio = max(r.result.ColdRequestRatio, float64(sum)/float64(r.config.meanWork())/(maxRequests+2*math.Sqrt(maxRequests)+2))
+	r.result.ColdWorkRatio = max(r.result.ColdWorkRatio, float64(sum)/(1.1*r.settings.CollapseMultiple*windowCapacity+float64(2*work)))
+	if float64(sum) > 1.1*r.settings.CollapseMultiple*windowCapacity+float64(2*work) {
+		srv.collapsed = true
 		r.result.Collapsed++
-		r.judge.ServerCollapsed(r.now, b.id, fmt.Sprintf("%v of work in %v", sum, r.settings.CollapseWindow))
+		r.judge.ServerCollapsed(r.now, srv.id, fmt.Sprintf("%v of work in %v", sum, r.settings.CollapseWindow))
 		return true
 	}
 	return false
 }
 
-// down ends a box's process.
-func (r *run) stopServer(b *server) {
-	if b.down {
+// stopServer ends a server's process.
+func (r *run) stopServer(srv *server) {
+	if srv.down {
 		return
 	}
-	b.down = true
-	b.incarnation++
-	for _, t := range b.queue {
-		r.cutAttempt(t)
+	srv.down = true
+	srv.incarnation++
+	for _, attempt := range srv.queue {
+		r.cutAttempt(attempt)
 	}
-	b.queue, b.busyCores, b.inFlight, b.backlog, b.meanInFlight, b.congestedUntil = nil, 0, 0, 0, 0, 0
-	// What ran is cut as well: its node finds the connection broken.
+	srv.queue, srv.busyCores, srv.inFlight, srv.backlog, srv.meanInFlight, srv.congestedUntil = nil, 0, 0, 0, 0, 0
+	// Running attempts are cut as well: their nodes find the connection broken.
 	nodes := r.nodes
-	if b.tier > 0 {
+	if srv.tier > 0 {
 		nodes = r.lowerNodes
 	}
 	for _, n := range nodes {
 		for _, id := range sortedIDs(n.requests) {
-			for _, t := range n.requests[id].attempts {
-				if t.server == b && !t.reported && t.serverIncarnation == b.incarnation-1 && t.judgeID != -2 {
-					r.cutAttempt(t)
+			for _, attempt := range n.requests[id].attempts {
+				if attempt.server == srv && !attempt.reported && attempt.serverIncarnation == srv.incarnation-1 && attempt.judgeID != -2 {
+					r.cutAttempt(attempt)
 				}
 			}
 		}
 	}
-	r.publish(b, decide.Removed)
+	r.publish(srv, decide.Removed)
 }
 
-func (r *run) cutAttempt(t *serverAttempt) {
-	r.recordEnd(t, judge.ConnectionCut)
-	t.judgeID = min(t.judgeID, -2)
-	life := t.node.incarnation
-	r.after(r.config.SiteLatency, func() { r.reportOutcome(t, life, decide.ConnectionLost) })
+// cutAttempt ends an attempt because its server's process ended.
+func (r *run) cutAttempt(attempt *serverAttempt) {
+	r.recordEnd(attempt, judge.ConnectionCut)
+	attempt.judgeID = min(attempt.judgeID, -2)
+	incarnation := attempt.node.incarnation
+	r.after(r.config.SiteLatency, func() { r.reportOutcome(attempt, incarnation, decide.ConnectionLost) })
 }
 
-// up starts a box's process again, cold.
-func (r *run) restartServer(b *server) {
-	if !b.down || b.collapsed {
+// restartServer starts a server's process again, cold.
+func (r *run) restartServer(srv *server) {
+	if !srv.down || srv.collapsed {
 		return
 	}
-	b.down, b.started, b.coldArrivals = false, r.balancerTime(r.now), nil
-	r.publish(b, decide.Healthy)
+	srv.down, srv.started, srv.coldArrivals = false, r.balancerTime(r.now), nil
+	r.publish(srv, decide.Healthy)
 }
--- a/internal/rig/virtual/faults.go
+++ b/internal/rig/virtual/faults.go
@@ -7,71 +7,72 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-func (r *run) applyStep(s Step) {
-	if s.RateFactor > 0 {
-		r.rateFactor = s.RateFactor
+// applyStep applies a step to the traffic, the servers and the nodes.
+func (r *run) applyStep(step Step) {
+	if step.RateFactor > 0 {
+		r.rateFactor = step.RateFactor
 	}
-	if s.Cut != nil {
-		r.sitesCut = s.Cut
+	if step.Cut != nil {
+		r.sitesCut = step.Cut
 	}
-	if s.AnswerLoss != nil {
-		r.answerLoss = *s.AnswerLoss
+	if step.AnswerLoss != nil {
+		r.answerLoss = *step.AnswerLoss
 	}
-	if s.ResetShare != nil {
-		r.resetShare = *s.ResetShare
+	if step.ResetShare != nil {
+		r.resetShare = *step.ResetShare
 	}
-	for i, b := range r.servers[0] {
-		if s.Servers == nil || !s.Servers(i, b.site) {
+	for i, srv := range r.servers[0] {
+		if step.Servers == nil || !step.Servers(i, srv.site) {
 			continue
 		}
-		if s.Slowdown > 0 {
-			b.slowdown = s.Slowdown
+		if step.Slowdown > 0 {
+			srv.slowdown = step.Slowdown
 		}
-		b.rejectsAll = (b.rejectsAll || s.RejectAll) && !s.AcceptAll
-		b.failsFast = (b.failsFast || s.FailFast) && !s.AcceptAll
-		b.stuck = (b.stuck || s.Stuck) && !s.AcceptAll
-		if s.Down {
-			r.stopServer(b)
+		srv.rejectsAll = (srv.rejectsAll || step.RejectAll) && !step.AcceptAll
+		srv.failsFast = (srv.failsFast || step.FailFast) && !step.AcceptAll
+		srv.stuck = (srv.stuck || step.Stuck) && !step.AcceptAll
+		if step.Down {
+			r.stopServer(srv)
 		}
-		if s.Up {
-			r.restartServer(b)
+		if step.Up {
+			r.restartServer(srv)
 		}
-		if s.Replace && !b.down {
+		if step.Replace && !srv.down {
 			r.replaceServer(i)
 		}
 	}
 	for i, n := range r.nodes {
-		if s.Nodes == nil || !s.Nodes(i) {
+		if step.Nodes == nil || !step.Nodes(i) {
 			continue
 		}
-		if s.KillNodes && !n.dead {
+		if step.KillNodes && !n.dead {
 			r.killNode(n)
 		}
-		if s.StartNodes && n.dead {
+		if step.StartNodes && n.dead {
 			r.startNode(n)
 		}
 	}
 }
 
-// die kills a node: what it held is its callers' to ask again.
+// killNode kills a node. The clients of its open requests lose the connection, and may retry.
 func (r *run) killNode(n *node) {
 	r.judge.NodeKilled(r.now, n.name)
 	n.dead = true
 	n.incarnation++
 	r.leavePool(n)
-	calls := n.requests
+	requests := n.requests
 	n.requests = map[uint64]*nodeRequest{}
-	for _, id := range sortedIDs(calls) {
-		c := calls[id]
-		for _, t := range c.attempts {
-			t.abandoned = true
-			r.recordEnd(t, judge.Abandoned)
+	for _, id := range sortedIDs(requests) {
+		req := requests[id]
+		for _, attempt := range req.attempts {
+			attempt.abandoned = true
+			r.recordEnd(attempt, judge.Abandoned)
 		}
-		r.finishRequest(n, c, judge.ConnectionLost, 0, "")
+		r.finishRequest(n, req, judge.ConnectionLost, 0, "")
 	}
 }
 
-// replace drains a box and starts one of its kind in its place, cold.
+// replaceServer drains a server and starts one of its kind in its place, cold.
 func (r *run) replaceServer(i int) {
 	old := r.servers[0][i]
 	r.publish(old, decide.Draining)
@@ -79,27 +80,27 @@
 	r.startSuccessor(old, i)
 }
 
-// succeed starts a new box where an old one stood.
+// startSuccessor starts a new server at the index and location of an old one.
 func (r *run) startSuccessor(old *server, i int) {
-	b := r.newServer(0, ServerKind{Cores: old.cores, Speed: old.speed, Slots: old.slots, Queue: old.maxRequests - old.slots}, old.site)
+	srv := r.newServer(0, ServerKind{Cores: old.cores, Speed: old.speed, Slots: old.slots, Queue: old.maxRequests - old.slots}, old.site)
 	r.servers[0] = r.servers[0][:len(r.servers[0])-1]
-	b.index = i
-	r.judge.AddServer(b.id, r.location(b)) // it stands where the old one stood
-	r.servers[0][i] = b
-	b.started = r.balancerTime(r.now)
-	b.lowerNode = old.lowerNode
-	r.publish(b, decide.Healthy)
+	srv.index = i
+	r.judge.AddServer(srv.id, r.location(srv)) // again, as the new index determines its rack
+	r.servers[0][i] = srv
+	srv.started = r.balancerTime(r.now)
+	srv.lowerNode = old.lowerNode
+	r.publish(srv, decide.Healthy)
 }
 
-// cutOff tells whether nothing passes between a node's site and a box's.
-func (r *run) unreachable(n *node, b *server) bool {
-	return r.sitesCut != nil && n.site != b.site && (r.sitesCut(n.site, b.site) || r.sitesCut(b.site, n.site))
+// unreachable reports whether a partition separates a node's site from a server's.
+func (r *run) unreachable(n *node, srv *server) bool {
+	return r.sitesCut != nil && n.site != srv.site && (r.sitesCut(n.site, srv.site) || r.sitesCut(srv.site, n.site))
 }
 
-// churn replaces boxes by new ones at a steady rate.
+// scheduleChurn replaces random servers by new ones at a constant rate.
 func (r *run) scheduleChurn() {
-	wait := time.Duration(float64(time.Second) / (r.config.Churn * float64(len(r.servers[0]))))
-	r.after(wait, func() {
+	delay := time.Duration(float64(time.Second) / (r.config.Churn * float64(len(r.servers[0]))))
+	r.after(delay, func() {
 		if r.now > r.config.Duration {
 			return
 		}
--- a/internal/rig/virtual/nodes.go
+++ b/internal/rig/virtual/nodes.go
@@ -7,118 +7,119 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// connectWithin is how long a node waits for a connection.
+// connectTimeout is how long a node waits for a connection.
 const connectTimeout = 250 * time.Millisecond
 
-// carry does what a module wants done.
+// perform carries out the actions that a node's module returned.
 func (r *run) perform(n *node, actions []decide.Action) {
-	n.actionBuffer = nil // handlers nest here: each has a buffer of its own
-	life := n.incarnation
-	for _, a := range actions {
-		switch a.Kind {
+	n.actionBuffer = nil // calls of perform nest, and each needs a buffer of its own
+	incarnation := n.incarnation
+	for _, action := range actions {
+		switch action.Kind {
 		case decide.Send:
-			r.send(n, n.requests[a.Request], a)
+			r.send(n, n.requests[action.Request], action)
 		case decide.Refuse:
-			if c := n.requests[a.Request]; c != nil {
-				r.finishRequest(n, c, judge.Refused, a.Wait, "")
+			if req := n.requests[action.Request]; req != nil {
+				r.finishRequest(n, req, judge.Refused, action.Wait, "")
 			}
 		case decide.Fail:
-			if c := n.requests[a.Request]; c != nil {
-				r.finishRequest(n, c, judge.Failed, 0, "")
+			if req := n.requests[action.Request]; req != nil {
+				r.finishRequest(n, req, judge.Failed, 0, "")
 			}
 		case decide.StartTimer:
-			token := a.Token
-			r.after(a.Wait, func() {
-				if n.incarnation == life && !n.dead {
+			token := action.Token
+			r.after(action.Wait, func() {
+				if n.incarnation == incarnation && !n.dead {
 					r.perform(n, n.balancer.HandleTimer(r.balancerTime(r.now), decide.Timer{Token: token}, n.actionBuffer[:0]))
 				}
 			})
 		}
 	}
-	if n.incarnation == life {
+	if n.incarnation == incarnation {
 		n.actionBuffer = actions[:0]
 	}
 }
 
-// send makes an attempt.
-func (r *run) send(n *node, c *nodeRequest, a decide.Action) {
-	b := r.serversByID[n.tier][a.Server]
-	if c == nil || b == nil {
+// send makes an attempt of a request.
+func (r *run) send(n *node, req *nodeRequest, action decide.Action) {
+	srv := r.serversByID[n.tier][action.Server]
+	if req == nil || srv == nil {
 		return
 	}
-	t := &serverAttempt{request: c, node: n, number: len(c.attempts), server: b, sentAt: r.now, judgeID: -1, work: c.work}
-	c.attempts = append(c.attempts, t)
+	attempt := &serverAttempt{request: req, node: n, number: len(req.attempts), server: srv, sentAt: r.now, judgeID: -1, work: req.work}
+	req.attempts = append(req.attempts, attempt)
 	r.result.Attempts++
-	way := r.config.SiteLatency
-	if b.site != n.site {
-		way = r.config.CrossSiteLatency
+	latency := r.config.SiteLatency
+	if srv.site != n.site {
+		latency = r.config.CrossSiteLatency
 	}
-	life := n.incarnation
-	if b.staleKind > 0 {
-		r.sendToStaleAddress(t, a.Wait, way)
+	incarnation := n.incarnation
+	if srv.staleKind > 0 {
+		r.sendToStaleAddress(attempt, action.Wait, latency)
 		return
 	}
-	cut := r.unreachable(n, b)
-	if b.down && !cut {
-		r.after(2*way, func() { r.reportOutcome(t, life, decide.ConnectFailed) })
+	cut := r.unreachable(n, srv)
+	if srv.down && !cut {
+		r.after(2*latency, func() { r.reportOutcome(attempt, incarnation, decide.ConnectFailed) })
 		return
 	}
-	if _, has := n.connectedSince[b]; cut && !has { // no connection can be made
-		r.after(min(a.Wait, connectTimeout), func() { r.reportOutcome(t, life, decide.ConnectFailed) })
+	if _, connected := n.connectedSince[srv]; cut && !connected { // no connection can be made across the partition
+		r.after(min(action.Wait, connectTimeout), func() { r.reportOutcome(attempt, incarnation, decide.ConnectFailed) })
 		return
 	}
-	r.after(a.Wait, func() { // the node stops waiting
-		if !t.reported {
-			t.abandoned = true
-			r.recordEnd(t, judge.Abandoned)
-			r.reportOutcome(t, life, decide.TimedOut)
+	r.after(action.Wait, func() { // the attempt's timeout
+		if !attempt.reported {
+			attempt.abandoned = true
+			r.recordEnd(attempt, judge.Abandoned)
+			r.reportOutcome(attempt, incarnation, decide.TimedOut)
 		}
 	})
-	if cut { // it goes out on a connection that is there, and is never heard of again
+	if cut { // it is sent on an existing connection, and lost
 		return
 	}
-	if _, has := n.connectedSince[b]; !has {
-		n.connectedSince[b] = r.now
+	if _, connected := n.connectedSince[srv]; !connected {
+		n.connectedSince[srv] = r.now
 	}
-	if n.idleConns[b] > 0 {
-		n.idleConns[b]--
+	if n.idleConns[srv] > 0 {
+		n.idleConns[srv]--
 	} else {
 		r.result.Handshakes++
 	}
-	r.after(way, func() { r.handleArrival(t, way, life) })
+	r.after(latency, func() { r.handleArrival(attempt, latency, incarnation) })
 }
 
-// outcome tells a node how an attempt ended.
-func (r *run) reportOutcome(t *serverAttempt, life int, result decide.Result) {
-	n := t.node
-	if t.reported || n.incarnation != life || n.dead {
+// reportOutcome gives a node the outcome of an attempt, unless it has one or its process has ended.
+func (r *run) reportOutcome(attempt *serverAttempt, incarnation int, result decide.Result) {
+	n := attempt.node
+	if attempt.reported || n.incarnation != incarnation || n.dead {
 		return
 	}
-	t.reported = true
+	attempt.reported = true
 	if result == decide.Served || result == decide.Errored || result == decide.Rejected {
-		n.idleConns[t.server]++
+		n.idleConns[attempt.server]++
 	}
-	age := time.Duration(0)
-	if since, has := n.connectedSince[t.server]; has {
-		age = r.now - since
+	connAge := time.Duration(0)
+	if since, connected := n.connectedSince[attempt.server]; connected {
+		connAge = r.now - since
 	}
 	if result == decide.ConnectFailed {
-		delete(n.connectedSince, t.server)
+		delete(n.connectedSince, attempt.server)
 	}
-	final := t.request.answered
+	final := attempt.request.answered
 	if result == decide.Served && !final {
-		r.finishRequest(n, t.request, judge.Served, 0, t.server.id)
+		r.finishRequest(n, attempt.request, judge.Served, 0, attempt.server.id)
 		final = true
 	}
 	r.perform(n, n.balancer.HandleOutcome(r.balancerTime(r.now), decide.Outcome{
-		Request: t.request.id, Attempt: t.number, Server: t.server.id, Result: result, Elapsed: r.now - t.sentAt, ConnAge: age, Final: final,
+		Request: attempt.request.id, Attempt: attempt.number, Server: attempt.server.id, Result: result, Elapsed: r.now - attempt.sentAt, ConnAge: connAge, Final: final,
 	}, n.actionBuffer[:0]))
-	r.recordListResult(n, t.server.id, result)
+	r.recordListResult(n, attempt.server.id, result)
 }
 
-func (r *run) recordEnd(t *serverAttempt, how judge.AttemptOutcome) {
-	if t.judgeID >= 0 && !t.endRecorded {
-		t.endRecorded = true
-		r.judge.AttemptEnded(r.now, t.request.judgeKey, t.judgeID, how)
+// recordEnd gives the judge the outcome of an attempt, once.
+func (r *run) recordEnd(attempt *serverAttempt, outcome judge.AttemptOutcome) {
+	if attempt.judgeID >= 0 && !attempt.endRecorded {
+		attempt.endRecorded = true
+		r.judge.AttemptEnded(r.now, attempt.request.judgeKey, attempt.judgeID, outcome)
 	}
 }
--- a/internal/rig/virtual/past.go
+++ b/internal/rig/virtual/past.go
@@ -8,169 +8,173 @@
 	"curlewring/internal/servers/stalelist"
 )
 
-// Arm is what nodes make of an old list.
+// OldListMode selects how nodes use an old list.
 type OldListMode int
 
-// The arms.
+// Modes. TrustList and DiscardList are control cases.
 const (
-	VerifyList  OldListMode = iota // as a node with a memory does
-	TrustList                      // control: all of it is as the list says
-	DiscardList                    // control: there is none
+	VerifyList  OldListMode = iota // as real nodes do: entries are verified by their responses
+	TrustList                      // all entries are taken as current
+	DiscardList                    // nodes have no list until discovery is back
 )
 
-// Past has all nodes of the first tier start at once on an old list, while discovery is out.
+// OldList starts all nodes of the first tier at once with an old list, while discovery is unavailable.
 type OldList struct {
-	Mode         OldListMode
-	Age          time.Duration
-	StaleEntries int           // entries beside the boxes: half refuse, a quarter hang, at the others something else answers
-	Outage       time.Duration // until discovery answers, to each node within 300 ms
-	ColdServers  bool          // the boxes have just started
+	Mode OldListMode
+	Age  time.Duration // of the list
+	// StaleEntries is the number of entries in addition to the servers: half of them refuse connections, a quarter
+	// never answer, and a quarter are other processes.
+	StaleEntries int
+	Outage       time.Duration // until discovery is back; each node has the list at most 300 ms later
+	ColdServers  bool          // the servers have just started
 }
 
-// What stands at the address of a box that is no more.
+// What answers at the address of a server that no longer exists. wrongProcess is another process, which answers with
+// an error.
 const (
 	connectionRefused = 1 + iota
 	noResponse
 	wrongProcess
 )
 
-// remember makes the entries that are no more.
+// addStaleEntries creates the entries of servers that no longer exist.
 func (r *run) addStaleEntries() {
-	p := r.config.OldList
-	if p == nil {
+	oldList := r.config.OldList
+	if oldList == nil {
 		return
 	}
-	for i := range p.StaleEntries {
-		b := &server{id: fmt.Sprintf("old-%05d-%08x", i, r.rng.Uint32()), site: i % max(1, r.config.Sites), index: 1_000_000 + i}
-		b.staleKind = [...]int{connectionRefused, connectionRefused, noResponse, wrongProcess}[i%4]
-		r.serversByID[0][b.id] = b
-		r.staleEntries = append(r.staleEntries, b)
+	for i := range oldList.StaleEntries {
+		srv := &server{id: fmt.Sprintf("old-%05d-%08x", i, r.rng.Uint32()), site: i % max(1, r.config.Sites), index: 1_000_000 + i}
+		srv.staleKind = [...]int{connectionRefused, connectionRefused, noResponse, wrongProcess}[i%4]
+		r.serversByID[0][srv.id] = srv
+		r.staleEntries = append(r.staleEntries, srv)
 	}
-	if p.ColdServers {
-		for _, b := range r.servers[0] {
-			b.started = r.balancerTime(0)
+	if oldList.ColdServers {
+		for _, srv := range r.servers[0] {
+			srv.started = r.balancerTime(0)
 		}
 	}
 }
 
-// beginOld starts a node on what it remembers.
+// startOnOldList gives a starting node the old list, and schedules the end of the outage of discovery.
 func (r *run) startOnOldList(n *node) {
-	p := r.config.OldList
+	oldList := r.config.OldList
 	n.oldEntries = map[string]decide.Server{}
-	var all []decide.Server
+	var entries []decide.Server
 	var known []stalelist.Server
-	for _, b := range append(append([]*server{}, r.servers[0]...), r.staleEntries...) {
-		e := r.listEntry(b, decide.Healthy)
-		e.Started = 0 // as of the list's time: long ago
-		all = append(all, e)
-		known = append(known, stalelist.Server{ID: b.id, Rack: fmt.Sprint(e.Zone, "/", e.Cell)})
-		n.oldEntries[b.id] = e
+	for _, srv := range append(append([]*server{}, r.servers[0]...), r.staleEntries...) {
+		entry := r.listEntry(srv, decide.Healthy)
+		entry.Started = 0 // they started before the list was written
+		entries = append(entries, entry)
+		known = append(known, stalelist.Server{ID: srv.id, Rack: fmt.Sprint(entry.Zone, "/", entry.Cell)})
+		n.oldEntries[srv.id] = entry
 	}
-	switch p.Mode {
+	switch oldList.Mode {
 	case TrustList:
-		r.applyList(n, decide.ListUpdate{Kind: decide.ListStored, Servers: all})
+		r.applyList(n, decide.ListUpdate{Kind: decide.ListStored, Servers: entries})
 	case DiscardList:
 		r.applyList(n, decide.ListUpdate{Kind: decide.ListStored})
 	default:
 		work, share := 0.0, 0.0
-		for _, c := range r.config.Classes {
-			work, share = work+c.Share*c.Work.Seconds(), share+c.Share
+		for _, class := range r.config.Classes {
+			work, share = work+class.Share*class.Work.Seconds(), share+class.Share
 		}
-		n.priorRate = max(r.config.Rate/float64(len(all)), share/work) / float64(max(1, r.config.Nodes))
-		n.staleList = stalelist.New(stalelist.Settings{NodeName: n.name, NodeCount: r.settings.Nodes}, p.Age, true, known)
+		n.priorRate = max(r.config.Rate/float64(len(entries)), share/work) / float64(max(1, r.config.Nodes))
+		n.staleList = stalelist.New(stalelist.Settings{NodeName: n.name, NodeCount: r.settings.Nodes}, oldList.Age, true, known)
 		r.applyListChanges(n, n.staleList.OfferFirst(r.now), decide.ListStored)
 	}
-	life := n.incarnation
-	r.at(r.now+p.Outage+time.Duration(r.rng.Float64()*float64(300*time.Millisecond)), func() {
-		if n.dead || n.incarnation != life {
+	incarnation := n.incarnation
+	r.at(r.now+oldList.Outage+time.Duration(r.rng.Float64()*float64(300*time.Millisecond)), func() {
+		if n.dead || n.incarnation != incarnation {
 			return
 		}
 		n.staleList, n.oldEntries = nil, nil
-		var now []decide.Server
-		for _, b := range r.servers[0] {
-			if !b.down {
-				now = append(now, r.listEntry(b, decide.Healthy))
+		var current []decide.Server
+		for _, srv := range r.servers[0] {
+			if !srv.down {
+				current = append(current, r.listEntry(srv, decide.Healthy))
 			}
 		}
-		r.applyList(n, decide.ListUpdate{Kind: decide.ListFull, Servers: now})
+		r.applyList(n, decide.ListUpdate{Kind: decide.ListFull, Servers: current})
 	})
 }
 
-func (r *run) applyList(n *node, m decide.ListUpdate) {
-	r.perform(n, n.balancer.HandleList(r.balancerTime(r.now), m, n.actionBuffer[:0]))
+// applyList passes a list update to a node's module.
+func (r *run) applyList(n *node, update decide.ListUpdate) {
+	r.perform(n, n.balancer.HandleList(r.balancerTime(r.now), update, n.actionBuffer[:0]))
 }
 
-// offer tells a module which servers it may try, as a node's loop does.
-func (r *run) applyListChanges(n *node, offers []stalelist.Change, change decide.ListKind) {
+// applyListChanges tells a node's module which servers it may use, as a real node's event loop does.
+func (r *run) applyListChanges(n *node, changes []stalelist.Change, kind decide.ListKind) {
 	var servers []decide.Server
-	for _, o := range offers {
-		e := n.oldEntries[o.ID]
-		if o.State == stalelist.Withdrawn {
-			e.Health = decide.Removed
+	for _, change := range changes {
+		entry := n.oldEntries[change.ID]
+		if change.State == stalelist.Withdrawn {
+			entry.Health = decide.Removed
 		} else if !n.staleList.Fresh() {
-			if o.State == stalelist.Trying {
-				e.Started = r.balancerTime(r.now)
-				n.oldEntries[o.ID] = e
+			if change.State == stalelist.Trying {
+				entry.Started = r.balancerTime(r.now)
+				n.oldEntries[change.ID] = entry
 			}
-			e.Unverified = o.State == stalelist.Trying
+			entry.Unverified = change.State == stalelist.Trying
 		}
-		servers = append(servers, e)
+		servers = append(servers, entry)
 	}
-	m := decide.ListUpdate{Kind: change, Servers: servers, PriorRate: n.priorRate, FleetSize: n.staleList.EstimatedAlive()}
+	update := decide.ListUpdate{Kind: kind, Servers: servers, PriorRate: n.priorRate, FleetSize: n.staleList.EstimatedAlive()}
 	if n.staleList.Fresh() {
-		m.PriorRate, m.FleetSize = 0, 0
+		update.PriorRate, update.FleetSize = 0, 0
 	}
-	r.applyList(n, m)
+	r.applyList(n, update)
 	r.scheduleListRetry(n)
 }
 
-// tryAgain looks at those that failed once it is time.
+// scheduleListRetry schedules the time at which failed servers of the old list may be tried again.
 func (r *run) scheduleListRetry(n *node) {
 	at, ok := n.staleList.NextRetry()
 	if !ok || n.nextRetryAt > r.now && n.nextRetryAt <= at {
 		return
 	}
 	n.nextRetryAt = max(at, r.now+time.Millisecond)
-	life := n.incarnation
+	incarnation := n.incarnation
 	r.at(n.nextRetryAt, func() {
-		if n.dead || n.incarnation != life || n.staleList == nil {
+		if n.dead || n.incarnation != incarnation || n.staleList == nil {
 			return
 		}
 		n.nextRetryAt = 0
-		if offers := n.staleList.OfferDue(r.now); len(offers) > 0 {
-			r.applyListChanges(n, offers, decide.ListRestored)
+		if changes := n.staleList.OfferDue(r.now); len(changes) > 0 {
+			r.applyListChanges(n, changes, decide.ListRestored)
 			return
 		}
 		r.scheduleListRetry(n)
 	})
 }
 
-// weigh takes an outcome for the doubts.
+// recordListResult records the outcome of an attempt in the estimates for an old list.
 func (r *run) recordListResult(n *node, id string, result decide.Result) {
 	if n.staleList == nil {
 		return
 	}
-	if offers := n.staleList.RecordResult(r.now, id, result); len(offers) > 0 {
-		r.applyListChanges(n, offers, decide.ListRestored)
+	if changes := n.staleList.RecordResult(r.now, id, result); len(changes) > 0 {
+		r.applyListChanges(n, changes, decide.ListRestored)
 	} else {
 		r.scheduleListRetry(n)
 	}
 }
 
-// sendOld is an attempt at an address where no box is any more.
-func (r *run) sendToStaleAddress(t *serverAttempt, wait, way time.Duration) {
-	life := t.node.incarnation
+// sendToStaleAddress simulates an attempt at the address of a server that no longer exists.
+func (r *run) sendToStaleAddress(attempt *serverAttempt, timeout, latency time.Duration) {
+	incarnation := attempt.node.incarnation
 	r.result.StaleAttempts++
-	switch t.server.staleKind {
+	switch attempt.server.staleKind {
 	case connectionRefused:
-		r.after(2*way, func() { r.reportOutcome(t, life, decide.ConnectFailed) })
+		r.after(2*latency, func() { r.reportOutcome(attempt, incarnation, decide.ConnectFailed) })
 	case wrongProcess:
 		r.result.WrongProcessAttempts++
-		if r.config.Classes[t.request.class].Idempotency == decide.AtMostOnce {
+		if r.config.Classes[attempt.request.class].Idempotency == decide.AtMostOnce {
 			r.result.UnsafeMisdeliveries++
 		}
-		r.after(2*way, func() { r.reportOutcome(t, life, decide.Errored) })
+		r.after(2*latency, func() { r.reportOutcome(attempt, incarnation, decide.Errored) })
 	default:
-		r.after(wait, func() { r.reportOutcome(t, life, decide.TimedOut) })
+		r.after(timeout, func() { r.reportOutcome(attempt, incarnation, decide.TimedOut) })
 	}
 }
--- a/internal/rig/virtual/pool.go
+++ b/internal/rig/virtual/pool.go
@@ -9,55 +9,55 @@
 	"curlewring/internal/fleet/allowance"
 )
 
-// Pool lets the nodes of the first tier pool cold boxes' budgets: the real holders and dealers, on a network between the
-// nodes. Who is a member is told to all alike, so long after it is so; what membership itself does under faults is
-// played in package members.
+// Pool makes the nodes of the first tier pool the budgets of cold servers: the real lenders and allocators, on a
+// simulated network between the nodes. All nodes learn of a change of membership at the same time, with a delay;
+// package members simulates membership itself under faults.
 type Pool struct {
-	DetectionTime time.Duration // after a node's death all know it
-	MessageLoss   float64       // part of the messages between nodes that are lost
+	DetectionTime time.Duration // from a node's death until all other nodes know of it
+	MessageLoss   float64       // fraction of the messages between nodes that are lost
 }
 
-// poolTick is what the real node has.
+// poolTickInterval is the interval of real nodes.
 const poolTickInterval = 100 * time.Millisecond
 
-// pooling is a node's part.
+// poolParticipant is the state of a node that takes part in the pool.
 type poolParticipant struct {
-	memberID uint64 // of its life
-	lender *allowance.Lender
-	allocator *allowance.Allocator
-	coldServers  []decide.ColdServer
+	memberID    uint64 // identifies the node and its incarnation
+	lender      *allowance.Lender
+	allocator   *allowance.Allocator
+	coldServers []decide.ColdServer
 }
 
-// enroll begins a life's part in the pool.
+// joinPool makes a starting node take part in the pool.
 func (r *run) joinPool(n *node) {
 	if r.config.Pool == nil || n.tier > 0 {
 		return
 	}
 	now := r.balancerTime(r.now)
-	set := allowance.Settings{Window: r.settings.CollapseWindow}
-	born := now
-	if r.now == 0 { // none has had a life before
-		born = now - time.Minute
+	settings := allowance.Settings{Window: r.settings.CollapseWindow}
+	startedAt := now
+	if r.now == 0 { // no node was running before, so none is waiting for an old incarnation's loans to end
+		startedAt = now - time.Minute
 	}
 	n.pool = &poolParticipant{
 		memberID: uint64(n.index+1)<<20 | uint64(n.incarnation+1),
-		lender: allowance.NewLender(set, r.rng.Uint64(), born), allocator: allowance.NewAllocator(set),
+		lender:   allowance.NewLender(settings, r.rng.Uint64(), startedAt), allocator: allowance.NewAllocator(settings),
 	}
-	life := n.incarnation
-	me := allowance.Member{Life: n.pool.memberID, Site: strconv.Itoa(n.site)}
+	incarnation := n.incarnation
+	member := allowance.Member{Life: n.pool.memberID, Site: strconv.Itoa(n.site)}
 	join := func() {
-		if n.incarnation == life && !n.dead {
-			r.poolMembers = append(r.poolMembers, me)
+		if n.incarnation == incarnation && !n.dead {
+			r.poolMembers = append(r.poolMembers, member)
 		}
 	}
-	if r.now == 0 { // the fleet has long agreed
+	if r.now == 0 { // the membership is settled at the start
 		join()
 	} else {
 		r.after(r.config.Pool.DetectionTime/2, join)
 	}
 	var tick func()
 	tick = func() {
-		if n.incarnation != life || n.dead {
+		if n.incarnation != incarnation || n.dead {
 			return
 		}
 		r.runPoolTick(n)
@@ -68,65 +68,65 @@
 	r.after(time.Duration(r.rng.Int64N(int64(poolTickInterval))), tick)
 }
 
-// unroll has all others know of a node's death, later.
+// leavePool removes a dead node from the members once its death is detected.
 func (r *run) leavePool(n *node) {
 	if n.pool == nil {
 		return
 	}
-	gone := n.pool.memberID
+	memberID := n.pool.memberID
 	r.after(r.config.Pool.DetectionTime, func() {
-		r.poolMembers = slices.DeleteFunc(r.poolMembers, func(m allowance.Member) bool { return m.Life == gone })
+		r.poolMembers = slices.DeleteFunc(r.poolMembers, func(m allowance.Member) bool { return m.Life == memberID })
 	})
 }
 
-// poolStep is one tick of a node's holder.
+// runPoolTick runs one tick of a node's lender, and exchanges its claims for grants.
 func (r *run) runPoolTick(n *node) {
 	now := r.balancerTime(r.now)
 	n.pool.coldServers = n.balancer.ColdServers(now, n.pool.coldServers[:0])
 	if len(n.pool.coldServers) == 0 && n.pool.lender.LentServers(now) == 0 {
 		return
 	}
-	outs, deals := n.pool.lender.Tick(now, r.poolMembers, n.pool.coldServers)
-	if len(deals) > 0 {
-		r.perform(n, n.balancer.HandleGrants(now, deals, n.actionBuffer[:0]))
+	claims, grants := n.pool.lender.Tick(now, r.poolMembers, n.pool.coldServers)
+	if len(grants) > 0 {
+		r.perform(n, n.balancer.HandleGrants(now, grants, n.actionBuffer[:0]))
 	}
-	for _, o := range outs {
-		claim := o.Claim
+	for _, out := range claims {
+		claim := out.Claim
 		r.result.Claims++
-		r.sendPoolMessage(n, o.To, func(d *node) {
-			g, ok := d.pool.allocator.HandleClaim(r.balancerTime(r.now), &claim)
+		r.sendPoolMessage(n, out.To, func(allocatorNode *node) {
+			grant, ok := allocatorNode.pool.allocator.HandleClaim(r.balancerTime(r.now), &claim)
 			if !ok {
 				return
 			}
-			from := d.pool.memberID
-			r.sendPoolMessage(d, n.pool.memberID, func(n *node) {
+			from := allocatorNode.pool.memberID
+			r.sendPoolMessage(allocatorNode, n.pool.memberID, func(n *node) {
 				now := r.balancerTime(r.now)
-				if deals := n.pool.lender.HandleGrant(now, from, &g); len(deals) > 0 {
-					for _, x := range deals {
-						r.result.GrantedSends += x.Sends
+				if grants := n.pool.lender.HandleGrant(now, from, &grant); len(grants) > 0 {
+					for _, granted := range grants {
+						r.result.GrantedSends += granted.Sends
 					}
-					r.perform(n, n.balancer.HandleGrants(now, deals, n.actionBuffer[:0]))
+					r.perform(n, n.balancer.HandleGrants(now, grants, n.actionBuffer[:0]))
 				}
 			})
 		})
 	}
 }
 
-// word brings a message from one node to another's life.
-func (r *run) sendPoolMessage(from *node, to uint64, do func(*node)) {
-	i := int(to>>20) - 1
-	if i < 0 || i >= len(r.nodes) || r.rng.Float64() < r.config.Pool.MessageLoss {
+// sendPoolMessage delivers a message to an incarnation of another node, unless it is lost.
+func (r *run) sendPoolMessage(from *node, to uint64, handle func(*node)) {
+	nodeIndex := int(to>>20) - 1
+	if nodeIndex < 0 || nodeIndex >= len(r.nodes) || r.rng.Float64() < r.config.Pool.MessageLoss {
 		return
 	}
-	n := r.nodes[i]
-	way := r.config.SiteLatency
+	n := r.nodes[nodeIndex]
+	latency := r.config.SiteLatency
 	if n.site != from.site {
-		way = r.config.CrossSiteLatency
+		latency = r.config.CrossSiteLatency
 	}
-	r.after(way, func() {
+	r.after(latency, func() {
 		if n.dead || n.pool == nil || n.pool.memberID != to || n.site != from.site && r.sitesCut != nil && (r.sitesCut(n.site, from.site) || r.sitesCut(from.site, n.site)) {
 			return
 		}
-		do(n)
+		handle(n)
 	})
 }
--- a/internal/rig/virtual/pool_test.go
+++ b/internal/rig/virtual/pool_test.go
@@ -8,7 +8,7 @@
 // poolDay is a day on which cold boxes matter.
 type poolDay struct {
 	name string
-	inCI   bool
+	inCI bool
 	set  func(c *Config)
 }
 
--- a/internal/rig/virtual/registry_asker_test.go
+++ b/internal/rig/virtual/registry_asker_test.go
@@ -11,9 +11,9 @@
 type callFailure int
 
 const (
-	errorStatus callFailure = iota // the registry answered with an HTTP status, at once or after a wait
-	noConnection                   // none came up, or it was reset soon
-	pollReset                      // the connection of an open long poll was reset
+	errorStatus  callFailure = iota // the registry answered with an HTTP status, at once or after a wait
+	noConnection                    // none came up, or it was reset soon
+	pollReset                       // the connection of an open long poll was reset
 )
 
 // wholePatience is after how long a call for the whole list is given up.
@@ -25,14 +25,14 @@
 // asker is the real code of one node that decides when it asks and for how long. It is the one part of the rig that
 // knows the interfaces of packages decide and endpoints.
 type registryClient struct {
-	balancer *decide.Balancer
-	polls    *endpoints.PollSchedule
-	pacer     *endpoints.CallPacer
-	startDelay    time.Duration // how long a starting node that has a list leaves the turn to others
-	moveDelay   time.Duration // the same after the registry has moved
-	wallStart     time.Duration // at the run's begin
-	unreached     bool          // the last call did not get through
-	contacted    bool          // the registry, since the node started
+	balancer   *decide.Balancer
+	polls      *endpoints.PollSchedule
+	pacer      *endpoints.CallPacer
+	startDelay time.Duration // how long a starting node that has a list leaves the turn to others
+	moveDelay  time.Duration // the same after the registry has moved
+	wallStart  time.Duration // at the run's begin
+	unreached  bool          // the last call did not get through
+	contacted  bool          // the registry, since the node started
 }
 
 // newAsker starts the code of one node of a tier.
@@ -45,12 +45,12 @@
 	pace := endpoints.NewCallPacer(place)
 	asking := endpoints.NewCallTiming(place.NodeCount, time.Second)
 	return &registryClient{
-		wallStart:     wall,
-		balancer: decide.New(settings, place.Seed, now),
-		polls:    endpoints.NewPollSchedule(place),
-		pacer:     pace,
-		startDelay:    min(asking.StartDelay(true, draw), askWithin/2),
-		moveDelay:   pace.SpreadDelay(asking.StartSpread()),
+		wallStart:  wall,
+		balancer:   decide.New(settings, place.Seed, now),
+		polls:      endpoints.NewPollSchedule(place),
+		pacer:      pace,
+		startDelay: min(asking.StartDelay(true, draw), askWithin/2),
+		moveDelay:  pace.SpreadDelay(asking.StartSpread()),
 	}
 }
 
--- a/internal/rig/virtual/registry_cases_test.go
+++ b/internal/rig/virtual/registry_cases_test.go
@@ -11,9 +11,9 @@
 	day := fleetDay{
 		tiers: []int{47, 120, 153}, backlogFactor: defaultBacklogFactor, resubscribeWithin: defaultResubscribeWithin,
 		listLines: 100,
-		warmUp:  30 * time.Second, duration: 48 * time.Second,
-		outages: []outage{{3200 * time.Millisecond, 11200 * time.Millisecond, failsSlowly}},
-		restarts:  []restart{{at: 12760 * time.Millisecond, share: 0.7}},
+		warmUp:    30 * time.Second, duration: 48 * time.Second,
+		outages:  []outage{{3200 * time.Millisecond, 11200 * time.Millisecond, failsSlowly}},
+		restarts: []restart{{at: 12760 * time.Millisecond, share: 0.7}},
 	}
 	day.fleetCallTime = time.Duration(float64(day.nodeCount()) / callsPerSecond * float64(time.Second))
 	for at := 11060 * time.Millisecond; at < 23*time.Second; at += 850 * time.Millisecond {
--- a/internal/rig/virtual/registry_days_test.go
+++ b/internal/rig/virtual/registry_days_test.go
@@ -16,11 +16,11 @@
 const pollSpreadTime = 100 * time.Second
 
 const (
-	outageStart  = 3 * time.Second
-	outageEnd = 11 * time.Second
-	maxChangedLines = 20
+	outageStart       = 3 * time.Second
+	outageEnd         = 11 * time.Second
+	maxChangedLines   = 20
 	listToChangeRatio = 5                 // a whole list has so many times the lines of a change
-	recoveryPeriod   = 150 * time.Second // the longest recovery, and the longest poll after it
+	recoveryPeriod    = 150 * time.Second // the longest recovery, and the longest poll after it
 )
 
 // tiersOf shares nodes out: a sixth at the front, the others in two tiers.
--- a/internal/rig/virtual/registry_drains_test.go
+++ b/internal/rig/virtual/registry_drains_test.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	drainInterval = 900 * time.Millisecond // in a release, one server after the other
+	drainInterval     = 900 * time.Millisecond // in a release, one server after the other
 	replacementDelay  = 7600 * time.Millisecond
-	registrationDelay    = 400 * time.Millisecond // a new process, after the end of the one before
-	shortListLines   = 19
-	longListLines  = 21 // long polls alone
+	registrationDelay = 400 * time.Millisecond // a new process, after the end of the one before
+	shortListLines    = 19
+	longListLines     = 21 // long polls alone
 )
 
 // drainDay has servers of a short list drain one after the other and be replaced, in a fleet of one tier: each change has every
@@ -55,10 +55,10 @@
 
 // drainTally counts how nodes were told of drains.
 type drainTally struct {
-	deliveries int
-	late     int           // later than the grace after the drain was known for toldAfter, whatever calls were out
-	totalLateness       time.Duration // in all, each until the server was replaced at the most
-	inGap    int           // made between an answer to a watch and its next call, and told later than the grace
+	deliveries    int
+	late          int           // later than the grace after the drain was known for toldAfter, whatever calls were out
+	totalLateness time.Duration // in all, each until the server was replaced at the most
+	inGap         int           // made between an answer to a watch and its next call, and told later than the grace
 }
 
 // add counts one run.
--- a/internal/rig/virtual/registry_fleet_test.go
+++ b/internal/rig/virtual/registry_fleet_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	emptyCallLines = 40
-	defaultQueueTimeout   = 2 * time.Second
+	emptyCallLines      = 40
+	defaultQueueTimeout = 2 * time.Second
 	// drainGrace is by how much later than it counts as told a change may come.
 	drainGrace = 500 * time.Millisecond
 )
@@ -32,23 +32,23 @@
 
 // fleetDay is a fleet, its registry, and what happens to both. Times are after the warm-up.
 type fleetDay struct {
-	tiers      []int         // nodes in each; the first is the front, and its list alone changes
-	fleetCallTime time.Duration // in which the registry works through an empty call of each node
-	queueTimeout    time.Duration // of a call in the queue; 0: the usual one
-	backlogFactor   float64
+	tiers             []int         // nodes in each; the first is the front, and its list alone changes
+	fleetCallTime     time.Duration // in which the registry works through an empty call of each node
+	queueTimeout      time.Duration // of a call in the queue; 0: the usual one
+	backlogFactor     float64
 	externalShare     float64 // share of the capacity that callers outside the fleet ask for
-	resubscribeWithin  time.Duration
-	listLines    int  // lines of the whole list
-	fullListAnswers bool // answers with news hold it, and not the changes
+	resubscribeWithin time.Duration
+	listLines         int  // lines of the whole list
+	fullListAnswers   bool // answers with news hold it, and not the changes
 
-	warmUp  time.Duration // 0: all begin in the first second
-	duration  time.Duration // after the warm-up
-	outages []outage
-	changes []change
-	restarts  []restart
+	warmUp          time.Duration // 0: all begin in the first second
+	duration        time.Duration // after the warm-up
+	outages         []outage
+	changes         []change
+	restarts        []restart
 	registryMoves   []time.Duration // of the registry, told to all nodes
-	pollSilences  []time.Duration // when open polls fall silent, once
-	externalBursts  []externalBurst         // of callers outside the fleet
+	pollSilences    []time.Duration // when open polls fall silent, once
+	externalBursts  []externalBurst // of callers outside the fleet
 	randomWallClock bool            // the wall clock, by which nodes take turns, is drawn
 }
 
@@ -56,11 +56,11 @@
 type externalBurst struct{ at, work time.Duration }
 
 const (
-	maxWallClockOffset   = time.Minute
-	restartTime = 500 * time.Millisecond
-	moveSpread   = 200 * time.Millisecond // SIGHUP does not reach all at once
-	defaultBacklogFactor    = 2
-	defaultResubscribeWithin  = 10 * time.Second
+	maxWallClockOffset       = time.Minute
+	restartTime              = 500 * time.Millisecond
+	moveSpread               = 200 * time.Millisecond // SIGHUP does not reach all at once
+	defaultBacklogFactor     = 2
+	defaultResubscribeWithin = 10 * time.Second
 )
 
 // fleetRun is a day as it is played.
@@ -182,14 +182,14 @@
 
 // fleetResult is what came of a day.
 type fleetResult struct {
-	lateness  []time.Duration // of each telling to a front node, sorted
-	ages      []time.Duration // of each change as it was told, sorted
+	lateness        []time.Duration // of each telling to a front node, sorted
+	ages            []time.Duration // of each change as it was told, sorted
 	undelivered     int             // tellings that did not come
-	lateNodes float64         // share of front nodes that were told too late, beyond the grace
-	perSecond []callCounts // from the warm-up's end
-	allReachedAfter   time.Duration   // from the last return until each node has been heard once; below 0: not all were
-	allCurrentAfter    time.Duration   // from the last return or change, whichever was later, until all have the newest list; below 0: not all have
-	capacity  float64
+	lateNodes       float64         // share of front nodes that were told too late, beyond the grace
+	perSecond       []callCounts    // from the warm-up's end
+	allReachedAfter time.Duration   // from the last return until each node has been heard once; below 0: not all were
+	allCurrentAfter time.Duration   // from the last return or change, whichever was later, until all have the newest list; below 0: not all have
+	capacity        float64
 }
 
 // secondOfCalls is what came in one second, by the time of the call.
--- a/internal/rig/virtual/registry_hard_test.go
+++ b/internal/rig/virtual/registry_hard_test.go
@@ -13,10 +13,10 @@
 	// queue with a part of the others' is answered at first, and the pauses must grow until that has ended.
 	maxRecoveryTime     = 20 * time.Second
 	maxSlowRecoveryTime = 100 * time.Second
-	maxFastCallTime        = 4 * time.Second
+	maxFastCallTime     = 4 * time.Second
 	// recoveredShare is the least share of the calls of a day's last seconds that must be answered.
 	minAnsweredShare = 0.95
-	finalPeriod       = 5 * time.Second
+	finalPeriod      = 5 * time.Second
 	// toldInTime is the time for a call of each node within which all changes must be told in time as well.
 	maxTimelyCallTime = 2 * time.Second
 )
@@ -42,16 +42,16 @@
 
 // hardRow sums one case up over its seeds.
 type faultSummary struct {
-	lateness       []time.Duration
-	undelivered          int
-	lateNodes      float64 // mean
-	calls          float64 // a second, mean
-	answered       float64 // of the last seconds, least
-	overloadedFor          time.Duration
-	allReachedAfter        time.Duration
-	allCurrentAfter         time.Duration
-	unreachedRuns  int // runs in which not all nodes were heard
-	outdatedRuns int // runs in which not all nodes had the newest list
+	lateness        []time.Duration
+	undelivered     int
+	lateNodes       float64 // mean
+	calls           float64 // a second, mean
+	answered        float64 // of the last seconds, least
+	overloadedFor   time.Duration
+	allReachedAfter time.Duration
+	allCurrentAfter time.Duration
+	unreachedRuns   int // runs in which not all nodes were heard
+	outdatedRuns    int // runs in which not all nodes had the newest list
 }
 
 // playHard plays a day over seeds.
--- a/internal/rig/virtual/registry_node_test.go
+++ b/internal/rig/virtual/registry_node_test.go
@@ -21,8 +21,8 @@
 
 const (
 	unanswered watchState = iota // a new process, or the last call failed, was refused or given up
-	paused                     // the last call was answered, and no watch is open
-	watching                   // a long poll is open, or goes on
+	paused                       // the last call was answered, and no watch is open
+	watching                     // a long poll is open, or goes on
 )
 
 // gap is the time from an answer to a watch until the call that goes on with it, or watchGap if none does.
@@ -30,44 +30,44 @@
 
 // missed is a change that a node has not been told.
 type pendingChange struct {
-	madeAt     time.Duration // when it was made
+	madeAt time.Duration // when it was made
 	inGap  bool          // between an answer to a watch and the call that goes on with it
 	late   bool
-	dueAt time.Duration // when it came to count as told
+	dueAt  time.Duration // when it came to count as told
 }
 
 // telling is how a node was told a change, or that it was not.
 type delivery struct {
-	madeAt     time.Duration
-	age      time.Duration // since the change was made
-	lateness time.Duration // since it counted as told; below 0: in time
-	inGap    bool          // it was made between an answer to a watch and the call that goes on with it
-	undelivered    bool          // the node's life or the run ended first
+	madeAt      time.Duration
+	age         time.Duration // since the change was made
+	lateness    time.Duration // since it counted as told; below 0: in time
+	inGap       bool          // it was made between an answer to a watch and the call that goes on with it
+	undelivered bool          // the node's life or the run ended first
 }
 
 // fleetNode is one node as it asks the registry, and the judge of what it was told in time.
 type fleetNode struct {
-	registry   *registryService
-	position     endpoints.FleetPosition
-	tier      int
+	registry          *registryService
+	position          endpoints.FleetPosition
+	tier              int
 	resubscribeWithin time.Duration
-	client     *registryClient
-	alive     bool
-	incarnation      int // counts starts: pauses of older ones are dropped
-	call      *registryCall
-	knownChanges     int // changes of its list that it has been told
+	client            *registryClient
+	alive             bool
+	incarnation       int // counts starts: pauses of older ones are dropped
+	call              *registryCall
+	knownChanges      int // changes of its list that it has been told
 
-	state     watchState
+	state             watchState
 	stateSince        time.Duration // of the standing
-	startedAt      time.Duration
-	lastAnswerAt   time.Duration
-	firstContactAt   time.Duration // the first answer, or poll taken up, since the registry was last back
-	pollEnd      time.Duration // of the watch's present poll
-	pollSilent       bool
+	startedAt         time.Duration
+	lastAnswerAt      time.Duration
+	firstContactAt    time.Duration // the first answer, or poll taken up, since the registry was last back
+	pollEnd           time.Duration // of the watch's present poll
+	pollSilent        bool
 	excusedUntil      time.Duration // what silent calls have missed counts as told no sooner
-	gaps         []callGap         // after each answer to a watch
-	pending      []pendingChange
-	deliveries     []delivery
+	gaps              []callGap     // after each answer to a watch
+	pending           []pendingChange
+	deliveries        []delivery
 	newestDeliveredAt time.Duration
 }
 
--- a/internal/rig/virtual/registry_service_test.go
+++ b/internal/rig/virtual/registry_service_test.go
@@ -17,12 +17,12 @@
 type outageKind int
 
 const (
-	reachable             outageKind = iota
-	failsSlowly               // 503 after 2 s
-	rejectsAtOnce             // 503 at once
-	resetsConnections              // the connection is reset
-	dropsCalls             // no answer, and open polls stay open
-	outageKindsEnd            // not a kind
+	reachable         outageKind = iota
+	failsSlowly                  // 503 after 2 s
+	rejectsAtOnce                // 503 at once
+	resetsConnections            // the connection is reset
+	dropsCalls                   // no answer, and open polls stay open
+	outageKindsEnd               // not a kind
 	// openLeast is how long a call must have been out for its reset to be that of an open poll.
 	minOpenPollAge = 500 * time.Millisecond
 )
@@ -39,9 +39,9 @@
 
 // tierList is the list that the registry keeps for the nodes of one tier.
 type tierList struct {
-	totalLines int  // lines of the whole list: an answer holds each server once
-	fullAnswers   bool // all answers with news hold the whole list
-	changes []change
+	totalLines  int  // lines of the whole list: an answer holds each server once
+	fullAnswers bool // all answers with news hold the whole list
+	changes     []change
 }
 
 // linesSince is how many lines an answer takes to one that knows so many changes.
@@ -66,27 +66,27 @@
 
 // service is the registry as the calls of a fleet find it: the queue, the open polls and the outages.
 type registryService struct {
-	events    timeline.Events
-	now       time.Duration
+	events         timeline.Events
+	now            time.Duration
 	wallStart      time.Duration // time of the wall clock at the run's begin
-	queue     *registry.Queue
-	callLines float64
-	lists     []tierList // by tier
-	nodes     []*fleetNode
-	outage    outageKind
-	reachableSince      time.Duration // when it could last be reached again
-	calls     []callRecord
+	queue          *registry.Queue
+	callLines      float64
+	lists          []tierList // by tier
+	nodes          []*fleetNode
+	outage         outageKind
+	reachableSince time.Duration // when it could last be reached again
+	calls          []callRecord
 }
 
 // registryCall is a call of one node.
 type registryCall struct {
-	node      *fleetNode
-	startedAt     time.Duration
-	whole     bool          // for the whole list, which is answered at once
-	pollEnd   time.Duration // when the registry ends the poll, whether or not there is news
-	open      bool          // worked through, and waiting for news
-	answerSent   bool          // its answer is on the way
-	dropped bool          // nothing reaches the node any more
+	node       *fleetNode
+	startedAt  time.Duration
+	whole      bool          // for the whole list, which is answered at once
+	pollEnd    time.Duration // when the registry ends the poll, whether or not there is news
+	open       bool          // worked through, and waiting for news
+	answerSent bool          // its answer is on the way
+	dropped    bool          // nothing reaches the node any more
 	ended      bool          // the node has its end
 }
 
--- a/internal/rig/virtual/sort.go
+++ b/internal/rig/virtual/sort.go
@@ -5,5 +5,5 @@
 	"slices"
 )
 
-// ids lists calls in order, so that a run does not depend on a map's.
-func sortedIDs(calls map[uint64]*nodeRequest) []uint64 { return slices.Sorted(maps.Keys(calls)) }
+// sortedIDs returns the IDs of requests in ascending order: a run must not depend on map iteration order.
+func sortedIDs(requests map[uint64]*nodeRequest) []uint64 { return slices.Sorted(maps.Keys(requests)) }
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -159,9 +159,9 @@
 
 // cell is one place of the table over boxes, service times and loads.
 type loadCase struct {
-	cores   int
-	work time.Duration
-	load    float64
+	cores int
+	work  time.Duration
+	load  float64
 }
 
 // play runs a cell under a rule and returns service, wrong refusals and lateness.
