--- a/internal/rig/virtual/mass_test.go
+++ b/internal/rig/virtual/mass_test.go
@@ -7,8 +7,8 @@
 	"curlewring/decide"
 )
 
-// mass is a fleet of 300 nodes before 120 boxes of the kinds of the service, at
-// four sites: each node sees a few requests a second, each box many nodes.
+// largeFleet returns a fleet of 300 nodes and 120 servers of the service's kinds, at four sites. Each node gets a few
+// requests per second, and each server has connections from many nodes.
 func largeFleet() Config {
 	c := Default()
 	c.Nodes, c.Sites = 300, 4
@@ -25,52 +25,52 @@
 	return c
 }
 
-// replaced takes a share of the boxes out in steps, and starts others in their places.
-func replaceServers(share float64, from, over time.Duration, steps int) []Step {
-	var all []Step
-	for k := range steps {
-		all = append(all, Step{At: from + over*time.Duration(k)/time.Duration(steps), Replace: true, Servers: func(i, _ int) bool {
-			return float64(i*7919%1000) < 1000*share && i/4%steps == k
+// replaceServers returns steps that replace a fraction of the servers, one group after the other.
+func replaceServers(share float64, from, over time.Duration, groups int) []Step {
+	var replacements []Step
+	for group := range groups {
+		replacements = append(replacements, Step{At: from + over*time.Duration(group)/time.Duration(groups), Replace: true, Servers: func(i, _ int) bool {
+			return float64(i*7919%1000) < 1000*share && i/4%groups == group
 		}})
 	}
-	return all
+	return replacements
 }
 
-// restarted kills a tenth of the nodes after the other and starts it again.
+// restartNodes returns steps that kill and restart one tenth of the nodes after the other.
 func restartNodes(from, over time.Duration) []Step {
-	var all []Step
-	for k := range 10 {
-		at := from + over*time.Duration(k)/10
-		tenth := func(i int) bool { return i%10 == k }
-		all = append(all, Step{At: at, Nodes: tenth, KillNodes: true}, Step{At: at + 500*time.Millisecond, Nodes: tenth, StartNodes: true})
+	var steps []Step
+	for group := range 10 {
+		at := from + over*time.Duration(group)/10
+		tenth := func(i int) bool { return i%10 == group }
+		steps = append(steps, Step{At: at, Nodes: tenth, KillNodes: true}, Step{At: at + 500*time.Millisecond, Nodes: tenth, StartNodes: true})
 	}
-	return all
+	return steps
 }
 
-// The troubles of the operators' days at full size. On each the rules hold and
-// a floor is served, a little under what ten seeds gave (docs/operators/fleet-test.md).
+// The faults that operators describe, in a large fleet. The rules must hold, and a minimum must be served that is a
+// little below the results of ten seeds (docs/operators/fleet-test.md).
 func TestLargeFleetFaults(t *testing.T) {
-	half, none := 0.04, 0.0
-	for _, x := range []struct {
-		name  string
-		ci    bool    // played there, too: all six take two minutes of a slow machine
-		least float64 // weighted service
-		set   func(c *Config)
+	faultShare, noFaults := 0.04, 0.0
+	for _, test := range []struct {
+		name           string
+		inCI           bool // run in CI, too: all six take two minutes on a slow machine
+		minServedWorth float64
+		set            func(c *Config)
 	}{
-		{"calm, with a burst", false, 0.96, func(c *Config) {
+		{"a traffic burst, no faults", false, 0.96, func(c *Config) {
 			c.Steps = []Step{{At: 5 * time.Second, RateFactor: 1.5}, {At: 9 * time.Second, RateFactor: 1}}
 		}},
-		{"half of the boxes replaced while the nodes restart by tenths", false, 0.94, func(c *Config) {
+		{"half of the servers replaced while the nodes restart by tenths", false, 0.94, func(c *Config) {
 			c.Steps = append(replaceServers(0.5, 2*time.Second, 8*time.Second, 4), restartNodes(2*time.Second, 8*time.Second)...)
 		}},
-		{"seven in ten nodes killed at once, discovery slow, one box in eight bad", false, 0.94, func(c *Config) {
+		{"70% of the nodes killed at once, discovery slow, one server in eight failing", false, 0.94, func(c *Config) {
 			c.ListLineRate = 12000
 			c.Steps = append(replaceServers(0.3, 2*time.Second, 6*time.Second, 3),
 				Step{At: 0, Servers: func(i, _ int) bool { return i%8 == 3 }, FailFast: true},
 				Step{At: 5 * time.Second, Nodes: func(i int) bool { return i%10 < 7 }, KillNodes: true},
 				Step{At: 7 * time.Second, Nodes: func(i int) bool { return i%10 < 7 }, StartNodes: true})
 		}},
-		{"a site lost and back cold, another cut off, one box in eight slow", false, 0.83, func(c *Config) {
+		{"a site lost and back cold, another partitioned, one server in eight slow", false, 0.83, func(c *Config) {
 			c.Steps = []Step{
 				{At: 0, Servers: func(i, _ int) bool { return i%8 == 3 }, Slowdown: 5},
 				{At: 2 * time.Second, Servers: func(_, site int) bool { return site == 1 }, Down: true},
@@ -79,19 +79,19 @@
 				{At: 9 * time.Second, Cut: func(int, int) bool { return false }},
 			}
 		}},
-		{"a site cut off for 6 s, answers lost and reset, lists late", false, 0.94, func(c *Config) {
+		{"a site partitioned for 6 s, responses lost and reset, lists late", false, 0.94, func(c *Config) {
 			c.ListDelay = 6 * time.Second
 			c.Steps = []Step{
-				{At: 3 * time.Second, Cut: func(a, _ int) bool { return a == 0 }, AnswerLoss: &half, ResetShare: &half},
-				{At: 9 * time.Second, Cut: func(int, int) bool { return false }, AnswerLoss: &none, ResetShare: &none},
+				{At: 3 * time.Second, Cut: func(a, _ int) bool { return a == 0 }, AnswerLoss: &faultShare, ResetShare: &faultShare},
+				{At: 9 * time.Second, Cut: func(int, int) bool { return false }, AnswerLoss: &noFaults, ResetShare: &noFaults},
 			}
 		}},
-		{"six in ten boxes replaced within 7 s under a burst", true, 0.93, func(c *Config) {
+		{"60% of the servers replaced within 7 s during a burst", true, 0.93, func(c *Config) {
 			c.Steps = append(replaceServers(0.6, 3*time.Second, 7*time.Second, 3), Step{At: 3 * time.Second, RateFactor: 1.3}, Step{At: 9 * time.Second, RateFactor: 1})
 		}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if !x.ci && !longTests() {
+		t.Run(test.name, func(t *testing.T) {
+			if !test.inCI && !longTests() {
 				t.Skip("set CURLEWRING_LONG=1")
 			}
 			seeds := uint64(1)
@@ -100,16 +100,16 @@
 			}
 			for seed := range seeds {
 				c := largeFleet()
-				x.set(&c)
+				test.set(&c)
 				c.Seed = seed + 1
 				r := Run(c)
 				if len(r.Breaches) > 0 {
 					t.Errorf("seed %d: %s", c.Seed, firstBreach(r.Breaches))
 				}
-				t.Logf("seed %d: service %.3f, %.2f attempts a request, at most %.2f of a cold box's budget",
+				t.Logf("seed %d: served worth %.3f, %.2f attempts per request, at most %.2f of a cold server's budget",
 					c.Seed, r.ServedWorth, float64(r.Attempts)/float64(requestCount(r)), r.ColdWorkRatio)
-				if r.ServedWorth < x.least {
-					t.Errorf("seed %d: service %.3f, at least %.3f is wanted", c.Seed, r.ServedWorth, x.least)
+				if r.ServedWorth < test.minServedWorth {
+					t.Errorf("seed %d: served worth %.3f, want at least %.3f", c.Seed, r.ServedWorth, test.minServedWorth)
 				}
 			}
 		})
@@ -117,20 +117,20 @@
 }
 
 func requestCount(r *Result) (n int) {
-	for _, c := range r.Classes {
-		n += c.Requests
+	for _, class := range r.Classes {
+		n += class.Requests
 	}
 	return n
 }
 
-// Where a new connection has a price fewer are made, and no less is served.
+// With a penalty for new connections nodes must open fewer of them, and serve as much.
 func TestHandshakePenaltyReducesConnections(t *testing.T) {
-	free, priced := largeFleet(), largeFleet()
+	free, penalized := largeFleet(), largeFleet()
 	free.HandshakePenalty = 0
-	free.Duration, priced.Duration = 8*time.Second, 8*time.Second
-	a, b := Run(free), Run(priced)
-	t.Logf("connections made: %d, %d with their price; service %.4f, %.4f", a.Handshakes, b.Handshakes, a.ServedWorth, b.ServedWorth)
-	if float64(b.Handshakes) > 0.9*float64(a.Handshakes) || b.ServedWorth < a.ServedWorth-0.01 {
-		t.Errorf("connections made: %d, with their price %d; service %.4f, %.4f", a.Handshakes, b.Handshakes, a.ServedWorth, b.ServedWorth)
+	free.Duration, penalized.Duration = 8*time.Second, 8*time.Second
+	freeResult, penalizedResult := Run(free), Run(penalized)
+	t.Logf("connections opened: %d, %d with the penalty; served worth %.4f, %.4f", freeResult.Handshakes, penalizedResult.Handshakes, freeResult.ServedWorth, penalizedResult.ServedWorth)
+	if float64(penalizedResult.Handshakes) > 0.9*float64(freeResult.Handshakes) || penalizedResult.ServedWorth < freeResult.ServedWorth-0.01 {
+		t.Errorf("connections opened: %d, %d with the penalty; served worth %.4f, %.4f, want at most 90%% of the connections", freeResult.Handshakes, penalizedResult.Handshakes, freeResult.ServedWorth, penalizedResult.ServedWorth)
 	}
 }
--- a/internal/rig/virtual/scale_test.go
+++ b/internal/rig/virtual/scale_test.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Large fleets: how evenly boxes are loaded, how many connections they hold, and
-// how long a virtual minute takes. CI plays the small ones.
+// Large fleets must serve nearly all requests and keep the rules. The log shows how evenly servers are loaded, how many
+// connections they hold, and how long a virtual minute takes. CI runs the small fleets.
 func TestScale(t *testing.T) {
 	type size struct {
-		nodes, boxes, sites int
-		length              time.Duration
-		churn               float64
+		nodes, servers, sites int
+		duration              time.Duration
+		churn                 float64
 	}
 	sizes := []size{{10, 10, 1, 4 * time.Second, 0}, {10, 100, 4, 4 * time.Second, 0.05}}
 	if longTests() {
 		sizes = append(sizes, size{100, 1000, 12, 20 * time.Second, 0}, size{100, 1000, 12, 20 * time.Second, 0.05},
 			size{2000, 1000, 12, 10 * time.Second, 0}, size{2000, 10000, 12, 4 * time.Second, 0.05}, size{2000, 10000, 12, 60 * time.Second, 0})
 	}
-	for _, s := range sizes {
+	for _, fleet := range sizes {
 		c := Default()
-		c.Nodes, c.Sites, c.Kinds = s.nodes, s.sites, []ServerKind{{Count: s.boxes, Cores: 2, Speed: 1}}
-		c.Duration, c.Churn, c.JudgeEvery = s.length, s.churn, max(1, s.boxes/100)
+		c.Nodes, c.Sites, c.Kinds = fleet.nodes, fleet.sites, []ServerKind{{Count: fleet.servers, Cores: 2, Speed: 1}}
+		c.Duration, c.Churn, c.JudgeEvery = fleet.duration, fleet.churn, max(1, fleet.servers/100)
 		c.Rate = c.Capacity() * 0.3
-		begun := time.Now()
+		startedAt := time.Now()
 		r := Run(c)
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
+		var memory runtime.MemStats
+		runtime.ReadMemStats(&memory)
 		t.Logf("| %d | %d | %d | %.0f%% | %.4f | %.2f | %.1f | %v virtual in %.1f s, %.1f million events, %.1f GB |",
-			s.nodes, s.boxes, s.sites, 100*s.churn, r.ServedWorth, r.PeakLoadRatio, r.ConnsPerServer, s.length, time.Since(begun).Seconds(),
-			float64(r.Events)/1e6, float64(m.HeapSys)/(1<<30))
+			fleet.nodes, fleet.servers, fleet.sites, 100*fleet.churn, r.ServedWorth, r.PeakLoadRatio, r.ConnsPerServer, fleet.duration, time.Since(startedAt).Seconds(),
+			float64(r.Events)/1e6, float64(memory.HeapSys)/(1<<30))
 		if r.ServedWorth < 0.98 || len(r.Breaches) > 0 {
-			t.Errorf("%+v: service %.4f, %v", s, r.ServedWorth, firstBreach(r.Breaches))
+			t.Errorf("%+v: served worth %.4f, %v", fleet, r.ServedWorth, firstBreach(r.Breaches))
 		}
 	}
 }
 
-func firstBreach(all []string) string {
-	if len(all) == 0 {
+// firstBreach describes breaches by their number and the first one.
+func firstBreach(breaches []string) string {
+	if len(breaches) == 0 {
 		return "no breach"
 	}
-	return fmt.Sprintf("%d breaches, the first: %s", len(all), all[0])
+	return fmt.Sprintf("%d breaches, the first: %s", len(breaches), breaches[0])
 }
 
-// A site that is lost and comes back cold must not drown the others, nor be
-// pushed over itself.
+// A site that fails and returns cold must not overload the others, nor be overloaded itself.
 func TestSiteLossAndReturn(t *testing.T) {
 	c := Default()
 	c.Nodes, c.Sites, c.Kinds = 8, 4, []ServerKind{{Count: 40, Cores: 2, Speed: 1}}
@@ -55,12 +55,12 @@
 	lost := func(_, site int) bool { return site == 1 }
 	c.Steps = []Step{{At: 5 * time.Second, Servers: lost, Down: true}, {At: 12 * time.Second, Servers: lost, Up: true}}
 	r := Run(c)
-	t.Logf("service %.4f, %d attempts, %+v", r.ServedWorth, r.Attempts, r.Classes)
+	t.Logf("served worth %.4f, %d attempts, %+v", r.ServedWorth, r.Attempts, r.Classes)
 	if len(r.Breaches) > 0 {
 		t.Error(firstBreach(r.Breaches))
 	}
-	// Three quarters of the boxes are left for four fifths of their capacity in traffic.
+	// Three quarters of the servers are left, and the traffic is four fifths of their capacity.
 	if r.ServedWorth < 0.95 {
-		t.Errorf("service %.4f", r.ServedWorth)
+		t.Errorf("served worth %.4f, want at least 0.95", r.ServedWorth)
 	}
 }
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -18,9 +18,10 @@
 
 const ms = time.Millisecond
 
+// longTests reports whether the long versions of the tests are wanted.
 func longTests() bool { return os.Getenv("CURLEWRING_LONG") != "" }
 
-// The same configuration must give the same run, or no figure can be repeated.
+// The same configuration and seed must give the same run. Otherwise no result can be reproduced.
 func TestRunsAreDeterministic(t *testing.T) {
 	c := Default()
 	c.LowerKinds, c.CallsPerRequest, c.Churn = []ServerKind{{Count: 12, Cores: 2, Speed: 1}}, 2, 0.05
@@ -32,42 +33,41 @@
 	}
 	a, b := Run(c), Run(c)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("two runs differ:\n%+v\n%+v", a, b)
+		t.Errorf("two runs of the same configuration differ:\n%+v\n%+v", a, b)
 	}
 	c.Seed++
 	if reflect.DeepEqual(a.Classes, Run(c).Classes) {
-		t.Error("another seed gives the same run")
+		t.Error("another seed gives the same result")
 	}
 }
 
-// Boxes must behave as queues do: at half load little waits, and capacity is what
-// the cores can do.
+// Servers must behave as queues do: at half load requests hardly wait, and the cores limit the throughput.
 func TestServersBehaveAsQueues(t *testing.T) {
 	c := Default()
 	c.Rate = c.Capacity() / 2
 	r := Run(c)
-	if m := r.Classes[1].Mean(); m < 100*ms || m > 150*ms {
-		t.Errorf("a mean of %v at half load, the work is 100 ms", m)
+	if mean := r.Classes[1].Mean(); mean < 100*ms || mean > 150*ms {
+		t.Errorf("mean response time at half load: %v, the work takes 100 ms", mean)
 	}
 	c.Rate, c.LimitMode, c.Retries, c.Duration = 2*c.Capacity(), decide.LimitNone, 0, 30*time.Second
 	r = Run(c)
 	served := 0
-	for _, x := range r.Classes {
-		served += x.Served + x.Late
+	for _, class := range r.Classes {
+		served += class.Served + class.Late
 	}
 	if rate := float64(served) / r.AnsweringTime.Seconds(); rate > c.Capacity()*1.05 || rate < c.Capacity()*0.5 {
-		t.Errorf("%.0f a second were served, the boxes can do %.0f", rate, c.Capacity())
+		t.Errorf("%.0f requests per second were served, the capacity is %.0f", rate, c.Capacity())
 	}
 }
 
-// Whatever fleet and faults, the real module must keep the four rules.
+// The real module must keep the four rules in random fleets with random faults.
 func TestRandomFleetsKeepTheRules(t *testing.T) {
 	checks := 40
 	if longTests() {
 		checks = 1000
 	}
 	n := 0
-	// The same fleets in every run; others by -rapid.seed=...
+	// Every run draws the same fleets, unless -rapid.seed is given.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
 		if err := f.Value.Set("1"); err != nil {
 			t.Fatal(err)
@@ -104,27 +104,28 @@
 		c.ReportedNodes = rapid.SampledFrom([]int{0, 1, c.Nodes, 100}).Draw(t, "told")
 		for range rapid.IntRange(0, 4).Draw(t, "faults") {
 			at := time.Duration(rapid.IntRange(500, 4000).Draw(t, "at")) * ms
-			which := rapid.IntRange(0, 5).Draw(t, "box")
-			hit := func(i, _ int) bool { return i%6 == which }
-			node := func(i int) bool { return i == which }
+			target := rapid.IntRange(0, 5).Draw(t, "box")
+			servers := func(i, _ int) bool { return i%6 == target }
+			nodes := func(i int) bool { return i == target }
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
-				c.Steps = append(c.Steps, Step{At: at, Servers: hit, Slowdown: 8}, Step{At: at + time.Second, Servers: hit, Slowdown: 1})
+				c.Steps = append(c.Steps, Step{At: at, Servers: servers, Slowdown: 8}, Step{At: at + time.Second, Servers: servers, Slowdown: 1})
 			case 1:
-				c.Steps = append(c.Steps, Step{At: at, Servers: hit, Down: true}, Step{At: at + time.Second, Servers: hit, Up: true})
+				c.Steps = append(c.Steps, Step{At: at, Servers: servers, Down: true}, Step{At: at + time.Second, Servers: servers, Up: true})
 			case 2:
-				c.Steps = append(c.Steps, Step{At: at, Servers: hit, RejectAll: true}, Step{At: at + time.Second, Servers: hit, AcceptAll: true})
+				c.Steps = append(c.Steps, Step{At: at, Servers: servers, RejectAll: true}, Step{At: at + time.Second, Servers: servers, AcceptAll: true})
 			case 3:
-				c.Steps = append(c.Steps, Step{At: at, Servers: hit, FailFast: true}, Step{At: at + time.Second, Servers: hit, AcceptAll: true})
+				c.Steps = append(c.Steps, Step{At: at, Servers: servers, FailFast: true}, Step{At: at + time.Second, Servers: servers, AcceptAll: true})
 			case 4:
-				c.Steps = append(c.Steps, Step{At: at, Nodes: node, KillNodes: true}, Step{At: at + time.Second, Nodes: node, StartNodes: true})
+				c.Steps = append(c.Steps, Step{At: at, Nodes: nodes, KillNodes: true}, Step{At: at + time.Second, Nodes: nodes, StartNodes: true})
 			case 5:
 				c.Steps = append(c.Steps, Step{At: at, RateFactor: 3}, Step{At: at + time.Second, RateFactor: 1})
 			}
 		}
 		r := Run(c)
 		breaches := slices.DeleteFunc(r.Breaches, func(b string) bool {
-			// How many nodes share a cold box's budget can be known from the settings alone.
+			// Nodes know only from the settings how many of them share a cold server's budget: a number that is too low
+			// makes them break rule 4.
 			return c.ReportedNodes > 0 && c.ReportedNodes < c.Nodes && strings.HasPrefix(b, "rule 4")
 		})
 		if len(breaches) > 0 {
@@ -133,151 +134,151 @@
 	})
 }
 
-// More worth must never be refused before less: at every load the share refused
-// of the worthier class is at most that of the other.
+// Requests of higher worth must not be refused before those of lower worth: at every load the fraction refused of the
+// class of higher worth is at most that of the other.
 func TestHigherWorthIsRefusedLast(t *testing.T) {
 	for _, load := range []float64{0.3, 0.7, 0.9, 1, 1.2, 1.5, 2, 3} {
-		high, low, highAsked, lowAsked := 0, 0, 0, 0
+		highRefused, lowRefused, highRequests, lowRequests := 0, 0, 0, 0
 		for seed := range uint64(3) {
 			c := Default()
 			c.Seed, c.Retries = seed+1, 0
 			c.Rate = c.Capacity() * load
 			r := Run(c)
-			high, highAsked = high+r.Classes[0].Refused, highAsked+r.Classes[0].Requests
-			low, lowAsked = low+r.Classes[1].Refused, lowAsked+r.Classes[1].Requests
+			highRefused, highRequests = highRefused+r.Classes[0].Refused, highRequests+r.Classes[0].Requests
+			lowRefused, lowRequests = lowRefused+r.Classes[1].Refused, lowRequests+r.Classes[1].Requests
 		}
-		h, l := float64(high)/float64(highAsked), float64(low)/float64(lowAsked)
-		t.Logf("load %.1f: worth 12 refused %.3f, worth 1 refused %.3f", load, h, l)
-		if h > l+0.005 {
-			t.Errorf("load %.1f: %.3f of worth 12 refused, %.3f of worth 1", load, h, l)
+		highShare, lowShare := float64(highRefused)/float64(highRequests), float64(lowRefused)/float64(lowRequests)
+		t.Logf("load %.1f: refused %.3f of worth 12, %.3f of worth 1", load, highShare, lowShare)
+		if highShare > lowShare+0.005 {
+			t.Errorf("load %.1f: refused %.3f of worth 12, but %.3f of worth 1", load, highShare, lowShare)
 		}
-		if load >= 1.5 && l < 0.05 {
-			t.Errorf("load %.1f: nothing is refused", load)
+		if load >= 1.5 && lowShare < 0.05 {
+			t.Errorf("load %.1f: hardly any request of worth 1 is refused", load)
 		}
 	}
 }
 
-// cell is one place of the table over boxes, service times and loads.
+// loadCase is one combination of cores per server, work per request and load.
 type loadCase struct {
 	cores int
 	work  time.Duration
 	load  float64
 }
 
-// play runs a cell under a rule and returns service, wrong refusals and lateness.
-func (x loadCase) play(rule decide.LimitMode, seed uint64) (service, wrong, late float64) {
+// play runs a case in a limit mode, and returns the served worth and the fractions of wrong refusals and late requests.
+func (x loadCase) play(mode decide.LimitMode, seed uint64) (servedWorth, wrongRefusals, lateShare float64) {
 	c := Default()
-	c.Seed, c.LimitMode, c.Nodes = seed, rule, 4
+	c.Seed, c.LimitMode, c.Nodes = seed, mode, 4
 	c.Kinds = []ServerKind{{Count: max(4, 16/x.cores), Cores: x.cores, Speed: 1, Slots: 32 * x.cores, Queue: 64 * x.cores}}
 	for i := range c.Classes {
 		c.Classes[i].Work = x.work
 	}
 	c.Rate = c.Capacity() * x.load
 	c.Duration = time.Duration(min(8, max(2, 40000/c.Rate)) * float64(time.Second))
-	// The traffic doubles for a quarter of it: the time that room is there for.
+	// The traffic doubles for a quarter of the run: the concurrency limit is there for such overloads.
 	c.Steps = []Step{{At: c.Duration * 3 / 8, RateFactor: 2}, {At: c.Duration * 5 / 8, RateFactor: 1}}
 	c.JudgeEvery = 50
 	r := Run(c)
 	return r.ServedWorth, r.WrongRefusalShare, r.LateShare
 }
 
-// No kind of boxes may be served clearly worse with learned room than with the
-// presumed one, at any load; where that refused needlessly it must be better.
+// With the learned concurrency limit no kind of server may serve clearly less than with the fixed one, at any load.
+// Where the fixed limit refuses needlessly, the learned one should serve more.
 func TestLearnedLimitAgainstFixedLimit(t *testing.T) {
-	cores, services, loads, seeds := []int{2, 8, 64}, []time.Duration{ms, 20 * ms, 200 * ms}, []float64{0.3, 0.9, 2}, 2
-	rules := []decide.LimitMode{decide.LimitLearned, decide.LimitFixed, decide.LimitNone}
-	names := "learned | presumed | r alone"
+	cores, works, loads, seeds := []int{2, 8, 64}, []time.Duration{ms, 20 * ms, 200 * ms}, []float64{0.3, 0.9, 2}, 2
+	modes := []decide.LimitMode{decide.LimitLearned, decide.LimitFixed, decide.LimitNone}
+	names := "learned limit | fixed limit | no limit"
 	if longTests() {
 		cores, loads, seeds = []int{1, 2, 8, 64}, []float64{0.3, 0.6, 0.9, 1.2, 2, 3}, 10
 	}
 	var table strings.Builder
-	fmt.Fprintf(&table, "| cores | service | load | %s |\n", names)
-	for _, n := range cores {
-		for _, s := range services {
+	fmt.Fprintf(&table, "| cores | work | load | %s |\n", names)
+	for _, serverCores := range cores {
+		for _, work := range works {
 			for _, load := range loads {
-				if capacity := float64(max(4, 16/n)*n) / s.Seconds(); capacity*load > 3000 && !longTests() || capacity*load > 30000 {
-					continue // more of the same, for much time
+				if capacity := float64(max(4, 16/serverCores)*serverCores) / work.Seconds(); capacity*load > 3000 && !longTests() || capacity*load > 30000 {
+					continue // similar to the other cases, but takes long
 				}
-				x := loadCase{n, s, load}
-				fmt.Fprintf(&table, "| %d | %v | %.1f |", n, s, load)
+				testCase := loadCase{serverCores, work, load}
+				fmt.Fprintf(&table, "| %d | %v | %.1f |", serverCores, work, load)
 				means := map[decide.LimitMode]float64{}
-				for _, rule := range rules {
-					mean, least, most, wrong, late := 0.0, 2.0, 0.0, 0.0, 0.0
-					var plays [10][3]float64
+				for _, mode := range modes {
+					mean, lowest, highest, meanWrong, meanLate := 0.0, 2.0, 0.0, 0.0, 0.0
+					var results [10][3]float64
 					var all sync.WaitGroup
 					for seed := range seeds {
-						all.Go(func() { plays[seed][0], plays[seed][1], plays[seed][2] = x.play(rule, uint64(seed)+1) })
+						all.Go(func() { results[seed][0], results[seed][1], results[seed][2] = testCase.play(mode, uint64(seed)+1) })
 					}
 					all.Wait()
-					for _, p := range plays[:seeds] {
-						v, w, l := p[0], p[1], p[2]
-						mean, wrong, late = mean+v/float64(seeds), wrong+w/float64(seeds), late+l/float64(seeds)
-						least, most = min(least, v), max(most, v)
+					for _, result := range results[:seeds] {
+						servedWorth, wrongRefusals, lateShare := result[0], result[1], result[2]
+						mean, meanWrong, meanLate = mean+servedWorth/float64(seeds), meanWrong+wrongRefusals/float64(seeds), meanLate+lateShare/float64(seeds)
+						lowest, highest = min(lowest, servedWorth), max(highest, servedWorth)
 					}
-					means[rule] = mean
-					fmt.Fprintf(&table, " %.3f (%.3f to %.3f) %.1f%% %.1f%% |", mean, least, most, 100*wrong, 100*late)
+					means[mode] = mean
+					fmt.Fprintf(&table, " %.3f (%.3f to %.3f) %.1f%% %.1f%% |", mean, lowest, highest, 100*meanWrong, 100*meanLate)
 				}
 				table.WriteByte('\n')
 				if means[decide.LimitLearned] < means[decide.LimitFixed]-0.03 {
-					t.Errorf("%+v: learned %.3f, presumed %.3f", x, means[decide.LimitLearned], means[decide.LimitFixed])
+					t.Errorf("%+v: served worth %.3f with the learned limit, %.3f with the fixed one", testCase, means[decide.LimitLearned], means[decide.LimitFixed])
 				}
 			}
 		}
 	}
-	t.Logf("weighted service (least to most), wrong refusals, late\n%s", table.String())
+	t.Logf("served worth (lowest to highest), wrong refusals, late\n%s", table.String())
 }
 
-// Each box must get the share that it can serve, whatever is wrong with others.
+// Faulty servers must get only a small share of the attempts, and the others must serve nearly all requests.
 func TestFaultyServersGetASmallShare(t *testing.T) {
-	for _, x := range []struct {
-		name  string
-		step  Step
-		least float64 // weighted service
-		most  float64 // share of all attempts at the bad boxes
+	for _, test := range []struct {
+		name           string
+		step           Step
+		minServedWorth float64
+		maxShare       float64 // of the attempts, at the faulty servers
 	}{
-		{"boxes that turn all away", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, RejectAll: true}, 0.97, 0.2},
-		{"boxes that fail fast", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, FailFast: true}, 0.97, 0.1},
-		{"boxes thirty times slower", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, Slowdown: 30}, 0.9, 0.1},
+		{"servers that reject all requests", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, RejectAll: true}, 0.97, 0.2},
+		{"servers that fail fast", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, FailFast: true}, 0.97, 0.1},
+		{"servers thirty times slower", Step{At: 2 * time.Second, Servers: func(i, _ int) bool { return i < 2 }, Slowdown: 30}, 0.9, 0.1},
 	} {
 		c := Default()
 		c.Rate = c.Capacity() * 0.5
-		c.Steps = []Step{x.step}
+		c.Steps = []Step{test.step}
 		r := Run(c)
-		bad, all := 0, 0
+		faulty, all := 0, 0
 		for i, n := range r.AttemptsByServer {
 			all += n
 			if i < 2 {
-				bad += n
+				faulty += n
 			}
 		}
-		share := float64(bad) / float64(all)
-		t.Logf("%s: service %.3f, %.3f of the attempts at them, %.2f attempts a request", x.name, r.ServedWorth, share,
+		share := float64(faulty) / float64(all)
+		t.Logf("%s: served worth %.3f, %.3f of the attempts at them, %.2f attempts per request", test.name, r.ServedWorth, share,
 			float64(r.Attempts)/float64(r.Classes[0].Requests+r.Classes[1].Requests))
-		if r.ServedWorth < x.least || share > x.most || len(r.Breaches) > 0 {
-			t.Errorf("%s: service %.3f, share %.3f, %v", x.name, r.ServedWorth, share, r.Breaches)
+		if r.ServedWorth < test.minServedWorth || share > test.maxShare || len(r.Breaches) > 0 {
+			t.Errorf("%s: served worth %.3f, %.3f of the attempts at them, breaches %v", test.name, r.ServedWorth, share, r.Breaches)
 		}
 	}
 }
 
-// A node whose peers are gone must come to use what they could: the boxes are as
-// idle as before, and more calls do not lengthen answers.
+// A node whose peers have all failed must learn to use the capacity that they used: the servers are as idle as before,
+// and more calls do not increase response times.
 func TestLastNodeUsesFreeCapacity(t *testing.T) {
-	play := func(rule decide.LimitMode) *Result {
+	play := func(mode decide.LimitMode) *Result {
 		c := Default()
-		c.LimitMode, c.Nodes, c.Duration = rule, 8, 40*time.Second
+		c.LimitMode, c.Nodes, c.Duration = mode, 8, 40*time.Second
 		c.Kinds = []ServerKind{{Count: 16, Cores: 8, Speed: 1}}
 		c.Rate = c.Capacity() * 0.6
 		c.Steps = []Step{{At: 5 * time.Second, Nodes: func(i int) bool { return i > 0 }, KillNodes: true}}
 		return Run(c)
 	}
-	learned, presumed := play(decide.LimitLearned), play(decide.LimitFixed)
-	t.Logf("service with seven of eight nodes gone: learned %.3f, presumed %.3f", learned.ServedWorth, presumed.ServedWorth)
-	if learned.ServedWorth < 0.9 || learned.ServedWorth < presumed.ServedWorth-0.01 {
-		t.Errorf("learned %.3f, presumed %.3f", learned.ServedWorth, presumed.ServedWorth)
+	learned, fixed := play(decide.LimitLearned), play(decide.LimitFixed)
+	t.Logf("served worth with seven of eight nodes killed: %.3f with the learned limit, %.3f with the fixed one", learned.ServedWorth, fixed.ServedWorth)
+	if learned.ServedWorth < 0.9 || learned.ServedWorth < fixed.ServedWorth-0.01 {
+		t.Errorf("served worth %.3f with the learned limit, %.3f with the fixed one", learned.ServedWorth, fixed.ServedWorth)
 	}
 }
 
-// BenchmarkScale is a large fleet: how fast virtual time goes.
+// BenchmarkScale measures the events per second of the simulation of a large fleet.
 func BenchmarkScale(b *testing.B) {
 	for b.Loop() {
 		c := Default()
