--- a/internal/rig/virtual/cold_test.go
+++ b/internal/rig/virtual/cold_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// coldStartAfterLull returns a scenario in which servers start cold during a lull, before all traffic returns at once.
+// coldStartAfterLull returns a scenario in which servers start cold during a lull, before all traffic returns
+// at once.
 func coldStartAfterLull(nodes int, kinds []ServerKind, share float64, seed uint64) Config {
 	c := largeFleet()
 	c.Seed, c.Nodes = seed, nodes
@@ -20,9 +21,9 @@
 	return c
 }
 
-// All nodes together must not send a cold server more in any window than the rule and random variation allow, also right
-// after a lull: unused budget must not accumulate at every node, and be spent by all of them at once. The budget of the
-// small servers is less than one request per node.
+// All nodes together must not send a cold server more in any window than the rule and random variation allow,
+// also right after a lull: unused budget must not accumulate at every node, and be spent by all of them at
+// once. The budget of the small servers is less than one request per node.
 func TestColdServersAfterALull(t *testing.T) {
 	mixed := []ServerKind{{Count: 6, Cores: 2, Speed: 1.6}, {Count: 10, Cores: 2, Speed: 0.97}, {Count: 8, Cores: 2, Speed: 0.6}}
 	small := []ServerKind{{Count: 12, Cores: 1, Speed: 0.5}}
--- a/internal/rig/virtual/hard_test.go
+++ b/internal/rig/virtual/hard_test.go
@@ -12,7 +12,8 @@
 // summary is a figure over several seeds.
 type summary struct{ mean, min, max float64 }
 
-// playSeeds runs a configuration with several seeds in a limit mode. It returns a figure of the results, and all breaches.
+// playSeeds runs a configuration with several seeds in a limit mode. It returns a figure of the results, and
+// all breaches.
 func playSeeds(c Config, mode decide.LimitMode, seeds int, figure func(*Result) float64) (s summary, breaches []string) {
 	all := make([]*Result, seeds)
 	var wg sync.WaitGroup
@@ -36,8 +37,8 @@
 // allServers selects all servers, see Step.Servers.
 func allServers(int, int) bool { return true }
 
-// Under conditions from which the learned concurrency limit could learn wrong values, or has nothing to learn from, it
-// must serve a minimum, and hardly less than the fixed limit.
+// Under conditions from which the learned concurrency limit could learn wrong values, or has nothing to learn
+// from, it must serve a minimum, and hardly less than the fixed limit.
 func TestLearnedLimitUnderAdverseConditions(t *testing.T) {
 	seeds := 2
 	if longTests() {
--- a/internal/rig/virtual/mass_test.go
+++ b/internal/rig/virtual/mass_test.go
@@ -7,8 +7,8 @@
 	"curlewring/decide"
 )
 
-// largeFleet returns a fleet of 300 nodes and 120 servers of the service's kinds, at four sites. Each node gets a few
-// requests per second, and each server has connections from many nodes.
+// largeFleet returns a fleet of 300 nodes and 120 servers of the service's kinds, at four sites. Each node gets
+// a few requests per second, and each server has connections from many nodes.
 func largeFleet() Config {
 	c := Default()
 	c.Nodes, c.Sites = 300, 4
--- a/internal/rig/virtual/past_test.go
+++ b/internal/rig/virtual/past_test.go
@@ -9,8 +9,8 @@
 	"curlewring/decide"
 )
 
-// oldListConfig returns a fleet of 20 nodes that start at once with a list that is a week old, of which three fifths are
-// stale. The 24 servers have just started, and the load is constant from the start.
+// oldListConfig returns a fleet of 20 nodes that start at once with a list that is a week old, of which three
+// fifths are stale. The 24 servers have just started, and the load is constant from the start.
 func oldListConfig(mode OldListMode, seed uint64, load float64) Config {
 	c := Default()
 	c.Seed, c.Nodes = seed, 20
@@ -22,8 +22,8 @@
 	return c
 }
 
-// Nodes that verify an old list must not make servers collapse, and must send hardly anything to wrong processes, least
-// of all unsafe requests. The two control modes show what that costs and saves.
+// Nodes that verify an old list must not make servers collapse, and must send hardly anything to wrong
+// processes, least of all unsafe requests. The two control modes show what that costs and saves.
 func TestOldListWithoutDiscovery(t *testing.T) {
 	seeds := uint64(2)
 	if os.Getenv("CURLEWRING_LONG") != "" {
--- a/internal/rig/virtual/pool_test.go
+++ b/internal/rig/virtual/pool_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Nodes that pool a cold server's budget must make far fewer servers collapse than nodes that each use their own part,
-// and serve nearly as much. The table of all scenarios is in docs/design/cold-pool.md.
+// Nodes that pool a cold server's budget must make far fewer servers collapse than nodes that each use their
+// own part, and serve nearly as much. The table of all scenarios is in docs/design/cold-pool.md.
 func TestPooledBudgets(t *testing.T) {
 	for _, day := range poolDays() {
 		for _, load := range []float64{0.6, 0.8, 0.9} {
--- a/internal/rig/virtual/registry_asker_test.go
+++ b/internal/rig/virtual/registry_asker_test.go
@@ -7,104 +7,105 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// failure says how a call to the registry ended without an answer.
+// callFailure is the way in which a call to the registry failed.
 type callFailure int
 
 const (
-	errorStatus  callFailure = iota // the registry answered with an HTTP status, at once or after a wait
-	noConnection                    // none came up, or it was reset soon
+	errorStatus  callFailure = iota // the registry answered with an HTTP error status, at once or after a wait
+	noConnection                    // the connection could not be established, or was reset soon
 	pollReset                       // the connection of an open long poll was reset
 )
 
-// wholePatience is after how long a call for the whole list is given up.
+// fullListTimeout is the timeout of a call for the full list.
 const fullListTimeout = 3 * time.Second
 
-// wallAtStart is the least time of the wall clock at which a run begins.
+// minWallClock is the earliest wall-clock time at which a run starts.
 const minWallClock = time.Hour
 
-// asker is the real code of one node that decides when it asks and for how long. It is the one part of the rig that
-// knows the interfaces of packages decide and endpoints.
+// registryClient is the real code that decides when a node calls the registry, and how long a call may take. It
+// is the only part of the simulation that uses the interfaces of packages decide and endpoints.
 type registryClient struct {
 	balancer   *decide.Balancer
 	polls      *endpoints.PollSchedule
 	pacer      *endpoints.CallPacer
-	startDelay time.Duration // how long a starting node that has a list leaves the turn to others
-	moveDelay  time.Duration // the same after the registry has moved
-	wallStart  time.Duration // at the run's begin
-	unreached  bool          // the last call did not get through
-	contacted  bool          // the registry, since the node started
+	startDelay time.Duration // before the first call of a starting node that has a list, so that others go first
+	moveDelay  time.Duration // before the first call after the registry has moved
+	wallStart  time.Duration // wall-clock time at the start of the run
+	unreached  bool          // the last call did not reach the registry
+	contacted  bool          // the registry has answered since the node started
 }
 
-// newAsker starts the code of one node of a tier.
-func newRegistryClient(now, wall time.Duration, place endpoints.FleetPosition, askWithin time.Duration, draw float64) *registryClient {
+// newRegistryClient returns the client of a starting node.
+func newRegistryClient(now, wallStart time.Duration, position endpoints.FleetPosition, resubscribeWithin time.Duration, random float64) *registryClient {
 	settings := decide.Settings{
-		Node: place.NodeIndex, Nodes: place.NodeCount, Tier: place.Tier, Tiers: place.Tier + 1,
-		MustSubscribe: true, ResubscribeWithin: askWithin,
+		Node: position.NodeIndex, Nodes: position.NodeCount, Tier: position.Tier, Tiers: position.Tier + 1,
+		MustSubscribe: true, ResubscribeWithin: resubscribeWithin,
 		Classes: []decide.Class{{LatencyTarget: time.Second, Deadline: time.Second, Worth: 1}},
 	}
-	pace := endpoints.NewCallPacer(place)
-	asking := endpoints.NewCallTiming(place.NodeCount, time.Second)
+	pacer := endpoints.NewCallPacer(position)
+	timing := endpoints.NewCallTiming(position.NodeCount, time.Second)
 	return &registryClient{
-		wallStart:  wall,
-		balancer:   decide.New(settings, place.Seed, now),
-		polls:      endpoints.NewPollSchedule(place),
-		pacer:      pace,
-		startDelay: min(asking.StartDelay(true, draw), askWithin/2),
-		moveDelay:  pace.SpreadDelay(asking.StartSpread()),
+		wallStart:  wallStart,
+		balancer:   decide.New(settings, position.Seed, now),
+		polls:      endpoints.NewPollSchedule(position),
+		pacer:      pacer,
+		startDelay: min(timing.StartDelay(true, random), resubscribeWithin/2),
+		moveDelay:  pacer.SpreadDelay(timing.StartSpread()),
 	}
 }
 
-// pause is a wait that the module asks for before the next call.
+// retryTimer is the timer that the module starts before the next call.
 type retryTimer struct {
 	wait  time.Duration
 	token uint64
 }
 
-// pauseIn finds the pause among actions. The module asks for one whenever it has no watch.
+// findRetryTimer finds the retry timer among actions. The module starts one whenever it does not watch the list.
 func findRetryTimer(actions []decide.Action) retryTimer {
 	for _, action := range actions {
 		if action.Kind == decide.StartTimer {
 			return retryTimer{action.Wait, action.Token}
 		}
 	}
-	panic("the module neither watches nor pauses")
+	panic("the module neither watches the list nor starts a retry timer")
 }
 
-// started takes the list of the node's last life, and returns the pause before the first call.
-func (a *registryClient) handleStart(now time.Duration) retryTimer {
-	return findRetryTimer(a.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListStored}, nil))
+// handleStart passes the stored list of the node's last run to the module, and returns the timer before the
+// first call.
+func (c *registryClient) handleStart(now time.Duration) retryTimer {
+	return findRetryTimer(c.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListStored}, nil))
 }
 
-// answered takes an answer, which may hold the whole list, and returns the pause before the next call.
-func (a *registryClient) handleAnswer(now time.Duration, whole bool, answer endpoints.Answer) (pause time.Duration) {
-	a.unreached, a.contacted = false, true
-	change := decide.ListDiff
-	if whole {
-		change = decide.ListFull
+// handleAnswer processes an answer, which may hold the full list, and returns the delay before the next call.
+func (c *registryClient) handleAnswer(now time.Duration, fullList bool, answer endpoints.Answer) (delay time.Duration) {
+	c.unreached, c.contacted = false, true
+	kind := decide.ListDiff
+	if fullList {
+		kind = decide.ListFull
 	}
-	a.balancer.HandleList(now, decide.ListUpdate{Kind: change}, nil)
-	return a.pacer.RecordAnswer(a.wallStart+now, answer)
+	c.balancer.HandleList(now, decide.ListUpdate{Kind: kind}, nil)
+	return c.pacer.RecordAnswer(c.wallStart+now, answer)
 }
 
-// failed takes a call that ended without an answer, and returns the pause before the next.
-func (a *registryClient) handleFailure(now, took time.Duration, servers int, how callFailure) retryTimer {
-	a.unreached = how == noConnection
-	p := findRetryTimer(a.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListFailed}, nil))
-	switch how {
+// handleFailure processes a failed call, and returns the timer before the next.
+func (c *registryClient) handleFailure(now, duration time.Duration, listLines int, failure callFailure) retryTimer {
+	c.unreached = failure == noConnection
+	timer := findRetryTimer(c.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListFailed}, nil))
+	switch failure {
 	case errorStatus:
-		p.wait = max(p.wait, a.pacer.RecordOverload(a.wallStart+now, endpoints.OverloadedCall{Took: took, AnsweredBefore: a.contacted, Servers: servers}))
-	case pollReset: // the node's own pause, whatever the module's
-		a.contacted = true
-		if pause := a.pacer.RecordReset(); pause > 0 {
-			p.wait = pause
+		timer.wait = max(timer.wait, c.pacer.RecordOverload(c.wallStart+now, endpoints.OverloadedCall{Took: duration, AnsweredBefore: c.contacted, Servers: listLines}))
+	case pollReset: // the delay of the node replaces that of the module
+		c.contacted = true
+		if delay := c.pacer.RecordReset(); delay > 0 {
+			timer.wait = delay
 		}
 	}
-	return p
+	return timer
 }
 
-// resume takes the end of a pause, and tells whether the node asks now.
-func (a *registryClient) handleTimer(now time.Duration, token uint64) bool {
-	for _, action := range a.balancer.HandleTimer(now, decide.Timer{Token: token}, nil) {
+// handleTimer processes the end of a retry timer, and reports whether the node calls now.
+func (c *registryClient) handleTimer(now time.Duration, token uint64) bool {
+	for _, action := range c.balancer.HandleTimer(now, decide.Timer{Token: token}, nil) {
 		if action.Kind == decide.WatchList {
 			return true
 		}
@@ -112,19 +113,19 @@
 	return false
 }
 
-// wait is how long a call that begins now may wait at the registry, and after which time it is given up.
-func (a *registryClient) nextPoll(now time.Duration) (wait, patience time.Duration) {
-	if a.pacer.FetchesWholeList() {
+// nextPoll returns how long a call that starts now may wait at the registry, and the timeout of the call.
+func (c *registryClient) nextPoll(now time.Duration) (wait, timeout time.Duration) {
+	if c.pacer.FetchesWholeList() {
 		return 0, fullListTimeout
 	}
-	return a.polls.NextPoll(a.wallStart+now, a.unreached)
+	return c.polls.NextPoll(c.wallStart+now, c.unreached)
 }
 
-// gaveUp takes a long poll without an answer in its time. The next call begins at once.
-func (a *registryClient) handleTimeout() { a.unreached = true }
+// handleTimeout processes a long poll that timed out. The next call starts at once.
+func (c *registryClient) handleTimeout() { c.unreached = true }
 
-// moved takes a new address of the registry, and returns the pause before the first call there.
-func (a *registryClient) handleMove() time.Duration {
-	a.unreached = true
-	return a.moveDelay
+// handleMove processes a new address of the registry, and returns the delay before the first call there.
+func (c *registryClient) handleMove() time.Duration {
+	c.unreached = true
+	return c.moveDelay
 }
--- a/internal/rig/virtual/registry_cases_test.go
+++ b/internal/rig/virtual/registry_cases_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// herdDay is a day on which the registry is down for 8 s into a release, and most front nodes start anew after it.
+// thunderingHerdDay is a day on which the registry is down for 8 s until a release has begun, and most front nodes
+// restart after it.
 func thunderingHerdDay() fleetDay {
 	const callsPerSecond = 42
 	day := fleetDay{
@@ -22,24 +23,25 @@
 	return day
 }
 
-// After an outage the calls of a fleet must not outgrow what the registry can work through, or it answers nobody.
+// After an outage the calls of a fleet must not exceed the capacity of the registry. Otherwise every call times
+// out in its queue, the work on it is lost, and the registry answers no one (congestion collapse).
 func TestNoCongestionCollapse(t *testing.T) {
 	seeds := uint64(3)
 	if longTests() {
 		seeds = 10
 	}
 	for seed := range seeds {
-		x := playFleet(thunderingHerdDay(), seed)
-		last := x.sumBetween(43*time.Second, 48*time.Second)
-		t.Logf("seed %d: %v", seed, x)
-		t.Logf("last 5 s: %+v", last)
+		result := playFleet(thunderingHerdDay(), seed)
+		last := result.sumBetween(43*time.Second, 48*time.Second)
+		t.Logf("seed %d: %v", seed, result)
+		t.Logf("the last 5 s: %+v", last)
 		if seed == 0 {
-			for i, s := range x.perSecond {
-				t.Logf("%2d s: %+v", i, s)
+			for i, counts := range result.perSecond {
+				t.Logf("%2d s: %+v", i, counts)
 			}
 		}
 		if share := last.answeredShare(); share < 0.9 {
-			t.Errorf("seed %d: %.3f of the calls of the last 5 s are answered", seed, share)
+			t.Errorf("seed %d: %.3f of the calls of the last 5 s were answered, want at least 0.9", seed, share)
 		}
 	}
 }
--- a/internal/rig/virtual/registry_days_test.go
+++ b/internal/rig/virtual/registry_days_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// hardDay is a day of the table of hard cases.
+// faultDay is a day of the table of fault cases.
 type faultDay struct {
 	name string
 	fleetDay
-	lastFaultAt time.Duration // when the last disturbance ends
+	lastFaultAt time.Duration // when the effects of the last event are over, see lastFaultEnd
 }
 
-// calmBefore is how long polls have been spread out before a day begins: the longest poll, once over.
+// pollSpreadTime is a warm-up in which the polls of the nodes spread out over time. It covers the longest poll.
 const pollSpreadTime = 100 * time.Second
 
 const (
 	outageStart       = 3 * time.Second
 	outageEnd         = 11 * time.Second
 	maxChangedLines   = 20
-	listToChangeRatio = 5                 // a whole list has so many times the lines of a change
-	recoveryPeriod    = 150 * time.Second // the longest recovery, and the longest poll after it
+	listToChangeRatio = 5                 // lines of the full list for each line of a change
+	recoveryPeriod    = 150 * time.Second // covers the longest recovery, and the longest poll after it
 )
 
-// tiersOf shares nodes out: a sixth at the front, the others in two tiers.
+// splitIntoTiers puts a sixth of the nodes into the front tier, and the others into two further tiers.
 func splitIntoTiers(nodes int) []int {
 	if nodes < 3 {
 		return []int{nodes}
@@ -33,86 +33,86 @@
 	return []int{front, inner, nodes - front - inner}
 }
 
-// plainDay is a day on which nothing happens yet.
-func uneventfulDay(nodes int, callOfEach time.Duration) fleetDay {
-	return fleetDay{tiers: splitIntoTiers(nodes), fleetCallTime: callOfEach, backlogFactor: defaultBacklogFactor, resubscribeWithin: defaultResubscribeWithin, warmUp: pollSpreadTime,
+// uneventfulDay is a day without events.
+func uneventfulDay(nodes int, fleetCallTime time.Duration) fleetDay {
+	return fleetDay{tiers: splitIntoTiers(nodes), fleetCallTime: fleetCallTime, backlogFactor: defaultBacklogFactor, resubscribeWithin: defaultResubscribeWithin, warmUp: pollSpreadTime,
 		listLines: listToChangeRatio * changedLines(nodes)}
 }
 
-// linesOfChange is how many servers a change of a release names: the more, the larger the fleet.
+// changedLines returns how many servers each change of a release affects. It grows with the fleet.
 func changedLines(nodes int) int { return min(max(1, nodes/6), maxChangedLines) }
 
-// changesFrom are changes one after the other.
-func changeSeries(nodes int, from, every, over time.Duration) (changes []change) {
-	for at := from; at <= from+over; at += every {
+// changeSeries returns changes at regular intervals.
+func changeSeries(nodes int, from, interval, duration time.Duration) (changes []change) {
+	for at := from; at <= from+duration; at += interval {
 		changes = append(changes, change{at, changedLines(nodes)})
 	}
 	return changes
 }
 
-// release are the changes of a release that begins as the registry returns.
+// releaseChanges returns the changes of a release that starts just before the registry returns.
 func releaseChanges(nodes int) []change {
 	return changeSeries(nodes, outageEnd-200*time.Millisecond, 850*time.Millisecond, 10*time.Second)
 }
 
-// outageIntoRelease has the registry down for 8 s, and back into a release.
+// outageIntoRelease adds an outage of 8 s, at whose end a release has started.
 func outageIntoRelease(day fleetDay, kind outageKind) fleetDay {
 	day.outages = []outage{{outageStart, outageEnd, kind}}
 	day.changes = releaseChanges(day.nodeCount())
 	return day
 }
 
-// hardDays are the cases of the table for one fleet.
-func faultDays(nodes int, callOfEach time.Duration) []faultDay {
-	plain := uneventfulDay(nodes, callOfEach)
-	down := outageIntoRelease(plain, failsSlowly)
+// faultDays returns the cases of the table for one fleet.
+func faultDays(nodes int, fleetCallTime time.Duration) []faultDay {
+	uneventful := uneventfulDay(nodes, fleetCallTime)
+	withOutage := outageIntoRelease(uneventful, failsSlowly)
 	var days []faultDay
 	add := func(name string, day fleetDay, adapt func(*fleetDay)) {
 		if adapt != nil {
 			adapt(&day)
 		}
-		last := lastFaultEnd(&day)
-		day.duration = last + recoveryPeriod
-		days = append(days, faultDay{name, day, last})
+		lastEnd := lastFaultEnd(&day)
+		day.duration = lastEnd + recoveryPeriod
+		days = append(days, faultDay{name, day, lastEnd})
 	}
-	add("a release", plain, func(d *fleetDay) { d.changes = releaseChanges(nodes) })
-	add("all begin in a second", plain, func(d *fleetDay) { d.warmUp, d.changes = 0, releaseChanges(nodes) })
-	add("back into a release, 503 after 2 s", down, nil)
-	add("back into a release, 503 at once", outageIntoRelease(plain, rejectsAtOnce), nil)
-	add("back into a release, reset", outageIntoRelease(plain, resetsConnections), nil)
-	add("back into a release, silent", outageIntoRelease(plain, dropsCalls), nil)
-	add("silent, then 503 after 2 s", down, func(d *fleetDay) {
+	add("a release", uneventful, func(d *fleetDay) { d.changes = releaseChanges(nodes) })
+	add("all nodes start within a second", uneventful, func(d *fleetDay) { d.warmUp, d.changes = 0, releaseChanges(nodes) })
+	add("outage into a release, 503 after 2 s", withOutage, nil)
+	add("outage into a release, 503 at once", outageIntoRelease(uneventful, rejectsAtOnce), nil)
+	add("outage into a release, connections reset", outageIntoRelease(uneventful, resetsConnections), nil)
+	add("outage into a release, no answers", outageIntoRelease(uneventful, dropsCalls), nil)
+	add("outage without answers, then 503 after 2 s", withOutage, func(d *fleetDay) {
 		d.outages = []outage{{outageStart, 7 * time.Second, dropsCalls}, {7 * time.Second, outageEnd, failsSlowly}}
 	})
-	add("back, overbook 1", down, func(d *fleetDay) { d.backlogFactor = 1 })
-	add("back, others ask for half", down, func(d *fleetDay) { d.externalShare = 0.5 })
-	add("back, seven in ten front nodes killed", down, func(d *fleetDay) {
+	add("outage, backlog factor 1", withOutage, func(d *fleetDay) { d.backlogFactor = 1 })
+	add("outage, half of the capacity used by other clients", withOutage, func(d *fleetDay) { d.externalShare = 0.5 })
+	add("outage, 70% of the front nodes killed", withOutage, func(d *fleetDay) {
 		d.restarts = []restart{{at: outageEnd + 1500*time.Millisecond, share: 0.7}}
 	})
-	add("back, killed, others ask for half", down, func(d *fleetDay) {
+	add("outage, 70% killed, half of the capacity used by other clients", withOutage, func(d *fleetDay) {
 		d.restarts = []restart{{at: outageEnd + 1500*time.Millisecond, share: 0.7}}
 		d.externalShare = 0.5
 	})
-	add("rolling restart by tenths in a release", plain, func(d *fleetDay) {
+	add("rolling restart by tenths during a release", uneventful, func(d *fleetDay) {
 		d.changes = releaseChanges(nodes)
 		for tenth := range 10 {
 			d.restarts = append(d.restarts, restart{at: 8*time.Second + time.Duration(tenth)*time.Second, over: time.Second, share: 0.1})
 		}
 	})
-	add("back, moved while the queue is full", down, func(d *fleetDay) { d.registryMoves = []time.Duration{outageEnd + 2*time.Second} })
-	add("moved in a release", plain, func(d *fleetDay) {
+	add("outage, registry moved while its queue is full", withOutage, func(d *fleetDay) { d.registryMoves = []time.Duration{outageEnd + 2*time.Second} })
+	add("registry moved during a release", uneventful, func(d *fleetDay) {
 		d.changes, d.registryMoves = releaseChanges(nodes), []time.Duration{outageEnd}
 	})
-	add("open polls fall silent in a release", plain, func(d *fleetDay) {
+	add("open polls lost during a release", uneventful, func(d *fleetDay) {
 		d.changes, d.pollSilences = releaseChanges(nodes), []time.Duration{outageEnd}
 	})
-	add("back, whole lists", down, func(d *fleetDay) { d.fullListAnswers = true })
-	add("back, ask_within 2 s", down, func(d *fleetDay) { d.resubscribeWithin = 2 * time.Second })
-	add("back, ask_within 60 s", down, func(d *fleetDay) { d.resubscribeWithin = time.Minute })
+	add("outage, answers hold the full list", withOutage, func(d *fleetDay) { d.fullListAnswers = true })
+	add("outage, resubscribe within 2 s", withOutage, func(d *fleetDay) { d.resubscribeWithin = 2 * time.Second })
+	add("outage, resubscribe within 60 s", withOutage, func(d *fleetDay) { d.resubscribeWithin = time.Minute })
 	return days
 }
 
-// lastDisturbance is when the last thing happens on a day, and what it sets off is over.
+// lastFaultEnd returns when the last event of a day is over, with restarts and moves that follow from it.
 func lastFaultEnd(day *fleetDay) (last time.Duration) {
 	for _, o := range day.outages {
 		last = max(last, o.until)
@@ -120,8 +120,8 @@
 	for _, c := range day.changes {
 		last = max(last, c.at)
 	}
-	for _, k := range day.restarts {
-		last = max(last, k.at+k.over+2*restartTime)
+	for _, r := range day.restarts {
+		last = max(last, r.at+r.over+2*restartTime)
 	}
 	for _, at := range day.registryMoves {
 		last = max(last, at+moveSpread)
@@ -132,34 +132,34 @@
 	return last
 }
 
-// randomDay has troubles of all kinds in any order for a minute, and then none.
-func randomFaultDay(nodes int, callOfEach time.Duration, seed uint64) faultDay {
+// randomFaultDay has events of all kinds in random order for a minute, and then none.
+func randomFaultDay(nodes int, fleetCallTime time.Duration, seed uint64) faultDay {
 	rng := rand.New(rand.NewPCG(seed, 0x72616e646f6d))
-	draw := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(rng.Float64()*float64(most-least))
+	randomBetween := func(shortest, longest time.Duration) time.Duration {
+		return shortest + time.Duration(rng.Float64()*float64(longest-shortest))
 	}
-	day := uneventfulDay(nodes, callOfEach)
+	day := uneventfulDay(nodes, fleetCallTime)
 	day.externalShare = []float64{0, 0, 0.3, 0.5}[rng.IntN(4)]
 	day.backlogFactor = []float64{1, 1.5, 2, 4}[rng.IntN(4)]
-	const troubled = time.Minute
-	for at := draw(0, 5*time.Second); at < troubled; at += draw(500*time.Millisecond, 12*time.Second) {
+	const faultPeriod = time.Minute
+	for at := randomBetween(0, 5*time.Second); at < faultPeriod; at += randomBetween(500*time.Millisecond, 12*time.Second) {
 		switch rng.IntN(6) {
 		case 0, 1:
-			until := at + draw(0, 12*time.Second)
+			until := at + randomBetween(0, 12*time.Second)
 			day.outages = append(day.outages, outage{at, until, outageKind(1 + rng.IntN(int(outageKindsEnd)-1))})
 			at = until
 		case 2:
-			day.restarts = append(day.restarts, restart{at: at, over: draw(0, 5*time.Second), share: rng.Float64()})
-			at += 7 * time.Second // a node is killed once at a time
+			day.restarts = append(day.restarts, restart{at: at, over: randomBetween(0, 5*time.Second), share: rng.Float64()})
+			at += 7 * time.Second // the next event must not kill a node that is already down
 		case 3:
 			day.registryMoves = append(day.registryMoves, at)
 		case 4:
 			day.pollSilences = append(day.pollSilences, at)
 		case 5:
-			day.changes = append(day.changes, changeSeries(nodes, at, 850*time.Millisecond, draw(0, 10*time.Second))...)
+			day.changes = append(day.changes, changeSeries(nodes, at, 850*time.Millisecond, randomBetween(0, 10*time.Second))...)
 		}
 	}
 	last := lastFaultEnd(&day)
 	day.duration = last + recoveryPeriod
-	return faultDay{"troubles in any order", day, last}
+	return faultDay{"random faults", day, last}
 }
--- a/internal/rig/virtual/registry_fleet_test.go
+++ b/internal/rig/virtual/registry_fleet_test.go
@@ -12,58 +12,59 @@
 )
 
 const (
+	// emptyCallLines is the cost of a call without an answer, in lines.
 	emptyCallLines      = 40
 	defaultQueueTimeout = 2 * time.Second
-	// drainGrace is by how much later than it counts as told a change may come.
+	// drainGrace is how long after a node is deemed to know a change the change may arrive.
 	drainGrace = 500 * time.Millisecond
 )
 
-// outage is a time in which the registry is down.
+// outage is a period in which the registry is down.
 type outage struct {
 	from, until time.Duration
 	kind        outageKind
 }
 
-// restart is a share of the front nodes that are killed one after the other, and start anew.
+// restart kills a fraction of the front nodes one after the other, and starts them again.
 type restart struct {
-	at, over time.Duration
+	at, over time.Duration // first kill, and time from the first to the last
 	share    float64
 }
 
-// fleetDay is a fleet, its registry, and what happens to both. Times are after the warm-up.
+// fleetDay describes a fleet, its registry, and the events of a run. Times count from the end of the warm-up.
 type fleetDay struct {
-	tiers             []int         // nodes in each; the first is the front, and its list alone changes
-	fleetCallTime     time.Duration // in which the registry works through an empty call of each node
-	queueTimeout      time.Duration // of a call in the queue; 0: the usual one
-	backlogFactor     float64
-	externalShare     float64 // share of the capacity that callers outside the fleet ask for
-	resubscribeWithin time.Duration
-	listLines         int  // lines of the whole list
-	fullListAnswers   bool // answers with news hold it, and not the changes
+	tiers             []int         // number of nodes; the first tier is the front, and only its list changes
+	fleetCallTime     time.Duration // time in which the registry processes one empty call of each node
+	queueTimeout      time.Duration // of a call in the registry's queue; 0: defaultQueueTimeout
+	backlogFactor     float64       // see registry.Settings
+	externalShare     float64       // fraction of the capacity that clients outside the fleet use
+	resubscribeWithin time.Duration // see decide.Settings
+	listLines         int           // lines of the full list
+	fullListAnswers   bool          // answers hold the full list instead of the changes
 
-	warmUp          time.Duration // 0: all begin in the first second
+	warmUp          time.Duration // 0: all nodes start within the first second
 	duration        time.Duration // after the warm-up
 	outages         []outage
 	changes         []change
 	restarts        []restart
-	registryMoves   []time.Duration // of the registry, told to all nodes
-	pollSilences    []time.Duration // when open polls fall silent, once
-	externalBursts  []externalBurst // of callers outside the fleet
-	randomWallClock bool            // the wall clock, by which nodes take turns, is drawn
+	registryMoves   []time.Duration // times at which all nodes get a new address of the registry
+	pollSilences    []time.Duration // times at which open polls lose their connection without notice
+	externalBursts  []externalBurst // of clients outside the fleet
+	randomWallClock bool            // randomizes the wall clock, which determines the nodes' turns
 }
 
-// crowd is work of callers outside the fleet that comes at once.
+// externalBurst is work of clients outside the fleet that arrives at once.
 type externalBurst struct{ at, work time.Duration }
 
 const (
 	maxWallClockOffset       = time.Minute
 	restartTime              = 500 * time.Millisecond
-	moveSpread               = 200 * time.Millisecond // SIGHUP does not reach all at once
+	moveSpread               = 200 * time.Millisecond // nodes get SIGHUP at different times
 	defaultBacklogFactor     = 2
 	defaultResubscribeWithin = 10 * time.Second
 )
 
-// fleetRun is a day as it is played.
+// fleetRun is the simulation of a day.
 type fleetRun struct {
 	registryService
 	day  fleetDay
@@ -71,23 +72,23 @@
 	seed uint64
 }
 
-// allNodes is how many nodes there are.
-func (d *fleetDay) nodeCount() (all int) {
+// nodeCount returns the number of nodes in all tiers.
+func (d *fleetDay) nodeCount() (total int) {
 	for _, nodes := range d.tiers {
-		all += nodes
+		total += nodes
 	}
-	return all
+	return total
 }
 
-// capacity is what the registry works through, in lines a second.
+// capacity returns the registry's capacity in lines per second.
 func (d *fleetDay) capacity() float64 {
 	return float64(d.nodeCount()*emptyCallLines) / d.fleetCallTime.Seconds()
 }
 
-// playFleet plays a day. The same day and seed give the same result.
+// playFleet simulates a day. The same day and seed give the same result.
 func playFleet(day fleetDay, seed uint64) *fleetResult { return runFleet(day, seed).result() }
 
-// runFleet plays a day to its end.
+// runFleet simulates a day to its end.
 func runFleet(day fleetDay, seed uint64) *fleetRun {
 	r := &fleetRun{day: day, rng: rand.New(rand.NewPCG(seed, 0x666c656574)), seed: seed}
 	r.callLines = emptyCallLines
@@ -110,10 +111,10 @@
 	return r
 }
 
-// people sets the nodes up, and has them begin within the warm-up.
+// createNodes creates the nodes, and schedules their start within the first half of the warm-up.
 func (r *fleetRun) createNodes() {
 	r.lists = make([]tierList, len(r.day.tiers))
-	begin := max(r.day.warmUp/2, time.Second)
+	startPeriod := max(r.day.warmUp/2, time.Second)
 	for tier, nodes := range r.day.tiers {
 		r.lists[tier] = tierList{totalLines: r.day.listLines, fullAnswers: r.day.fullListAnswers}
 		for i := range nodes {
@@ -122,22 +123,23 @@
 				position: endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Tier: tier, ListObligation: r.day.resubscribeWithin},
 			}
 			r.nodes = append(r.nodes, n)
-			r.events.At(r.randomUpTo(begin), func() { r.startNode(n) })
+			r.events.At(r.randomUpTo(startPeriod), func() { r.startNode(n) })
 		}
 	}
 }
 
-// draw is a random part of a time.
-func (r *fleetRun) randomUpTo(most time.Duration) time.Duration {
-	return time.Duration(r.rng.Float64() * float64(most))
+// randomUpTo returns a random duration up to a limit.
+func (r *fleetRun) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(r.rng.Float64() * float64(limit))
 }
 
+// startNode starts a node with random values of the run.
 func (r *fleetRun) startNode(n *fleetNode) { n.start(r.rng.Uint64(), r.rng.Float64()) }
 
-// at plans something of the day.
+// scheduleAt schedules an event at a time after the warm-up.
 func (r *fleetRun) scheduleAt(when time.Duration, do func()) { r.events.At(r.day.warmUp+when, do) }
 
-// plan plans what happens on the day.
+// scheduleDay schedules the events of the day.
 func (r *fleetRun) scheduleDay() {
 	for _, o := range r.day.outages {
 		r.scheduleAt(o.from, func() { r.startOutage(o.kind) })
@@ -148,8 +150,8 @@
 	for _, c := range r.day.changes {
 		r.scheduleAt(c.at, func() { r.publishChange(0, c.lines) })
 	}
-	for _, k := range r.day.restarts {
-		r.scheduleRestart(k)
+	for _, restart := range r.day.restarts {
+		r.scheduleRestart(restart)
 	}
 	for _, when := range r.day.registryMoves {
 		for _, n := range r.nodes {
@@ -168,40 +170,44 @@
 	}
 }
 
-// planRestart kills nodes of the front, and starts them anew.
-func (r *fleetRun) scheduleRestart(k restart) {
+// scheduleRestart schedules the kills and starts of a restart.
+func (r *fleetRun) scheduleRestart(restart restart) {
 	front := r.day.tiers[0]
-	killed := max(1, int(k.share*float64(front)))
+	killed := max(1, int(restart.share*float64(front)))
 	for i, which := range r.rng.Perm(front)[:killed] {
 		n := r.nodes[which]
-		when := k.at + k.over*time.Duration(i)/time.Duration(killed)
+		when := restart.at + restart.over*time.Duration(i)/time.Duration(killed)
 		r.scheduleAt(when, n.stop)
 		r.scheduleAt(when+restartTime+r.randomUpTo(restartTime), func() { r.startNode(n) })
 	}
 }
 
-// fleetResult is what came of a day.
+// fleetResult is the result of a day.
 type fleetResult struct {
-	lateness        []time.Duration // of each telling to a front node, sorted
-	ages            []time.Duration // of each change as it was told, sorted
-	undelivered     int             // tellings that did not come
-	lateNodes       float64         // share of front nodes that were told too late, beyond the grace
-	perSecond       []callCounts    // from the warm-up's end
-	allReachedAfter time.Duration   // from the last return until each node has been heard once; below 0: not all were
-	allCurrentAfter time.Duration   // from the last return or change, whichever was later, until all have the newest list; below 0: not all have
+	lateness    []time.Duration // of each delivery of a change to a front node, sorted
+	ages        []time.Duration // of each change when it was delivered, sorted
+	undelivered int             // changes that were late and never delivered
+	lateNodes   float64         // fraction of front nodes with a delivery later than the drain grace
+	perSecond   []callCounts    // from the end of the warm-up
+	// allReachedAfter is the time from the last end of an outage until the registry has reached every node;
+	// negative: it has not.
+	allReachedAfter time.Duration
+	// allCurrentAfter is the time from the last end of an outage or the last change, whichever was later, until
+	// all nodes have the newest list; negative: not all have it.
+	allCurrentAfter time.Duration
 	capacity        float64
 }
 
-// secondOfCalls is what came in one second, by the time of the call.
+// callCounts counts the calls made in a second, or a longer period, by their outcome.
 type callCounts struct {
 	calls, answered, timedOut, rejected, refused int
 	lines                                        float64
 }
 
-// result sums a run up.
+// result returns the result of a run.
 func (r *fleetRun) result() *fleetResult {
 	front := r.day.tiers[0]
-	x := &fleetResult{capacity: r.day.capacity() * (1 - r.day.externalShare), perSecond: make([]callCounts, int(r.day.duration/time.Second)+1)}
+	result := &fleetResult{capacity: r.day.capacity() * (1 - r.day.externalShare), perSecond: make([]callCounts, int(r.day.duration/time.Second)+1)}
 	late := 0
 	lastChange := time.Duration(0)
 	for _, c := range r.lists[0].changes {
@@ -209,45 +215,45 @@
 	}
 	for _, n := range r.nodes[:front] {
 		tooLate := false
-		for _, t := range n.deliveries {
-			x.lateness = append(x.lateness, t.lateness)
-			tooLate = tooLate || t.lateness > drainGrace
-			if t.undelivered {
-				x.undelivered++
+		for _, d := range n.deliveries {
+			result.lateness = append(result.lateness, d.lateness)
+			tooLate = tooLate || d.lateness > drainGrace
+			if d.undelivered {
+				result.undelivered++
 			} else {
-				x.ages = append(x.ages, t.age)
+				result.ages = append(result.ages, d.age)
 			}
 		}
 		if tooLate {
 			late++
 		}
-		x.allCurrentAfter = max(x.allCurrentAfter, n.newestDeliveredAt-max(r.reachableSince, lastChange))
+		result.allCurrentAfter = max(result.allCurrentAfter, n.newestDeliveredAt-max(r.reachableSince, lastChange))
 	}
-	x.lateNodes = float64(late) / float64(front)
+	result.lateNodes = float64(late) / float64(front)
 	for _, n := range r.nodes {
 		if n.knownChanges < len(r.lists[n.tier].changes) {
-			x.allCurrentAfter = -1
+			result.allCurrentAfter = -1
 		}
-		if x.allReachedAfter >= 0 {
-			x.allReachedAfter = max(x.allReachedAfter, n.firstContactAt-r.reachableSince)
+		if result.allReachedAfter >= 0 {
+			result.allReachedAfter = max(result.allReachedAfter, n.firstContactAt-r.reachableSince)
 		}
 		if n.firstContactAt < r.reachableSince {
-			x.allReachedAfter = -1
+			result.allReachedAfter = -1
 		}
 	}
-	slices.Sort(x.lateness)
-	slices.Sort(x.ages)
-	r.countCalls(x)
-	return x
+	slices.Sort(result.lateness)
+	slices.Sort(result.ages)
+	r.countCalls(result)
+	return result
 }
 
-// count sums calls up by seconds.
-func (r *fleetRun) countCalls(x *fleetResult) {
+// countCalls counts the calls of each second.
+func (r *fleetRun) countCalls(result *fleetResult) {
 	for _, c := range r.calls {
 		if c.at < r.day.warmUp {
 			continue
 		}
-		second := &x.perSecond[int((c.at-r.day.warmUp)/time.Second)]
+		second := &result.perSecond[int((c.at-r.day.warmUp)/time.Second)]
 		second.calls++
 		second.lines += c.lines
 		switch {
@@ -263,9 +269,9 @@
 	}
 }
 
-// between sums seconds up.
-func (x *fleetResult) sumBetween(from, until time.Duration) (sum callCounts) {
-	for _, s := range x.perSecond[min(len(x.perSecond), int(from/time.Second)):min(len(x.perSecond), int(until/time.Second))] {
+// sumBetween adds up the seconds of a period.
+func (result *fleetResult) sumBetween(from, until time.Duration) (sum callCounts) {
+	for _, s := range result.perSecond[min(len(result.perSecond), int(from/time.Second)):min(len(result.perSecond), int(until/time.Second))] {
 		sum.calls += s.calls
 		sum.answered += s.answered
 		sum.timedOut += s.timedOut
@@ -276,7 +282,7 @@
 	return sum
 }
 
-// answeredShare is the share of calls that were answered; all of none.
+// answeredShare returns the fraction of calls that were answered; 1 if there were none.
 func (s callCounts) answeredShare() float64 {
 	if s.calls == 0 {
 		return 1
@@ -284,23 +290,24 @@
 	return float64(s.answered) / float64(s.calls)
 }
 
-// quietAfter is how long after a time the registry is offered more than its capacity for the last time.
-func (x *fleetResult) overloadedFor(disturbed time.Duration) time.Duration {
-	last := disturbed
-	const window = int(defaultQueueTimeout / time.Second) // a burst that the queue holds for that long is no overload
-	for second := window - 1; second < len(x.perSecond); second++ {
+// overloadedFor returns the time from the last fault until the registry is last offered more than its capacity.
+func (result *fleetResult) overloadedFor(lastFault time.Duration) time.Duration {
+	last := lastFault
+	// A burst that the queue holds for this many seconds is no overload.
+	const window = int(defaultQueueTimeout / time.Second)
+	for second := window - 1; second < len(result.perSecond); second++ {
 		lines := 0.0
-		for _, s := range x.perSecond[second-window+1 : second+1] {
+		for _, s := range result.perSecond[second-window+1 : second+1] {
 			lines += s.lines
 		}
-		if lines >= x.capacity*float64(window) {
+		if lines >= result.capacity*float64(window) {
 			last = max(last, time.Duration(second+1)*time.Second)
 		}
 	}
-	return last - disturbed
+	return last - lastFault
 }
 
-// part is a quantile of sorted times.
+// quantile returns a quantile of sorted durations.
 func quantile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -308,10 +315,10 @@
 	return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))].Round(time.Millisecond)
 }
 
-// worst is the last of sorted times.
+// worst returns the longest of sorted durations.
 func worst(sorted []time.Duration) time.Duration { return quantile(sorted, 1) }
 
-// orNever names a time below 0 as never.
+// orNever formats a duration; a negative one as never.
 func orNever(d time.Duration) string {
 	if d < 0 {
 		return "never"
@@ -319,11 +326,11 @@
 	return d.Round(time.Millisecond).String()
 }
 
-// String is one row of a table.
-func (x *fleetResult) String() string {
-	seconds := float64(len(x.perSecond) - 1)
-	all := x.sumBetween(0, time.Duration(len(x.perSecond))*time.Second)
-	return fmt.Sprintf("lateness p50 %v p99 %v worst %v, never %d, late nodes %.2f | %.1f calls/s, answered %.3f | all heard after %v, newest after %v",
-		quantile(x.lateness, 0.5), quantile(x.lateness, 0.99), worst(x.lateness), x.undelivered, x.lateNodes,
-		float64(all.calls)/seconds, all.answeredShare(), orNever(x.allReachedAfter), orNever(x.allCurrentAfter))
+// String returns the result as one row of a table.
+func (result *fleetResult) String() string {
+	seconds := float64(len(result.perSecond) - 1)
+	all := result.sumBetween(0, time.Duration(len(result.perSecond))*time.Second)
+	return fmt.Sprintf("lateness p50 %v p99 %v worst %v, undelivered %d, late nodes %.2f | %.1f calls/s, answered %.3f | all reached after %v, all current after %v",
+		quantile(result.lateness, 0.5), quantile(result.lateness, 0.99), worst(result.lateness), result.undelivered, result.lateNodes,
+		float64(all.calls)/seconds, all.answeredShare(), orNever(result.allReachedAfter), orNever(result.allCurrentAfter))
 }
--- a/internal/rig/virtual/registry_node_test.go
+++ b/internal/rig/virtual/registry_node_test.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	// What the registry has had for so long, and could be reached, counts as told after a call without an answer.
+	// After a failed call a node is deemed to know what the registry has had for this long while it was reachable.
 	deemedKnownAfter = 6 * time.Second
-	// What a silent long poll misses counts as told so long after its wait is over, if that is later.
+	// A change that an open long poll misses is deemed known this long after the end of the poll, if that is later.
 	deemedKnownAfterPoll = 2 * time.Second
-	// A watch goes on if the next call comes within this after an answer.
+	// A watch continues if the next call follows an answer within this time.
 	watchGap = 200 * time.Millisecond
 )
 
-// standing is what decides from when on a node is held to changes that it has not been told.
+// watchState determines when a node is deemed to know changes that it has not received.
 type watchState int
 
 const (
-	unanswered watchState = iota // a new process, or the last call failed, was refused or given up
-	paused                       // the last call was answered, and no watch is open
-	watching                     // a long poll is open, or goes on
+	unanswered watchState = iota // a new process, or the last call failed or timed out
+	paused                       // the last call was answered, and the node does not watch
+	watching                     // a long poll is open, or about to continue
 )
 
-// gap is the time from an answer to a watch until the call that goes on with it, or watchGap if none does.
+// callGap is the time from an answer until the next call of the same watch, at most watchGap.
 type callGap struct{ from, until time.Duration }
 
-// missed is a change that a node has not been told.
+// pendingChange is a change that a node has not received.
 type pendingChange struct {
 	madeAt time.Duration // when it was made
-	inGap  bool          // between an answer to a watch and the call that goes on with it
-	late   bool
-	dueAt  time.Duration // when it came to count as told
+	inGap  bool          // made between an answer and the next call of a watch
+	late   bool          // the node was deemed to know it at dueAt, and did not
+	dueAt  time.Duration // when the node was first deemed to know it
 }
 
-// telling is how a node was told a change, or that it was not.
+// delivery is the delivery of a change to a node, or that it was not delivered.
 type delivery struct {
 	madeAt      time.Duration
 	age         time.Duration // since the change was made
-	lateness    time.Duration // since it counted as told; below 0: in time
-	inGap       bool          // it was made between an answer to a watch and the call that goes on with it
-	undelivered bool          // the node's life or the run ended first
+	lateness    time.Duration // since the node was deemed to know it; negative: in time
+	inGap       bool          // made between an answer and the next call of a watch
+	undelivered bool          // the node's process or the run ended first
 }
 
-// fleetNode is one node as it asks the registry, and the judge of what it was told in time.
+// fleetNode simulates the calls of one node to the registry, and checks that changes reach it in time.
 type fleetNode struct {
 	registry          *registryService
 	position          endpoints.FleetPosition
@@ -53,36 +53,36 @@
 	resubscribeWithin time.Duration
 	client            *registryClient
 	alive             bool
-	incarnation       int // counts starts: pauses of older ones are dropped
-	call              *registryCall
-	knownChanges      int // changes of its list that it has been told
+	incarnation       int           // counts starts: timers of earlier ones are ignored
+	call              *registryCall // nil: none is open
+	knownChanges      int           // number of changes of its list that it has received
 
 	state             watchState
-	stateSince        time.Duration // of the standing
+	stateSince        time.Duration // start of the state
 	startedAt         time.Duration
 	lastAnswerAt      time.Duration
-	firstContactAt    time.Duration // the first answer, or poll taken up, since the registry was last back
-	pollEnd           time.Duration // of the watch's present poll
-	pollSilent        bool
-	excusedUntil      time.Duration // what silent calls have missed counts as told no sooner
-	gaps              []callGap     // after each answer to a watch
+	firstContactAt    time.Duration // first answer, or poll that the registry kept open, since the last outage
+	pollEnd           time.Duration // of the watch's current poll
+	pollSilent        bool          // no answer to the open poll can arrive
+	excusedUntil      time.Duration // changes that dropped calls have missed are not deemed known earlier
+	gaps              []callGap     // after the answers of watches
 	pending           []pendingChange
 	deliveries        []delivery
 	newestDeliveredAt time.Duration
 }
 
-// start begins a life of the node, with the list of the one before.
-func (n *fleetNode) start(seed uint64, draw float64) {
+// start starts the node's process, with the list of the previous one.
+func (n *fleetNode) start(seed uint64, random float64) {
 	s := n.registry
 	n.incarnation++
 	n.alive, n.startedAt = true, s.now
 	n.position.Seed = seed
-	n.client = newRegistryClient(s.now, s.wallStart, n.position, n.resubscribeWithin, draw)
+	n.client = newRegistryClient(s.now, s.wallStart, n.position, n.resubscribeWithin, random)
 	n.setState(unanswered)
 	n.retryAfter(n.client.handleStart(s.now), n.client.startDelay)
 }
 
-// stop ends a life of the node.
+// stop ends the node's process.
 func (n *fleetNode) stop() {
 	n.markLate()
 	n.endCall()
@@ -91,58 +91,59 @@
 	n.abandonPending()
 }
 
-// giveUpMissing notes what the node will not be told any more and is late. A next life is held to it anew.
+// abandonPending records late changes that the node's process did not receive. The next process must receive
+// them anew.
 func (n *fleetNode) abandonPending() {
 	for i := range n.pending {
-		if m := &n.pending[i]; m.late {
-			n.deliveries = append(n.deliveries, delivery{m.madeAt, n.registry.now - m.madeAt, n.registry.now - m.dueAt, m.inGap, true})
-			m.late = false
+		if pending := &n.pending[i]; pending.late {
+			n.deliveries = append(n.deliveries, delivery{pending.madeAt, n.registry.now - pending.madeAt, n.registry.now - pending.dueAt, pending.inGap, true})
+			pending.late = false
 		}
 	}
 }
 
-// resumeAfter asks again after a pause.
-func (n *fleetNode) retryAfter(p retryTimer, more time.Duration) {
-	s, life := n.registry, n.incarnation
-	s.after(p.wait, func() {
-		if n.incarnation == life && n.client.handleTimer(s.now, p.token) {
-			s.after(more, func() { n.pollIfAlive(life) })
+// retryAfter calls again after a timer of the module and a further delay.
+func (n *fleetNode) retryAfter(timer retryTimer, delay time.Duration) {
+	s, incarnation := n.registry, n.incarnation
+	s.after(timer.wait, func() {
+		if n.incarnation == incarnation && n.client.handleTimer(s.now, timer.token) {
+			s.after(delay, func() { n.pollIfAlive(incarnation) })
 		}
 	})
 }
 
-// pollIn makes the next call if the node still lives.
-func (n *fleetNode) pollIfAlive(life int) {
-	if n.incarnation == life && n.call == nil {
+// pollIfAlive makes the next call, unless the node's process has ended or a call is open.
+func (n *fleetNode) pollIfAlive(incarnation int) {
+	if n.incarnation == incarnation && n.call == nil {
 		n.poll()
 	}
 }
 
-// poll makes the next call.
+// poll makes the next call to the registry.
 func (n *fleetNode) poll() {
 	s := n.registry
-	wait, patience := n.client.nextPoll(s.now)
+	wait, timeout := n.client.nextPoll(s.now)
 	if n.state == watching && s.now-n.lastAnswerAt > watchGap {
 		n.setState(paused)
 	}
-	c := &registryCall{node: n, startedAt: s.now, pollEnd: s.now + wait, whole: n.client.pacer.FetchesWholeList()}
-	n.call = c
+	call := &registryCall{node: n, startedAt: s.now, pollEnd: s.now + wait, fetchesFullList: n.client.pacer.FetchesWholeList()}
+	n.call = call
 	if last := len(n.gaps) - 1; last >= 0 {
 		n.gaps[last].until = min(n.gaps[last].until, s.now)
 	}
 	if n.state == watching {
 		n.markLate()
-		n.pollEnd = c.pollEnd
+		n.pollEnd = call.pollEnd
 	}
-	s.after(patience, func() {
-		if !c.ended {
+	s.after(timeout, func() {
+		if !call.ended {
 			n.handleTimeout()
 		}
 	})
-	s.handleCall(c)
+	s.handleCall(call)
 }
 
-// endCall ends the call that is out.
+// endCall ends the open call.
 func (n *fleetNode) endCall() {
 	if n.call != nil {
 		n.call.ended = true
@@ -150,42 +151,42 @@
 	}
 }
 
-// opened takes that the registry has taken up a long poll.
+// handleOpened processes the start of a long poll at the registry.
 func (n *fleetNode) handleOpened(c *registryCall) {
 	n.setState(watching)
 	n.pollEnd = c.pollEnd
 	n.noteContact()
 }
 
-// answered takes an answer with the list up to a version.
+// handleAnswer processes an answer that holds the list up to a version.
 func (n *fleetNode) handleAnswer(c *registryCall, version int) {
 	s := n.registry
-	news := version > n.knownChanges
+	changed := version > n.knownChanges
 	n.deliver(version)
 	n.endCall()
-	if c.whole {
+	if c.fetchesFullList {
 		n.setState(paused)
 	} else {
 		n.setState(watching)
 		n.gaps = append(n.gaps, callGap{s.now, s.now + watchGap})
 	}
-	n.pollEnd = s.now // until the next call
+	n.pollEnd = s.now // until the next call sets it
 	n.lastAnswerAt = s.now
 	n.noteContact()
-	whole := c.whole || s.lists[n.tier].fullAnswers && news
-	pause := n.client.handleAnswer(s.now, whole, endpoints.Answer{Took: s.now - c.startedAt, Whole: c.whole, Changed: news})
-	life := n.incarnation
-	s.after(networkDelay+pause, func() { n.pollIfAlive(life) })
+	fullList := c.fetchesFullList || s.lists[n.tier].fullAnswers && changed
+	delay := n.client.handleAnswer(s.now, fullList, endpoints.Answer{Took: s.now - c.startedAt, Whole: c.fetchesFullList, Changed: changed})
+	incarnation := n.incarnation
+	s.after(networkDelay+delay, func() { n.pollIfAlive(incarnation) })
 }
 
-// failed takes the end of a call without an answer.
-func (n *fleetNode) handleFailure(c *registryCall, how callFailure) {
+// handleFailure processes a failed call.
+func (n *fleetNode) handleFailure(c *registryCall, failure callFailure) {
 	n.endCall()
 	n.setState(unanswered)
-	n.retryAfter(n.client.handleFailure(n.registry.now, n.registry.now-c.startedAt, n.registry.lists[n.tier].totalLines, how), 0)
+	n.retryAfter(n.client.handleFailure(n.registry.now, n.registry.now-c.startedAt, n.registry.lists[n.tier].totalLines, failure), 0)
 }
 
-// gaveUp takes that a call had no answer in its time.
+// handleTimeout processes a call that timed out.
 func (n *fleetNode) handleTimeout() {
 	n.endCall()
 	n.setState(unanswered)
@@ -193,18 +194,18 @@
 	n.poll()
 }
 
-// moved takes a new address of the registry: the call that is out is made anew there.
+// handleMove processes a new address of the registry: the open call is repeated there.
 func (n *fleetNode) handleMove() {
-	pause := n.client.handleMove()
+	delay := n.client.handleMove()
 	if n.call == nil {
 		return
 	}
 	n.endCall()
-	life := n.incarnation
-	n.registry.after(pause, func() { n.pollIfAlive(life) })
+	incarnation := n.incarnation
+	n.registry.after(delay, func() { n.pollIfAlive(incarnation) })
 }
 
-// swallow takes that nothing reaches the node any more on the call that is out.
+// dropCall makes the open call silent: no answer to it arrives.
 func (n *fleetNode) dropCall() {
 	if n.call.dropped {
 		return
@@ -215,50 +216,50 @@
 	n.excusedUntil = max(n.excusedUntil, n.registry.now+deemedKnownAfter, n.pollEnd+deemedKnownAfterPoll)
 }
 
-// become changes what the node is held to, from now on.
-func (n *fleetNode) setState(next watchState) {
+// setState changes the state, which determines when changes are deemed known from now on.
+func (n *fleetNode) setState(state watchState) {
 	n.markLate()
-	n.state, n.stateSince, n.pollSilent = next, n.registry.now, false
+	n.state, n.stateSince, n.pollSilent = state, n.registry.now, false
 }
 
-// due is when a change counts as told, as things stand. While the registry is down it does so only for what went
-// wrong before.
-func (n *fleetNode) dueTime(made time.Duration) (at time.Duration, ok bool) {
+// dueTime returns when the node is deemed to know a change in the current state. While the registry is down, that is
+// so only for nodes in state watching, that is, for what failed before the outage.
+func (n *fleetNode) dueTime(madeAt time.Duration) (at time.Duration, ok bool) {
 	if n.state != watching && n.registry.outage != reachable {
 		return 0, false
 	}
-	return max(n.dueByState(made), n.excusedUntil), true
+	return max(n.dueByState(madeAt), n.excusedUntil), true
 }
 
-// dueByStanding is when a change counts as told if no call is silent.
-func (n *fleetNode) dueByState(made time.Duration) time.Duration {
+// dueByState returns when the node is deemed to know a change, without the exceptions for dropped calls.
+func (n *fleetNode) dueByState(madeAt time.Duration) time.Duration {
 	switch {
 	case n.state == watching && n.pollSilent:
-		return made
+		return madeAt
 	case n.state == watching:
-		return max(made+deemedKnownAfter, n.pollEnd+deemedKnownAfterPoll)
+		return max(madeAt+deemedKnownAfter, n.pollEnd+deemedKnownAfterPoll)
 	case n.state == paused:
-		return max(max(made, n.lastAnswerAt)+n.resubscribeWithin, n.registry.reachableSince)
+		return max(max(madeAt, n.lastAnswerAt)+n.resubscribeWithin, n.registry.reachableSince)
 	default:
-		return max(made, n.startedAt, n.registry.reachableSince) + deemedKnownAfter
+		return max(madeAt, n.startedAt, n.registry.reachableSince) + deemedKnownAfter
 	}
 }
 
-// settle notes which changes have come to count as told since the last change of standing.
+// markLate marks the pending changes that the node is deemed to know by now, by its state so far.
 func (n *fleetNode) markLate() {
 	if !n.alive {
 		return
 	}
 	n.collectPending()
 	for i := range n.pending {
-		m := &n.pending[i]
-		if at, ok := n.dueTime(m.madeAt); ok && !m.late && at < n.registry.now {
-			m.late, m.dueAt = true, max(at, n.stateSince)
+		pending := &n.pending[i]
+		if at, ok := n.dueTime(pending.madeAt); ok && !pending.late && at < n.registry.now {
+			pending.late, pending.dueAt = true, max(at, n.stateSince)
 		}
 	}
 }
 
-// notice takes up changes that were made since the last look.
+// collectPending adds the changes made since its last call to the pending ones.
 func (n *fleetNode) collectPending() {
 	changes := n.registry.lists[n.tier].changes
 	for _, c := range changes[n.knownChanges+len(n.pending):] {
@@ -267,26 +268,26 @@
 	}
 }
 
-// told takes the list up to a version.
+// deliver records the delivery of all changes up to a version.
 func (n *fleetNode) deliver(version int) {
 	n.markLate()
 	now := n.registry.now
 	for version > n.knownChanges {
-		m := n.pending[0]
+		pending := n.pending[0]
 		n.pending = n.pending[1:]
 		n.knownChanges++
 		lateness := time.Duration(0)
-		if m.late {
-			lateness = now - m.dueAt
-		} else if at, ok := n.dueTime(m.madeAt); ok {
+		if pending.late {
+			lateness = now - pending.dueAt
+		} else if at, ok := n.dueTime(pending.madeAt); ok {
 			lateness = now - at
 		}
-		n.deliveries = append(n.deliveries, delivery{m.madeAt, now - m.madeAt, lateness, m.inGap, false})
+		n.deliveries = append(n.deliveries, delivery{pending.madeAt, now - pending.madeAt, lateness, pending.inGap, false})
 		n.newestDeliveredAt = now
 	}
 }
 
-// hear notes that the registry has answered, or has taken up a poll.
+// noteContact records the first answer or opened poll since the last outage.
 func (n *fleetNode) noteContact() {
 	if n.firstContactAt < n.registry.reachableSince {
 		n.firstContactAt = n.registry.now
--- a/internal/rig/virtual/registry_reset_test.go
+++ b/internal/rig/virtual/registry_reset_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// resetDay is a day on which all open polls are reset at once, some seconds before servers drain one after another.
-func resetDay(tiers []int, callOfEach time.Duration) fleetDay {
+// resetDay is a day on which all open polls are reset at once, some seconds before servers drain one after the
+// other.
+func resetDay(tiers []int, fleetCallTime time.Duration) fleetDay {
 	nodes := 0
 	for _, n := range tiers {
 		nodes += n
 	}
-	day := uneventfulDay(nodes, callOfEach)
+	day := uneventfulDay(nodes, fleetCallTime)
 	day.tiers = tiers
 	day.outages = []outage{{3 * time.Second, 3010 * time.Millisecond, resetsConnections}}
 	for i := range 4 {
@@ -22,15 +23,16 @@
 	return day
 }
 
-// Polls that are reset at once must not bring all nodes back to the registry at once: calls that wait in its queue for too
-// long fail, have cost it their work, and keep those after them from being answered. Where only a part of the nodes watches
-// the list that changes, changes must be told in time; where all do, each change has all of them call again, and some are late.
+// When all polls are reset at once, the nodes must not all call the registry again at once. Calls that wait in
+// its queue for too long fail, although the registry has done their work, and delay those behind them. Where
+// only some of the nodes watch the list that changes, changes must arrive in time. Where all do, each change
+// makes all of them call again, and some changes are late.
 func TestResetPollsReconnectInTurn(t *testing.T) {
 	seeds := 15 * registrySeeds()
 	for _, c := range []struct {
-		tiers      []int
-		callOfEach time.Duration
-		late       float64 // share of the tellings, at the most
+		tiers         []int
+		fleetCallTime time.Duration
+		maxLate       float64 // maximum fraction of the deliveries
 	}{
 		{[]int{3, 5}, 2 * time.Second, 0},
 		{[]int{12, 36}, 2 * time.Second, 0},
@@ -41,23 +43,23 @@
 		{[]int{30}, 4 * time.Second, 0.4},
 		{[]int{12, 36}, 8 * time.Second, 0.6},
 	} {
-		t.Run(fmt.Sprintf("%v nodes, %v", c.tiers, c.callOfEach), func(t *testing.T) {
-			tellings, late := 0, 0
+		t.Run(fmt.Sprintf("%v nodes, %v", c.tiers, c.fleetCallTime), func(t *testing.T) {
+			deliveries, late := 0, 0
 			last := time.Duration(0)
 			for seed := range seeds {
-				x := playFleet(resetDay(c.tiers, c.callOfEach), seed)
-				for _, lateness := range x.lateness {
-					tellings++
+				result := playFleet(resetDay(c.tiers, c.fleetCallTime), seed)
+				for _, lateness := range result.lateness {
+					deliveries++
 					if lateness > drainGrace {
 						late++
 					}
 				}
-				last = max(last, worst(x.lateness))
+				last = max(last, worst(result.lateness))
 			}
-			share := float64(late) / float64(tellings)
-			t.Logf("%.3f of %d tellings late, the worst by %v", share, tellings, last)
-			if tellings == 0 || share > c.late {
-				t.Errorf("%.3f of the changes come too late, at most %.3f may", share, c.late)
+			share := float64(late) / float64(deliveries)
+			t.Logf("%.3f of %d deliveries late, the worst by %v", share, deliveries, last)
+			if deliveries == 0 || share > c.maxLate {
+				t.Errorf("%.3f of the changes arrive too late, want at most %.3f", share, c.maxLate)
 			}
 		})
 	}
--- a/internal/rig/virtual/registry_service_test.go
+++ b/internal/rig/virtual/registry_service_test.go
@@ -7,44 +7,44 @@
 	"curlewring/internal/rig/timeline"
 )
 
-// networkDelay is how long a message takes one way.
+// networkDelay is the one-way latency of messages.
 const networkDelay = time.Millisecond
 
-// slowFailure is how long a call takes that a registry fails which is down.
+// slowFailureTime is the response time of an unavailable registry that fails calls slowly.
 const slowFailureTime = 2 * time.Second
 
-// outageKind says what becomes of calls while the registry is down.
+// outageKind is the way in which calls fail while the registry is down.
 type outageKind int
 
 const (
 	reachable         outageKind = iota
-	failsSlowly                  // 503 after 2 s
+	failsSlowly                  // 503 after slowFailureTime
 	rejectsAtOnce                // 503 at once
 	resetsConnections            // the connection is reset
-	dropsCalls                   // no answer, and open polls stay open
-	outageKindsEnd               // not a kind
-	// openLeast is how long a call must have been out for its reset to be that of an open poll.
+	dropsCalls                   // calls get no answer, and open polls stay open
+	outageKindsEnd               // number of kinds
+	// minOpenPollAge is the minimum age of a call whose reset counts as that of an open poll.
 	minOpenPollAge = 500 * time.Millisecond
 )
 
 func (k outageKind) String() string {
-	return [...]string{"up", "503 after 2 s", "503 at once", "reset", "silent"}[k]
+	return [...]string{"reachable", "503 after 2 s", "503 at once", "connection reset", "no answer"}[k]
 }
 
-// change is one new version of a tier's list.
+// change is a new version of a tier's list.
 type change struct {
 	at    time.Duration
-	lines int
+	lines int // changed servers
 }
 
-// tierList is the list that the registry keeps for the nodes of one tier.
+// tierList is the registry's list for the nodes of one tier.
 type tierList struct {
-	totalLines  int  // lines of the whole list: an answer holds each server once
-	fullAnswers bool // all answers with news hold the whole list
+	totalLines  int  // lines of the full list, and thus the limit of an answer, which holds each server once
+	fullAnswers bool // answers hold the full list instead of the changes
 	changes     []change
 }
 
-// linesSince is how many lines an answer takes to one that knows so many changes.
+// linesSince returns the number of lines of an answer to a node that knows a number of changes.
 func (l *tierList) linesSince(known int) int {
 	lines := 0
 	for _, c := range l.changes[known:] {
@@ -56,43 +56,44 @@
 	return min(lines, l.totalLines)
 }
 
-// offered is one call as it came, and what became of it.
+// callRecord records a call and its outcome.
 type callRecord struct {
 	at      time.Duration
 	lines   float64
 	outcome registry.Outcome
-	refused bool // by a registry that is down
+	refused bool // the registry was down
 }
 
-// service is the registry as the calls of a fleet find it: the queue, the open polls and the outages.
+// registryService simulates the registry for the calls of a fleet: its queue, open polls and outages.
 type registryService struct {
 	events         timeline.Events
 	now            time.Duration
-	wallStart      time.Duration // time of the wall clock at the run's begin
+	wallStart      time.Duration // wall-clock time at the start of the run
 	queue          *registry.Queue
 	callLines      float64
 	lists          []tierList // by tier
 	nodes          []*fleetNode
-	outage         outageKind
-	reachableSince time.Duration // when it could last be reached again
+	outage         outageKind    // reachable: none
+	reachableSince time.Duration // end of the last outage
 	calls          []callRecord
 }
 
-// registryCall is a call of one node.
+// registryCall is a call of a node to the registry.
 type registryCall struct {
-	node       *fleetNode
-	startedAt  time.Duration
-	whole      bool          // for the whole list, which is answered at once
-	pollEnd    time.Duration // when the registry ends the poll, whether or not there is news
-	open       bool          // worked through, and waiting for news
-	answerSent bool          // its answer is on the way
-	dropped    bool          // nothing reaches the node any more
-	ended      bool          // the node has its end
+	node            *fleetNode
+	startedAt       time.Duration
+	fetchesFullList bool          // fetches the full list, and is answered at once
+	pollEnd         time.Duration // when the registry ends the poll even if nothing has changed
+	open            bool          // processed, and waiting for changes
+	answerSent      bool          // its answer is on the way
+	dropped         bool          // no answer reaches the node
+	ended           bool          // the node has its outcome
 }
 
-func (s *registryService) after(wait time.Duration, do func()) { s.events.At(s.now+wait, do) }
+// after schedules an event after a delay.
+func (s *registryService) after(delay time.Duration, do func()) { s.events.At(s.now+delay, do) }
 
-// receive takes a call.
+// handleCall processes a call of a node.
 func (s *registryService) handleCall(c *registryCall) {
 	if s.outage != reachable {
 		s.calls = append(s.calls, callRecord{at: s.now, lines: s.callLines, refused: true})
@@ -111,24 +112,24 @@
 	}
 }
 
-// admit queues a call.
+// enqueue adds a call to the queue, and schedules its outcome.
 func (s *registryService) enqueue(c *registryCall) {
 	list := &s.lists[c.node.tier]
 	version := len(list.changes)
 	lines := list.linesSince(c.node.knownChanges)
-	if c.whole {
+	if c.fetchesFullList {
 		lines = list.totalLines
 	}
 	admission := s.queue.EnqueueCall(s.now, lines)
 	s.calls = append(s.calls, callRecord{at: s.now, lines: s.callLines + float64(lines), outcome: admission.Outcome})
-	wait := admission.DoneAt - s.now
+	delay := admission.DoneAt - s.now
 	switch admission.Outcome {
 	case registry.Rejected:
 		s.after(networkDelay, func() { s.sendFailure(c, errorStatus) })
 	case registry.TimedOut:
-		s.after(wait, func() { s.sendFailure(c, errorStatus) })
+		s.after(delay, func() { s.sendFailure(c, errorStatus) })
 	case registry.Answered:
-		s.after(wait, func() {
+		s.after(delay, func() {
 			if lines > 0 {
 				s.sendAnswer(c, version)
 			} else {
@@ -138,7 +139,7 @@
 	}
 }
 
-// begin opens a long poll that has been worked through.
+// openPoll opens a long poll after its time in the queue.
 func (s *registryService) openPoll(c *registryCall) {
 	if c.ended || c.dropped {
 		return
@@ -153,7 +154,7 @@
 	})
 }
 
-// tell writes what the node of an open poll lacks, if it lacks something.
+// sendChanges answers an open poll if its node lacks changes.
 func (s *registryService) sendChanges(c *registryCall) {
 	list := &s.lists[c.node.tier]
 	lines := list.linesSince(c.node.knownChanges)
@@ -165,21 +166,21 @@
 	s.events.At(s.queue.EnqueueLines(s.now, lines), func() { s.sendAnswer(c, version) })
 }
 
-// answer ends a call with the list up to a version.
+// sendAnswer answers a call with the list up to a version.
 func (s *registryService) sendAnswer(c *registryCall, version int) {
 	if !c.ended && !c.dropped {
 		c.node.handleAnswer(c, version)
 	}
 }
 
-// fail ends a call without an answer.
-func (s *registryService) sendFailure(c *registryCall, how callFailure) {
+// sendFailure ends a call with a failure.
+func (s *registryService) sendFailure(c *registryCall, failure callFailure) {
 	if !c.ended && !c.dropped {
-		c.node.handleFailure(c, how)
+		c.node.handleFailure(c, failure)
 	}
 }
 
-// change makes a new version of a tier's list.
+// publishChange makes a new version of a tier's list, and sends it to open polls.
 func (s *registryService) publishChange(tier, lines int) {
 	s.lists[tier].changes = append(s.lists[tier].changes, change{s.now, lines})
 	for _, n := range s.nodes {
@@ -189,7 +190,7 @@
 	}
 }
 
-// goDown begins an outage, or turns one into another. Calls that are out end, or are swallowed.
+// startOutage starts an outage, or turns one into another kind. Open calls fail or are dropped.
 func (s *registryService) startOutage(kind outageKind) {
 	s.markLate()
 	s.outage = kind
@@ -208,13 +209,13 @@
 	}
 }
 
-// comeBack ends an outage.
+// endOutage ends an outage.
 func (s *registryService) endOutage() {
 	s.markLate()
 	s.outage, s.reachableSince = reachable, s.now
 }
 
-// silence swallows all open polls, once, and takes new calls.
+// silencePolls drops all open calls. New calls are processed as usual.
 func (s *registryService) silencePolls() {
 	for _, n := range s.nodes {
 		if n.call != nil {
@@ -223,7 +224,7 @@
 	}
 }
 
-// settle holds all nodes to what counts as told up to now.
+// markLate marks the late changes of all nodes.
 func (s *registryService) markLate() {
 	for _, n := range s.nodes {
 		n.markLate()
--- a/internal/rig/virtual/scale_test.go
+++ b/internal/rig/virtual/scale_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Large fleets must serve nearly all requests and keep the rules. The log shows how evenly servers are loaded, how many
-// connections they hold, and how long a virtual minute takes. CI runs the small fleets.
+// Large fleets must serve nearly all requests and keep the rules. The log shows how evenly servers are loaded,
+// how many connections they hold, and how long a virtual minute takes. CI runs the small fleets.
 func TestScale(t *testing.T) {
 	type size struct {
 		nodes, servers, sites int
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -124,8 +124,8 @@
 		}
 		r := Run(c)
 		breaches := slices.DeleteFunc(r.Breaches, func(b string) bool {
-			// Nodes know only from the settings how many of them share a cold server's budget: a number that is too low
-			// makes them break rule 4.
+			// Nodes know only from the settings how many of them share a cold server's budget: a number that is
+			// too low makes them break rule 4.
 			return c.ReportedNodes > 0 && c.ReportedNodes < c.Nodes && strings.HasPrefix(b, "rule 4")
 		})
 		if len(breaches) > 0 {
@@ -134,8 +134,8 @@
 	})
 }
 
-// Requests of higher worth must not be refused before those of lower worth: at every load the fraction refused of the
-// class of higher worth is at most that of the other.
+// Requests of higher worth must not be refused before those of lower worth: at every load the fraction refused
+// of the class of higher worth is at most that of the other.
 func TestHigherWorthIsRefusedLast(t *testing.T) {
 	for _, load := range []float64{0.3, 0.7, 0.9, 1, 1.2, 1.5, 2, 3} {
 		highRefused, lowRefused, highRequests, lowRequests := 0, 0, 0, 0
@@ -165,7 +165,8 @@
 	load  float64
 }
 
-// play runs a case in a limit mode, and returns the served worth and the fractions of wrong refusals and late requests.
+// play runs a case in a limit mode, and returns the served worth and the fractions of wrong refusals and late
+// requests.
 func (x loadCase) play(mode decide.LimitMode, seed uint64) (servedWorth, wrongRefusals, lateShare float64) {
 	c := Default()
 	c.Seed, c.LimitMode, c.Nodes = seed, mode, 4
@@ -260,8 +261,8 @@
 	}
 }
 
-// A node whose peers have all failed must learn to use the capacity that they used: the servers are as idle as before,
-// and more calls do not increase response times.
+// A node whose peers have all failed must learn to use the capacity that they used: the servers are as idle as
+// before, and more calls do not increase response times.
 func TestLastNodeUsesFreeCapacity(t *testing.T) {
 	play := func(mode decide.LimitMode) *Result {
 		c := Default()
