--- a/internal/rig/timeline/timeline.go
+++ b/internal/rig/timeline/timeline.go
@@ -4,8 +4,9 @@
 
 import "time"
 
-// Events is a priority queue of scheduled events, kept as a heap with fanOut children per node. It is flatter than a
-// binary heap, and an event that moves up or down is written only once, to its final position. The zero value is empty.
+// Events is a priority queue of scheduled events, kept as a heap with fanOut children per node. It is flatter than
+// a binary heap, and an event that moves up or down is written only once, to its final position. The zero value is
+// empty.
 type Events struct {
 	queue []event
 	order uint64
--- a/internal/rig/timeline/timeline_test.go
+++ b/internal/rig/timeline/timeline_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Events must run in order of their time, and events of the same time in the order in which they were scheduled, also if
-// running events schedule more. Otherwise a simulation would not repeat from its seed.
+// Events must run in order of their time, and events of the same time in the order in which they were scheduled,
+// also if running events schedule more. Otherwise a simulation would not repeat from its seed.
 func TestEventsRunInOrder(t *testing.T) {
 	type scheduled struct {
 		at    time.Duration
