--- a/internal/rig/virtual/faults.go
+++ b/internal/rig/virtual/faults.go
@@ -7,106 +7,107 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-func (r *run) step(s Step) {
-	if s.RateFactor > 0 {
-		r.rate = s.RateFactor
+// applyStep applies a step to the traffic, the servers and the nodes.
+func (r *run) applyStep(step Step) {
+	if step.RateFactor > 0 {
+		r.rateFactor = step.RateFactor
 	}
-	if s.Cut != nil {
-		r.apart = s.Cut
+	if step.Cut != nil {
+		r.sitesCut = step.Cut
 	}
-	if s.AnswerLoss != nil {
-		r.mute = *s.AnswerLoss
+	if step.AnswerLoss != nil {
+		r.answerLoss = *step.AnswerLoss
 	}
-	if s.ResetShare != nil {
-		r.resets = *s.ResetShare
+	if step.ResetShare != nil {
+		r.resetShare = *step.ResetShare
 	}
-	for i, b := range r.boxes[0] {
-		if s.Servers == nil || !s.Servers(i, b.site) {
+	for i, srv := range r.servers[0] {
+		if step.Servers == nil || !step.Servers(i, srv.site) {
 			continue
 		}
-		if s.Slowdown > 0 {
-			b.slower = s.Slowdown
+		if step.Slowdown > 0 {
+			srv.slowdown = step.Slowdown
 		}
-		b.turns = (b.turns || s.RejectAll) && !s.AcceptAll
-		b.errs = (b.errs || s.FailFast) && !s.AcceptAll
-		b.stuck = (b.stuck || s.Stuck) && !s.AcceptAll
-		if s.Down {
-			r.down(b)
+		srv.rejectsAll = (srv.rejectsAll || step.RejectAll) && !step.AcceptAll
+		srv.failsFast = (srv.failsFast || step.FailFast) && !step.AcceptAll
+		srv.stuck = (srv.stuck || step.Stuck) && !step.AcceptAll
+		if step.Down {
+			r.stopServer(srv)
 		}
-		if s.Up {
-			r.up(b)
+		if step.Up {
+			r.restartServer(srv)
 		}
-		if s.Replace && !b.down {
-			r.replace(i)
+		if step.Replace && !srv.down {
+			r.replaceServer(i)
 		}
 	}
 	for i, n := range r.nodes {
-		if s.Nodes == nil || !s.Nodes(i) {
+		if step.Nodes == nil || !step.Nodes(i) {
 			continue
 		}
-		if s.KillNodes && !n.dead {
-			r.die(n)
+		if step.KillNodes && !n.dead {
+			r.killNode(n)
 		}
-		if s.StartNodes && n.dead {
-			r.begin(n)
+		if step.StartNodes && n.dead {
+			r.startNode(n)
 		}
 	}
 }
 
-// die kills a node: what it held is its callers' to ask again.
-func (r *run) die(n *node) {
+// killNode kills a node. The clients of its open requests lose the connection, and may retry.
+func (r *run) killNode(n *node) {
 	r.judge.NodeKilled(r.now, n.name)
 	n.dead = true
-	n.life++
-	r.unroll(n)
-	calls := n.calls
-	n.calls = map[uint64]*call{}
-	for _, id := range ids(calls) {
-		c := calls[id]
-		for _, t := range c.tries {
-			t.left = true
-			r.end(t, judge.Abandoned)
+	n.incarnation++
+	r.leavePool(n)
+	requests := n.requests
+	n.requests = map[uint64]*nodeRequest{}
+	for _, id := range sortedIDs(requests) {
+		req := requests[id]
+		for _, attempt := range req.attempts {
+			attempt.abandoned = true
+			r.recordEnd(attempt, judge.Abandoned)
 		}
-		r.answer(n, c, judge.ConnectionLost, 0, "")
+		r.finishRequest(n, req, judge.ConnectionLost, 0, "")
 	}
 }
 
-// replace drains a box and starts one of its kind in its place, cold.
-func (r *run) replace(i int) {
-	old := r.boxes[0][i]
-	r.tell(old, decide.Draining)
-	r.after(r.c.DrainTime, func() { r.down(old) })
-	r.succeed(old, i)
+// replaceServer drains a server and starts one of its kind in its place, cold.
+func (r *run) replaceServer(i int) {
+	old := r.servers[0][i]
+	r.publish(old, decide.Draining)
+	r.after(r.config.DrainTime, func() { r.stopServer(old) })
+	r.startSuccessor(old, i)
 }
 
-// succeed starts a new box where an old one stood.
-func (r *run) succeed(old *box, i int) {
-	b := r.newBox(0, ServerKind{Cores: old.cores, Speed: old.speed, Slots: old.slots, Queue: old.room - old.slots}, old.site)
-	r.boxes[0] = r.boxes[0][:len(r.boxes[0])-1]
-	b.index = i
-	r.judge.AddServer(b.id, r.place(b)) // it stands where the old one stood
-	r.boxes[0][i] = b
-	b.started = r.start(r.now)
-	b.node = old.node
-	r.tell(b, decide.Healthy)
+// startSuccessor starts a new server at the index and location of an old one.
+func (r *run) startSuccessor(old *server, i int) {
+	srv := r.newServer(0, ServerKind{Cores: old.cores, Speed: old.speed, Slots: old.slots, Queue: old.maxRequests - old.slots}, old.site)
+	r.servers[0] = r.servers[0][:len(r.servers[0])-1]
+	srv.index = i
+	r.judge.AddServer(srv.id, r.location(srv)) // again, as the new index determines its rack
+	r.servers[0][i] = srv
+	srv.started = r.balancerTime(r.now)
+	srv.lowerNode = old.lowerNode
+	r.publish(srv, decide.Healthy)
 }
 
-// cutOff tells whether nothing passes between a node's site and a box's.
-func (r *run) cutOff(n *node, b *box) bool {
-	return r.apart != nil && n.site != b.site && (r.apart(n.site, b.site) || r.apart(b.site, n.site))
+// unreachable reports whether a partition separates a node's site from a server's.
+func (r *run) unreachable(n *node, srv *server) bool {
+	return r.sitesCut != nil && n.site != srv.site && (r.sitesCut(n.site, srv.site) || r.sitesCut(srv.site, n.site))
 }
 
-// churn replaces boxes by new ones at a steady rate.
-func (r *run) churn() {
-	wait := time.Duration(float64(time.Second) / (r.c.Churn * float64(len(r.boxes[0]))))
-	r.after(wait, func() {
-		if r.now > r.c.Duration {
+// scheduleChurn replaces random servers by new ones at a constant rate.
+func (r *run) scheduleChurn() {
+	delay := time.Duration(float64(time.Second) / (r.config.Churn * float64(len(r.servers[0]))))
+	r.after(delay, func() {
+		if r.now > r.config.Duration {
 			return
 		}
-		i := r.rng.IntN(len(r.boxes[0]))
-		old := r.boxes[0][i]
-		r.down(old)
-		r.succeed(old, i)
-		r.churn()
+		i := r.rng.IntN(len(r.servers[0]))
+		old := r.servers[0][i]
+		r.stopServer(old)
+		r.startSuccessor(old, i)
+		r.scheduleChurn()
 	})
 }
--- a/internal/rig/virtual/nodes.go
+++ b/internal/rig/virtual/nodes.go
@@ -7,118 +7,119 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// connectWithin is how long a node waits for a connection.
-const connectWithin = 250 * time.Millisecond
+// connectTimeout is how long a node waits for a connection.
+const connectTimeout = 250 * time.Millisecond
 
-// carry does what a module wants done.
-func (r *run) carry(n *node, actions []decide.Action) {
-	n.buf = nil // handlers nest here: each has a buffer of its own
-	life := n.life
-	for _, a := range actions {
-		switch a.Kind {
+// perform carries out the actions that a node's module returned.
+func (r *run) perform(n *node, actions []decide.Action) {
+	n.actionBuffer = nil // calls of perform nest, and each needs a buffer of its own
+	incarnation := n.incarnation
+	for _, action := range actions {
+		switch action.Kind {
 		case decide.Send:
-			r.send(n, n.calls[a.Request], a)
+			r.send(n, n.requests[action.Request], action)
 		case decide.Refuse:
-			if c := n.calls[a.Request]; c != nil {
-				r.answer(n, c, judge.Refused, a.Wait, "")
+			if req := n.requests[action.Request]; req != nil {
+				r.finishRequest(n, req, judge.Refused, action.Wait, "")
 			}
 		case decide.Fail:
-			if c := n.calls[a.Request]; c != nil {
-				r.answer(n, c, judge.Failed, 0, "")
+			if req := n.requests[action.Request]; req != nil {
+				r.finishRequest(n, req, judge.Failed, 0, "")
 			}
 		case decide.StartTimer:
-			token := a.Token
-			r.after(a.Wait, func() {
-				if n.life == life && !n.dead {
-					r.carry(n, n.b.HandleTimer(r.start(r.now), decide.Timer{Token: token}, n.buf[:0]))
+			token := action.Token
+			r.after(action.Wait, func() {
+				if n.incarnation == incarnation && !n.dead {
+					r.perform(n, n.balancer.HandleTimer(r.balancerTime(r.now), decide.Timer{Token: token}, n.actionBuffer[:0]))
 				}
 			})
 		}
 	}
-	if n.life == life {
-		n.buf = actions[:0]
+	if n.incarnation == incarnation {
+		n.actionBuffer = actions[:0]
 	}
 }
 
-// send makes an attempt.
-func (r *run) send(n *node, c *call, a decide.Action) {
-	b := r.byID[n.tier][a.Server]
-	if c == nil || b == nil {
+// send makes an attempt of a request.
+func (r *run) send(n *node, req *nodeRequest, action decide.Action) {
+	srv := r.serversByID[n.tier][action.Server]
+	if req == nil || srv == nil {
 		return
 	}
-	t := &task{call: c, node: n, number: len(c.tries), box: b, sent: r.now, arrived: -1, work: c.work}
-	c.tries = append(c.tries, t)
+	attempt := &serverAttempt{request: req, node: n, number: len(req.attempts), server: srv, sentAt: r.now, judgeID: -1, work: req.work}
+	req.attempts = append(req.attempts, attempt)
 	r.result.Attempts++
-	way := r.c.SiteLatency
-	if b.site != n.site {
-		way = r.c.CrossSiteLatency
+	latency := r.config.SiteLatency
+	if srv.site != n.site {
+		latency = r.config.CrossSiteLatency
 	}
-	life := n.life
-	if b.stale > 0 {
-		r.sendOld(t, a.Wait, way)
+	incarnation := n.incarnation
+	if srv.staleKind > 0 {
+		r.sendToStaleAddress(attempt, action.Wait, latency)
 		return
 	}
-	cut := r.cutOff(n, b)
-	if b.down && !cut {
-		r.after(2*way, func() { r.outcome(t, life, decide.ConnectFailed) })
+	cut := r.unreachable(n, srv)
+	if srv.down && !cut {
+		r.after(2*latency, func() { r.reportOutcome(attempt, incarnation, decide.ConnectFailed) })
 		return
 	}
-	if _, has := n.used[b]; cut && !has { // no connection can be made
-		r.after(min(a.Wait, connectWithin), func() { r.outcome(t, life, decide.ConnectFailed) })
+	if _, connected := n.connectedSince[srv]; cut && !connected { // no connection can be made across the partition
+		r.after(min(action.Wait, connectTimeout), func() { r.reportOutcome(attempt, incarnation, decide.ConnectFailed) })
 		return
 	}
-	r.after(a.Wait, func() { // the node stops waiting
-		if !t.over {
-			t.left = true
-			r.end(t, judge.Abandoned)
-			r.outcome(t, life, decide.TimedOut)
+	r.after(action.Wait, func() { // the attempt's timeout
+		if !attempt.reported {
+			attempt.abandoned = true
+			r.recordEnd(attempt, judge.Abandoned)
+			r.reportOutcome(attempt, incarnation, decide.TimedOut)
 		}
 	})
-	if cut { // it goes out on a connection that is there, and is never heard of again
+	if cut { // it is sent on an existing connection, and lost
 		return
 	}
-	if _, has := n.used[b]; !has {
-		n.used[b] = r.now
+	if _, connected := n.connectedSince[srv]; !connected {
+		n.connectedSince[srv] = r.now
 	}
-	if n.idle[b] > 0 {
-		n.idle[b]--
+	if n.idleConns[srv] > 0 {
+		n.idleConns[srv]--
 	} else {
 		r.result.Handshakes++
 	}
-	r.after(way, func() { r.come(t, way, life) })
+	r.after(latency, func() { r.handleArrival(attempt, latency, incarnation) })
 }
 
-// outcome tells a node how an attempt ended.
-func (r *run) outcome(t *task, life int, result decide.Result) {
-	n := t.node
-	if t.over || n.life != life || n.dead {
+// reportOutcome gives a node the outcome of an attempt, unless it has one or its process has ended.
+func (r *run) reportOutcome(attempt *serverAttempt, incarnation int, result decide.Result) {
+	n := attempt.node
+	if attempt.reported || n.incarnation != incarnation || n.dead {
 		return
 	}
-	t.over = true
+	attempt.reported = true
 	if result == decide.Served || result == decide.Errored || result == decide.Rejected {
-		n.idle[t.box]++
+		n.idleConns[attempt.server]++
 	}
-	age := time.Duration(0)
-	if since, has := n.used[t.box]; has {
-		age = r.now - since
+	connAge := time.Duration(0)
+	if since, connected := n.connectedSince[attempt.server]; connected {
+		connAge = r.now - since
 	}
 	if result == decide.ConnectFailed {
-		delete(n.used, t.box)
+		delete(n.connectedSince, attempt.server)
 	}
-	final := t.call.answered
+	final := attempt.request.answered
 	if result == decide.Served && !final {
-		r.answer(n, t.call, judge.Served, 0, t.box.id)
+		r.finishRequest(n, attempt.request, judge.Served, 0, attempt.server.id)
 		final = true
 	}
-	r.carry(n, n.b.HandleOutcome(r.start(r.now), decide.Outcome{
-		Request: t.call.id, Attempt: t.number, Server: t.box.id, Result: result, Elapsed: r.now - t.sent, ConnAge: age, Final: final,
-	}, n.buf[:0]))
-	r.weigh(n, t.box.id, result)
+	r.perform(n, n.balancer.HandleOutcome(r.balancerTime(r.now), decide.Outcome{
+		Request: attempt.request.id, Attempt: attempt.number, Server: attempt.server.id, Result: result, Elapsed: r.now - attempt.sentAt, ConnAge: connAge, Final: final,
+	}, n.actionBuffer[:0]))
+	r.recordListResult(n, attempt.server.id, result)
 }
 
-func (r *run) end(t *task, how judge.AttemptOutcome) {
-	if t.arrived >= 0 && !t.ended {
-		t.ended = true
-		r.judge.AttemptEnded(r.now, t.call.key, t.arrived, how)
+// recordEnd gives the judge the outcome of an attempt, once.
+func (r *run) recordEnd(attempt *serverAttempt, outcome judge.AttemptOutcome) {
+	if attempt.judgeID >= 0 && !attempt.endRecorded {
+		attempt.endRecorded = true
+		r.judge.AttemptEnded(r.now, attempt.request.judgeKey, attempt.judgeID, outcome)
 	}
 }
