--- a/internal/fleet/allowance/allocator.go
+++ b/internal/fleet/allowance/allocator.go
@@ -46,8 +46,8 @@
 )
 
 // NewAllocator returns an allocator without loans.
-func NewAllocator(set Settings) *Allocator {
-	return &Allocator{settings: set.Default(), pools: map[Server]*pool{}, lastSeqs: map[uint64]uint64{}}
+func NewAllocator(settings Settings) *Allocator {
+	return &Allocator{settings: settings.Default(), pools: map[Server]*pool{}, lastSeqs: map[uint64]uint64{}}
 }
 
 // Pools returns the number of servers with a pool.
@@ -179,9 +179,10 @@
 	return sum
 }
 
-// Limits on the sends per window by the answers of a server, whose capacity is unknown: it gets
-// initialSends before its first answer, and sendsPerAnswer for each answer to any node within the
-// last answerWindows windows. This detects a server of a sixth of the others' size within a window.
+// Limits on the sends per window by the answers of a server. Its capacity is unknown, but what it
+// has answered to all nodes together is within it. A server gets initialSends before its first
+// answer, and sendsPerAnswer for each answer to any node within the last answerWindows windows.
+// This detects a server of a sixth of the others' size within a window.
 const (
 	initialSends   = 2
 	sendsPerAnswer = 1.0
--- a/internal/fleet/allowance/lender.go
+++ b/internal/fleet/allowance/lender.go
@@ -68,8 +68,8 @@
 }
 
 // NewLender returns the lender of a life that starts at time now.
-func NewLender(set Settings, seed uint64, now time.Duration) *Lender {
-	l := &Lender{settings: set.Default(), rng: rand.New(rand.NewPCG(seed, 0xc01d)), parts: map[Server]*part{}, allocators: map[uint64]*allocatorState{}}
+func NewLender(settings Settings, seed uint64, now time.Duration) *Lender {
+	l := &Lender{settings: settings.Default(), rng: rand.New(rand.NewPCG(seed, 0xc01d)), parts: map[Server]*part{}, allocators: map[uint64]*allocatorState{}}
 	l.quietUntil = now + l.settings.lenderTerm()
 	l.id = l.rng.Uint64() | 1
 	return l
@@ -77,14 +77,14 @@
 
 // Tick takes the members, none if they are unknown, and the cold servers as reported by the decision
 // module. It returns claims to send and grants for the module. Both are valid until the next call.
-func (l *Lender) Tick(now time.Duration, members []Member, colds []decide.ColdServer) ([]Outgoing, []decide.Grant) {
+func (l *Lender) Tick(now time.Duration, members []Member, coldServers []decide.ColdServer) ([]Outgoing, []decide.Grant) {
 	l.grants = l.grants[:0]
 	l.members = members
 	for _, p := range l.parts {
 		p.listed = false
 	}
-	for i := range colds {
-		server := Server{colds[i].Server, colds[i].Started}
+	for i := range coldServers {
+		server := Server{coldServers[i].Server, coldServers[i].Started}
 		p := l.parts[server]
 		if p == nil {
 			p = &part{}
@@ -98,19 +98,19 @@
 				l.grants = append(l.grants, decide.Grant{Server: server.ID, Started: server.Started, LentUntil: p.lentUntil})
 			}
 		}
-		newlyUsed := colds[i].GrantsUsed - p.lastGrantsUsed
+		newlyUsed := coldServers[i].GrantsUsed - p.lastGrantsUsed
 		if newlyUsed < 0 { // the module dropped the server and counts from zero again
-			newlyUsed = colds[i].GrantsUsed
+			newlyUsed = coldServers[i].GrantsUsed
 		}
 		p.used += newlyUsed
-		p.cold, p.lastGrantsUsed, p.listed = colds[i], colds[i].GrantsUsed, true
+		p.cold, p.lastGrantsUsed, p.listed = coldServers[i], coldServers[i].GrantsUsed, true
 	}
 	for server, p := range l.parts {
 		if !p.listed && now >= p.lentUntil {
 			delete(l.parts, server)
 		}
 	}
-	l.planWantedSends(colds)
+	l.planWantedSends(coldServers)
 	return l.makeClaims(now), l.grants
 }
 
@@ -123,7 +123,7 @@
 		if !p.listed {
 			continue
 		}
-		if now >= p.lentUntil && p.allocator != 0 { // the loan has ended, and claims grants on it have expired
+		if now >= p.lentUntil && p.allocator != 0 { // the loan has ended, and the sends granted on it have expired
 			p.allocator = 0
 		}
 		to := p.allocator
@@ -182,17 +182,17 @@
 
 // planWantedSends determines how many sends to ask for: as many as this node is likely to use before
 // they expire, first from the servers that had too few sends, otherwise in random order.
-func (l *Lender) planWantedSends(colds []decide.ColdServer) {
+func (l *Lender) planWantedSends(coldServers []decide.ColdServer) {
 	expectedSends, held := 0.0, 0
-	for i := range colds {
-		expectedSends += colds[i].MeanSendRate * (l.settings.SendLifetime + l.settings.ClaimInterval).Seconds()
-		held += colds[i].GrantsHeld
+	for i := range coldServers {
+		expectedSends += coldServers[i].MeanSendRate * (l.settings.SendLifetime + l.settings.ClaimInterval).Seconds()
+		held += coldServers[i].GrantsHeld
 	}
 	left := int(math.Ceil(expectedSends)) - held
-	order := l.rng.Perm(len(colds))
+	order := l.rng.Perm(len(coldServers))
 	for _, starved := range [...]bool{true, false} {
 		for _, i := range order {
-			server := &colds[i]
+			server := &coldServers[i]
 			p := l.parts[Server{server.Server, server.Started}]
 			if server.Starved != starved {
 				continue
--- a/internal/fleet/allowance/sim_test.go
+++ b/internal/fleet/allowance/sim_test.go
@@ -18,7 +18,7 @@
 type simulation struct {
 	t          *testing.T
 	rng        *rand.Rand
-	set        Settings
+	settings   Settings
 	now        time.Duration // simulated true time
 	events     timeline.Events
 	nodes      []*process
@@ -71,12 +71,12 @@
 func (s *simulation) after(d time.Duration, do func()) { s.events.At(s.now+d, do) }
 
 func newSimulation(t *testing.T, seed uint64, nodes, servers int, rate float64) *simulation {
-	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 11)), set: Settings{}.Default(), sent: map[Server][]sentRequest{}}
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 11)), settings: Settings{}.Default(), sent: map[Server][]sentRequest{}}
 	for i := range servers {
 		s.servers = append(s.servers, Server{fmt.Sprintf("server-%d", i), time.Duration(i+1) * time.Hour})
 	}
 	for i := range nodes {
-		p := &process{sim: s, index: i, skew: 1 + s.set.ClockDrift/2*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(1000 * time.Hour)))}
+		p := &process{sim: s, index: i, skew: 1 + s.settings.ClockDrift/2*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(1000 * time.Hour)))}
 		s.nodes = append(s.nodes, p)
 		p.start(rate)
 	}
@@ -149,15 +149,15 @@
 // tick runs the lender and delivers its claims.
 func (p *process) tick() {
 	now := p.clock()
-	var colds []decide.ColdServer
+	var coldServers []decide.ColdServer
 	for _, server := range p.sim.servers {
 		state := p.states[server]
-		colds = append(colds, decide.ColdServer{
+		coldServers = append(coldServers, decide.ColdServer{
 			Server: server.ID, Started: server.Started, Zone: "s0", SendRate: state.rate, MeanSendRate: state.requestRate, GrantsUsed: state.used, GrantsHeld: state.held(now), Starved: state.starved, Answered: state.answered,
 		})
 		state.starved = false
 	}
-	claims, grants := p.lender.Tick(now, p.view, colds)
+	claims, grants := p.lender.Tick(now, p.view, coldServers)
 	p.applyGrants(grants, nil, 0)
 	for _, server := range p.sim.servers {
 		p.checkPartHolders(server)
@@ -411,47 +411,47 @@
 		lenderCount, rate := 1+rng.IntN(20), []float64{0.03, 0.2, 1.1, 3}[rng.IntN(4)]
 		late, silent := rng.Float64(), rng.Float64()/2 // probabilities: last-moment sends, empty reports
 		type lender struct {
-			seq, stamp uint64
-			used, back int
-			next       time.Duration
-			out        []time.Duration // when each send is used; if negative, when item is returned
+			seq, stamp   uint64
+			used, unused int
+			next         time.Duration
+			out          []time.Duration // when each send is used; if negative, when it is returned unused
 		}
 		lenders := make([]lender, lenderCount)
-		d := NewAllocator(Settings{})
+		allocator := NewAllocator(Settings{})
 		var uses []time.Duration
 		granted := 0
 		for now := time.Hour; now < time.Hour+90*time.Second; now += 5 * time.Millisecond {
 			for i := range lenders {
-				h := &lenders[i]
-				h.out = slices.DeleteFunc(h.out, func(at time.Duration) bool {
+				l := &lenders[i]
+				l.out = slices.DeleteFunc(l.out, func(at time.Duration) bool {
 					switch {
 					case at >= 0 && at <= now:
 						uses = append(uses, at)
-						h.used++
+						l.used++
 					case at < 0 && -at <= now:
-						h.back++
+						l.unused++
 					default:
 						return false
 					}
 					return true
 				})
-				if now < h.next {
+				if now < l.next {
 					continue
 				}
-				h.next = now + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
-				h.seq++
-				item := ClaimItem{Server: Server{"b", 1}, Rate: rate / float64(lenderCount), Wanted: 1 + rng.IntN(4), Used: h.used, Unused: h.back, Answered: h.used}
+				l.next = now + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
+				l.seq++
+				item := ClaimItem{Server: Server{"b", 1}, Rate: rate / float64(lenderCount), Wanted: 1 + rng.IntN(4), Used: l.used, Unused: l.unused, Answered: l.used}
 				if rng.Float64() < silent {
 					item.Used, item.Unused = 0, 0
 				}
-				g, ok := d.HandleClaim(now, &Claim{Lender: uint64(i + 1), Seq: h.seq, Stamp: h.stamp, Items: []ClaimItem{item}})
+				g, ok := allocator.HandleClaim(now, &Claim{Lender: uint64(i + 1), Seq: l.seq, Stamp: l.stamp, Items: []ClaimItem{item}})
 				if !ok {
 					t.Fatal("the claim was not answered")
 				}
-				h.stamp = g.Stamp
+				l.stamp = g.Stamp
 				if rng.Float64() < silent/2 { // the grant is lost
 					for _, x := range g.Items {
-						h.back += x.Sends
+						l.unused += x.Sends
 					}
 					continue
 				}
@@ -465,7 +465,7 @@
 						case rng.IntN(3) == 0:
 							wait = -wait - 2*now
 						}
-						h.out = append(h.out, now+wait)
+						l.out = append(l.out, now+wait)
 					}
 				}
 			}
@@ -487,19 +487,19 @@
 // answer gets few, whatever the summed rate of its parts.
 func TestAnswersLimitSends(t *testing.T) {
 	for _, answers := range []bool{true, false} {
-		d := NewAllocator(Settings{})
+		allocator := NewAllocator(Settings{})
 		now, stamp, granted, answered := time.Hour, uint64(0), [3]int{}, 0
 		for seq := uint64(1); seq < 200; seq++ {
 			now += 50 * time.Millisecond
-			for h := range uint64(3) {
-				g, _ := d.HandleClaim(now, &Claim{Lender: h + 1, Seq: seq, Stamp: stamp, Items: []ClaimItem{{
-					Server: Server{"b", 1}, Rate: 5, Wanted: 1, Used: granted[h], Answered: answered,
+			for lender := range uint64(3) {
+				g, _ := allocator.HandleClaim(now, &Claim{Lender: lender + 1, Seq: seq, Stamp: stamp, Items: []ClaimItem{{
+					Server: Server{"b", 1}, Rate: 5, Wanted: 1, Used: granted[lender], Answered: answered,
 				}}})
 				stamp = g.Stamp
 				for _, x := range g.Items {
-					granted[h] += x.Sends
+					granted[lender] += x.Sends
 				}
-				if answers && h == 0 { // only reported by the first lender: the sum counts
+				if answers && lender == 0 { // only reported by the first lender: the sum counts
 					answered = granted[0]
 				}
 			}
@@ -514,16 +514,16 @@
 
 // A loan that would end before a send granted now has left the window must not be used for grants.
 func TestLoanOutlastsGrantedSends(t *testing.T) {
-	d := NewAllocator(Settings{})
-	set := d.settings
+	allocator := NewAllocator(Settings{})
+	settings := allocator.settings
 	for i, x := range []struct {
 		age  time.Duration
 		want bool
-	}{{0, true}, {set.RenewalSlack, true}, {set.RenewalSlack + 1, false}, {set.loanTerm() - 1, false}, {time.Hour, false}} {
+	}{{0, true}, {settings.RenewalSlack, true}, {settings.RenewalSlack + 1, false}, {settings.loanTerm() - 1, false}, {time.Hour, false}} {
 		now := time.Duration(i+10) * time.Hour
 		server := Server{"b", time.Duration(i)}
 		lend := func(at time.Duration, seq uint64) Grant {
-			g, _ := d.HandleClaim(at, &Claim{Lender: 1, Seq: uint64(10*i) + seq, Stamp: stampOf(now - x.age), Items: []ClaimItem{{Server: server, Rate: 9, Wanted: 1}}})
+			g, _ := allocator.HandleClaim(at, &Claim{Lender: 1, Seq: uint64(10*i) + seq, Stamp: stampOf(now - x.age), Items: []ClaimItem{{Server: server, Rate: 9, Wanted: 1}}})
 			return g
 		}
 		lend(now-x.age, 1)
@@ -537,30 +537,30 @@
 // are reported as unused, and unexpected answers are ignored.
 func TestSendLifetimeStartsAtClaim(t *testing.T) {
 	now := time.Hour
-	h := NewLender(Settings{}, 1, now)
-	now += h.settings.lenderTerm()
+	lender := NewLender(Settings{}, 1, now)
+	now += lender.settings.lenderTerm()
 	members := []Member{{7, "s"}}
 	cold := []decide.ColdServer{{Server: "b", Zone: "s", Started: 1, SendRate: 5, MeanSendRate: 5}}
 	step := func(g Grant, after time.Duration) (Claim, []decide.Grant) {
-		out, _ := h.Tick(now, members, cold)
+		out, _ := lender.Tick(now, members, cold)
 		if len(out) != 1 || out[0].To != 7 {
 			t.Fatalf("%+v", out)
 		}
 		now += after
 		g.Seq = out[0].Claim.Seq
-		return out[0].Claim, slices.Clone(h.HandleGrant(now, 7, &g))
+		return out[0].Claim, slices.Clone(lender.HandleGrant(now, 7, &g))
 	}
 	if c, _ := step(Grant{Stamp: 1}, 0); len(c.Items) != 0 || c.Stamp != 0 {
 		t.Errorf("the first claim lends: %+v", c)
 	}
 	now += time.Second
-	asked := now
-	c, deals := step(Grant{Stamp: 2, Items: []Allotment{{Server{"b", 1}, 2, 5}}}, 300*time.Millisecond)
+	sentAt := now
+	c, grants := step(Grant{Stamp: 2, Items: []Allotment{{Server{"b", 1}, 2, 5}}}, 300*time.Millisecond)
 	if c.Stamp != 1 || len(c.Items) != 1 || c.Items[0].Rate != 5 || c.Items[0].Wanted == 0 {
 		t.Errorf("%+v", c)
 	}
-	if len(deals) != 1 || deals[0].Sends != 2 || deals[0].ValidUntil != asked+h.settings.SendLifetime {
-		t.Errorf("claim sent at %v: grants %+v", asked, deals)
+	if len(grants) != 1 || grants[0].Sends != 2 || grants[0].ValidUntil != sentAt+lender.settings.SendLifetime {
+		t.Errorf("claim sent at %v: grants %+v", sentAt, grants)
 	}
 	// Three of five sends were lost; of the other two one was used, the other is still held.
 	cold[0].GrantsUsed, cold[0].GrantsHeld = 1, 1
@@ -569,33 +569,33 @@
 		t.Errorf("%+v", c)
 	}
 	// An answer from another member and a repeated answer must be ignored.
-	if d := h.HandleGrant(now, 8, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
+	if grants := lender.HandleGrant(now, 8, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(grants) > 0 {
 		t.Error("a grant of another member was accepted")
 	}
-	if d := h.HandleGrant(now, 7, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(d) > 0 {
+	if grants := lender.HandleGrant(now, 7, &Grant{Seq: c.Seq, Items: []Allotment{{Server{"b", 1}, 1, 6}}}); len(grants) > 0 {
 		t.Error("a grant was accepted twice")
 	}
 }
 
 // An allocator's memory is bounded, and pools without loans are dropped.
 func TestAllocatorDropsUnusedPools(t *testing.T) {
-	d := NewAllocator(Settings{})
+	allocator := NewAllocator(Settings{})
 	now := time.Hour
 	for i := range maxPools + 1000 {
 		c := &Claim{Lender: uint64(1 + i%500), Seq: uint64(1 + i/500), Stamp: stampOf(now), Items: []ClaimItem{{Server: Server{fmt.Sprint("b", i), 1}, Rate: 1, Wanted: 1}}}
-		if _, ok := d.HandleClaim(now, c); !ok {
+		if _, ok := allocator.HandleClaim(now, c); !ok {
 			t.Fatal("the claim was not answered")
 		}
 	}
-	if d.Pools() != maxPools {
-		t.Errorf("%d pools, want the maximum of %d", d.Pools(), maxPools)
+	if allocator.Pools() != maxPools {
+		t.Errorf("%d pools, want the maximum of %d", allocator.Pools(), maxPools)
 	}
 	now += time.Minute
-	d.HandleClaim(now, &Claim{Lender: 1, Seq: 1000})
-	if d.Pools() != 0 {
-		t.Errorf("%d pools after a minute, want 0", d.Pools())
+	allocator.HandleClaim(now, &Claim{Lender: 1, Seq: 1000})
+	if allocator.Pools() != 0 {
+		t.Errorf("%d pools after a minute, want 0", allocator.Pools())
 	}
-	if statuses := d.PoolStatuses(now); len(statuses) != 0 {
+	if statuses := allocator.PoolStatuses(now); len(statuses) != 0 {
 		t.Errorf("%+v", statuses)
 	}
 }
--- a/internal/fleet/bootstrap/bootstrap.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -114,8 +114,8 @@
 		settings.MaxWait = defaultMaxWait
 	}
 	b := &Bootstrapper{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x12ec)), phase: AskingPeers, phaseStart: now, pendingQueries: map[string]time.Duration{}}
-	// Without leases, nodes ask discovery by themselves after a random wait of which few are short: of 300 nodes the
-	// first asks after about four tenths of MaxWait, and only a handful before it has a list to send to the others.
+	// Without leases, each node asks discovery after a random wait, and few waits are short: of 300 nodes the first
+	// asks after about four tenths of MaxWait, and only a handful before it has a list to send to the others.
 	b.maxWait = time.Duration(math.Pow(b.rng.Float64(), 1.0/6) * float64(settings.MaxWait))
 	if hasList {
 		b.startDiscovery(now)
--- a/internal/fleet/bootstrap/bootstrap_test.go
+++ b/internal/fleet/bootstrap/bootstrap_test.go
@@ -173,7 +173,7 @@
 }
 
 // 300 nodes without a list start at once, with a discovery that serves 200 lines per second. The bound to compare
-// with is the time that discovery needs to serve each node once by itself.
+// with is the time that discovery needs to serve the full list to each node once.
 func TestFleetStartsAtOnce(t *testing.T) {
 	bound := time.Duration(300 * float64(fullListLines+1) / 200 * float64(time.Second))
 	for name, c := range map[string]struct {
@@ -229,7 +229,7 @@
 	}
 }
 
-// If the nodes that ask discovery for their sites die, the others ask by themselves in the end.
+// If the nodes that ask discovery for their sites die, the others ask it themselves in the end.
 func TestLeaseholderDies(t *testing.T) {
 	sim, lastList, _ := runSimulation(3, 30, 100*time.Millisecond, func(sim *simulation) {
 		sim.after(4200*time.Millisecond, func() {
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -208,7 +208,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("consensus: create raft node: %w", err)
 	}
-	// A voter without other voters has no acknowledged state that it could have lost.
+	// Without voters, this one has acknowledged nothing that its disk could have lost; a single voter has no other one
+	// to ask.
 	v.bootConfirmed = len(v.confState.GetVoters()) == 0 || slices.Equal(v.confState.GetVoters(), []uint64{v.id})
 	v.resetElectionTimer()
 	return v, nil
@@ -550,7 +551,8 @@
 // Applied returns the index up to which entries were returned and applied.
 func (v *Voter) Applied() uint64 { return v.applied }
 
-// panicLogger is the raft library's logger. It discards messages, and panics on fatal errors to stop the voter.
+// panicLogger is the raft library's logger. It discards messages, since changes are reported through the Voter's own
+// state, and panics on fatal errors to stop the voter.
 type panicLogger struct{}
 
 func (panicLogger) Debug(...any)            {}
--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -171,13 +171,13 @@
 }
 
 // Abandon ends the client without a release, for a user that is gone and can't report whether its acts have ended.
-// The lease expires by itself.
+// The lease then expires after its time to live.
 func (cl *Client) Abandon() {
 	if cl.phase == Over {
 		return
 	}
 	cl.guard.stopped, cl.pending = true, nil
-	cl.changePhase(Over, "the user is gone; the lease expires by itself")
+	cl.changePhase(Over, "the user is gone; the lease expires after its time to live")
 }
 
 // Tick returns the command to send now, or nil. It must be called often, and after each other call.
--- a/internal/fleet/lease/encoding.go
+++ b/internal/fleet/lease/encoding.go
@@ -110,7 +110,7 @@
 			a.TTL, err = parseTTL(f.Uint)
 		case f.IsUint && f.Number == 5:
 			if f.Uint > MaxWaiters {
-				return protofields.Errorf("queue place %d is too high", f.Uint)
+				return protofields.Errorf("queue place %d exceeds the limit of waiters", f.Uint)
 			}
 			a.Place = int(f.Uint)
 		case f.IsUint && f.Number == 6:
--- a/internal/fleet/lease/watchdog.go
+++ b/internal/fleet/lease/watchdog.go
@@ -25,7 +25,7 @@
 }
 
 // NewWatchdog returns the watchdog of a command under a lease with the given time to live that ends at until. Grace
-// is how long the command has to end by itself; 0: a quarter of the time to live.
+// is how long the command has to end after Term; 0: a quarter of the time to live.
 func NewWatchdog(ttl, grace, until time.Duration) *Watchdog {
 	if grace <= 0 {
 		grace = ttl / 4
--- a/internal/fleet/leaselog/encoding.go
+++ b/internal/fleet/leaselog/encoding.go
@@ -321,7 +321,7 @@
 
 // logEntry is the content of an entry of the log.
 type logEntry struct {
-	Version  uint64 // the lowest program version that can apply it
+	Version  uint64 // the lowest entryVersion of a program that can apply it
 	Commands []ForwardedCommand
 	Change   *voterChange
 }
--- a/internal/fleet/leaselog/founding.go
+++ b/internal/fleet/leaselog/founding.go
@@ -18,7 +18,7 @@
 	answerTimeout         = 10 * time.Second        // for the chosen nodes to answer the query, and to draw an ID
 	startTimeout          = 10 * time.Second        // for all chosen nodes to start
 	foundingRetryInterval = 300 * time.Millisecond
-	maxQueriesAtOnce      = 1024 // members queried at a time besides the chosen ones; the others follow in later rounds
+	maxQueriesAtOnce      = 1024 // members queried at a time besides the chosen ones; the others follow in later attempts
 )
 
 // founding is the one-time creation of the fleet's log, run by this node.
@@ -131,8 +131,8 @@
 	f.step, f.stepStarted, f.nextAttempt = f.step+1, now, now
 }
 
-// queryExistingVoters asks the members whether they know voters: some of them in each round, and the chosen ones
-// in every round. It ends once all have answered, or once all were queried, the minimum time has passed and the
+// queryExistingVoters asks the members whether they know voters: the next ones at each attempt, and the chosen ones
+// at every attempt. It ends once all have answered, or once all were queried, the minimum time has passed and the
 // chosen ones have answered.
 func (n *Node) queryExistingVoters(f *founding, elapsed time.Duration) {
 	silent := slices.DeleteFunc(slices.Clone(f.chosen), func(member string) bool { return member == n.settings.Name || f.withoutVoters[member] })
--- a/internal/fleet/leaselog/node_test.go
+++ b/internal/fleet/leaselog/node_test.go
@@ -543,7 +543,7 @@
 
 // One voter's disk is lost, and another voter stops some messages after the replacement starts to catch up. The
 // lost voter ID counts until raft's configuration has changed, so there may be no majority until the stopped voter
-// is back. Once both remaining voters report that the change is complete, they must elect a leader by themselves.
+// is back. Once both remaining voters report that the change is complete, they must elect a leader without it.
 func TestSecondLossAfterLostDisk(t *testing.T) {
 	withoutMajority, afterChange := 0, 0
 	for _, ofLeader := range []bool{true, false} {
--- a/internal/fleet/leaselog/voterset.go
+++ b/internal/fleet/leaselog/voterset.go
@@ -81,7 +81,7 @@
 // majority returns the size of a quorum.
 func (s *VoterSet) majority() int { return len(s.Rows)/2 + 1 }
 
-// nameHash orders the nodes of a site independently of how they are named.
+// nameHash orders the nodes of a site, so that no naming scheme favours any of them.
 func nameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Member is a node in the membership view.
--- a/internal/fleet/maintenance/doc.go
+++ b/internal/fleet/maintenance/doc.go
@@ -1,4 +1,4 @@
-// Package maintenance decides in which order machines leave service for maintenance, and stops by itself when the
+// Package maintenance decides in which order machines leave service for maintenance, and stops when the
 // fleet is in trouble.
 //
 // A Table is the replicated state. It applies commands in the order of an agreed log, so the same commands give the
@@ -7,7 +7,7 @@
 // lets only one node plan at a time, but no limit depends on that.
 //
 // Both are pure: no I/O, no goroutines, no clock. The table's time advances by the elapsed time that coordinators
-// report, so no wall clock matters, and it stands still while there is no coordinator.
+// report, so no wall clock matters, and it does not advance while there is no coordinator.
 //
 // The package drains no node and runs no hook: it decides which machine may.
 //
--- a/internal/fleet/maintenance/planner.go
+++ b/internal/fleet/maintenance/planner.go
@@ -16,7 +16,7 @@
 	Alive          bool          // it is in the members' view or on discovery's list
 	Ready          bool          // it accepts requests
 	Capacity       float64       // requests per second that it can serve when warm
-	ServedShare    float64       // served part of its fair share of the site's requests of late, from 0
+	ServedShare    float64       // recently served part of its fair share of the site's requests, from 0
 	ServedShareFor time.Duration // how long it has served that
 }
 
@@ -35,7 +35,7 @@
 type Observations struct {
 	Machines    map[string]MachineFacts
 	Sites       map[string]SiteFacts
-	Crashes     int  // machines that have failed by themselves in the last two minutes
+	Crashes     int  // machines that have failed without a request in the last two minutes
 	DiscoveryUp bool // discovery answers
 	HasMajority bool // the members' view has a majority
 	Voters      []string
--- a/internal/fleet/maintenance/table.go
+++ b/internal/fleet/maintenance/table.go
@@ -82,7 +82,7 @@
 	Pause                       // admit no machine; those not yet out of service return to Requested
 	Resume
 	SetLimits          // set new limits
-	ReportObservations // report elapsed time and machines that failed by themselves
+	ReportObservations // report elapsed time and machines that are out without a request
 )
 
 // Command is one entry of the log.
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -57,11 +57,11 @@
 
 // NewView returns a view of the given members, each with the given number of watchers, or
 // fewer if there are not enough members. It sorts members in place.
-func NewView(root, number uint64, members []Member, watchers int) (*View, error) {
+func NewView(fleetID, number uint64, members []Member, watchers int) (*View, error) {
 	if len(members) == 0 {
 		return nil, fmt.Errorf("view %d: no members", number)
 	}
-	v := &View{FleetID: root, Number: number, Members: members}
+	v := &View{FleetID: fleetID, Number: number, Members: members}
 	slices.SortFunc(v.Members, func(a, b Member) int {
 		return cmp.Or(strings.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life))
 	})
@@ -73,7 +73,7 @@
 		binary.LittleEndian.PutUint64(buf[:], x)
 		h.Write(buf[:])
 	}
-	writeUint(root)
+	writeUint(fleetID)
 	writeUint(number)
 	for i := range v.Members {
 		m := &v.Members[i]
--- a/internal/fleet/membership/message.go
+++ b/internal/fleet/membership/message.go
@@ -54,14 +54,14 @@
 
 // Refutation is a member's own statement that it is alive, sent only while it is accused.
 type Refutation struct {
-	Member uint32 // place in the view
+	Member uint32 // index in the view
 	Seq    uint32
 }
 
 // Departure states that a member is leaving, or that it has ended because another life uses its
 // address.
 type Departure struct {
-	Member uint32 // place in the view
+	Member uint32 // index in the view
 	Ended  bool
 }
 
--- a/internal/fleet/membership/node.go
+++ b/internal/fleet/membership/node.go
@@ -63,8 +63,8 @@
 }
 
 // New returns a node that starts at time now and tries to join.
-func New(set Settings, seed uint64, now time.Duration) *Node {
-	n := &Node{settings: set.Default(), rng: rand.New(rand.NewPCG(seed, 0x51f15e)), now: now, lastTick: now}
+func New(settings Settings, seed uint64, now time.Duration) *Node {
+	n := &Node{settings: settings.Default(), rng: rand.New(rand.NewPCG(seed, 0x51f15e)), now: now, lastTick: now}
 	n.self = n.settings.Self
 	n.self.Incarnation = n.settings.Incarnation
 	n.removed = map[string]*removalRecord{}
--- a/internal/fleet/wire/allowance.go
+++ b/internal/fleet/wire/allowance.go
@@ -52,15 +52,15 @@
 }
 
 // appendServer appends the fields that identify a life of a server.
-func appendServer(to []byte, b allowance.Server) []byte {
-	return protofields.AppendUint(protofields.AppendBytes(to, 1, []byte(b.ID)), 2, protowire.EncodeZigZag(int64(b.Started)))
+func appendServer(to []byte, server allowance.Server) []byte {
+	return protofields.AppendUint(protofields.AppendBytes(to, 1, []byte(server.ID)), 2, protowire.EncodeZigZag(int64(server.Started)))
 }
 
 // ParseClaim parses the body of a claim.
 func ParseClaim(b []byte) (*allowance.Claim, error) {
 	c := &allowance.Claim{}
 	var r reader
-	err := r.fields(b, func(f protofields.Field) error {
+	err := r.forEachField(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
 			c.Lender = f.Uint
@@ -73,7 +73,7 @@
 				return newError(Malformed, "claim: more than %d servers", allowance.MaxClaimItems)
 			}
 			var item allowance.ClaimItem
-			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
+			err := r.forEachField(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsUint && f.Number == 3:
 					item.Rate = math.Float64frombits(f.Uint)
@@ -110,7 +110,7 @@
 func ParseGrant(b []byte) (*allowance.Grant, error) {
 	g := &allowance.Grant{}
 	var r reader
-	err := r.fields(b, func(f protofields.Field) error {
+	err := r.forEachField(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
 			g.Seq = f.Uint
@@ -121,7 +121,7 @@
 				return newError(Malformed, "grant: more than %d servers", allowance.MaxClaimItems)
 			}
 			var allotment allowance.Allotment
-			err := r.fields(f.Bytes, func(f protofields.Field) (err error) {
+			err := r.forEachField(f.Bytes, func(f protofields.Field) (err error) {
 				switch {
 				case f.IsUint && f.Number == 3:
 					allotment.Sends, err = parseCount(f.Uint)
@@ -146,12 +146,12 @@
 }
 
 // readServer stores a field appended by appendServer.
-func readServer(b *allowance.Server, f protofields.Field) {
+func readServer(server *allowance.Server, f protofields.Field) {
 	switch {
 	case !f.IsUint && f.Number == 1:
-		b.ID = string(f.Bytes)
+		server.ID = string(f.Bytes)
 	case f.IsUint && f.Number == 2:
-		b.Started = time.Duration(protowire.DecodeZigZag(f.Uint))
+		server.Started = time.Duration(protowire.DecodeZigZag(f.Uint))
 	}
 }
 
--- a/internal/fleet/wire/list.go
+++ b/internal/fleet/wire/list.go
@@ -38,7 +38,7 @@
 func ParseList(b []byte) (*ListMessage, error) {
 	m := &ListMessage{}
 	var r reader
-	err := r.fields(b, func(f protofields.Field) error {
+	err := r.forEachField(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
 			if f.Uint < uint64(bootstrap.ListQuery) || f.Uint > uint64(bootstrap.ListReply) {
--- a/internal/fleet/wire/wire.go
+++ b/internal/fleet/wire/wire.go
@@ -220,7 +220,7 @@
 	}
 	m := &membership.Message{}
 	r := reader{watchers: watchers}
-	if err := r.fields(b[HeaderSize:], func(f protofields.Field) error { return r.parseField(m, f) }); err != nil {
+	if err := r.forEachField(b[HeaderSize:], func(f protofields.Field) error { return r.parseField(m, f) }); err != nil {
 		return nil, err
 	}
 	if m.Kind < membership.Probe || m.Kind > membership.Payload {
@@ -235,8 +235,8 @@
 // reader parses fields into the types of package membership.
 type reader struct{ watchers int }
 
-// fields calls each for every field of b and converts errors.
-func (r *reader) fields(b []byte, each func(protofields.Field) error) error {
+// forEachField calls each for every field of b and converts errors.
+func (r *reader) forEachField(b []byte, each func(protofields.Field) error) error {
 	err := protofields.ForEach(b, each)
 	if malformed := (*protofields.Error)(nil); errors.As(err, &malformed) {
 		return newError(Malformed, "%s", malformed.Text)
@@ -277,9 +277,9 @@
 	}
 	switch f.Number {
 	case fieldSelf:
-		m.Self, err = r.member(f.Bytes)
+		m.Self, err = r.parseMember(f.Bytes)
 	case fieldNameHolder:
-		m.NameHolder, err = r.member(f.Bytes)
+		m.NameHolder, err = r.parseMember(f.Bytes)
 	case fieldAlert:
 		x, err := parseUint32List(f.Bytes, 3, 3)
 		if err != nil {
@@ -301,13 +301,13 @@
 			m.Departures = append(m.Departures, membership.Departure{Member: x >> 1, Ended: x&1 == 1})
 		}
 	case fieldVote:
-		m.Vote, err = r.vote(f.Bytes)
+		m.Vote, err = r.parseVote(f.Bytes)
 	case fieldJoiner:
 		joiner := membership.Joiner{}
-		err = r.fields(f.Bytes, func(f protofields.Field) error {
+		err = r.forEachField(f.Bytes, func(f protofields.Field) error {
 			switch {
 			case f.Number == 1 && !f.IsUint:
-				x, err := r.member(f.Bytes)
+				x, err := r.parseMember(f.Bytes)
 				if err == nil {
 					joiner.Member = *x
 				}
@@ -326,9 +326,9 @@
 		}
 		m.Joiners = append(m.Joiners, joiner)
 	case fieldView:
-		m.View, err = r.view(f.Bytes)
+		m.View, err = r.parseView(f.Bytes)
 	case fieldProposal:
-		m.Proposal, err = r.proposal(f.Bytes)
+		m.Proposal, err = r.parseProposal(f.Bytes)
 	case fieldBody:
 		m.Body = append([]byte(nil), f.Bytes...)
 	}
@@ -351,9 +351,9 @@
 	return values, nil
 }
 
-func (r *reader) member(b []byte) (*membership.Member, error) {
+func (r *reader) parseMember(b []byte) (*membership.Member, error) {
 	m := &membership.Member{}
-	err := r.fields(b, func(f protofields.Field) error {
+	err := r.forEachField(b, func(f protofields.Field) error {
 		switch {
 		case f.Number == 1 && !f.IsUint:
 			m.Name = string(f.Bytes)
@@ -384,9 +384,9 @@
 	return m, nil
 }
 
-func (r *reader) vote(b []byte) (*membership.Vote, error) {
+func (r *reader) parseVote(b []byte) (*membership.Vote, error) {
 	v := &membership.Vote{}
-	err := r.fields(b, func(f protofields.Field) error {
+	err := r.forEachField(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
 			v.ViewNumber = f.Uint
@@ -412,17 +412,17 @@
 	return v, err
 }
 
-func (r *reader) view(b []byte) (*membership.View, error) {
+func (r *reader) parseView(b []byte) (*membership.View, error) {
 	fleetID, number := uint64(0), uint64(0)
 	var members []membership.Member
-	err := r.fields(b, func(f protofields.Field) error {
+	err := r.forEachField(b, func(f protofields.Field) error {
 		switch {
 		case f.IsUint && f.Number == 1:
 			fleetID = f.Uint
 		case f.IsUint && f.Number == 2:
 			number = f.Uint
 		case !f.IsUint && f.Number == 3:
-			m, err := r.member(f.Bytes)
+			m, err := r.parseMember(f.Bytes)
 			if err == nil {
 				members = append(members, *m)
 			}
@@ -440,9 +440,9 @@
 	return v, nil
 }
 
-func (r *reader) proposal(b []byte) (*membership.Proposal, error) {
+func (r *reader) parseProposal(b []byte) (*membership.Proposal, error) {
 	p := &membership.Proposal{}
-	err := r.fields(b, func(f protofields.Field) (err error) {
+	err := r.forEachField(b, func(f protofields.Field) (err error) {
 		switch {
 		case f.IsUint && f.Number == 1:
 			p.ViewNumber = f.Uint
@@ -451,7 +451,7 @@
 		case !f.IsUint && f.Number == 2:
 			p.Remove, err = parseUint32List(f.Bytes, 0, len(f.Bytes))
 		case !f.IsUint && f.Number == 3:
-			m, err := r.member(f.Bytes)
+			m, err := r.parseMember(f.Bytes)
 			if err == nil {
 				p.Add = append(p.Add, *m)
 			}
--- a/internal/leaseexec/leaseexec.go
+++ b/internal/leaseexec/leaseexec.go
@@ -23,7 +23,7 @@
 	"curlewring/internal/node/leases"
 )
 
-// Options say what to run.
+// Options configure Run.
 type Options struct {
 	StateDir  string // of the node's state
 	Lease     string
--- a/internal/node/bootstrap/runner.go
+++ b/internal/node/bootstrap/runner.go
@@ -34,7 +34,7 @@
 // Hooks are the functions of the node's loop that this package uses.
 type Hooks struct {
 	AllowDiscovery func()                                  // allows this node to query discovery
-	DeliverList    func(list []byte, about bootstrap.List) // passes on a list that this node received
+	DeliverList    func(list []byte, info bootstrap.List)  // passes on a list that this node received
 	CurrentList    func(ctx context.Context) (list []byte) // the present list in discovery's encoding; nil: none
 }
 
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -25,8 +25,8 @@
 	Tokens uint64        `json:",omitempty"` // for "found": tokens are issued above this one
 }
 
-// Reply is a node's answer: one JSON object per line. Each request gets one reply, except that
-// "hold" gets one per event.
+// Reply is a node's answer: one JSON object per line. Each request gets one reply; "hold" gets one
+// that confirms the request, and then one per event.
 type Reply struct {
 	Error    string             `json:",omitempty"`
 	Event    *lease.Event       `json:",omitempty"`
--- a/internal/node/members/claims.go
+++ b/internal/node/members/claims.go
@@ -7,7 +7,7 @@
 )
 
 // maxQueuedClaims bounds the claims waiting to be sent. It allows for one to each node of a planned
-// fleet.
+// fleet: any node may be an allocator, and one claim covers only a few servers.
 const maxQueuedClaims = 8192
 
 // outgoingClaim is a claim on its way to the member that allocates the budget.
