--- a/internal/fleet/allowance/message.go
+++ b/internal/fleet/allowance/message.go
@@ -89,14 +89,14 @@
 // Default returns the settings with defaults in place of unset values.
 func (s Settings) Default() Settings {
 	for _, x := range []struct {
-		at *time.Duration
-		d  time.Duration
+		value    *time.Duration
+		fallback time.Duration
 	}{
 		{&s.Window, time.Second}, {&s.SendLifetime, time.Second}, {&s.RenewalSlack, time.Second},
 		{&s.ClaimInterval, 250 * time.Millisecond}, {&s.SilentAfter, time.Second}, {&s.AvoidFor, 10 * time.Second},
 	} {
-		if *x.at <= 0 {
-			*x.at = x.d
+		if *x.value <= 0 {
+			*x.value = x.fallback
 		}
 	}
 	if s.ClockDrift <= 0 {
--- a/internal/fleet/leaselog/forward.go
+++ b/internal/fleet/leaselog/forward.go
@@ -70,19 +70,19 @@
 // ErrNoVoters is returned when this node knows no voters.
 const ErrNoVoters = Error("no voters are known: the log of leases may not have been founded yet")
 
-// SendLeaseCommand sends a command of this node to a voter: on the first attempt (try 0) to the last known leader,
+// SendLeaseCommand sends a command of this node to a voter: on the first attempt (0) to the last known leader,
 // on each further attempt to another voter. It returns an error if no voter is known.
-func (n *Node) SendLeaseCommand(now time.Duration, cmd lease.Command, ref uint64, try int) error {
-	return n.sendToVoter(now, cmd.Holder.Life^ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Command: cmd, Origin: n.settings.Name, Ref: ref}})
+func (n *Node) SendLeaseCommand(now time.Duration, cmd lease.Command, ref uint64, attempt int) error {
+	return n.sendToVoter(now, cmd.Holder.Life^ref, attempt, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Command: cmd, Origin: n.settings.Name, Ref: ref}})
 }
 
 // RequestLeaseList requests the list of all leases.
-func (n *Node) RequestLeaseList(now time.Duration, ref uint64, try int) error {
-	return n.sendToVoter(now, ref, try, &Message{Kind: QueryLeases, Origin: n.settings.Name, Ref: ref})
+func (n *Node) RequestLeaseList(now time.Duration, ref uint64, attempt int) error {
+	return n.sendToVoter(now, ref, attempt, &Message{Kind: QueryLeases, Origin: n.settings.Name, Ref: ref})
 }
 
 // targetVoter returns the voter to contact on an attempt, counted from 0; "" if no voter is known.
-func (n *Node) targetVoter(key uint64, try int) string {
+func (n *Node) targetVoter(key uint64, attempt int) string {
 	voters := n.localRecord.Voters.Rows
 	if n.hasAppliedState() {
 		voters = n.voters.Rows
@@ -90,16 +90,16 @@
 	if len(voters) == 0 {
 		return ""
 	}
-	if try == 0 && n.lastLeader != "" {
+	if attempt == 0 && n.lastLeader != "" {
 		return n.lastLeader
 	}
-	return voters[(key+uint64(try))%uint64(len(voters))].Name
+	return voters[(key+uint64(attempt))%uint64(len(voters))].Name
 }
 
 // sendToVoter sends a message to the voter that this attempt is for. It returns ErrNoVoters if no voter is known.
-func (n *Node) sendToVoter(now time.Duration, ref uint64, try int, m *Message) error {
+func (n *Node) sendToVoter(now time.Duration, ref uint64, attempt int, m *Message) error {
 	n.now = max(n.now, now)
-	target := n.targetVoter(ref, try)
+	target := n.targetVoter(ref, attempt)
 	if target == "" {
 		return ErrNoVoters
 	}
@@ -123,13 +123,13 @@
 
 // SendMaintenanceCommand sends a maintenance command; it returns an error if no voter is known. A command that is
 // sent again may be applied twice: each command names the state that it expects, or has no effect the second time.
-func (n *Node) SendMaintenanceCommand(now time.Duration, cmd *maintenance.Command, ref uint64, try int) error {
-	return n.sendToVoter(now, ref, try, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Maintenance: cmd, Origin: n.settings.Name, Ref: ref}})
+func (n *Node) SendMaintenanceCommand(now time.Duration, cmd *maintenance.Command, ref uint64, attempt int) error {
+	return n.sendToVoter(now, ref, attempt, &Message{Kind: SubmitCommand, Command: &ForwardedCommand{Maintenance: cmd, Origin: n.settings.Name, Ref: ref}})
 }
 
 // RequestMaintenanceTable requests the maintenance table.
-func (n *Node) RequestMaintenanceTable(now time.Duration, ref uint64, try int) error {
-	return n.sendToVoter(now, ref, try, &Message{Kind: QueryMaintenance, Origin: n.settings.Name, Ref: ref})
+func (n *Node) RequestMaintenanceTable(now time.Duration, ref uint64, attempt int) error {
+	return n.sendToVoter(now, ref, attempt, &Message{Kind: QueryMaintenance, Origin: n.settings.Name, Ref: ref})
 }
 
 // approximateSize estimates the encoded size of the command in a log entry.
--- a/internal/fleet/leaselog/node_test.go
+++ b/internal/fleet/leaselog/node_test.go
@@ -158,9 +158,9 @@
 // sendUntilAnswered sends a command from a node until it is answered.
 func (f *testFleet) sendUntilAnswered(node string, command lease.Command) lease.Answer {
 	f.t.Helper()
-	for try := range 30 {
+	for attempt := range 30 {
 		f.replies[node] = nil
-		f.running[node].SendLeaseCommand(f.now, command, 0, try)
+		f.running[node].SendLeaseCommand(f.now, command, 0, attempt)
 		f.advance(300 * time.Millisecond)
 		for _, reply := range f.replies[node] {
 			if reply.Kind == CommandAnswer && reply.Life == command.Holder.Life && reply.Seq == command.Seq {
@@ -282,8 +282,8 @@
 		}
 	}
 	founded.replies[sender] = nil
-	for try := range 3 {
-		founded.running[sender].SendLeaseCommand(founded.now, lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder(sender, 5), Seq: 1, TTL: time.Second}, 0, try)
+	for attempt := range 3 {
+		founded.running[sender].SendLeaseCommand(founded.now, lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder(sender, 5), Seq: 1, TTL: time.Second}, 0, attempt)
 	}
 	founded.processPending()
 	if len(founded.replies[sender]) != 1 || founded.replies[sender][0].Kind != CannotServe || founded.replies[sender][0].Seq != 1 {
@@ -373,8 +373,8 @@
 	f, _ := newFoundedFleet(t, 3, 3)
 	f.sendUntilAnswered("n0", lease.Command{Op: lease.Acquire, Lease: "l", Holder: newHolder("n0", 1), Seq: 1, TTL: time.Hour})
 	leaseRecord, _ := f.leader().stateMachine.Lease("l")
-	for try := range 3 {
-		f.running["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.Expire, Lease: "l", Holder: leaseRecord.Holder, Serial: leaseRecord.Serial}, 0, try)
+	for attempt := range 3 {
+		f.running["n1"].SendLeaseCommand(f.now, lease.Command{Op: lease.Expire, Lease: "l", Holder: leaseRecord.Holder, Serial: leaseRecord.Serial}, 0, attempt)
 	}
 	f.advance(time.Second)
 	if leaseRecord, _ := f.leader().stateMachine.Lease("l"); leaseRecord.Holder.Life != 1 {
--- a/internal/fleet/membership/detector.go
+++ b/internal/fleet/membership/detector.go
@@ -62,11 +62,11 @@
 }
 
 // updateSince maintains the time since which a condition has held; 0 if it does not hold.
-func updateSince(at *time.Duration, holds bool, now time.Duration) {
+func updateSince(since *time.Duration, holds bool, now time.Duration) {
 	if !holds {
-		*at = 0
-	} else if *at == 0 {
-		*at = now
+		*since = 0
+	} else if *since == 0 {
+		*since = now
 	}
 }
 
@@ -97,8 +97,8 @@
 }
 
 // refutes reports whether a recent refutation of the member is known.
-func (r *subjectState) refutes(now time.Duration) bool {
-	return r.refutedAt > 0 && now-r.refutedAt < refutationLifetime
+func (s *subjectState) refutes(now time.Duration) bool {
+	return s.refutedAt > 0 && now-s.refutedAt < refutationLifetime
 }
 
 // accused reports whether the accusers of a member reach the low watermark.
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -169,17 +169,17 @@
 // ring returns the members in the pseudo-random order of ring r.
 func (v *View) ring(r int) []uint32 {
 	type ringEntry struct {
-		at uint64
-		i  uint32
+		hash  uint64
+		index uint32
 	}
 	entries := make([]ringEntry, len(v.Members))
 	for i := range v.Members {
 		entries[i] = ringEntry{hashLife(v.Members[i].Life, r), uint32(i)}
 	}
-	slices.SortFunc(entries, func(a, b ringEntry) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(entries, func(a, b ringEntry) int { return cmp.Compare(a.hash, b.hash) })
 	ring := make([]uint32, len(entries))
 	for i, entry := range entries {
-		ring[i] = entry.i
+		ring[i] = entry.index
 	}
 	return ring
 }
@@ -223,8 +223,9 @@
 func (v *View) majority() int { return len(v.Members)/2 + 1 }
 
 // Thresholds of accusations for a member with the given number of watchers. A member is
-// removed at the high watermark; below the low watermark accusations are noise; halfOf applies
-// to members that refute.
+// removed at the high watermark, three quarters of its watchers; below the low watermark, three
+// tenths of them, accusations are noise; halfOf applies to members that refute, which other
+// watchers still reach.
 func highWatermark(watchers int) int { return (3*watchers + 3) / 4 }
 func lowWatermark(watchers int) int  { return (3*watchers + 9) / 10 }
 func halfOf(watchers int) int        { return max(1, (watchers+1)/2) }
--- a/internal/fleet/membership/status.go
+++ b/internal/fleet/membership/status.go
@@ -50,32 +50,32 @@
 	if n.stalls > 0 {
 		s.Stalled = now - n.lastStall
 	}
-	for name, r := range n.removed {
-		s.Gone = append(s.Gone, RemovedMember{name, now - r.removedAt, r.times, max(0, r.readmitAt-now)})
+	for name, removal := range n.removed {
+		s.Gone = append(s.Gone, RemovedMember{name, now - removal.removedAt, removal.times, max(0, removal.readmitAt-now)})
 	}
 	if n.view == nil {
 		return s
 	}
 	s.Root, s.Number, s.Majority = n.view.FleetID, n.view.Number, n.view.majority()
 	for i := range n.view.Members {
-		at := uint32(i)
+		index := uint32(i)
 		m := MemberStatus{Member: n.view.Members[i], Watchers: len(n.view.watchers[i])}
-		if e := n.edges[at]; e != nil {
+		if e := n.edges[index]; e != nil {
 			m.Watched, m.Reachable, m.RTT, m.Loss = true, !e.accused, e.rtt, e.loss
 			if e.lastContact > 0 {
 				m.Heard = now - e.lastContact
 			}
 		}
-		if r := n.detector.subjects[at]; r != nil {
-			for _, a := range n.accusationsOf(at) {
+		if state := n.detector.subjects[index]; state != nil {
+			for _, a := range n.accusationsOf(index) {
 				m.Accusers = append(m.Accusers, n.view.Members[n.view.watchers[i][a.WatcherSlot]].Name)
 			}
-			m.Speaks = r.refutes(now)
+			m.Speaks = state.refutes(now)
 		}
-		for _, l := range n.detector.departed {
-			m.Leaving = m.Leaving || l == at
+		for _, departed := range n.detector.departed {
+			m.Leaving = m.Leaving || departed == index
 		}
-		if !n.isSilent(at) {
+		if !n.isSilent(index) {
 			s.Speaking++
 		}
 		s.Members = append(s.Members, m)
