--- a/internal/rig/members/doc.go
+++ b/internal/rig/members/doc.go
@@ -1,11 +1,10 @@
-// Package members plays many nodes' membership in virtual time: the real core of each,
-// and between them a network that loses, delays, doubles and cuts by direction, processes
-// that stand still, die and start anew with and without what they kept.
+// Package members simulates the membership protocol of many nodes in virtual time: each node runs the real membership
+// core, and the simulated network between them loses, delays, duplicates and, per direction, drops messages. Processes
+// can be paused, killed and restarted with or without their persisted state.
 //
-// A Net owns its nodes and its clock, and belongs to one goroutine. All is drawn from one
-// seed: the same configuration and script give the same run. It keeps a history of every
-// view that any node had, which is what its checks go by, and hears no node's opinion of
-// another. swim.go is a control: plain SWIM as published, on the same network.
+// A Net owns its nodes and its clock and belongs to one goroutine. All randomness comes from one seed, so the same
+// configuration and script give the same run. The Net records every view that any node adopts; its checks use that
+// record, never one node's opinion of another. swim.go is the control: plain SWIM as published, on the same network.
 //
-// It must not decide anything of the membership.
+// The package must not take any membership decision itself.
 package members
--- a/internal/rig/members/net.go
+++ b/internal/rig/members/net.go
@@ -11,86 +11,87 @@
 	"curlewring/internal/rig/timeline"
 )
 
-// Core is a membership protocol's part at one node.
+// Core is the membership protocol of one node.
 type Core interface {
 	Tick(now time.Duration)
 	Receive(now time.Duration, m any)
 	TakePackets() []Packet
-	// Believes tells which names it holds to be alive, and the number of its view, if it has such.
+	// LiveMembers returns the names of the members that the core considers alive, and the number of its view (0 if the
+	// protocol has no views).
 	LiveMembers() (names map[string]bool, view uint64)
 }
 
-// Packet is a message on its way.
+// Packet is a message in transit.
 type Packet struct {
 	To      netip.AddrPort
 	Message any
-	Bytes   int
-	Stream  bool
+	Bytes   int  // encoded length, 0 if it is not counted
+	Stream  bool // sent over a connection, not as a datagram
 }
 
-// Link is what happens to messages from one node to another.
+// Link describes what the network does to messages from one node to another.
 type Link struct {
 	Cut       bool
-	Loss      float64 // part of the datagrams; a stream is tried again and takes longer
+	Loss      float64 // fraction of the datagrams; a stream retransmits and takes longer instead
 	Delay     time.Duration
-	Duplicate float64 // part of the datagrams that come twice
+	Duplicate float64 // fraction of the datagrams that arrive twice
 }
 
-// Config describes a net.
+// Config describes a simulated network of nodes.
 type Config struct {
 	Seed           uint64
 	Nodes          int
 	Sites          int
-	SeedCount      int           // the first so many nodes are the list of seeds
-	Tick           time.Duration // of each core; 0: 100 ms
-	Delay          time.Duration // one way; up to half as much again
-	EncodeMessages bool          // messages go through their form and back
-	CountBytes     bool          // bytes are counted
+	SeedCount      int           // the first SeedCount nodes form the seed list
+	Tick           time.Duration // tick interval of each core; 0: 100 ms
+	Delay          time.Duration // one-way latency, plus a random extra of up to half of it; 0: 1 ms
+	EncodeMessages bool          // messages are encoded, and parsed again at the receiver
+	CountBytes     bool          // messages are encoded to count their bytes
 	EditSettings   func(*membership.Settings)
-	NewCore        func(n *Net, i int, life int) Core // nil: the real core
-	ShareViews     bool                               // views are made once for all
+	NewCore        func(n *Net, i int, epoch int) Core // nil: the real core
+	ShareViews     bool                                // nodes share each computed view, which saves time and memory
 }
 
-// Node is one process.
+// Node is one simulated process.
 type Node struct {
-	Index       int
-	Name, Site  string
-	Addr        netip.AddrPort
-	Core        Core
-	Dead        bool
-	stopped     bool
-	stoppedAt   time.Duration
-	slow        time.Duration // its ticks come so late
-	life        int
-	waiting     []func() // what comes while it stands still
-	incarnation uint64
-	number      uint64
-	known       []netip.AddrPort
-	Sent, Bytes int
-	Views       int // changes that it has seen
-	Evictions   int
+	Index          int
+	Name, Site     string
+	Addr           netip.AddrPort
+	Core           Core
+	Dead           bool
+	paused         bool
+	pausedAt       time.Duration
+	tickDelay      time.Duration // added to its tick interval; half of it to each of its messages
+	epoch          int           // changes at every start and kill, so that steps of an earlier process are dropped
+	queued         []func()      // steps that arrived while the process was paused
+	incarnation    uint64
+	lastViewNumber uint64
+	knownAddrs     []netip.AddrPort
+	Sent, Bytes    int
+	Views          int // view changes that the node has adopted
+	Evictions      int
 }
 
-// Net is nodes and the network between them.
+// Net holds the nodes and the network between them.
 type Net struct {
 	Config
 	Now   time.Duration
 	Nodes []*Node
 	Log   func(format string, args ...any)
 
-	rng        *rand.Rand
-	events     timeline.Events
-	link       func(from, to *Node) Link
-	byAddr     map[netip.AddrPort]*Node
-	views      map[viewKey]*membership.View
-	shared     map[nextKey]*membership.View
-	Violations []string // promises that were broken
-	Changes    []ViewChange
-	Reasons    []string // of each view, once
-	Deaths     int      // of nodes that lived and could be used
+	rng           *rand.Rand
+	events        timeline.Events
+	link          func(from, to *Node) Link
+	byAddr        map[netip.AddrPort]*Node
+	views         map[viewKey]*membership.View
+	nextViews     map[nextKey]*membership.View
+	Violations    []string // broken guarantees of the protocol
+	Changes       []ViewChange
+	Reasons       []string // of each view, when the first node adopts it
+	WrongRemovals int      // members removed from a view although they were alive and usable
 }
 
-// Change is a view that a node began.
+// ViewChange records that a node adopted a view.
 type ViewChange struct {
 	At   time.Duration
 	Node int
@@ -98,11 +99,11 @@
 	Text string
 }
 
-type viewKey struct{ root, number uint64 }
+type viewKey struct{ fleetID, number uint64 }
 
-type nextKey struct{ view, proposal uint64 }
+type nextKey struct{ viewDigest, proposalHash uint64 }
 
-// New makes a net whose nodes have not started yet.
+// New creates a network whose nodes are not started yet.
 func New(c Config) *Net {
 	if c.Tick == 0 {
 		c.Tick = 100 * time.Millisecond
@@ -112,7 +113,7 @@
 	}
 	n := &Net{
 		Config: c, rng: rand.New(rand.NewPCG(c.Seed, 0xfee1)), byAddr: map[netip.AddrPort]*Node{}, Now: time.Second,
-		views: map[viewKey]*membership.View{}, shared: map[nextKey]*membership.View{}, link: func(*Node, *Node) Link { return Link{} },
+		views: map[viewKey]*membership.View{}, nextViews: map[nextKey]*membership.View{}, link: func(*Node, *Node) Link { return Link{} },
 	}
 	for i := range c.Nodes {
 		x := &Node{
@@ -125,31 +126,32 @@
 	return n
 }
 
-// At has something done at a time.
+// At schedules a function at a virtual time, or now if that time has passed.
 func (n *Net) At(at time.Duration, do func()) {
 	n.events.At(max(at, n.Now), do)
 }
 
-// Links says from now on what happens between nodes.
+// SetLinks replaces the function that returns the link from one node to another.
 func (n *Net) SetLinks(link func(from, to *Node) Link) { n.link = link }
 
-// Start starts a node; with what it kept of its last life, or without.
-func (n *Net) Start(i int, kept bool) {
+// Start starts a node that is not running. With keepState it starts with the state that its last process persisted:
+// incarnation, last view number and known addresses.
+func (n *Net) Start(i int, keepState bool) {
 	x := n.Nodes[i]
 	if !x.Dead {
 		return
 	}
-	if !kept {
-		x.incarnation, x.number, x.known = 0, 0, nil
+	if !keepState {
+		x.incarnation, x.lastViewNumber, x.knownAddrs = 0, 0, nil
 	}
-	x.life++
-	x.Dead, x.stopped, x.waiting = false, false, nil
+	x.epoch++
+	x.Dead, x.paused, x.queued = false, false, nil
 	if n.NewCore != nil {
-		x.Core = n.NewCore(n, i, x.life)
+		x.Core = n.NewCore(n, i, x.epoch)
 	} else {
-		x.Core = n.real(x)
+		x.Core = n.newRealCore(x)
 	}
-	n.tick(x, x.life, time.Duration(n.rng.Float64()*float64(n.Tick)))
+	n.scheduleTick(x, x.epoch, time.Duration(n.rng.Float64()*float64(n.Tick)))
 }
 
 // StartAll starts all nodes at once.
@@ -159,111 +161,114 @@
 	}
 }
 
-// Kill ends a node's process.
+// Kill ends a node's process without warning to the others.
 func (n *Net) Kill(i int) {
 	x := n.Nodes[i]
-	x.Dead, x.stopped, x.waiting = true, false, nil
-	x.life++
+	x.Dead, x.paused, x.queued = true, false, nil
+	x.epoch++
 }
 
-// Stop has a node stand still, as SIGSTOP does: what comes waits.
+// Pause suspends a node's process, as SIGSTOP does. Messages that arrive are queued.
 func (n *Net) Pause(i int) {
 	x := n.Nodes[i]
-	if !x.Dead && !x.stopped {
-		x.stopped, x.stoppedAt = true, n.Now
+	if !x.Dead && !x.paused {
+		x.paused, x.pausedAt = true, n.Now
 	}
 }
 
-// Slow has each of a node's steps come so much later.
-func (n *Net) SetTickDelay(i int, by time.Duration) { n.Nodes[i].slow = by }
+// SetTickDelay adds a delay to each tick of a node, and half of it to each message that it sends or receives.
+func (n *Net) SetTickDelay(i int, delay time.Duration) { n.Nodes[i].tickDelay = delay }
 
-// Cont lets it go on.
+// Resume continues a paused process, as SIGCONT does, and runs its queued steps.
 func (n *Net) Resume(i int) {
 	x := n.Nodes[i]
-	if !x.stopped {
+	if !x.paused {
 		return
 	}
-	x.stopped = false
-	waiting := x.waiting
-	x.waiting = nil
-	for _, do := range waiting {
+	x.paused = false
+	queued := x.queued
+	x.queued = nil
+	for _, do := range queued {
 		do()
 	}
 }
 
-// on runs a step of a node's process, once it does not stand still.
-func (n *Net) on(x *Node, life int, do func()) {
-	if x.life != life || x.Dead {
+// runStep runs a step of a node's process and sends the resulting packets. If the process is paused, the step is
+// queued until it resumes; if the process has ended, the step is dropped.
+func (n *Net) runStep(x *Node, epoch int, do func()) {
+	if x.epoch != epoch || x.Dead {
 		return
 	}
-	if x.stopped {
-		const kernel = 512 // datagrams that wait in a socket's buffer
-		if len(x.waiting) < kernel {
-			x.waiting = append(x.waiting, func() { n.on(x, life, do) })
+	if x.paused {
+		const socketBuffer = 512 // datagrams that the receive buffer of a socket holds
+		if len(x.queued) < socketBuffer {
+			x.queued = append(x.queued, func() { n.runStep(x, epoch, do) })
 		}
 		return
 	}
 	do()
-	n.out(x)
+	n.sendPackets(x)
 }
 
-func (n *Net) tick(x *Node, life int, wait time.Duration) {
+// scheduleTick schedules the next tick of a node's process and all further ones.
+func (n *Net) scheduleTick(x *Node, epoch int, wait time.Duration) {
 	n.At(n.Now+wait, func() {
-		if x.life != life {
+		if x.epoch != epoch {
 			return
 		}
-		if x.stopped { // its timer is looked at once it goes on
-			n.tick(x, life, n.Tick/10)
+		if x.paused { // the timer fires shortly after the process resumes
+			n.scheduleTick(x, epoch, n.Tick/10)
 			return
 		}
-		n.on(x, life, func() { x.Core.Tick(n.Now) })
-		n.tick(x, life, n.Tick+x.slow)
+		n.runStep(x, epoch, func() { x.Core.Tick(n.Now) })
+		n.scheduleTick(x, epoch, n.Tick+x.tickDelay)
 	})
 }
 
-// out carries what a node sends.
-func (n *Net) out(x *Node) {
+// sendPackets takes a node's packets and delivers them as the links between the nodes allow.
+func (n *Net) sendPackets(x *Node) {
 	for _, p := range x.Core.TakePackets() {
 		x.Sent++
-		x.Bytes += p.Bytes + 28 // with the heads of UDP and IP
+		x.Bytes += p.Bytes + 28 // with the UDP and IP headers
 		y := n.byAddr[p.To]
 		if y == nil || y.Dead {
 			continue
 		}
-		l := n.link(x, y)
-		if l.Cut {
+		link := n.link(x, y)
+		if link.Cut {
 			continue
 		}
 		copies := 1
 		wait := time.Duration(0)
-		if p.Stream { // a handshake, and again what was lost
+		if p.Stream { // one round trip for the handshake, and retransmissions of lost segments
 			wait = 2 * n.Delay
-			for l.Loss > 0 && n.rng.Float64() < 1-(1-l.Loss)*(1-l.Loss) && wait < 3*time.Second {
+			for link.Loss > 0 && n.rng.Float64() < 1-(1-link.Loss)*(1-link.Loss) && wait < 3*time.Second {
 				wait += 200 * time.Millisecond
 			}
-		} else if n.rng.Float64() < l.Loss {
+		} else if n.rng.Float64() < link.Loss {
 			continue
-		} else if n.rng.Float64() < l.Duplicate {
+		} else if n.rng.Float64() < link.Duplicate {
 			copies = 2
 		}
 		for range copies {
-			at := n.Now + wait + l.Delay + time.Duration((1+n.rng.Float64()/2)*float64(n.Delay)) + x.slow/2 + y.slow/2
-			m, life := p.Message, y.life
+			at := n.Now + wait + link.Delay + time.Duration((1+n.rng.Float64()/2)*float64(n.Delay)) + x.tickDelay/2 + y.tickDelay/2
+			message, epoch := p.Message, y.epoch
 			n.At(at, func() {
 				if !n.link(x, y).Cut {
-					n.on(y, life, func() { y.Core.Receive(n.Now, m) })
+					n.runStep(y, epoch, func() { y.Core.Receive(n.Now, message) })
 				}
 			})
 		}
 	}
 }
 
-// Run goes on until a time.
+// Run runs all events up to a virtual time.
 func (n *Net) Run(until time.Duration) { n.events.Run(until, &n.Now) }
 
-// Until goes on until something holds, looked at every tick; false if it does not by then.
-func (n *Net) RunUntil(most time.Duration, ok func() bool) bool {
-	for end := n.Now + most; n.Now < end; {
+// RunUntil runs until a condition holds, which it checks every tick. It returns false if the condition does not hold
+// within the timeout.
+func (n *Net) RunUntil(timeout time.Duration, ok func() bool) bool {
+	for end := n.Now + timeout; n.Now < end; {
 		if ok() {
 			return true
 		}
@@ -272,18 +277,19 @@
 	return ok()
 }
 
-// real is the real core of a node.
-type real struct {
+// realCore runs the membership protocol of package membership for one node.
+type realCore struct {
 	*membership.Node
-	net   *Net
-	node  *Node
-	fleet uint32
+	net       *Net
+	node      *Node
+	fleetHash uint32
 }
 
-func (n *Net) real(x *Node) Core {
+// newRealCore starts a membership core with the state that the node persisted.
+func (n *Net) newRealCore(x *Node) Core {
 	s := membership.Settings{
 		Self:        membership.Member{Name: x.Name, Site: x.Site, Addr: x.Addr},
-		Incarnation: x.incarnation, LastViewNumber: x.number, KnownAddrs: x.known, GossipInterval: n.Tick,
+		Incarnation: x.incarnation, LastViewNumber: x.lastViewNumber, KnownAddrs: x.knownAddrs, GossipInterval: n.Tick,
 	}
 	for i := range max(1, n.SeedCount) {
 		s.Seeds = append(s.Seeds, n.Nodes[i].Addr)
@@ -292,26 +298,26 @@
 		n.EditSettings(&s)
 	}
 	if n.ShareViews {
-		k := s.Default().WatchersPerMember
+		watchers := s.Default().WatchersPerMember
 		s.NextView = func(v *membership.View, p *membership.Proposal) (*membership.View, error) {
 			key := nextKey{v.Digest, p.Hash()}
-			if next := n.shared[key]; next != nil {
+			if next := n.nextViews[key]; next != nil {
 				return next, nil
 			}
-			next, err := v.Next(p, k)
-			n.shared[key] = next
+			next, err := v.Next(p, watchers)
+			n.nextViews[key] = next
 			return next, err
 		}
 	}
-	return &real{Node: membership.New(s, n.rng.Uint64(), n.Now), net: n, node: x}
+	return &realCore{Node: membership.New(s, n.rng.Uint64(), n.Now), net: n, node: x}
 }
 
-func (r *real) Receive(now time.Duration, m any) {
+func (r *realCore) Receive(now time.Duration, m any) {
 	switch m := m.(type) {
 	case []byte:
-		parsed, err := wire.Parse(m, r.fleet, 10)
+		parsed, err := wire.Parse(m, r.fleetHash, 10)
 		if err != nil {
-			r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s cannot read what was sent: %v", r.node.Name, err))
+			r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s cannot parse a message: %v", r.node.Name, err))
 			return
 		}
 		r.Node.Receive(now, parsed)
@@ -320,16 +326,16 @@
 	}
 }
 
-func (r *real) TakePackets() []Packet {
+func (r *realCore) TakePackets() []Packet {
 	sends, events := r.Node.TakeOutput()
 	for _, e := range events {
-		r.net.note(r.node, e)
+		r.net.recordEvent(r.node, e)
 	}
 	packets := make([]Packet, 0, len(sends))
 	for _, s := range sends {
 		p := Packet{To: s.To, Message: s.Message, Stream: s.Stream}
 		if r.net.EncodeMessages || r.net.CountBytes {
-			b := wire.Append(nil, r.fleet, s.Message)
+			b := wire.Append(nil, r.fleetHash, s.Message)
 			p.Bytes = len(b)
 			if len(b) > wire.MaxDatagram && !s.Stream {
 				r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s sends a datagram of %d bytes, kind %d", r.node.Name, len(b), s.Message.Kind))
@@ -343,7 +349,7 @@
 	return packets
 }
 
-func (r *real) LiveMembers() (map[string]bool, uint64) {
+func (r *realCore) LiveMembers() (map[string]bool, uint64) {
 	v := r.View()
 	if v == nil {
 		return nil, 0
@@ -355,8 +361,9 @@
 	return names, v.Number
 }
 
-// note books an event of a node, and checks that of each number there is one view.
-func (n *Net) note(x *Node, e membership.Event) {
+// recordEvent records an event of a node, and checks that all nodes have the same view of each number and that no node
+// goes back to an earlier view.
+func (n *Net) recordEvent(x *Node, e membership.Event) {
 	switch e.Kind {
 	case membership.ViewChanged, membership.Founded:
 		if e.Kind == membership.ViewChanged {
@@ -367,19 +374,19 @@
 		if first := n.views[key]; first == nil {
 			n.views[key] = e.View
 			n.Reasons = append(n.Reasons, fmt.Sprintf("%v view %d: %s", n.Now.Round(time.Millisecond), e.View.Number, e.Detail))
-			if before := n.views[viewKey{e.View.FleetID, e.View.Number - 1}]; before != nil {
-				n.deaths(before, e.View)
+			if previous := n.views[viewKey{e.View.FleetID, e.View.Number - 1}]; previous != nil {
+				n.checkRemovals(previous, e.View)
 			}
 		} else if first.Digest != e.View.Digest {
-			n.Violations = append(n.Violations, fmt.Sprintf("%v: %s has another view %d than a node before it", n.Now, x.Name, e.View.Number))
+			n.Violations = append(n.Violations, fmt.Sprintf("%v: %s has a view %d that differs from another node's", n.Now, x.Name, e.View.Number))
 		}
-		if e.View.Number < x.number && e.Kind == membership.ViewChanged && x.incarnation > 0 {
-			n.Violations = append(n.Violations, fmt.Sprintf("%v: %s went from view %d back to %d", n.Now, x.Name, x.number, e.View.Number))
+		if e.View.Number < x.lastViewNumber && e.Kind == membership.ViewChanged && x.incarnation > 0 {
+			n.Violations = append(n.Violations, fmt.Sprintf("%v: %s went from view %d back to %d", n.Now, x.Name, x.lastViewNumber, e.View.Number))
 		}
-		x.number = e.View.Number
-		x.known = nil
+		x.lastViewNumber = e.View.Number
+		x.knownAddrs = nil
 		for i := range min(8, len(e.View.Members)) {
-			x.known = append(x.known, e.View.Members[i*len(e.View.Members)/8%len(e.View.Members)].Addr)
+			x.knownAddrs = append(x.knownAddrs, e.View.Members[i*len(e.View.Members)/8%len(e.View.Members)].Addr)
 		}
 		if i, ok := e.View.IndexOfName(x.Name); ok {
 			x.incarnation = e.View.Members[i].Incarnation
@@ -394,51 +401,51 @@
 	}
 }
 
-// deaths looks whether a view lacks somebody who lives and can be used.
-func (n *Net) deaths(before, now *membership.View) {
-	for i := range before.Members {
-		m := &before.Members[i]
-		if _, still := now.IndexOfLife(m.Life); still {
+// checkRemovals reports members that a view no longer has although they are alive and usable.
+func (n *Net) checkRemovals(previous, current *membership.View) {
+	for i := range previous.Members {
+		m := &previous.Members[i]
+		if _, present := current.IndexOfLife(m.Life); present {
 			continue
 		}
 		x := n.byAddr[m.Addr]
-		if r, ok := x.Core.(*real); ok && !x.Dead && r.Self().Life == m.Life && r.Phase() != membership.Leaving && n.usable(x) {
-			n.Deaths++
-			n.Violations = append(n.Violations, fmt.Sprintf("%v: view %d lacks %s, which lives and can be used", n.Now, now.Number, x.Name))
+		if r, ok := x.Core.(*realCore); ok && !x.Dead && r.Self().Life == m.Life && r.Phase() != membership.Leaving && n.isUsable(x) {
+			n.WrongRemovals++
+			n.Violations = append(n.Violations, fmt.Sprintf("%v: view %d lacks %s, which is alive and usable", n.Now, current.Number, x.Name))
 		}
 	}
 }
 
-// Bearable is how long a node may stand still and count as one that can be used.
+// MaxUsablePause is the longest pause during which a node still counts as usable.
 const MaxUsablePause = 3 * time.Second
 
-// usable tells whether a node runs, and more than half of the others can reach it and be reached.
-func (n *Net) usable(x *Node) bool {
-	if x.stopped && n.Now-x.stoppedAt > MaxUsablePause {
+// isUsable reports whether a node runs and has working links in both directions to more than half of the other nodes.
+func (n *Net) isUsable(x *Node) bool {
+	if x.paused && n.Now-x.pausedAt > MaxUsablePause {
 		return false
 	}
-	all, good := 0, 0
+	running, reachable := 0, 0
 	for _, y := range n.Nodes {
 		if y.Dead || y == x {
 			continue
 		}
-		all++
-		if a, b := n.link(x, y), n.link(y, x); !a.Cut && !b.Cut && a.Loss < 0.5 && b.Loss < 0.5 {
-			good++
+		running++
+		if to, from := n.link(x, y), n.link(y, x); !to.Cut && !from.Cut && to.Loss < 0.5 && from.Loss < 0.5 {
+			reachable++
 		}
 	}
-	return 2*good > all
+	return 2*reachable > running
 }
 
-// View is a real node's view; nil if it has none or is dead.
+// View returns the view of a node with a real core; nil if it has none or is not running.
 func (n *Net) View(i int) *membership.View {
-	if r, ok := n.Nodes[i].Core.(*real); ok && !n.Nodes[i].Dead {
+	if r, ok := n.Nodes[i].Core.(*realCore); ok && !n.Nodes[i].Dead {
 		return r.View()
 	}
 	return nil
 }
 
-// Agreed tells whether all of some nodes are in one and the same view, and it holds just them.
+// Agreed reports whether the given nodes all have the same view and its members are exactly these nodes.
 func (n *Net) Agreed(nodes ...int) bool {
 	var first *membership.View
 	for _, i := range nodes {
@@ -446,7 +453,7 @@
 		if v == nil || len(v.Members) != len(nodes) || first != nil && v.Digest != first.Digest {
 			return false
 		}
-		if _, in := v.IndexOfName(n.Nodes[i].Name); !in {
+		if _, present := v.IndexOfName(n.Nodes[i].Name); !present {
 			return false
 		}
 		first = v
@@ -454,12 +461,12 @@
 	return true
 }
 
-// Living are the nodes that run.
-func (n *Net) RunningNodes() (all []int) {
+// RunningNodes returns the indices of the nodes that are running, paused ones included.
+func (n *Net) RunningNodes() (running []int) {
 	for i, x := range n.Nodes {
 		if !x.Dead {
-			all = append(all, i)
+			running = append(running, i)
 		}
 	}
-	return all
+	return running
 }
--- a/internal/rig/members/random_test.go
+++ b/internal/rig/members/random_test.go
@@ -12,21 +12,22 @@
 	"time"
 )
 
-// schedules is how many random ones are played: few in CI, as many as CURLEWRING_SCHEDULES says by hand.
-func schedules(t *testing.T, few int) int {
+// scheduleCount returns how many random schedules to run: CURLEWRING_SCHEDULES if it is set, the default otherwise.
+func scheduleCount(t *testing.T, defaultCount int) int {
 	if s := os.Getenv("CURLEWRING_SCHEDULES"); s != "" {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 1 {
-			t.Fatalf("CURLEWRING_SCHEDULES: %q is no number of schedules", s)
+			t.Fatalf("CURLEWRING_SCHEDULES: %q is not a positive number of schedules", s)
 		}
 		return n
 	}
-	return few
+	return defaultCount
 }
 
-// play draws faults for a minute, heals them all, and tells what broke. Bearable faults are those under which
-// nobody who lives and can be used may be taken out; others only must not part the views, and must heal.
-func play(seed uint64, bearable bool) (wrong []string) {
+// playSchedule injects random faults for a minute, removes them all, and returns the guarantees that were broken.
+// Tolerable faults are those under which no node that is alive and usable may be removed. Under severe faults it is
+// enough that no two nodes have different views of one number and that all agree again once the faults are over.
+func playSchedule(seed uint64, tolerable bool) (failures []string) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	nodes := 5 + rng.IntN(46)
 	if rng.IntN(3) > 0 {
@@ -35,145 +36,146 @@
 	n := New(Config{Seed: seed, Nodes: nodes, Sites: 1 + rng.IntN(4), SeedCount: 1 + rng.IntN(3), EncodeMessages: rng.IntN(4) == 0})
 	n.StartAll()
 	if !n.RunUntil(60*time.Second, func() bool { return n.Agreed(n.RunningNodes()...) }) {
-		return []string{"no start"}
+		return []string{"the nodes do not agree after the start"}
 	}
-	begun := n.Now
-	var cuts []func(from, to *Node) Link
-	link := func() {
-		now := append([]func(from, to *Node) Link(nil), cuts...)
-		n.SetLinks(func(from, to *Node) (all Link) {
-			for _, c := range now {
-				l := c(from, to)
-				all.Cut = all.Cut || l.Cut
-				all.Loss = 1 - (1-all.Loss)*(1-l.Loss)
-				all.Delay += l.Delay
-				all.Duplicate = max(all.Duplicate, l.Duplicate)
+	start := n.Now
+	var faults []func(from, to *Node) Link
+	updateLinks := func() {
+		active := append([]func(from, to *Node) Link(nil), faults...)
+		n.SetLinks(func(from, to *Node) (combined Link) {
+			for _, fault := range active {
+				link := fault(from, to)
+				combined.Cut = combined.Cut || link.Cut
+				combined.Loss = 1 - (1-combined.Loss)*(1-link.Loss)
+				combined.Delay += link.Delay
+				combined.Duplicate = max(combined.Duplicate, link.Duplicate)
 			}
-			return all
+			return combined
 		})
 	}
-	add := func(c func(from, to *Node) Link, lasts time.Duration) {
-		cuts = append(cuts, c)
-		at := len(cuts) - 1
-		link()
-		n.At(n.Now+lasts, func() {
-			cuts[at] = whole
-			link()
+	addFault := func(fault func(from, to *Node) Link, duration time.Duration) {
+		faults = append(faults, fault)
+		index := len(faults) - 1
+		updateLinks()
+		n.At(n.Now+duration, func() {
+			faults[index] = healthyLink
+			updateLinks()
 		})
 	}
-	stopped := -1
+	paused := -1
 	lossy := false
-	for at := begun; at < begun+time.Minute; at += time.Duration(rng.ExpFloat64() * float64(6*time.Second)) {
-		kind, a, b := rng.IntN(9), rng.IntN(nodes), rng.IntN(nodes)
-		lasts := time.Duration((0.5 + rng.Float64()*15) * float64(time.Second))
-		kept := rng.IntN(2) == 0
+	for at := start; at < start+time.Minute; at += time.Duration(rng.ExpFloat64() * float64(6*time.Second)) {
+		kind, target, other := rng.IntN(9), rng.IntN(nodes), rng.IntN(nodes)
+		duration := time.Duration((0.5 + rng.Float64()*15) * float64(time.Second))
+		keepState := rng.IntN(2) == 0
 		loss := 0.05 + 0.25*rng.Float64()
 		n.At(at, func() {
 			switch kind {
-			case 0: // one link, one direction
-				if !bearable || len(cuts) == 0 {
-					add(func(from, to *Node) Link { return Link{Cut: from.Index == a && to.Index == b} }, lasts)
+			case 0: // one link in one direction
+				if !tolerable || len(faults) == 0 {
+					addFault(func(from, to *Node) Link { return Link{Cut: from.Index == target && to.Index == b} }, duration)
 				}
 			case 1:
 				if !lossy {
 					lossy = true
-					add(func(from, to *Node) Link { return Link{Loss: loss} }, lasts)
+					addFault(func(from, to *Node) Link { return Link{Loss: loss} }, duration)
 				}
 			case 2:
-				add(func(from, to *Node) Link {
+				addFault(func(from, to *Node) Link {
 					return Link{Delay: time.Duration(from.Index%3) * 40 * time.Millisecond, Duplicate: 0.2}
-				}, lasts)
+				}, duration)
 			case 3:
-				if stopped < 0 && !n.Nodes[a].Dead {
-					stopped = a
-					if bearable {
-						lasts = min(lasts, MaxUsablePause)
+				if paused < 0 && !n.Nodes[target].Dead {
+					paused = target
+					if tolerable {
+						duration = min(duration, MaxUsablePause)
 					}
-					n.Pause(a)
-					n.At(n.Now+lasts, func() {
-						n.Resume(a)
-						stopped = -1
+					n.Pause(target)
+					n.At(n.Now+duration, func() {
+						n.Resume(target)
+						paused = -1
 					})
 				}
 			case 4:
-				if !n.Nodes[a].Dead {
-					n.Kill(a)
-					n.At(n.Now+lasts, func() { n.Start(a, kept) })
+				if !n.Nodes[target].Dead {
+					n.Kill(target)
+					n.At(n.Now+duration, func() { n.Start(target, keepState) })
 				}
 			case 5:
-				if !bearable { // one is cut off in one direction
-					add(func(from, to *Node) Link { return Link{Cut: from.Index == a} }, lasts)
+				if !tolerable { // one node sends nothing
+					addFault(func(from, to *Node) Link { return Link{Cut: from.Index == a} }, duration)
 				}
 			case 6:
-				if !bearable {
-					add(func(from, to *Node) Link { return Link{Cut: from.Index%3 == a%3 && to.Index%3 != a%3} }, lasts)
+				if !tolerable {
+					addFault(func(from, to *Node) Link { return Link{Cut: from.Index%3 == target%3 && to.Index%3 != target%3} }, duration)
 				}
 			case 7:
-				if !bearable {
+				if !tolerable {
 					for i := range n.Nodes {
-						if i%4 == a%4 && !n.Nodes[i].Dead {
+						if i%4 == target%4 && !n.Nodes[i].Dead {
 							n.Kill(i)
-							n.At(n.Now+lasts, func() { n.Start(i, kept) })
+							n.At(n.Now+duration, func() { n.Start(i, keepState) })
 						}
 					}
 				}
 			case 8:
-				if !bearable {
-					add(cutOff(site(fmt.Sprint("s", a%4))), lasts)
+				if !tolerable {
+					addFault(cutFromRest(inSites(fmt.Sprint("s", target%4))), duration)
 				}
 			}
 		})
 	}
-	n.Run(begun + 80*time.Second)
+	n.Run(start + 80*time.Second)
 	for i, x := range n.Nodes {
 		n.Resume(i)
 		if x.Dead {
 			n.Start(i, true)
 		}
 	}
-	n.SetLinks(whole)
+	n.SetLinks(healthyLink)
 	if at := n.Now; !n.RunUntil(2*time.Minute, func() bool { return n.Agreed(n.RunningNodes()...) }) {
-		wrong = append(wrong, fmt.Sprintf("%d nodes don't agree %v after all is whole: %v", nodes, n.Now-at, n.Reasons))
+		failures = append(failures, fmt.Sprintf("%d nodes do not agree %v after all faults are over: %v", nodes, n.Now-at, n.Reasons))
 	}
-	for _, w := range n.Violations {
-		if bearable || !strings.Contains(w, "lives and can be used") {
-			wrong = append(wrong, w)
+	for _, violation := range n.Violations {
+		if tolerable || !strings.Contains(violation, "is alive and usable") {
+			failures = append(failures, violation)
 		}
 	}
-	return wrong
+	return failures
 }
 
+// Random schedules of tolerable and of severe faults must not break any guarantee of the protocol.
 func TestRandomSchedules(t *testing.T) {
 	for _, x := range []struct {
-		name     string
-		bearable bool
-		few      int
-	}{{"bearable", true, 12}, {"rough", false, 12}} {
+		name      string
+		tolerable bool
+		count     int
+	}{{"tolerable", true, 12}, {"severe", false, 12}} {
 		t.Run(x.name, func(t *testing.T) {
 			var wg sync.WaitGroup
 			var mu sync.Mutex
 			next := make(chan uint64)
-			broken := 0
+			failed := 0
 			for range runtime.GOMAXPROCS(0) {
 				wg.Go(func() {
 					for seed := range next {
-						if wrong := play(seed, x.bearable); len(wrong) > 0 {
+						if failures := playSchedule(seed, x.tolerable); len(failures) > 0 {
 							mu.Lock()
-							if broken++; broken <= 5 {
-								t.Errorf("schedule %d: %.900s", seed, strings.Join(wrong, "\n"))
+							if failed++; failed <= 5 {
+								t.Errorf("schedule %d: %.900s", seed, strings.Join(failures, "\n"))
 							}
 							mu.Unlock()
 						}
 					}
 				})
 			}
-			all := schedules(t, x.few)
-			for seed := range uint64(all) {
+			total := scheduleCount(t, x.count)
+			for seed := range uint64(total) {
 				next <- seed + 1
 			}
 			close(next)
 			wg.Wait()
-			t.Logf("%d of %d schedules broke a promise", broken, all)
+			t.Logf("%d of %d schedules broke a guarantee", failed, total)
 		})
 	}
 }
--- a/internal/rig/members/swim.go
+++ b/internal/rig/members/swim.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// Swim is plain SWIM (Das, Gupta, Motivala 2002) with suspicion, as a control: each period one
-// member in turn is probed, then by way of three others; who answers neither is suspected, and
-// after a fixed time dead, unless it refutes with a higher incarnation. News rides on probes.
-// A dead one that speaks with a higher incarnation is alive again.
+// Swim is plain SWIM (Das, Gupta, Motivala 2002) with suspicion, as a control. In each period it probes one member,
+// then indirectly through three others. A member that answers neither probe is suspected, and declared dead after a
+// fixed time unless it refutes the suspicion with a higher incarnation. Updates are piggybacked on probes. A dead
+// member that sends a higher incarnation is alive again.
 type Swim struct {
-	self    int
-	rng     *rand.Rand
-	now     time.Duration
-	addrs   []netip.AddrPort
-	names   []string
-	peers   []swimPeer
-	order   []int
-	turn    int
-	period  time.Duration // end of the present one
-	probed  int           // -1: none
-	seq     int
-	acked   bool
-	asked   bool // the three others were
-	relays  map[int]swimRelay
-	news    map[int]int // member: copies left
-	out     []Packet
-	Changes int // from alive to dead or back, as seen here
+	self           int
+	rng            *rand.Rand
+	now            time.Duration
+	addrs          []netip.AddrPort
+	names          []string
+	peers          []swimPeer
+	order          []int
+	nextInOrder    int
+	periodEnd      time.Duration // end of the current period
+	probeTarget    int           // -1: none
+	seq            int
+	acked          bool
+	indirectSent   bool              // indirect probes were sent
+	relays         map[int]swimRelay // by the sequence number of the relayed probe
+	pendingUpdates map[int]int       // by member: how many more times its state is sent
+	outgoing       []Packet
+	Changes        int // of a member from alive to dead or back, as seen by this node
 }
 
 type swimPeer struct {
-	state       int // swimAlive, swimSuspect, swimDead
-	incarnation int
-	until       time.Duration // of the suspicion
+	state        int // swimAlive, swimSuspect, swimDead
+	incarnation  int
+	suspectUntil time.Duration // end of the suspicion
 }
 
 const (
@@ -43,115 +43,118 @@
 	swimSuspect
 	swimDead
 
-	swimPeriod    = time.Second
-	swimWait      = 300 * time.Millisecond
-	swimSuspicion = 3 * time.Second
-	swimNews      = 8
+	swimPeriod           = time.Second
+	swimAckTimeout       = 300 * time.Millisecond
+	swimSuspicionTimeout = 3 * time.Second
+	maxSwimUpdates       = 8
 )
 
 type swimRelay struct {
-	to  int // who asked
-	seq int
+	requester int // member that requested the indirect probe
+	seq       int // sequence number of its request
 }
 
-type swimMsg struct {
-	kind, from, target, seq int // kind 0 ping, 1 ack, 2 ping-req
-	news                    []swimNote
+type swimMessage struct {
+	kind, from, target, seq int // kind: 0 ping, 1 ack, 2 ping-req
+	updates                 []swimUpdate
 }
 
-type swimNote struct{ member, state, incarnation int }
+type swimUpdate struct{ member, state, incarnation int }
 
-// NewSwim is a node's part; it knows all the others from the start.
+// NewSwim returns the protocol of one node, which knows all other nodes from the start.
 func NewSwim(n *Net, i int) *Swim {
-	s := &Swim{self: i, rng: rand.New(rand.NewPCG(n.Seed, uint64(i))), probed: -1, relays: map[int]swimRelay{}, news: map[int]int{}}
+	s := &Swim{self: i, rng: rand.New(rand.NewPCG(n.Seed, uint64(i))), probeTarget: -1, relays: map[int]swimRelay{}, pendingUpdates: map[int]int{}}
 	for _, x := range n.Nodes {
 		s.addrs, s.names = append(s.addrs, x.Addr), append(s.names, x.Name)
 		s.order = append(s.order, x.Index)
 	}
 	s.peers = make([]swimPeer, len(s.addrs))
 	s.shuffle()
-	s.period = n.Now + time.Duration(s.rng.Float64()*float64(swimPeriod))
+	s.periodEnd = n.Now + time.Duration(s.rng.Float64()*float64(swimPeriod))
 	return s
 }
 
+// shuffle draws a new probe order.
 func (s *Swim) shuffle() {
 	s.rng.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
 }
 
+// send queues a message with the pending updates that were sent the fewest times.
 func (s *Swim) send(to, kind, target, seq int) {
-	m := swimMsg{kind: kind, from: s.self, target: target, seq: seq}
-	var all []int
-	for i := range s.news {
-		all = append(all, i)
-	}
-	slices.SortFunc(all, func(a, b int) int {
-		if s.news[a] != s.news[b] {
-			return s.news[b] - s.news[a]
+	m := swimMessage{kind: kind, from: s.self, target: target, seq: seq}
+	var members []int
+	for i := range s.pendingUpdates {
+		members = append(members, i)
+	}
+	slices.SortFunc(members, func(a, b int) int {
+		if s.pendingUpdates[a] != s.pendingUpdates[b] {
+			return s.pendingUpdates[b] - s.pendingUpdates[a]
 		}
 		return a - b
 	})
-	for _, i := range all[:min(len(all), swimNews)] {
-		m.news = append(m.news, swimNote{i, s.peers[i].state, s.peers[i].incarnation})
-		if s.news[i]--; s.news[i] <= 0 {
-			delete(s.news, i)
+	for _, i := range members[:min(len(members), maxSwimUpdates)] {
+		m.updates = append(m.updates, swimUpdate{i, s.peers[i].state, s.peers[i].incarnation})
+		if s.pendingUpdates[i]--; s.pendingUpdates[i] <= 0 {
+			delete(s.pendingUpdates, i)
 		}
 	}
-	s.out = append(s.out, Packet{To: s.addrs[to], Message: m, Bytes: 24 + 10*len(m.news)})
+	s.outgoing = append(s.outgoing, Packet{To: s.addrs[to], Message: m, Bytes: 24 + 10*len(m.updates)})
 }
 
-// Tick is called every 100 ms.
+// Tick must be called every 100 ms. It ends suspicions, sends indirect probes and starts the next period.
 func (s *Swim) Tick(now time.Duration) {
 	s.now = now
 	for i := range s.peers {
-		if p := &s.peers[i]; p.state == swimSuspect && now >= p.until {
-			s.learn(swimNote{i, swimDead, p.incarnation})
+		if p := &s.peers[i]; p.state == swimSuspect && now >= p.suspectUntil {
+			s.applyUpdate(swimUpdate{i, swimDead, p.incarnation})
 		}
 	}
-	if s.probed >= 0 && !s.acked && !s.asked && now >= s.period-swimPeriod+swimWait {
-		s.asked = true
+	if s.probeTarget >= 0 && !s.acked && !s.indirectSent && now >= s.periodEnd-swimPeriod+swimAckTimeout {
+		s.indirectSent = true
 		for range 3 {
-			if k := s.rng.IntN(len(s.peers)); k != s.self && k != s.probed && s.peers[k].state != swimDead {
-				s.send(k, 2, s.probed, s.seq)
+			if relay := s.rng.IntN(len(s.peers)); relay != s.self && relay != s.probeTarget && s.peers[relay].state != swimDead {
+				s.send(relay, 2, s.probeTarget, s.seq)
 			}
 		}
 	}
-	if now < s.period {
+	if now < s.periodEnd {
 		return
 	}
-	if s.probed >= 0 && !s.acked {
-		s.learn(swimNote{s.probed, swimSuspect, s.peers[s.probed].incarnation})
+	if s.probeTarget >= 0 && !s.acked {
+		s.applyUpdate(swimUpdate{s.probeTarget, swimSuspect, s.peers[s.probeTarget].incarnation})
 	}
-	s.period += swimPeriod
-	if s.period <= now {
-		s.period = now + swimPeriod
+	s.periodEnd += swimPeriod
+	if s.periodEnd <= now {
+		s.periodEnd = now + swimPeriod
 	}
-	s.probed, s.acked, s.asked = -1, false, false
+	s.probeTarget, s.acked, s.indirectSent = -1, false, false
 	for range s.order {
-		k := s.order[s.turn%len(s.order)]
-		if s.turn++; s.turn%len(s.order) == 0 {
+		target := s.order[s.nextInOrder%len(s.order)]
+		if s.nextInOrder++; s.nextInOrder%len(s.order) == 0 {
 			s.shuffle()
 		}
-		if k != s.self && s.peers[k].state != swimDead {
+		if target != s.self && s.peers[target].state != swimDead {
 			s.seq++
-			s.probed = k
-			s.send(k, 0, k, s.seq)
+			s.probeTarget = target
+			s.send(target, 0, target, s.seq)
 			return
 		}
 	}
 }
 
-// learn takes what is said of a member, if it is later than what is known.
-func (s *Swim) learn(x swimNote) {
+// applyUpdate applies an update about a member if it supersedes the known state. An update that calls this node itself
+// suspect or dead is refuted with a higher incarnation.
+func (s *Swim) applyUpdate(x swimUpdate) {
 	p := &s.peers[x.member]
 	if x.member == s.self {
 		if x.state != swimAlive && x.incarnation >= p.incarnation {
 			p.incarnation = x.incarnation + 1
-			s.news[s.self] = s.copies()
+			s.pendingUpdates[s.self] = s.updateCopies()
 		}
 		return
 	}
-	later := x.incarnation > p.incarnation || x.incarnation == p.incarnation && x.state > p.state
-	if !later || p.state == swimDead && x.state == swimSuspect {
+	newer := x.incarnation > p.incarnation || x.incarnation == p.incarnation && x.state > p.state
+	if !newer || p.state == swimDead && x.state == swimSuspect {
 		return
 	}
 	if (p.state == swimDead) != (x.state == swimDead) {
@@ -159,56 +162,57 @@
 	}
 	p.state, p.incarnation = x.state, x.incarnation
 	if x.state == swimSuspect {
-		p.until = s.now + swimSuspicion
+		p.suspectUntil = s.now + swimSuspicionTimeout
 	}
-	s.news[x.member] = s.copies()
+	s.pendingUpdates[x.member] = s.updateCopies()
 }
 
-func (s *Swim) copies() int { return 3 * bits.Len(uint(len(s.peers))) }
+// updateCopies returns how many times an update is sent: logarithmic in the number of members.
+func (s *Swim) updateCopies() int { return 3 * bits.Len(uint(len(s.peers))) }
 
-// Receive takes a message.
+// Receive handles a message.
 func (s *Swim) Receive(now time.Duration, m any) {
 	s.now = now
-	x := m.(swimMsg)
-	for _, note := range x.news {
-		s.learn(note)
+	x := m.(swimMessage)
+	for _, update := range x.updates {
+		s.applyUpdate(update)
 	}
 	switch x.kind {
 	case 0:
-		if s.peers[x.from].state == swimDead { // so that it hears of it and refutes
-			s.news[x.from] = max(1, s.news[x.from])
+		if s.peers[x.from].state == swimDead { // the ack carries this state, so that the sender can refute it
+			s.pendingUpdates[x.from] = max(1, s.pendingUpdates[x.from])
 		}
 		s.send(x.from, 1, s.self, x.seq)
 	case 1:
-		if x.target == s.probed && x.seq == s.seq {
+		if x.target == s.probeTarget && x.seq == s.seq {
 			s.acked = true
 		} else if r, ok := s.relays[x.seq]; ok {
 			delete(s.relays, x.seq)
-			s.send(r.to, 1, x.target, r.seq)
+			s.send(r.requester, 1, x.target, r.seq)
 		}
 	case 2:
-		mine := 1<<30 + s.rng.IntN(1<<29)
+		relayedSeq := 1<<30 + s.rng.IntN(1<<29)
 		if len(s.relays) < 64 {
-			s.relays[mine] = swimRelay{x.from, x.seq}
-			s.send(x.target, 0, x.target, mine)
+			s.relays[relayedSeq] = swimRelay{x.from, x.seq}
+			s.send(x.target, 0, x.target, relayedSeq)
 		}
 	}
 }
 
-// Take hands over what is to be sent.
+// TakePackets returns the messages to send and clears the queue.
 func (s *Swim) TakePackets() []Packet {
-	out := s.out
-	s.out = nil
-	return out
+	outgoing := s.outgoing
+	s.outgoing = nil
+	return outgoing
 }
 
-// Believes names those that are not held to be dead.
+// LiveMembers returns the names of all members that are not declared dead. SWIM has no views, so the number is 0.
 func (s *Swim) LiveMembers() (map[string]bool, uint64) {
-	all := map[string]bool{}
+	names := map[string]bool{}
 	for i, p := range s.peers {
 		if p.state != swimDead {
-			all[s.names[i]] = true
+			names[s.names[i]] = true
 		}
 	}
-	return all, 0
+	return names, 0
 }
