--- a/internal/rig/members/net.go
+++ b/internal/rig/members/net.go
@@ -280,9 +280,9 @@
 // realCore runs the membership protocol of package membership for one node.
 type realCore struct {
 	*membership.Node
-	net       *Net
-	node      *Node
-	fleetHash uint32
+	net         *Net
+	node        *Node
+	fleetNumber uint32
 }
 
 // newRealCore starts a membership core with the state that the node persisted.
@@ -315,7 +315,7 @@
 func (r *realCore) Receive(now time.Duration, m any) {
 	switch m := m.(type) {
 	case []byte:
-		parsed, err := wire.Parse(m, r.fleetHash, 10)
+		parsed, err := wire.Parse(m, r.fleetNumber, 10)
 		if err != nil {
 			r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s cannot parse a message: %v", r.node.Name, err))
 			return
@@ -335,7 +335,7 @@
 	for _, s := range sends {
 		p := Packet{To: s.To, Message: s.Message, Stream: s.Stream}
 		if r.net.EncodeMessages || r.net.CountBytes {
-			b := wire.Append(nil, r.fleetHash, s.Message)
+			b := wire.Append(nil, r.fleetNumber, s.Message)
 			p.Bytes = len(b)
 			if len(b) > wire.MaxDatagram && !s.Stream {
 				r.net.Violations = append(r.net.Violations, fmt.Sprintf("%s sends a datagram of %d bytes, kind %d", r.node.Name, len(b), s.Message.Kind))
--- a/internal/rig/members/random_test.go
+++ b/internal/rig/members/random_test.go
@@ -73,7 +73,7 @@
 			switch kind {
 			case 0: // one link in one direction
 				if !tolerable || len(faults) == 0 {
-					addFault(func(from, to *Node) Link { return Link{Cut: from.Index == target && to.Index == b} }, duration)
+					addFault(func(from, to *Node) Link { return Link{Cut: from.Index == target && to.Index == other} }, duration)
 				}
 			case 1:
 				if !lossy {
@@ -103,7 +103,7 @@
 				}
 			case 5:
 				if !tolerable { // one node sends nothing
-					addFault(func(from, to *Node) Link { return Link{Cut: from.Index == a} }, duration)
+					addFault(func(from, to *Node) Link { return Link{Cut: from.Index == target} }, duration)
 				}
 			case 6:
 				if !tolerable {
