--- a/internal/rig/leases/cost.go
+++ b/internal/rig/leases/cost.go
@@ -7,72 +7,72 @@
 	"curlewring/internal/fleet/leaselog"
 )
 
-// datagramHeads is what UDP and IP add to a message.
-const datagramHeads = 28
+// datagramHeaders is the length of the UDP and IP headers of a datagram in bytes.
+const datagramHeaders = 28
 
-// Traffic is what a node has sent.
+// Traffic counts what a node has sent.
 type Traffic struct{ Messages, Bytes int }
 
-// count adds a message to what the node has sent.
-func (p *peer) count(m *leaselog.Message) {
-	text, err := leaselog.AppendMessage(nil, m)
+// countMessage adds a message to the node's traffic.
+func (n *node) countMessage(m *leaselog.Message) {
+	encoded, err := leaselog.AppendMessage(nil, m)
 	if err != nil {
-		p.s.Violations = append(p.s.Violations, fmt.Sprintf("%s sends what has no form: %v", p.name, err))
+		n.s.Violations = append(n.s.Violations, fmt.Sprintf("%s sends a message that cannot be encoded: %v", n.name, err))
 		return
 	}
-	p.sent.Messages++
-	p.sent.Bytes += len(text) + datagramHeads
+	n.sent.Messages++
+	n.sent.Bytes += len(encoded) + datagramHeaders
 }
 
-// Cost is what leases cost each role in a second, all nodes holding theirs and nothing happening.
+// Cost is what leases cost each role per second while all nodes hold their leases and nothing else happens.
 type Cost struct {
 	Nodes, Leases  int
-	LeaderBytes    float64 // sent
+	LeaderBytes    float64 // sent by the leader
 	LeaderMessages float64
 	LeaderSyncs    float64
-	VoterBytes     float64 // sent by a voter that does not lead, mean
-	HolderBytes    float64 // sent by a node without a seat, mean
+	VoterBytes     float64 // mean of what a voter other than the leader sends
+	HolderBytes    float64 // mean of what a node that is no voter sends
 }
 
-// MeasureCost plays a fleet of which each node holds so many leases, renewed by their time to live of 2 s.
-func MeasureCost(nodes, voters, each int, seed uint64) (Cost, error) {
+// MeasureCost simulates a fleet in which each node holds the given number of leases, whose time to live is 2 s.
+func MeasureCost(nodes, voters, leasesPerNode int, seed uint64) (Cost, error) {
 	const (
 		settle  = 20 * time.Second
 		measure = 10 * time.Second
 	)
 	s := New(seed, nodes, voters)
-	s.OwnLeases = each
+	s.LeasesPerNode = leasesPerNode
 	s.run(settle)
-	seats, leader := s.voters()
-	cost := Cost{Nodes: nodes, Leases: nodes * each}
+	voterNodes, leader := s.voters()
+	cost := Cost{Nodes: nodes, Leases: nodes * leasesPerNode}
 	if leader == nil || len(s.Violations) > 0 {
-		return cost, fmt.Errorf("%d nodes with %d voters: no leader after %v, %v", nodes, voters, settle, s.Violations)
+		return cost, fmt.Errorf("%d nodes with %d voters: no leader after %v, or violations: %v", nodes, voters, settle, s.Violations)
 	}
-	if st := leader.council.Status(); st.Leases != cost.Leases {
-		return cost, fmt.Errorf("%d nodes: %d of %d leases are held after %v", nodes, st.Leases, cost.Leases, settle)
+	if status := leader.log.Status(); status.Leases != cost.Leases {
+		return cost, fmt.Errorf("%d nodes: %d of %d leases are held after %v", nodes, status.Leases, cost.Leases, settle)
 	}
 	before := make([]Traffic, nodes)
-	for i, p := range s.peers {
-		before[i] = p.sent
+	for i, n := range s.nodes {
+		before[i] = n.sent
 	}
-	syncs := leader.syncs
+	syncsBefore := leader.syncs
 	s.run(s.now + measure)
-	seated := map[*peer]bool{}
-	for _, p := range seats {
-		seated[p] = true
+	isVoter := map[*node]bool{}
+	for _, n := range voterNodes {
+		isVoter[n] = true
 	}
-	for i, p := range s.peers {
-		bytes := float64(p.sent.Bytes-before[i].Bytes) / measure.Seconds()
+	for i, n := range s.nodes {
+		bytes := float64(n.sent.Bytes-before[i].Bytes) / measure.Seconds()
 		switch {
-		case p == leader:
+		case n == leader:
 			cost.LeaderBytes = bytes
-			cost.LeaderMessages = float64(p.sent.Messages-before[i].Messages) / measure.Seconds()
-		case seated[p]:
-			cost.VoterBytes += bytes / float64(max(1, len(seats)-1))
+			cost.LeaderMessages = float64(n.sent.Messages-before[i].Messages) / measure.Seconds()
+		case isVoter[n]:
+			cost.VoterBytes += bytes / float64(max(1, len(voterNodes)-1))
 		default:
-			cost.HolderBytes += bytes / float64(max(1, nodes-len(seats)))
+			cost.HolderBytes += bytes / float64(max(1, nodes-len(voterNodes)))
 		}
 	}
-	cost.LeaderSyncs = float64(leader.syncs-syncs) / measure.Seconds()
+	cost.LeaderSyncs = float64(leader.syncs-syncsBefore) / measure.Seconds()
 	return cost, nil
 }
--- a/internal/rig/leases/doc.go
+++ b/internal/rig/leases/doc.go
@@ -1,6 +1,6 @@
-// Package leases plays packages lease and agree together in virtual time: voters with disks, contenders
-// with clocks of their own, a network that loses, doubles, holds up and cuts, and a resource that keeps its
-// own history and hears nobody's opinion. A seed and a schedule play the same again.
+// Package leases simulates packages lease, leaselog and consensus together in virtual time: voters with disks, lease
+// clients with clocks of their own, a network that loses, duplicates, delays and cuts messages, and a protected
+// resource that records every access. The same seed and schedule give the same run.
 //
-// It must not decide anything of the leases: it only carries what the two packages say.
+// The package must not take any lease decision itself; it only transports what those packages send.
 package leases
--- a/internal/rig/leases/faults.go
+++ b/internal/rig/leases/faults.go
@@ -9,188 +9,194 @@
 	"curlewring/internal/fleet/consensus"
 )
 
-// trouble draws something that goes wrong; disk has it be a voter's disk, or its long absence.
-func (s *Sim) trouble(disk bool) {
-	v := s.peers[s.rng.IntN(len(s.peers))]
-	lasts := time.Duration((0.2 + 5*s.rng.Float64()) * float64(time.Second))
+// injectFault injects a random fault. With loseVoter it is the loss of a voter's disk, or an absence that is long
+// enough for the voter to be replaced.
+func (s *Sim) injectFault(loseVoter bool) {
+	target := s.nodes[s.rng.IntN(len(s.nodes))]
+	duration := time.Duration((0.2 + 5*s.rng.Float64()) * float64(time.Second))
 	voters, leader := s.voters()
 	if len(voters) > 0 && s.rng.IntN(2) == 0 {
-		v = voters[s.rng.IntN(len(voters))]
+		target = voters[s.rng.IntN(len(voters))]
 	}
 	if leader == nil {
-		leader = v
+		leader = target
 	}
 	kind := s.rng.IntN(12)
-	if disk && len(voters) > 0 {
-		v, kind = voters[s.rng.IntN(len(voters))], 12+s.rng.IntN(2)
+	if loseVoter && len(voters) > 0 {
+		target, kind = voters[s.rng.IntN(len(voters))], 12+s.rng.IntN(2)
 	}
 	switch kind {
 	case 0:
-		v = leader
+		target = leader
 		fallthrough
 	case 1:
-		s.killFor(v, lasts)
+		s.crashFor(target, duration)
 	case 2:
-		leader.pause(lasts)
+		leader.pause(duration)
 	case 3:
-		v.pause(lasts)
+		target.pause(duration)
 	case 4:
-		for _, p := range s.peers { // whoever holds
-			for _, x := range p.tenants {
-				if x.t.MaxActDuration(p.clock()) > 0 {
-					p.pause(lasts)
+		for _, n := range s.nodes { // every holder
+			for _, x := range n.clients {
+				if x.client.MaxActDuration(n.clock()) > 0 {
+					n.pause(duration)
 				}
 			}
 		}
 	case 5:
-		for _, p := range s.peers {
-			for _, x := range p.tenants {
-				if x.t.MaxActDuration(p.clock()) > 0 {
-					s.killFor(p, lasts)
+		for _, n := range s.nodes {
+			for _, x := range n.clients {
+				if x.client.MaxActDuration(n.clock()) > 0 {
+					s.crashFor(n, duration)
 				}
 			}
 		}
 	case 6:
-		s.loss, s.twice = 0.3*s.rng.Float64(), 0.2
-		s.after(lasts, func() { s.loss, s.twice = 0, 0 })
+		s.lossProbability, s.duplicateProbability = 0.3*s.rng.Float64(), 0.2
+		s.after(duration, func() { s.lossProbability, s.duplicateProbability = 0, 0 })
 	case 7:
-		s.late = 4 * time.Second
-		s.after(lasts, func() { s.late = 0 })
+		s.maxExtraDelay = 4 * time.Second
+		s.after(duration, func() { s.maxExtraDelay = 0 })
 	case 8:
-		n := s.rng.IntN(len(s.peers))
-		side := func(p *peer) bool { return slices.Index(s.peers, p) < n }
-		s.cut = func(from, to *peer) bool { return side(from) != side(to) }
-		s.after(lasts, func() { s.cut = nil })
-	case 9: // a leader that sends and does not hear, or hears and can't send
-		hears := s.rng.IntN(2) == 0
-		s.cut = func(from, to *peer) bool { return hears && from == leader || !hears && to == leader }
-		s.after(lasts, func() { s.cut = nil })
+		split := s.rng.IntN(len(s.nodes))
+		inFirstPart := func(n *node) bool { return slices.Index(s.nodes, n) < split }
+		s.isCut = func(from, to *node) bool { return inFirstPart(from) != inFirstPart(to) }
+		s.after(duration, func() { s.isCut = nil })
+	case 9: // a leader that cannot receive, or one that cannot send
+		canReceive := s.rng.IntN(2) == 0
+		s.isCut = func(from, to *node) bool { return canReceive && from == leader || !canReceive && to == leader }
+		s.after(duration, func() { s.isCut = nil })
 	case 10:
-		s.slow = 400 * time.Millisecond
-		s.after(lasts, func() { s.slow = 2 * time.Millisecond })
+		s.maxSyncTime = 400 * time.Millisecond
+		s.after(duration, func() { s.maxSyncTime = 2 * time.Millisecond })
 	case 11:
-		for _, p := range voters {
-			s.killFor(p, lasts+time.Duration(s.rng.Int64N(int64(time.Second))))
+		for _, n := range voters {
+			s.crashFor(n, duration+time.Duration(s.rng.Int64N(int64(time.Second))))
 		}
 	case 12:
-		s.loseDisk(v, lasts)
-	case 13: // away for so long that its seat goes to another
-		s.killFor(v, 5*time.Second+simReplaceAfter+lasts)
+		s.loseDisk(target, duration)
+	case 13: // absent for so long that the voter is replaced
+		s.crashFor(target, 5*time.Second+simReplaceAfter+duration)
 	}
 }
 
-// killFor kills a process and starts it again later.
-func (s *Sim) killFor(p *peer, lasts time.Duration) {
-	if p.dead {
+// crashFor kills a process and restarts it after a while.
+func (s *Sim) crashFor(n *node, duration time.Duration) {
+	if n.dead {
 		return
 	}
-	p.kill()
-	life := p.life
-	s.after(lasts, func() {
-		if p.dead && p.life == life {
-			p.start()
+	n.kill()
+	epoch := n.epoch
+	s.after(duration, func() {
+		if n.dead && n.epoch == epoch {
+			n.start()
 		}
 	})
 }
 
-// loseDisk ends a node whose disk is gone, or goes back to what it was two starts ago.
-func (s *Sim) loseDisk(p *peer, lasts time.Duration) {
-	if p.dead {
+// loseDisk kills a node and restarts it later with an empty disk, or with the contents that its disk had two starts
+// ago.
+func (s *Sim) loseDisk(n *node, duration time.Duration) {
+	if n.dead {
 		return
 	}
-	old, note := consensus.PersistentState{}, []byte(nil)
+	oldDisk, oldUserData := consensus.PersistentState{}, []byte(nil)
 	if s.rng.IntN(2) == 0 {
-		old, note = p.disk.Clone(), p.note
+		oldDisk, oldUserData = n.disk.Clone(), n.userData
 	}
-	p.kill()
-	back := func() { // two starts, then the old disk
-		if p.dead {
-			p.start()
+	n.kill()
+	restart := func() {
+		if n.dead {
+			n.start()
 		}
 	}
-	if old.ID != 0 {
-		s.after(100*time.Millisecond, back)
-		s.after(700*time.Millisecond, p.kill)
-		s.after(800*time.Millisecond, back)
-		s.after(1400*time.Millisecond, p.kill)
+	if oldDisk.ID != 0 { // two starts before the old contents come back
+		s.after(100*time.Millisecond, restart)
+		s.after(700*time.Millisecond, n.kill)
+		s.after(800*time.Millisecond, restart)
+		s.after(1400*time.Millisecond, n.kill)
 	}
-	s.after(1500*time.Millisecond+lasts, func() {
-		if p.dead {
-			p.disk, p.note = old, note
-			p.start()
+	s.after(1500*time.Millisecond+duration, func() {
+		if n.dead {
+			n.disk, n.userData = oldDisk, oldUserData
+			n.start()
 		}
 	})
 }
 
-// check goes through the resource's history.
-func (s *Sim) check() {
-	slices.SortStableFunc(s.Accesses, func(a, b Access) int { return int(a.from - b.from) })
+// checkAccesses checks the record of the resource: accesses under different tokens must not overlap, tokens must not
+// decrease, and a token must belong to one holder.
+func (s *Sim) checkAccesses() {
+	slices.SortStableFunc(s.Accesses, func(a, b Access) int { return int(a.start - b.start) })
 	last := Access{}
 	highest := uint64(0)
 	for _, a := range s.Accesses {
-		if a.from < last.to && a.token != last.token {
-			s.Violations = append(s.Violations, fmt.Sprintf("%v: %s acts under token %d while %s acts under %d until %v", a.from, a.who, a.token, last.who, last.token, last.to))
+		if a.start < last.end && a.token != last.token {
+			s.Violations = append(s.Violations, fmt.Sprintf("%v: %s accesses the resource under token %d while %s does under token %d until %v", a.start, a.holder, a.token, last.holder, last.token, last.end))
 		}
 		if a.token < highest {
-			s.Violations = append(s.Violations, fmt.Sprintf("%v: %s comes with token %d after %d", a.from, a.who, a.token, highest))
+			s.Violations = append(s.Violations, fmt.Sprintf("%v: %s accesses the resource under token %d after token %d was used", a.start, a.holder, a.token, highest))
 		}
 		highest = max(highest, a.token)
-		if a.to > last.to || a.token != last.token {
+		if a.end > last.end || a.token != last.token {
 			last = a
 		}
 	}
-	for i, a := range s.Accesses { // one token is one life's
+	for i, a := range s.Accesses { // a token belongs to one holder
 		for _, b := range s.Accesses[max(0, i-200):i] {
-			if a.token == b.token && a.who != b.who {
-				s.Violations = append(s.Violations, fmt.Sprintf("token %d is both %s's and %s's", a.token, b.who, a.who))
+			if a.token == b.token && a.holder != b.holder {
+				s.Violations = append(s.Violations, fmt.Sprintf("token %d is used by both %s and %s", a.token, b.holder, a.holder))
 				return
 			}
 		}
 	}
 }
 
-// whole tells whether each seat has its number at its node, and all of it: one of their disks may be lost then.
-func (s *Sim) whole(voters int) bool {
-	before := len(s.Violations)
-	s.settled(voters)
-	wrong := len(s.Violations) > before
-	s.Violations = s.Violations[:before]
+// allVotersUpToDate reports whether every voter runs under its ID and has nearly the whole log, so that one of the
+// disks may be lost.
+func (s *Sim) allVotersUpToDate(voters int) bool {
+	violationsBefore := len(s.Violations)
+	s.checkVoters(voters)
+	violated := len(s.Violations) > violationsBefore
+	s.Violations = s.Violations[:violationsBefore]
 	_, leader := s.voters()
-	if wrong || leader == nil {
+	if violated || leader == nil {
 		return false
 	}
-	applied := leader.council.Status().Applied
-	for _, r := range leader.council.Status().Seats.Rows {
-		if st := s.byName[r.Name].council.Status(); s.byName[r.Name].dead || st.Applied+20 < applied {
+	applied := leader.log.Status().Applied
+	for _, row := range leader.log.Status().Seats.Rows {
+		if status := s.nodesByName[row.Name].log.Status(); s.nodesByName[row.Name].dead || status.Applied+20 < applied {
 			return false
 		}
 	}
 	return true
 }
 
-// settled wants as many voters at the end as were founded, each seat's number at its node, and none elsewhere.
-func (s *Sim) settled(voters int) {
-	all, leader := s.voters()
-	if leader == nil || len(all) != voters {
-		s.Violations = append(s.Violations, fmt.Sprintf("%d voters at the end, of %d, leader %v", len(all), voters, leader != nil))
+// checkVoters checks that there are as many voters as the log was founded with, that each runs under the voter ID that
+// the voter set gives it, and that no other node has a voter ID.
+func (s *Sim) checkVoters(voters int) {
+	current, leader := s.voters()
+	if leader == nil || len(current) != voters {
+		s.Violations = append(s.Violations, fmt.Sprintf("%d voters, want %d; there is a leader: %v", len(current), voters, leader != nil))
 		return
 	}
-	seats := leader.council.Status().Seats
-	for _, p := range s.peers {
-		st, id := p.council.Status(), uint64(0)
-		for _, r := range seats.Rows {
-			if r.Name == p.name {
-				id = r.ID
+	seats := leader.log.Status().Seats
+	for _, n := range s.nodes {
+		status, id := n.log.Status(), uint64(0)
+		for _, row := range seats.Rows {
+			if row.Name == n.name {
+				id = row.ID
 			}
 		}
-		if id != 0 && st.ID != id || id == 0 && st.ID != 0 && st.Seats.Index < seats.Index {
-			s.Violations = append(s.Violations, fmt.Sprintf("%s has number %x, and its seat's is %x", p.name, st.ID, id))
+		if id != 0 && status.ID != id || id == 0 && status.ID != 0 && status.Seats.Index < seats.Index {
+			s.Violations = append(s.Violations, fmt.Sprintf("%s has voter ID %x, the voter set says %x", n.name, status.ID, id))
 		}
 	}
 }
 
-// Play plays one schedule: a minute of troubles, and a while without, in which somebody must come to hold.
-func Play(seed uint64, edit func(*Sim)) (*Sim, string) {
+// RunSchedule runs one random schedule: a minute of faults, then 15 s without any, in which somebody must hold the
+// lease again. It returns the first failure, or "" if there is none.
+func RunSchedule(seed uint64, edit func(*Sim)) (*Sim, string) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	voters := 3 + 2*rng.IntN(2)
 	s := New(seed, voters+rng.IntN(5), voters)
@@ -198,36 +204,36 @@
 		edit(s)
 	}
 	s.run(8 * time.Second)
-	first, _ := s.voters()
-	if len(first) != voters {
-		return s, fmt.Sprintf("%d of %d voters after 8 s", len(first), voters)
+	founders, _ := s.voters()
+	if len(founders) != voters {
+		return s, fmt.Sprintf("%d of %d voters after 8 s", len(founders), voters)
 	}
-	// Two disks that are lost within the time that it takes to replace one may be a majority's.
-	disk := 9*time.Second + time.Duration(rng.Int64N(int64(20*time.Second)))
+	// Two disks lost within the time that the replacement of one voter takes may be those of a majority.
+	nextDiskLoss := 9*time.Second + time.Duration(rng.Int64N(int64(20*time.Second)))
 	for s.now < time.Minute {
 		s.run(s.now + time.Duration(rng.ExpFloat64()*float64(2*time.Second)))
-		lose := s.now >= disk && s.whole(voters)
-		if lose {
-			disk += 40 * time.Second
+		loseVoter := s.now >= nextDiskLoss && s.allVotersUpToDate(voters)
+		if loseVoter {
+			nextDiskLoss += 40 * time.Second
 		}
-		s.trouble(lose)
+		s.injectFault(loseVoter)
 	}
-	s.run(s.now + 7*time.Second) // the last of them is over
-	s.loss, s.twice, s.late, s.cut, s.slow = 0, 0, 0, nil, 2*time.Millisecond
-	for _, p := range s.peers {
-		if p.dead {
-			p.start()
+	s.run(s.now + 7*time.Second) // until the last fault is over
+	s.lossProbability, s.duplicateProbability, s.maxExtraDelay, s.isCut, s.maxSyncTime = 0, 0, 0, nil, 2*time.Millisecond
+	for _, n := range s.nodes {
+		if n.dead {
+			n.start()
 		}
 	}
-	before := len(s.Accesses)
+	accessesBefore := len(s.Accesses)
 	s.run(s.now + 15*time.Second)
-	s.check()
-	s.settled(voters)
+	s.checkAccesses()
+	s.checkVoters(voters)
 	if len(s.Violations) > 0 {
 		return s, s.Violations[0]
 	}
-	if len(s.Accesses) == before {
-		return s, "nobody holds 15 s after all was well"
+	if len(s.Accesses) == accessesBefore {
+		return s, "nobody holds the lease 15 s after the last fault"
 	}
 	return s, ""
 }
--- a/internal/rig/leases/leases_test.go
+++ b/internal/rig/leases/leases_test.go
@@ -8,73 +8,76 @@
 	"time"
 )
 
-// No schedule makes two act at once, sends the resource a token that falls, or leaves the lease with nobody for good.
+// In no schedule may two holders access the resource at once, tokens decrease, or the lease stay without a holder
+// after the faults are over.
 func TestLeaseSchedules(t *testing.T) {
-	n := uint64(25)
+	schedules := uint64(25)
 	if x := os.Getenv("CURLEWRING_SCHEDULES"); x != "" {
-		n, _ = strconv.ParseUint(x, 10, 64)
+		schedules, _ = strconv.ParseUint(x, 10, 64)
 	}
-	acts, grants, numbers, played := 0, 0, 0, uint64(0)
+	accesses, grants, voterIDs, completed := 0, 0, 0, uint64(0)
 	from, _ := strconv.ParseUint(os.Getenv("CURLEWRING_SCHEDULES_FROM"), 10, 64)
-	for seed := from; seed < from+n; seed++ {
-		s, wrong := Play(seed, nil)
-		played++
-		if wrong != "" {
-			t.Errorf("schedule %d: %s", seed, wrong)
+	for seed := from; seed < from+schedules; seed++ {
+		s, failure := RunSchedule(seed, nil)
+		completed++
+		if failure != "" {
+			t.Errorf("schedule %d: %s", seed, failure)
 			break
 		}
-		acts, grants, numbers = acts+len(s.Accesses), grants+s.Grants, numbers+len(s.numbers)
+		accesses, grants, voterIDs = accesses+len(s.Accesses), grants+s.Grants, voterIDs+len(s.voterIDs)
 	}
-	t.Logf("%d schedules: %d acts under %d grants, %d numbers voted", played, acts, grants, numbers)
-	if grants < int(n)*5 || numbers < int(n)*4 {
-		t.Errorf("only %d grants and %d numbers", grants, numbers)
+	t.Logf("%d schedules: %d accesses under %d grants, %d voter IDs", completed, accesses, grants, voterIDs)
+	if grants < int(schedules)*5 || voterIDs < int(schedules)*4 {
+		t.Errorf("only %d grants and %d voter IDs", grants, voterIDs)
 	}
 }
 
-// What the search can't see, as it has no voters: one that answers before its disk has it votes twice after a crash.
-func TestLeaseSchedulesFind(t *testing.T) {
+// The schedules must find known faults, which a search without voters cannot: a voter that answers before its disk has
+// the state votes twice after a crash, and a client that goes on acting after its lease has ended overlaps the next.
+func TestLeaseSchedulesFindKnownFaults(t *testing.T) {
 	for name, edit := range map[string]func(*Sim){
-		"the disk before the answer": func(s *Sim) { s.SendBeforeSync = true },
-		"tenants stop in time":       func(s *Sim) { s.ActAfterExpiry = true },
+		"messages sent before the disk sync": func(s *Sim) { s.SendBeforeSync = true },
+		"acts after the lease has ended":     func(s *Sim) { s.ActAfterExpiry = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(400) {
-				wrong := func() (wrong string) {
+				failure := func() (failure string) {
 					defer func() {
-						if r := recover(); r != nil { // the library finds a log that forgot what it had agreed on
-							wrong = fmt.Sprint(r)
+						if r := recover(); r != nil { // raft panics if a log lost committed entries
+							failure = fmt.Sprint(r)
 						}
 					}()
-					_, wrong = Play(seed, edit)
-					return wrong
+					_, failure = RunSchedule(seed, edit)
+					return failure
 				}()
-				if wrong != "" {
-					t.Logf("schedule %d: %s", seed, wrong)
+				if failure != "" {
+					t.Logf("schedule %d: %s", seed, failure)
 					return
 				}
 			}
-			t.Error("not found in 400 schedules")
+			t.Error("no failure found in 400 schedules")
 		})
 	}
 }
 
-// Many nodes hold three leases each by way of three voters for 20 s, with nothing wrong: none is lost. By hand 300 of them.
+// 60 nodes hold three leases each with three voters and no faults for 20 s: no lease may be lost. CURLEWRING_LONG
+// makes it 300 nodes.
 func TestManyLeases(t *testing.T) {
-	nodes, each := 60, 3
+	nodes, leasesPerNode := 60, 3
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		nodes = 300
 	}
 	s := New(1, nodes, 3)
-	s.OwnLeases = each
+	s.LeasesPerNode = leasesPerNode
 	s.run(20 * time.Second)
 	_, leader := s.voters()
 	if leader == nil || len(s.Violations) > 0 {
-		t.Fatalf("%v", s.Violations)
+		t.Fatalf("no leader after 20 s, or violations: %v", s.Violations)
 	}
-	st := leader.council.Status()
-	t.Logf("%d leases of %v, %d grants, %d entries in the log, %d saves at the leader", st.Leases, simTTL, s.Grants, st.Applied, leader.syncs)
-	if st.Leases != nodes*each || s.Grants != nodes*each {
-		t.Errorf("%d leases, %d grants", st.Leases, s.Grants)
+	status := leader.log.Status()
+	t.Logf("%d leases with a TTL of %v, %d grants, %d log entries, %d disk syncs at the leader", status.Leases, simTTL, s.Grants, status.Applied, leader.syncs)
+	if status.Leases != nodes*leasesPerNode || s.Grants != nodes*leasesPerNode {
+		t.Errorf("%d leases, %d grants", status.Leases, s.Grants)
 	}
 }
--- a/internal/rig/leases/sim.go
+++ b/internal/rig/leases/sim.go
@@ -11,268 +11,281 @@
 	"curlewring/internal/rig/timeline"
 )
 
-// Sim plays nodes with disks and clocks of their own, some of them voters, tenants on them that all want one lease, a network
-// that loses, doubles, holds up and cuts, and a resource that keeps its own history and hears nobody's opinion.
+// Sim simulates nodes with disks and clocks of their own, some of them voters, whose lease clients compete for one
+// lease, the network between the nodes, and the resource that the lease protects. The resource records every access;
+// the checks use that record, not any node's opinion.
 type Sim struct {
-	rng            *rand.Rand
-	now            time.Duration
-	events         timeline.Events
-	terms          lease.Timing
-	peers          []*peer
-	byName         map[string]*peer
-	Accesses       []Access
-	Grants         int
-	numbers        map[uint64]bool // that ever voted
-	loss           float64
-	twice          float64
-	late           time.Duration
-	cut            func(from, to *peer) bool
-	slow           time.Duration // a sync takes up to so long
-	Violations     []string
-	OwnLeases      int  // each node holds so many leases of its own for good, in the place of all contending for one; 0: they contend
-	SendBeforeSync bool // what a voter sends does not wait for its disk: a defence taken out
-	ActAfterExpiry bool // tenants act on after the end of their lease: another one
+	rng                  *rand.Rand
+	now                  time.Duration
+	events               timeline.Events
+	timing               lease.Timing
+	nodes                []*node
+	nodesByName          map[string]*node
+	Accesses             []Access
+	Grants               int
+	voterIDs             map[uint64]bool // of all voters that there ever were
+	lossProbability      float64
+	duplicateProbability float64
+	maxExtraDelay        time.Duration
+	isCut                func(from, to *node) bool
+	maxSyncTime          time.Duration // upper bound of the random time of a disk sync
+	Violations           []string
+	LeasesPerNode        int  // each node holds this many leases of its own throughout; 0: all nodes compete for one
+	SendBeforeSync       bool // fault to be found: a voter sends messages before its disk sync is done
+	ActAfterExpiry       bool // fault to be found: clients go on acting after their lease has ended
 }
 
-// Act is one act at the resource, in true time.
+// Access is one access to the resource, in simulation time.
 type Access struct {
-	from, to time.Duration
-	token    uint64
-	who      string
+	start, end time.Duration
+	token      uint64
+	holder     string
 }
 
 const (
 	simTTL          = 2 * time.Second
 	simReplaceAfter = 8 * time.Second
-	simRound        = 100 * time.Millisecond
+	simTickInterval = 100 * time.Millisecond
 )
 
+// after schedules a function after a delay of simulation time.
 func (s *Sim) after(d time.Duration, do func()) { s.events.At(s.now+d, do) }
 
+// run runs all events up to a time.
 func (s *Sim) run(until time.Duration) { s.events.Run(until, &s.now) }
 
-// peer is one node: a process that may be killed or stand still, and its disk.
-type peer struct {
-	s     *Sim
-	name  string
-	site  string
-	life  int // counts the process's lives
-	dead  bool
-	still bool
-	since time.Duration // of the death
-	queue []func()
-	skew  float64
-	base  time.Duration
+// node is one node: a process that can be killed or paused, and its disk.
+type node struct {
+	s           *Sim
+	name        string
+	site        string
+	epoch       int // changes at every start and kill, so that steps of an earlier process are dropped
+	dead        bool
+	paused      bool
+	diedAt      time.Duration // when it was last killed
+	queued      []func()      // steps that arrived while the process was paused
+	clockRate   float64       // seconds of the node's clock per second of simulation time
+	clockOffset time.Duration
 
-	disk    consensus.PersistentState
-	note    []byte
-	syncs   int
-	sent    Traffic
-	council *leaselog.Node
-	tenants map[uint64]*tenant
+	disk     consensus.PersistentState
+	userData []byte
+	syncs    int
+	sent     Traffic
+	log      *leaselog.Node
+	clients  map[uint64]*leaseClient // by the life of their holder
 }
 
-// clock is the node's own, which goes on while it stands still.
-func (p *peer) clock() time.Duration { return p.base + time.Duration(float64(p.s.now)*p.skew) }
+// clock returns the node's own time. It goes on while the process is paused.
+func (n *node) clock() time.Duration {
+	return n.clockOffset + time.Duration(float64(n.s.now)*n.clockRate)
+}
 
-// on does something in a life of the process, now or when it goes on.
-func (p *peer) on(life int, do func()) {
+// runStep runs a step of the process now, or when the process resumes if it is paused. Steps of an ended process are
+// dropped.
+func (n *node) runStep(epoch int, do func()) {
 	switch {
-	case p.life != life || p.dead:
-	case p.still:
-		if len(p.queue) < 2000 {
-			p.queue = append(p.queue, func() { p.on(life, do) })
+	case n.epoch != epoch || n.dead:
+	case n.paused:
+		if len(n.queued) < 2000 {
+			n.queued = append(n.queued, func() { n.runStep(epoch, do) })
 		}
 	default:
 		do()
 	}
 }
 
-func (p *peer) pause(d time.Duration) {
-	if p.still || p.dead {
+// pause suspends the process for a while. Steps that arrive meanwhile run when it resumes.
+func (n *node) pause(duration time.Duration) {
+	if n.paused || n.dead {
 		return
 	}
-	p.still = true
-	life := p.life
-	p.s.after(d, func() {
-		if p.life != life {
+	n.paused = true
+	epoch := n.epoch
+	n.s.after(duration, func() {
+		if n.epoch != epoch {
 			return
 		}
-		p.still = false
-		queue := p.queue
-		p.queue = nil
-		for _, do := range queue {
+		n.paused = false
+		queued := n.queued
+		n.queued = nil
+		for _, do := range queued {
 			do()
 		}
 	})
 }
 
-func (p *peer) kill() {
-	if !p.dead {
-		p.dead, p.since = true, p.s.now
-		p.life++
+// kill ends the process. The disk keeps what was synced.
+func (n *node) kill() {
+	if !n.dead {
+		n.dead, n.diedAt = true, n.s.now
+		n.epoch++
 	}
 }
 
-// every does something again and again in this life, so often by its own clock.
-func (p *peer) every(d time.Duration, do func()) {
-	life := p.life
+// runEvery runs a step of the process periodically until the process ends. The interval is of the node's own clock.
+func (n *node) runEvery(interval time.Duration, do func()) {
+	epoch := n.epoch
 	var loop func()
 	loop = func() {
-		if p.life != life || p.dead {
+		if n.epoch != epoch || n.dead {
 			return
 		}
-		p.on(life, do)
-		p.s.after(time.Duration(float64(d)/p.skew), loop)
+		n.runStep(epoch, do)
+		n.s.after(time.Duration(float64(interval)/n.clockRate), loop)
 	}
-	p.s.after(time.Duration(p.s.rng.Int64N(int64(d))), loop)
+	n.s.after(time.Duration(n.s.rng.Int64N(int64(interval))), loop)
 }
 
-func (p *peer) start() {
-	p.life++
-	p.dead, p.still, p.queue = false, false, nil
-	p.tenants = map[uint64]*tenant{}
-	p.open()
-	p.every(simRound, func() {
-		if p.council.Broken() != nil { // as a node does: from the disk again
-			p.open()
+// start starts a process with what the disk holds.
+func (n *node) start() {
+	n.epoch++
+	n.dead, n.paused, n.queued = false, false, nil
+	n.clients = map[uint64]*leaseClient{}
+	n.openLog()
+	n.runEvery(simTickInterval, func() {
+		if n.log.Broken() != nil { // reopen it from the disk, as a real node does
+			n.openLog()
 		}
-		p.council.SetMembers(p.clock(), p.s.view())
-		p.council.Tick(p.clock())
-		p.carry()
+		n.log.SetMembers(n.clock(), n.s.membershipView())
+		n.log.Tick(n.clock())
+		n.processOutput()
 	})
-	p.every(50*time.Millisecond, p.act)
+	n.runEvery(50*time.Millisecond, n.stepClients)
 }
 
-// open makes a council of the disk.
-func (p *peer) open() {
-	disk := p.disk.Clone()
-	set := leaselog.Settings{
-		Name: p.name, Site: p.site, Timing: p.s.terms, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
-		Consensus: consensus.Settings{TickInterval: simRound, KeepEntries: 8},
+// openLog opens the lease log with what the disk holds.
+func (n *node) openLog() {
+	disk := n.disk.Clone()
+	settings := leaselog.Settings{
+		Name: n.name, Site: n.site, Timing: n.s.timing, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
+		Consensus: consensus.Settings{TickInterval: simTickInterval, KeepEntries: 8},
 	}
-	p.council = leaselog.New(set, &disk, p.note, "", p.s.rng.Uint64(), p.clock())
+	n.log = leaselog.New(settings, &disk, n.userData, "", n.s.rng.Uint64(), n.clock())
 }
 
-// view is who the members are by agreement: a stand-in for the membership, which finds the dead after a while.
-func (s *Sim) view() map[string]leaselog.Member {
+// membershipView returns the current members. It stands in for the membership protocol, which removes a crashed node
+// after 5 s.
+func (s *Sim) membershipView() map[string]leaselog.Member {
 	view := map[string]leaselog.Member{}
-	for _, p := range s.peers {
-		if !p.dead || s.now-p.since < 5*time.Second {
-			view[p.name] = leaselog.Member{Site: p.site}
+	for _, n := range s.nodes {
+		if !n.dead || s.now-n.diedAt < 5*time.Second {
+			view[n.name] = leaselog.Member{Site: n.site}
 		}
 	}
 	return view
 }
 
-// carry does what the council wants done: the disk first, then what rests on it.
-func (p *peer) carry() {
-	if s := p.council.TakeSave(); s != nil {
-		life, c := p.life, p.council
-		put := func() {
-			if s.NewState != nil {
-				p.disk = s.NewState.Clone()
+// processOutput saves and sends what the lease log produced. The state is on disk before messages that depend on it
+// are sent.
+func (n *node) processOutput() {
+	if save := n.log.TakeSave(); save != nil {
+		epoch, log := n.epoch, n.log
+		writeDisk := func() {
+			if save.NewState != nil {
+				n.disk = save.NewState.Clone()
 			}
-			p.disk.Apply(&s.Update)
-			if s.UserData != nil {
-				p.note = s.UserData
+			n.disk.Apply(&save.Update)
+			if save.UserData != nil {
+				n.userData = save.UserData
 			}
-			p.syncs++
+			n.syncs++
 		}
-		wait := time.Millisecond + time.Duration(p.s.rng.Int64N(int64(p.s.slow)+1))
-		if p.s.SendBeforeSync {
-			p.s.after(wait+200*time.Millisecond, func() { p.on(life, put) })
-			c.Saved(p.clock())
+		wait := time.Millisecond + time.Duration(n.s.rng.Int64N(int64(n.s.maxSyncTime)+1))
+		if n.s.SendBeforeSync {
+			n.s.after(wait+200*time.Millisecond, func() { n.runStep(epoch, writeDisk) })
+			log.Saved(n.clock())
 		} else {
-			p.s.after(wait, func() {
-				p.on(life, func() {
-					put()
-					if c == p.council {
-						c.Saved(p.clock())
-						p.carry()
+			n.s.after(wait, func() {
+				n.runStep(epoch, func() {
+					writeDisk()
+					if log == n.log {
+						log.Saved(n.clock())
+						n.processOutput()
 					}
 				})
 			})
 		}
 	}
-	outs, told := p.council.TakeOutgoing()
-	for i := range outs {
-		if to := p.s.byName[outs[i].To]; to != nil {
-			m := outs[i].Message
-			p.count(m)
-			p.s.carry(p, to, func() {
-				to.council.Receive(to.clock(), m)
-				to.carry()
+	outgoing, replies := n.log.TakeOutgoing()
+	for i := range outgoing {
+		if to := n.s.nodesByName[outgoing[i].To]; to != nil {
+			m := outgoing[i].Message
+			n.countMessage(m)
+			n.s.deliver(n, to, func() {
+				to.log.Receive(to.clock(), m)
+				to.processOutput()
 			})
 		}
 	}
-	for i := range told {
-		p.told(&told[i])
+	for i := range replies {
+		n.handleReply(&replies[i])
 	}
 }
 
-func (s *Sim) carry(from, to *peer, do func()) {
-	if s.cut != nil && s.cut(from, to) || s.rng.Float64() < s.loss {
+// deliver runs a step at the receiving node for a message, unless the network loses it; duplicates and delays apply.
+func (s *Sim) deliver(from, to *node, do func()) {
+	if s.isCut != nil && s.isCut(from, to) || s.rng.Float64() < s.lossProbability {
 		return
 	}
 	copies := 1
-	if s.rng.Float64() < s.twice {
+	if s.rng.Float64() < s.duplicateProbability {
 		copies = 2
 	}
 	for range copies {
 		wait := time.Millisecond + time.Duration(s.rng.Int64N(int64(time.Millisecond)))
-		if s.late > 0 && s.rng.IntN(3) == 0 {
-			wait += time.Duration(s.rng.Int64N(int64(s.late)))
+		if s.maxExtraDelay > 0 && s.rng.IntN(3) == 0 {
+			wait += time.Duration(s.rng.Int64N(int64(s.maxExtraDelay)))
 		}
-		life := to.life
-		s.after(wait, func() { to.on(life, do) })
+		epoch := to.epoch
+		s.after(wait, func() { to.runStep(epoch, do) })
 	}
 }
 
-// New starts nodes, and founds their log with so many voters.
+// New starts nodes and schedules the founding of their log with the given number of voters.
 func New(seed uint64, nodes, voters int) *Sim {
-	s := &Sim{rng: rand.New(rand.NewPCG(seed, 99)), byName: map[string]*peer{}, numbers: map[uint64]bool{}, terms: lease.Timing{}.Default(), slow: 2 * time.Millisecond}
+	s := &Sim{rng: rand.New(rand.NewPCG(seed, 99)), nodesByName: map[string]*node{}, voterIDs: map[uint64]bool{}, timing: lease.Timing{}.Default(), maxSyncTime: 2 * time.Millisecond}
 	for i := range nodes {
-		p := &peer{
-			s: s, name: fmt.Sprint("n", i), site: fmt.Sprint("s", i%3), base: time.Duration(s.rng.Int64N(int64(1000 * time.Hour))),
-			skew: 1 + s.terms.ClockDrift/2.1*(2*s.rng.Float64()-1),
+		n := &node{
+			s: s, name: fmt.Sprint("n", i), site: fmt.Sprint("s", i%3), clockOffset: time.Duration(s.rng.Int64N(int64(1000 * time.Hour))),
+			clockRate: 1 + s.timing.ClockDrift/2.1*(2*s.rng.Float64()-1),
 		}
-		s.peers, s.byName[p.name] = append(s.peers, p), p
+		s.nodes, s.nodesByName[n.name] = append(s.nodes, n), n
 	}
-	for _, p := range s.peers {
-		p.start()
+	for _, n := range s.nodes {
+		n.start()
 	}
 	s.after(500*time.Millisecond, func() {
-		p := s.peers[s.rng.IntN(nodes)]
-		p.council.SetMembers(p.clock(), s.view())
-		if err := p.council.FoundLog(p.clock(), nil, voters, 0, func(_ leaselog.VoterSet, err error) {
+		n := s.nodes[s.rng.IntN(nodes)]
+		n.log.SetMembers(n.clock(), s.membershipView())
+		if err := n.log.FoundLog(n.clock(), nil, voters, 0, func(_ leaselog.VoterSet, err error) {
 			if err != nil {
-				s.Violations = append(s.Violations, "founding: "+err.Error())
+				s.Violations = append(s.Violations, "founding the log: "+err.Error())
 			}
 		}); err != nil {
-			s.Violations = append(s.Violations, "founding: "+err.Error())
+			s.Violations = append(s.Violations, "founding the log: "+err.Error())
 		}
-		p.carry()
+		n.processOutput()
 	})
 	return s
 }
 
-// voters are the peers that have seats, as the one who leads knows, and who that is; nil if nobody does.
-func (s *Sim) voters() (all []*peer, leader *peer) {
-	var best leaselog.Status
-	for _, p := range s.peers {
-		if p.dead {
+// voters returns the nodes that are voters according to the leader of the latest term, and that leader. Without a
+// leader the latest known voter set counts, and leader is nil.
+func (s *Sim) voters() (voters []*node, leader *node) {
+	var latest leaselog.Status
+	for _, n := range s.nodes {
+		if n.dead {
 			continue
 		}
-		if st := p.council.Status(); st.Leads && (leader == nil || st.Term > best.Term) {
-			best, leader = st, p
-		} else if leader == nil && st.Seats.Index > best.Seats.Index {
-			best.Seats = st.Seats
+		if status := n.log.Status(); status.Leads && (leader == nil || status.Term > latest.Term) {
+			latest, leader = status, n
+		} else if leader == nil && status.Seats.Index > latest.Seats.Index {
+			latest.Seats = status.Seats
 		}
 	}
-	for _, r := range best.Seats.Rows {
-		all = append(all, s.byName[r.Name])
-		s.numbers[r.ID] = true
+	for _, row := range latest.Seats.Rows {
+		voters = append(voters, s.nodesByName[row.Name])
+		s.voterIDs[row.ID] = true
 	}
-	return all, leader
+	return voters, leader
 }
--- a/internal/rig/leases/tenant.go
+++ b/internal/rig/leases/tenant.go
@@ -8,92 +8,95 @@
 	"curlewring/internal/fleet/leaselog"
 )
 
-// tenant is one life that wants the lease, on a node.
-type tenant struct {
-	t     *lease.Client
-	until time.Duration // when it gives the lease up
-	held  uint64
-	hand  bool
+// leaseClient is a client on a node that requests a lease, holds it and gives it up.
+type leaseClient struct {
+	client    *lease.Client
+	stopAt    time.Duration // when it gives the lease up, by the clock of its node
+	lastToken uint64        // of the last grant; 0: none yet
+	handsOver bool          // the lease is transferred to a queued holder, if there is one, when it is given up
 }
 
-// act has the tenants of a node act, and the node begin anew with one where there is none.
-func (p *peer) act() {
-	now := p.clock()
-	if len(p.tenants) < max(1, p.s.OwnLeases) && p.s.rng.IntN(10) == 0 {
-		name, until := "l", now+time.Duration(5+p.s.rng.IntN(20))*time.Second
-		if p.s.OwnLeases > 0 {
-			name, until = fmt.Sprint(p.name, "/", len(p.tenants)), now+time.Hour
+// stepClients runs a step of each client of the node, and now and then starts a missing client.
+func (n *node) stepClients() {
+	now := n.clock()
+	if len(n.clients) < max(1, n.s.LeasesPerNode) && n.s.rng.IntN(10) == 0 {
+		name, stopAt := "l", now+time.Duration(5+n.s.rng.IntN(20))*time.Second
+		if n.s.LeasesPerNode > 0 {
+			name, stopAt = fmt.Sprint(n.name, "/", len(n.clients)), now+time.Hour
 		}
-		h := lease.Holder{Name: p.name, Incarnation: uint64(p.life), Life: p.s.rng.Uint64() | 1}
-		t, err := lease.NewClient(p.s.terms, name, h, simTTL, now)
+		holder := lease.Holder{Name: n.name, Incarnation: uint64(n.epoch), Life: n.s.rng.Uint64() | 1}
+		client, err := lease.NewClient(n.s.timing, name, holder, simTTL, now)
 		if err != nil {
-			p.s.Violations = append(p.s.Violations, err.Error())
+			n.s.Violations = append(n.s.Violations, err.Error())
 			return
 		}
-		p.tenants[h.Life] = &tenant{t: t, until: until, hand: p.s.rng.IntN(3) == 0}
+		n.clients[holder.Life] = &leaseClient{client: client, stopAt: stopAt, handsOver: n.s.rng.IntN(3) == 0}
 	}
-	for life, x := range p.tenants { // one at the most where they contend
-		p.turn(x, now)
-		if x.t.Phase() == lease.Over {
-			delete(p.tenants, life)
+	for life, x := range n.clients { // at most one if all nodes compete for one lease
+		n.stepClient(x, now)
+		if x.client.Phase() == lease.Over {
+			delete(n.clients, life)
 		}
 	}
-	p.carry()
+	n.processOutput()
 }
 
-func (p *peer) turn(x *tenant, now time.Duration) {
-	act := time.Duration(20+p.s.rng.IntN(200)) * time.Millisecond
-	token, ok := x.t.BeginAct(now, act)
-	if p.s.ActAfterExpiry && x.held != 0 {
-		token, ok = x.held, true
+// stepClient accesses the resource if the client may, starts the release when it is due, and sends the client's
+// command.
+func (n *node) stepClient(x *leaseClient, now time.Duration) {
+	maxDuration := time.Duration(20+n.s.rng.IntN(200)) * time.Millisecond
+	token, ok := x.client.BeginAct(now, maxDuration)
+	if n.s.ActAfterExpiry && x.lastToken != 0 {
+		token, ok = x.lastToken, true
 	}
 	if ok {
-		took := time.Duration(p.s.rng.Float64() * float64(act) / p.skew)
-		p.s.Accesses = append(p.s.Accesses, Access{p.s.now, p.s.now + took, token, fmt.Sprint(p.name, "/", p.life, "/", x.t.Holder().Life%1000)})
+		duration := time.Duration(n.s.rng.Float64() * float64(maxDuration) / n.clockRate)
+		n.s.Accesses = append(n.s.Accesses, Access{n.s.now, n.s.now + duration, token, fmt.Sprint(n.name, "/", n.epoch, "/", x.client.Holder().Life%1000)})
 	}
-	if ph := x.t.Phase(); now > x.until && ph != lease.Stopping && ph != lease.Releasing {
-		var to lease.Holder
-		if x.hand {
-			to = p.s.waiter()
+	if phase := x.client.Phase(); now > x.stopAt && phase != lease.Stopping && phase != lease.Releasing {
+		var successor lease.Holder
+		if x.handsOver {
+			successor = n.s.anyQueuedHolder()
 		}
-		x.t.Stop(now, to)
+		x.client.Stop(now, successor)
 	}
-	tries := x.t.Attempts()
-	if c := x.t.Tick(now); c != nil && p.council.SendLeaseCommand(now, *c, 0, tries) != nil {
-		x.t.RetrySoon(now, c.Seq)
+	attempts := x.client.Attempts()
+	if command := x.client.Tick(now); command != nil && n.log.SendLeaseCommand(now, *command, 0, attempts) != nil {
+		x.client.RetrySoon(now, command.Seq)
 	}
-	for _, e := range x.t.Events() {
-		if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
-			p.s.Grants++
-			x.held = e.Token
-			if p.s.OwnLeases == 0 {
-				x.until = now + time.Duration(1+p.s.rng.IntN(6))*time.Second
+	for _, event := range x.client.Events() {
+		if event.Kind == lease.PhaseChanged && event.Phase == lease.Holding {
+			n.s.Grants++
+			x.lastToken = event.Token
+			if n.s.LeasesPerNode == 0 {
+				x.stopAt = now + time.Duration(1+n.s.rng.IntN(6))*time.Second
 			}
 		}
 	}
 }
 
-// waiter is anybody who stands in line.
-func (s *Sim) waiter() lease.Holder {
-	for _, p := range s.peers {
-		for _, x := range p.tenants {
-			if x.t.Phase() == lease.Queued {
-				return x.t.Holder()
+// anyQueuedHolder returns a holder that waits in the queue; the zero Holder if there is none.
+func (s *Sim) anyQueuedHolder() lease.Holder {
+	for _, n := range s.nodes {
+		for _, x := range n.clients {
+			if x.client.Phase() == lease.Queued {
+				return x.client.Holder()
 			}
 		}
 	}
 	return lease.Holder{}
 }
 
-func (p *peer) told(m *leaselog.LocalReply) {
-	x := p.tenants[m.Life]
+// handleReply passes a reply of the lease log to the client that it belongs to, if that still exists.
+func (n *node) handleReply(reply *leaselog.LocalReply) {
+	x := n.clients[reply.Life]
 	if x == nil {
 		return
 	}
-	switch m.Kind {
+	switch reply.Kind {
 	case leaselog.CommandAnswer:
-		x.t.HandleAnswer(p.clock(), m.Answer)
+		x.client.HandleAnswer(n.clock(), reply.Answer)
 	case leaselog.CannotServe:
-		x.t.RetrySoon(p.clock(), m.Seq)
+		x.client.RetrySoon(n.clock(), reply.Seq)
 	}
 }
