--- a/internal/rig/scale/discovery.go
+++ b/internal/rig/scale/discovery.go
@@ -8,29 +8,29 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// DiscoverySettings is a registry whose capacity does not grow with the fleet.
+// DiscoverySettings describes a discovery service whose capacity does not grow with the fleet.
 type DiscoverySettings struct {
 	CallsPerSecond float64
 	QueueTimeout   time.Duration
 	BacklogFactor  float64
 }
 
-// TodaysDiscovery works through a call of each of today's 330 processes in 2 s.
+// CurrentDiscovery returns the capacity of today's discovery: it serves one call of each of the 330 processes in 2 s.
 func CurrentDiscovery() DiscoverySettings {
 	return DiscoverySettings{CallsPerSecond: 165, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
 }
 
-// MeasureWatchersBack returns how long it takes after one change of a list, which ends the long poll of every node that
-// watches it, until the last of them has a long poll open again: until then it may miss the next change.
-func MeasureWatcherReconnect(nodes int, set DiscoverySettings) time.Duration {
-	const callLines = 1
+// MeasureWatcherReconnect returns how long it takes after a list change, which ends the long polls of all nodes that
+// watch the list, until the last node has a long poll open again. Until then a node may miss the next change.
+func MeasureWatcherReconnect(nodes int, settings DiscoverySettings) time.Duration {
+	const linesPerCall = 1
 	service := registry.New(registry.Settings{
-		LinesPerSecond: set.CallsPerSecond, LinesPerCall: callLines, QueueTimeout: set.QueueTimeout, BacklogFactor: set.BacklogFactor,
+		LinesPerSecond: settings.CallsPerSecond, LinesPerCall: linesPerCall, QueueTimeout: settings.QueueTimeout, BacklogFactor: settings.BacklogFactor,
 	})
 	var events timeline.Events
 	var now, last time.Duration
 	for i := range nodes {
-		pace := endpoints.NewCallPacer(endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Seed: uint64(i)})
+		pacer := endpoints.NewCallPacer(endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Seed: uint64(i)})
 		var call func()
 		call = func() {
 			admission := service.EnqueueCall(now, 0)
@@ -39,7 +39,7 @@
 				return
 			}
 			failed := endpoints.OverloadedCall{Took: admission.DoneAt - now, AnsweredBefore: true}
-			events.At(admission.DoneAt+pace.RecordOverload(admission.DoneAt, failed), call)
+			events.At(admission.DoneAt+pacer.RecordOverload(admission.DoneAt, failed), call)
 		}
 		events.At(0, call)
 	}
--- a/internal/rig/scale/doc.go
+++ b/internal/rig/scale/doc.go
@@ -1,9 +1,11 @@
-// Package scale measures what a fleet's control costs at several sizes, fits how each cost grows, and compares what follows
-// at a planned size with what is allowed there.
+// Package scale measures what the control plane of a fleet costs at several sizes, fits how each cost grows with the
+// size, and compares the cost at the planned size with its limit.
 //
-// The samples come from the real pure cores: membership in virtual time, the view of the servers and the module over lists
-// of growing length, long polls before a registry of fixed capacity. A Fit says which growth describes the samples best and
-// how far off it is; a Report holds all rows, and says of each whether the plan holds, does not, or is not known.
+// The samples come from the real pure cores: the membership protocol and the lease log in virtual time, the server
+// view and the balancer with lists of growing length, long polls at a registry of fixed capacity. A Fit names the
+// growth that describes the samples best, with its residual. A Report holds all figures with a verdict on each: within
+// the limit, over it, or no limit stated. RunFleet measures real node processes among simulated nodes on loopback
+// sockets.
 //
-// The package must not decide anything of the fleet, and opens no sockets.
+// The package must not take any decision about the fleet. The samples of a Report need no sockets.
 package scale
--- a/internal/rig/scale/fit.go
+++ b/internal/rig/scale/fit.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// Sample is one figure, measured at one size.
+// Sample is a value measured at one size.
 type Sample struct {
 	Size  int
 	Value float64
 }
 
-// Growth is a way in which a figure may grow with the size.
+// Growth is how a value grows with the size.
 type Growth int
 
-// The growths, the slowest first.
+// The growths, from the slowest to the fastest.
 const (
 	Constant Growth = iota
 	Logarithmic
@@ -23,12 +23,13 @@
 	Quadratic
 )
 
+// String returns the growth as shown in reports.
 func (g Growth) String() string {
 	return [...]string{"constant", "with the logarithm", "linear", "quadratic"}[g]
 }
 
-// at is the growth's term at a size.
-func (g Growth) at(size int) float64 {
+// term returns the size-dependent term of the growth.
+func (g Growth) term(size int) float64 {
 	n := float64(size)
 	switch g {
 	case Logarithmic:
@@ -42,43 +43,46 @@
 	}
 }
 
-// Fit is the line through samples: Base + Slope times the growth's term.
+// Fit describes samples by Base + Slope * term, where term depends on the growth and the size.
 type Fit struct {
 	Growth   Growth
 	Base     float64
 	Slope    float64
-	Residual float64 // the largest distance of a sample, as a part of the sample
-	Largest  int     // size that was measured
+	Residual float64 // largest distance of a sample from the fit, relative to the sample
+	Largest  int     // largest size that was measured
 }
 
-// clearlyBetter is how much smaller the residual of a faster growth must be for it to be taken.
-const clearlyBetter = 0.7
+// maxResidualRatio is how large the residual of a faster growth may be, relative to that of a slower one, for the
+// faster growth to be preferred.
+const maxResidualRatio = 0.7
 
-// NewFit finds the slowest growth that describes the samples about as well as any. There must be two sizes at least.
+// NewFit fits the samples with the slowest growth that describes them about as well as any other. There must be at
+// least two sizes.
 func NewFit(samples []Sample) Fit {
-	best := fitAs(Constant, samples)
+	best := fitGrowth(Constant, samples)
 	for g := Logarithmic; g <= Quadratic; g++ {
-		if next := fitAs(g, samples); next.Slope > 0 && next.Residual < clearlyBetter*best.Residual {
-			best = next
+		if candidate := fitGrowth(g, samples); candidate.Slope > 0 && candidate.Residual < maxResidualRatio*best.Residual {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// fitAs is the line for one growth with the least squares of the relative distances: small sizes count as large ones do.
-func fitAs(g Growth, samples []Sample) Fit {
+// fitGrowth fits one growth by least squares of the relative distances, so that small sizes count as much as large
+// ones.
+func fitGrowth(g Growth, samples []Sample) Fit {
 	f := Fit{Growth: g, Largest: slices.MaxFunc(samples, func(a, b Sample) int { return cmp.Compare(a.Size, b.Size) }).Size}
 	var sumW, sumX, sumY, sumXX, sumXY float64
 	for _, s := range samples {
-		x, weight := g.at(s.Size), 1/max(s.Value*s.Value, math.SmallestNonzeroFloat32)
+		x, weight := g.term(s.Size), 1/max(s.Value*s.Value, math.SmallestNonzeroFloat32)
 		sumW += weight
 		sumX += weight * x
 		sumY += weight * s.Value
 		sumXX += weight * x * x
 		sumXY += weight * x * s.Value
 	}
-	if spread := sumW*sumXX - sumX*sumX; g != Constant && spread > 0 {
-		f.Slope = (sumW*sumXY - sumX*sumY) / spread
+	if determinant := sumW*sumXX - sumX*sumX; g != Constant && determinant > 0 {
+		f.Slope = (sumW*sumXY - sumX*sumY) / determinant
 	}
 	f.Base = (sumY - f.Slope*sumX) / sumW
 	for _, s := range samples {
@@ -89,19 +93,19 @@
 	return f
 }
 
-// At is the figure that the fit gives for a size.
-func (f Fit) At(size int) float64 { return f.Base + f.Slope*f.Growth.at(size) }
+// At returns the value of the fit at a size.
+func (f Fit) At(size int) float64 { return f.Base + f.Slope*f.Growth.term(size) }
 
-// Breaks is the size from which on the fit exceeds what is allowed; 0: not up to a million.
-func (f Fit) LimitExceededAt(allowed float64) int {
-	const most = 1_000_000
-	if f.At(most) <= allowed {
+// LimitExceededAt returns the smallest size at which the fit exceeds a limit; 0 if it does not up to a million.
+func (f Fit) LimitExceededAt(limit float64) int {
+	const maxSize = 1_000_000
+	if f.At(maxSize) <= limit {
 		return 0
 	}
-	low, high := 1, most
+	low, high := 1, maxSize
 	for low < high {
 		middle := (low + high) / 2
-		if f.At(middle) > allowed {
+		if f.At(middle) > limit {
 			high = middle
 		} else {
 			low = middle + 1
--- a/internal/rig/scale/fleet.go
+++ b/internal/rig/scale/fleet.go
@@ -11,30 +11,30 @@
 	"curlewring/internal/rig/standin"
 )
 
-// FleetSettings describe a run of real nodes among hollow ones.
+// FleetSettings describes a run of real node processes among simulated nodes.
 type FleetSettings struct {
 	SimulatedNodes int
 	RealNodes      int
-	Zones          int           // of the hollow nodes
-	SettleTime     time.Duration // after all have one view: rumours of the start go on for a while
-	RestTime       time.Duration // over which control is measured with nothing happening
-	LoadTime       time.Duration // over which calls are sent, straight to the servers and through the nodes
-	Rate           float64       // calls a second at each real node
+	Zones          int           // of the simulated nodes
+	SettleTime     time.Duration // wait after all agree: gossip about the start continues for a while
+	RestTime       time.Duration // how long the idle cost is measured
+	LoadTime       time.Duration // how long calls are sent, directly to the servers and through the nodes
+	Rate           float64       // calls per second at each real node
 	Servers        int
 }
 
-// Bounds of a run.
+// Limits of the settings of a run.
 const (
-	mostHollow  = 2000
-	mostReal    = 100
-	mostZones   = 100
-	mostServers = 200
-	leastLength = 100 * time.Millisecond
-	mostLength  = 5 * time.Minute
-	mostRate    = 1000
+	maxSimulatedNodes = 2000
+	maxRealNodes      = 100
+	maxZones          = 100
+	maxServers        = 200
+	minPhaseTime      = 100 * time.Millisecond
+	maxPhaseTime      = 5 * time.Minute
+	maxRate           = 1000
 )
 
-// SettingError is a setting of a run or a report that is not allowed.
+// SettingError reports a setting of a run or a report that is out of range.
 type SettingError struct {
 	Key      string
 	Value    any
@@ -42,134 +42,135 @@
 }
 
 func (e *SettingError) Error() string {
-	return fmt.Sprintf("%s: %v is not allowed, %v to %v are", e.Key, e.Value, e.Min, e.Max)
+	return fmt.Sprintf("%s: %v is out of range, want %v to %v", e.Key, e.Value, e.Min, e.Max)
 }
 
-// Validate tells what is wrong with the settings.
+// Validate returns a SettingError for the first setting that is out of range.
 func (s *FleetSettings) Validate() error {
 	for _, x := range []struct {
-		key         string
-		value       int
-		least, most int
+		key      string
+		value    int
+		min, max int
 	}{
-		{"hollow", s.SimulatedNodes, 0, mostHollow},
-		{"real", s.RealNodes, 1, mostReal},
-		{"zones", s.Zones, 1, mostZones},
-		{"servers", s.Servers, 1, mostServers},
+		{"hollow", s.SimulatedNodes, 0, maxSimulatedNodes},
+		{"real", s.RealNodes, 1, maxRealNodes},
+		{"zones", s.Zones, 1, maxZones},
+		{"servers", s.Servers, 1, maxServers},
 	} {
-		if x.value < x.least || x.value > x.most {
-			return &SettingError{x.key, x.value, x.least, x.most}
+		if x.value < x.min || x.value > x.max {
+			return &SettingError{x.key, x.value, x.min, x.max}
 		}
 	}
 	if s.SimulatedNodes > 0 && s.SimulatedNodes < max(seedCount, s.Zones) {
-		return &SettingError{"hollow", s.SimulatedNodes, max(seedCount, s.Zones), mostHollow}
+		return &SettingError{"hollow", s.SimulatedNodes, max(seedCount, s.Zones), maxSimulatedNodes}
 	}
 	for _, x := range []struct {
 		key   string
 		value time.Duration
 	}{{"settle", s.SettleTime}, {"rest", s.RestTime}, {"load", s.LoadTime}} {
-		if x.value < leastLength || x.value > mostLength {
-			return &SettingError{x.key, x.value, leastLength, mostLength}
+		if x.value < minPhaseTime || x.value > maxPhaseTime {
+			return &SettingError{x.key, x.value, minPhaseTime, maxPhaseTime}
 		}
 	}
-	if !(s.Rate >= 1 && s.Rate <= mostRate) { // NaN is neither
-		return &SettingError{"rate", s.Rate, 1, mostRate}
+	if !(s.Rate >= 1 && s.Rate <= maxRate) { // also rejects NaN
+		return &SettingError{"rate", s.Rate, 1, maxRate}
 	}
 	return nil
 }
 
-// FleetReport is what was measured at the real nodes.
+// FleetReport holds what was measured at the real nodes.
 type FleetReport struct {
 	Nodes             int
-	Convergence       time.Duration // from the start of the real nodes until all have one view
-	Bytes             float64       // sent for membership by a real node in a second, at rest
+	Convergence       time.Duration // from the start of the real nodes until all nodes have one view
+	Bytes             float64       // sent for membership per real node and second, idle
 	Messages          float64
-	Core              float64 // part of a core of a real node at rest, all that it does included
+	Core              float64 // fraction of a core that a whole real node uses when idle
 	CrashDetection    time.Duration
-	ZoneLossDetection time.Duration // a zone of hollow nodes killed at once, until no real node's view has any of it; 0: there is none
-	ZoneReturn        time.Duration // the same zone started at once, until all have one view again
-	RealNodeDetection time.Duration // a real node killed, until all others know; 0: there is one only
+	ZoneLossDetection time.Duration // from the kill of a zone until all views lack it; 0: no zone to kill
+	ZoneReturn        time.Duration // from the restart of that zone until all nodes have one view again
+	RealNodeDetection time.Duration // from its kill until all views lack it; 0: there is only one
 	Latency           LatencyCost
-	Violations        []string // rules
+	Violations        []string // of the rules for nodes
 }
 
-// Write prints the report as Markdown, with what the plan allows.
+// Write prints the report as Markdown, with the limits of the plan.
 func (r *FleetReport) Write(w io.Writer, plan Plan) error {
-	added, least, most := r.Latency.Added()
+	added, lowest, highest := r.Latency.Added()
 	var b strings.Builder
 	fmt.Fprintf(&b, "| of %d nodes, at each real one | measured | allowed |\n| --- | --- | --- |\n", r.Nodes)
 	for _, row := range []struct{ name, measured, allowed string }{
 		{"sent for membership at rest", BytesPerSecond.format(r.Bytes), BytesPerSecond.format(plan.Control.BytesPerSecond)},
 		{"messages sent at rest", PerSecond.format(r.Messages), "-"},
 		{"processor time at rest, all of the node", Core.format(r.Core), Core.format(plan.Control.Core)},
-		{"all started, until all agree", rounded(r.Convergence), "-"},
-		{"a crash, until all know", rounded(r.CrashDetection), "-"},
-		{"a zone killed at once, until all know", rounded(r.ZoneLossDetection), "-"},
-		{"the zone back, until all agree", rounded(r.ZoneReturn), "-"},
-		{"a real node killed, until all know", rounded(r.RealNodeDetection), "-"},
-		{"a call straight to a server, median", rounded(r.Latency.DirectMedian), "-"},
-		{"a call through a node, median", rounded(r.Latency.ProxiedMedian), "-"},
+		{"all started, until all agree", formatDuration(r.Convergence), "-"},
+		{"a crash, until all know", formatDuration(r.CrashDetection), "-"},
+		{"a zone killed at once, until all know", formatDuration(r.ZoneLossDetection), "-"},
+		{"the zone back, until all agree", formatDuration(r.ZoneReturn), "-"},
+		{"a real node killed, until all know", formatDuration(r.RealNodeDetection), "-"},
+		{"a call straight to a server, median", formatDuration(r.Latency.DirectMedian), "-"},
+		{"a call through a node, median", formatDuration(r.Latency.ProxiedMedian), "-"},
 		{
-			"added at p99, median of the rounds", fmt.Sprintf("%v (%v to %v)", rounded(added), rounded(least), rounded(most)),
-			rounded(plan.AddedLatency),
+			"added at p99, median of the rounds", fmt.Sprintf("%v (%v to %v)", formatDuration(added), formatDuration(lowest), formatDuration(highest)),
+			formatDuration(plan.AddedLatency),
 		},
 		{"rules broken", fmt.Sprint(len(r.Violations)), "0"},
 	} {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", row.name, row.measured, row.allowed)
 	}
-	for _, broken := range r.Violations {
-		fmt.Fprintf(&b, "\nbroken: %s\n", broken)
+	for _, violation := range r.Violations {
+		fmt.Fprintf(&b, "\nbroken: %s\n", violation)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// rounded writes a time; none as a dash.
-func rounded(d time.Duration) string {
+// formatDuration formats a duration for a table; 0, which means not measured, is a dash.
+func formatDuration(d time.Duration) string {
 	if d == 0 {
 		return "-"
 	}
 	return d.Round(time.Microsecond).String()
 }
 
-// fleet is a run in progress.
-type fleet struct {
-	set     FleetSettings
-	lab     *lab.Lab
-	hollows *hollows
-	down    int // real nodes that do not run
+// fleetRun is a run in progress.
+type fleetRun struct {
+	settings        FleetSettings
+	lab             *lab.Lab
+	simulated       *simulatedNodes
+	killedRealNodes int // the last ones, by their index
 }
 
-// datagramHeads is what UDP and IP add to a message.
-const datagramHeads = 28
+// datagramHeaders is the length of the UDP and IP headers of a datagram in bytes.
+const datagramHeaders = 28
 
-// Waits of a run.
+// Timing of the waits for agreement.
 const (
-	agreePatience = 2 * time.Minute
-	lookEvery     = 50 * time.Millisecond
+	agreementTimeout = 2 * time.Minute
+	pollInterval     = 50 * time.Millisecond
 )
 
-// RunFleet starts hollow nodes in this process and real ones as children, measures the real ones at rest and under load, and
-// again as nodes fail. It ends all that it started.
-func RunFleet(ctx context.Context, set FleetSettings, progress func(string)) (*FleetReport, error) {
-	if err := set.Validate(); err != nil {
+// RunFleet starts simulated nodes in this process and real nodes as child processes, and measures the real nodes idle,
+// under load and while nodes fail. It stops all nodes before it returns. Progress is reported with a line for each
+// phase.
+func RunFleet(ctx context.Context, settings FleetSettings, progress func(string)) (*FleetReport, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	f := &fleet{set: set, hollows: &hollows{}}
+	f := &fleetRun{settings: settings, simulated: &simulatedNodes{}}
 	defer f.close()
 	if err := f.start(ctx, progress); err != nil {
 		return nil, err
 	}
-	r := &FleetReport{Nodes: set.SimulatedNodes + set.RealNodes}
-	for _, part := range []struct {
+	r := &FleetReport{Nodes: settings.SimulatedNodes + settings.RealNodes}
+	for _, phase := range []struct {
 		name string
 		do   func(context.Context, *FleetReport) error
 	}{
-		{"until all agree", f.agreed}, {"rest", f.rest}, {"load", f.load}, {"a crash", f.crash}, {"a zone", f.zone}, {"a real node", f.killReal},
+		{"until all agree", f.measureConvergence}, {"rest", f.measureRest}, {"load", f.measureLoad}, {"a crash", f.measureCrash}, {"a zone", f.measureZoneLoss}, {"a real node", f.measureRealNodeLoss},
 	} {
-		progress(part.name)
-		if err := part.do(ctx, r); err != nil {
-			return nil, fmt.Errorf("%s: %w", part.name, err)
+		progress(phase.name)
+		if err := phase.do(ctx, r); err != nil {
+			return nil, fmt.Errorf("%s: %w", phase.name, err)
 		}
 	}
 	for _, breach := range f.lab.Fleet.Judge.Check(f.lab.Fleet.Clock.Now()).Breaches {
@@ -178,42 +179,46 @@
 	return r, nil
 }
 
-func (f *fleet) start(ctx context.Context, progress func(string)) (err error) {
-	progress(fmt.Sprintf("%d hollow nodes", f.set.SimulatedNodes))
-	if f.hollows, err = startHollows(f.set.SimulatedNodes, f.set.Zones); err != nil {
+// start starts the simulated nodes, then the lab with the real ones.
+func (f *fleetRun) start(ctx context.Context, progress func(string)) (err error) {
+	progress(fmt.Sprintf("%d simulated nodes", f.settings.SimulatedNodes))
+	if f.simulated, err = startSimulatedNodes(f.settings.SimulatedNodes, f.settings.Zones); err != nil {
 		return err
 	}
 	plan := standin.DefaultPlan()
-	plan.Servers, plan.Speeds = f.set.Servers, []float64{1}
+	plan.Servers, plan.Speeds = f.settings.Servers, []float64{1}
 	for i := range plan.Classes {
 		plan.Classes[i].Work, plan.Classes[i].Spread = latencyWork, 0
 	}
-	progress(fmt.Sprintf("%d real nodes", f.set.RealNodes))
-	f.lab, err = lab.Open(ctx, lab.Options{Plan: plan, Nodes: f.set.RealNodes, Membership: true, NoRelays: true, Seeds: f.hollows.seeds})
+	progress(fmt.Sprintf("%d real nodes", f.settings.RealNodes))
+	f.lab, err = lab.Open(ctx, lab.Options{Plan: plan, Nodes: f.settings.RealNodes, Membership: true, NoRelays: true, Seeds: f.simulated.seeds})
 	return err
 }
 
-func (f *fleet) close() {
+func (f *fleetRun) close() {
 	if f.lab != nil {
 		f.lab.Close()
 	}
-	f.hollows.close()
+	f.simulated.close()
 }
 
-// living is how many nodes run.
-func (f *fleet) living() int { return f.hollows.living() + f.set.RealNodes - f.down }
+// runningCount returns how many nodes run.
+func (f *fleetRun) runningCount() int {
+	return f.simulated.runningCount() + f.settings.RealNodes - f.killedRealNodes
+}
 
-// await waits until all nodes that run have one view of each other and nobody else, and returns how long that took.
-func (f *fleet) await(ctx context.Context) (time.Duration, error) {
-	begun := time.Now()
-	tick := time.NewTicker(lookEvery)
+// awaitAgreement waits until all running nodes have one view with exactly these members, and returns how long that
+// took.
+func (f *fleetRun) awaitAgreement(ctx context.Context) (time.Duration, error) {
+	start := time.Now()
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		if f.together(ctx) {
-			return time.Since(begun), nil
+		if f.allAgree(ctx) {
+			return time.Since(start), nil
 		}
-		if time.Since(begun) > agreePatience {
-			return 0, fmt.Errorf("%d nodes have no common view after %v", f.living(), agreePatience)
+		if time.Since(start) > agreementTimeout {
+			return 0, fmt.Errorf("%d nodes do not agree on one view after %v", f.runningCount(), agreementTimeout)
 		}
 		select {
 		case <-ctx.Done():
@@ -223,34 +228,35 @@
 	}
 }
 
-// together tells whether all nodes that run have one view. The hollow ones are looked at first, as that costs nothing.
-func (f *fleet) together(ctx context.Context) bool {
-	if _, ok := f.hollows.agree(f.living()); !ok {
+// allAgree reports whether all running nodes have one view. It checks the simulated nodes first because that is cheap.
+func (f *fleetRun) allAgree(ctx context.Context) bool {
+	if _, ok := f.simulated.agreedView(f.runningCount()); !ok {
 		return false
 	}
 	number := uint64(0)
-	for i := range f.set.RealNodes - f.down {
-		report, err := f.lab.MembershipOf(ctx, realName(i))
-		standing := report.Standing
-		if err != nil || len(standing.Members) != f.living() || i > 0 && standing.Number != number {
+	for i := range f.settings.RealNodes - f.killedRealNodes {
+		report, err := f.lab.MembershipOf(ctx, realNodeName(i))
+		membership := report.Standing
+		if err != nil || len(membership.Members) != f.runningCount() || i > 0 && membership.Number != number {
 			return false
 		}
-		number = standing.Number
+		number = membership.Number
 	}
 	return true
 }
 
-// realName is the lab's name of a real node. The last ones are killed first.
-func realName(i int) string { return fmt.Sprintf("n%d", i) }
+// realNodeName returns the name of a real node in the lab. The node with the highest index is killed first.
+func realNodeName(i int) string { return fmt.Sprintf("n%d", i) }
 
-func (f *fleet) agreed(ctx context.Context, r *FleetReport) (err error) {
-	r.Convergence, err = f.await(ctx)
+// measureConvergence waits until all nodes agree after the start.
+func (f *fleetRun) measureConvergence(ctx context.Context, r *FleetReport) (err error) {
+	r.Convergence, err = f.awaitAgreement(ctx)
 	return err
 }
 
-// pass lets time pass; what is measured over it is time itself.
-func pass(ctx context.Context, length time.Duration) error {
-	timer := time.NewTimer(length)
+// sleep waits for a duration. It is used for intervals over which rates are measured, never to wait for a condition.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -260,79 +266,85 @@
 	}
 }
 
-// sent sums up what the real nodes have sent for membership.
-func (f *fleet) sent(ctx context.Context) (messages, bytes int64, err error) {
-	for i := range f.set.RealNodes {
-		report, err := f.lab.MembershipOf(ctx, realName(i))
+// totalSent returns what all real nodes together have sent for membership, headers included.
+func (f *fleetRun) totalSent(ctx context.Context) (messages, bytes int64, err error) {
+	for i := range f.settings.RealNodes {
+		report, err := f.lab.MembershipOf(ctx, realNodeName(i))
 		if err != nil {
 			return 0, 0, err
 		}
-		messages, bytes = messages+report.Sent, bytes+report.Bytes+report.Sent*datagramHeads
+		messages, bytes = messages+report.Sent, bytes+report.Bytes+report.Sent*datagramHeaders
 	}
 	return messages, bytes, nil
 }
 
-func (f *fleet) rest(ctx context.Context, r *FleetReport) error {
-	if err := pass(ctx, f.set.SettleTime); err != nil {
+// measureRest measures the cost of the real nodes while nothing happens.
+func (f *fleetRun) measureRest(ctx context.Context, r *FleetReport) error {
+	if err := sleep(ctx, f.settings.SettleTime); err != nil {
 		return err
 	}
-	messages, bytes, err := f.sent(ctx)
+	messages, bytes, err := f.totalSent(ctx)
 	if err != nil {
 		return err
 	}
-	begun, used := time.Now(), f.lab.CPUTime()
-	if err := pass(ctx, f.set.RestTime); err != nil {
+	start, cpuTime := time.Now(), f.lab.CPUTime()
+	if err := sleep(ctx, f.settings.RestTime); err != nil {
 		return err
 	}
-	seconds := time.Since(begun).Seconds() * float64(f.set.RealNodes)
-	r.Core = (f.lab.CPUTime() - used).Seconds() / seconds
-	messagesAfter, bytesAfter, err := f.sent(ctx)
-	r.Messages, r.Bytes = float64(messagesAfter-messages)/seconds, float64(bytesAfter-bytes)/seconds
+	nodeSeconds := time.Since(start).Seconds() * float64(f.settings.RealNodes)
+	r.Core = (f.lab.CPUTime() - cpuTime).Seconds() / nodeSeconds
+	messagesAfter, bytesAfter, err := f.totalSent(ctx)
+	r.Messages, r.Bytes = float64(messagesAfter-messages)/nodeSeconds, float64(bytesAfter-bytes)/nodeSeconds
 	return err
 }
 
-func (f *fleet) load(ctx context.Context, r *FleetReport) (err error) {
+// measureLoad measures the latency that the real nodes add to calls.
+func (f *fleetRun) measureLoad(ctx context.Context, r *FleetReport) (err error) {
 	const rounds = 3
-	set := LatencySettings{Rounds: rounds, RoundTime: f.set.LoadTime / (2 * rounds), Rate: f.set.Rate, Nodes: f.set.RealNodes}
-	r.Latency, err = latencyIn(ctx, f.lab, set)
+	settings := LatencySettings{Rounds: rounds, RoundTime: f.settings.LoadTime / (2 * rounds), Rate: f.settings.Rate, Nodes: f.settings.RealNodes}
+	r.Latency, err = measureLatencyInLab(ctx, f.lab, settings)
 	return err
 }
 
-func (f *fleet) crash(ctx context.Context, r *FleetReport) (err error) {
-	if f.set.SimulatedNodes <= seedCount {
+// measureCrash kills one simulated node that is not a seed.
+func (f *fleetRun) measureCrash(ctx context.Context, r *FleetReport) (err error) {
+	if f.settings.SimulatedNodes <= seedCount {
 		return nil
 	}
-	f.hollows.kill(f.hollows.nodes[f.set.SimulatedNodes-1:])
-	r.CrashDetection, err = f.await(ctx)
+	f.simulated.kill(f.simulated.nodes[f.settings.SimulatedNodes-1:])
+	r.CrashDetection, err = f.awaitAgreement(ctx)
 	return err
 }
 
-func (f *fleet) zone(ctx context.Context, r *FleetReport) (err error) {
-	if f.set.SimulatedNodes == 0 || f.set.Zones < 2 {
+// measureZoneLoss kills a zone of simulated nodes at once and starts it again.
+func (f *fleetRun) measureZoneLoss(ctx context.Context, r *FleetReport) (err error) {
+	if f.settings.SimulatedNodes == 0 || f.settings.Zones < 2 {
 		return nil
 	}
-	zone := f.hollows.inZone(f.hollows.nodes[f.set.Zones-1].zone) // none of the seeds, if there are zones enough
-	f.hollows.kill(zone)
-	if r.ZoneLossDetection, err = f.await(ctx); err != nil {
+	// This zone has no seeds if there are more zones than seeds.
+	zone := f.simulated.nodesInZone(f.simulated.nodes[f.settings.Zones-1].zone)
+	f.simulated.kill(zone)
+	if r.ZoneLossDetection, err = f.awaitAgreement(ctx); err != nil {
 		return err
 	}
 	for _, n := range zone {
-		if err := f.hollows.start(n); err != nil {
+		if err := f.simulated.start(n); err != nil {
 			return err
 		}
 	}
-	r.ZoneReturn, err = f.await(ctx)
+	r.ZoneReturn, err = f.awaitAgreement(ctx)
 	return err
 }
 
-func (f *fleet) killReal(ctx context.Context, r *FleetReport) (err error) {
-	if f.set.RealNodes < 2 {
+// measureRealNodeLoss kills a real node.
+func (f *fleetRun) measureRealNodeLoss(ctx context.Context, r *FleetReport) (err error) {
+	if f.settings.RealNodes < 2 {
 		return nil
 	}
-	if err := f.lab.Kill(realName(f.set.RealNodes - 1)); err != nil {
+	if err := f.lab.Kill(realNodeName(f.settings.RealNodes - 1)); err != nil {
 		return err
 	}
-	f.down++
-	r.RealNodeDetection, err = f.await(ctx)
+	f.killedRealNodes++
+	r.RealNodeDetection, err = f.awaitAgreement(ctx)
 	return err
 }
--- a/internal/rig/scale/hollow.go
+++ b/internal/rig/scale/hollow.go
@@ -12,96 +12,96 @@
 	"curlewring/internal/node/members"
 )
 
-// labFleet is the name of the fleet that the lab's nodes belong to.
+// labFleet is the fleet name of the lab's nodes.
 const labFleet = "lab"
 
-// hollow is a node without its data path: the membership of a real one on sockets of its own, many in one process. It keeps
-// nothing over restarts.
-type hollow struct {
+// simulatedNode is a node without a data path, called hollow in the command line. It runs the membership of a real
+// node on its own sockets; many of them share one process. It persists nothing across restarts.
+type simulatedNode struct {
 	name, zone string
 	listen     netip.AddrPort
 	members    *members.Members
-	stop       func() // nil: it is down
+	stop       func() // nil: not running
 }
 
-// hollows are the hollow nodes of a fleet.
-type hollows struct {
-	nodes []*hollow
+// simulatedNodes holds the simulated nodes of a fleet.
+type simulatedNodes struct {
+	nodes []*simulatedNode
 	seeds []netip.AddrPort
 }
 
-// seedCount is how many hollow nodes all others seek.
+// seedCount is how many simulated nodes are the seeds of all other nodes.
 const seedCount = 3
 
-// hollowAddress is where a hollow node listens: each has a loopback address of its own, apart from those of other processes and
-// of the stand-ins, which use 127.64 and above.
-func hollowAddress(i int) netip.AddrPort {
+// simulatedNodeAddress returns the address of a simulated node. Each has its own loopback address, different from
+// those of other processes and of the stand-ins, which use 127.64 and above.
+func simulatedNodeAddress(i int) netip.AddrPort {
 	const (
-		port     = 7946
-		blocks   = 32
-		inABlock = 250
+		port           = 7946
+		blocks         = 32
+		nodesPerSubnet = 250
 	)
-	host := netip.AddrFrom4([4]byte{127, byte(blocks + os.Getpid()%blocks), byte(i / inABlock), byte(1 + i%inABlock)})
+	host := netip.AddrFrom4([4]byte{127, byte(blocks + os.Getpid()%blocks), byte(i / nodesPerSubnet), byte(1 + i%nodesPerSubnet)})
 	return netip.AddrPortFrom(host, port)
 }
 
-// startHollows starts so many, dealt out to zones in turn.
-func startHollows(count, zones int) (_ *hollows, err error) {
-	h := &hollows{}
+// startSimulatedNodes starts the given number of nodes, assigned to the zones in turn.
+func startSimulatedNodes(count, zones int) (_ *simulatedNodes, err error) {
+	s := &simulatedNodes{}
 	for i := range min(seedCount, count) {
-		h.seeds = append(h.seeds, hollowAddress(i))
+		s.seeds = append(s.seeds, simulatedNodeAddress(i))
 	}
 	defer func() {
 		if err != nil {
-			h.close()
+			s.close()
 		}
 	}()
 	for i := range count {
-		n := &hollow{name: fmt.Sprintf("h%05d", i), zone: fmt.Sprintf("z%d", i%zones), listen: hollowAddress(i)}
-		if err := h.start(n); err != nil {
+		n := &simulatedNode{name: fmt.Sprintf("h%05d", i), zone: fmt.Sprintf("z%d", i%zones), listen: simulatedNodeAddress(i)}
+		if err := s.start(n); err != nil {
 			return nil, err
 		}
-		h.nodes = append(h.nodes, n)
+		s.nodes = append(s.nodes, n)
 	}
-	return h, nil
+	return s, nil
 }
 
-// start begins a life of a node, at the address that it had before.
-func (h *hollows) start(n *hollow) error {
-	set := members.Settings{Fleet: labFleet, Name: n.name, Site: n.zone, Listen: n.listen, Seeds: h.seeds}
-	m, err := members.Open(set, clock.New(), slog.New(slog.DiscardHandler))
+// start starts a node that is not running, at the same address every time.
+func (s *simulatedNodes) start(n *simulatedNode) error {
+	settings := members.Settings{Fleet: labFleet, Name: n.name, Site: n.zone, Listen: n.listen, Seeds: s.seeds}
+	m, err := members.Open(settings, clock.New(), slog.New(slog.DiscardHandler))
 	if err != nil {
-		return fmt.Errorf("hollow node %s: %w", n.name, err)
+		return fmt.Errorf("simulated node %s: %w", n.name, err)
 	}
 	n.members = m
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() { // ends with stop
-		defer close(ended)
+		defer close(stopped)
 		m.Run(ctx)
 	}()
 	n.stop = func() {
 		cancel()
-		<-ended
+		<-stopped
 	}
 	return nil
 }
 
-// kill ends nodes without a word to the others.
-func (h *hollows) kill(nodes []*hollow) {
-	var all sync.WaitGroup
+// kill stops nodes without announcing it to the others.
+func (s *simulatedNodes) kill(nodes []*simulatedNode) {
+	var stops sync.WaitGroup
 	for _, n := range nodes {
 		if stop := n.stop; stop != nil {
 			n.stop = nil
-			all.Go(stop)
+			stops.Go(stop)
 		}
 	}
-	all.Wait()
+	stops.Wait()
 }
 
-// inZone are the nodes of a zone.
-func (h *hollows) inZone(zone string) (nodes []*hollow) {
-	for _, n := range h.nodes {
+// nodesInZone returns the nodes of a zone.
+func (s *simulatedNodes) nodesInZone(zone string) (nodes []*simulatedNode) {
+	for _, n := range s.nodes {
 		if n.zone == zone {
 			nodes = append(nodes, n)
 		}
@@ -109,9 +109,9 @@
 	return nodes
 }
 
-// living counts those that run.
-func (h *hollows) living() (count int) {
-	for _, n := range h.nodes {
+// runningCount returns how many nodes run.
+func (s *simulatedNodes) runningCount() (count int) {
+	for _, n := range s.nodes {
 		if n.stop != nil {
 			count++
 		}
@@ -119,9 +119,9 @@
 	return count
 }
 
-// agree tells whether all that run have one view of so many members, and which.
-func (h *hollows) agree(size int) (digest uint64, ok bool) {
-	for _, n := range h.nodes {
+// agreedView reports whether all running nodes have the same view of the given size, and returns its digest.
+func (s *simulatedNodes) agreedView(size int) (digest uint64, ok bool) {
+	for _, n := range s.nodes {
 		if n.stop == nil {
 			continue
 		}
@@ -134,4 +134,4 @@
 	return digest, true
 }
 
-func (h *hollows) close() { h.kill(h.nodes) }
+func (s *simulatedNodes) close() { s.kill(s.nodes) }
--- a/internal/rig/scale/latency.go
+++ b/internal/rig/scale/latency.go
@@ -10,15 +10,15 @@
 	"curlewring/internal/rig/standin"
 )
 
-// LatencyCost is what one node adds to a call, on sockets of this machine.
+// LatencyCost is the latency of calls with and without one node on their path, on sockets of this machine.
 type LatencyCost struct {
-	Direct, Proxied []time.Duration // p99 of each round, in turns
+	Direct, Proxied []time.Duration // p99 of each round; the rounds alternate
 	DirectMedian    time.Duration
 	ProxiedMedian   time.Duration
 }
 
-// Added is the median over the rounds of what the node adds at p99, with the least and the most.
-func (c *LatencyCost) Added() (median, least, most time.Duration) {
+// Added returns what the node adds at p99: the median, minimum and maximum of the rounds.
+func (c *LatencyCost) Added() (median, lowest, highest time.Duration) {
 	added := make([]time.Duration, len(c.Proxied))
 	for i := range c.Proxied {
 		added[i] = c.Proxied[i] - c.Direct[i]
@@ -27,27 +27,28 @@
 	return added[len(added)/2], added[0], added[len(added)-1]
 }
 
-// LatencySettings are those of a measurement of added latency.
+// LatencySettings describes a measurement of added latency.
 type LatencySettings struct {
 	Rounds    int
-	RoundTime time.Duration // of each half of a round
-	Rate      float64       // calls a second at each node
+	RoundTime time.Duration // of each half of a round, direct and through the nodes
+	Rate      float64       // calls per second at each node
 	Nodes     int
-	Control   bool // membership, leases and lists that are handed on are switched on
+	Control   bool // enables membership, leases and server lists from peers
 }
 
-// work of a call in these measurements, small and always the same.
+// latencyWork is the processing time of a call in these measurements: short and without variance.
 const latencyWork = 2 * time.Millisecond
 
-// MeasureLatency sends calls through real nodes and straight to the servers, in turns, on one fleet of stand-ins.
-func MeasureLatency(ctx context.Context, set LatencySettings) (LatencyCost, error) {
+// MeasureLatency sends calls through real nodes and directly to the servers, alternately, with the same stand-in
+// servers.
+func MeasureLatency(ctx context.Context, settings LatencySettings) (LatencyCost, error) {
 	plan := standin.DefaultPlan()
-	plan.Servers, plan.Speeds = 8*set.Nodes, []float64{1} // whoever is asked takes as long
+	plan.Servers, plan.Speeds = 8*settings.Nodes, []float64{1} // all servers are equally fast
 	for i := range plan.Classes {
 		plan.Classes[i].Work, plan.Classes[i].Spread = latencyWork, 0
 	}
-	options := lab.Options{Plan: plan, Nodes: set.Nodes}
-	if set.Control {
+	options := lab.Options{Plan: plan, Nodes: settings.Nodes}
+	if settings.Control {
 		options.Membership, options.ReplaceVoterAfter, options.ListFromPeers = true, 10*time.Second, true
 	}
 	l, err := lab.Open(ctx, options)
@@ -55,51 +56,52 @@
 		return LatencyCost{}, err
 	}
 	defer l.Close()
-	return latencyIn(ctx, l, set)
+	return measureLatencyInLab(ctx, l, settings)
 }
 
-// latencyIn measures in a lab that runs.
-func latencyIn(ctx context.Context, l *lab.Lab, set LatencySettings) (LatencyCost, error) {
+// measureLatencyInLab measures in a lab that is already running.
+func measureLatencyInLab(ctx context.Context, l *lab.Lab, settings LatencySettings) (LatencyCost, error) {
 	var direct []*standin.Client
 	for _, server := range l.Fleet.Servers {
 		client := standin.NewClient("direct", server.Address, &l.Fleet.Plan, l.Fleet.Clock, l.Fleet.Judge)
 		defer client.Close()
 		direct = append(direct, client)
 	}
-	traffic := standin.Traffic{Rate: set.Rate * float64(set.Nodes), Duration: set.RoundTime}
+	traffic := standin.Traffic{Rate: settings.Rate * float64(settings.Nodes), Duration: settings.RoundTime}
 	var cost LatencyCost
-	var directMedians, throughMedians []time.Duration
-	for range set.Rounds {
-		median, high, err := callersLatency(ctx, standin.NewLoadGenerator(&l.Fleet.Plan, direct), traffic)
+	var directMedians, proxiedMedians []time.Duration
+	for range settings.Rounds {
+		median, p99, err := measureTraffic(ctx, standin.NewLoadGenerator(&l.Fleet.Plan, direct), traffic)
 		if err != nil {
-			return cost, fmt.Errorf("calls to servers: %w", err)
+			return cost, fmt.Errorf("calls directly to servers: %w", err)
 		}
-		cost.Direct, directMedians = append(cost.Direct, high), append(directMedians, median)
-		median, high, err = callersLatency(ctx, standin.NewLoadGenerator(&l.Fleet.Plan, l.Clients()), traffic)
+		cost.Direct, directMedians = append(cost.Direct, p99), append(directMedians, median)
+		median, p99, err = measureTraffic(ctx, standin.NewLoadGenerator(&l.Fleet.Plan, l.Clients()), traffic)
 		if err != nil {
 			return cost, fmt.Errorf("calls through nodes: %w", err)
 		}
-		cost.Proxied, throughMedians = append(cost.Proxied, high), append(throughMedians, median)
+		cost.Proxied, proxiedMedians = append(cost.Proxied, p99), append(proxiedMedians, median)
 	}
 	slices.Sort(directMedians)
-	slices.Sort(throughMedians)
-	cost.DirectMedian, cost.ProxiedMedian = directMedians[set.Rounds/2], throughMedians[set.Rounds/2]
+	slices.Sort(proxiedMedians)
+	cost.DirectMedian, cost.ProxiedMedian = directMedians[settings.Rounds/2], proxiedMedians[settings.Rounds/2]
 	return cost, nil
 }
 
-// safeClass is the class whose latency counts: the most frequent.
-const safeClass = "zustand"
+// measuredClass is the class whose latency is measured: the most frequent one.
+const measuredClass = "zustand"
 
-// callersLatency sends traffic, and returns the latency of what was served.
-func callersLatency(ctx context.Context, callers *standin.LoadGenerator, traffic standin.Traffic) (median, high time.Duration, err error) {
-	callers.Run(ctx, traffic)
-	for _, class := range callers.Report() {
-		if class.Name == safeClass {
+// measureTraffic sends traffic and returns the median and p99 latency of the served requests of measuredClass. It is
+// an error if less than 99% of them were served.
+func measureTraffic(ctx context.Context, generator *standin.LoadGenerator, traffic standin.Traffic) (median, p99 time.Duration, err error) {
+	generator.Run(ctx, traffic)
+	for _, class := range generator.Report() {
+		if class.Name == measuredClass {
 			if class.Served*100 < class.Requests*99 || class.Served == 0 {
-				return 0, 0, fmt.Errorf("%d of %d were served", class.Served, class.Requests)
+				return 0, 0, fmt.Errorf("only %d of %d requests were served", class.Served, class.Requests)
 			}
 			return class.P50, class.P99, nil
 		}
 	}
-	return 0, 0, fmt.Errorf("no class %q in the plan", safeClass)
+	return 0, 0, fmt.Errorf("class %q is not in the plan", measuredClass)
 }
--- a/internal/rig/scale/membership.go
+++ b/internal/rig/scale/membership.go
@@ -8,52 +8,53 @@
 	"curlewring/internal/rig/members"
 )
 
-// MembershipCost is what membership costs a node in a fleet of one size, in virtual time.
+// MembershipCost is what membership costs a node in a fleet of a given size, simulated in virtual time.
 type MembershipCost struct {
 	Nodes int
 
-	RestBytes    float64 // sent by a node in a second, nothing happening
+	RestBytes    float64 // sent per node and second while nothing happens
 	RestMessages float64
-	RestCore     float64 // part of a core that the core package takes, on this machine
-
-	ZoneLossBytes     float64       // sent by a node in a second, over the 10 s in which a zone is lost
-	ZoneReturnBytes   float64       // the same as it comes back
-	ReleaseBytes      float64       // the same while all nodes are restarted one after another within an hour
-	Convergence       time.Duration // all started at once, until all have one view
-	CrashDetection    time.Duration // until a crashed node is out of all views
-	ZoneLossDetection time.Duration // until a lost zone is
+	RestCore     float64 // fraction of a core of this machine that the simulation uses per node
+
+	ZoneLossBytes     float64       // sent per node and second, over the 10 s after a zone is lost
+	ZoneReturnBytes   float64       // the same over the 10 s after the zone is back
+	ReleaseBytes      float64       // the same while all nodes are restarted one by one within an hour
+	Convergence       time.Duration // from the start of all nodes at once until all have one view
+	CrashDetection    time.Duration // until a crashed node is removed from all views
+	ZoneLossDetection time.Duration // until a lost zone is removed from all views
 }
 
-// Times of a run.
+// Timeouts and measuring times, in virtual time.
 const (
-	agreeWithin = 2 * time.Minute
-	toldWithin  = time.Minute
-	restFor     = 10 * time.Second
-	busyFor     = 10 * time.Second
+	convergenceTimeout = 2 * time.Minute
+	detectionTimeout   = time.Minute
+	restTime           = 10 * time.Second
+	zoneChangeTime     = 10 * time.Second
 )
 
-// MeasureMembership plays a fleet of one size: it starts, rests, loses one node, loses a zone and gets it back.
+// MeasureMembership simulates a fleet that starts, idles, loses one node, loses a zone, gets it back and is restarted
+// by a release.
 func MeasureMembership(nodes, zones int, seed uint64) (MembershipCost, error) {
 	net := members.New(members.Config{Seed: seed, Nodes: nodes, Sites: zones, SeedCount: min(3, nodes), CountBytes: true, ShareViews: true})
 	cost := MembershipCost{Nodes: nodes}
-	begun := net.Now
+	start := net.Now
 	net.StartAll()
-	if !net.RunUntil(agreeWithin, agreed(net)) {
-		return cost, fmt.Errorf("%d nodes have no common view after %v", nodes, agreeWithin)
+	if !net.RunUntil(convergenceTimeout, allAgreed(net)) {
+		return cost, fmt.Errorf("%d nodes do not agree on one view after %v", nodes, convergenceTimeout)
 	}
-	cost.Convergence = net.Now - begun
+	cost.Convergence = net.Now - start
 
-	wall := time.Now()
-	rest := traffic(net, restFor)
-	cost.RestCore = time.Since(wall).Seconds() / restFor.Seconds() / float64(nodes)
-	cost.RestBytes, cost.RestMessages = rest.bytes, rest.messages
+	wallStart := time.Now()
+	idle := measureSendRate(net, restTime)
+	cost.RestCore = time.Since(wallStart).Seconds() / restTime.Seconds() / float64(nodes)
+	cost.RestBytes, cost.RestMessages = idle.bytes, idle.messages
 
-	begun = net.Now
+	start = net.Now
 	net.Kill(nodes / 2)
-	if !net.RunUntil(toldWithin, agreed(net)) {
-		return cost, fmt.Errorf("%d nodes: a crash is not in all views after %v", nodes, toldWithin)
+	if !net.RunUntil(detectionTimeout, allAgreed(net)) {
+		return cost, fmt.Errorf("%d nodes: not all views have removed a crashed node after %v", nodes, detectionTimeout)
 	}
-	cost.CrashDetection = net.Now - begun
+	cost.CrashDetection = net.Now - start
 
 	var zone []int
 	for i := range nodes {
@@ -61,62 +62,64 @@
 			zone = append(zone, i)
 		}
 	}
-	begun = net.Now
+	start = net.Now
 	for _, i := range zone {
 		net.Kill(i)
 	}
-	cost.ZoneLossBytes = traffic(net, busyFor).bytes
-	if !net.RunUntil(toldWithin, agreed(net)) {
-		return cost, fmt.Errorf("%d nodes: a lost zone is not in all views after %v", nodes, toldWithin)
+	cost.ZoneLossBytes = measureSendRate(net, zoneChangeTime).bytes
+	if !net.RunUntil(detectionTimeout, allAgreed(net)) {
+		return cost, fmt.Errorf("%d nodes: not all views have removed a lost zone after %v", nodes, detectionTimeout)
 	}
-	cost.ZoneLossDetection = net.Now - begun // busyFor at the least
+	cost.ZoneLossDetection = net.Now - start // at least zoneChangeTime
 	for _, i := range zone {
 		net.Start(i, true)
 	}
-	cost.ZoneReturnBytes = traffic(net, busyFor).bytes
-	if !net.RunUntil(toldWithin, agreed(net)) {
-		return cost, fmt.Errorf("%d nodes: a returned zone is not in all views after %v", nodes, toldWithin)
+	cost.ZoneReturnBytes = measureSendRate(net, zoneChangeTime).bytes
+	if !net.RunUntil(detectionTimeout, allAgreed(net)) {
+		return cost, fmt.Errorf("%d nodes: not all views have the returned zone after %v", nodes, detectionTimeout)
 	}
-	cost.ReleaseBytes = release(net)
+	cost.ReleaseBytes = measureRelease(net)
 	return cost, nil
 }
 
-// release restarts nodes one after another, at the rate of a release of all nodes in an hour, and returns what a node sends in
-// a second meanwhile.
-func release(net *members.Net) float64 {
+// measureRelease restarts nodes one by one for 30 s, at the rate of a release that restarts all nodes within an hour,
+// and returns the bytes sent per node and second meanwhile.
+func measureRelease(net *members.Net) float64 {
 	const (
-		whole = time.Hour
-		part  = 30 * time.Second
-		down  = 500 * time.Millisecond
+		releaseTime = time.Hour
+		measured    = 30 * time.Second
+		downtime    = 500 * time.Millisecond
 	)
-	every := max(whole/time.Duration(len(net.Nodes)), time.Millisecond)
-	begun := net.Now
-	for i := 0; time.Duration(i)*every < part; i++ {
+	interval := max(releaseTime/time.Duration(len(net.Nodes)), time.Millisecond)
+	start := net.Now
+	for i := 0; time.Duration(i)*interval < measured; i++ {
 		node := (i*7 + 1) % len(net.Nodes)
-		at := begun + time.Duration(i)*every
+		at := start + time.Duration(i)*interval
 		net.At(at, func() { net.Kill(node) })
-		net.At(at+down, func() { net.Start(node, true) })
+		net.At(at+downtime, func() { net.Start(node, true) })
 	}
-	return traffic(net, part).bytes
+	return measureSendRate(net, measured).bytes
 }
 
-func agreed(net *members.Net) func() bool {
+// allAgreed returns a condition: all running nodes agree on one view of exactly themselves.
+func allAgreed(net *members.Net) func() bool {
 	return func() bool { return net.Agreed(net.RunningNodes()...) }
 }
 
-// flow is what a living node sends in a second.
-type flow struct{ bytes, messages float64 }
+// sendRate is what a running node sends per second, on average.
+type sendRate struct{ bytes, messages float64 }
 
-// traffic goes on for so long, and returns the mean of what the nodes send.
-func traffic(net *members.Net, lasts time.Duration) flow {
-	bytes, messages := sums(net)
-	net.Run(net.Now + lasts)
-	bytesAfter, messagesAfter := sums(net)
-	per := lasts.Seconds() * float64(len(net.RunningNodes()))
-	return flow{float64(bytesAfter-bytes) / per, float64(messagesAfter-messages) / per}
+// measureSendRate runs the network for a duration and returns what the nodes send meanwhile.
+func measureSendRate(net *members.Net, duration time.Duration) sendRate {
+	bytes, messages := totalSent(net)
+	net.Run(net.Now + duration)
+	bytesAfter, messagesAfter := totalSent(net)
+	nodeSeconds := duration.Seconds() * float64(len(net.RunningNodes()))
+	return sendRate{float64(bytesAfter-bytes) / nodeSeconds, float64(messagesAfter-messages) / nodeSeconds}
 }
 
-func sums(net *members.Net) (bytes, messages int) {
+// totalSent returns what all nodes together have sent.
+func totalSent(net *members.Net) (bytes, messages int) {
 	for _, n := range net.Nodes {
 		bytes += n.Bytes
 		messages += n.Sent
@@ -124,20 +127,20 @@
 	return bytes, messages
 }
 
-// MeasureMembershipState returns the heap that one node's membership holds in a fleet of one size.
+// MeasureMembershipState returns the heap memory that the membership of one node uses in a fleet of a given size.
 func MeasureMembershipState(nodes int, seed uint64) (bytesPerNode float64, err error) {
 	before := heapInUse()
 	net := members.New(members.Config{Seed: seed, Nodes: nodes, Sites: 4, SeedCount: min(3, nodes)})
 	net.StartAll()
-	if !net.RunUntil(agreeWithin, agreed(net)) {
-		return 0, fmt.Errorf("%d nodes have no common view after %v", nodes, agreeWithin)
+	if !net.RunUntil(convergenceTimeout, allAgreed(net)) {
+		return 0, fmt.Errorf("%d nodes do not agree on one view after %v", nodes, convergenceTimeout)
 	}
 	after := heapInUse()
 	runtime.KeepAlive(net)
 	return max(0, float64(after)-float64(before)) / float64(nodes), nil
 }
 
-// heapInUse is what the heap holds after a collection.
+// heapInUse returns the size of the live heap, after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/rig/scale/plan.go
+++ b/internal/rig/scale/plan.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Plan is the size that the fleet is to reach, and what its control may cost there.
+// Plan is the size that the fleet is planned to reach, with limits for the cost of its control plane at that size.
 type Plan struct {
 	Nodes    int
 	Services int
 	Zones    int
 	Regions  int
-	Hops     int // nodes on the path of one call, at the most
-	Voters   int // machines set aside for control
+	Hops     int // maximum number of nodes on the path of one call
+	Voters   int // machines reserved for control
 
-	ConfigChanges int // changes of the configuration a day
-	Failures      int // machines a day that fail
-	Restarts      int // machines a day that are restarted or replaced
+	ConfigChanges int // configuration changes per day
+	Failures      int // failed machines per day
+	Restarts      int // restarted or replaced machines per day
 
 	Control      Allowance
-	ConfigDelay  time.Duration // a change of the configuration is in force everywhere
-	AddedLatency time.Duration // to a call, for 99 in 100
+	ConfigDelay  time.Duration // until a configuration change is in force everywhere
+	AddedLatency time.Duration // to a call, 99th percentile
 }
 
-// Allowance is what a node may spend on control.
+// Allowance is the most that a node may spend on control.
 type Allowance struct {
-	Core           float64 // part of a core
+	Core           float64 // fraction of a core
 	Memory         int     // bytes
 	BytesPerSecond float64
 }
 
-// OperatorsPlan is the size that the operators plan for.
+// OperatorsPlan returns the size and the limits that the operators plan for.
 func OperatorsPlan() Plan {
 	return Plan{
 		Nodes: 5400, Services: 590, Zones: 17, Regions: 5, Hops: 22, Voters: 7,
--- a/internal/rig/scale/report.go
+++ b/internal/rig/scale/report.go
@@ -9,7 +9,7 @@
 	"curlewring/internal/rig/leases"
 )
 
-// Unit is what a figure is counted in.
+// Unit is the unit of a figure.
 type Unit int
 
 // The units.
@@ -21,7 +21,7 @@
 	Seconds
 )
 
-// format writes a figure with its unit.
+// format formats a value with its unit.
 func (u Unit) format(value float64) string {
 	switch u {
 	case Bytes, BytesPerSecond:
@@ -39,6 +39,7 @@
 	}
 }
 
+// formatBytes formats a number of bytes with a binary unit prefix.
 func formatBytes(value float64) string {
 	switch {
 	case value >= 1<<20:
@@ -54,13 +55,13 @@
 type Figure struct {
 	Role      string
 	Name      string
-	Mechanism string // what carries it
+	Mechanism string // what causes the cost
 	Unit      Unit
-	Allowed   float64 // at the planned size; 0: nothing is said
+	Allowed   float64 // at the planned size; 0: no limit is stated
 	Samples   []Sample
 }
 
-// Verdict is what a figure means for the plan.
+// Verdict says whether a figure is within its limit at the planned size.
 type Verdict string
 
 // The verdicts.
@@ -70,7 +71,8 @@
 	NoLimit     Verdict = "no limit is stated"
 )
 
-// Judge compares what the fit gives at the planned size with what is allowed there.
+// Evaluate compares a figure at the planned size with its limit. The value there is extrapolated by the fit unless it
+// was measured.
 func (f *Figure) Evaluate(plan Plan) (fit Fit, planned float64, verdict Verdict) {
 	fit = NewFit(f.Samples)
 	planned = fit.At(plan.Nodes)
@@ -88,7 +90,7 @@
 	return fit, planned, verdict
 }
 
-// Report is all figures of one run.
+// Report holds all figures of one run.
 type Report struct {
 	Plan       Plan
 	Figures    []Figure
@@ -96,72 +98,72 @@
 	Path       []PathRow
 }
 
-// Missing is a requirement that no run answers.
+// Unmeasured is a requirement of the plan that no run measures.
 type Unmeasured struct {
 	Requirement string
 	Verdict     string
 	Reason      string
 }
 
-// PathRow is whether the budget header of a long path is taken.
+// PathRow says whether the next node accepts the budget header of a long path.
 type PathRow struct {
 	Hops      int
 	NameBytes int
 	Length    int
-	Err       error
+	Err       error // why the header is rejected; nil: it is accepted
 }
 
-// Sizes are the fleets that a report measures, in increasing order.
+// Sizes holds the sizes that a report measures, each list in increasing order.
 type Sizes struct {
-	Membership []int // whole fleets in virtual time
-	State      []int // fleets of which each node holds its own view
-	Servers    []int // lists
-	Discovery  []int // watchers
-	Leases     []int // nodes with a lease each
+	Membership []int // fleets simulated in virtual time
+	State      []int // fleets in which each node has its own view, to measure its memory
+	Servers    []int // lengths of server lists
+	Discovery  []int // nodes that watch one list
+	Leases     []int // nodes with one lease each
 }
 
-// MostNodes bounds the sizes of a report.
+// MaxNodes is the largest size that a report measures.
 const MaxNodes = 20_000
 
-// leastSizes is how many sizes a slope needs.
-const leastSizes = 4
+// minSizeCount is how many sizes a fit needs.
+const minSizeCount = 4
 
-// Validate tells what is wrong with the sizes: each list needs leastSizes of them, each larger than the one before.
+// Validate returns a SettingError for the first list of sizes that is too short, not increasing or out of range.
 func (s *Sizes) Validate(zones int) error {
 	for _, list := range []struct {
 		key   string
 		sizes []int
 	}{{"membership", s.Membership}, {"state", s.State}, {"servers", s.Servers}, {"discovery", s.Discovery}, {"leases", s.Leases}} {
-		if len(list.sizes) < leastSizes {
-			return &SettingError{list.key + " (number of sizes)", len(list.sizes), leastSizes, MaxNodes}
+		if len(list.sizes) < minSizeCount {
+			return &SettingError{list.key + " (number of sizes)", len(list.sizes), minSizeCount, MaxNodes}
 		}
-		before := 2*zones - 1 // two in each zone
+		previous := 2*zones - 1 // a fleet needs at least two nodes in each zone
 		for _, size := range list.sizes {
-			if size <= before || size > MaxNodes {
-				return &SettingError{list.key, size, before + 1, MaxNodes}
+			if size <= previous || size > MaxNodes {
+				return &SettingError{list.key, size, previous + 1, MaxNodes}
 			}
-			before = size
+			previous = size
 		}
 	}
 	return nil
 }
 
-// Run measures all figures. Progress is told a line for each size.
+// Run measures all figures. Progress is reported with a line for each size.
 func Run(plan Plan, sizes Sizes, seed uint64, progress func(string)) (*Report, error) {
 	if err := sizes.Validate(plan.Zones); err != nil {
 		return nil, err
 	}
-	r := &Report{Plan: plan, Unmeasured: missing(plan)}
-	if err := r.membership(sizes, seed, progress); err != nil {
+	r := &Report{Plan: plan, Unmeasured: unmeasuredRequirements(plan)}
+	if err := r.measureMembership(sizes, seed, progress); err != nil {
 		return nil, err
 	}
-	if err := r.leases(sizes, seed, progress); err != nil {
+	if err := r.measureLeases(sizes, seed, progress); err != nil {
 		return nil, err
 	}
-	if err := r.servers(sizes, progress); err != nil {
+	if err := r.measureServers(sizes, progress); err != nil {
 		return nil, err
 	}
-	r.discovery(sizes, progress)
+	r.measureDiscovery(sizes, progress)
 	for _, hops := range []int{4, 8, 16, plan.Hops} {
 		const nameBytes = 16
 		length, err := PathHeader(hops, nameBytes)
@@ -170,9 +172,10 @@
 	return r, nil
 }
 
-func (r *Report) membership(sizes Sizes, seed uint64, progress func(string)) error {
+// measureMembership adds the figures of package membership.
+func (r *Report) measureMembership(sizes Sizes, seed uint64, progress func(string)) error {
 	control := r.Plan.Control
-	const mechanism = "`fleet/membership`: each node watches ten others and is told of changes by rumour"
+	const mechanism = "`fleet/membership`: each node watches ten others and learns of changes by gossip"
 	figures := []Figure{
 		{Name: "sent at rest", Unit: BytesPerSecond, Allowed: control.BytesPerSecond},
 		{Name: "messages sent at rest", Unit: PerSecond},
@@ -200,11 +203,11 @@
 	state := Figure{Name: "memory of a node's view and its watch on others", Unit: Bytes, Allowed: float64(control.Memory)}
 	for _, size := range sizes.State {
 		progress(fmt.Sprintf("state of %d members", size))
-		held, err := MeasureMembershipState(size, seed)
+		bytes, err := MeasureMembershipState(size, seed)
 		if err != nil {
 			return err
 		}
-		state.Samples = append(state.Samples, Sample{size, held})
+		state.Samples = append(state.Samples, Sample{size, bytes})
 	}
 	for _, f := range append(figures, state) {
 		f.Role, f.Mechanism = "member", mechanism
@@ -213,8 +216,9 @@
 	return nil
 }
 
-func (r *Report) leases(sizes Sizes, seed uint64, progress func(string)) error {
-	const mechanism = "`fleet/lease` in the log of `fleet/agree`: 7 voters, one lease a node, renewed within its time to live of 2 s"
+// measureLeases adds the figures of the leases and their log.
+func (r *Report) measureLeases(sizes Sizes, seed uint64, progress func(string)) error {
+	const mechanism = "`fleet/lease` in the log of `fleet/consensus`: 7 voters, one lease a node, renewed within its time to live of 2 s"
 	figures := []Figure{
 		{Role: "leader of 7 voters", Name: "sent, one lease a node", Unit: BytesPerSecond},
 		{Role: "leader of 7 voters", Name: "messages sent", Unit: PerSecond},
@@ -239,7 +243,8 @@
 	return nil
 }
 
-func (r *Report) servers(sizes Sizes, progress func(string)) error {
+// measureServers adds the figures of a node that watches the server list of one service.
+func (r *Report) measureServers(sizes Sizes, progress func(string)) error {
 	figures := []Figure{
 		{Name: "a whole answer of discovery", Unit: Bytes},
 		{Name: "memory of the view and the module", Unit: Bytes, Allowed: float64(r.Plan.Control.Memory)},
@@ -264,10 +269,11 @@
 	return nil
 }
 
-func (r *Report) discovery(sizes Sizes, progress func(string)) {
+// measureDiscovery adds the figure of the watchers that call discovery again after a change.
+func (r *Report) measureDiscovery(sizes Sizes, progress func(string)) {
 	f := Figure{
 		Role: "watcher of one service", Name: "one change, until all watch again, 165 calls a second", Unit: Seconds,
-		Mechanism: "`endpoints.Pace`: each node calls discovery once for each change of a list that it watches",
+		Mechanism: "`endpoints.CallPacer`: each node calls discovery once for each change of a list that it watches",
 		Allowed:   r.Plan.ConfigDelay.Seconds(),
 	}
 	for _, size := range sizes.Discovery {
@@ -277,8 +283,8 @@
 	r.Figures = append(r.Figures, f)
 }
 
-// missing are the requirements of the plan that no run of this package answers.
-func missing(plan Plan) []Unmeasured {
+// unmeasuredRequirements returns the requirements of the plan that no run of this package measures.
+func unmeasuredRequirements(plan Plan) []Unmeasured {
 	return []Unmeasured{
 		{
 			fmt.Sprintf("%d changes of configuration a day, in force everywhere within %v", plan.ConfigChanges, plan.ConfigDelay),
@@ -300,13 +306,13 @@
 	b.WriteString("| role | figure | samples (size: value) | grows | residual | at the planned size | extrapolated | allowed | verdict | breaks at |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i := range r.Figures {
-		r.Figures[i].write(&b, r.Plan)
+		r.Figures[i].writeRow(&b, r.Plan)
 	}
 	b.WriteString("\nMechanisms:\n\n")
-	told := map[string]bool{}
+	written := map[string]bool{}
 	for _, f := range r.Figures {
-		if line := fmt.Sprintf("- %s: %s.\n", f.Role, f.Mechanism); !told[line] {
-			told[line] = true
+		if line := fmt.Sprintf("- %s: %s.\n", f.Role, f.Mechanism); !written[line] {
+			written[line] = true
 			b.WriteString(line)
 		}
 	}
@@ -326,23 +332,24 @@
 	return err
 }
 
-func (f *Figure) write(b *strings.Builder, plan Plan) {
+// writeRow writes the figure as a row of the report's table.
+func (f *Figure) writeRow(b *strings.Builder, plan Plan) {
 	fit, planned, verdict := f.Evaluate(plan)
 	samples := make([]string, len(f.Samples))
 	for i, s := range f.Samples {
 		samples[i] = fmt.Sprintf("%d: %s", s.Size, f.Unit.format(s.Value))
 	}
 	extrapolated := "no"
-	if times := float64(plan.Nodes) / float64(fit.Largest); times > 1 {
-		extrapolated = fmt.Sprintf("%.1f times", times)
+	if factor := float64(plan.Nodes) / float64(fit.Largest); factor > 1 {
+		extrapolated = fmt.Sprintf("%.1f times", factor)
 	}
-	allowed, breaks := "-", "-"
+	allowed, exceededAt := "-", "-"
 	if f.Allowed > 0 {
 		allowed = f.Unit.format(f.Allowed)
-		if at := fit.LimitExceededAt(f.Allowed); at > 0 {
-			breaks = fmt.Sprint(at)
+		if size := fit.LimitExceededAt(f.Allowed); size > 0 {
+			exceededAt = fmt.Sprint(size)
 		}
 	}
 	fmt.Fprintf(b, "| %s | %s | %s | %s | %.0f%% | %s | %s | %s | %s | %s |\n", f.Role, f.Name, strings.Join(samples, ", "), fit.Growth,
-		100*fit.Residual, f.Unit.format(planned), extrapolated, allowed, verdict, breaks)
+		100*fit.Residual, f.Unit.format(planned), extrapolated, allowed, verdict, exceededAt)
 }
--- a/internal/rig/scale/servers.go
+++ b/internal/rig/scale/servers.go
@@ -9,17 +9,17 @@
 	"curlewring/internal/servers/endpoints"
 )
 
-// ServersCost is what a list of servers of one length costs a node.
+// ServersCost is what a server list of a given length costs a node.
 type ServersCost struct {
 	Servers   int
-	ListBytes float64       // of a whole answer of discovery
-	Heap      float64       // of the view and the module
-	Parse     time.Duration // of a whole answer
-	Change    time.Duration // one server that begins to drain, from the answer to the module
-	Decision  time.Duration // one request with its attempt and its outcome
+	ListBytes float64       // of a full answer of discovery
+	Heap      float64       // of the server view and the balancer
+	Parse     time.Duration // of a full answer
+	Change    time.Duration // of one server's health, from the parsed answer to the balancer
+	Decision  time.Duration // one request with its attempt and outcome
 }
 
-// serverList is a whole list of discovery.
+// serverList returns a full server list of discovery.
 func serverList(servers int) *endpoints.List {
 	list := &endpoints.List{Generation: 1, Whole: true}
 	for i := range servers {
@@ -31,8 +31,8 @@
 	return list
 }
 
-// asNode is a front node among others before a list of servers.
-func asNode(list *endpoints.List) (*endpoints.View, *decide.Balancer) {
+// newNodeState returns the server view and the balancer of a front node that has received a server list.
+func newNodeState(list *endpoints.List) (*endpoints.View, *decide.Balancer) {
 	view := endpoints.New(endpoints.Settings{})
 	update := view.Apply(0, list)
 	balancer := decide.New(decide.Settings{
@@ -46,36 +46,37 @@
 	return view, balancer
 }
 
-// MeasureServers takes a whole list of one length in, changes it and decides by it. Times are of this machine.
+// MeasureServers measures parsing, applying and changing a server list of a given length, and decisions with it. The
+// times depend on this machine.
 func MeasureServers(servers int) (ServersCost, error) {
 	list := serverList(servers)
-	text, err := list.Encode()
+	encoded, err := list.Encode()
 	if err != nil {
-		return ServersCost{}, fmt.Errorf("a list of %d servers: %w", servers, err)
+		return ServersCost{}, fmt.Errorf("server list of length %d: %w", servers, err)
 	}
-	cost := ServersCost{Servers: servers, ListBytes: float64(len(text))}
+	cost := ServersCost{Servers: servers, ListBytes: float64(len(encoded))}
 
-	begun := time.Now()
-	parsed, err := endpoints.Parse(text)
+	start := time.Now()
+	parsed, err := endpoints.Parse(encoded)
 	if err != nil {
-		return ServersCost{}, fmt.Errorf("a list of %d servers: %w", servers, err)
+		return ServersCost{}, fmt.Errorf("server list of length %d: %w", servers, err)
 	}
-	cost.Parse = time.Since(begun)
+	cost.Parse = time.Since(start)
 
-	before := heapInUse()
-	view, balancer := asNode(parsed)
-	cost.Heap = max(0, float64(heapInUse())-float64(before))
+	heapBefore := heapInUse()
+	view, balancer := newNodeState(parsed)
+	cost.Heap = max(0, float64(heapInUse())-float64(heapBefore))
 	cost.Change = timeChanges(view, balancer, list)
 	cost.Decision = timeDecisions(balancer)
 	runtime.KeepAlive(parsed)
 	return cost, nil
 }
 
-// timeChanges has servers drain one after another, and come back.
+// timeChanges returns the mean time of a change: servers begin to drain one after another and become healthy again.
 func timeChanges(view *endpoints.View, balancer *decide.Balancer, list *endpoints.List) time.Duration {
 	const changes = 200
 	generation := list.Generation
-	begun := time.Now()
+	start := time.Now()
 	for i := range changes {
 		entry := list.Entries[i/2%len(list.Entries)]
 		entry.Health = decide.Draining
@@ -85,17 +86,17 @@
 		generation++
 		now := time.Second + time.Duration(i)*time.Millisecond
 		update := view.Apply(now, &endpoints.List{Generation: generation, Entries: []endpoints.Entry{entry}})
-		changed := endpoints.List{Entries: update.Changes}
-		balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListDiff, Servers: changed.Servers()}, nil)
+		changedEntries := endpoints.List{Entries: update.Changes}
+		balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListDiff, Servers: changedEntries.Servers()}, nil)
 	}
-	return time.Since(begun) / changes
+	return time.Since(start) / changes
 }
 
-// timeDecisions answers requests one after another.
+// timeDecisions returns the mean time of a decision: requests that are sent and answered one after another.
 func timeDecisions(balancer *decide.Balancer) time.Duration {
 	const requests = 20_000
 	var actions []decide.Action
-	begun := time.Now()
+	start := time.Now()
 	for i := range requests {
 		now := 2*time.Second + time.Duration(i)*time.Millisecond
 		actions = balancer.HandleRequest(now, decide.Request{ID: uint64(i + 1), Tenant: -1, TTL: 2 * time.Second}, actions[:0])
@@ -107,5 +108,5 @@
 			}
 		}
 	}
-	return time.Since(begun) / requests
+	return time.Since(start) / requests
 }
