--- a/internal/rig/members/compare_test.go
+++ b/internal/rig/members/compare_test.go
@@ -199,9 +199,9 @@
 		for _, x := range n.Nodes {
 			bytes, sent = bytes+x.Bytes, sent+x.Sent
 		}
-		begun := time.Now()
+		wallStart := time.Now()
 		n.Run(n.Now + 5*time.Second)
-		wall := time.Since(begun)
+		wall := time.Since(wallStart)
 		for _, x := range n.Nodes {
 			bytes, sent = bytes-x.Bytes, sent-x.Sent
 		}
