--- a/internal/rig/lab/accepted_test.go
+++ b/internal/rig/lab/accepted_test.go
@@ -13,7 +13,7 @@
 )
 
 // drawRoutes draws timing rules around the bounds, so that many are refused.
-func drawRoutes(rng *rand.Rand, plan *standin.Plan) string {
+func randomRoutes(rng *rand.Rand, plan *standin.Plan) string {
 	var b strings.Builder
 	for _, c := range plan.Classes {
 		if rng.IntN(4) == 0 {
@@ -44,7 +44,7 @@
 
 // Whatever the check accepts must start, and serve without a rule broken while
 // boxes hang, break and come back cold. What it refuses must not start.
-func TestAcceptedSetsServe(t *testing.T) {
+func TestAcceptedRoutesServe(t *testing.T) {
 	samples := 2
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		samples = 60
@@ -54,7 +54,7 @@
 	for accepted < samples {
 		o := sidecarOptions(2 + rng.IntN(3))
 		o.Plan.Seed, o.AllowHedging, o.MaxRetryAfter = rng.Uint64(), rng.IntN(2) == 0, time.Duration(rng.IntN(2))*time.Second
-		o.Routes = drawRoutes(rng, &o.Plan)
+		o.Routes = randomRoutes(rng, &o.Plan)
 		o.Traffic.Duration = 2 * time.Second
 		for _, text := range []string{"stuck:box=0,at=300ms,for=700ms", "reset:box=1,at=500ms,for=500ms", "crash:box=2,at=800ms,for=600ms"} {
 			f, err := standin.ParseFault(text)
@@ -79,7 +79,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, r)
+		checkReport(t, r)
 		if t.Failed() {
 			t.Fatalf("routes:\n%s", o.Routes)
 		}
--- a/internal/rig/lab/agree_test.go
+++ b/internal/rig/lab/agree_test.go
@@ -13,7 +13,7 @@
 )
 
 // twin is the lab's plan in virtual time.
-func twin(p *standin.Plan, nodes int, t standin.Traffic, advice time.Duration) virtual.Config {
+func virtualConfig(p *standin.Plan, nodes int, t standin.Traffic, advice time.Duration) virtual.Config {
 	c := virtual.Config{
 		Seed: p.Seed, Nodes: nodes, Sites: len(p.Sites), Rate: t.Rate, Duration: t.Duration, Retries: t.Retries, Backoff: t.Backoff,
 		MaxRetryAfter: advice, ListDelay: p.PublishDelay, ColdCapacity: p.ColdCapacity, WarmupTime: p.WarmupTime, SiteLatency: 300 * time.Microsecond,
@@ -34,7 +34,7 @@
 
 // The virtual fleet must say of a small one what the lab's sockets say, at half
 // load, at the limit and above. Ten seeds; it takes minutes and wants free cores.
-func TestVirtualAgreesWithTheLab(t *testing.T) {
+func TestVirtualMatchesLab(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("a long measurement: CURLEWRING_LONG=1")
 	}
@@ -45,15 +45,15 @@
 			var all sync.WaitGroup
 			for seed := from; seed < from+5; seed++ {
 				all.Go(func() {
-					o := options()
+					o := defaultOptions()
 					o.Plan.Seed, o.Plan.Servers = uint64(seed+1), 8
 					for i := range o.Plan.Classes {
 						o.Plan.Classes[i].Work *= 25
 					}
 					o.Traffic.Duration = 12 * time.Second
 					o.Traffic.Rate = load * o.Plan.Capacity()
-					sockets[seed] = run(t, o).ServedWorth
-					virtually[seed] = virtual.Run(twin(&o.Plan, o.Nodes, o.Traffic, o.MaxRetryAfter)).ServedWorth
+					sockets[seed] = runLab(t, o).ServedWorth
+					virtually[seed] = virtual.Run(virtualConfig(&o.Plan, o.Nodes, o.Traffic, o.MaxRetryAfter)).ServedWorth
 				})
 			}
 			all.Wait()
--- a/internal/rig/lab/between.go
+++ b/internal/rig/lab/between.go
@@ -21,20 +21,20 @@
 )
 
 // between is what stands between the nodes: a relay for each ordered pair, unless they are part of a larger fleet.
-type between struct {
+type nodeLinks struct {
 	addresses []netip.AddrPort
 	relays    map[[2]int]*relay.Relay // from, to; none in a larger fleet
 	faults    []*standin.Fault        // that are on
 }
 
 // mostLinked bounds the nodes that know each other: each pair takes four sockets and as many goroutines.
-const mostLinked = 32
+const maxLinkedNodes = 32
 
-func newBetween(nodes int, host string, seed uint64, relays bool) (_ *between, err error) {
-	if relays && nodes > mostLinked {
-		return nil, fmt.Errorf("%d nodes with members, at most %d", nodes, mostLinked)
+func newNodeLinks(nodes int, host string, seed uint64, relays bool) (_ *nodeLinks, err error) {
+	if relays && nodes > maxLinkedNodes {
+		return nil, fmt.Errorf("%d nodes with members, at most %d", nodes, maxLinkedNodes)
 	}
-	b := &between{relays: map[[2]int]*relay.Relay{}}
+	b := &nodeLinks{relays: map[[2]int]*relay.Relay{}}
 	defer func() {
 		if err != nil {
 			b.close()
@@ -92,7 +92,7 @@
 	}
 }
 
-func (b *between) close() {
+func (b *nodeLinks) close() {
 	if b == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 
 // write writes a node's own settings: the first three are the seeds, if there are no others, and each other one is reached by
 // its relay.
-func (b *between) write(node int, path, folder string, o *Options) error {
+func (b *nodeLinks) writeSettings(node int, path, folder string, o *Options) error {
 	var s strings.Builder
 	fmt.Fprintf(&s, "[state]\nfolder = %q\n\n[members]\nfleet = \"lab\"\nlisten = %q\nseeds = [", folder, b.addresses[node].String())
 	seeds := o.Seeds
@@ -128,7 +128,7 @@
 	return os.WriteFile(path, []byte(s.String()), 0o600)
 }
 
-func (b *between) index(name string) (int, error) {
+func (b *nodeLinks) index(name string) (int, error) {
 	i, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 	if err != nil || i < 0 || i >= len(b.addresses) {
 		return 0, fmt.Errorf("no node %q; there are 0 to %d", name, len(b.addresses)-1)
@@ -137,11 +137,11 @@
 }
 
 // apply brings every relay to what the faults that are on say together.
-func (b *between) apply() {
+func (b *nodeLinks) applyFaults() {
 	for pair, r := range b.relays {
 		var w relay.Conditions
 		for _, f := range b.faults {
-			if !b.is(f.From, pair[0]) || !b.is(f.To, pair[1]) {
+			if !b.matches(f.From, pair[0]) || !b.matches(f.To, pair[1]) {
 				continue
 			}
 			switch f.Kind {
@@ -161,19 +161,19 @@
 	}
 }
 
-func (b *between) is(name string, i int) bool {
+func (b *nodeLinks) matches(name string, i int) bool {
 	at, err := b.index(name)
 	return name == "" || err == nil && at == i
 }
 
 // Link makes or ends a fault of the links between nodes.
 func (l *Lab) SetLinkFault(f *standin.Fault, on bool) error {
-	if l.between == nil {
+	if l.links == nil {
 		return errors.New("nodes have links between them with members alone")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.between
+	b := l.links
 	if on {
 		b.faults = append(b.faults, f)
 	} else {
@@ -184,44 +184,44 @@
 			}
 		}
 	}
-	b.apply()
+	b.applyFaults()
 	return nil
 }
 
 // Weather sets what happens between all nodes by a rule of one's own, in the place of faults.
 func (l *Lab) SetLinkConditions(rule func(from, to int) relay.Conditions) {
-	for pair, r := range l.between.relays {
+	for pair, r := range l.links.relays {
 		r.SetConditions(rule(pair[0], pair[1]))
 	}
 }
 
 // Stop has a node stand still.
 func (l *Lab) Pause(name string) error {
-	p, err := l.find(name)
+	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
-	l.stopped[p.name] = l.Fleet.Clock.Now()
+	l.pausedAt[p.name] = l.Fleet.Clock.Now()
 	l.mu.Unlock()
-	return l.to(name, syscall.SIGSTOP)
+	return l.sendSignal(name, syscall.SIGSTOP)
 }
 
 // Cont lets it go on.
 func (l *Lab) Resume(name string) error {
-	p, err := l.find(name)
+	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
-	err = l.to(name, syscall.SIGCONT)
+	err = l.sendSignal(name, syscall.SIGCONT)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Fleet.Judge.NodePaused(l.stopped[p.name], l.Fleet.Clock.Now(), p.name)
+	l.Fleet.Judge.NodePaused(l.pausedAt[p.name], l.Fleet.Clock.Now(), p.name)
 	return err
 }
 
-func (l *Lab) to(name string, s syscall.Signal) error {
-	p, err := l.find(name)
+func (l *Lab) sendSignal(name string, s syscall.Signal) error {
+	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
--- a/internal/rig/lab/budgets_test.go
+++ b/internal/rig/lab/budgets_test.go
@@ -11,9 +11,9 @@
 // Two tiers whose lower one fails: with budgets no call of a graph may be tried
 // more often than its class has attempts, over both tiers together. Without, the
 // control, they multiply.
-func TestAttemptsOverTwoTiers(t *testing.T) {
+func TestSharedBudgetsAcrossTiers(t *testing.T) {
 	play := func(on bool) (worst int, r *Report) {
-		o := options()
+		o := defaultOptions()
 		o.Plan.Tiers, o.Plan.Servers, o.Plan.CallsPerRequest, o.Nodes, o.ShareBudgets = 2, 4, 1, 1, on
 		o.Traffic.Rate, o.Traffic.Retries, o.Traffic.Duration = 60, 0, 3*time.Second
 		for _, box := range []string{"box-100", "box-101", "box-102", "box-103"} {
@@ -31,7 +31,7 @@
 		if r, err = l.Run(context.Background(), nil); err != nil {
 			t.Fatal(err)
 		}
-		check(t, r)
+		checkReport(t, r)
 		worst, _ = l.Fleet.MaxCallAttempts()
 		return worst, r
 	}
--- a/internal/rig/lab/crossing_test.go
+++ b/internal/rig/lab/crossing_test.go
@@ -12,15 +12,15 @@
 
 // crossing plays faults among several real nodes, one beside the other. The judge hears no node, and holds what counts as
 // told though it was never written.
-func crossing(t *testing.T, change func(o *Options), faults ...string) *Report {
+func runFaults(t *testing.T, change func(o *Options), faults ...string) *Report {
 	t.Helper()
-	return paced(t, 0, change, faults...)
+	return runFaultsAtLineRate(t, 0, change, faults...)
 }
 
 // paced does so with discovery that sends so many lines a second once all nodes are ready; 0: any number.
-func paced(t *testing.T, lines int, change func(o *Options), faults ...string) *Report {
+func runFaultsAtLineRate(t *testing.T, lines int, change func(o *Options), faults ...string) *Report {
 	t.Helper()
-	o := options()
+	o := defaultOptions()
 	o.Nodes, o.Plan.Servers = 4, 8
 	for _, text := range faults {
 		f, err := standin.ParseFault(text)
@@ -40,12 +40,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, r)
+	checkReport(t, r)
 	return r
 }
 
 // service is the part of the requests that were served in time.
-func service(r *Report) float64 {
+func servedShare(r *Report) float64 {
 	served, asked := 0, 0
 	for _, c := range r.Classes {
 		served, asked = served+c.Served, asked+c.Requests
@@ -55,48 +55,48 @@
 
 // All watches of all nodes fall silent, and boxes drain right after, while discovery takes three quarters of a second
 // for each call: every node has to have noticed and asked anew by the time at which the drains count as told.
-func TestWatchesFallSilentThenBoxesDrain(t *testing.T) {
+func TestServersDrainAfterPollsGoSilent(t *testing.T) {
 	t.Parallel()
-	r := paced(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.Duration = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
-	if part := service(r); part < 0.9 {
+	r := runFaultsAtLineRate(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.Duration = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
+	if part := servedShare(r); part < 0.9 {
 		t.Errorf("%.3f served", part)
 	}
 }
 
 // Discovery is down, and boxes drain as it comes back: whatever pause a node has come to by then, it has to ask in time.
-func TestBoxesDrainAtDiscoverysReturn(t *testing.T) {
+func TestServersDrainAsDiscoveryRecovers(t *testing.T) {
 	t.Parallel()
-	r := crossing(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 100, 12*time.Second },
+	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 100, 12*time.Second },
 		"outage:at=500ms,for=4s", "leave:box=1,at=4400ms,for=8s", "leave:box=5,at=4600ms,for=8s")
-	if part := service(r); part < 0.9 {
+	if part := servedShare(r); part < 0.9 {
 		t.Errorf("%.3f served", part)
 	}
 }
 
 // Lists are pushed: what the agent beside a node has counts as told at once, and it is silent while discovery is down. Boxes
 // leave at once, amid an outage, and while nodes restart; nobody asks for the lists but the nodes by themselves.
-func TestPushedListsAmidTroubles(t *testing.T) {
+func TestPushedListsDuringFaults(t *testing.T) {
 	t.Parallel()
-	r := crossing(t, func(o *Options) {
+	r := runFaults(t, func(o *Options) {
 		o.Plan.PushedLists, o.Traffic.Rate, o.Traffic.Duration = true, 150, 7*time.Second
 	}, "leave:box=1,at=500ms,for=8s", "outage:at=1500ms,for=2s", "leave:box=4,at=2s,for=8s", "kill:node=1,at=2500ms,for=500ms",
 		"term:node=2,at=3s,for=2s", "leave:box=5,at=5s,for=8s")
-	if part := service(r); part < 0.8 {
+	if part := servedShare(r); part < 0.8 {
 		t.Errorf("%.3f served", part)
 	}
 }
 
 // Nodes are told to end one after the other, while callers go on sending on the connections that they have until these
 // close: nothing that a node has taken may be lost, and each is back soon.
-func TestRollingTerm(t *testing.T) {
+func TestRollingTermination(t *testing.T) {
 	t.Parallel()
 	var faults []string
 	for n := range 4 {
 		faults = append(faults, fmt.Sprintf("term:node=%d,at=%dms,for=3500ms", n, 300+1200*n))
 	}
 	faults = append(faults, "stuck:box=2,at=400ms,for=2s", "reset:box=3,at=3s,for=2s")
-	r := crossing(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 200, 8*time.Second }, faults...)
-	if part := service(r); part < 0.7 {
+	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 200, 8*time.Second }, faults...)
+	if part := servedShare(r); part < 0.7 {
 		t.Errorf("%.3f served", part)
 	}
 	for _, n := range r.Nodes {
@@ -107,9 +107,9 @@
 }
 
 // Callers leave in great numbers while boxes are slow, hang and turn away: nothing goes out for those that have left.
-func TestCallersLeaveInABurst(t *testing.T) {
+func TestClientsCancelInABurst(t *testing.T) {
 	t.Parallel()
-	r := crossing(t, func(o *Options) {
+	r := runFaults(t, func(o *Options) {
 		o.Traffic.Rate, o.Traffic.Duration, o.Traffic.CancelFraction, o.Traffic.Retries = 200, 5*time.Second, 0.7, 0
 	}, "slow:site=genf,at=300ms,for=4s,by=60", "slow:site=zuerich,at=300ms,for=4s,by=60", "turnaway:box=3,at=300ms,for=4s", "reset:box=4,at=300ms,for=4s",
 		// What waits at these boxes breaks, and is tried again: for those that are still there alone.
@@ -125,9 +125,9 @@
 
 // Thirty nodes before boxes of which one starts cold: it must not be pushed over by the sum of what they send, and it must
 // get something.
-func TestThirtyNodesBeforeAColdBox(t *testing.T) {
+func TestThirtyNodesShareAColdServer(t *testing.T) {
 	t.Parallel()
-	r := crossing(t, func(o *Options) {
+	r := runFaults(t, func(o *Options) {
 		o.Nodes, o.Plan.Servers = 30, 4
 		o.Plan.Cores, o.Plan.Speeds, o.Plan.CollapseMultiple = 1, []float64{0.3}, 1 // an even share would push it over
 		o.Traffic.Rate, o.Traffic.Duration = 130, 6*time.Second
@@ -137,18 +137,18 @@
 			t.Errorf("%+v", b)
 		}
 	}
-	if part := service(r); part < 0.7 {
+	if part := servedShare(r); part < 0.7 {
 		t.Errorf("%.3f served", part)
 	}
 }
 
 // Idle clients take all the connections that nodes have, discovery is down, and nodes restart: they must be ready within
 // 10 s, and serve.
-func TestRestartAmongIdleClients(t *testing.T) {
+func TestRestartWithIdleClients(t *testing.T) {
 	t.Parallel()
-	o := options()
+	o := defaultOptions()
 	o.Sockets, o.Nodes = 256, 2
-	o.IdleConns, o.IdleInterval, o.ToolBinary = 400, 0, tool
+	o.IdleConns, o.IdleInterval, o.ToolBinary = 400, 0, toolBinary
 	o.Traffic.Rate, o.Traffic.Duration = 100, 7*time.Second
 	for _, text := range []string{"outage:at=300ms,for=6s", "kill:node=0,at=700ms,for=500ms", "term:node=1,at=1500ms,for=2500ms"} {
 		f, err := standin.ParseFault(text)
@@ -173,11 +173,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, r)
+	checkReport(t, r)
 	if len(late) > 0 {
 		t.Errorf("not ready in time: %s", strings.Join(late, "; "))
 	}
-	if part := service(r); part < 0.6 {
+	if part := servedShare(r); part < 0.6 {
 		t.Errorf("%.3f served", part)
 	}
 }
--- a/internal/rig/lab/idle.go
+++ b/internal/rig/lab/idle.go
@@ -19,13 +19,13 @@
 // takes processes of their own, since a process may hold 20,000 descriptors here; they
 // only ask whether the node is ready.
 const (
-	mostOwn    = 15000
-	mostHelper = 19500
-	quietFor   = 3 * time.Second
+	maxLocalIdleConns    = 15000
+	maxHelperIdleConns = 19500
+	quietPeriod   = 3 * time.Second
 )
 
 // idleRules let idle connections stay.
-const idleRules = "[[idle]]\nfor = \"6h\"\n"
+const idlePolicy = "[[idle]]\nfor = \"6h\"\n"
 
 // IdleRow is what the idle connections cost the nodes before the first tier.
 type IdleRow struct {
@@ -42,7 +42,7 @@
 
 // idleOptions are Options as idle connections need them: what is told to the nodes
 // must have room for them, and the operators' file let them stay.
-func (o *Options) idleOptions(dir string) error {
+func (o *Options) applyIdleOptions(dir string) error {
 	if o.IdleConns == 0 {
 		return nil
 	}
@@ -52,27 +52,27 @@
 		return nil
 	}
 	o.Operator = filepath.Join(dir, "idle.toml")
-	return os.WriteFile(o.Operator, []byte(idleRules), 0o600)
+	return os.WriteFile(o.Operator, []byte(idlePolicy), 0o600)
 }
 
 // idlers hold the idle connections of a lab.
-type idlers struct {
-	own     *standin.IdleClients
+type idleConns struct {
+	local     *standin.IdleClients
 	helpers []*exec.Cmd
-	held    int
+	count    int
 	row     IdleRow
 }
 
 // hold opens the idle connections and measures what they cost.
-func (l *Lab) hold(ctx context.Context) (err error) {
+func (l *Lab) openIdleConns(ctx context.Context) (err error) {
 	resident := func() (sum int64) {
-		for _, p := range l.front {
-			sum += p.resident()
+		for _, p := range l.frontNodes {
+			sum += p.residentBytes()
 		}
 		return sum
 	}
-	i := &idlers{held: l.options.IdleConns}
-	l.idlers = i
+	i := &idleConns{count: l.options.IdleConns}
+	l.idle = i
 	// A few at first: what each node needs once is not theirs.
 	warm := standin.NewIdleClients(&l.Fleet.Plan, 64, l.clients)
 	err = warm.Connect(ctx)
@@ -81,43 +81,43 @@
 		return err
 	}
 	before := resident()
-	if l.options.IdleConns <= mostOwn {
-		i.own = standin.NewIdleClients(&l.Fleet.Plan, l.options.IdleConns, l.clients)
-		if err := i.own.Connect(ctx); err != nil {
+	if l.options.IdleConns <= maxLocalIdleConns {
+		i.local = standin.NewIdleClients(&l.Fleet.Plan, l.options.IdleConns, l.clients)
+		if err := i.local.Connect(ctx); err != nil {
 			return err
 		}
-	} else if err := i.help(ctx, l); err != nil {
+	} else if err := i.startHelpers(ctx, l); err != nil {
 		return err
 	}
 	cpu, begun := l.CPUTime(), time.Now()
 	select {
-	case <-time.After(quietFor):
+	case <-time.After(quietPeriod):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	i.row.QuietCores = (l.CPUTime() - cpu).Seconds() / time.Since(begun).Seconds()
 	after := resident()
-	i.row.Held = i.held
+	i.row.Held = i.count
 	i.row.BeforeMB, i.row.AfterMB = float64(before)/(1<<20), float64(after)/(1<<20)
-	i.row.BytesPerConn = float64(after-before) / float64(i.held)
+	i.row.BytesPerConn = float64(after-before) / float64(i.count)
 	return nil
 }
 
 // help has other processes hold the connections.
-func (i *idlers) help(ctx context.Context, l *Lab) error {
+func (i *idleConns) startHelpers(ctx context.Context, l *Lab) error {
 	tool := l.options.ToolBinary
 	if tool == "" {
-		return fmt.Errorf("%d idle connections take more than one process, and the tool that holds them is not known", i.held)
+		return fmt.Errorf("%d idle connections take more than one process, and the tool that holds them is not known", i.count)
 	}
 	var all sync.WaitGroup
-	wrong := make([]error, len(l.front))
-	for n, p := range l.front {
-		count := i.held / len(l.front)
-		if n < i.held%len(l.front) {
+	wrong := make([]error, len(l.frontNodes))
+	for n, p := range l.frontNodes {
+		count := i.count / len(l.frontNodes)
+		if n < i.count%len(l.frontNodes) {
 			count++
 		}
-		if count > mostHelper {
-			return fmt.Errorf("%d idle connections at one node, at most %d", count, mostHelper)
+		if count > maxHelperIdleConns {
+			return fmt.Errorf("%d idle connections at one node, at most %d", count, maxHelperIdleConns)
 		}
 		cmd := exec.Command(tool, "idlers", p.address, strconv.Itoa(count))
 		out, err := cmd.StdoutPipe()
@@ -148,13 +148,13 @@
 }
 
 // end closes the connections, and fills the row in.
-func (i *idlers) end() {
+func (i *idleConns) close() {
 	if i == nil {
 		return
 	}
-	if i.own != nil {
-		i.row.Requests, i.row.Served, i.row.Lost = i.own.Counts()
-		i.own.Close()
+	if i.local != nil {
+		i.row.Requests, i.row.Served, i.row.Lost = i.local.Counts()
+		i.local.Close()
 	}
 	for _, cmd := range i.helpers {
 		cmd.Process.Kill()
--- a/internal/rig/lab/lab.go
+++ b/internal/rig/lab/lab.go
@@ -40,7 +40,7 @@
 	Sidecars          bool
 	OldList           *OldList                        // what nodes remember at their start; nil: nothing
 	Routes            string                          // the [[route]] tables of their descriptions; "": a usual one
-	edit              func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
+	editConfig              func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
 	Membership        bool                            // nodes before the first tier know each other; between each two a relay for each direction
 	NoRelays          bool                            // with Members: no relays stand between the nodes, and there may be many
 	Seeds             []netip.AddrPort                // with Unlinked: of a larger fleet that the nodes join
@@ -60,15 +60,15 @@
 
 	options   Options
 	dir       string
-	front     []*process // before the first tier
-	inner     []*process // between tiers
+	frontNodes     []*process // before the first tier
+	innerNodes     []*process // between tiers
 	specs     map[string]standin.NodeSpec
 	clients   []*standin.Client
-	idlers    *idlers                  // nil: none
-	strangers strangers                // what stands at the addresses of boxes that are no more
-	lists     map[string]string        // discovery, by node
-	between   *between                 // relays; nil: nodes do not talk
-	stopped   map[string]time.Duration // when a node began to stand still
+	idle    *idleConns                  // nil: none
+	staleEndpoints staleEndpoints                // what stands at the addresses of boxes that are no more
+	discoveryAddresses     map[string]string        // discovery, by node
+	links   *nodeLinks                 // relays; nil: nodes do not talk
+	pausedAt   map[string]time.Duration // when a node began to stand still
 	onStart   func(p *process)         // called for each node that has been started again; nil: nobody asks
 	mu        sync.Mutex               // guards the configuration files
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	l := &Lab{options: o, dir: dir, specs: map[string]standin.NodeSpec{}, stopped: map[string]time.Duration{}, lists: map[string]string{}}
+	l := &Lab{options: o, dir: dir, specs: map[string]standin.NodeSpec{}, pausedAt: map[string]time.Duration{}, discoveryAddresses: map[string]string{}}
 	defer func() {
 		if err != nil {
 			l.Close()
@@ -90,14 +90,14 @@
 			return nil, err
 		}
 	}
-	if err := l.options.idleOptions(dir); err != nil {
+	if err := l.options.applyIdleOptions(dir); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
 	if l.Fleet, err = standin.Start(o.Plan); err != nil {
 		return nil, err
 	}
 	if o.Membership {
-		if l.between, err = newBetween(o.Nodes, l.Fleet.NewHost(), o.Plan.Seed, !o.NoRelays); err != nil {
+		if l.links, err = newNodeLinks(o.Nodes, l.Fleet.NewHost(), o.Plan.Seed, !o.NoRelays); err != nil {
 			return nil, err
 		}
 	}
@@ -107,31 +107,31 @@
 		}
 	}
 	for i := range o.Nodes {
-		p, err := l.node(standin.NodeSpec{
+		p, err := l.prepareNode(standin.NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Index: i, TierNodes: o.Nodes, Site: o.Plan.Sites[i%len(o.Plan.Sites)],
 		})
 		if err != nil {
 			return nil, err
 		}
-		l.front = append(l.front, p)
+		l.frontNodes = append(l.frontNodes, p)
 		l.clients = append(l.clients, standin.NewClient(p.name, p.address, &l.Fleet.Plan, l.Fleet.Clock, l.Fleet.Judge))
 	}
 	uppers := l.Fleet.Servers
 	for tier := 1; tier < o.Plan.Tiers; tier++ {
 		for i, b := range uppers {
-			p, err := l.node(standin.NodeSpec{
+			p, err := l.prepareNode(standin.NodeSpec{
 				Name: fmt.Sprintf("n-%s", b.ID), Tier: tier, Index: i, TierNodes: len(uppers), Site: b.Site,
 			})
 			if err != nil {
 				return nil, err
 			}
-			l.inner = append(l.inner, p)
+			l.innerNodes = append(l.innerNodes, p)
 			l.Fleet.Attach(b, p.name, p.address)
 		}
 		uppers = l.Fleet.LowerServers[(tier-1)*o.Plan.Servers : tier*o.Plan.Servers]
 	}
 	if o.Sidecars {
-		if err := l.describe(o.Routes); err != nil {
+		if err := l.writeSidecarConfigs(o.Routes); err != nil {
 			return nil, err
 		}
 	}
@@ -161,10 +161,10 @@
 // Clients are those of the nodes before the first tier.
 func (l *Lab) Clients() []*standin.Client { return slices.Clone(l.clients) }
 
-func (l *Lab) processes() []*process { return append(slices.Clone(l.front), l.inner...) }
+func (l *Lab) processes() []*process { return append(slices.Clone(l.frontNodes), l.innerNodes...) }
 
 // node prepares a node; it does not start it.
-func (l *Lab) node(s standin.NodeSpec) (*process, error) {
+func (l *Lab) prepareNode(s standin.NodeSpec) (*process, error) {
 	var err error
 	if s.Listen, err = freeAddress(l.Fleet.NewHost()); err != nil {
 		return nil, fmt.Errorf("node %s: %w", s.Name, err)
@@ -178,11 +178,11 @@
 	}
 	s.MemoryMB, s.Sockets = max(32, l.options.MemoryMB), max(64, l.options.Sockets)
 	s.AllowHedging, s.MaxRetryAfter, s.ShareBudgets = l.options.AllowHedging, l.options.MaxRetryAfter, l.options.ShareBudgets
-	if l.lists[s.Name], err = l.Fleet.OpenEndpoint(s.Name, s.Tier); err != nil {
+	if l.discoveryAddresses[s.Name], err = l.Fleet.OpenEndpoint(s.Name, s.Tier); err != nil {
 		return nil, fmt.Errorf("node %s: %w", s.Name, err)
 	}
 	if l.options.OldList != nil {
-		if s.KnownList, err = l.remember(s); err != nil {
+		if s.KnownList, err = l.writeOldList(s); err != nil {
 			return nil, fmt.Errorf("node %s: %w", s.Name, err)
 		}
 	}
@@ -196,8 +196,8 @@
 	if err := l.writeConfig(s); err != nil {
 		return nil, err
 	}
-	if l.between != nil && s.Tier == 0 {
-		if err := l.between.write(s.Index, l.ownPath(s.Name), l.StateFolder(s.Name), &l.options); err != nil {
+	if l.links != nil && s.Tier == 0 {
+		if err := l.links.writeSettings(s.Index, l.settingsPath(s.Name), l.StateFolder(s.Name), &l.options); err != nil {
 			return nil, err
 		}
 	}
@@ -208,8 +208,8 @@
 	if l.options.Debug {
 		command = append(command, "--log", "debug")
 	}
-	if l.options.OldList != nil && l.options.OldList.Mode == VerifyList || l.between != nil && s.Tier == 0 {
-		command = append(command, "--settings", l.ownPath(s.Name))
+	if l.options.OldList != nil && l.options.OldList.Mode == VerifyList || l.links != nil && s.Tier == 0 {
+		command = append(command, "--settings", l.settingsPath(s.Name))
 	}
 	return &process{
 		name: s.Name, command: command, env: []string{"LB_CONFIG=" + l.ConfigPath(s.Name), "CURLEWRING_TRIAL=yes"}, address: s.Listen,
@@ -222,15 +222,15 @@
 func (l *Lab) writeConfig(s standin.NodeSpec) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	text, err := l.Fleet.NodeConfig(s, l.lists[s.Name])
+	text, err := l.Fleet.NodeConfig(s, l.discoveryAddresses[s.Name])
 	if err != nil {
 		return err
 	}
-	return replace(l.ConfigPath(s.Name), text)
+	return replaceFile(l.ConfigPath(s.Name), text)
 }
 
 // replace writes a file beside and renames it, so that no reader sees a half.
-func replace(path string, text []byte) error {
+func replaceFile(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 }
 
 // find returns a node by name or number.
-func (l *Lab) find(name string) (*process, error) {
+func (l *Lab) findNode(name string) (*process, error) {
 	for i, p := range l.processes() {
 		if p.name == name || strconv.Itoa(i) == name {
 			return p, nil
@@ -252,10 +252,10 @@
 		if name == "" {
 			continue
 		}
-		if l.between == nil {
+		if l.links == nil {
 			return fmt.Errorf("fault %s: nodes have links between them with members alone", f.Kind)
 		}
-		if _, err := l.between.index(name); err != nil {
+		if _, err := l.links.index(name); err != nil {
 			return err
 		}
 	}
@@ -273,13 +273,13 @@
 
 // Kill ends a node at once.
 func (l *Lab) Kill(name string) error {
-	p, err := l.find(name)
+	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
 	l.Fleet.Judge.NodeKilled(l.Fleet.Clock.Now(), p.name)
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	p.mu.Unlock()
 	if err := p.signal(syscall.SIGKILL, true); err != nil {
 		return err
@@ -291,7 +291,7 @@
 
 // Term tells a node to end, as at a planned restart. It goes on serving for a while; Start waits for its end.
 func (l *Lab) Terminate(name string) error {
-	p, err := l.find(name)
+	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
@@ -316,7 +316,7 @@
 }
 
 func (l *Lab) start(name string, known bool) error {
-	p, err := l.find(name)
+	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
@@ -327,7 +327,7 @@
 		}
 	}
 	p.mu.Lock()
-	ended, runs := p.ended, p.cmd != nil && p.stops
+	ended, runs := p.exited, p.cmd != nil && p.stopping
 	p.mu.Unlock()
 	if runs { // told to end, and still at it
 		<-ended
@@ -363,7 +363,7 @@
 		if err != nil {
 			return err
 		}
-		l.lists[s.Name] = address
+		l.discoveryAddresses[s.Name] = address
 		if err := l.writeConfig(s); err != nil {
 			return err
 		}
@@ -373,7 +373,7 @@
 
 // Log is what a node has written last.
 func (l *Lab) Log(name string) string {
-	p, err := l.find(name)
+	p, err := l.findNode(name)
 	if err != nil {
 		return err.Error()
 	}
@@ -386,7 +386,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if l.options.IdleConns > 0 {
-		if err := l.hold(ctx); err != nil {
+		if err := l.openIdleConns(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -404,12 +404,12 @@
 		})
 	}
 	parts.Go(func() { faultErrs = l.Fleet.RunFaults(ctx, l.options.Faults, l) })
-	if l.idlers != nil && l.idlers.own != nil && l.options.IdleInterval > 0 {
-		parts.Go(func() { l.idlers.own.SendPeriodically(ctx, l.options.IdleInterval) })
+	if l.idle != nil && l.idle.local != nil && l.options.IdleInterval > 0 {
+		parts.Go(func() { l.idle.local.SendPeriodically(ctx, l.options.IdleInterval) })
 	}
 	over := make(chan struct{})
 	if watch != nil {
-		parts.Go(func() { l.watch(over, begun, watch) })
+		parts.Go(func() { l.reportProgress(over, begun, watch) })
 	}
 	l.LoadGenerator.Run(ctx, l.options.Traffic)
 	took := time.Since(begun)
@@ -420,20 +420,20 @@
 	if err := errors.Join(faultErrs...); err != nil {
 		return nil, err
 	}
-	if l.idlers != nil && l.idlers.own != nil {
-		l.idlers.row.HeldAtEnd = l.idlers.own.OpenConns()
+	if l.idle != nil && l.idle.local != nil {
+		l.idle.row.HeldAtEnd = l.idle.local.OpenConns()
 	}
 	// Late answers, and what boxes still do for nobody, come to their end.
-	l.stop(10 * time.Second)
-	l.idlers.end()
+	l.stopNodes(10 * time.Second)
+	l.idle.close()
 	return l.report(took, cpu), nil
 }
 
 // CPU is what the nodes before the first tier have used.
 func (l *Lab) CPUTime() time.Duration {
 	sum := time.Duration(0)
-	for _, p := range l.front {
-		sum += p.used()
+	for _, p := range l.frontNodes {
+		sum += p.cpuUsed()
 	}
 	return sum
 }
@@ -446,7 +446,7 @@
 	Tries    map[judge.RequestOutcome]int64
 }
 
-func (l *Lab) watch(over chan struct{}, begun time.Time, watch func(Progress)) {
+func (l *Lab) reportProgress(over chan struct{}, begun time.Time, watch func(Progress)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -461,7 +461,7 @@
 }
 
 // stop ends all nodes in order, side by side: each takes its time.
-func (l *Lab) stop(patience time.Duration) {
+func (l *Lab) stopNodes(patience time.Duration) {
 	var all sync.WaitGroup
 	for _, p := range l.processes() {
 		all.Go(func() { p.stop(patience) })
@@ -471,15 +471,15 @@
 
 // Close ends everything that is left and removes the lab's files.
 func (l *Lab) Close() {
-	l.stop(5 * time.Second)
-	l.idlers.end()
+	l.stopNodes(5 * time.Second)
+	l.idle.close()
 	for _, c := range l.clients {
 		c.Close()
 	}
 	if l.Fleet != nil {
 		l.Fleet.Close()
 	}
-	l.strangers.close()
-	l.between.close()
+	l.staleEndpoints.close()
+	l.links.close()
 	os.RemoveAll(l.dir)
 }
--- a/internal/rig/lab/lab_test.go
+++ b/internal/rig/lab/lab_test.go
@@ -20,25 +20,25 @@
 )
 
 // sideBySide is how many tests run side by side on a small machine.
-const sideBySide = 4
+const minParallelTests = 4
 
 // binary and tool are the programs, built once.
-var binary, tool string
+var nodeBinary, toolBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "curlewring-test-")
 	if err != nil {
 		panic(err)
 	}
-	if binary, err = Build(context.Background(), dir); err != nil {
+	if nodeBinary, err = Build(context.Background(), dir); err != nil {
 		panic(err)
 	}
-	if tool, err = BuildTool(context.Background(), dir); err != nil {
+	if toolBinary, err = BuildTool(context.Background(), dir); err != nil {
 		panic(err)
 	}
 	// These tests mostly wait: on two cores four of them at a time take half as long, and do not get in each other's way.
-	if flag.Parse(); runtime.GOMAXPROCS(0) < sideBySide {
-		if err := flag.Set("test.parallel", strconv.Itoa(sideBySide)); err != nil {
+	if flag.Parse(); runtime.GOMAXPROCS(0) < minParallelTests {
+		if err := flag.Set("test.parallel", strconv.Itoa(minParallelTests)); err != nil {
 			panic(err)
 		}
 	}
@@ -52,16 +52,16 @@
 }
 
 // options are those of a small lab that any machine can carry.
-func options() Options {
+func defaultOptions() Options {
 	o := Options{
-		Plan: standin.DefaultPlan(), Nodes: 2, Binary: binary, MemoryMB: 192, Sockets: 1024, MaxRetryAfter: time.Second,
+		Plan: standin.DefaultPlan(), Nodes: 2, Binary: nodeBinary, MemoryMB: 192, Sockets: 1024, MaxRetryAfter: time.Second,
 		Traffic: standin.Traffic{Rate: 120, Duration: 3 * time.Second, Retries: 1, Backoff: 50 * time.Millisecond, BodyBytes: 100},
 	}
 	o.Plan.Servers = 6
 	return o
 }
 
-func run(t *testing.T, o Options) *Report {
+func runLab(t *testing.T, o Options) *Report {
 	t.Helper()
 	l, err := Open(context.Background(), o)
 	if err != nil {
@@ -72,12 +72,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, r)
+	checkReport(t, r)
 	return r
 }
 
 // check fails on any broken rule, and on requests that the report loses.
-func check(t *testing.T, r *Report) {
+func checkReport(t *testing.T, r *Report) {
 	t.Helper()
 	if !r.Passed() {
 		var text strings.Builder
@@ -96,8 +96,8 @@
 	}
 }
 
-func TestCalmDay(t *testing.T) {
-	r := run(t, options())
+func TestNoFaults(t *testing.T) {
+	r := runLab(t, defaultOptions())
 	for _, c := range r.Classes {
 		if c.Refused+c.Failed > 0 {
 			t.Errorf("a calm day: %+v", c)
@@ -120,7 +120,7 @@
 	} {
 		t.Run(strings.ReplaceAll(strings.Join(faults, "+"), ","+when, ""), func(t *testing.T) {
 			t.Parallel()
-			o := options()
+			o := defaultOptions()
 			o.Traffic.Duration = 2 * time.Second
 			for _, text := range faults {
 				f, err := standin.ParseFault(text)
@@ -129,20 +129,20 @@
 				}
 				o.Faults = append(o.Faults, f)
 			}
-			run(t, o)
+			runLab(t, o)
 		})
 	}
 }
 
 func TestTwoTiers(t *testing.T) {
-	o := options()
+	o := defaultOptions()
 	o.Plan.Tiers, o.Plan.Servers, o.Nodes, o.Traffic.Rate = 2, 3, 1, 40
 	f, err := standin.ParseFault("reset:box=1,at=300ms,for=1s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.Faults = []standin.Fault{f}
-	r := run(t, o)
+	r := runLab(t, o)
 	if len(r.Nodes) != 4 { // one before the first tier, one for each of its boxes
 		t.Errorf("nodes %+v", r.Nodes)
 	}
@@ -156,13 +156,13 @@
 }
 
 // What can't be must be said before anything runs.
-func TestUnknownTargets(t *testing.T) {
+func TestUnknownFaultTargetsRejected(t *testing.T) {
 	for _, text := range []string{"slow:box=77", "slow:site=bern", "kill:node=5", "kill:node=x"} {
 		f, err := standin.ParseFault(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o := options()
+		o := defaultOptions()
 		o.Faults = []standin.Fault{f}
 		if l, err := Open(context.Background(), o); err == nil {
 			l.Close()
@@ -173,7 +173,7 @@
 
 // reloadLoad is the rate and length of the live reload: CURLEWRING_LONG=1 plays
 // the full one, which wants four free cores.
-func reloadLoad() (rate float64, reloads int, pause time.Duration) {
+func reloadSettings() (rate float64, reloads int, pause time.Duration) {
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		return 1700, 20, time.Second
 	}
@@ -183,11 +183,11 @@
 // Under load, good and bad files take turns. Nothing may be lost and no rule be
 // broken; each good file must show on the sockets, and no bad one.
 func TestLiveReload(t *testing.T) {
-	rate, reloads, pause := reloadLoad()
+	rate, reloads, pause := reloadSettings()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
 		t.Helper()
-		if err := replace(path, []byte(text)); err != nil {
+		if err := replaceFile(path, []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -199,7 +199,7 @@
 		"[[route]]\nclass = \"stoerung\"\nsecond_copy_after = \"50ms\"\n", rules(time.Second) + strings.Repeat("#\n", 6<<20),
 	}
 	write(rules(900 * time.Millisecond))
-	o := options()
+	o := defaultOptions()
 	o.Operator = path
 	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // it ends with the last reload
 	o.Plan.Servers = 8
@@ -257,7 +257,7 @@
 	if runErr != nil {
 		t.Fatal(runErr)
 	}
-	check(t, report)
+	checkReport(t, report)
 	for _, c := range report.Classes {
 		if c.Failed > 0 || c.Refused > 0 {
 			t.Errorf("%+v", c)
--- a/internal/rig/lab/large_test.go
+++ b/internal/rig/lab/large_test.go
@@ -13,11 +13,11 @@
 )
 
 // residentOf is a process's memory at the moment.
-func residentOf(pid int) int64 { return statusOf(pid, "VmRSS:") }
+func residentBytesOf(pid int) int64 { return procMemory(pid, "VmRSS:") }
 
 // waitLines waits until the node of a lab has been told so many lines, and no
 // more have come for a while.
-func waitLines(t *testing.T, l *Lab, want int) {
+func waitForLines(t *testing.T, l *Lab, want int) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); ; time.Sleep(20 * time.Millisecond) {
 		if _, lines := l.Fleet.Discovery.Calls(); lines >= want {
@@ -31,7 +31,7 @@
 }
 
 // waitHeard waits until each node of a lab has been told the newest version of the list.
-func waitHeard(t *testing.T, l *Lab) {
+func waitForNewestList(t *testing.T, l *Lab) {
 	t.Helper()
 	d := l.Fleet.Discovery
 	for end := time.Now().Add(time.Minute); sampleCalls(d, 0).total.WrittenVersion < d.Version(); time.Sleep(20 * time.Millisecond) {
@@ -43,11 +43,11 @@
 
 // A node must carry a list of 10,000 boxes in the 32 MB that it has on small
 // machines, and follow 500 changes a second of it with a small part of a core.
-func TestLongList(t *testing.T) {
+func TestLargeServerList(t *testing.T) {
 	sizes := []int{10, 1000, 10000}
 	var memory []int64
 	for _, n := range sizes {
-		o := options()
+		o := defaultOptions()
 		o.Nodes, o.MemoryMB = 1, 32
 		o.Plan.Registry = registry.Settings{}
 		l, err := Open(context.Background(), o)
@@ -56,14 +56,14 @@
 		}
 		defer l.Close()
 		l.Fleet.PublishFakeServers(0, n, true)
-		waitHeard(t, l)
+		waitForNewestList(t, l)
 		if err := l.Kill("n0"); err != nil { // it starts with the list that it last had
 			t.Fatal(err)
 		}
 		if err := l.Start("n0"); err != nil {
 			t.Fatal(err)
 		}
-		p := l.front[0]
+		p := l.frontNodes[0]
 		if err := p.waitReady(context.Background()); err != nil {
 			t.Fatal(err)
 		}
@@ -73,12 +73,12 @@
 		// A change comes once the whole list has been taken in.
 		_, before := l.Fleet.Discovery.Calls()
 		l.Fleet.PublishFakeServers(0, 1, false)
-		waitLines(t, l, before+1)
+		waitForLines(t, l, before+1)
 		l.Fleet.PublishFakeServers(0, 1, true)
-		waitLines(t, l, before+2)
-		rest := residentOf(pid)
+		waitForLines(t, l, before+2)
+		rest := residentBytesOf(pid)
 		// 5% of the boxes go and come for a second, in steps of 20 ms.
-		cpu, begun, changes := cpuOf(pid), time.Now(), 0
+		cpu, begun, changes := procCPUTime(pid), time.Now(), 0
 		for step := 0; step < 50; step++ {
 			k := max(1, n/2000)
 			at, last := step*k%n, (step*k+n-k)%n
@@ -89,10 +89,10 @@
 			changes += 2 * k
 			time.Sleep(time.Until(begun.Add(time.Duration(step+1) * 20 * time.Millisecond)))
 		}
-		waitLines(t, l, before+2+50)
-		cpu = cpuOf(pid) - cpu
+		waitForLines(t, l, before+2+50)
+		cpu = procCPUTime(pid) - cpu
 		took := time.Since(begun)
-		memory = append(memory, residentOf(pid))
+		memory = append(memory, residentBytesOf(pid))
 		t.Logf("| %d boxes | %.1f MB at rest | %.1f MB after churn | %.0f changes a second | %.1f%% of a core |", n,
 			float64(rest)/(1<<20), float64(memory[len(memory)-1])/(1<<20), float64(changes)/took.Seconds(),
 			100*cpu.Seconds()/took.Seconds())
@@ -112,7 +112,7 @@
 
 // counters reads a process's system calls that read and write, and how often it
 // went to sleep, from /proc (proc(5): io, and voluntary_ctxt_switches of status).
-func counters(pid int) (reads, writes, sleeps int64, ok bool) {
+func readProcCounters(pid int) (reads, writes, sleeps int64, ok bool) {
 	all := map[string]int64{}
 	for _, file := range []string{"io", "status"} {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, file))
@@ -144,19 +144,19 @@
 
 // A request must cost the node no more reads and writes than the page says; a
 // library that takes another look on every request shows here.
-func TestSystemCallsOfARequest(t *testing.T) {
+func TestSystemCallsPerRequest(t *testing.T) {
 	rate := 300.0
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		rate = 1700
 	}
-	o := options()
+	o := defaultOptions()
 	o.Nodes, o.Plan.Servers, o.Traffic.Rate, o.Traffic.Retries = 1, 16, rate, 0
 	l, err := Open(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p := l.front[0]
+	p := l.frontNodes[0]
 	p.mu.Lock()
 	pid := p.cmd.Process.Pid
 	p.mu.Unlock()
@@ -166,14 +166,14 @@
 	}
 	var samples []sample // of the middle: connections are there by then
 	r, err := l.Run(context.Background(), func(now Progress) {
-		if reads, writes, sleeps, ok := counters(pid); ok {
+		if reads, writes, sleeps, ok := readProcCounters(pid); ok {
 			samples = append(samples, sample{now.Requests, reads, writes, sleeps})
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, r)
+	checkReport(t, r)
 	if len(samples) < 2 {
 		t.Skip("no /proc here to count by")
 	}
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -15,13 +15,13 @@
 )
 
 // What leases take and cost, over five real nodes of which three vote. By hand, on a quiet machine.
-func TestLeaseFigures(t *testing.T) {
+func TestLeaseMeasurements(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
-	x := startLeasing(t, 5, 3, 71, false)
+	x := startLeaseLab(t, 5, 3, 71, false)
 	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
-	others := x.but(x.seats...)
+	others := x.namesExcept(x.voters...)
 	hold := func(node, name string, ttl time.Duration) (*leases.ClientLease, time.Duration) {
 		begun := time.Now()
 		h, err := leases.Acquire(x.ctx, x.StateFolder(node), name, ttl)
@@ -59,7 +59,7 @@
 	}
 	t.Logf("from a node without a seat: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
 	disk := func() (syncs, bytes int64) {
-		for _, n := range x.seats {
+		for _, n := range x.voters {
 			if r, err := leases.Call(x.ctx, x.StateFolder(n), leases.Request{Do: "standing"}); err == nil {
 				syncs, bytes = syncs+r.Syncs, bytes+r.Written
 			}
@@ -115,11 +115,11 @@
 	} {
 		var gaps []time.Duration
 		for range 5 {
-			x.waitFor("all are there", 30*time.Second, func() bool { n, _ := x.look(x.names); return n > 0 && x.leader() != "" })
-			h, _ := hold(others[0], "gap", labTTL)
+			x.waitFor("all are there", 30*time.Second, func() bool { n, _ := x.currentView(x.names); return n > 0 && x.leader() != "" })
+			h, _ := hold(others[0], "gap", leaseTTL)
 			next := make(chan time.Time, 1)
 			go func() { // ends with the grant
-				w, _ := hold(others[1], "gap", labTTL)
+				w, _ := hold(others[1], "gap", leaseTTL)
 				next <- time.Now()
 				w.ConfirmStopped()
 				w.Close()
@@ -128,7 +128,7 @@
 			dead := who()
 			begun := time.Now()
 			for _, n := range dead {
-				x.do(x.Kill(n))
+				x.noError(x.Kill(n))
 			}
 			if len(dead) == 1 && dead[0] != others[0] { // its holder lives, and gives it up as soon as it can
 				go func() { h.ConfirmStopped() }()
@@ -136,20 +136,20 @@
 			gaps = append(gaps, (<-next).Sub(begun))
 			h.Close()
 			for _, n := range dead {
-				x.do(x.Start(n))
+				x.noError(x.Start(n))
 			}
 		}
-		t.Logf("killed: %s; the next one holds after %v (median), %v (worst of 5); time to live %v", name, at(gaps, 0.5), at(gaps, 1), labTTL)
+		t.Logf("killed: %s; the next one holds after %v (median), %v (worst of 5); time to live %v", name, at(gaps, 0.5), at(gaps, 1), leaseTTL)
 	}
-	x.stops()
-	x.parts.Wait()
-	x.res.Close()
-	x.served = 0
-	x.end()
+	x.cancel()
+	x.contenders.Wait()
+	x.resource.Close()
+	x.minServed = 0
+	x.finishTraffic()
 }
 
 // What leases cost the requests: on, with a hundred of them renewed, and off, in turns in one run. By hand.
-func TestLeasesCost(t *testing.T) {
+func TestLeasesRequestCost(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
@@ -157,7 +157,7 @@
 	const rounds = 8
 	for round := range rounds {
 		on := round%2 == 1
-		o := options()
+		o := defaultOptions()
 		o.Nodes, o.Membership, o.Plan.Servers = 5, true, 16
 		if on {
 			o.ReplaceVoterAfter = time.Minute
@@ -167,11 +167,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x := &together{Lab: l, t: t}
+		x := &memberLab{Lab: l, t: t}
 		for i := range 5 {
 			x.names = append(x.names, fmt.Sprint("n", i))
 		}
-		x.agreed(30*time.Second, x.names...)
+		x.waitForView(30*time.Second, x.names...)
 		var held []*leases.ClientLease
 		if on {
 			if _, err := leases.Call(t.Context(), l.StateFolder("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
--- a/internal/rig/lab/members_test.go
+++ b/internal/rig/lab/members_test.go
@@ -13,23 +13,23 @@
 )
 
 // together is a lab whose nodes know each other, with traffic that flows all the while.
-type together struct {
+type memberLab struct {
 	*Lab
 	t      *testing.T
 	names  []string
-	ended  chan *Report
+	report  chan *Report
 	stop   context.CancelFunc
-	served float64 // part of the requests that must be served in time
+	minServed float64 // part of the requests that must be served in time
 }
 
-func startTogether(t *testing.T, nodes int, seed uint64) *together {
+func startMemberLab(t *testing.T, nodes int, seed uint64) *memberLab {
 	t.Helper()
-	return startTogetherWith(t, nodes, seed, nil)
+	return startMemberLabWith(t, nodes, seed, nil)
 }
 
-func startTogetherWith(t *testing.T, nodes int, seed uint64, edit func(*Options)) *together {
+func startMemberLabWith(t *testing.T, nodes int, seed uint64, edit func(*Options)) *memberLab {
 	t.Helper()
-	o := options()
+	o := defaultOptions()
 	o.Nodes, o.Membership, o.Plan.Seed = nodes, true, seed
 	o.Traffic = standin.Traffic{Rate: 60, Duration: 5 * time.Minute, Retries: 1, Backoff: 100 * time.Millisecond}
 	if edit != nil {
@@ -41,7 +41,7 @@
 		stop()
 		t.Fatal(err)
 	}
-	x := &together{Lab: l, t: t, ended: make(chan *Report, 1), stop: stop, served: 0.95}
+	x := &memberLab{Lab: l, t: t, report: make(chan *Report, 1), stop: stop, minServed: 0.95}
 	for i := range nodes {
 		x.names = append(x.names, fmt.Sprint("n", i))
 	}
@@ -50,16 +50,16 @@
 		if err != nil {
 			t.Error(err)
 		}
-		x.ended <- r
+		x.report <- r
 	}()
 	return x
 }
 
 // end stops the traffic and wants the four rules kept while all of it happened.
-func (x *together) end() {
+func (x *memberLab) finishTraffic() {
 	x.t.Helper()
 	x.stop()
-	r := <-x.ended
+	r := <-x.report
 	x.Close()
 	if r == nil {
 		return
@@ -71,19 +71,19 @@
 	for _, c := range r.Classes {
 		asked, served = asked+c.Requests, served+c.Served
 	}
-	if asked == 0 || float64(served) < x.served*float64(asked) {
+	if asked == 0 || float64(served) < x.minServed*float64(asked) {
 		x.t.Errorf("%d of %d requests served in time", served, asked)
 	}
 }
 
 // agreed waits until some nodes are in one view that holds just them, and returns its number and how long that took.
-func (x *together) agreed(within time.Duration, names ...string) (uint64, time.Duration) {
+func (x *memberLab) waitForView(within time.Duration, names ...string) (uint64, time.Duration) {
 	x.t.Helper()
 	begun := time.Now()
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
 	for {
-		number, seen := x.look(names)
+		number, seen := x.currentView(names)
 		took := time.Since(begun)
 		if number > 0 {
 			return number, took
@@ -99,7 +99,7 @@
 	}
 }
 
-func (x *together) look(names []string) (number uint64, seen string) {
+func (x *memberLab) currentView(names []string) (number uint64, seen string) {
 	var all []string
 	same := map[string]bool{}
 	for _, n := range names {
@@ -128,11 +128,11 @@
 	return number, ""
 }
 
-func (x *together) but(out ...string) []string {
+func (x *memberLab) namesExcept(out ...string) []string {
 	return slices.DeleteFunc(slices.Clone(x.names), func(n string) bool { return slices.Contains(out, n) })
 }
 
-func (x *together) do(err error) {
+func (x *memberLab) noError(err error) {
 	x.t.Helper()
 	if err != nil {
 		x.t.Error(err)
@@ -140,10 +140,10 @@
 }
 
 // stays wants the view of all to be the same after a while.
-func (x *together) stays(number uint64, what string, lasts time.Duration) {
+func (x *memberLab) expectSameView(number uint64, what string, lasts time.Duration) {
 	x.t.Helper()
 	time.Sleep(lasts) // the fault's own length, not a wait for a condition
-	if now, _ := x.look(x.names); now != number {
+	if now, _ := x.currentView(x.names); now != number {
 		x.t.Errorf("%s: view %d before, %d after", what, number, now)
 		for _, n := range x.names {
 			x.t.Logf("%s: %.4000s", n, x.Log(n))
@@ -151,19 +151,19 @@
 	}
 }
 
-func clear(int, int) relay.Conditions { return relay.Conditions{} }
+func perfectLinks(int, int) relay.Conditions { return relay.Conditions{} }
 
 // A killed process is out of every view, one that starts anew is a new life of the same name, with and without what
 // it kept, and one that is told to end is let go at once.
 func TestMembersKilledAndStarted(t *testing.T) {
 	t.Parallel()
-	x := startTogether(t, 5, 1)
-	x.served = 0.9 // two of five are down for a fifth of the time, and a caller asks twice
-	defer x.end()
-	first, took := x.agreed(30*time.Second, x.names...)
+	x := startMemberLab(t, 5, 1)
+	x.minServed = 0.9 // two of five are down for a fifth of the time, and a caller asks twice
+	defer x.finishTraffic()
+	first, took := x.waitForView(30*time.Second, x.names...)
 	t.Logf("five started at once agree after %v, in view %d", took, first)
-	x.do(x.Kill("n4"))
-	second, took := x.agreed(8*time.Second, x.but("n4")...)
+	x.noError(x.Kill("n4"))
+	second, took := x.waitForView(8*time.Second, x.namesExcept("n4")...)
 	t.Logf("a killed one is out of all views after %v", took)
 	if second != first+1 {
 		t.Errorf("view %d, then %d", first, second)
@@ -171,15 +171,15 @@
 	incarnation := uint64(1)
 	for _, kept := range []bool{true, false} {
 		if !kept {
-			x.do(x.Kill("n4"))
-			x.do(x.RemoveState("n4"))
+			x.noError(x.Kill("n4"))
+			x.noError(x.RemoveState("n4"))
 		}
-		x.do(x.Start("n4"))
-		if _, took = x.agreed(15*time.Second, x.names...); took > 10*time.Second {
+		x.noError(x.Start("n4"))
+		if _, took = x.waitForView(15*time.Second, x.names...); took > 10*time.Second {
 			t.Errorf("back after %v", took)
 		}
 		r, err := x.MembershipOf(context.Background(), "n4")
-		x.do(err)
+		x.noError(err)
 		t.Logf("back after %v, incarnation %d", took, r.Standing.Self.Incarnation)
 		if r.Standing.Self.Incarnation <= incarnation {
 			t.Errorf("kept %v: incarnation %d after %d", kept, r.Standing.Self.Incarnation, incarnation)
@@ -187,88 +187,88 @@
 		incarnation = r.Standing.Self.Incarnation
 	}
 	// Two of five at once, and both back.
-	x.do(x.Kill("n3"))
-	x.do(x.Kill("n4"))
-	_, took = x.agreed(12*time.Second, x.but("n3", "n4")...)
+	x.noError(x.Kill("n3"))
+	x.noError(x.Kill("n4"))
+	_, took = x.waitForView(12*time.Second, x.namesExcept("n3", "n4")...)
 	t.Logf("two of five killed at once are out after %v", took)
-	x.do(x.Start("n3"))
-	x.do(x.Start("n4"))
-	x.agreed(20*time.Second, x.names...)
+	x.noError(x.Start("n3"))
+	x.noError(x.Start("n4"))
+	x.waitForView(20*time.Second, x.names...)
 }
 
 // What slows, loses, damages or cuts single links changes no view.
-func TestMembersBear(t *testing.T) {
+func TestMembersTolerateLinkFaults(t *testing.T) {
 	t.Parallel()
-	x := startTogether(t, 6, 2)
-	defer x.end()
-	number, _ := x.agreed(30*time.Second, x.names...)
-	x.do(x.Pause("n5"))
+	x := startMemberLab(t, 6, 2)
+	defer x.finishTraffic()
+	number, _ := x.waitForView(30*time.Second, x.names...)
+	x.noError(x.Pause("n5"))
 	time.Sleep(3 * time.Second) // the pause that must be borne
-	x.do(x.Resume("n5"))
-	x.stays(number, "a pause of 3 s", 2*time.Second)
+	x.noError(x.Resume("n5"))
+	x.expectSameView(number, "a pause of 3 s", 2*time.Second)
 	r, err := x.MembershipOf(context.Background(), "n5")
-	x.do(err)
+	x.noError(err)
 	if r.Standing.Stalls == 0 || r.Standing.Stats.Accusations > 0 {
 		t.Errorf("the one that stood still: %+v", r.Standing)
 	}
 	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: from == 1 && to == 2} })
-	x.stays(number, "one does not hear one other", 8*time.Second)
+	x.expectSameView(number, "one does not hear one other", 8*time.Second)
 	x.SetLinkConditions(func(from, to int) relay.Conditions {
 		return relay.Conditions{Loss: 0.3, Corrupt: 0.1, Duplicate: 0.1, Delay: 30 * time.Millisecond}
 	})
-	x.stays(number, "30% lost, 10% damaged, 10% doubled, out of order", 10*time.Second)
+	x.expectSameView(number, "30% lost, 10% damaged, 10% doubled, out of order", 10*time.Second)
 	r, err = x.MembershipOf(context.Background(), "n0")
-	x.do(err)
+	x.noError(err)
 	if r.Passed == 0 {
 		t.Error("no damaged datagram was passed over")
 	}
-	x.SetLinkConditions(clear)
-	x.stays(number, "all is well again", time.Second)
+	x.SetLinkConditions(perfectLinks)
+	x.expectSameView(number, "all is well again", time.Second)
 }
 
 // One that nobody can use is taken out once, and comes back; a minority changes nothing, and finds back.
-func TestMembersCutOff(t *testing.T) {
+func TestMembersPartitioned(t *testing.T) {
 	t.Parallel()
-	x := startTogether(t, 7, 3)
-	defer x.end()
-	first, _ := x.agreed(30*time.Second, x.names...)
+	x := startMemberLab(t, 7, 3)
+	defer x.finishTraffic()
+	first, _ := x.waitForView(30*time.Second, x.names...)
 	x.SetLinkConditions(func(_, to int) relay.Conditions { return relay.Conditions{Cut: to == 4} })
-	second, took := x.agreed(9*time.Second, x.but("n4")...)
+	second, took := x.waitForView(9*time.Second, x.namesExcept("n4")...)
 	t.Logf("one that hears nobody is out after %v", took)
 	if second != first+1 {
 		t.Errorf("view %d, then %d", first, second)
 	}
 	time.Sleep(6 * time.Second) // it must not come and go
-	if now, _ := x.look(x.but("n4")); now != second {
+	if now, _ := x.currentView(x.namesExcept("n4")); now != second {
 		t.Errorf("view %d, then %d, with the same fault", second, now)
 	}
-	x.SetLinkConditions(clear)
-	third, took := x.agreed(20*time.Second, x.names...)
+	x.SetLinkConditions(perfectLinks)
+	third, took := x.waitForView(20*time.Second, x.names...)
 	t.Logf("and back after %v", took)
 	// Three of seven on their own.
 	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 4) != (to < 4)} })
-	_, took = x.agreed(12*time.Second, "n0", "n1", "n2", "n3")
+	_, took = x.waitForView(12*time.Second, "n0", "n1", "n2", "n3")
 	t.Logf("the majority is by itself after %v", took)
 	for _, n := range []string{"n4", "n5", "n6"} {
 		if r, err := x.MembershipOf(context.Background(), n); err != nil || r.Standing.Number != third {
 			t.Errorf("%s, in the minority, is in view %d, not %d: %v", n, r.Standing.Number, third, err)
 		}
 	}
-	x.SetLinkConditions(clear)
-	_, took = x.agreed(30*time.Second, x.names...)
+	x.SetLinkConditions(perfectLinks)
+	_, took = x.waitForView(30*time.Second, x.names...)
 	t.Logf("one again after %v", took)
 }
 
 // A node that is told to end says so.
 func TestMembersLeave(t *testing.T) {
 	t.Parallel()
-	x := startTogether(t, 5, 4)
-	defer x.end()
-	x.agreed(30*time.Second, x.names...)
-	p, err := x.find("n2")
-	x.do(err)
+	x := startMemberLab(t, 5, 4)
+	defer x.finishTraffic()
+	x.waitForView(30*time.Second, x.names...)
+	p, err := x.findNode("n2")
+	x.noError(err)
 	go p.stop(10 * time.Second)
-	_, took := x.agreed(3*time.Second, x.but("n2")...)
+	_, took := x.waitForView(3*time.Second, x.namesExcept("n2")...)
 	t.Logf("out of all views after %v", took)
 	if strings.Contains(x.Log("n1"), "n2 out, accused") {
 		t.Error("it was found out, not told")
@@ -276,16 +276,16 @@
 }
 
 // A script's faults of links are taken where nodes know each other, and told as wrong where they don't.
-func TestScriptsCutLinks(t *testing.T) {
+func TestLinkFaultsNeedMembership(t *testing.T) {
 	for _, members := range []bool{true, false} {
 		f, err := standin.ParseFault("cut:from=n0,to=n1,at=200ms,for=500ms")
 		if err != nil {
 			t.Fatal(err)
 		}
-		o := options()
+		o := defaultOptions()
 		o.Membership, o.Faults, o.Traffic.Duration = members, []standin.Fault{f}, time.Second
 		if members {
-			run(t, o)
+			runLab(t, o)
 			continue
 		}
 		if l, err := Open(context.Background(), o); err == nil {
--- a/internal/rig/lab/memberscost_test.go
+++ b/internal/rig/lab/memberscost_test.go
@@ -9,18 +9,18 @@
 )
 
 // What the membership costs the requests: on and off in turns, in one run. By hand.
-func TestMembersCost(t *testing.T) {
+func TestMembershipRequestCost(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
 	sum := map[bool][2]float64{}
 	for round := range 8 {
 		on := round%2 == 1
-		o := options()
+		o := defaultOptions()
 		o.Nodes, o.Membership = 5, on
 		o.Traffic = standin.Traffic{Rate: 1500, Duration: 6 * time.Second, Backoff: 50 * time.Millisecond, BodyBytes: 100}
 		o.Plan.Servers = 16
-		r := run(t, o)
+		r := runLab(t, o)
 		worst := 0.0
 		for _, c := range r.Classes {
 			worst += c.P99 / float64(len(r.Classes))
--- a/internal/rig/lab/memberspairs_test.go
+++ b/internal/rig/lab/memberspairs_test.go
@@ -15,34 +15,34 @@
 )
 
 // trouble is a fault among nodes that know each other: the weather that it makes, and what it does to processes.
-type trouble struct {
+type memberFault struct {
 	name    string
-	weather func(w *relay.Conditions, from, to int)
-	begin   func(x *together)
-	end     func(x *together)
-	out     []string // who is out of all views while it lasts
+	conditions func(w *relay.Conditions, from, to int)
+	begin   func(x *memberLab)
+	end     func(x *memberLab)
+	evicted     []string // who is out of all views while it lasts
 }
 
-func troubles() []trouble {
-	return []trouble{
-		{name: "one killed", out: []string{"n5"}, begin: func(x *together) { x.do(x.Kill("n5")) }, end: func(x *together) { x.do(x.Start("n5")) }},
-		{name: "a pause of 2.5 s", begin: func(x *together) {
-			x.do(x.Pause("n1"))
-			time.AfterFunc(2500*time.Millisecond, func() { x.do(x.Resume("n1")) })
+func memberFaults() []memberFault {
+	return []memberFault{
+		{name: "one killed", evicted: []string{"n5"}, begin: func(x *memberLab) { x.noError(x.Kill("n5")) }, end: func(x *memberLab) { x.noError(x.Start("n5")) }},
+		{name: "a pause of 2.5 s", begin: func(x *memberLab) {
+			x.noError(x.Pause("n1"))
+			time.AfterFunc(2500*time.Millisecond, func() { x.noError(x.Resume("n1")) })
 		}},
-		{name: "one does not hear one other", weather: func(w *relay.Conditions, from, to int) { w.Cut = w.Cut || from == 2 && to == 3 }},
-		{name: "one hears nobody", out: []string{"n4"}, weather: func(w *relay.Conditions, _, to int) { w.Cut = w.Cut || to == 4 }},
-		{name: "a quarter lost", weather: func(w *relay.Conditions, _, _ int) { w.Loss = 0.25 }},
-		{name: "200 ms late", weather: func(w *relay.Conditions, _, _ int) { w.Delay = 200 * time.Millisecond }},
-		{name: "doubled and damaged", weather: func(w *relay.Conditions, _, _ int) { w.Duplicate, w.Corrupt = 0.2, 0.1 }},
+		{name: "one does not hear one other", conditions: func(w *relay.Conditions, from, to int) { w.Cut = w.Cut || from == 2 && to == 3 }},
+		{name: "one hears nobody", evicted: []string{"n4"}, conditions: func(w *relay.Conditions, _, to int) { w.Cut = w.Cut || to == 4 }},
+		{name: "a quarter lost", conditions: func(w *relay.Conditions, _, _ int) { w.Loss = 0.25 }},
+		{name: "200 ms late", conditions: func(w *relay.Conditions, _, _ int) { w.Delay = 200 * time.Millisecond }},
+		{name: "doubled and damaged", conditions: func(w *relay.Conditions, _, _ int) { w.Duplicate, w.Corrupt = 0.2, 0.1 }},
 	}
 }
 
 // Pairs of faults at once, each on six processes with traffic: who lives and can be used stays, who can't is out of one
 // and the same view, and all are one again afterwards.
-func TestMembersPairsOfFaults(t *testing.T) {
+func TestMembersFaultPairs(t *testing.T) {
 	t.Parallel()
-	all := troubles()
+	all := memberFaults()
 	pairs := [][2]int{{0, 4}}
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		pairs = nil
@@ -53,24 +53,24 @@
 		}
 	}
 	for i, pair := range pairs { // each on a fleet of its own: who is taken out again and again has to wait
-		playPair(t, all, pair, uint64(i)+5)
+		runFaultPair(t, all, pair, uint64(i)+5)
 	}
 }
 
-func playPair(t *testing.T, all []trouble, pair [2]int, seed uint64) {
-	x := startTogether(t, 7, seed)
-	defer x.end()
-	x.agreed(30*time.Second, x.names...)
+func runFaultPair(t *testing.T, all []memberFault, pair [2]int, seed uint64) {
+	x := startMemberLab(t, 7, seed)
+	defer x.finishTraffic()
+	x.waitForView(30*time.Second, x.names...)
 	var out []string
 	var names []string
 	for _, k := range pair {
-		out, names = append(out, all[k].out...), append(names, all[k].name)
+		out, names = append(out, all[k].evicted...), append(names, all[k].name)
 	}
 	name := strings.Join(names, " and ")
 	x.SetLinkConditions(func(from, to int) (w relay.Conditions) {
 		for _, k := range pair {
-			if all[k].weather != nil {
-				all[k].weather(&w, from, to)
+			if all[k].conditions != nil {
+				all[k].conditions(&w, from, to)
 			}
 		}
 		return w
@@ -81,18 +81,18 @@
 		}
 	}
 	begun := time.Now()
-	first, took := x.agreed(15*time.Second, x.but(out...)...)
+	first, took := x.waitForView(15*time.Second, x.namesExcept(out...)...)
 	if len(out) == 0 {
-		x.stays(first, name, 6*time.Second)
+		x.expectSameView(first, name, 6*time.Second)
 	}
 	time.Sleep(max(0, 3*time.Second-time.Since(begun))) // the pause's own length
-	x.SetLinkConditions(clear)
+	x.SetLinkConditions(perfectLinks)
 	for _, k := range pair {
 		if all[k].end != nil {
 			all[k].end(x)
 		}
 	}
-	_, again := x.agreed(30*time.Second, x.names...)
+	_, again := x.waitForView(30*time.Second, x.names...)
 	if len(out) > 0 {
 		t.Logf("%s: out after %v, all one again after %v", name, took, again)
 	}
@@ -100,50 +100,50 @@
 
 // Half of the nodes restarted one after the other, in order and by force, while another runs on a hundredth of its core. By
 // hand: a slow machine's other tests are measured meanwhile.
-func TestMembersRestartedWhileOneCrawls(t *testing.T) {
+func TestMembersRestartedBesideASlowNode(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
-	x := startTogether(t, 7, 6)
-	x.served = 0.9 // the one that crawls answers late
-	defer x.end()
-	x.agreed(30*time.Second, x.names...)
+	x := startMemberLab(t, 7, 6)
+	x.minServed = 0.9 // the one that crawls answers late
+	defer x.finishTraffic()
+	x.waitForView(30*time.Second, x.names...)
 	ctx, stop := context.WithCancel(context.Background())
 	crawled := make(chan struct{})
-	p, err := x.find("n6")
-	x.do(err)
+	p, err := x.findNode("n6")
+	x.noError(err)
 	go func() { // ends with stop
 		defer close(crawled)
 		for ctx.Err() == nil {
-			x.do(x.Pause("n6"))
+			x.noError(x.Pause("n6"))
 			time.Sleep(198 * time.Millisecond) // runs for a hundredth of the time
-			x.do(x.Resume("n6"))
+			x.noError(x.Resume("n6"))
 			time.Sleep(2 * time.Millisecond)
 		}
 	}()
 	for i, name := range []string{"n1", "n2", "n3"} {
 		if i%2 == 0 {
-			q, err := x.find(name)
-			x.do(err)
+			q, err := x.findNode(name)
+			x.noError(err)
 			q.stop(10 * time.Second)
 		} else {
-			x.do(x.Kill(name))
+			x.noError(x.Kill(name))
 		}
-		x.do(x.Start(name))
+		x.noError(x.Start(name))
 	}
 	begun := time.Now()
 	for time.Since(begun) < 4*time.Second { // whether it is in or out meanwhile, the others agree
-		x.agreedAmong(20*time.Second, x.but("n6"))
+		x.waitForCommonView(20*time.Second, x.namesExcept("n6"))
 		time.Sleep(200 * time.Millisecond)
 	}
 	stop()
 	<-crawled
-	x.do(p.signal(syscall.SIGCONT, false))
-	x.agreed(40*time.Second, x.names...)
+	x.noError(p.signal(syscall.SIGCONT, false))
+	x.waitForView(40*time.Second, x.names...)
 }
 
 // agreedAmong waits until some nodes are in one view that holds them, whoever else is in it.
-func (x *together) agreedAmong(within time.Duration, names []string) {
+func (x *memberLab) waitForCommonView(within time.Duration, names []string) {
 	x.t.Helper()
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
@@ -179,16 +179,16 @@
 // says why, and changes nothing.
 func TestMembersRestoredImage(t *testing.T) {
 	t.Parallel()
-	x := startTogether(t, 5, 7)
-	defer x.end()
-	number, _ := x.agreed(30*time.Second, x.names...)
+	x := startMemberLab(t, 5, 7)
+	defer x.finishTraffic()
+	number, _ := x.waitForView(30*time.Second, x.names...)
 	host := x.Fleet.NewHost()
 	at, err := freePort(host)
-	x.do(err)
+	x.noError(err)
 	serves, err := freeAddress(host)
-	x.do(err)
+	x.noError(err)
 	state, own := filepath.Join(x.dir, "image.state"), filepath.Join(x.dir, "image.toml")
-	x.do(filepath.WalkDir(x.StateFolder("n4"), func(path string, d os.DirEntry, err error) error {
+	x.noError(filepath.WalkDir(x.StateFolder("n4"), func(path string, d os.DirEntry, err error) error {
 		rest, _ := filepath.Rel(x.StateFolder("n4"), path)
 		switch {
 		case err != nil:
@@ -204,17 +204,17 @@
 		}
 		return os.WriteFile(filepath.Join(state, rest), text, 0o600)
 	}))
-	text, err := os.ReadFile(x.ownPath("n4"))
-	x.do(err)
+	text, err := os.ReadFile(x.settingsPath("n4"))
+	x.noError(err)
 	changed := strings.Replace(string(text), x.StateFolder("n4"), state, 1)
-	changed = strings.Replace(changed, x.between.addresses[4].String(), at.String(), 1)
-	x.do(os.WriteFile(own, []byte(changed), 0o600))
+	changed = strings.Replace(changed, x.links.addresses[4].String(), at.String(), 1)
+	x.noError(os.WriteFile(own, []byte(changed), 0o600))
 	config, err := os.ReadFile(x.ConfigPath("n4"))
-	x.do(err)
+	x.noError(err)
 	path := filepath.Join(x.dir, "image.json")
-	x.do(os.WriteFile(path, []byte(strings.Replace(string(config), x.specs["n4"].Listen, serves, 1)), 0o600))
+	x.noError(os.WriteFile(path, []byte(strings.Replace(string(config), x.specs["n4"].Listen, serves, 1)), 0o600))
 	image := &process{name: "image", command: []string{x.options.Binary, "--settings", own}, env: []string{"LB_CONFIG=" + path}, address: serves}
-	x.do(image.start())
+	x.noError(image.start())
 	defer image.stop(10 * time.Second)
 	look := time.NewTicker(20 * time.Millisecond)
 	defer look.Stop()
@@ -223,5 +223,5 @@
 			t.Fatalf("the restored image says nothing of the other: %s", image.log.String())
 		}
 	}
-	x.stays(number, "a restored image runs beside", 4*time.Second)
+	x.expectSameView(number, "a restored image runs beside", 4*time.Second)
 }
--- a/internal/rig/lab/overload_test.go
+++ b/internal/rig/lab/overload_test.go
@@ -13,22 +13,22 @@
 
 // overload is a fleet whose nodes together can ask discovery for more than it can work through. Times count from the
 // start of the traffic.
-type overload struct {
+type overloadTest struct {
 	nodes    int
-	allCalls time.Duration // in which discovery can take one call from each node
-	settled  time.Duration // the last disturbance is over
-	recovery time.Duration // after which every node must have the newest list
-	quiet    time.Duration // how long calls are counted from then on
-	logged   string        // by every node; "": anything
+	fullRoundTime time.Duration // in which discovery can take one call from each node
+	lastFaultEnd  time.Duration // the last disturbance is over
+	recoveryLimit time.Duration // after which every node must have the newest list
+	observeTime    time.Duration // how long calls are counted from then on
+	requiredLog   string        // by every node; "": anything
 }
 
 // callLines is what a call costs discovery in these tests.
-const callLines = 30
+const linesPerCall = 30
 
 // capacity is what discovery can bear. It keeps more calls waiting than it can answer in time.
-func (o *overload) capacity() registry.Settings {
+func (o *overloadTest) capacity() registry.Settings {
 	return registry.Settings{
-		LinesPerSecond: float64(o.nodes) * callLines / o.allCalls.Seconds(), LinesPerCall: callLines,
+		LinesPerSecond: float64(o.nodes) * linesPerCall / o.fullRoundTime.Seconds(), LinesPerCall: linesPerCall,
 		QueueTimeout: 2 * time.Second, BacklogFactor: 2,
 	}
 }
@@ -63,7 +63,7 @@
 
 // runLimited runs a lab whose discovery can bear so much from the time on at which all nodes are ready. It logs what becomes
 // of the calls to discovery, and checks from outside that the rules hold.
-func runLimited(t *testing.T, o Options, capacity registry.Settings) (*Lab, *Report, []callSample) {
+func runWithCapacity(t *testing.T, o Options, capacity registry.Settings) (*Lab, *Report, []callSample) {
 	t.Helper()
 	l, err := Open(context.Background(), o)
 	if err != nil {
@@ -82,18 +82,18 @@
 	for _, s := range samples {
 		t.Log(s)
 	}
-	t.Logf("%d boxes, %d nodes: %.3f served, %d breaches", o.Plan.Servers, o.Nodes, service(r), len(r.Breaches))
-	check(t, r)
+	t.Logf("%d boxes, %d nodes: %.3f served, %d breaches", o.Plan.Servers, o.Nodes, servedShare(r), len(r.Breaches))
+	checkReport(t, r)
 	return l, r, samples
 }
 
 // play runs the fleet through faults, and checks from outside that it comes back.
-func (o *overload) play(t *testing.T, faults ...string) {
+func (o *overloadTest) run(t *testing.T, faults ...string) {
 	t.Helper()
-	options := options()
+	options := defaultOptions()
 	options.Nodes, options.Plan.Servers = o.nodes, 14
 	options.Plan.Registry.QueueTimeout, options.Plan.AnswerInOutage = o.capacity().QueueTimeout, true
-	options.Traffic.Rate, options.Traffic.Duration = 120, o.settled+o.recovery+o.quiet
+	options.Traffic.Rate, options.Traffic.Duration = 120, o.lastFaultEnd+o.recoveryLimit+o.observeTime
 	for _, text := range faults {
 		f, err := standin.ParseFault(text)
 		if err != nil {
@@ -101,27 +101,27 @@
 		}
 		options.Faults = append(options.Faults, f)
 	}
-	l, r, samples := runLimited(t, options, o.capacity())
+	l, r, samples := runWithCapacity(t, options, o.capacity())
 	for _, n := range r.Nodes {
-		if !strings.Contains(l.Log(n.Name), o.logged) {
-			t.Errorf("%s has not logged %q", n.Name, o.logged)
+		if !strings.Contains(l.Log(n.Name), o.requiredLog) {
+			t.Errorf("%s has not logged %q", n.Name, o.requiredLog)
 		}
 	}
 	o.checkCalls(t, samples, l.Fleet.Discovery.Version())
-	if part := service(r); part < 0.9 {
+	if part := servedShare(r); part < 0.9 {
 		t.Errorf("%.3f served", part)
 	}
 }
 
 // checkCalls checks that calls timed out, that every node has the newest list soon enough after the last disturbance, and
 // that calls then stay under discovery's capacity.
-func (o *overload) checkCalls(t *testing.T, samples []callSample, newest int) {
+func (o *overloadTest) checkCalls(t *testing.T, samples []callSample, newest int) {
 	t.Helper()
 	last := samples[len(samples)-1]
 	if last.total.TimedOut == 0 {
 		t.Error("no call timed out in the queue: the test shows nothing")
 	}
-	bound := o.settled + o.recovery
+	bound := o.lastFaultEnd + o.recoveryLimit
 	recovered := time.Duration(0)
 	var from callSample
 	for _, s := range samples {
@@ -136,7 +136,7 @@
 		t.Errorf("all nodes have the newest list at %v (0s: never), want %v at the latest", recovered, bound)
 	}
 	offered := float64(last.total.Received-from.total.Received) / (last.at - from.at).Seconds()
-	if most := o.capacity().LinesPerSecond / callLines; offered >= most {
+	if most := o.capacity().LinesPerSecond / linesPerCall; offered >= most {
 		t.Errorf("%.1f calls a second at the end, discovery can take %.1f", offered, most)
 	}
 	if last.total.Rejected > from.total.Rejected || last.total.TimedOut > from.total.TimedOut {
@@ -152,8 +152,8 @@
 // 5.9 s of the 6 s after which a drain counts, and the queue may stay at its time-out for 7 s after the return.
 func TestDiscoveryReturnsIntoARelease(t *testing.T) {
 	t.Parallel()
-	o := overload{nodes: 24, allCalls: 4 * time.Second, settled: 19 * time.Second, recovery: 7 * time.Second, quiet: 3 * time.Second}
-	o.play(t, "outage:at=500ms,for=4s", "backlog:at=4510ms,by=3",
+	o := overloadTest{nodes: 24, fullRoundTime: 4 * time.Second, lastFaultEnd: 19 * time.Second, recoveryLimit: 7 * time.Second, observeTime: 3 * time.Second}
+	o.run(t, "outage:at=500ms,for=4s", "backlog:at=4510ms,by=3",
 		"kill:node=3,at=4600ms,for=400ms", "kill:node=11,at=4700ms,for=400ms", "kill:node=18,at=4800ms,for=400ms",
 		"leave:box=1,at=7500ms,for=8s", "leave:box=4,at=8400ms,for=8s", "leave:box=7,at=9300ms,for=8s", "leave:box=10,at=10200ms,for=8s")
 }
@@ -167,31 +167,31 @@
 // 18 s.
 func TestDiscoveryMovesWhileItsQueueIsFull(t *testing.T) {
 	t.Parallel()
-	o := overload{
-		nodes: 24, allCalls: 4 * time.Second, settled: 18 * time.Second, recovery: 7 * time.Second, quiet: 3 * time.Second,
-		logged: "discovery moves",
+	o := overloadTest{
+		nodes: 24, fullRoundTime: 4 * time.Second, lastFaultEnd: 18 * time.Second, recoveryLimit: 7 * time.Second, observeTime: 3 * time.Second,
+		requiredLog: "discovery moves",
 	}
-	o.play(t, "backlog:at=500ms,by=4", "move:at=1s",
+	o.run(t, "backlog:at=500ms,by=4", "move:at=1s",
 		"leave:box=1,at=7s,for=8s", "leave:box=4,at=7900ms,for=8s", "leave:box=7,at=8800ms,for=8s")
 }
 
 // movedFleet is a fleet before a discovery that moves while its queue is full, and three boxes that drain so far apart.
-type movedFleet struct {
+type movedDiscovery struct {
 	nodes           int
-	allCalls, apart time.Duration
+	fullRoundTime, drainInterval time.Duration
 }
 
-func (m movedFleet) play(t *testing.T) {
+func (m movedDiscovery) run(t *testing.T) {
 	t.Helper()
-	o := overload{
-		nodes: m.nodes, allCalls: m.allCalls, settled: 18 * time.Second, recovery: 7 * time.Second, quiet: 3 * time.Second,
-		logged: "discovery moves",
+	o := overloadTest{
+		nodes: m.nodes, fullRoundTime: m.fullRoundTime, lastFaultEnd: 18 * time.Second, recoveryLimit: 7 * time.Second, observeTime: 3 * time.Second,
+		requiredLog: "discovery moves",
 	}
 	faults := []string{"backlog:at=500ms,by=4", "move:at=1s"}
 	for i := range 3 {
-		faults = append(faults, fmt.Sprintf("leave:box=%d,at=%v,for=8s", 1+3*i, 7*time.Second+time.Duration(i)*m.apart))
+		faults = append(faults, fmt.Sprintf("leave:box=%d,at=%v,for=8s", 1+3*i, 7*time.Second+time.Duration(i)*m.drainInterval))
 	}
-	o.play(t, faults...)
+	o.run(t, faults...)
 }
 
 // The same with other numbers of nodes, drains and capacities.
@@ -199,16 +199,16 @@
 // It fails where discovery takes 5 s for a call of each node, and so 7.3 s to write the whole list to each, which is more than the 6 s after
 // which a drain counts; 40 nodes at 4 s have failed beside other work.
 func TestDiscoveryMovesBeforeOtherFleets(t *testing.T) {
-	for _, m := range []movedFleet{
+	for _, m := range []movedDiscovery{
 		{12, 4 * time.Second, 900 * time.Millisecond},
 		{40, 4 * time.Second, 900 * time.Millisecond},
 		{24, 3 * time.Second, 900 * time.Millisecond},
 		{24, 5 * time.Second, 900 * time.Millisecond},
 		{24, 4 * time.Second, 400 * time.Millisecond},
 	} {
-		t.Run(fmt.Sprintf("%d nodes, %v, %v apart", m.nodes, m.allCalls, m.apart), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d nodes, %v, %v apart", m.nodes, m.fullRoundTime, m.drainInterval), func(t *testing.T) {
 			t.Parallel()
-			m.play(t)
+			m.run(t)
 		})
 	}
 }
--- a/internal/rig/lab/past.go
+++ b/internal/rig/lab/past.go
@@ -37,19 +37,19 @@
 }
 
 // strangers stand where boxes are no more.
-type strangers struct {
+type staleEndpoints struct {
 	addresses []string
-	ends      []func()
+	closers      []func()
 }
 
-func (s *strangers) close() {
-	for _, end := range s.ends {
+func (s *staleEndpoints) close() {
+	for _, end := range s.closers {
 		end()
 	}
 }
 
 // open makes so many addresses.
-func (s *strangers) open(f *standin.Fleet, n int) error {
+func (s *staleEndpoints) open(f *standin.Fleet, n int) error {
 	for i := len(s.addresses); i < n; i++ {
 		l, err := net.Listen("tcp", net.JoinHostPort(f.NewHost(), "0"))
 		if err != nil {
@@ -60,7 +60,7 @@
 		case 0, 1: // nobody listens
 			l.Close()
 		case 2: // the kernel takes connections, and nobody reads
-			s.ends = append(s.ends, func() { l.Close() })
+			s.closers = append(s.closers, func() { l.Close() })
 		default: // another service answers
 			server := &http.Server{Handler: http.NotFoundHandler()}
 			ended := make(chan struct{})
@@ -68,7 +68,7 @@
 				defer close(ended)
 				server.Serve(l)
 			}()
-			s.ends = append(s.ends, func() {
+			s.closers = append(s.closers, func() {
 				server.Close()
 				<-ended
 			})
@@ -77,12 +77,12 @@
 	return nil
 }
 
-func (l *Lab) ownPath(node string) string { return filepath.Join(l.dir, node+".own.toml") }
+func (l *Lab) settingsPath(node string) string { return filepath.Join(l.dir, node+".own.toml") }
 
 // remember writes what a node has of its last life, and returns the list that its configuration brings.
-func (l *Lab) remember(s standin.NodeSpec) (json.RawMessage, error) {
+func (l *Lab) writeOldList(s standin.NodeSpec) (json.RawMessage, error) {
 	p := l.options.OldList
-	if err := l.strangers.open(l.Fleet, p.StaleEntries); err != nil {
+	if err := l.staleEndpoints.open(l.Fleet, p.StaleEntries); err != nil {
 		return nil, err
 	}
 	then := time.Now().Add(-p.Age)
@@ -90,7 +90,7 @@
 	for _, b := range l.Fleet.Servers {
 		all = append(all, serverdb.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, StateSince: then})
 	}
-	for i, address := range l.strangers.addresses {
+	for i, address := range l.staleEndpoints.addresses {
 		site := i % len(l.options.Plan.Sites)
 		all = append(all, serverdb.Server{
 			ID: fmt.Sprintf("old-%04d", i), Address: address, Zone: l.options.Plan.Sites[site], Cell: 900_000 + i/4, Weight: 1, StateSince: then,
@@ -120,21 +120,21 @@
 	}
 	folder := filepath.Join(l.dir, s.Name+".state")
 	rate := max(l.options.Traffic.Rate/float64(max(1, len(all))), 1/l.options.Plan.MeanWork().Seconds()) / float64(max(1, l.options.Nodes))
-	list := serverdb.List{Generation: foreignGeneration, Discovery: l.lists[s.Name], Confirmed: then, ServerRate: rate, ServingCount: len(all)}
+	list := serverdb.List{Generation: foreignGeneration, Discovery: l.discoveryAddresses[s.Name], Confirmed: then, ServerRate: rate, ServingCount: len(all)}
 	if err := persist.WriteFolder(folder, all, list); err != nil {
 		return nil, err
 	}
 	own := fmt.Sprintf("[state]\nfolder = %q\n", folder)
-	return nil, os.WriteFile(l.ownPath(s.Name), []byte(own), 0o600)
+	return nil, os.WriteFile(l.settingsPath(s.Name), []byte(own), 0o600)
 }
 
 // Validate tells what of it makes no sense.
 func (p *OldList) Validate() error {
-	if p.StaleEntries < 0 || p.StaleEntries > mostStale {
-		return fmt.Errorf("%d stale entries, allowed: 0 to %d", p.StaleEntries, mostStale)
+	if p.StaleEntries < 0 || p.StaleEntries > maxStaleEntries {
+		return fmt.Errorf("%d stale entries, allowed: 0 to %d", p.StaleEntries, maxStaleEntries)
 	}
-	if p.Age < 0 || p.Age > mostAge {
-		return fmt.Errorf("a list of %v, allowed: 0 to %v", p.Age, mostAge)
+	if p.Age < 0 || p.Age > maxListAge {
+		return fmt.Errorf("a list of %v, allowed: 0 to %v", p.Age, maxListAge)
 	}
 	return nil
 }
@@ -142,6 +142,6 @@
 const (
 	// foreignGeneration is above all that the stand-in's discovery counts: it answers with its whole list.
 	foreignGeneration = 1 << 30
-	mostStale         = 400
-	mostAge           = 10 * 365 * 24 * time.Hour
+	maxStaleEntries         = 400
+	maxListAge           = 10 * 365 * 24 * time.Hour
 )
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -13,7 +13,7 @@
 )
 
 // coldPlan is a fleet of boxes whose whole cold budget is a few requests, some a third of the others.
-func coldPlan(p *standin.Plan) {
+func configureColdFleet(p *standin.Plan) {
 	p.Servers, p.Cores, p.RackSize, p.Speeds = 12, 1, 3, []float64{1.2, 1.2, 0.4}
 	for i := range p.Classes {
 		p.Classes[i].Work, p.Classes[i].Spread = 40*time.Millisecond, 0
@@ -22,30 +22,30 @@
 }
 
 // startCold starts nodes before such a fleet at some part of its capacity.
-func startCold(t *testing.T, nodes int, seed uint64, load float64, alone bool) *together {
-	return startTogetherWith(t, nodes, seed, func(o *Options) {
-		coldPlan(&o.Plan)
+func startColdFleet(t *testing.T, nodes int, seed uint64, load float64, alone bool) *memberLab {
+	return startMemberLabWith(t, nodes, seed, func(o *Options) {
+		configureColdFleet(&o.Plan)
 		o.NoPooling = alone
 		o.Traffic.Rate = load * o.Plan.Capacity()
 	})
 }
 
 // restarts ends boxes one after the other and has each come back cold.
-func (x *together) restarts(boxes []int, each time.Duration) {
+func (x *memberLab) restartServers(boxes []int, each time.Duration) {
 	x.t.Helper()
 	var faults []standin.Fault
 	for i, b := range boxes {
 		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(b), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
 	}
 	for _, err := range x.Fleet.RunFaults(context.Background(), faults, x.Lab) {
-		x.do(err)
+		x.noError(err)
 	}
 }
 
 // pools counts what the nodes deal for, looked at again and again.
-type pools struct{ most, lenders, used atomic.Int64 }
+type poolStats struct{ maxPools, maxLenders, grantedSends atomic.Int64 }
 
-func (x *together) watchPools(ctx context.Context, p *pools) {
+func (x *memberLab) watchPools(ctx context.Context, p *poolStats) {
 	look := time.NewTicker(100 * time.Millisecond)
 	defer look.Stop()
 	for {
@@ -62,65 +62,65 @@
 			}
 			n += int64(len(r.Pools))
 			for _, one := range r.Pools {
-				p.lenders.Store(max(p.lenders.Load(), int64(one.Lenders)))
-				p.used.Add(int64(one.Used))
+				p.maxLenders.Store(max(p.maxLenders.Load(), int64(one.Lenders)))
+				p.grantedSends.Add(int64(one.Used))
 			}
 		}
-		p.most.Store(max(p.most.Load(), n))
+		p.maxPools.Store(max(p.maxPools.Load(), n))
 	}
 }
 
 // Boxes come back cold while nodes that deal their budgets are killed, cut off and held up: no box is sent too much, what
 // is lent is dealt, and the requests go on.
-func TestPooledBudgetsOverProcesses(t *testing.T) {
+func TestPooledBudgetsUnderFaults(t *testing.T) {
 	t.Parallel()
-	x := startCold(t, 6, 21, 0.5, false)
-	x.served = 0.9
-	defer x.end()
-	x.agreed(30*time.Second, x.names...)
+	x := startColdFleet(t, 6, 21, 0.5, false)
+	x.minServed = 0.9
+	defer x.finishTraffic()
+	x.waitForView(30*time.Second, x.names...)
 	ctx, stop := context.WithCancel(context.Background())
-	var p pools
+	var p poolStats
 	watched := make(chan struct{})
 	go func() { // ends with stop
 		defer close(watched)
 		x.watchPools(ctx, &p)
 	}()
-	x.restarts([]int{0, 2, 5, 8}, 800*time.Millisecond)
-	x.do(x.Kill("n3")) // a dealer of some of them
-	x.restarts([]int{1, 3, 11}, 600*time.Millisecond)
-	x.do(x.Start("n3"))
-	x.do(x.Pause("n4"))
-	x.restarts([]int{4, 6}, 600*time.Millisecond)
-	x.do(x.Resume("n4"))
+	x.restartServers([]int{0, 2, 5, 8}, 800*time.Millisecond)
+	x.noError(x.Kill("n3")) // a dealer of some of them
+	x.restartServers([]int{1, 3, 11}, 600*time.Millisecond)
+	x.noError(x.Start("n3"))
+	x.noError(x.Pause("n4"))
+	x.restartServers([]int{4, 6}, 600*time.Millisecond)
+	x.noError(x.Resume("n4"))
 	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 2) != (to < 2)} })
-	x.restarts([]int{2, 7, 9}, 600*time.Millisecond)
+	x.restartServers([]int{2, 7, 9}, 600*time.Millisecond)
 	x.SetLinkConditions(func(int, int) relay.Conditions {
 		return relay.Conditions{Loss: 0.3, Duplicate: 0.1, Delay: 60 * time.Millisecond}
 	})
-	x.restarts([]int{5, 10}, 600*time.Millisecond)
-	x.SetLinkConditions(clear)
+	x.restartServers([]int{5, 10}, 600*time.Millisecond)
+	x.SetLinkConditions(perfectLinks)
 	stop()
 	<-watched
-	t.Logf("at most %d pools at once, of up to %d nodes each; %d dealt sends seen", p.most.Load(), p.lenders.Load(), p.used.Load())
-	if p.most.Load() < 2 || p.lenders.Load() < 3 || p.used.Load() < 10 {
+	t.Logf("at most %d pools at once, of up to %d nodes each; %d dealt sends seen", p.maxPools.Load(), p.maxLenders.Load(), p.grantedSends.Load())
+	if p.maxPools.Load() < 2 || p.maxLenders.Load() < 3 || p.grantedSends.Load() < 10 {
 		t.Error("hardly anything was pooled")
 	}
 }
 
 // The same with and without the pool, by hand: boxes that fell, and what was served.
-func TestPooledBudgetsAgainstOwn(t *testing.T) {
+func TestPooledAgainstSeparateBudgets(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
 	for _, load := range []float64{0.6, 0.8} {
 		for seed := range uint64(3) {
 			for _, alone := range []bool{true, false} {
-				x := startCold(t, 8, seed+1, load, alone)
-				x.agreed(30*time.Second, x.names...)
-				x.restarts([]int{0, 1, 2, 3, 5, 6, 8, 9, 11}, 500*time.Millisecond)
+				x := startColdFleet(t, 8, seed+1, load, alone)
+				x.waitForView(30*time.Second, x.names...)
+				x.restartServers([]int{0, 1, 2, 3, 5, 6, 8, 9, 11}, 500*time.Millisecond)
 				time.Sleep(5 * time.Second) // until they are warm
 				x.stop()
-				r := <-x.ended
+				r := <-x.report
 				x.Close()
 				fell := 0
 				for _, b := range r.Breaches {
--- a/internal/rig/lab/process.go
+++ b/internal/rig/lab/process.go
@@ -43,33 +43,33 @@
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
-	ended chan struct{} // the present child has ended
-	log   tail
-	cpu   time.Duration // of children that have ended
-	peak  int64         // bytes, of children that have ended
-	told  int64         // the same of the present child, as the system told before its end; 0: it did not
-	wrong error         // it ended by itself
-	stops bool          // its end is wanted
+	exited chan struct{} // the present child has ended
+	log   logTail
+	pastCPUTime   time.Duration // of children that have ended
+	peakBytes  int64         // bytes, of children that have ended
+	observedPeak  int64         // the same of the present child, as the system told before its end; 0: it did not
+	failure error         // it ended by itself
+	stopping bool          // its end is wanted
 }
 
 // tail keeps the last of what a child writes.
-type tail struct {
+type logTail struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-const mostLog = 256 << 10
+const maxLogBytes = 256 << 10
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.text.Len()+len(p) > mostLog {
+	if t.text.Len()+len(p) > maxLogBytes {
 		t.text.Next(t.text.Len()/2 + len(p))
 	}
 	return t.text.Write(p)
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.text.String()
@@ -87,14 +87,14 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("starting %s: %w", p.name, err)
 	}
-	p.cmd, p.ended, p.stops = cmd, make(chan struct{}), false
-	ended := p.ended
+	p.cmd, p.exited, p.stopping = cmd, make(chan struct{}), false
+	ended := p.exited
 	go func() { // ends with the child
 		defer close(ended)
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		p.pastCPUTime += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 			unit := int64(1024)
 			if runtime.GOOS == "darwin" {
@@ -102,15 +102,15 @@
 			}
 			// Without /proc this has to do: it counts what the child was before it
 			// became the node, which is as much as this process has.
-			if p.told == 0 {
-				p.peak = max(p.peak, u.Maxrss*unit)
+			if p.observedPeak == 0 {
+				p.peakBytes = max(p.peakBytes, u.Maxrss*unit)
 			}
-			p.peak, p.told = max(p.peak, p.told), 0
+			p.peakBytes, p.observedPeak = max(p.peakBytes, p.observedPeak), 0
 		}
-		if !p.stops {
-			p.wrong = fmt.Errorf("%s ended by itself: %v", p.name, err)
+		if !p.stopping {
+			p.failure = fmt.Errorf("%s ended by itself: %v", p.name, err)
 		} else if err != nil && cmd.ProcessState.Exited() {
-			p.wrong = fmt.Errorf("%s: %w", p.name, err)
+			p.failure = fmt.Errorf("%s: %w", p.name, err)
 		}
 		p.cmd = nil
 	}()
@@ -124,16 +124,16 @@
 	if p.cmd == nil {
 		return fmt.Errorf("%s does not run", p.name)
 	}
-	p.stops = p.stops || final
+	p.stopping = p.stopping || final
 	if final {
-		p.told = max(p.told, statusOf(p.cmd.Process.Pid, "VmHWM:"))
+		p.observedPeak = max(p.observedPeak, procMemory(p.cmd.Process.Pid, "VmHWM:"))
 	}
 	return p.cmd.Process.Signal(s)
 }
 
 // statusOf reads a figure of a process's memory from /proc, where there is one
 // (proc(5): status, in kB). 0: not told.
-func statusOf(pid int, key string) int64 {
+func procMemory(pid int, key string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -153,7 +153,7 @@
 // stop ends the child in order, or after a while by force.
 func (p *process) stop(patience time.Duration) {
 	p.mu.Lock()
-	ended := p.ended
+	ended := p.exited
 	running := p.cmd != nil
 	p.mu.Unlock()
 	if !running {
@@ -170,28 +170,28 @@
 
 // used is the CPU time of all its children, as far as the system tells that of
 // one that runs.
-func (p *process) used() time.Duration {
+func (p *process) cpuUsed() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return p.cpu
+		return p.pastCPUTime
 	}
-	return p.cpu + cpuOf(p.cmd.Process.Pid)
+	return p.pastCPUTime + procCPUTime(p.cmd.Process.Pid)
 }
 
 // resident is the memory that the child has now, as far as the system tells.
-func (p *process) resident() int64 {
+func (p *process) residentBytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return 0
 	}
-	return statusOf(p.cmd.Process.Pid, "VmRSS:")
+	return procMemory(p.cmd.Process.Pid, "VmRSS:")
 }
 
 // cpuOf reads a process's CPU time from /proc, where there is one (proc(5):
 // fields 14 and 15 of stat, in ticks of 10 ms).
-func cpuOf(pid int) time.Duration {
+func procCPUTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -230,7 +230,7 @@
 			}
 		}
 		p.mu.Lock()
-		wrong := p.wrong
+		wrong := p.failure
 		p.mu.Unlock()
 		if wrong != nil {
 			return fmt.Errorf("%w\n%s", wrong, p.log.String())
--- a/internal/rig/lab/record_test.go
+++ b/internal/rig/lab/record_test.go
@@ -11,7 +11,7 @@
 // Nodes that all start at once without any list, at a discovery service that takes seconds for each whole one: they have a list from
 // the first that was told, and serve. Without that each waits for its turn. A box that drains meanwhile gets nothing new
 // from a node that was told itself; the judge looks.
-func TestNodesHandTheirListOn(t *testing.T) {
+func TestNodesShareServerList(t *testing.T) {
 	t.Parallel()
 	const nodes, lines = 7, 20
 	took := map[bool]time.Duration{}
@@ -20,28 +20,28 @@
 		arms = append(arms, false)
 	}
 	for _, record := range arms {
-		x := startTogetherWith(t, nodes, 61, func(o *Options) {
+		x := startMemberLabWith(t, nodes, 61, func(o *Options) {
 			o.ReplaceVoterAfter, o.ListFromPeers = time.Minute, record
 			o.Plan.Servers = 40
 			o.Faults = []standin.Fault{{Kind: "drain", Server: "3", At: 12 * time.Second, Duration: 20 * time.Second}}
 		})
-		x.served = 0
-		x.agreed(60*time.Second, x.names...)
+		x.minServed = 0
+		x.waitForView(60*time.Second, x.names...)
 		for _, n := range x.names {
-			x.do(x.Kill(n))
+			x.noError(x.Kill(n))
 		}
 		x.Fleet.Discovery.SetLineRate(lines)
 		_, before := x.Fleet.Discovery.Calls()
 		begun := time.Now()
 		for _, n := range x.names {
-			x.do(x.StartWithoutList(n))
+			x.noError(x.StartWithoutList(n))
 		}
 		for _, n := range x.names {
-			p, err := x.find(n)
-			x.do(err)
+			p, err := x.findNode(n)
+			x.noError(err)
 			for try := range 4 { // each up to 20 s
 				if err := p.waitReady(t.Context()); err == nil || try == 3 {
-					x.do(err)
+					x.noError(err)
 					break
 				}
 			}
@@ -54,8 +54,8 @@
 				t.Logf("%s: %.9000s", n, x.Log(n))
 			}
 		}
-		x.agreed(60*time.Second, x.names...)
-		x.end()
+		x.waitForView(60*time.Second, x.names...)
+		x.finishTraffic()
 	}
 	if took[true] > 25*time.Second || len(arms) > 1 && 2*took[true] > took[false] {
 		t.Errorf("the last node serves after %v with lists handed on, %v without", took[true], took[false])
--- a/internal/rig/lab/report.go
+++ b/internal/rig/lab/report.go
@@ -56,7 +56,7 @@
 	Failure    string  `json:"wrong,omitempty"` // how it ended, if that was not wanted
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func (l *Lab) report(took, cpu time.Duration) *Report {
 	classes := l.LoadGenerator.Report()
@@ -64,14 +64,14 @@
 	v := l.Fleet.Judge.Check(l.Fleet.Clock.Now())
 	r := &Report{
 		Seconds: took.Seconds(), ServedWorth: standin.ServedWorth(classes), MaxAttempts: v.MaxAttempts, Breaches: v.Breaches,
-		Excused: v.Excused, MaxMachineDelay: ms(v.MaxMachineDelay), Cores: cpu.Seconds() / took.Seconds(),
+		Excused: v.Excused, MaxMachineDelay: milliseconds(v.MaxMachineDelay), Cores: cpu.Seconds() / took.Seconds(),
 	}
 	tries := 0
 	for i, c := range classes {
 		tries += c.Tries
 		r.Classes = append(r.Classes, ClassRow{
 			c.Name, c.Worth, c.Requests, c.Served, c.Late, c.Refused, c.Failed, c.Tries,
-			ms(c.P50), ms(c.P90), ms(c.P99), ms(c.P999), ms(c.Max),
+			milliseconds(c.P50), milliseconds(c.P90), milliseconds(c.P99), milliseconds(c.P999), milliseconds(c.Max),
 			float64(v.ByClass[i].Attempts) / float64(max(1, v.ByClass[i].Requests)),
 		})
 	}
@@ -83,9 +83,9 @@
 	}
 	for _, p := range l.processes() {
 		p.mu.Lock()
-		row := NodeRow{Name: p.name, CPUSeconds: p.cpu.Seconds(), PeakMB: float64(p.peak) / (1 << 20)}
-		if p.wrong != nil {
-			row.Failure = p.wrong.Error()
+		row := NodeRow{Name: p.name, CPUSeconds: p.pastCPUTime.Seconds(), PeakMB: float64(p.peakBytes) / (1 << 20)}
+		if p.failure != nil {
+			row.Failure = p.failure.Error()
 		}
 		p.mu.Unlock()
 		r.Nodes = append(r.Nodes, row)
@@ -97,8 +97,8 @@
 	for _, c := range l.clients {
 		r.Connections += c.ConnsOpened()
 	}
-	if l.idlers != nil {
-		r.Idle = &l.idlers.row
+	if l.idle != nil {
+		r.Idle = &l.idle.row
 	}
 	return r
 }
@@ -114,7 +114,7 @@
 }
 
 // mostShown is how many breaches are told in full.
-const mostShown = 5
+const maxPrintedBreaches = 5
 
 // Print writes the report as tables.
 func (r *Report) Print(w io.Writer) {
@@ -155,7 +155,7 @@
 	}
 	fmt.Fprintln(w)
 	for i, b := range r.Breaches {
-		if i == mostShown {
+		if i == maxPrintedBreaches {
 			fmt.Fprintf(w, "  and %d more\n", len(r.Breaches)-i)
 			break
 		}
--- a/internal/rig/lab/sidecars.go
+++ b/internal/rig/lab/sidecars.go
@@ -17,10 +17,10 @@
 
 // usualRoute is in the descriptions of sidecars where no other routes are given,
 // so that each has a file of timing rules to read again.
-const usualRoute = "[[route]]\nclass = %q\nattempts = 3\n"
+const defaultRoute = "[[route]]\nclass = %q\nattempts = 3\n"
 
 // platform describes the lab's fleet as the operators' tool reads it.
-func (l *Lab) platform() string {
+func (l *Lab) platformDescription() string {
 	p := &l.Fleet.Plan
 	var b strings.Builder
 	words := func(all []string) string { return `["` + strings.Join(all, `", "`) + `"]` }
@@ -49,14 +49,14 @@
 
 // describe writes the descriptions of all sidecars, and their configurations from
 // these as the operators' tool does.
-func (l *Lab) describe(routes string) error {
+func (l *Lab) writeSidecarConfigs(routes string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	dir := filepath.Join(l.dir, "apps")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	if err := replace(filepath.Join(dir, appdir.PlatformName), []byte(l.platform())); err != nil {
+	if err := replaceFile(filepath.Join(dir, appdir.PlatformName), []byte(l.platformDescription())); err != nil {
 		return err
 	}
 	var classes []string
@@ -64,16 +64,16 @@
 		classes = append(classes, c.Name)
 	}
 	if routes == "" {
-		routes = fmt.Sprintf(usualRoute, classes[0])
+		routes = fmt.Sprintf(defaultRoute, classes[0])
 	}
-	for _, p := range l.front {
+	for _, p := range l.frontNodes {
 		at, err := netip.ParseAddrPort(p.address)
 		if err != nil {
 			return fmt.Errorf("sidecar %s: %w", p.name, err)
 		}
 		text := fmt.Sprintf("schema = 1\nname = %q\nsites = [%q]\nservice = \"boxes\"\nclasses = [\"%s\"]\naddress = %q\nport = %d\ndiscovery = %q\n%s",
-			p.name, l.specs[p.name].Site, strings.Join(classes, `", "`), at.Addr(), at.Port(), l.lists[p.name], routes)
-		if err := replace(filepath.Join(dir, p.name+".toml"), []byte(text)); err != nil {
+			p.name, l.specs[p.name].Site, strings.Join(classes, `", "`), at.Addr(), at.Port(), l.discoveryAddresses[p.name], routes)
+		if err := replaceFile(filepath.Join(dir, p.name+".toml"), []byte(text)); err != nil {
 			return err
 		}
 	}
@@ -84,16 +84,16 @@
 	if _, _, err := appdir.Write(filepath.Join(l.dir, "out"), loaded.Set.Generate(loaded.Sources)); err != nil {
 		return err
 	}
-	if l.options.edit == nil {
+	if l.options.editConfig == nil {
 		return nil
 	}
-	for i, p := range l.front {
+	for i, p := range l.frontNodes {
 		path := l.sidecarPath(p.name, "node.json")
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		if err := replace(path, l.options.edit(i, text)); err != nil {
+		if err := replaceFile(path, l.options.editConfig(i, text)); err != nil {
 			return err
 		}
 	}
@@ -111,14 +111,14 @@
 	if !l.options.Sidecars {
 		return errors.New("only sidecars are rolled")
 	}
-	if err := l.describe(routes); err != nil {
+	if err := l.writeSidecarConfigs(routes); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	look := time.NewTicker(2 * time.Millisecond)
 	defer look.Stop()
-	for _, p := range l.front {
+	for _, p := range l.frontNodes {
 		const good, bad = "msg=reloaded", "the old one stays"
 		goods, bads := strings.Count(p.log.String(), good), strings.Count(p.log.String(), bad)
 		if err := p.signal(syscall.SIGHUP, false); err != nil {
--- a/internal/rig/lab/sidecars_test.go
+++ b/internal/rig/lab/sidecars_test.go
@@ -14,7 +14,7 @@
 
 // sidecarOptions are those of a lab of sidecars.
 func sidecarOptions(n int) Options {
-	o := options()
+	o := defaultOptions()
 	o.Nodes, o.Sidecars, o.MemoryMB, o.Sockets = n, true, 32, 256
 	return o
 }
@@ -55,7 +55,7 @@
 	if runErr != nil {
 		t.Fatal(runErr)
 	}
-	check(t, report)
+	checkReport(t, report)
 	for _, c := range report.Classes {
 		if c.Failed > 0 || c.Refused > 0 {
 			t.Errorf("%+v", c)
@@ -70,7 +70,7 @@
 // Configurations of one schema step before and after must work side by side.
 func TestSchemaSkew(t *testing.T) {
 	o := sidecarOptions(3)
-	o.edit = func(i int, text []byte) []byte {
+	o.editConfig = func(i int, text []byte) []byte {
 		switch i {
 		case 0: // what the platform writes today
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), nil, 1)
@@ -79,13 +79,13 @@
 		}
 		return text
 	}
-	r := run(t, o)
+	r := runLab(t, o)
 	for _, c := range r.Classes {
 		if c.Served != c.Requests {
 			t.Errorf("%+v", c)
 		}
 	}
-	o.edit = func(_ int, text []byte) []byte {
+	o.editConfig = func(_ int, text []byte) []byte {
 		return bytes.Replace(text, []byte(`"schema": 1`), []byte(`"schema": 3`), 1)
 	}
 	if l, err := Open(context.Background(), o); err == nil {
@@ -104,7 +104,7 @@
 	for _, load := range loads {
 		for _, sidecars := range []bool{false, true} {
 			for seed := range uint64(2) {
-				o := options()
+				o := defaultOptions()
 				o.Plan.Seed, o.Plan.Servers = seed+1, 8
 				o.Nodes, o.MemoryMB, o.Sockets = 3, 192, 1024
 				if sidecars {
@@ -117,11 +117,11 @@
 				}
 				idle := int64(0)
 				pids := []int{}
-				for _, p := range l.front {
+				for _, p := range l.frontNodes {
 					p.mu.Lock()
 					pids = append(pids, p.cmd.Process.Pid)
 					p.mu.Unlock()
-					idle += residentOf(pids[len(pids)-1])
+					idle += residentBytesOf(pids[len(pids)-1])
 				}
 				conns, busy := 0, int64(0)
 				r, err := l.Run(context.Background(), func(Progress) {
@@ -130,7 +130,7 @@
 						n += b.State().Conns
 					}
 					for _, pid := range pids {
-						m += residentOf(pid)
+						m += residentBytesOf(pid)
 					}
 					conns, busy = max(conns, n), max(busy, m)
 				})
@@ -138,7 +138,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				check(t, r)
+				checkReport(t, r)
 				name := "shared tier of 3"
 				if sidecars {
 					name = "40 sidecars"
@@ -152,11 +152,11 @@
 
 // An application that floods its own sidecar must get answers for what fits and
 // refusals for the rest, within the memory that the sidecar is told of.
-func TestFloodedSidecar(t *testing.T) {
+func TestOverloadedSidecar(t *testing.T) {
 	o := sidecarOptions(1)
 	o.Plan.Servers = 8
 	o.Traffic.Concurrency, o.Traffic.Retries = 500, 0
-	r := run(t, o)
+	r := runLab(t, o)
 	served, refused := 0, 0
 	for _, c := range r.Classes {
 		served, refused = served+c.Served, refused+c.Refused
@@ -169,7 +169,7 @@
 
 // Many sidecars together must keep a cold box within its budget and a draining one
 // free of new calls, though none knows of the others.
-func TestSidecarsBeforeColdAndDrainingBoxes(t *testing.T) {
+func TestSidecarsWithColdAndDrainingServers(t *testing.T) {
 	n := 8
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		n = 40
@@ -184,7 +184,7 @@
 		}
 		o.Faults = append(o.Faults, f)
 	}
-	r := run(t, o) // which checks the rules
+	r := runLab(t, o) // which checks the rules
 	for _, b := range r.Servers {
 		if b.Fallen {
 			t.Errorf("box %s was pushed over", b.ID)
--- a/internal/rig/lab/zone_test.go
+++ b/internal/rig/lab/zone_test.go
@@ -12,38 +12,38 @@
 // zoneLoss is a fleet that loses a zone, its nodes included, for a few seconds. Discovery lists that late, as for a machine
 // that has vanished, and must write each change to every node: the larger the zone, the longer that takes.
 type zoneLoss struct {
-	boxes int
+	servers int
 	nodes int
-	lines float64 // that discovery can write in a second
+	lineRate float64 // that discovery can write in a second
 	// The loss is listed so long after it happened, and changes are published so often.
-	noticed, publishEvery time.Duration
+	lossPublishDelay, publishEvery time.Duration
 }
 
 const (
-	zoneLostAt   = time.Second
-	zoneLostFor  = 5 * time.Second
-	zoneReturned = 2 * time.Second // and each box as serving so long after its start
-	nodeRate     = 10              // requests a second
-	leastServed  = 0.75            // of the requests: a node that sends nothing keeps every rule
+	zoneLossStart   = time.Second
+	zoneLossDuration  = 5 * time.Second
+	startPublishDelay = 2 * time.Second // and each box as serving so long after its start
+	requestsPerNode     = 10              // requests a second
+	minServedShare  = 0.75            // of the requests: a node that sends nothing keeps every rule
 )
 
 // play loses the zone and checks from outside that the rules hold.
-func (z zoneLoss) play(t *testing.T) {
+func (z zoneLoss) run(t *testing.T) {
 	t.Helper()
-	o := options()
-	o.Nodes, o.Plan.Servers = z.nodes, z.boxes
+	o := defaultOptions()
+	o.Nodes, o.Plan.Servers = z.nodes, z.servers
 	o.Plan.Registry = registry.Settings{} // until all are ready
-	o.Plan.CrashPublishDelay, o.Plan.PublishDelay, o.Plan.PublishEvery = z.noticed, zoneReturned, z.publishEvery
-	o.Traffic.Rate, o.Traffic.Duration = nodeRate*float64(z.nodes), zoneLostAt+zoneLostFor+z.noticed+8*time.Second
+	o.Plan.CrashPublishDelay, o.Plan.PublishDelay, o.Plan.PublishEvery = z.lossPublishDelay, startPublishDelay, z.publishEvery
+	o.Traffic.Rate, o.Traffic.Duration = requestsPerNode*float64(z.nodes), zoneLossStart+zoneLossDuration+z.lossPublishDelay+8*time.Second
 	lost := o.Plan.Sites[0]
-	o.Faults = append(o.Faults, standin.Fault{Kind: "crash", Site: lost, At: zoneLostAt, Duration: zoneLostFor})
+	o.Faults = append(o.Faults, standin.Fault{Kind: "crash", Site: lost, At: zoneLossStart, Duration: zoneLossDuration})
 	for i := 0; i < z.nodes; i += len(o.Plan.Sites) { // the nodes of that site
-		o.Faults = append(o.Faults, standin.Fault{Kind: "kill", Node: fmt.Sprint(i), At: zoneLostAt, Duration: zoneLostFor})
+		o.Faults = append(o.Faults, standin.Fault{Kind: "kill", Node: fmt.Sprint(i), At: zoneLossStart, Duration: zoneLossDuration})
 	}
-	capacity := registry.Settings{LinesPerSecond: z.lines, LinesPerCall: callLines, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
-	_, r, _ := runLimited(t, o, capacity)
-	if part := service(r); part < leastServed {
-		t.Errorf("%.3f served, want %.2f", part, leastServed)
+	capacity := registry.Settings{LinesPerSecond: z.lineRate, LinesPerCall: linesPerCall, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
+	_, r, _ := runWithCapacity(t, o, capacity)
+	if part := servedShare(r); part < minServedShare {
+		t.Errorf("%.3f served, want %.2f", part, minServedShare)
 	}
 }
 
@@ -51,19 +51,19 @@
 // old as the loss, and discovery is busy telling the others: what they can't have heard of counts as told to them all the
 // same. Boxes that are back serve whoever asks, so that they do proves nothing.
 func TestZoneReturnsToALargeFleet(t *testing.T) {
-	zoneLoss{boxes: 1600, nodes: 24, lines: 2400, noticed: 4 * time.Second, publishEvery: 400 * time.Millisecond}.play(t)
+	zoneLoss{servers: 1600, nodes: 24, lineRate: 2400, lossPublishDelay: 4 * time.Second, publishEvery: 400 * time.Millisecond}.run(t)
 }
 
 // The same with a few boxes, of which every node hears in time: that is why it takes thousands to show.
 func TestZoneReturnsToASmallFleet(t *testing.T) {
 	t.Parallel()
-	zoneLoss{boxes: 48, nodes: 24, lines: 2400, noticed: 4 * time.Second, publishEvery: 400 * time.Millisecond}.play(t)
+	zoneLoss{servers: 48, nodes: 24, lineRate: 2400, lossPublishDelay: 4 * time.Second, publishEvery: 400 * time.Millisecond}.run(t)
 }
 
 // A zone of a few boxes is lost and is listed as gone soon: that counts as told to its nodes 3 s after their start. So many
 // nodes take turns to ask, and those that ask last must have done so by then.
-func TestZoneReturnsBeforeItsNodesAsk(t *testing.T) {
-	zoneLoss{boxes: 48, nodes: 42, lines: 2400, noticed: 1500 * time.Millisecond, publishEvery: 100 * time.Millisecond}.play(t)
+func TestZoneReturnsBeforeItsNodesPoll(t *testing.T) {
+	zoneLoss{servers: 48, nodes: 42, lineRate: 2400, lossPublishDelay: 1500 * time.Millisecond, publishEvery: 100 * time.Millisecond}.run(t)
 }
 
 // A zone of hundreds of boxes is lost while discovery writes in a second an eightieth of the lines that a change of each box to
@@ -72,5 +72,5 @@
 // It fails, with 4 breaches where it had 7 to 9: open long polls wait for their answers for up to 12 s, and "unconfirmed=false" stands in the
 // debug lines of all of these requests. A node that met the loss knows better now; those that sent the zone nothing meanwhile can't.
 func TestZoneReturnsBeforeASlowDiscovery(t *testing.T) {
-	zoneLoss{boxes: 1600, nodes: 24, lines: 480, noticed: 4 * time.Second, publishEvery: 400 * time.Millisecond}.play(t)
+	zoneLoss{servers: 1600, nodes: 24, lineRate: 480, lossPublishDelay: 4 * time.Second, publishEvery: 400 * time.Millisecond}.run(t)
 }
--- a/internal/rig/relay/relay.go
+++ b/internal/rig/relay/relay.go
@@ -35,22 +35,22 @@
 
 	target         netip.AddrPort
 	udp            *net.UDPConn
-	out            *net.UDPConn
+	targetConn            *net.UDPConn
 	tcp            net.Listener
-	stop           context.CancelFunc
+	cancel           context.CancelFunc
 	ctx            context.Context
-	parts          sync.WaitGroup
+	workers          sync.WaitGroup
 	ForwardedBytes atomic.Int64 // bytes of datagrams that went on
 
 	mu      sync.Mutex // guards what follows
-	weather Conditions
+	conditions Conditions
 	rng     *rand.Rand
 	timers  map[*time.Timer]struct{}
 	closed  bool
 }
 
 // mostStreams is how many streams are carried at once.
-const mostStreams = 32
+const maxStreams = 32
 
 // New starts a relay on loopback to a loopback target.
 func New(target netip.AddrPort, seed uint64) (*Relay, error) {
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("relay: %v is not on loopback", target)
 	}
 	r := &Relay{target: target, rng: rand.New(rand.NewPCG(seed, 0x5e1a)), timers: map[*time.Timer]struct{}{}}
-	r.ctx, r.stop = context.WithCancel(context.Background())
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	for try := 0; ; try++ { // one port for both
 		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -76,13 +76,13 @@
 		}
 	}
 	var err error
-	if r.out, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(target)); err != nil {
+	if r.targetConn, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(target)); err != nil {
 		r.udp.Close()
 		r.tcp.Close()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r.parts.Go(r.datagrams)
-	r.parts.Go(r.streams)
+	r.workers.Go(r.forwardDatagrams)
+	r.workers.Go(r.acceptStreams)
 	return r, nil
 }
 
@@ -90,7 +90,7 @@
 func (r *Relay) SetConditions(w Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.weather = w
+	r.conditions = w
 }
 
 // Close ends the relay and all that is under way in it.
@@ -101,14 +101,14 @@
 		t.Stop()
 	}
 	r.mu.Unlock()
-	r.stop()
+	r.cancel()
 	r.udp.Close()
 	r.tcp.Close()
-	r.parts.Wait()
-	r.out.Close()
+	r.workers.Wait()
+	r.targetConn.Close()
 }
 
-func (r *Relay) datagrams() {
+func (r *Relay) forwardDatagrams() {
 	b := make([]byte, 64<<10)
 	for {
 		n, _, err := r.udp.ReadFromUDPAddrPort(b)
@@ -116,16 +116,16 @@
 			return
 		}
 		if err == nil {
-			r.carry(b[:n])
+			r.forwardDatagram(b[:n])
 		}
 	}
 }
 
 // carry draws what becomes of a datagram.
-func (r *Relay) carry(b []byte) {
+func (r *Relay) forwardDatagram(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.weather
+	w := r.conditions
 	if w.Cut || r.rng.Float64() < w.Loss {
 		return
 	}
@@ -147,7 +147,7 @@
 		t = time.AfterFunc(wait, func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if delete(r.timers, t); !r.closed && !r.weather.Cut {
+			if delete(r.timers, t); !r.closed && !r.conditions.Cut {
 				r.send(b)
 			}
 		})
@@ -156,14 +156,14 @@
 }
 
 func (r *Relay) send(b []byte) {
-	if _, err := r.out.Write(b); err == nil { // nobody may listen there
+	if _, err := r.targetConn.Write(b); err == nil { // nobody may listen there
 		r.ForwardedBytes.Add(int64(len(b)))
 	}
 }
 
 // streams carries streams one way.
-func (r *Relay) streams() {
-	places := make(chan struct{}, mostStreams)
+func (r *Relay) acceptStreams() {
+	places := make(chan struct{}, maxStreams)
 	for {
 		c, err := r.tcp.Accept()
 		if err != nil {
@@ -175,19 +175,19 @@
 			c.Close()
 			continue
 		}
-		r.parts.Go(func() {
+		r.workers.Go(func() {
 			defer func() { <-places }()
 			defer c.Close()
 			end := context.AfterFunc(r.ctx, func() { c.Close() })
 			defer end()
-			r.stream(c)
+			r.forwardStream(c)
 		})
 	}
 }
 
-func (r *Relay) stream(c net.Conn) {
+func (r *Relay) forwardStream(c net.Conn) {
 	r.mu.Lock()
-	w := r.weather
+	w := r.conditions
 	r.mu.Unlock()
 	if w.Cut { // swallowed: the sender finds out by its own patience
 		io.Copy(io.Discard, c)
--- a/internal/rig/resource/resource.go
+++ b/internal/rig/resource/resource.go
@@ -31,18 +31,18 @@
 type Resource struct {
 	Address string
 
-	checks   bool
+	checkTokens   bool
 	listener net.Listener
-	parts    sync.WaitGroup
+	workers    sync.WaitGroup
 
 	mu      sync.Mutex // guards what follows
-	acts    []*Access
-	open    map[*Access]*net.TCPConn
+	history    []*Access
+	active    map[*Access]*net.TCPConn
 	highest uint64
-	wrong   []string
+	violations   []string
 }
 
-const mostActs = 100_000
+const maxHistory = 100_000
 
 // Start starts a resource. One that checks tokens refuses those below the highest that it has seen.
 func Start(checks bool) (*Resource, error) {
@@ -50,8 +50,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("resource: %w", err)
 	}
-	r := &Resource{Address: l.Addr().String(), checks: checks, listener: l, open: map[*Access]*net.TCPConn{}}
-	r.parts.Go(r.accept)
+	r := &Resource{Address: l.Addr().String(), checkTokens: checks, listener: l, active: map[*Access]*net.TCPConn{}}
+	r.workers.Go(r.accept)
 	return r, nil
 }
 
@@ -59,11 +59,11 @@
 func (r *Resource) Close() {
 	r.listener.Close()
 	r.mu.Lock()
-	for _, c := range r.open {
+	for _, c := range r.active {
 		c.Close()
 	}
 	r.mu.Unlock()
-	r.parts.Wait()
+	r.workers.Wait()
 }
 
 func (r *Resource) accept() {
@@ -72,7 +72,7 @@
 		if err != nil {
 			return
 		}
-		r.parts.Go(func() { r.serve(c.(*net.TCPConn)) })
+		r.workers.Go(func() { r.serve(c.(*net.TCPConn)) })
 	}
 }
 
@@ -100,36 +100,36 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.To = time.Now()
-	delete(r.open, a)
+	delete(r.active, a)
 }
 
 // begin notes an act, and what is wrong with it.
 func (r *Resource) begin(a *Access, c *net.TCPConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.acts) < mostActs {
-		r.acts = append(r.acts, a)
+	if len(r.history) < maxHistory {
+		r.history = append(r.history, a)
 	}
 	if a.Token < r.highest {
-		if r.checks {
+		if r.checkTokens {
 			a.Refused, a.To = true, a.From
 			return false
 		}
-		r.wrong = append(r.wrong, fmt.Sprintf("%s comes with token %d after %d", a.Holder, a.Token, r.highest))
+		r.violations = append(r.violations, fmt.Sprintf("%s comes with token %d after %d", a.Holder, a.Token, r.highest))
 	}
 	r.highest = max(r.highest, a.Token)
-	for x, other := range r.open {
-		if x.Token == a.Token && x.Holder == a.Holder || ended(other) {
+	for x, other := range r.active {
+		if x.Token == a.Token && x.Holder == a.Holder || connClosed(other) {
 			continue
 		}
-		r.wrong = append(r.wrong, fmt.Sprintf("%s begins under token %d while %s acts under %d since %v", a.Holder, a.Token, x.Holder, x.Token, a.From.Sub(x.From)))
+		r.violations = append(r.violations, fmt.Sprintf("%s begins under token %d while %s acts under %d since %v", a.Holder, a.Token, x.Holder, x.Token, a.From.Sub(x.From)))
 	}
-	r.open[a] = c
+	r.active[a] = c
 	return true
 }
 
 // ended tells whether the other end is closed already, which its reader may not have come to yet.
-func ended(c *net.TCPConn) (over bool) {
+func connClosed(c *net.TCPConn) (over bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -148,8 +148,8 @@
 func (r *Resource) History() []Access {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]Access, 0, len(r.acts))
-	for _, a := range r.acts {
+	all := make([]Access, 0, len(r.history))
+	for _, a := range r.history {
 		all = append(all, *a)
 	}
 	return all
@@ -159,7 +159,7 @@
 func (r *Resource) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.wrong...)
+	return append([]string(nil), r.violations...)
 }
 
 // Acting is an act that goes on.
--- a/internal/rig/resource/resource_test.go
+++ b/internal/rig/resource/resource_test.go
@@ -30,7 +30,7 @@
 
 // Rogues are told: one that acts beside another, one whose token fell, one that has another's token. One after another is
 // no wrong, however closely they follow.
-func TestRogues(t *testing.T) {
+func TestViolationsRecorded(t *testing.T) {
 	r := start(t, false)
 	for i := range uint64(300) {
 		begin(t, r, "a", 2*i+1).End()
@@ -58,7 +58,7 @@
 }
 
 // A resource that checks tokens turns lower ones away, which is no wrong then.
-func TestTokensAreChecked(t *testing.T) {
+func TestStaleTokensRefused(t *testing.T) {
 	r := start(t, true)
 	begin(t, r, "a", 5).End()
 	if _, err := Begin(r.Address, "b", 4); err == nil {
