--- a/internal/rig/lab/idle.go
+++ b/internal/rig/lab/idle.go
@@ -19,9 +19,9 @@
 // takes processes of their own, since a process may hold 20,000 descriptors here; they
 // only ask whether the node is ready.
 const (
-	maxLocalIdleConns    = 15000
+	maxLocalIdleConns  = 15000
 	maxHelperIdleConns = 19500
-	quietPeriod   = 3 * time.Second
+	quietPeriod        = 3 * time.Second
 )
 
 // idleRules let idle connections stay.
@@ -57,9 +57,9 @@
 
 // idlers hold the idle connections of a lab.
 type idleConns struct {
-	local     *standin.IdleClients
+	local   *standin.IdleClients
 	helpers []*exec.Cmd
-	count    int
+	count   int
 	row     IdleRow
 }
 
--- a/internal/rig/lab/lab.go
+++ b/internal/rig/lab/lab.go
@@ -40,7 +40,7 @@
 	Sidecars          bool
 	OldList           *OldList                        // what nodes remember at their start; nil: nothing
 	Routes            string                          // the [[route]] tables of their descriptions; "": a usual one
-	editConfig              func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
+	editConfig        func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
 	Membership        bool                            // nodes before the first tier know each other; between each two a relay for each direction
 	NoRelays          bool                            // with Members: no relays stand between the nodes, and there may be many
 	Seeds             []netip.AddrPort                // with Unlinked: of a larger fleet that the nodes join
@@ -58,19 +58,19 @@
 	Fleet         *standin.Fleet
 	LoadGenerator *standin.LoadGenerator
 
-	options   Options
-	dir       string
-	frontNodes     []*process // before the first tier
-	innerNodes     []*process // between tiers
-	specs     map[string]standin.NodeSpec
-	clients   []*standin.Client
-	idle    *idleConns                  // nil: none
-	staleEndpoints staleEndpoints                // what stands at the addresses of boxes that are no more
-	discoveryAddresses     map[string]string        // discovery, by node
-	links   *nodeLinks                 // relays; nil: nodes do not talk
-	pausedAt   map[string]time.Duration // when a node began to stand still
-	onStart   func(p *process)         // called for each node that has been started again; nil: nobody asks
-	mu        sync.Mutex               // guards the configuration files
+	options            Options
+	dir                string
+	frontNodes         []*process // before the first tier
+	innerNodes         []*process // between tiers
+	specs              map[string]standin.NodeSpec
+	clients            []*standin.Client
+	idle               *idleConns               // nil: none
+	staleEndpoints     staleEndpoints           // what stands at the addresses of boxes that are no more
+	discoveryAddresses map[string]string        // discovery, by node
+	links              *nodeLinks               // relays; nil: nodes do not talk
+	pausedAt           map[string]time.Duration // when a node began to stand still
+	onStart            func(p *process)         // called for each node that has been started again; nil: nobody asks
+	mu                 sync.Mutex               // guards the configuration files
 }
 
 // Open starts fleet and nodes, and returns once all are ready. The caller must Close.
--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	leaseTTL     = 2 * time.Second
+	leaseTTL          = 2 * time.Second
 	voterReplaceDelay = 10 * time.Second
 )
 
@@ -33,14 +33,14 @@
 // leasing is a lab whose nodes keep leases, with a resource and programs that contend for it.
 type leaseLab struct {
 	*memberLab
-	resource    *resource.Resource
-	voters  []string
-	cancel  context.CancelFunc
-	ctx    context.Context
-	contenders  sync.WaitGroup
-	mu     sync.Mutex // guards what follows
-	ops    []porcupine.Operation
-	grants int
+	resource   *resource.Resource
+	voters     []string
+	cancel     context.CancelFunc
+	ctx        context.Context
+	contenders sync.WaitGroup
+	mu         sync.Mutex // guards what follows
+	ops        []porcupine.Operation
+	grants     int
 	startedAt  time.Time
 }
 
--- a/internal/rig/lab/members_test.go
+++ b/internal/rig/lab/members_test.go
@@ -15,10 +15,10 @@
 // together is a lab whose nodes know each other, with traffic that flows all the while.
 type memberLab struct {
 	*Lab
-	t      *testing.T
-	names  []string
-	report  chan *Report
-	stop   context.CancelFunc
+	t         *testing.T
+	names     []string
+	report    chan *Report
+	stop      context.CancelFunc
 	minServed float64 // part of the requests that must be served in time
 }
 
--- a/internal/rig/lab/memberspairs_test.go
+++ b/internal/rig/lab/memberspairs_test.go
@@ -16,11 +16,11 @@
 
 // trouble is a fault among nodes that know each other: the weather that it makes, and what it does to processes.
 type memberFault struct {
-	name    string
+	name       string
 	conditions func(w *relay.Conditions, from, to int)
-	begin   func(x *memberLab)
-	end     func(x *memberLab)
-	evicted     []string // who is out of all views while it lasts
+	begin      func(x *memberLab)
+	end        func(x *memberLab)
+	evicted    []string // who is out of all views while it lasts
 }
 
 func memberFaults() []memberFault {
--- a/internal/rig/lab/oldlist.go
+++ b/internal/rig/lab/oldlist.go
@@ -39,7 +39,7 @@
 // strangers stand where boxes are no more.
 type staleEndpoints struct {
 	addresses []string
-	closers      []func()
+	closers   []func()
 }
 
 func (s *staleEndpoints) close() {
@@ -142,6 +142,6 @@
 const (
 	// foreignGeneration is above all that the stand-in's discovery counts: it answers with its whole list.
 	foreignGeneration = 1 << 30
-	maxStaleEntries         = 400
-	maxListAge           = 10 * 365 * 24 * time.Hour
+	maxStaleEntries   = 400
+	maxListAge        = 10 * 365 * 24 * time.Hour
 )
--- a/internal/rig/lab/overload_test.go
+++ b/internal/rig/lab/overload_test.go
@@ -14,11 +14,11 @@
 // overload is a fleet whose nodes together can ask discovery for more than it can work through. Times count from the
 // start of the traffic.
 type overloadTest struct {
-	nodes    int
+	nodes         int
 	fullRoundTime time.Duration // in which discovery can take one call from each node
 	lastFaultEnd  time.Duration // the last disturbance is over
 	recoveryLimit time.Duration // after which every node must have the newest list
-	observeTime    time.Duration // how long calls are counted from then on
+	observeTime   time.Duration // how long calls are counted from then on
 	requiredLog   string        // by every node; "": anything
 }
 
@@ -177,7 +177,7 @@
 
 // movedFleet is a fleet before a discovery that moves while its queue is full, and three boxes that drain so far apart.
 type movedDiscovery struct {
-	nodes           int
+	nodes                        int
 	fullRoundTime, drainInterval time.Duration
 }
 
--- a/internal/rig/lab/process.go
+++ b/internal/rig/lab/process.go
@@ -41,15 +41,15 @@
 	env     []string
 	address string // where it answers /ready
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	exited chan struct{} // the present child has ended
-	log   logTail
-	pastCPUTime   time.Duration // of children that have ended
-	peakBytes  int64         // bytes, of children that have ended
-	observedPeak  int64         // the same of the present child, as the system told before its end; 0: it did not
-	failure error         // it ended by itself
-	stopping bool          // its end is wanted
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{} // the present child has ended
+	log          logTail
+	pastCPUTime  time.Duration // of children that have ended
+	peakBytes    int64         // bytes, of children that have ended
+	observedPeak int64         // the same of the present child, as the system told before its end; 0: it did not
+	failure      error         // it ended by itself
+	stopping     bool          // its end is wanted
 }
 
 // tail keeps the last of what a child writes.
--- a/internal/rig/lab/release_test.go
+++ b/internal/rig/lab/release_test.go
@@ -12,16 +12,16 @@
 // zoneRelease is a fleet in which all boxes of a zone drain within moments and are replaced. Each turns new work away while
 // it drains, and discovery takes seconds to tell all nodes of so many.
 type zoneRelease struct {
-	faultKind    string // that announces a box as leaving: "drain", or "leave" if it goes on answering
-	servers    int
-	lineRate    float64       // that discovery can write in a second
+	faultKind     string // that announces a box as leaving: "drain", or "leave" if it goes on answering
+	servers       int
+	lineRate      float64       // that discovery can write in a second
 	replacedAfter time.Duration // after which a new process takes a box's place
 }
 
 const (
-	releaseNodes = 24
+	releaseNodes    = 24
 	releaseStart    = 2 * time.Second
-	releaseSteps = 8
+	releaseSteps    = 8
 	releaseInterval = 150 * time.Millisecond
 )
 
@@ -52,7 +52,9 @@
 // zone after the other to find that out, nor take the new processes for those that they know.
 func TestZoneDrainsInALargeFleet(t *testing.T) {
 	for name, replaced := range map[string]time.Duration{"replaced soon": 4 * time.Second, "replaced late": 7 * time.Second} {
-		t.Run(name, func(t *testing.T) { zoneRelease{faultKind: "drain", servers: 1600, lineRate: 3840, replacedAfter: replaced}.run(t) })
+		t.Run(name, func(t *testing.T) {
+			zoneRelease{faultKind: "drain", servers: 1600, lineRate: 3840, replacedAfter: replaced}.run(t)
+		})
 	}
 }
 
@@ -63,6 +65,8 @@
 // discovery's queue, and went by proof: all of these requests have "unconfirmed=true" in the debug lines, and their boxes had just answered.
 func TestZoneLeavesALargeFleet(t *testing.T) {
 	for name, replaced := range map[string]time.Duration{"replaced soon": 4 * time.Second, "replaced late": 7 * time.Second} {
-		t.Run(name, func(t *testing.T) { zoneRelease{faultKind: "leave", servers: 1600, lineRate: 3840, replacedAfter: replaced}.run(t) })
+		t.Run(name, func(t *testing.T) {
+			zoneRelease{faultKind: "leave", servers: 1600, lineRate: 3840, replacedAfter: replaced}.run(t)
+		})
 	}
 }
--- a/internal/rig/lab/zone_test.go
+++ b/internal/rig/lab/zone_test.go
@@ -12,19 +12,19 @@
 // zoneLoss is a fleet that loses a zone, its nodes included, for a few seconds. Discovery lists that late, as for a machine
 // that has vanished, and must write each change to every node: the larger the zone, the longer that takes.
 type zoneLoss struct {
-	servers int
-	nodes int
+	servers  int
+	nodes    int
 	lineRate float64 // that discovery can write in a second
 	// The loss is listed so long after it happened, and changes are published so often.
 	lossPublishDelay, publishEvery time.Duration
 }
 
 const (
-	zoneLossStart   = time.Second
+	zoneLossStart     = time.Second
 	zoneLossDuration  = 5 * time.Second
 	startPublishDelay = 2 * time.Second // and each box as serving so long after its start
-	requestsPerNode     = 10              // requests a second
-	minServedShare  = 0.75            // of the requests: a node that sends nothing keeps every rule
+	requestsPerNode   = 10              // requests a second
+	minServedShare    = 0.75            // of the requests: a node that sends nothing keeps every rule
 )
 
 // play loses the zone and checks from outside that the rules hold.
--- a/internal/rig/relay/relay.go
+++ b/internal/rig/relay/relay.go
@@ -35,18 +35,18 @@
 
 	target         netip.AddrPort
 	udp            *net.UDPConn
-	targetConn            *net.UDPConn
+	targetConn     *net.UDPConn
 	tcp            net.Listener
-	cancel           context.CancelFunc
+	cancel         context.CancelFunc
 	ctx            context.Context
-	workers          sync.WaitGroup
+	workers        sync.WaitGroup
 	ForwardedBytes atomic.Int64 // bytes of datagrams that went on
 
-	mu      sync.Mutex // guards what follows
+	mu         sync.Mutex // guards what follows
 	conditions Conditions
-	rng     *rand.Rand
-	timers  map[*time.Timer]struct{}
-	closed  bool
+	rng        *rand.Rand
+	timers     map[*time.Timer]struct{}
+	closed     bool
 }
 
 // mostStreams is how many streams are carried at once.
--- a/internal/rig/resource/resource.go
+++ b/internal/rig/resource/resource.go
@@ -31,15 +31,15 @@
 type Resource struct {
 	Address string
 
-	checkTokens   bool
-	listener net.Listener
-	workers    sync.WaitGroup
+	checkTokens bool
+	listener    net.Listener
+	workers     sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
+	mu         sync.Mutex // guards what follows
 	history    []*Access
-	active    map[*Access]*net.TCPConn
-	highest uint64
-	violations   []string
+	active     map[*Access]*net.TCPConn
+	highest    uint64
+	violations []string
 }
 
 const maxHistory = 100_000
