--- a/internal/rig/lab/idle.go
+++ b/internal/rig/lab/idle.go
@@ -15,19 +15,18 @@
 	"curlewring/internal/rig/standin"
 )
 
-// Idle connections: up to mostOwn the lab's process holds, and asks on, itself. More
-// takes processes of their own, since a process may hold 20,000 descriptors here; they
-// only ask whether the node is ready.
+// Up to maxLocalIdleConns idle connections are held, and used for requests, by this process. More need helper
+// processes, since a process may have 20,000 descriptors here. Connections of helpers only request /ready.
 const (
 	maxLocalIdleConns  = 15000
 	maxHelperIdleConns = 19500
 	quietPeriod        = 3 * time.Second
 )
 
-// idleRules let idle connections stay.
+// idlePolicy lets idle connections stay open.
 const idlePolicy = "[[idle]]\nfor = \"6h\"\n"
 
-// IdleRow is what the idle connections cost the nodes before the first tier.
+// IdleRow reports what the idle connections cost the nodes in front of the first tier.
 type IdleRow struct {
 	Held         int     `json:"held"`
 	HeldAtEnd    int     `json:"still_held_at_the_end"`
@@ -40,13 +39,13 @@
 	Lost         int64   `json:"lost"`
 }
 
-// idleOptions are Options as idle connections need them: what is told to the nodes
-// must have room for them, and the operators' file let them stay.
+// applyIdleOptions adjusts the options for idle connections: the nodes' socket limit must allow for them, and
+// the operators' file must let them stay open.
 func (o *Options) applyIdleOptions(dir string) error {
 	if o.IdleConns == 0 {
 		return nil
 	}
-	// Clients have half of the descriptors, and the traffic needs some.
+	// Client connections get half of the descriptors, and the traffic needs some of these.
 	o.Sockets = max(o.Sockets, 2*(o.IdleConns/o.Nodes+2048)+100)
 	if o.Operator != "" {
 		return nil
@@ -55,7 +54,7 @@
 	return os.WriteFile(o.Operator, []byte(idlePolicy), 0o600)
 }
 
-// idlers hold the idle connections of a lab.
+// idleConns holds the idle connections of a lab.
 type idleConns struct {
 	local   *standin.IdleClients
 	helpers []*exec.Cmd
@@ -63,7 +62,7 @@
 	row     IdleRow
 }
 
-// hold opens the idle connections and measures what they cost.
+// openIdleConns opens the idle connections and measures what they cost.
 func (l *Lab) openIdleConns(ctx context.Context) (err error) {
 	resident := func() (sum int64) {
 		for _, p := range l.frontNodes {
@@ -71,9 +70,9 @@
 		}
 		return sum
 	}
-	i := &idleConns{count: l.options.IdleConns}
-	l.idle = i
-	// A few at first: what each node needs once is not theirs.
+	conns := &idleConns{count: l.options.IdleConns}
+	l.idle = conns
+	// Open a few connections first, so that one-time allocations of each node are not counted.
 	warm := standin.NewIdleClients(&l.Fleet.Plan, 64, l.clients)
 	err = warm.Connect(ctx)
 	warm.Close()
@@ -82,64 +81,65 @@
 	}
 	before := resident()
 	if l.options.IdleConns <= maxLocalIdleConns {
-		i.local = standin.NewIdleClients(&l.Fleet.Plan, l.options.IdleConns, l.clients)
-		if err := i.local.Connect(ctx); err != nil {
+		conns.local = standin.NewIdleClients(&l.Fleet.Plan, l.options.IdleConns, l.clients)
+		if err := conns.local.Connect(ctx); err != nil {
 			return err
 		}
-	} else if err := i.startHelpers(ctx, l); err != nil {
+	} else if err := conns.startHelpers(ctx, l); err != nil {
 		return err
 	}
-	cpu, begun := l.CPUTime(), time.Now()
+	cpu, start := l.CPUTime(), time.Now()
 	select {
 	case <-time.After(quietPeriod):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	i.row.QuietCores = (l.CPUTime() - cpu).Seconds() / time.Since(begun).Seconds()
+	conns.row.QuietCores = (l.CPUTime() - cpu).Seconds() / time.Since(start).Seconds()
 	after := resident()
-	i.row.Held = i.count
-	i.row.BeforeMB, i.row.AfterMB = float64(before)/(1<<20), float64(after)/(1<<20)
-	i.row.BytesPerConn = float64(after-before) / float64(i.count)
+	conns.row.Held = conns.count
+	conns.row.BeforeMB, conns.row.AfterMB = float64(before)/(1<<20), float64(after)/(1<<20)
+	conns.row.BytesPerConn = float64(after-before) / float64(conns.count)
 	return nil
 }
 
-// help has other processes hold the connections.
+// startHelpers starts a process per node that holds its share of the connections.
 func (i *idleConns) startHelpers(ctx context.Context, l *Lab) error {
 	tool := l.options.ToolBinary
 	if tool == "" {
-		return fmt.Errorf("%d idle connections take more than one process, and the tool that holds them is not known", i.count)
+		return fmt.Errorf("%d idle connections need helper processes, but Options.ToolBinary is not set", i.count)
 	}
-	var all sync.WaitGroup
-	wrong := make([]error, len(l.frontNodes))
+	var started sync.WaitGroup
+	errs := make([]error, len(l.frontNodes))
 	for n, p := range l.frontNodes {
 		count := i.count / len(l.frontNodes)
 		if n < i.count%len(l.frontNodes) {
 			count++
 		}
 		if count > maxHelperIdleConns {
-			return fmt.Errorf("%d idle connections at one node, at most %d", count, maxHelperIdleConns)
+			return fmt.Errorf("%d idle connections on one node, at most %d", count, maxHelperIdleConns)
 		}
 		cmd := exec.Command(tool, "idlers", p.address, strconv.Itoa(count))
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			return err
 		}
-		if _, err := cmd.StdinPipe(); err != nil { // its end, at the latest with this process, ends the helper
+		// the helper exits at the end of its standard input, at the latest when this process exits
+		if _, err := cmd.StdinPipe(); err != nil {
 			return err
 		}
 		if err := cmd.Start(); err != nil {
-			return fmt.Errorf("holding idle connections: %w", err)
+			return fmt.Errorf("starting a helper that holds idle connections: %w", err)
 		}
 		i.helpers = append(i.helpers, cmd)
-		all.Go(func() {
+		started.Go(func() {
 			line, err := bufio.NewReader(out).ReadString('\n')
-			if got, _ := strconv.Atoi(strings.TrimSpace(line)); got != count {
-				wrong[n] = fmt.Errorf("%s holds %q of %d idle connections: %v", p.name, strings.TrimSpace(line), count, err)
+			if held, _ := strconv.Atoi(strings.TrimSpace(line)); held != count {
+				errs[n] = fmt.Errorf("%s: the helper holds %q of %d idle connections: %v", p.name, strings.TrimSpace(line), count, err)
 			}
 		})
 	}
-	all.Wait()
-	for _, err := range wrong {
+	started.Wait()
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 	return ctx.Err()
 }
 
-// end closes the connections, and fills the row in.
+// close closes the connections and completes the report row.
 func (i *idleConns) close() {
 	if i == nil {
 		return
--- a/internal/rig/lab/lab.go
+++ b/internal/rig/lab/lab.go
@@ -18,62 +18,69 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Options say what to run.
+// Options configures a run.
 type Options struct {
 	Plan          standin.Plan
-	Nodes         int // before the first tier
+	Nodes         int // in front of the first tier
 	Traffic       standin.Traffic
 	Faults        []standin.Fault
-	Binary        string // the node's program; "": it is built
-	Operator      string // the operators' file; "": none
+	Binary        string // path of the node binary; "" builds it
+	Operator      string // path of the operators' file; "" for none
 	MemoryMB      int
 	Sockets       int
-	ShareBudgets  bool          // nodes share budgets of attempts
-	AllowHedging  bool          // the platform lets attempts of a request overlap
+	ShareBudgets  bool          // the attempt budget of a request holds across tiers
+	AllowHedging  bool          // the platform allows overlapping attempts of a request
 	Debug         bool          // nodes log every request, attempt and call to discovery
-	MaxRetryAfter time.Duration // the platform's longest Retry-After; 0: none
-	IdleConns     int           // connections that are held beside the traffic, over all nodes
-	IdleInterval  time.Duration // each of them asks again so often, while the traffic runs; 0: never
-	ToolBinary    string        // curlewctl, which holds them where they are many
-	// Sidecars makes each node before the first tier one beside an application of
-	// its own, started from what the operators' tool writes.
-	Sidecars          bool
-	OldList           *OldList                        // what nodes remember at their start; nil: nothing
-	Routes            string                          // the [[route]] tables of their descriptions; "": a usual one
-	editConfig        func(i int, text []byte) []byte // of a sidecar's written configuration, for tests
-	Membership        bool                            // nodes before the first tier know each other; between each two a relay for each direction
-	NoRelays          bool                            // with Members: no relays stand between the nodes, and there may be many
-	Seeds             []netip.AddrPort                // with Unlinked: of a larger fleet that the nodes join
-	NoPooling         bool                            // with Members: each goes by its own part of a cold box's budget
-	ReplaceVoterAfter time.Duration                   // with Members: they keep leases, and a voter that is gone for so long is replaced; 0: none
-	ListFromPeers     bool                            // with Leases: nodes without a list of boxes get one from each other
-	// Forward, if set, runs in the place of each node: a control that does not
-	// balance. It gets its name, address and the boxes' addresses behind its own
-	// arguments.
+	MaxRetryAfter time.Duration // longest Retry-After that the platform sends; 0 for none
+	IdleConns     int           // idle connections held besides the traffic, summed finished all nodes
+	IdleInterval  time.Duration // interval between requests on each idle connection while traffic runs; 0 for none
+	ToolBinary    string        // path of curlewctl, which holds the idle connections if there are many
+	// Sidecars runs each node in front of the first tier as the sidecar of its own application, with the
+	// configuration that the operators' tool generates.
+	Sidecars bool
+	OldList  *OldList // list that nodes have stored when they start; nil for none
+	// Routes holds the [[route]] tables of the sidecars' descriptions; "" for defaultRoute.
+	Routes     string
+	editConfig func(i int, text []byte) []byte // edits a sidecar's generated configuration; used by tests
+	// Membership makes the nodes in front of the first tier members of a fleet, with a relay for each direction
+	// of each pair.
+	Membership bool
+	// NoRelays, with Membership, leaves out the relays, so that the number of nodes is not limited.
+	NoRelays bool
+	Seeds    []netip.AddrPort // with NoRelays: seeds of the larger fleet that the nodes join
+	// NoPooling, with Membership, makes each node use its own share of a cold server's budget.
+	NoPooling bool
+	// ReplaceVoterAfter, with Membership, makes nodes keep leases and replace a voter that is gone for this long;
+	// 0 for no leases.
+	ReplaceVoterAfter time.Duration
+	// ListFromPeers, with ReplaceVoterAfter, lets nodes without a server list get one from each other.
+	ListFromPeers bool
+	// ForwardCommand, if set, runs in place of each node, as a control that does not balance. The node's name
+	// and address and the servers' addresses are appended to its arguments.
 	ForwardCommand []string
 }
 
-// Lab is a fleet with its nodes.
+// Lab is a stand-in fleet with its node processes.
 type Lab struct {
 	Fleet         *standin.Fleet
 	LoadGenerator *standin.LoadGenerator
 
 	options            Options
 	dir                string
-	frontNodes         []*process // before the first tier
+	frontNodes         []*process // in front of the first tier
 	innerNodes         []*process // between tiers
 	specs              map[string]standin.NodeSpec
 	clients            []*standin.Client
-	idle               *idleConns               // nil: none
-	staleEndpoints     staleEndpoints           // what stands at the addresses of boxes that are no more
-	discoveryAddresses map[string]string        // discovery, by node
-	links              *nodeLinks               // relays; nil: nodes do not talk
-	pausedAt           map[string]time.Duration // when a node began to stand still
-	onStart            func(p *process)         // called for each node that has been started again; nil: nobody asks
-	mu                 sync.Mutex               // guards the configuration files
+	idle               *idleConns               // nil if there are no idle connections
+	staleEndpoints     staleEndpoints           // listeners at addresses of removed servers
+	discoveryAddresses map[string]string        // address of discovery by node name
+	links              *nodeLinks               // relays between nodes; nil without Membership
+	pausedAt           map[string]time.Duration // when a node was paused, by node name
+	onStart            func(p *process)         // called for each node that was restarted; may be nil
+	mu                 sync.Mutex               // guards the configuration files, links and pausedAt
 }
 
-// Open starts fleet and nodes, and returns once all are ready. The caller must Close.
+// Open starts the fleet and the nodes, and returns once all are ready. The caller must call Close.
 func Open(ctx context.Context, o Options) (_ *Lab, err error) {
 	dir, err := os.MkdirTemp("", "curlewring-lab-")
 	if err != nil {
@@ -101,7 +108,7 @@
 			return nil, err
 		}
 	}
-	for _, f := range o.Faults { // a link is between nodes that there are
+	for _, f := range o.Faults { // after the links exist, since a link fault names two nodes
 		if err := l.checkFault(f); err != nil {
 			return nil, err
 		}
@@ -116,11 +123,11 @@
 		l.frontNodes = append(l.frontNodes, p)
 		l.clients = append(l.clients, standin.NewClient(p.name, p.address, &l.Fleet.Plan, l.Fleet.Clock, l.Fleet.Judge))
 	}
-	uppers := l.Fleet.Servers
+	upperServers := l.Fleet.Servers
 	for tier := 1; tier < o.Plan.Tiers; tier++ {
-		for i, b := range uppers {
+		for i, b := range upperServers {
 			p, err := l.prepareNode(standin.NodeSpec{
-				Name: fmt.Sprintf("n-%s", b.ID), Tier: tier, Index: i, TierNodes: len(uppers), Site: b.Site,
+				Name: fmt.Sprintf("n-%s", b.ID), Tier: tier, Index: i, TierNodes: len(upperServers), Site: b.Site,
 			})
 			if err != nil {
 				return nil, err
@@ -128,7 +135,7 @@
 			l.innerNodes = append(l.innerNodes, p)
 			l.Fleet.Attach(b, p.name, p.address)
 		}
-		uppers = l.Fleet.LowerServers[(tier-1)*o.Plan.Servers : tier*o.Plan.Servers]
+		upperServers = l.Fleet.LowerServers[(tier-1)*o.Plan.Servers : tier*o.Plan.Servers]
 	}
 	if o.Sidecars {
 		if err := l.writeSidecarConfigs(o.Routes); err != nil {
@@ -148,7 +155,7 @@
 	}
 	for _, p := range l.processes() {
 		if o.OldList != nil {
-			break // its first seconds are what is looked at
+			break // the time before the nodes are ready is part of the measurement
 		}
 		if err := p.waitReady(ctx); err != nil {
 			return nil, err
@@ -158,12 +165,12 @@
 	return l, nil
 }
 
-// Clients are those of the nodes before the first tier.
+// Clients returns the clients of the nodes in front of the first tier.
 func (l *Lab) Clients() []*standin.Client { return slices.Clone(l.clients) }
 
 func (l *Lab) processes() []*process { return append(slices.Clone(l.frontNodes), l.innerNodes...) }
 
-// node prepares a node; it does not start it.
+// prepareNode creates a node's files and its process without starting it.
 func (l *Lab) prepareNode(s standin.NodeSpec) (*process, error) {
 	var err error
 	if s.Listen, err = freeAddress(l.Fleet.NewHost()); err != nil {
@@ -216,7 +223,7 @@
 	}, nil
 }
 
-// ConfigPath is where a node's configuration stands.
+// ConfigPath returns the path of a node's configuration file.
 func (l *Lab) ConfigPath(node string) string { return filepath.Join(l.dir, node+".json") }
 
 func (l *Lab) writeConfig(s standin.NodeSpec) error {
@@ -229,7 +236,7 @@
 	return replaceFile(l.ConfigPath(s.Name), text)
 }
 
-// replace writes a file beside and renames it, so that no reader sees a half.
+// replaceFile writes a temporary file and renames it, so that no reader sees a partial file.
 func replaceFile(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
@@ -237,7 +244,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// find returns a node by name or number.
+// findNode returns a node by its name or number.
 func (l *Lab) findNode(name string) (*process, error) {
 	for i, p := range l.processes() {
 		if p.name == name || strconv.Itoa(i) == name {
@@ -253,14 +260,14 @@
 			continue
 		}
 		if l.links == nil {
-			return fmt.Errorf("fault %s: nodes have links between them with members alone", f.Kind)
+			return fmt.Errorf("fault %s: link faults need Options.Membership", f.Kind)
 		}
 		if _, err := l.links.index(name); err != nil {
 			return err
 		}
 	}
 	if f.Kind == "move" && l.options.Sidecars {
-		return fmt.Errorf("fault %s: sidecars have discovery's address from files that are written once", f.Kind)
+		return fmt.Errorf("fault %s: discovery cannot move: the sidecars' files are written once", f.Kind)
 	}
 	if f.Node == "" {
 		return l.Fleet.ValidateFault(f)
@@ -271,7 +278,7 @@
 	return nil
 }
 
-// Kill ends a node at once.
+// Kill kills a node with SIGKILL and waits for its exit.
 func (l *Lab) Kill(name string) error {
 	p, err := l.findNode(name)
 	if err != nil {
@@ -279,17 +286,18 @@
 	}
 	l.Fleet.Judge.NodeKilled(l.Fleet.Clock.Now(), p.name)
 	p.mu.Lock()
-	ended := p.exited
+	exited := p.exited
 	p.mu.Unlock()
 	if err := p.signal(syscall.SIGKILL, true); err != nil {
 		return err
 	}
-	<-ended
+	<-exited
 	l.Fleet.Judge.NodeKilled(l.Fleet.Clock.Now(), p.name)
 	return nil
 }
 
-// Term tells a node to end, as at a planned restart. It goes on serving for a while; Start waits for its end.
+// Terminate sends SIGTERM to a node, as a planned restart does. The node drains for a while; Start waits for
+// its exit.
 func (l *Lab) Terminate(name string) error {
 	p, err := l.findNode(name)
 	if err != nil {
@@ -298,39 +306,39 @@
 	return p.signal(syscall.SIGTERM, true)
 }
 
-// Start starts a killed node with the list that it last had.
+// Start starts a killed node with the server list that it had last.
 func (l *Lab) Start(name string) error { return l.start(name, true) }
 
-// StartBare starts a killed node without any list, as on a new machine. What else it keeps is as it was.
+// StartWithoutList starts a killed node without a server list, as on a new machine. Its other state is kept.
 func (l *Lab) StartWithoutList(name string) error {
-	files, err := filepath.Glob(filepath.Join(l.StateFolder(name), "*-*")) // of its memory of servers
+	files, err := filepath.Glob(filepath.Join(l.StateFolder(name), "*-*")) // files of the stored server list
 	if err != nil {
 		return err
 	}
-	for _, f := range files {
-		if err := os.Remove(f); err != nil {
+	for _, file := range files {
+		if err := os.Remove(file); err != nil {
 			return err
 		}
 	}
 	return l.start(name, false)
 }
 
-func (l *Lab) start(name string, known bool) error {
+func (l *Lab) start(name string, restoreList bool) error {
 	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
 	if s, ok := l.specs[p.name]; ok && !(l.options.Sidecars && s.Tier == 0) {
-		s.RestoreList = known
+		s.RestoreList = restoreList
 		if err := l.writeConfig(s); err != nil {
 			return err
 		}
 	}
 	p.mu.Lock()
-	ended, runs := p.exited, p.cmd != nil && p.stopping
+	exited, terminating := p.exited, p.cmd != nil && p.stopping
 	p.mu.Unlock()
-	if runs { // told to end, and still at it
-		<-ended
+	if terminating {
+		<-exited
 	}
 	if err := p.start(); err != nil {
 		return err
@@ -342,7 +350,7 @@
 	return nil
 }
 
-// Reload makes all nodes read their files again.
+// Reload makes all nodes reload their files.
 func (l *Lab) Reload() error {
 	var errs []error
 	for _, p := range l.processes() {
@@ -351,13 +359,13 @@
 	return errors.Join(errs...)
 }
 
-// Move opens another address of discovery for each node, and has all nodes read their files again. What they hear from the
-// old address meanwhile still counts.
+// MoveDiscovery opens a new discovery address for each node and makes all nodes reload their files. Answers
+// that arrive from the old address in the meantime still count.
 func (l *Lab) MoveDiscovery() error {
 	for _, p := range l.processes() {
 		s, ok := l.specs[p.name]
 		if !ok {
-			continue // it does not balance
+			continue // a ForwardCommand has no discovery
 		}
 		address, err := l.Fleet.OpenEndpoint(s.Name, s.Tier)
 		if err != nil {
@@ -371,7 +379,7 @@
 	return l.Reload()
 }
 
-// Log is what a node has written last.
+// Log returns the end of what a node has logged.
 func (l *Lab) Log(name string) string {
 	p, err := l.findNode(name)
 	if err != nil {
@@ -380,8 +388,8 @@
 	return p.log.String()
 }
 
-// Run sends the traffic and plays the faults, then ends the nodes in order, and
-// reports. Watch, if not nil, is called every second while it runs.
+// Run sends the traffic and injects the faults, then stops the nodes gracefully and returns the report. If
+// watch is not nil, it is called every second during the run.
 func (l *Lab) Run(ctx context.Context, watch func(Progress)) (*Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -391,11 +399,11 @@
 		}
 	}
 	before := l.CPUTime()
-	begun := time.Now()
-	var parts sync.WaitGroup
+	start := time.Now()
+	var background sync.WaitGroup
 	var faultErrs []error
 	if l.options.OldList != nil {
-		parts.Go(func() {
+		background.Go(func() {
 			select {
 			case <-time.After(l.options.OldList.Outage):
 			case <-ctx.Done():
@@ -403,33 +411,33 @@
 			l.Fleet.Discovery.SetDown(false)
 		})
 	}
-	parts.Go(func() { faultErrs = l.Fleet.RunFaults(ctx, l.options.Faults, l) })
+	background.Go(func() { faultErrs = l.Fleet.RunFaults(ctx, l.options.Faults, l) })
 	if l.idle != nil && l.idle.local != nil && l.options.IdleInterval > 0 {
-		parts.Go(func() { l.idle.local.SendPeriodically(ctx, l.options.IdleInterval) })
+		background.Go(func() { l.idle.local.SendPeriodically(ctx, l.options.IdleInterval) })
 	}
-	over := make(chan struct{})
+	finished := make(chan struct{})
 	if watch != nil {
-		parts.Go(func() { l.reportProgress(over, begun, watch) })
+		background.Go(func() { l.reportProgress(finished, start, watch) })
 	}
 	l.LoadGenerator.Run(ctx, l.options.Traffic)
-	took := time.Since(begun)
+	elapsed := time.Since(start)
 	cpu := l.CPUTime() - before
-	close(over)
+	close(finished)
 	cancel()
-	parts.Wait()
+	background.Wait()
 	if err := errors.Join(faultErrs...); err != nil {
 		return nil, err
 	}
 	if l.idle != nil && l.idle.local != nil {
 		l.idle.row.HeldAtEnd = l.idle.local.OpenConns()
 	}
-	// Late answers, and what boxes still do for nobody, come to their end.
+	// Graceful stop: late responses and abandoned work on the servers still complete.
 	l.stopNodes(10 * time.Second)
 	l.idle.close()
-	return l.report(took, cpu), nil
+	return l.report(elapsed, cpu), nil
 }
 
-// CPU is what the nodes before the first tier have used.
+// CPUTime returns the CPU time that the nodes in front of the first tier have used.
 func (l *Lab) CPUTime() time.Duration {
 	sum := time.Duration(0)
 	for _, p := range l.frontNodes {
@@ -438,7 +446,7 @@
 	return sum
 }
 
-// Progress is how far a run is.
+// Progress is a snapshot of a run in progress.
 type Progress struct {
 	At       time.Duration
 	Requests int64
@@ -446,30 +454,30 @@
 	Tries    map[judge.RequestOutcome]int64
 }
 
-func (l *Lab) reportProgress(over chan struct{}, begun time.Time, watch func(Progress)) {
+func (l *Lab) reportProgress(finished chan struct{}, start time.Time, watch func(Progress)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			asked, out, tries := l.LoadGenerator.Progress()
-			watch(Progress{time.Since(begun), asked, out, tries})
-		case <-over:
+			requests, pending, tries := l.LoadGenerator.Progress()
+			watch(Progress{time.Since(start), requests, pending, tries})
+		case <-finished:
 			return
 		}
 	}
 }
 
-// stop ends all nodes in order, side by side: each takes its time.
-func (l *Lab) stopNodes(patience time.Duration) {
-	var all sync.WaitGroup
+// stopNodes stops all nodes gracefully and concurrently.
+func (l *Lab) stopNodes(timeout time.Duration) {
+	var stopping sync.WaitGroup
 	for _, p := range l.processes() {
-		all.Go(func() { p.stop(patience) })
+		stopping.Go(func() { p.stop(timeout) })
 	}
-	all.Wait()
+	stopping.Wait()
 }
 
-// Close ends everything that is left and removes the lab's files.
+// Close stops everything that still runs and removes the lab's files.
 func (l *Lab) Close() {
 	l.stopNodes(5 * time.Second)
 	l.idle.close()
--- a/internal/rig/lab/nodelinks.go
+++ b/internal/rig/lab/nodelinks.go
@@ -20,19 +20,21 @@
 	"curlewring/internal/rig/standin"
 )
 
-// between is what stands between the nodes: a relay for each ordered pair, unless they are part of a larger fleet.
+// nodeLinks holds the addresses of the nodes for each other, and a relay for each ordered pair of nodes
+// unless relays are turned off.
 type nodeLinks struct {
 	addresses []netip.AddrPort
-	relays    map[[2]int]*relay.Relay // from, to; none in a larger fleet
-	faults    []*standin.Fault        // that are on
+	relays    map[[2]int]*relay.Relay // by sender and receiver; empty without relays
+	faults    []*standin.Fault        // active link faults
 }
 
-// mostLinked bounds the nodes that know each other: each pair takes four sockets and as many goroutines.
+// maxLinkedNodes limits the nodes that are connected by relays: each pair takes four sockets and as many
+// goroutines.
 const maxLinkedNodes = 32
 
 func newNodeLinks(nodes int, host string, seed uint64, relays bool) (_ *nodeLinks, err error) {
 	if relays && nodes > maxLinkedNodes {
-		return nil, fmt.Errorf("%d nodes with members, at most %d", nodes, maxLinkedNodes)
+		return nil, fmt.Errorf("%d nodes with relays between them, at most %d", nodes, maxLinkedNodes)
 	}
 	b := &nodeLinks{relays: map[[2]int]*relay.Relay{}}
 	defer func() {
@@ -42,7 +44,7 @@
 	}()
 	for range nodes {
 		at, err := freePort(host)
-		for err == nil && slices.Contains(b.addresses, at) { // it is free, and another node's already
+		for err == nil && slices.Contains(b.addresses, at) { // the port is free, but another node already has it
 			at, err = freePort(host)
 		}
 		if err != nil {
@@ -68,8 +70,8 @@
 	return b, nil
 }
 
-// freePort finds a port that is free for both datagrams and streams. It is below those that the system hands out, so
-// that none of the sockets made meanwhile takes it.
+// freePort returns an address whose port is free for both UDP and TCP. The port is below the ephemeral range,
+// so that no socket opened in the meantime is given it.
 func freePort(host string) (netip.AddrPort, error) {
 	ip, err := netip.ParseAddr(host)
 	if err != nil {
@@ -101,31 +103,31 @@
 	}
 }
 
-// write writes a node's own settings: the first three are the seeds, if there are no others, and each other one is reached by
-// its relay.
+// writeSettings writes a node's own settings file. Without other seeds, the first three nodes are the seeds.
+// Each other node is reached through its relay.
 func (b *nodeLinks) writeSettings(node int, path, folder string, o *Options) error {
-	var s strings.Builder
-	fmt.Fprintf(&s, "[state]\nfolder = %q\n\n[members]\nfleet = \"lab\"\nlisten = %q\nseeds = [", folder, b.addresses[node].String())
+	var text strings.Builder
+	fmt.Fprintf(&text, "[state]\nfolder = %q\n\n[members]\nfleet = \"lab\"\nlisten = %q\nseeds = [", folder, b.addresses[node].String())
 	seeds := o.Seeds
 	if len(seeds) == 0 {
 		seeds = b.addresses[:min(3, len(b.addresses))]
 	}
 	for i, seed := range seeds {
 		if i > 0 {
-			s.WriteString(", ")
+			text.WriteString(", ")
 		}
-		fmt.Fprintf(&s, "%q", seed.String())
+		fmt.Fprintf(&text, "%q", seed.String())
 	}
-	fmt.Fprintf(&s, "]\npool = %v\n\n[members.via]\n", !o.NoPooling)
+	fmt.Fprintf(&text, "]\npool = %v\n\n[members.via]\n", !o.NoPooling)
 	for to, at := range b.addresses {
 		if to != node && len(b.relays) > 0 {
-			fmt.Fprintf(&s, "%q = %q\n", at.String(), b.relays[[2]int{node, to}].Address.String())
+			fmt.Fprintf(&text, "%q = %q\n", at.String(), b.relays[[2]int{node, to}].Address.String())
 		}
 	}
 	if o.ReplaceVoterAfter > 0 {
-		fmt.Fprintf(&s, "\n[leases]\nreplace_after = %q\nrecord = %v\n\n[trial]\nfolder = %q\n", o.ReplaceVoterAfter.String(), o.ListFromPeers, folder+".trial")
+		fmt.Fprintf(&text, "\n[leases]\nreplace_after = %q\nrecord = %v\n\n[trial]\nfolder = %q\n", o.ReplaceVoterAfter.String(), o.ListFromPeers, folder+".trial")
 	}
-	return os.WriteFile(path, []byte(s.String()), 0o600)
+	return os.WriteFile(path, []byte(text.String()), 0o600)
 }
 
 func (b *nodeLinks) index(name string) (int, error) {
@@ -136,28 +138,28 @@
 	return i, nil
 }
 
-// apply brings every relay to what the faults that are on say together.
+// applyFaults sets every relay to the combined effect of the active faults.
 func (b *nodeLinks) applyFaults() {
 	for pair, r := range b.relays {
-		var w relay.Conditions
+		var conditions relay.Conditions
 		for _, f := range b.faults {
 			if !b.matches(f.From, pair[0]) || !b.matches(f.To, pair[1]) {
 				continue
 			}
 			switch f.Kind {
 			case "cut":
-				w.Cut = true
+				conditions.Cut = true
 			case "lose":
-				w.Loss = 1 - (1-w.Loss)*(1-f.Magnitude)
+				conditions.Loss = 1 - (1-conditions.Loss)*(1-f.Magnitude)
 			case "late":
-				w.Delay += time.Duration(f.Magnitude * float64(time.Second))
+				conditions.Delay += time.Duration(f.Magnitude * float64(time.Second))
 			case "twice":
-				w.Duplicate = max(w.Duplicate, f.Magnitude)
+				conditions.Duplicate = max(conditions.Duplicate, f.Magnitude)
 			case "damage":
-				w.Corrupt = max(w.Corrupt, f.Magnitude)
+				conditions.Corrupt = max(conditions.Corrupt, f.Magnitude)
 			}
 		}
-		r.SetConditions(w)
+		r.SetConditions(conditions)
 	}
 }
 
@@ -166,10 +168,10 @@
 	return name == "" || err == nil && at == i
 }
 
-// Link makes or ends a fault of the links between nodes.
+// SetLinkFault starts or ends a fault of the links between nodes.
 func (l *Lab) SetLinkFault(f *standin.Fault, on bool) error {
 	if l.links == nil {
-		return errors.New("nodes have links between them with members alone")
+		return errors.New("link faults need Options.Membership")
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,8 +179,8 @@
 	if on {
 		b.faults = append(b.faults, f)
 	} else {
-		for i, x := range b.faults {
-			if x == f {
+		for i, active := range b.faults {
+			if active == f {
 				b.faults = append(b.faults[:i:i], b.faults[i+1:]...)
 				break
 			}
@@ -188,14 +190,14 @@
 	return nil
 }
 
-// Weather sets what happens between all nodes by a rule of one's own, in the place of faults.
+// SetLinkConditions sets the conditions of each link between nodes by a function, independently of faults.
 func (l *Lab) SetLinkConditions(rule func(from, to int) relay.Conditions) {
 	for pair, r := range l.links.relays {
 		r.SetConditions(rule(pair[0], pair[1]))
 	}
 }
 
-// Stop has a node stand still.
+// Pause stops a node's process with SIGSTOP.
 func (l *Lab) Pause(name string) error {
 	p, err := l.findNode(name)
 	if err != nil {
@@ -207,7 +209,7 @@
 	return l.sendSignal(name, syscall.SIGSTOP)
 }
 
-// Cont lets it go on.
+// Resume continues a paused node with SIGCONT.
 func (l *Lab) Resume(name string) error {
 	p, err := l.findNode(name)
 	if err != nil {
@@ -220,21 +222,22 @@
 	return err
 }
 
-func (l *Lab) sendSignal(name string, s syscall.Signal) error {
+func (l *Lab) sendSignal(name string, sig syscall.Signal) error {
 	p, err := l.findNode(name)
 	if err != nil {
 		return err
 	}
-	return p.signal(s, false)
+	return p.signal(sig, false)
 }
 
-// StateOf is the folder of what a node keeps.
+// StateFolder returns the path of a node's state folder.
 func (l *Lab) StateFolder(node string) string { return filepath.Join(l.dir, node+".state") }
 
-// Forget removes what a node keeps. It must not run.
+// RemoveState removes a node's state folder. The node must not be running.
 func (l *Lab) RemoveState(node string) error { return os.RemoveAll(l.StateFolder(node)) }
 
-// Trial has a node fail on purpose from now on, as a file of this name in its trial's folder says; an empty text ends that.
+// SetTrialFile writes a file into a node's trial folder, which makes the node fail on purpose in the way that
+// the file's name says. An empty text removes the file.
 func (l *Lab) SetTrialFile(node, name, text string) error {
 	folder := l.StateFolder(node) + ".trial"
 	if text == "" {
@@ -246,7 +249,7 @@
 	return os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600)
 }
 
-// MembersOf asks a node what it knows of the others.
+// MembershipOf requests a node's membership report.
 func (l *Lab) MembershipOf(ctx context.Context, node string) (members.Report, error) {
 	return members.RequestReport(ctx, l.StateFolder(node))
 }
--- a/internal/rig/lab/oldlist.go
+++ b/internal/rig/lab/oldlist.go
@@ -16,27 +16,29 @@
 	"curlewring/internal/servers/serverdb"
 )
 
-// Arm is what a node makes of an old list.
+// OldListMode says how a node treats an old server list.
 type OldListMode int
 
-// The arms.
+// Modes of nodes with an old list.
 const (
-	VerifyList  OldListMode = iota // it remembers, and doubts by age
-	TrustList                      // control: it has the list as if it were of now
-	DiscardList                    // control: it has none
+	VerifyList  OldListMode = iota // the node loads its stored list and verifies entries according to their age
+	TrustList                      // control: the node takes the old list as current
+	DiscardList                    // control: the node has no list
 )
 
-// Past is what nodes remember at their start, while discovery is out.
+// OldList is a server list that nodes have stored when they start while discovery is down.
 type OldList struct {
-	Mode         OldListMode
-	Age          time.Duration   // of the list
-	StaleEntries int             // entries beside the boxes: half refuse, a quarter hang, at the others something else answers
-	Extra        *endpoints.List // further entries; nil: none
-	Outage       time.Duration   // how long discovery stays out
-	ColdServers  bool            // the boxes have just started
+	Mode OldListMode
+	Age  time.Duration // age of the list
+	// StaleEntries counts entries of removed servers: half refuse connections, a quarter hang, a quarter are
+	// answered by another service.
+	StaleEntries int
+	Extra        *endpoints.List // further entries; nil for none
+	Outage       time.Duration   // how long discovery stays down
+	ColdServers  bool            // the servers have just started
 }
 
-// strangers stand where boxes are no more.
+// staleEndpoints are listeners at the addresses of removed servers.
 type staleEndpoints struct {
 	addresses []string
 	closers   []func()
@@ -48,25 +50,25 @@
 	}
 }
 
-// open makes so many addresses.
+// open extends the addresses to n.
 func (s *staleEndpoints) open(f *standin.Fleet, n int) error {
 	for i := len(s.addresses); i < n; i++ {
-		l, err := net.Listen("tcp", net.JoinHostPort(f.NewHost(), "0"))
+		listener, err := net.Listen("tcp", net.JoinHostPort(f.NewHost(), "0"))
 		if err != nil {
 			return err
 		}
-		s.addresses = append(s.addresses, l.Addr().String())
+		s.addresses = append(s.addresses, listener.Addr().String())
 		switch i % 4 {
-		case 0, 1: // nobody listens
-			l.Close()
-		case 2: // the kernel takes connections, and nobody reads
-			s.closers = append(s.closers, func() { l.Close() })
+		case 0, 1: // connection refused
+			listener.Close()
+		case 2: // the kernel accepts connections, but nobody reads
+			s.closers = append(s.closers, func() { listener.Close() })
 		default: // another service answers
 			server := &http.Server{Handler: http.NotFoundHandler()}
 			ended := make(chan struct{})
 			go func() { // ends with close
 				defer close(ended)
-				server.Serve(l)
+				server.Serve(listener)
 			}()
 			s.closers = append(s.closers, func() {
 				server.Close()
@@ -79,68 +81,70 @@
 
 func (l *Lab) settingsPath(node string) string { return filepath.Join(l.dir, node+".own.toml") }
 
-// remember writes what a node has of its last life, and returns the list that its configuration brings.
+// writeOldList writes the state that a node has kept from its previous run, and returns the list for its
+// configuration.
 func (l *Lab) writeOldList(s standin.NodeSpec) (json.RawMessage, error) {
-	p := l.options.OldList
-	if err := l.staleEndpoints.open(l.Fleet, p.StaleEntries); err != nil {
+	old := l.options.OldList
+	if err := l.staleEndpoints.open(l.Fleet, old.StaleEntries); err != nil {
 		return nil, err
 	}
-	then := time.Now().Add(-p.Age)
-	var all []serverdb.Server
+	listTime := time.Now().Add(-old.Age)
+	var servers []serverdb.Server
 	for _, b := range l.Fleet.Servers {
-		all = append(all, serverdb.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, StateSince: then})
+		servers = append(servers, serverdb.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, StateSince: listTime})
 	}
 	for i, address := range l.staleEndpoints.addresses {
 		site := i % len(l.options.Plan.Sites)
-		all = append(all, serverdb.Server{
-			ID: fmt.Sprintf("old-%04d", i), Address: address, Zone: l.options.Plan.Sites[site], Cell: 900_000 + i/4, Weight: 1, StateSince: then,
+		servers = append(servers, serverdb.Server{
+			ID: fmt.Sprintf("old-%04d", i), Address: address, Zone: l.options.Plan.Sites[site], Cell: 900_000 + i/4, Weight: 1, StateSince: listTime,
 		})
 	}
-	if p.Extra != nil {
-		for _, e := range p.Extra.Entries {
+	if old.Extra != nil {
+		for _, e := range old.Extra.Entries {
 			if e.Health == decide.Healthy {
-				all = append(all, serverdb.Server{
-					ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Started: e.Started, StateSince: then,
+				servers = append(servers, serverdb.Server{
+					ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Started: e.Started, StateSince: listTime,
 				})
 			}
 		}
 	}
-	switch p.Mode {
+	switch old.Mode {
 	case DiscardList:
 		return nil, nil
 	case TrustList:
-		instances := make([]map[string]any, len(all))
-		for i, x := range all {
+		instances := make([]map[string]any, len(servers))
+		for i, server := range servers {
 			instances[i] = map[string]any{
-				"instanceId": x.ID, "hostPort": x.Address, "zone": x.Zone, "cell": x.Cell, "lifecycle": "SERVING", "weight": 1,
-				"startedAtMs": x.Started.Milliseconds(),
+				"instanceId": server.ID, "hostPort": server.Address, "zone": server.Zone, "cell": server.Cell, "lifecycle": "SERVING", "weight": 1,
+				"startedAtMs": server.Started.Milliseconds(),
 			}
 		}
 		return json.Marshal(map[string]any{"generation": foreignGeneration, "reset": true, "instances": instances})
 	}
 	folder := filepath.Join(l.dir, s.Name+".state")
-	rate := max(l.options.Traffic.Rate/float64(max(1, len(all))), 1/l.options.Plan.MeanWork().Seconds()) / float64(max(1, l.options.Nodes))
-	list := serverdb.List{Generation: foreignGeneration, Discovery: l.discoveryAddresses[s.Name], Confirmed: then, ServerRate: rate, ServingCount: len(all)}
-	if err := persist.WriteFolder(folder, all, list); err != nil {
+	rate := max(l.options.Traffic.Rate/float64(max(1, len(servers))), 1/l.options.Plan.MeanWork().Seconds()) / float64(max(1, l.options.Nodes))
+	list := serverdb.List{Generation: foreignGeneration, Discovery: l.discoveryAddresses[s.Name], Confirmed: listTime, ServerRate: rate, ServingCount: len(servers)}
+	if err := persist.WriteFolder(folder, servers, list); err != nil {
 		return nil, err
 	}
-	own := fmt.Sprintf("[state]\nfolder = %q\n", folder)
-	return nil, os.WriteFile(l.settingsPath(s.Name), []byte(own), 0o600)
+	settings := fmt.Sprintf("[state]\nfolder = %q\n", folder)
+	return nil, os.WriteFile(l.settingsPath(s.Name), []byte(settings), 0o600)
 }
 
-// Validate tells what of it makes no sense.
-func (p *OldList) Validate() error {
-	if p.StaleEntries < 0 || p.StaleEntries > maxStaleEntries {
-		return fmt.Errorf("%d stale entries, allowed: 0 to %d", p.StaleEntries, maxStaleEntries)
+// Validate checks the settings.
+func (old *OldList) Validate() error {
+	if old.StaleEntries < 0 || old.StaleEntries > maxStaleEntries {
+		return fmt.Errorf("%d stale entries, allowed: 0 to %d", old.StaleEntries, maxStaleEntries)
 	}
-	if p.Age < 0 || p.Age > maxListAge {
-		return fmt.Errorf("a list of %v, allowed: 0 to %v", p.Age, maxListAge)
+	if old.Age < 0 || old.Age > maxListAge {
+		return fmt.Errorf("age of the list %v, allowed: 0 to %v", old.Age, maxListAge)
 	}
 	return nil
 }
 
 const (
-	// foreignGeneration is above all that the stand-in's discovery counts: it answers with its whole list.
+	// foreignGeneration is higher than any generation of the stand-in discovery, which therefore answers with
+	// its whole list.
 	foreignGeneration = 1 << 30
 	maxStaleEntries   = 400
 	maxListAge        = 10 * 365 * 24 * time.Hour
--- a/internal/rig/lab/process.go
+++ b/internal/rig/lab/process.go
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// Build builds the node's program from this module into a folder.
+// Build builds the node binary from this module into a folder.
 func Build(ctx context.Context, dir string) (string, error) { return build(ctx, dir, "curlewring") }
 
-// BuildTool builds the operators' tool.
+// BuildTool builds the operators' tool, curlewctl, into a folder.
 func BuildTool(ctx context.Context, dir string) (string, error) { return build(ctx, dir, "curlewctl") }
 
 func build(ctx context.Context, dir, program string) (string, error) {
@@ -34,25 +34,27 @@
 	return path, nil
 }
 
-// process is one child.
+// process is one child process. It can be started again after its exit.
 type process struct {
 	name    string
 	command []string
 	env     []string
-	address string // where it answers /ready
+	address string // serves /ready
 
-	mu           sync.Mutex
-	cmd          *exec.Cmd
-	exited       chan struct{} // the present child has ended
-	log          logTail
-	pastCPUTime  time.Duration // of children that have ended
-	peakBytes    int64         // bytes, of children that have ended
-	observedPeak int64         // the same of the present child, as the system told before its end; 0: it did not
-	failure      error         // it ended by itself
-	stopping     bool          // its end is wanted
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	exited      chan struct{} // closed when the current child has exited
+	log         logTail
+	pastCPUTime time.Duration // of children that have exited
+	peakBytes   int64         // of children that have exited
+	// observedPeak is the peak memory of the current child, read from /proc before it was signalled to exit;
+	// 0 if unknown.
+	observedPeak int64
+	failure      error // set if the child exited unexpectedly or with an error
+	stopping     bool  // the exit of the current child is expected
 }
 
-// tail keeps the last of what a child writes.
+// logTail keeps the end of a child's output.
 type logTail struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -79,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s runs already", p.name)
+		return fmt.Errorf("%s is already running", p.name)
 	}
 	cmd := exec.Command(p.command[0], p.command[1:]...)
 	cmd.Env = append(os.Environ(), p.env...)
@@ -88,27 +90,27 @@
 		return fmt.Errorf("starting %s: %w", p.name, err)
 	}
 	p.cmd, p.exited, p.stopping = cmd, make(chan struct{}), false
-	ended := p.exited
-	go func() { // ends with the child
-		defer close(ended)
+	exited := p.exited
+	go func() { // ends when the child exits
+		defer close(exited)
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.pastCPUTime += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		if u, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+		if usage, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 			unit := int64(1024)
 			if runtime.GOOS == "darwin" {
 				unit = 1
 			}
-			// Without /proc this has to do: it counts what the child was before it
-			// became the node, which is as much as this process has.
+			// Fallback without /proc: Maxrss includes the memory of the forked copy of this process before
+			// exec, so it is at least as large as this process.
 			if p.observedPeak == 0 {
-				p.peakBytes = max(p.peakBytes, u.Maxrss*unit)
+				p.peakBytes = max(p.peakBytes, usage.Maxrss*unit)
 			}
 			p.peakBytes, p.observedPeak = max(p.peakBytes, p.observedPeak), 0
 		}
 		if !p.stopping {
-			p.failure = fmt.Errorf("%s ended by itself: %v", p.name, err)
+			p.failure = fmt.Errorf("%s exited unexpectedly: %v", p.name, err)
 		} else if err != nil && cmd.ProcessState.Exited() {
 			p.failure = fmt.Errorf("%s: %w", p.name, err)
 		}
@@ -117,22 +119,22 @@
 	return nil
 }
 
-// signal sends one, if the child runs.
-func (p *process) signal(s os.Signal, final bool) error {
+// signal sends a signal to the running child. If final, the child is expected to exit.
+func (p *process) signal(sig os.Signal, final bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		return fmt.Errorf("%s does not run", p.name)
+		return fmt.Errorf("%s is not running", p.name)
 	}
 	p.stopping = p.stopping || final
 	if final {
 		p.observedPeak = max(p.observedPeak, procMemory(p.cmd.Process.Pid, "VmHWM:"))
 	}
-	return p.cmd.Process.Signal(s)
+	return p.cmd.Process.Signal(sig)
 }
 
-// statusOf reads a figure of a process's memory from /proc, where there is one
-// (proc(5): status, in kB). 0: not told.
+// procMemory reads a memory figure of a process, in bytes, from /proc/PID/status (proc(5)). It returns 0 if
+// the figure is not available.
 func procMemory(pid int, key string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -150,10 +152,10 @@
 	return 0
 }
 
-// stop ends the child in order, or after a while by force.
-func (p *process) stop(patience time.Duration) {
+// stop sends SIGTERM, and SIGKILL if the child has not exited after the timeout.
+func (p *process) stop(timeout time.Duration) {
 	p.mu.Lock()
-	ended := p.exited
+	exited := p.exited
 	running := p.cmd != nil
 	p.mu.Unlock()
 	if !running {
@@ -161,15 +163,15 @@
 	}
 	p.signal(syscall.SIGTERM, true)
 	select {
-	case <-ended:
-	case <-time.After(patience):
+	case <-exited:
+	case <-time.After(timeout):
 		p.signal(syscall.SIGKILL, true)
-		<-ended
+		<-exited
 	}
 }
 
-// used is the CPU time of all its children, as far as the system tells that of
-// one that runs.
+// cpuUsed returns the CPU time of all children so far. That of a running child is included only where /proc
+// exists.
 func (p *process) cpuUsed() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,7 +181,8 @@
 	return p.pastCPUTime + procCPUTime(p.cmd.Process.Pid)
 }
 
-// resident is the memory that the child has now, as far as the system tells.
+// residentBytes returns the resident memory of the running child; 0 if it is not running or /proc does not
+// exist.
 func (p *process) residentBytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,8 +192,8 @@
 	return procMemory(p.cmd.Process.Pid, "VmRSS:")
 }
 
-// cpuOf reads a process's CPU time from /proc, where there is one (proc(5):
-// fields 14 and 15 of stat, in ticks of 10 ms).
+// procCPUTime reads a process's CPU time from /proc/PID/stat: fields 14 and 15, in ticks of 10 ms (proc(5)).
+// It returns 0 where /proc does not exist.
 func procCPUTime(pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -209,14 +212,14 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// waitReady waits until the child says that it serves.
+// waitReady waits until the child's /ready answers 200.
 func (p *process) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	transport := &http.Transport{DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: 2 * time.Second}
-	look := time.NewTicker(5 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.address+"/ready", nil)
 		if err != nil {
@@ -230,28 +233,28 @@
 			}
 		}
 		p.mu.Lock()
-		wrong := p.failure
+		failure := p.failure
 		p.mu.Unlock()
-		if wrong != nil {
-			return fmt.Errorf("%w\n%s", wrong, p.log.String())
+		if failure != nil {
+			return fmt.Errorf("%w\n%s", failure, p.log.String())
 		}
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return fmt.Errorf("%s is not ready: %w\n%s", p.name, ctx.Err(), p.log.String())
 		}
 	}
 }
 
-// freeAddress finds a port on a loopback address that nothing else here has.
+// freeAddress returns a loopback address with a free port.
 func freeAddress(host string) (string, error) {
-	// A child that is forked meanwhile would hold a copy of the listener until it runs its program, and the port with it.
+	// A child forked in the meantime would hold a copy of the listener, and so the port, until its exec.
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
 	}
-	address := l.Addr().String()
-	return address, errors.Join(l.Close())
+	address := listener.Addr().String()
+	return address, errors.Join(listener.Close())
 }
--- a/internal/rig/lab/report.go
+++ b/internal/rig/lab/report.go
@@ -10,7 +10,7 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seconds             float64               `json:"seconds"`
 	Classes             []ClassRow            `json:"classes"`
@@ -29,7 +29,7 @@
 	Idle                *IdleRow              `json:"idle,omitempty"`
 }
 
-// ClassRow is one class of requests. Times are in milliseconds.
+// ClassRow is the result of one class of requests. Times are in milliseconds.
 type ClassRow struct {
 	Class    string  `json:"class"`
 	Worth    float64 `json:"worth"`
@@ -44,27 +44,27 @@
 	P99      float64 `json:"p99_ms"`
 	P999     float64 `json:"p999_ms"`
 	Max      float64 `json:"max_ms"`
-	// Attempts a try, callers' retries being tries of their own.
+	// AttemptsPerTry counts attempts per try; each client retry is a try of its own.
 	AttemptsPerTry float64 `json:"attempts_a_request"`
 }
 
-// NodeRow is one node.
+// NodeRow is the result of one node.
 type NodeRow struct {
 	Name       string  `json:"name"`
 	CPUSeconds float64 `json:"cpu_seconds"`
 	PeakMB     float64 `json:"peak_mb"`
-	Failure    string  `json:"wrong,omitempty"` // how it ended, if that was not wanted
+	Failure    string  `json:"wrong,omitempty"` // how it exited, if that was unexpected
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func (l *Lab) report(took, cpu time.Duration) *Report {
+func (l *Lab) report(elapsed, cpu time.Duration) *Report {
 	classes := l.LoadGenerator.Report()
 	l.Fleet.ReportDeliveries()
-	v := l.Fleet.Judge.Check(l.Fleet.Clock.Now())
+	verdict := l.Fleet.Judge.Check(l.Fleet.Clock.Now())
 	r := &Report{
-		Seconds: took.Seconds(), ServedWorth: standin.ServedWorth(classes), MaxAttempts: v.MaxAttempts, Breaches: v.Breaches,
-		Excused: v.Excused, MaxMachineDelay: milliseconds(v.MaxMachineDelay), Cores: cpu.Seconds() / took.Seconds(),
+		Seconds: elapsed.Seconds(), ServedWorth: standin.ServedWorth(classes), MaxAttempts: verdict.MaxAttempts, Breaches: verdict.Breaches,
+		Excused: verdict.Excused, MaxMachineDelay: milliseconds(verdict.MaxMachineDelay), Cores: cpu.Seconds() / elapsed.Seconds(),
 	}
 	tries := 0
 	for i, c := range classes {
@@ -72,11 +72,11 @@
 		r.Classes = append(r.Classes, ClassRow{
 			c.Name, c.Worth, c.Requests, c.Served, c.Late, c.Refused, c.Failed, c.Tries,
 			milliseconds(c.P50), milliseconds(c.P90), milliseconds(c.P99), milliseconds(c.P999), milliseconds(c.Max),
-			float64(v.ByClass[i].Attempts) / float64(max(1, v.ByClass[i].Requests)),
+			float64(verdict.ByClass[i].Attempts) / float64(max(1, verdict.ByClass[i].Requests)),
 		})
 	}
-	if v.Requests > 0 {
-		r.AttemptsPerRequest = float64(v.Attempts) / float64(v.Requests)
+	if verdict.Requests > 0 {
+		r.AttemptsPerRequest = float64(verdict.Attempts) / float64(verdict.Requests)
 	}
 	if tries > 0 {
 		r.CPUMicrosPerRequest = float64(cpu.Microseconds()) / float64(tries)
@@ -103,7 +103,7 @@
 	return r
 }
 
-// Kept tells whether all rules were kept and all nodes ended as they should.
+// Passed reports whether no rule was broken and all nodes exited as expected.
 func (r *Report) Passed() bool {
 	for _, n := range r.Nodes {
 		if n.Failure != "" {
@@ -113,7 +113,7 @@
 	return len(r.Breaches) == 0
 }
 
-// mostShown is how many breaches are told in full.
+// maxPrintedBreaches limits the breaches that Print writes in full.
 const maxPrintedBreaches = 5
 
 // Print writes the report as tables.
@@ -131,13 +131,13 @@
 	for _, n := range r.Nodes {
 		peak = max(peak, n.PeakMB)
 	}
-	fmt.Fprintf(w, "nodes               %.0f us of CPU a request, %.2f cores in all, %.1f MB at the peak of one\n", r.CPUMicrosPerRequest, r.Cores, peak)
-	fmt.Fprintf(w, "connections         %d from callers; discovery answered %d calls\n", r.Connections, r.ListCalls)
+	fmt.Fprintf(w, "nodes               %.0f us of CPU a request, %.2f cores in all, %.1f MB peak memory of one\n", r.CPUMicrosPerRequest, r.Cores, peak)
+	fmt.Fprintf(w, "connections         %d from clients; discovery answered %d calls\n", r.Connections, r.ListCalls)
 	if i := r.Idle; i != nil {
-		fmt.Fprintf(w, "idle connections    %d, %.0f resident bytes each (%.1f to %.1f MB); %.4f cores when all is quiet\n", i.Held, i.BytesPerConn,
+		fmt.Fprintf(w, "idle connections    %d, %.0f resident bytes each (%.1f to %.1f MB); %.4f cores without traffic\n", i.Held, i.BytesPerConn,
 			i.BeforeMB, i.AfterMB, i.QuietCores)
 		if i.Requests > 0 {
-			fmt.Fprintf(w, "                    they asked %d times: %d served, %d lost; %d are still held\n", i.Requests, i.Served, i.Lost, i.HeldAtEnd)
+			fmt.Fprintf(w, "                    %d requests on them: %d served, %d lost; %d still open at the end\n", i.Requests, i.Served, i.Lost, i.HeldAtEnd)
 		}
 	}
 	for _, n := range r.Nodes {
@@ -151,7 +151,7 @@
 		fmt.Fprintf(w, "judge               %d BREACHES", len(r.Breaches))
 	}
 	if r.Excused > 0 {
-		fmt.Fprintf(w, " (%d time limits missed by no more than this machine's own delay, %.0f ms at worst)", r.Excused, r.MaxMachineDelay)
+		fmt.Fprintf(w, " (%d time limits missed by no more than the scheduling delay of this machine, at most %.0f ms)", r.Excused, r.MaxMachineDelay)
 	}
 	fmt.Fprintln(w)
 	for i, b := range r.Breaches {
--- a/internal/rig/lab/sidecars.go
+++ b/internal/rig/lab/sidecars.go
@@ -15,19 +15,19 @@
 	"curlewring/internal/rig/standin/judge"
 )
 
-// usualRoute is in the descriptions of sidecars where no other routes are given,
-// so that each has a file of timing rules to read again.
+// defaultRoute is the route of sidecars where Options.Routes is empty, so that each sidecar has a routes file
+// to reload.
 const defaultRoute = "[[route]]\nclass = %q\nattempts = 3\n"
 
-// platform describes the lab's fleet as the operators' tool reads it.
+// platformDescription returns the lab's fleet as the platform file that the operators' tool reads.
 func (l *Lab) platformDescription() string {
 	p := &l.Fleet.Plan
 	var b strings.Builder
-	words := func(all []string) string { return `["` + strings.Join(all, `", "`) + `"]` }
+	quoteList := func(all []string) string { return `["` + strings.Join(all, `", "`) + `"]` }
 	effects := map[judge.Idempotency]string{judge.Idempotent: "repeatable", judge.Keyed: "keyed", judge.AtMostOnce: "once"}
 	groups := map[judge.Group]string{judge.GroupAll: "all", judge.GroupSite: "site", judge.GroupRack: "rack"}
-	// The lab's ports are those that were free, which ephemeral ones are.
-	fmt.Fprintf(&b, "schema = 1\nname = \"lab\"\nsites = %s\nephemeral_from = 65535\nephemeral_to = 65535\n", words(p.Sites))
+	// The lab's ports are free ports of the ephemeral range, so that range is declared empty.
+	fmt.Fprintf(&b, "schema = 1\nname = \"lab\"\nsites = %s\nephemeral_from = 65535\nephemeral_to = 65535\n", quoteList(p.Sites))
 	fmt.Fprintf(&b, "[sidecar]\nmemory_mb = %d\ndescriptors = %d\n", max(32, l.options.MemoryMB), max(64, l.options.Sockets))
 	fmt.Fprintf(&b, "[limits]\nretry_after = %q\nsecond_copies = %v\nbudgets = %v\n", l.options.MaxRetryAfter, l.options.AllowHedging,
 		l.options.ShareBudgets)
@@ -43,12 +43,12 @@
 	for _, s := range p.Sites {
 		fmt.Fprintf(&b, "[[host]]\nname = %q\nsite = %q\n", s, s)
 	}
-	fmt.Fprintf(&b, "[[service]]\nname = \"boxes\"\nclasses = %s\nnodes = %d\n", words(classes), l.options.Nodes)
+	fmt.Fprintf(&b, "[[service]]\nname = \"boxes\"\nclasses = %s\nnodes = %d\n", quoteList(classes), l.options.Nodes)
 	return b.String()
 }
 
-// describe writes the descriptions of all sidecars, and their configurations from
-// these as the operators' tool does.
+// writeSidecarConfigs writes the descriptions of all sidecars, and generates their configurations from these
+// as the operators' tool does.
 func (l *Lab) writeSidecarConfigs(routes string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,38 +100,38 @@
 	return nil
 }
 
-// sidecarPath is where a file of a sidecar stands.
+// sidecarPath returns the path of a sidecar's generated file.
 func (l *Lab) sidecarPath(name, file string) string {
 	return filepath.Join(l.dir, "out", "current", l.specs[name].Site, name, file)
 }
 
-// Roll writes the sidecars' configurations with other routes, and makes them read
-// these one after another, each once the one before has taken them.
+// RollOutRoutes generates the sidecars' configurations with other routes and reloads the sidecars one after
+// another, each once the previous one has accepted its files.
 func (l *Lab) RollOutRoutes(ctx context.Context, routes string) error {
 	if !l.options.Sidecars {
-		return errors.New("only sidecars are rolled")
+		return errors.New("routes can only be rolled out to sidecars: Options.Sidecars is not set")
 	}
 	if err := l.writeSidecarConfigs(routes); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	look := time.NewTicker(2 * time.Millisecond)
-	defer look.Stop()
+	ticker := time.NewTicker(2 * time.Millisecond)
+	defer ticker.Stop()
 	for _, p := range l.frontNodes {
-		const good, bad = "msg=reloaded", "the old one stays"
-		goods, bads := strings.Count(p.log.String(), good), strings.Count(p.log.String(), bad)
+		const acceptedLog, rejectedLog = "msg=reloaded", "the old one stays"
+		accepted, rejected := strings.Count(p.log.String(), acceptedLog), strings.Count(p.log.String(), rejectedLog)
 		if err := p.signal(syscall.SIGHUP, false); err != nil {
 			return err
 		}
-		for strings.Count(p.log.String(), good) == goods {
-			if strings.Count(p.log.String(), bad) > bads {
-				return fmt.Errorf("sidecar %s turned its new files down:\n%s", p.name, p.log.String())
+		for strings.Count(p.log.String(), acceptedLog) == accepted {
+			if strings.Count(p.log.String(), rejectedLog) > rejected {
+				return fmt.Errorf("sidecar %s rejected its new files:\n%s", p.name, p.log.String())
 			}
 			select {
-			case <-look.C:
+			case <-ticker.C:
 			case <-ctx.Done():
-				return fmt.Errorf("sidecar %s did not read its files again: %w", p.name, ctx.Err())
+				return fmt.Errorf("sidecar %s did not reload its files: %w", p.name, ctx.Err())
 			}
 		}
 	}
--- a/internal/rig/relay/relay.go
+++ b/internal/rig/relay/relay.go
@@ -1,10 +1,9 @@
-// Package relay stands between two processes, for one direction: datagrams and
-// one-way streams that come to its address go on to another, and it loses, delays,
-// doubles, reorders, damages or swallows them as it is told.
+// Package relay forwards datagrams and one-way streams from one process to another, and on request loses,
+// delays, duplicates, reorders, corrupts or drops them.
 //
-// A Relay owns its sockets and goroutines, which end with Close; Set may be called by any
-// goroutine. What is drawn comes from its seed. It listens on loopback alone and must not
-// know what it carries.
+// A Relay owns its sockets and goroutines, which end with Close. SetConditions may be called by any
+// goroutine. Random decisions come from the relay's seed. A relay listens on loopback only and does not
+// interpret what it forwards.
 package relay
 
 import (
@@ -20,16 +19,18 @@
 	"time"
 )
 
-// Weather is what happens on the way.
+// Conditions describes the faults of a link.
 type Conditions struct {
-	Cut       bool
-	Loss      float64       // part of the datagrams
-	Delay     time.Duration // of each, up to half as much again, so that they overtake each other
-	Duplicate float64       // part that comes twice
-	Corrupt   float64       // part of which a byte is changed
+	Cut  bool
+	Loss float64 // fraction of the datagrams
+	// Delay is the minimum delay of each datagram. Up to half as much again is added, so that datagrams are
+	// reordered.
+	Delay     time.Duration
+	Duplicate float64 // fraction that is sent twice
+	Corrupt   float64 // fraction in which one byte is changed
 }
 
-// Relay carries what comes to Address on to a target.
+// Relay forwards what arrives at Address to a target.
 type Relay struct {
 	Address netip.AddrPort
 
@@ -40,26 +41,26 @@
 	cancel         context.CancelFunc
 	ctx            context.Context
 	workers        sync.WaitGroup
-	ForwardedBytes atomic.Int64 // bytes of datagrams that went on
+	ForwardedBytes atomic.Int64 // bytes of forwarded datagrams
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	conditions Conditions
 	rng        *rand.Rand
 	timers     map[*time.Timer]struct{}
 	closed     bool
 }
 
-// mostStreams is how many streams are carried at once.
+// maxStreams limits the streams that are forwarded at once.
 const maxStreams = 32
 
-// New starts a relay on loopback to a loopback target.
+// New starts a relay on loopback. The target must be on loopback as well.
 func New(target netip.AddrPort, seed uint64) (*Relay, error) {
 	if !target.Addr().IsLoopback() {
-		return nil, fmt.Errorf("relay: %v is not on loopback", target)
+		return nil, fmt.Errorf("relay: target %v is not on loopback", target)
 	}
 	r := &Relay{target: target, rng: rand.New(rand.NewPCG(seed, 0x5e1a)), timers: map[*time.Timer]struct{}{}}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
-	for try := 0; ; try++ { // one port for both
+	for try := 0; ; try++ { // the same port for UDP and TCP
 		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
@@ -86,14 +87,14 @@
 	return r, nil
 }
 
-// Set says what happens from now on.
-func (r *Relay) SetConditions(w Conditions) {
+// SetConditions replaces the conditions from now on.
+func (r *Relay) SetConditions(conditions Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.conditions = w
+	r.conditions = conditions
 }
 
-// Close ends the relay and all that is under way in it.
+// Close stops the relay and drops what is in transit.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -109,77 +110,77 @@
 }
 
 func (r *Relay) forwardDatagrams() {
-	b := make([]byte, 64<<10)
+	buffer := make([]byte, 64<<10)
 	for {
-		n, _, err := r.udp.ReadFromUDPAddrPort(b)
+		n, _, err := r.udp.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			r.forwardDatagram(b[:n])
+			r.forwardDatagram(buffer[:n])
 		}
 	}
 }
 
-// carry draws what becomes of a datagram.
-func (r *Relay) forwardDatagram(b []byte) {
+// forwardDatagram forwards a datagram, subject to the conditions.
+func (r *Relay) forwardDatagram(datagram []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.conditions
-	if w.Cut || r.rng.Float64() < w.Loss {
+	conditions := r.conditions
+	if conditions.Cut || r.rng.Float64() < conditions.Loss {
 		return
 	}
 	copies := 1
-	if r.rng.Float64() < w.Duplicate {
+	if r.rng.Float64() < conditions.Duplicate {
 		copies = 2
 	}
-	b = append([]byte(nil), b...)
-	if len(b) > 0 && r.rng.Float64() < w.Corrupt {
-		b[r.rng.IntN(len(b))] ^= byte(1 + r.rng.IntN(255))
+	datagram = append([]byte(nil), datagram...)
+	if len(datagram) > 0 && r.rng.Float64() < conditions.Corrupt {
+		datagram[r.rng.IntN(len(datagram))] ^= byte(1 + r.rng.IntN(255))
 	}
 	for range copies {
-		wait := time.Duration((1 + r.rng.Float64()/2) * float64(w.Delay))
-		if wait == 0 {
-			r.send(b)
+		delay := time.Duration((1 + r.rng.Float64()/2) * float64(conditions.Delay))
+		if delay == 0 {
+			r.send(datagram)
 			continue
 		}
 		var t *time.Timer
-		t = time.AfterFunc(wait, func() {
+		t = time.AfterFunc(delay, func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if delete(r.timers, t); !r.closed && !r.conditions.Cut {
-				r.send(b)
+				r.send(datagram)
 			}
 		})
 		r.timers[t] = struct{}{}
 	}
 }
 
-func (r *Relay) send(b []byte) {
-	if _, err := r.targetConn.Write(b); err == nil { // nobody may listen there
-		r.ForwardedBytes.Add(int64(len(b)))
+func (r *Relay) send(datagram []byte) {
+	if _, err := r.targetConn.Write(datagram); err == nil { // the target may not be listening
+		r.ForwardedBytes.Add(int64(len(datagram)))
 	}
 }
 
-// streams carries streams one way.
+// acceptStreams accepts streams and forwards them to the target.
 func (r *Relay) acceptStreams() {
-	places := make(chan struct{}, maxStreams)
+	slots := make(chan struct{}, maxStreams)
 	for {
 		c, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			c.Close()
 			continue
 		}
 		r.workers.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			defer c.Close()
-			end := context.AfterFunc(r.ctx, func() { c.Close() })
-			defer end()
+			stop := context.AfterFunc(r.ctx, func() { c.Close() })
+			defer stop()
 			r.forwardStream(c)
 		})
 	}
@@ -187,24 +188,24 @@
 
 func (r *Relay) forwardStream(c net.Conn) {
 	r.mu.Lock()
-	w := r.conditions
+	conditions := r.conditions
 	r.mu.Unlock()
-	if w.Cut { // swallowed: the sender finds out by its own patience
+	if conditions.Cut { // dropped: the sender notices only by its own timeout
 		io.Copy(io.Discard, c)
 		return
 	}
 	select {
-	case <-time.After(2 * w.Delay):
+	case <-time.After(2 * conditions.Delay):
 	case <-r.ctx.Done():
 		return
 	}
 	var d net.Dialer
-	to, err := d.DialContext(r.ctx, "tcp", r.target.String())
+	upstream, err := d.DialContext(r.ctx, "tcp", r.target.String())
 	if err != nil {
 		return
 	}
-	defer to.Close()
-	end := context.AfterFunc(r.ctx, func() { to.Close() })
-	defer end()
-	io.Copy(to, c)
+	defer upstream.Close()
+	stop := context.AfterFunc(r.ctx, func() { upstream.Close() })
+	defer stop()
+	io.Copy(upstream, c)
 }
--- a/internal/rig/resource/resource.go
+++ b/internal/rig/resource/resource.go
@@ -1,9 +1,9 @@
-// Package resource is what tasks under a lease act on, as a stand-in: it keeps its own history of who acted
-// when under which token, and hears nobody's opinion of it.
+// Package resource is a stand-in for what tasks under a lease access: it records who accessed it, when and
+// under which token, independently of the lease service.
 //
-// A program acts by connecting, sending its name and token on one line, and staying connected for as long as it
-// acts: an act that ends with its process ends here. The Resource owns its sockets and goroutines. It listens on
-// loopback alone, and must know nothing of leases.
+// A program accesses the resource by connecting, sending its name and token on one line and staying
+// connected, so that an access ends at the latest when the program exits. The Resource owns its sockets and
+// goroutines. It listens on loopback only and knows nothing of leases.
 package resource
 
 import (
@@ -19,15 +19,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Act is one act, as the resource saw it.
+// Access is one access, as the resource observed it.
 type Access struct {
 	Holder   string
 	Token    uint64
-	From, To time.Time // To is zero while it lasts
-	Refused  bool      // for its token, where the resource checks them
+	From, To time.Time // To is zero while the access lasts
+	Refused  bool      // because of its token, if the resource checks tokens
 }
 
-// Resource is one.
+// Resource records accesses and detects violations of mutual exclusion.
 type Resource struct {
 	Address string
 
@@ -35,7 +35,7 @@
 	listener    net.Listener
 	workers     sync.WaitGroup
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	history    []*Access
 	active     map[*Access]*net.TCPConn
 	highest    uint64
@@ -44,18 +44,18 @@
 
 const maxHistory = 100_000
 
-// Start starts a resource. One that checks tokens refuses those below the highest that it has seen.
-func Start(checks bool) (*Resource, error) {
+// Start starts a resource. With checkTokens, it refuses tokens below the highest that it has seen.
+func Start(checkTokens bool) (*Resource, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("resource: %w", err)
 	}
-	r := &Resource{Address: l.Addr().String(), checkTokens: checks, listener: l, active: map[*Access]*net.TCPConn{}}
+	r := &Resource{Address: l.Addr().String(), checkTokens: checkTokens, listener: l, active: map[*Access]*net.TCPConn{}}
 	r.workers.Go(r.accept)
 	return r, nil
 }
 
-// Close ends the resource.
+// Close stops the resource.
 func (r *Resource) Close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -85,25 +85,25 @@
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	who, text, _ := strings.Cut(strings.TrimSpace(line), " ")
+	holder, text, _ := strings.Cut(strings.TrimSpace(line), " ")
 	token, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return
 	}
-	a := &Access{Holder: who, Token: token, From: time.Now()}
+	a := &Access{Holder: holder, Token: token, From: time.Now()}
 	if !r.begin(a, c) {
 		fmt.Fprintln(c, "refused")
 		return
 	}
 	fmt.Fprintln(c, "go on")
-	in.ReadString('\n') // until it ends
+	in.ReadString('\n') // until the program disconnects
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.To = time.Now()
 	delete(r.active, a)
 }
 
-// begin notes an act, and what is wrong with it.
+// begin records an access and its violations. It returns false if the access is refused.
 func (r *Resource) begin(a *Access, c *net.TCPConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,21 +115,22 @@
 			a.Refused, a.To = true, a.From
 			return false
 		}
-		r.violations = append(r.violations, fmt.Sprintf("%s comes with token %d after %d", a.Holder, a.Token, r.highest))
+		r.violations = append(r.violations, fmt.Sprintf("%s uses token %d after token %d was seen", a.Holder, a.Token, r.highest))
 	}
 	r.highest = max(r.highest, a.Token)
-	for x, other := range r.active {
-		if x.Token == a.Token && x.Holder == a.Holder || connClosed(other) {
+	for other, conn := range r.active {
+		if other.Token == a.Token && other.Holder == a.Holder || connClosed(conn) {
 			continue
 		}
-		r.violations = append(r.violations, fmt.Sprintf("%s begins under token %d while %s acts under %d since %v", a.Holder, a.Token, x.Holder, x.Token, a.From.Sub(x.From)))
+		r.violations = append(r.violations, fmt.Sprintf("%s begins under token %d while %s has been active under token %d for %v", a.Holder, a.Token, other.Holder, other.Token, a.From.Sub(other.From)))
 	}
 	r.active[a] = c
 	return true
 }
 
-// ended tells whether the other end is closed already, which its reader may not have come to yet.
-func connClosed(c *net.TCPConn) (over bool) {
+// connClosed reports whether the peer has closed the connection, even if the connection's reader has not
+// noticed yet.
+func connClosed(c *net.TCPConn) (closed bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -137,14 +138,15 @@
 	var b [1]byte
 	if raw.Control(func(fd uintptr) {
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		over = err == nil && n >= 0 || err != nil && !errors.Is(err, unix.EAGAIN) // a line that it is over, the end, or a reset
+		// data, end of stream or a reset: the access is over
+		closed = err == nil && n >= 0 || err != nil && !errors.Is(err, unix.EAGAIN)
 	}) != nil {
 		return true
 	}
-	return over
+	return closed
 }
 
-// Acts is the history so far.
+// History returns all accesses so far.
 func (r *Resource) History() []Access {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,32 +157,33 @@
 	return all
 }
 
-// Wrong is all that must not have happened.
+// Violations returns the violations of mutual exclusion so far.
 func (r *Resource) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.violations...)
 }
 
-// Acting is an act that goes on.
+// ActiveAccess is an access in progress, on the program's side.
 type ActiveAccess struct{ conn net.Conn }
 
-// Begin begins an act, as a program does. An error says that it was refused, or that there is no resource.
-func Begin(address, who string, token uint64) (*ActiveAccess, error) {
+// Begin begins an access on behalf of a program. It fails if the access is refused or the resource cannot be
+// reached.
+func Begin(address, holder string, token uint64) (*ActiveAccess, error) {
 	c, err := net.DialTimeout("tcp", address, 2*time.Second)
 	if err != nil {
 		return nil, err
 	}
 	c.SetDeadline(time.Now().Add(2 * time.Second))
-	fmt.Fprintf(c, "%s %d\n", who, token)
+	fmt.Fprintf(c, "%s %d\n", holder, token)
 	line, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil || line != "go on\n" {
 		c.Close()
-		return nil, fmt.Errorf("the resource does not take token %d: %q, %v", token, strings.TrimSpace(line), err)
+		return nil, fmt.Errorf("the resource did not accept token %d: %q, %v", token, strings.TrimSpace(line), err)
 	}
 	c.SetDeadline(time.Time{})
 	return &ActiveAccess{c}, nil
 }
 
-// End ends the act.
+// End ends the access.
 func (a *ActiveAccess) End() { a.conn.Close() }
--- a/internal/rig/resource/resource_test.go
+++ b/internal/rig/resource/resource_test.go
@@ -28,8 +28,8 @@
 	return a
 }
 
-// Rogues are told: one that acts beside another, one whose token fell, one that has another's token. One after another is
-// no wrong, however closely they follow.
+// Violations are recorded: a holder that overlaps with another, one whose token is lower than an earlier one,
+// and one that uses another holder's token. Accesses in close succession are no violation.
 func TestViolationsRecorded(t *testing.T) {
 	r := start(t, false)
 	for i := range uint64(300) {
@@ -37,12 +37,12 @@
 		begin(t, r, "b", 2*i+2).End()
 	}
 	if w := r.Violations(); len(w) > 0 {
-		t.Fatalf("one after another: %v", w)
+		t.Fatalf("successive accesses: %v", w)
 	}
 	for name, rogue := range map[string]func(r *Resource){
-		"beside another": func(r *Resource) { begin(t, r, "b", 6).End() },
-		"the same token": func(r *Resource) { begin(t, r, "b", 5).End() },
-		"a token that fell": func(r *Resource) {
+		"overlapping access":     func(r *Resource) { begin(t, r, "b", 6).End() },
+		"another holder's token": func(r *Resource) { begin(t, r, "b", 5).End() },
+		"lower token": func(r *Resource) {
 			begin(t, r, "a", 5).End()
 			begin(t, r, "b", 4).End()
 		},
@@ -52,17 +52,17 @@
 		rogue(r)
 		a.End()
 		if len(r.Violations()) == 0 {
-			t.Errorf("%s: not told", name)
+			t.Errorf("%s: no violation recorded", name)
 		}
 	}
 }
 
-// A resource that checks tokens turns lower ones away, which is no wrong then.
+// A resource that checks tokens refuses lower ones, which is then no violation.
 func TestStaleTokensRefused(t *testing.T) {
 	r := start(t, true)
 	begin(t, r, "a", 5).End()
 	if _, err := Begin(r.Address, "b", 4); err == nil {
-		t.Error("a lower token was taken")
+		t.Error("a lower token was accepted")
 	}
 	begin(t, r, "c", 6).End()
 	if w := r.Violations(); len(w) > 0 {
