--- a/internal/rig/lab/accepted_test.go
+++ b/internal/rig/lab/accepted_test.go
@@ -12,7 +12,7 @@
 	"curlewring/internal/rig/standin"
 )
 
-// drawRoutes draws timing rules around the bounds, so that many are refused.
+// randomRoutes draws timing rules around the permitted bounds, so that many are refused.
 func randomRoutes(rng *rand.Rand, plan *standin.Plan) string {
 	var b strings.Builder
 	for _, c := range plan.Classes {
@@ -42,8 +42,8 @@
 	return b.String()
 }
 
-// Whatever the check accepts must start, and serve without a rule broken while
-// boxes hang, break and come back cold. What it refuses must not start.
+// Routes that the check accepts must start and serve without a broken rule while servers hang, fail and come
+// back cold. Routes that it refuses must not start.
 func TestAcceptedRoutesServe(t *testing.T) {
 	samples := 2
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -66,10 +66,10 @@
 		l, err := Open(context.Background(), o)
 		if err != nil {
 			if !strings.Contains(err.Error(), "descriptions") {
-				t.Fatalf("accepted, and it does not start: %v\n%s", err, o.Routes)
+				t.Fatalf("accepted routes do not start: %v\n%s", err, o.Routes)
 			}
 			if refused++; refused > 200*samples {
-				t.Fatal("the check refuses everything")
+				t.Fatal("the check refuses nearly all routes")
 			}
 			continue
 		}
@@ -84,5 +84,5 @@
 			t.Fatalf("routes:\n%s", o.Routes)
 		}
 	}
-	t.Logf("%d sets were accepted and served, %d refused", accepted, refused)
+	t.Logf("%d sets of routes accepted and served, %d refused", accepted, refused)
 }
--- a/internal/rig/lab/budgets_test.go
+++ b/internal/rig/lab/budgets_test.go
@@ -8,9 +8,8 @@
 	"curlewring/internal/rig/standin"
 )
 
-// Two tiers whose lower one fails: with budgets no call of a graph may be tried
-// more often than its class has attempts, over both tiers together. Without, the
-// control, they multiply.
+// The servers of the lower of two tiers fail. With shared budgets no call may have more attempts over both
+// tiers together than its class allows. Without them, the control, the attempts of the tiers multiply.
 func TestSharedBudgetsAcrossTiers(t *testing.T) {
 	play := func(on bool) (worst int, r *Report) {
 		o := defaultOptions()
@@ -37,12 +36,12 @@
 	}
 	on, with := play(true)
 	off, without := play(false)
-	t.Logf("most attempts of a call: %d with budgets, %d without; weighted service %.3f and %.3f, attempts a request %.2f and %.2f",
+	t.Logf("max attempts per call: %d with budgets, %d without; weighted service %.3f and %.3f, attempts per request %.2f and %.2f",
 		on, off, with.ServedWorth, without.ServedWorth, with.AttemptsPerRequest, without.AttemptsPerRequest)
 	if on > 4 {
-		t.Errorf("a call was tried %d times, its class has 4", on)
+		t.Errorf("a call had %d attempts, its class allows 4", on)
 	}
 	if off <= 4 {
-		t.Errorf("without budgets a call is tried %d times at the most: this shows nothing", off)
+		t.Errorf("at most %d attempts per call without budgets: the control does not exceed the limit", off)
 	}
 }
--- a/internal/rig/lab/concurrency_test.go
+++ b/internal/rig/lab/concurrency_test.go
@@ -7,8 +7,8 @@
 	"curlewring/internal/rig/standin"
 )
 
-// atOnce plays so many callers, one request after another, against eight boxes of
-// 16 cores whose answers take so long.
+// runConcurrentClients runs clients that each send one request after another, to eight servers of 16 cores
+// with the given service time.
 func runConcurrentClients(t *testing.T, callers int, took time.Duration) *Report {
 	t.Helper()
 	o := defaultOptions()
@@ -21,8 +21,8 @@
 	return runLab(t, o)
 }
 
-// Answers in 2 ms with aims of 1 to 2 s: 128 calls at once are no crowd, and
-// none may be refused. With a presumed room of five calls a box, most were.
+// With responses in 2 ms and latency targets of 1 to 2 s, 128 concurrent requests are no overload, and none
+// may be rejected. An assumed limit of five requests per server rejected most of them.
 func TestFastResponsesNotRejected(t *testing.T) {
 	for _, c := range runConcurrentClients(t, 128, 2*time.Millisecond).Classes {
 		if c.Refused > 0 || c.Failed > 0 {
@@ -31,8 +31,8 @@
 	}
 }
 
-// The same boxes with 300 ms a call must still be protected: far more callers
-// than they can serve in time, and what is let in is served in time.
+// The same servers with a service time of 300 ms must still be protected against far more clients than they
+// can serve in time: some requests are rejected, and those that are admitted are served in time.
 func TestSlowResponsesShedLoad(t *testing.T) {
 	refused, late, served := 0, 0, 0
 	for _, c := range runConcurrentClients(t, 700, 300*time.Millisecond).Classes {
--- a/internal/rig/lab/crossing_test.go
+++ b/internal/rig/lab/crossing_test.go
@@ -10,14 +10,15 @@
 	"curlewring/internal/rig/standin"
 )
 
-// crossing plays faults among several real nodes, one beside the other. The judge hears no node, and holds what counts as
-// told though it was never written.
+// runFaults injects overlapping faults among several real nodes. The judge does not rely on what nodes
+// report: a change counts as delivered after its time even if it was never written to the node.
 func runFaults(t *testing.T, change func(o *Options), faults ...string) *Report {
 	t.Helper()
 	return runFaultsAtLineRate(t, 0, change, faults...)
 }
 
-// paced does so with discovery that sends so many lines a second once all nodes are ready; 0: any number.
+// runFaultsAtLineRate is runFaults with a discovery that sends a limited number of lines per second once all
+// nodes are ready; 0 for no limit.
 func runFaultsAtLineRate(t *testing.T, lines int, change func(o *Options), faults ...string) *Report {
 	t.Helper()
 	o := defaultOptions()
@@ -44,7 +45,7 @@
 	return r
 }
 
-// service is the part of the requests that were served in time.
+// servedShare returns the fraction of the requests that were served in time.
 func servedShare(r *Report) float64 {
 	served, asked := 0, 0
 	for _, c := range r.Classes {
@@ -53,28 +54,31 @@
 	return float64(served) / float64(max(1, asked))
 }
 
-// All watches of all nodes fall silent, and boxes drain right after, while discovery takes three quarters of a second
-// for each call: every node has to have noticed and asked anew by the time at which the drains count as told.
+// All long polls of all nodes go silent, and servers drain right after, while discovery takes three quarters
+// of a second per call. Every node must have noticed and polled again by the time at which the drains count
+// as delivered.
 func TestServersDrainAfterPollsGoSilent(t *testing.T) {
 	t.Parallel()
 	r := runFaultsAtLineRate(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.Duration = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
 	if part := servedShare(r); part < 0.9 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.9", part)
 	}
 }
 
-// Discovery is down, and boxes drain as it comes back: whatever pause a node has come to by then, it has to ask in time.
+// Discovery is down, and servers drain as it recovers. Whatever backoff a node has reached by then, it must
+// poll in time.
 func TestServersDrainAsDiscoveryRecovers(t *testing.T) {
 	t.Parallel()
 	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 100, 12*time.Second },
 		"outage:at=500ms,for=4s", "leave:box=1,at=4400ms,for=8s", "leave:box=5,at=4600ms,for=8s")
 	if part := servedShare(r); part < 0.9 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.9", part)
 	}
 }
 
-// Lists are pushed: what the agent beside a node has counts as told at once, and it is silent while discovery is down. Boxes
-// leave at once, amid an outage, and while nodes restart; nobody asks for the lists but the nodes by themselves.
+// Lists are pushed: what a node's local agent has counts as delivered at once, and the agent sends nothing
+// while discovery is down. Servers leave without delay, during an outage and while nodes restart. Nodes must
+// request the lists on their own.
 func TestPushedListsDuringFaults(t *testing.T) {
 	t.Parallel()
 	r := runFaults(t, func(o *Options) {
@@ -82,12 +86,12 @@
 	}, "leave:box=1,at=500ms,for=8s", "outage:at=1500ms,for=2s", "leave:box=4,at=2s,for=8s", "kill:node=1,at=2500ms,for=500ms",
 		"term:node=2,at=3s,for=2s", "leave:box=5,at=5s,for=8s")
 	if part := servedShare(r); part < 0.8 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.8", part)
 	}
 }
 
-// Nodes are told to end one after the other, while callers go on sending on the connections that they have until these
-// close: nothing that a node has taken may be lost, and each is back soon.
+// Nodes are terminated one after another, while clients go on using their open connections until these close.
+// No request that a node has accepted may be lost, and each node is soon back.
 func TestRollingTermination(t *testing.T) {
 	t.Parallel()
 	var faults []string
@@ -97,7 +101,7 @@
 	faults = append(faults, "stuck:box=2,at=400ms,for=2s", "reset:box=3,at=3s,for=2s")
 	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 200, 8*time.Second }, faults...)
 	if part := servedShare(r); part < 0.7 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.7", part)
 	}
 	for _, n := range r.Nodes {
 		if n.Failure != "" {
@@ -106,30 +110,33 @@
 	}
 }
 
-// Callers leave in great numbers while boxes are slow, hang and turn away: nothing goes out for those that have left.
+// Many clients cancel while servers are slow, hang and reject requests. No attempt may be sent for a request
+// whose client has left.
 func TestClientsCancelInABurst(t *testing.T) {
 	t.Parallel()
 	r := runFaults(t, func(o *Options) {
 		o.Traffic.Rate, o.Traffic.Duration, o.Traffic.CancelFraction, o.Traffic.Retries = 200, 5*time.Second, 0.7, 0
 	}, "slow:site=genf,at=300ms,for=4s,by=60", "slow:site=zuerich,at=300ms,for=4s,by=60", "turnaway:box=3,at=300ms,for=4s", "reset:box=4,at=300ms,for=4s",
-		// What waits at these boxes breaks, and is tried again: for those that are still there alone.
+		// Requests that wait at these servers fail and are retried, but only if their client is still
+		// connected.
 		"crash:box=1,at=2s,for=2s", "crash:box=2,at=2500ms,for=2s", "crash:box=5,at=3s,for=2s", "crash:box=6,at=3500ms,for=2s")
 	left := 0
 	for _, c := range r.Classes {
 		left += c.Failed
 	}
 	if left < 100 {
-		t.Errorf("only %d requests have failed or were left", left)
+		t.Errorf("only %d requests failed or were cancelled", left)
 	}
 }
 
-// Thirty nodes before boxes of which one starts cold: it must not be pushed over by the sum of what they send, and it must
-// get something.
+// One server of a fleet with thirty nodes restarts cold. The sum of the nodes' requests must not make it
+// collapse, and it must get some requests.
 func TestThirtyNodesShareAColdServer(t *testing.T) {
 	t.Parallel()
 	r := runFaults(t, func(o *Options) {
 		o.Nodes, o.Plan.Servers = 30, 4
-		o.Plan.Cores, o.Plan.Speeds, o.Plan.CollapseMultiple = 1, []float64{0.3}, 1 // an even share would push it over
+		// an even share would make it collapse
+		o.Plan.Cores, o.Plan.Speeds, o.Plan.CollapseMultiple = 1, []float64{0.3}, 1
 		o.Traffic.Rate, o.Traffic.Duration = 130, 6*time.Second
 	}, "crash:box=1,at=1s,for=1s")
 	for _, b := range r.Servers {
@@ -138,12 +145,12 @@
 		}
 	}
 	if part := servedShare(r); part < 0.7 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.7", part)
 	}
 }
 
-// Idle clients take all the connections that nodes have, discovery is down, and nodes restart: they must be ready within
-// 10 s, and serve.
+// Idle clients hold all of the nodes' client connections, discovery is down, and nodes restart. The nodes
+// must be ready within 10 s, and serve.
 func TestRestartWithIdleClients(t *testing.T) {
 	t.Parallel()
 	o := defaultOptions()
@@ -178,6 +185,6 @@
 		t.Errorf("not ready in time: %s", strings.Join(late, "; "))
 	}
 	if part := servedShare(r); part < 0.6 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.6", part)
 	}
 }
--- a/internal/rig/lab/lab_test.go
+++ b/internal/rig/lab/lab_test.go
@@ -19,10 +19,10 @@
 	"curlewring/internal/rig/standin"
 )
 
-// sideBySide is how many tests run side by side on a small machine.
+// minParallelTests is the number of parallel tests on machines with few cores.
 const minParallelTests = 4
 
-// binary and tool are the programs, built once.
+// Programs under test, built once by TestMain.
 var nodeBinary, toolBinary string
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,8 @@
 	if toolBinary, err = BuildTool(context.Background(), dir); err != nil {
 		panic(err)
 	}
-	// These tests mostly wait: on two cores four of them at a time take half as long, and do not get in each other's way.
+	// These tests mostly wait. On two cores, four of them in parallel take half the time and do not disturb
+	// each other.
 	if flag.Parse(); runtime.GOMAXPROCS(0) < minParallelTests {
 		if err := flag.Set("test.parallel", strconv.Itoa(minParallelTests)); err != nil {
 			panic(err)
@@ -51,7 +52,7 @@
 	os.Exit(code)
 }
 
-// options are those of a small lab that any machine can carry.
+// defaultOptions returns options of a lab that is small enough for any machine.
 func defaultOptions() Options {
 	o := Options{
 		Plan: standin.DefaultPlan(), Nodes: 2, Binary: nodeBinary, MemoryMB: 192, Sockets: 1024, MaxRetryAfter: time.Second,
@@ -76,23 +77,23 @@
 	return r
 }
 
-// check fails on any broken rule, and on requests that the report loses.
+// checkReport fails the test if a rule was broken or requests are missing from the report.
 func checkReport(t *testing.T, r *Report) {
 	t.Helper()
 	if !r.Passed() {
 		var text strings.Builder
 		r.Print(&text)
-		t.Errorf("not kept:\n%s", text.String())
+		t.Errorf("rules broken, or nodes that failed:\n%s", text.String())
 	}
 	asked := 0
 	for _, c := range r.Classes {
 		asked += c.Requests
 		if c.Requests != c.Served+c.Late+c.Refused+c.Failed {
-			t.Errorf("%+v does not add up", c)
+			t.Errorf("outcomes of class %+v do not add up to its requests", c)
 		}
 	}
 	if asked == 0 {
-		t.Error("nothing was asked")
+		t.Error("no requests were sent")
 	}
 }
 
@@ -100,17 +101,17 @@
 	r := runLab(t, defaultOptions())
 	for _, c := range r.Classes {
 		if c.Refused+c.Failed > 0 {
-			t.Errorf("a calm day: %+v", c)
+			t.Errorf("refused or failed requests without faults: %+v", c)
 		}
 	}
 	for _, n := range r.Nodes {
 		if n.CPUSeconds <= 0 || n.PeakMB <= 1 || n.PeakMB > 192 {
-			t.Errorf("node %+v", n)
+			t.Errorf("implausible resource use of node %+v", n)
 		}
 	}
 }
 
-// Whatever goes wrong outside, the nodes must keep the four rules.
+// The nodes must keep the four rules under faults of servers, discovery and nodes.
 func TestFaults(t *testing.T) {
 	const when = "at=300ms,for=1200ms"
 	for _, faults := range [][]string{
@@ -143,8 +144,8 @@
 	}
 	o.Faults = []standin.Fault{f}
 	r := runLab(t, o)
-	if len(r.Nodes) != 4 { // one before the first tier, one for each of its boxes
-		t.Errorf("nodes %+v", r.Nodes)
+	if len(r.Nodes) != 4 { // one in front of the first tier, one for each of its servers
+		t.Errorf("want 4 nodes, got %+v", r.Nodes)
 	}
 	below := 0
 	for _, b := range r.Servers[3:] {
@@ -155,7 +156,7 @@
 	}
 }
 
-// What can't be must be said before anything runs.
+// Faults with unknown targets must be rejected before anything runs.
 func TestUnknownFaultTargetsRejected(t *testing.T) {
 	for _, text := range []string{"slow:box=77", "slow:site=bern", "kill:node=5", "kill:node=x"} {
 		f, err := standin.ParseFault(text)
@@ -166,13 +167,13 @@
 		o.Faults = []standin.Fault{f}
 		if l, err := Open(context.Background(), o); err == nil {
 			l.Close()
-			t.Errorf("%s was taken", text)
+			t.Errorf("fault %s was accepted", text)
 		}
 	}
 }
 
-// reloadLoad is the rate and length of the live reload: CURLEWRING_LONG=1 plays
-// the full one, which wants four free cores.
+// reloadSettings returns the load and number of reloads of TestLiveReload. The full load of CURLEWRING_LONG=1
+// needs four free cores.
 func reloadSettings() (rate float64, reloads int, pause time.Duration) {
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		return 1700, 20, time.Second
@@ -180,8 +181,8 @@
 	return 150, 20, 150 * time.Millisecond
 }
 
-// Under load, good and bad files take turns. Nothing may be lost and no rule be
-// broken; each good file must show on the sockets, and no bad one.
+// Valid and invalid operators' files alternate under load. No request may be lost and no rule broken. The
+// timeout of each valid file must show in the attempts, and invalid files must have no effect.
 func TestLiveReload(t *testing.T) {
 	rate, reloads, pause := reloadSettings()
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -201,7 +202,7 @@
 	write(rules(900 * time.Millisecond))
 	o := defaultOptions()
 	o.Operator = path
-	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // it ends with the last reload
+	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // ends with the last reload
 	o.Plan.Servers = 8
 	l, err := Open(context.Background(), o)
 	if err != nil {
@@ -215,7 +216,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { report, runErr = l.Run(ctx, nil) })
 	rng := rand.New(rand.NewPCG(1, 2))
-	counts := func(what string) int { // of the last such line of all nodes, the least
+	counts := func(what string) int { // lowest count of such lines over all nodes
 		least := 1 << 30
 		for _, name := range []string{"n0", "n1"} {
 			least = min(least, strings.Count(l.Log(name), what))
@@ -231,10 +232,10 @@
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the good file is taken", func() bool { return counts("msg=reloaded") == goods })
+			waitUntil(t, "the valid file is accepted", func() bool { return counts("msg=reloaded") == goods })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
-			waitUntil(t, "the new bounds show", func() bool {
+			waitUntil(t, "attempts use the new timeout", func() bool {
 				longest, n := l.Fleet.MaxAttemptTimeout(1)
 				return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 			})
@@ -244,11 +245,11 @@
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the bad file is turned down", func() bool { return counts("the old one stays") == bads })
+			waitUntil(t, "the invalid file is rejected", func() bool { return counts("the old one stays") == bads })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			if longest, n := l.Fleet.MaxAttemptTimeout(1); n > 0 && longest > time.Duration(200+25*(i-1))*time.Millisecond {
-				t.Errorf("after a bad file an attempt lasts %v", longest)
+				t.Errorf("an attempt timeout of %v after an invalid file", longest)
 			}
 		}
 	}
@@ -270,7 +271,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/rig/lab/large_test.go
+++ b/internal/rig/lab/large_test.go
@@ -12,11 +12,10 @@
 	"curlewring/internal/rig/registry"
 )
 
-// residentOf is a process's memory at the moment.
+// residentBytesOf returns a process's current resident memory.
 func residentBytesOf(pid int) int64 { return procMemory(pid, "VmRSS:") }
 
-// waitLines waits until the node of a lab has been told so many lines, and no
-// more have come for a while.
+// waitForLines waits until discovery has written the given number of lines in total.
 func waitForLines(t *testing.T, l *Lab, want int) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); ; time.Sleep(20 * time.Millisecond) {
@@ -25,24 +24,24 @@
 		}
 		if time.Now().After(end) {
 			_, lines := l.Fleet.Discovery.Calls()
-			t.Fatalf("%d lines of %d were told", lines, want)
+			t.Fatalf("discovery has written %d lines, want %d", lines, want)
 		}
 	}
 }
 
-// waitHeard waits until each node of a lab has been told the newest version of the list.
+// waitForNewestList waits until discovery has written the newest version of the list to each node.
 func waitForNewestList(t *testing.T, l *Lab) {
 	t.Helper()
 	d := l.Fleet.Discovery
 	for end := time.Now().Add(time.Minute); sampleCalls(d, 0).total.WrittenVersion < d.Version(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("version %d was not told to all", d.Version())
+			t.Fatalf("version %d was not written to all nodes", d.Version())
 		}
 	}
 }
 
-// A node must carry a list of 10,000 boxes in the 32 MB that it has on small
-// machines, and follow 500 changes a second of it with a small part of a core.
+// A node must handle a list of 10,000 servers within the 32 MB that it has on small machines, and 500 changes
+// of the list per second with a small part of a core.
 func TestLargeServerList(t *testing.T) {
 	sizes := []int{10, 1000, 10000}
 	var memory []int64
@@ -57,7 +56,7 @@
 		defer l.Close()
 		l.Fleet.PublishFakeServers(0, n, true)
 		waitForNewestList(t, l)
-		if err := l.Kill("n0"); err != nil { // it starts with the list that it last had
+		if err := l.Kill("n0"); err != nil { // restarts with the list that it had last
 			t.Fatal(err)
 		}
 		if err := l.Start("n0"); err != nil {
@@ -70,14 +69,14 @@
 		p.mu.Lock()
 		pid := p.cmd.Process.Pid
 		p.mu.Unlock()
-		// A change comes once the whole list has been taken in.
+		// A change is written after the whole list, so the list has been loaded when it arrives.
 		_, before := l.Fleet.Discovery.Calls()
 		l.Fleet.PublishFakeServers(0, 1, false)
 		waitForLines(t, l, before+1)
 		l.Fleet.PublishFakeServers(0, 1, true)
 		waitForLines(t, l, before+2)
 		rest := residentBytesOf(pid)
-		// 5% of the boxes go and come for a second, in steps of 20 ms.
+		// 5% of the servers leave and return within a second, in steps of 20 ms.
 		cpu, begun, changes := procCPUTime(pid), time.Now(), 0
 		for step := 0; step < 50; step++ {
 			k := max(1, n/2000)
@@ -93,25 +92,25 @@
 		cpu = procCPUTime(pid) - cpu
 		took := time.Since(begun)
 		memory = append(memory, residentBytesOf(pid))
-		t.Logf("| %d boxes | %.1f MB at rest | %.1f MB after churn | %.0f changes a second | %.1f%% of a core |", n,
+		t.Logf("| %d servers | %.1f MB at rest | %.1f MB after churn | %.0f changes a second | %.1f%% of a core |", n,
 			float64(rest)/(1<<20), float64(memory[len(memory)-1])/(1<<20), float64(changes)/took.Seconds(),
 			100*cpu.Seconds()/took.Seconds())
 	}
 	if memory[0] == 0 {
-		t.Skip("no /proc here to read memory from")
+		t.Skip("needs /proc to read memory use")
 	}
 	each := float64(memory[2]-memory[0]) / float64(sizes[2]-sizes[0])
-	t.Logf("%.0f bytes of memory a box", each)
+	t.Logf("%.0f bytes of memory per server", each)
 	if each < 200 {
-		t.Error("a box takes next to nothing: the node does not hold the list, and the test shows nothing")
+		t.Error("implausibly little memory per server: the node does not hold the list")
 	}
 	if memory[2] > 32<<20 {
-		t.Errorf("%.1f MB with 10,000 boxes", float64(memory[2])/(1<<20))
+		t.Errorf("%.1f MB with 10,000 servers, want at most 32", float64(memory[2])/(1<<20))
 	}
 }
 
-// counters reads a process's system calls that read and write, and how often it
-// went to sleep, from /proc (proc(5): io, and voluntary_ctxt_switches of status).
+// readProcCounters returns a process's read and write system calls and its voluntary context switches, from
+// /proc (proc(5): io, and voluntary_ctxt_switches in status).
 func readProcCounters(pid int) (reads, writes, sleeps int64, ok bool) {
 	all := map[string]int64{}
 	for _, file := range []string{"io", "status"} {
@@ -142,8 +141,8 @@
 	return all["syscr"], all["syscw"], sleeps, true
 }
 
-// A request must cost the node no more reads and writes than the page says; a
-// library that takes another look on every request shows here.
+// Bounds the reads and writes per request, which a library that polls once more for every request would
+// exceed.
 func TestSystemCallsPerRequest(t *testing.T) {
 	rate := 300.0
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -164,7 +163,7 @@
 		asked                 int64
 		reads, writes, sleeps int64
 	}
-	var samples []sample // of the middle: connections are there by then
+	var samples []sample // taken during the run, when connections are established
 	r, err := l.Run(context.Background(), func(now Progress) {
 		if reads, writes, sleeps, ok := readProcCounters(pid); ok {
 			samples = append(samples, sample{now.Requests, reads, writes, sleeps})
@@ -175,13 +174,13 @@
 	}
 	checkReport(t, r)
 	if len(samples) < 2 {
-		t.Skip("no /proc here to count by")
+		t.Skip("needs /proc to count system calls")
 	}
 	a, b := samples[0], samples[len(samples)-1]
 	n := float64(b.asked - a.asked)
 	reads, writes, sleeps := float64(b.reads-a.reads)/n, float64(b.writes-a.writes)/n, float64(b.sleeps-a.sleeps)/n
-	t.Logf("at %.0f a second: %.2f reads, %.2f writes, %.2f sleeps a request", rate, reads, writes, sleeps)
+	t.Logf("at %.0f requests per second: %.2f reads, %.2f writes, %.2f sleeps per request", rate, reads, writes, sleeps)
 	if reads > 5.5 || writes > 2.5 {
-		t.Errorf("%.2f reads and %.2f writes a request", reads, writes)
+		t.Errorf("%.2f reads and %.2f writes per request, want at most 5.5 and 2.5", reads, writes)
 	}
 }
--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -30,7 +30,7 @@
 
 type linkConditions = relay.Conditions
 
-// leasing is a lab whose nodes keep leases, with a resource and programs that contend for it.
+// leaseLab is a lab whose nodes keep leases, with a resource and clients that contend for it.
 type leaseLab struct {
 	*memberLab
 	resource   *resource.Resource
@@ -38,7 +38,7 @@
 	cancel     context.CancelFunc
 	ctx        context.Context
 	contenders sync.WaitGroup
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	ops        []porcupine.Operation
 	grants     int
 	startedAt  time.Time
@@ -47,7 +47,7 @@
 func startLeaseLab(t *testing.T, nodes, voters int, seed uint64, checks bool) *leaseLab {
 	t.Helper()
 	x := &leaseLab{memberLab: startMemberLabWith(t, nodes, seed, func(o *Options) { o.ReplaceVoterAfter, o.Traffic.Rate = voterReplaceDelay, 20 }), startedAt: time.Now()}
-	x.minServed = 0.5 // it is not what is looked at
+	x.minServed = 0.5 // the share served in time is not what these tests check
 	var err error
 	if x.resource, err = resource.Start(checks); err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	x.waitForView(30*time.Second, x.names...)
 	r, err := leases.Call(x.ctx, x.StateFolder("n0"), leases.Request{Do: "found", Voters: voters})
 	if err != nil {
-		t.Fatalf("founding: %v", err)
+		t.Fatalf("founding the voter group: %v", err)
 	}
 	for _, s := range r.Seats.Rows {
 		x.voters = append(x.voters, s.Name)
@@ -64,7 +64,7 @@
 	return x
 }
 
-// finish stops the contenders and looks at what the resource has seen.
+// finish stops the contenders, and checks the resource's violations and the lease operations.
 func (x *leaseLab) finish() {
 	x.t.Helper()
 	x.cancel()
@@ -87,7 +87,7 @@
 	}
 }
 
-// standing asks a node; false if it does not answer.
+// leaseStatus requests a node's lease status; false if the node does not answer.
 func (x *leaseLab) leaseStatus(node string) (leaselog.Status, bool) {
 	ctx, cancel := context.WithTimeout(x.ctx, time.Second)
 	defer cancel()
@@ -98,7 +98,8 @@
 	return *r.Standing, true
 }
 
-// settledAs tells whether a voter knows that the one whose disk was lost votes under a number, and its old one no more.
+// voterReplaced reports whether a voter knows that the voter with the lost disk now has the given number, and
+// that its old number no longer votes.
 func (x *leaseLab) voterReplaced(node string, lost string, number uint64) bool {
 	s, ok := x.leaseStatus(node)
 	if !ok || !s.Settled {
@@ -107,7 +108,7 @@
 	return slices.ContainsFunc(s.Seats.Rows, func(r leaselog.VoterInfo) bool { return r.Name == lost && r.ID == number })
 }
 
-// leader is who leads in the highest term; "" if nobody says that it does.
+// leader returns the leader of the highest term; "" if no node leads.
 func (x *leaseLab) leader() (name string) {
 	term := uint64(0)
 	for _, n := range x.names {
@@ -118,7 +119,7 @@
 	return name
 }
 
-// waitFor waits for a condition.
+// waitFor polls a condition until it holds, and returns how long that took.
 func (x *leaseLab) waitFor(what string, within time.Duration, ok func() bool) time.Duration {
 	x.t.Helper()
 	begun := time.Now()
@@ -126,7 +127,7 @@
 	defer look.Stop()
 	for !ok() {
 		if time.Since(begun) > within {
-			x.t.Errorf("not within %v: %s", within, what)
+			x.t.Errorf("timed out after %v waiting for %s", within, what)
 			return within
 		}
 		<-look.C
@@ -134,14 +135,15 @@
 	return time.Since(begun)
 }
 
-// The operations on one lease, as a contender sees them.
+// leaseOp is an operation on one lease, as a contender observes it.
 type leaseOp struct {
 	kind  string // "acquire", "renew", "release"
 	token uint64 // renew, release
 }
 
-// leaseModel is one lease whose holder may lose it at any time without a word: what is left is that tokens only grow,
-// that none is given twice, and that nobody renews or releases what another has since taken.
+// leaseModel models one lease whose holder may lose it at any time without notice. What remains to check is
+// that tokens only grow, that none is granted twice, and that nobody renews or releases a lease that another
+// has since acquired.
 func leaseModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
@@ -174,8 +176,8 @@
 	return x.grants
 }
 
-// contend has one more contender want the lease by way of a node, again and again: it acts while it may, and gives the lease
-// up after a while.
+// addContender starts a client that acquires the lease through a node again and again, accesses the resource
+// while it may, and releases the lease after a while.
 func (x *leaseLab) addContender(client int, node, name string, seed uint64) {
 	x.contenders.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, uint64(client)))
@@ -215,7 +217,7 @@
 		case token != 0 && now+act < until:
 			a, err := resource.Begin(x.resource.Address, fmt.Sprint("client", client), token)
 			if err == nil {
-				time.Sleep(max(0, min(act, until-clock.Boot()-act/4))) // the act itself
+				time.Sleep(max(0, min(act, until-clock.Boot()-act/4))) // the access itself
 				a.End()
 			}
 		}
@@ -244,15 +246,16 @@
 	}
 }
 
-// run starts curlewctl lease run.
+// leaseRunCommand returns a command that executes curlewctl lease run.
 func (x *leaseLab) leaseRunCommand(node, name string, flags []string, command ...string) *exec.Cmd {
 	args := append([]string{"lease", "run", "--folder", x.StateFolder(node), "--ttl", leaseTTL.String()}, flags...)
 	cmd := exec.Command(toolBinary, append(append(args, name, "--"), command...)...)
 	return cmd
 }
 
-// The way of a lease with nothing wrong, and each fault by itself: who holds is killed, who leads is, both are, they stand
-// still, the voters are all killed. Acts never overlap, and somebody holds again within the bound.
+// A lease without faults, and under each fault by itself: the holder's node is killed or paused, the leader
+// is killed or paused, all voters are killed. Accesses never overlap, and a client acquires the lease within
+// the bound.
 func TestLeasesSurviveEachFault(t *testing.T) {
 	t.Parallel()
 	x := startLeaseLab(t, 5, 3, 31, false)
@@ -269,34 +272,35 @@
 		t.Logf("%s: a grant after %v", what, took)
 	}
 	again("the start", 10*time.Second)
-	const bound = 2*leaseTTL + 10*time.Second // two terms and elections; a busy machine takes longer for those
+	// two lease times and elections; a busy machine needs longer for elections
+	const bound = 2*leaseTTL + 10*time.Second
 	kill := func(name string) func() {
 		x.noError(x.Kill(name))
 		return func() {
 			x.noError(x.Start(name))
-			x.waitFor(name+" is back", 20*time.Second, func() bool { _, ok := x.leaseStatus(name); return ok })
+			x.waitFor(name+" to return", 20*time.Second, func() bool { _, ok := x.leaseStatus(name); return ok })
 		}
 	}
 	leader := x.leader()
 	back := kill(leader)
-	again("the leader's end", bound)
+	again("the leader was killed", bound)
 	back()
 	leader = x.leader()
 	x.noError(x.Pause(leader))
-	again("the leader stands still", bound)
+	again("the leader was paused", bound)
 	x.noError(x.Resume(leader))
-	again("and goes on", bound)
+	again("the leader was resumed", bound)
 	back = kill(others[0])
-	again("a contender's node's end", bound)
+	again("a contender's node was killed", bound)
 	back()
 	x.noError(x.Pause(others[1]))
-	again("a contender's node stands still", bound)
+	again("a contender's node was paused", bound)
 	x.noError(x.Resume(others[1]))
 	var backs []func()
 	for _, n := range x.voters {
 		backs = append(backs, kill(n))
 	}
-	// Without a majority nobody acquires, and that is told, not left hanging.
+	// Without a majority of voters, acquiring fails with an error instead of blocking.
 	begun := time.Now()
 	if _, err := x.leaseRunCommand(others[0], "other", nil, "true").CombinedOutput(); err == nil {
 		t.Error("a command ran without a majority")
@@ -306,7 +310,7 @@
 	for _, b := range backs {
 		b()
 	}
-	again("all voters' end", bound+10*time.Second)
+	again("all voters were killed", bound+10*time.Second)
 }
 
 func exitCode(err error) int {
@@ -317,7 +321,8 @@
 	return -1
 }
 
-// A voter whose state is gone is taken in anew at its seat, and one that stays away gives its seat to another.
+// A voter that has lost its state is admitted again under a new number, and one that stays away is replaced
+// by another node.
 func TestLeaseVotersReplaced(t *testing.T) {
 	t.Parallel()
 	x := startLeaseLab(t, 5, 3, 32, false)
@@ -340,38 +345,39 @@
 	x.noError(x.Kill(lost))
 	x.noError(x.RemoveState(lost))
 	x.noError(x.Start(lost))
-	took := x.waitFor("the seat of a lost disk under a new number", 30*time.Second, func() bool {
+	took := x.waitFor("the voter with the lost disk to have a new number", 30*time.Second, func() bool {
 		now := numbers()
 		s, ok := x.leaseStatus(lost)
 		return now[lost] != 0 && now[lost] != before[lost] && ok && s.ID == now[lost] && s.Applied > 1
 	})
-	t.Logf("a lost disk: taken in after %v", took)
-	// Until the change has ended its old number counts among the voters, and another loss leaves no majority.
-	took = x.waitFor("the end of the change of voters", 5*time.Second, func() bool {
+	t.Logf("lost disk: admitted again after %v", took)
+	// Until the change of voters has completed, the old number still counts as a voter, and another loss
+	// leaves no majority.
+	took = x.waitFor("the change of voters to complete", 5*time.Second, func() bool {
 		number := numbers()[lost]
 		return x.voterReplaced(lost, lost, number) && x.voterReplaced(x.voters[2], lost, number)
 	})
-	t.Logf("its change of voters ended after another %v", took)
+	t.Logf("its change of voters completed after another %v", took)
 	gone := x.voters[1]
 	x.noError(x.Kill(gone))
-	took = x.waitFor("its seat is another's", 40*time.Second, func() bool {
+	took = x.waitFor("another node to replace the missing voter", 40*time.Second, func() bool {
 		now := numbers()
 		return len(now) == 3 && now[gone] == 0
 	})
-	t.Logf("one that stays away: replaced after %v, of which %v are the rule's", took, voterReplaceDelay)
+	t.Logf("missing voter: replaced after %v, of which %v is the configured delay", took, voterReplaceDelay)
 	x.noError(x.Start(gone))
-	x.waitFor("it gives its number up", 40*time.Second, func() bool {
+	x.waitFor("the replaced node to give up its vote", 40*time.Second, func() bool {
 		s, ok := x.leaseStatus(gone)
 		return ok && !s.Voter && s.Seats.Founding != 0
 	})
-	// With the two that were there from the beginning or are new, and without the third, there is a majority.
+	// One original and one new voter are a majority without the third.
 	x.noError(x.Kill(x.voters[2]))
 	had := x.grantCount()
 	x.waitFor("a grant by the new voters", 2*leaseTTL+20*time.Second, func() bool { return x.grantCount() > had })
 	x.noError(x.Start(x.voters[2]))
 }
 
-// Random faults on voters and contenders at once, for a while, by a seed.
+// Seeded random faults on voters and contenders at once.
 func TestLeasesRandomFaults(t *testing.T) {
 	seeds, length := uint64(1), 20*time.Second
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -393,7 +399,7 @@
 	for i, node := range []string{x.names[0], x.names[2], x.names[4], x.names[6]} {
 		x.addContender(i, node, "l", seed)
 	}
-	for i := range 2 { // and real commands
+	for i := range 2 { // contenders that run real commands
 		x.contenders.Go(func() {
 			for x.ctx.Err() == nil {
 				cmd := x.leaseRunCommand(x.names[1+2*i], "l", []string{"--wait", "10s"}, toolBinary, "act", x.resource.Address, "--for", "700ms")
@@ -413,7 +419,7 @@
 	for begun := time.Now(); time.Since(begun) < length; {
 		what, end := x.injectRandomFault(rng)
 		told = append(told, what)
-		time.Sleep(time.Duration(500+rng.IntN(3500)) * time.Millisecond) // the fault's own length
+		time.Sleep(time.Duration(500+rng.IntN(3500)) * time.Millisecond) // duration of the fault
 		end()
 	}
 	t.Logf("seed %d: %s", seed, strings.Join(told, ", "))
@@ -422,7 +428,7 @@
 	t.Logf("seed %d: %d grants, %d acts, a grant %v after the last fault", seed, x.grantCount(), len(x.resource.History()), took)
 }
 
-// fault begins one that is drawn, and returns how it ends.
+// injectRandomFault starts a random fault, and returns its name and a function that ends it.
 func (x *leaseLab) injectRandomFault(rng *rand.Rand) (string, func()) {
 	node := x.names[rng.IntN(len(x.names))]
 	if rng.IntN(2) == 0 {
@@ -439,17 +445,17 @@
 		return "kill " + node, func() { x.noError(x.Start(node)) }
 	case 1:
 		x.noError(x.Pause(node))
-		return "stop " + node, func() { x.noError(x.Resume(node)) }
+		return "pause " + node, func() { x.noError(x.Resume(node)) }
 	case 2:
 		n := 1 + rng.IntN(len(x.names)-1)
 		x.SetLinkConditions(func(from, to int) (w linkConditions) { w.Cut = (from < n) != (to < n); return w })
-		return fmt.Sprint("split at ", n), calm
+		return fmt.Sprint("partition at ", n), calm
 	case 3:
 		x.SetLinkConditions(func(from, _ int) (w linkConditions) { w.Cut = from == at; return w })
-		return "mute " + node, calm
+		return "outgoing links cut at " + node, calm
 	case 4:
 		x.SetLinkConditions(func(_, to int) (w linkConditions) { w.Cut = to == at; return w })
-		return "deaf " + node, calm
+		return "incoming links cut at " + node, calm
 	case 5:
 		x.SetLinkConditions(func(_, _ int) linkConditions {
 			return linkConditions{Loss: 0.3, Duplicate: 0.2, Corrupt: 0.05, Delay: 60 * time.Millisecond}
@@ -457,7 +463,7 @@
 		return "bad links", calm
 	case 9:
 		x.SetLinkConditions(func(_, _ int) linkConditions { return linkConditions{Delay: leaseTTL + leaseTTL/4} })
-		return "all later than a lease", calm
+		return "delay longer than a lease", calm
 	case 6:
 		x.noError(x.SetTrialFile(node, "disk-slow", "400ms"))
 		return "slow disk " + node, func() { x.noError(x.SetTrialFile(node, "disk-slow", "")) }
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -14,7 +14,7 @@
 	"curlewring/internal/rig/standin"
 )
 
-// What leases take and cost, over five real nodes of which three vote. By hand, on a quiet machine.
+// Measures latencies and cost of leases on five real nodes with three voters. Run by hand on a quiet machine.
 func TestLeaseMeasurements(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
@@ -33,7 +33,7 @@
 				return h, time.Since(begun)
 			}
 		}
-		t.Fatal("no lease")
+		t.Fatal("the lease was not acquired")
 		return nil, 0
 	}
 	release := func(h *leases.ClientLease) time.Duration {
@@ -57,7 +57,7 @@
 		slices.Sort(all)
 		return all[int(q*float64(len(all)-1))].Round(10 * time.Microsecond)
 	}
-	t.Logf("from a node without a seat: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
+	t.Logf("from a node that does not vote: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
 	disk := func() (syncs, bytes int64) {
 		for _, n := range x.voters {
 			if r, err := leases.Call(x.ctx, x.StateFolder(n), leases.Request{Do: "standing"}); err == nil {
@@ -66,7 +66,7 @@
 		}
 		return syncs, bytes
 	}
-	// Renewals: so many leases of a second each, which are renewed every third of it.
+	// Renewals: n leases of one second, each renewed every third of a second.
 	for _, n := range []int{0, 1, 10, 1000} {
 		var extended atomic.Int64
 		var parts sync.WaitGroup
@@ -94,10 +94,10 @@
 		syncs, bytes := disk()
 		cpu := x.CPUTime()
 		begun := time.Now()
-		time.Sleep(10 * time.Second) // what is measured
+		time.Sleep(10 * time.Second) // the measured interval
 		length := time.Since(begun).Seconds()
 		syncsNow, bytesNow := disk()
-		t.Logf("%4d leases of 1 s: %6.1f renewals a second, %.1f syncs a voter a second, %.0f bytes, %.2f%% of a core a node",
+		t.Logf("%4d leases of 1 s: %6.1f renewals per second; per voter %.1f syncs and %.0f bytes per second; %.2f%% of a core per node",
 			n, float64(extended.Load())/length, float64(syncsNow-syncs)/length/3, float64(bytesNow-bytes)/length/3, 100*(x.CPUTime()-cpu).Seconds()/length/5)
 		for _, h := range held {
 			h.ConfirmStopped()
@@ -107,7 +107,7 @@
 			h.Close()
 		}
 	}
-	// Time without a holder, by the resource.
+	// Time without a holder.
 	for name, who := range map[string]func() []string{
 		"the holder's node": func() []string { return others[:1] },
 		"the leader":        func() []string { return []string{x.leader()} },
@@ -115,10 +115,10 @@
 	} {
 		var gaps []time.Duration
 		for range 5 {
-			x.waitFor("all are there", 30*time.Second, func() bool { n, _ := x.currentView(x.names); return n > 0 && x.leader() != "" })
+			x.waitFor("all nodes and a leader", 30*time.Second, func() bool { n, _ := x.currentView(x.names); return n > 0 && x.leader() != "" })
 			h, _ := hold(others[0], "gap", leaseTTL)
 			next := make(chan time.Time, 1)
-			go func() { // ends with the grant
+			go func() { // ends when the lease is acquired
 				w, _ := hold(others[1], "gap", leaseTTL)
 				next <- time.Now()
 				w.ConfirmStopped()
@@ -130,7 +130,8 @@
 			for _, n := range dead {
 				x.noError(x.Kill(n))
 			}
-			if len(dead) == 1 && dead[0] != others[0] { // its holder lives, and gives it up as soon as it can
+			// the holder's node runs, and releases the lease as soon as it can
+			if len(dead) == 1 && dead[0] != others[0] {
 				go func() { h.ConfirmStopped() }()
 			}
 			gaps = append(gaps, (<-next).Sub(begun))
@@ -139,7 +140,7 @@
 				x.noError(x.Start(n))
 			}
 		}
-		t.Logf("killed: %s; the next one holds after %v (median), %v (worst of 5); time to live %v", name, at(gaps, 0.5), at(gaps, 1), leaseTTL)
+		t.Logf("killed: %s; next holder after %v (median), %v (max of 5); lease time %v", name, at(gaps, 0.5), at(gaps, 1), leaseTTL)
 	}
 	x.cancel()
 	x.contenders.Wait()
@@ -148,7 +149,8 @@
 	x.finishTraffic()
 }
 
-// What leases cost the requests: on, with a hundred of them renewed, and off, in turns in one run. By hand.
+// Measures what leases cost requests: rounds with 100 leases being renewed alternate with rounds without
+// leases. Run by hand.
 func TestLeasesRequestCost(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
@@ -204,7 +206,7 @@
 		}
 		s := sum[on]
 		sum[on] = [2]float64{s[0] + r.CPUMicrosPerRequest/(rounds/2), s[1] + worst/(rounds/2)}
-		t.Logf("leases %v: %.0f us of CPU a request, p99 %.2f ms", on, r.CPUMicrosPerRequest, worst)
+		t.Logf("leases %v: %.0f us of CPU per request, p99 %.2f ms", on, r.CPUMicrosPerRequest, worst)
 	}
-	t.Logf("on to off: CPU a request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
+	t.Logf("ratio of on to off: CPU per request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/members_test.go
+++ b/internal/rig/lab/members_test.go
@@ -12,14 +12,14 @@
 	"curlewring/internal/rig/standin"
 )
 
-// together is a lab whose nodes know each other, with traffic that flows all the while.
+// memberLab is a lab whose nodes form a membership, with traffic until it ends.
 type memberLab struct {
 	*Lab
 	t         *testing.T
 	names     []string
 	report    chan *Report
 	stop      context.CancelFunc
-	minServed float64 // part of the requests that must be served in time
+	minServed float64 // fraction of the requests that must be served in time
 }
 
 func startMemberLab(t *testing.T, nodes int, seed uint64) *memberLab {
@@ -55,7 +55,8 @@
 	return x
 }
 
-// end stops the traffic and wants the four rules kept while all of it happened.
+// finishTraffic stops the traffic, and checks that all rules were kept and enough requests were served
+// meanwhile.
 func (x *memberLab) finishTraffic() {
 	x.t.Helper()
 	x.stop()
@@ -76,7 +77,8 @@
 	}
 }
 
-// agreed waits until some nodes are in one view that holds just them, and returns its number and how long that took.
+// waitForView waits until the given nodes share a view with exactly these members, and returns the view's
+// number and the time taken.
 func (x *memberLab) waitForView(within time.Duration, names ...string) (uint64, time.Duration) {
 	x.t.Helper()
 	begun := time.Now()
@@ -139,10 +141,10 @@
 	}
 }
 
-// stays wants the view of all to be the same after a while.
+// expectSameView checks after a while that all nodes still share the given view.
 func (x *memberLab) expectSameView(number uint64, what string, lasts time.Duration) {
 	x.t.Helper()
-	time.Sleep(lasts) // the fault's own length, not a wait for a condition
+	time.Sleep(lasts) // duration of the fault, not a wait for a condition
 	if now, _ := x.currentView(x.names); now != number {
 		x.t.Errorf("%s: view %d before, %d after", what, number, now)
 		for _, n := range x.names {
@@ -153,18 +155,18 @@
 
 func perfectLinks(int, int) relay.Conditions { return relay.Conditions{} }
 
-// A killed process is out of every view, one that starts anew is a new life of the same name, with and without what
-// it kept, and one that is told to end is let go at once.
+// A killed node leaves every view. A restarted one returns with a higher incarnation of the same name, with
+// and without its stored state.
 func TestMembersKilledAndStarted(t *testing.T) {
 	t.Parallel()
 	x := startMemberLab(t, 5, 1)
-	x.minServed = 0.9 // two of five are down for a fifth of the time, and a caller asks twice
+	x.minServed = 0.9 // two of five are down for a fifth of the time, and a client tries only twice
 	defer x.finishTraffic()
 	first, took := x.waitForView(30*time.Second, x.names...)
-	t.Logf("five started at once agree after %v, in view %d", took, first)
+	t.Logf("five nodes started together agree after %v, in view %d", took, first)
 	x.noError(x.Kill("n4"))
 	second, took := x.waitForView(8*time.Second, x.namesExcept("n4")...)
-	t.Logf("a killed one is out of all views after %v", took)
+	t.Logf("killed node removed from all views after %v", took)
 	if second != first+1 {
 		t.Errorf("view %d, then %d", first, second)
 	}
@@ -182,51 +184,51 @@
 		x.noError(err)
 		t.Logf("back after %v, incarnation %d", took, r.Standing.Self.Incarnation)
 		if r.Standing.Self.Incarnation <= incarnation {
-			t.Errorf("kept %v: incarnation %d after %d", kept, r.Standing.Self.Incarnation, incarnation)
+			t.Errorf("state kept %v: incarnation %d after %d", kept, r.Standing.Self.Incarnation, incarnation)
 		}
 		incarnation = r.Standing.Self.Incarnation
 	}
-	// Two of five at once, and both back.
+	// Two of five nodes are killed together, and return.
 	x.noError(x.Kill("n3"))
 	x.noError(x.Kill("n4"))
 	_, took = x.waitForView(12*time.Second, x.namesExcept("n3", "n4")...)
-	t.Logf("two of five killed at once are out after %v", took)
+	t.Logf("two of five nodes killed together are removed after %v", took)
 	x.noError(x.Start("n3"))
 	x.noError(x.Start("n4"))
 	x.waitForView(20*time.Second, x.names...)
 }
 
-// What slows, loses, damages or cuts single links changes no view.
+// A pause, loss, corruption, duplication, reordering or a single cut link must not change the view.
 func TestMembersTolerateLinkFaults(t *testing.T) {
 	t.Parallel()
 	x := startMemberLab(t, 6, 2)
 	defer x.finishTraffic()
 	number, _ := x.waitForView(30*time.Second, x.names...)
 	x.noError(x.Pause("n5"))
-	time.Sleep(3 * time.Second) // the pause that must be borne
+	time.Sleep(3 * time.Second) // the pause that must be tolerated
 	x.noError(x.Resume("n5"))
 	x.expectSameView(number, "a pause of 3 s", 2*time.Second)
 	r, err := x.MembershipOf(context.Background(), "n5")
 	x.noError(err)
 	if r.Standing.Stalls == 0 || r.Standing.Stats.Accusations > 0 {
-		t.Errorf("the one that stood still: %+v", r.Standing)
+		t.Errorf("the paused node: %+v", r.Standing)
 	}
 	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: from == 1 && to == 2} })
-	x.expectSameView(number, "one does not hear one other", 8*time.Second)
+	x.expectSameView(number, "a cut link from one node to another", 8*time.Second)
 	x.SetLinkConditions(func(from, to int) relay.Conditions {
 		return relay.Conditions{Loss: 0.3, Corrupt: 0.1, Duplicate: 0.1, Delay: 30 * time.Millisecond}
 	})
-	x.expectSameView(number, "30% lost, 10% damaged, 10% doubled, out of order", 10*time.Second)
+	x.expectSameView(number, "30% lost, 10% corrupted, 10% duplicated, reordered", 10*time.Second)
 	r, err = x.MembershipOf(context.Background(), "n0")
 	x.noError(err)
 	if r.Passed == 0 {
-		t.Error("no damaged datagram was passed over")
+		t.Error("no corrupted datagram was discarded")
 	}
 	x.SetLinkConditions(perfectLinks)
-	x.expectSameView(number, "all is well again", time.Second)
+	x.expectSameView(number, "links repaired", time.Second)
 }
 
-// One that nobody can use is taken out once, and comes back; a minority changes nothing, and finds back.
+// A node that cannot receive is removed once, and returns. A minority partition changes no view, and rejoins.
 func TestMembersPartitioned(t *testing.T) {
 	t.Parallel()
 	x := startMemberLab(t, 7, 3)
@@ -234,21 +236,21 @@
 	first, _ := x.waitForView(30*time.Second, x.names...)
 	x.SetLinkConditions(func(_, to int) relay.Conditions { return relay.Conditions{Cut: to == 4} })
 	second, took := x.waitForView(9*time.Second, x.namesExcept("n4")...)
-	t.Logf("one that hears nobody is out after %v", took)
+	t.Logf("node that receives nothing removed after %v", took)
 	if second != first+1 {
 		t.Errorf("view %d, then %d", first, second)
 	}
-	time.Sleep(6 * time.Second) // it must not come and go
+	time.Sleep(6 * time.Second) // it must not be added and removed again
 	if now, _ := x.currentView(x.namesExcept("n4")); now != second {
 		t.Errorf("view %d, then %d, with the same fault", second, now)
 	}
 	x.SetLinkConditions(perfectLinks)
 	third, took := x.waitForView(20*time.Second, x.names...)
-	t.Logf("and back after %v", took)
-	// Three of seven on their own.
+	t.Logf("back after %v", took)
+	// A partition into four and three nodes.
 	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 4) != (to < 4)} })
 	_, took = x.waitForView(12*time.Second, "n0", "n1", "n2", "n3")
-	t.Logf("the majority is by itself after %v", took)
+	t.Logf("the majority has its own view after %v", took)
 	for _, n := range []string{"n4", "n5", "n6"} {
 		if r, err := x.MembershipOf(context.Background(), n); err != nil || r.Standing.Number != third {
 			t.Errorf("%s, in the minority, is in view %d, not %d: %v", n, r.Standing.Number, third, err)
@@ -256,10 +258,10 @@
 	}
 	x.SetLinkConditions(perfectLinks)
 	_, took = x.waitForView(30*time.Second, x.names...)
-	t.Logf("one again after %v", took)
+	t.Logf("all nodes share a view again after %v", took)
 }
 
-// A node that is told to end says so.
+// A terminating node announces that it leaves.
 func TestMembersLeave(t *testing.T) {
 	t.Parallel()
 	x := startMemberLab(t, 5, 4)
@@ -269,13 +271,13 @@
 	x.noError(err)
 	go p.stop(10 * time.Second)
 	_, took := x.waitForView(3*time.Second, x.namesExcept("n2")...)
-	t.Logf("out of all views after %v", took)
+	t.Logf("removed from all views after %v", took)
 	if strings.Contains(x.Log("n1"), "n2 out, accused") {
-		t.Error("it was found out, not told")
+		t.Error("the node was removed by failure detection, not by its announcement")
 	}
 }
 
-// A script's faults of links are taken where nodes know each other, and told as wrong where they don't.
+// Link faults are accepted with Membership, and rejected without it.
 func TestLinkFaultsNeedMembership(t *testing.T) {
 	for _, members := range []bool{true, false} {
 		f, err := standin.ParseFault("cut:from=n0,to=n1,at=200ms,for=500ms")
@@ -290,7 +292,7 @@
 		}
 		if l, err := Open(context.Background(), o); err == nil {
 			l.Close()
-			t.Error("a link between nodes that do not talk is cut")
+			t.Error("a link fault was accepted without Membership")
 		}
 	}
 }
--- a/internal/rig/lab/memberscost_test.go
+++ b/internal/rig/lab/memberscost_test.go
@@ -8,7 +8,7 @@
 	"curlewring/internal/rig/standin"
 )
 
-// What the membership costs the requests: on and off in turns, in one run. By hand.
+// Measures what the membership costs requests: rounds with and without it alternate. Run by hand.
 func TestMembershipRequestCost(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
@@ -27,7 +27,7 @@
 		}
 		x := sum[on]
 		sum[on] = [2]float64{x[0] + r.CPUMicrosPerRequest/4, x[1] + worst/4}
-		t.Logf("members %v: %.0f us of CPU a request, p99 %.1f ms, attempts %.2f", on, r.CPUMicrosPerRequest, worst, r.ServedWorth)
+		t.Logf("membership %v: %.0f us of CPU per request, p99 %.1f ms, weighted service %.2f", on, r.CPUMicrosPerRequest, worst, r.ServedWorth)
 	}
-	t.Logf("on to off: CPU a request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
+	t.Logf("ratio of on to off: CPU per request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/memberspairs_test.go
+++ b/internal/rig/lab/memberspairs_test.go
@@ -14,32 +14,32 @@
 	"curlewring/internal/rig/relay"
 )
 
-// trouble is a fault among nodes that know each other: the weather that it makes, and what it does to processes.
+// memberFault is a fault among the members of a fleet: link conditions, and what it does to processes.
 type memberFault struct {
 	name       string
 	conditions func(w *relay.Conditions, from, to int)
 	begin      func(x *memberLab)
 	end        func(x *memberLab)
-	evicted    []string // who is out of all views while it lasts
+	evicted    []string // nodes that are out of all views during the fault
 }
 
 func memberFaults() []memberFault {
 	return []memberFault{
-		{name: "one killed", evicted: []string{"n5"}, begin: func(x *memberLab) { x.noError(x.Kill("n5")) }, end: func(x *memberLab) { x.noError(x.Start("n5")) }},
+		{name: "a killed node", evicted: []string{"n5"}, begin: func(x *memberLab) { x.noError(x.Kill("n5")) }, end: func(x *memberLab) { x.noError(x.Start("n5")) }},
 		{name: "a pause of 2.5 s", begin: func(x *memberLab) {
 			x.noError(x.Pause("n1"))
 			time.AfterFunc(2500*time.Millisecond, func() { x.noError(x.Resume("n1")) })
 		}},
-		{name: "one does not hear one other", conditions: func(w *relay.Conditions, from, to int) { w.Cut = w.Cut || from == 2 && to == 3 }},
-		{name: "one hears nobody", evicted: []string{"n4"}, conditions: func(w *relay.Conditions, _, to int) { w.Cut = w.Cut || to == 4 }},
-		{name: "a quarter lost", conditions: func(w *relay.Conditions, _, _ int) { w.Loss = 0.25 }},
-		{name: "200 ms late", conditions: func(w *relay.Conditions, _, _ int) { w.Delay = 200 * time.Millisecond }},
-		{name: "doubled and damaged", conditions: func(w *relay.Conditions, _, _ int) { w.Duplicate, w.Corrupt = 0.2, 0.1 }},
+		{name: "a cut link from one node to another", conditions: func(w *relay.Conditions, from, to int) { w.Cut = w.Cut || from == 2 && to == 3 }},
+		{name: "a node that receives nothing", evicted: []string{"n4"}, conditions: func(w *relay.Conditions, _, to int) { w.Cut = w.Cut || to == 4 }},
+		{name: "25% lost", conditions: func(w *relay.Conditions, _, _ int) { w.Loss = 0.25 }},
+		{name: "200 ms delay", conditions: func(w *relay.Conditions, _, _ int) { w.Delay = 200 * time.Millisecond }},
+		{name: "duplicated and corrupted", conditions: func(w *relay.Conditions, _, _ int) { w.Duplicate, w.Corrupt = 0.2, 0.1 }},
 	}
 }
 
-// Pairs of faults at once, each on six processes with traffic: who lives and can be used stays, who can't is out of one
-// and the same view, and all are one again afterwards.
+// Pairs of simultaneous faults, each pair on a fleet of seven nodes with traffic. Usable nodes stay in the
+// view, unusable ones are removed from one common view, and all share a view again afterwards.
 func TestMembersFaultPairs(t *testing.T) {
 	t.Parallel()
 	all := memberFaults()
@@ -52,7 +52,8 @@
 			}
 		}
 	}
-	for i, pair := range pairs { // each on a fleet of its own: who is taken out again and again has to wait
+	// each on a fleet of its own, since a node that is removed repeatedly must wait before it returns
+	for i, pair := range pairs {
 		runFaultPair(t, all, pair, uint64(i)+5)
 	}
 }
@@ -85,7 +86,7 @@
 	if len(out) == 0 {
 		x.expectSameView(first, name, 6*time.Second)
 	}
-	time.Sleep(max(0, 3*time.Second-time.Since(begun))) // the pause's own length
+	time.Sleep(max(0, 3*time.Second-time.Since(begun))) // duration of the pause
 	x.SetLinkConditions(perfectLinks)
 	for _, k := range pair {
 		if all[k].end != nil {
@@ -94,18 +95,18 @@
 	}
 	_, again := x.waitForView(30*time.Second, x.names...)
 	if len(out) > 0 {
-		t.Logf("%s: out after %v, all one again after %v", name, took, again)
+		t.Logf("%s: removed after %v, all nodes share a view again after %v", name, took, again)
 	}
 }
 
-// Half of the nodes restarted one after the other, in order and by force, while another runs on a hundredth of its core. By
-// hand: a slow machine's other tests are measured meanwhile.
+// Half of the nodes are restarted one after another, gracefully and by force, while another node gets a
+// hundredth of its CPU time. Run by hand, because it takes long and would disturb tests that measure.
 func TestMembersRestartedBesideASlowNode(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
 	x := startMemberLab(t, 7, 6)
-	x.minServed = 0.9 // the one that crawls answers late
+	x.minServed = 0.9 // the slow node answers late
 	defer x.finishTraffic()
 	x.waitForView(30*time.Second, x.names...)
 	ctx, stop := context.WithCancel(context.Background())
@@ -116,7 +117,7 @@
 		defer close(crawled)
 		for ctx.Err() == nil {
 			x.noError(x.Pause("n6"))
-			time.Sleep(198 * time.Millisecond) // runs for a hundredth of the time
+			time.Sleep(198 * time.Millisecond) // the node runs for a hundredth of the time
 			x.noError(x.Resume("n6"))
 			time.Sleep(2 * time.Millisecond)
 		}
@@ -132,7 +133,7 @@
 		x.noError(x.Start(name))
 	}
 	begun := time.Now()
-	for time.Since(begun) < 4*time.Second { // whether it is in or out meanwhile, the others agree
+	for time.Since(begun) < 4*time.Second { // whether or not the slow node is in the view, the others must agree
 		x.waitForCommonView(20*time.Second, x.namesExcept("n6"))
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -142,7 +143,7 @@
 	x.waitForView(40*time.Second, x.names...)
 }
 
-// agreedAmong waits until some nodes are in one view that holds them, whoever else is in it.
+// waitForCommonView waits until the given nodes share a view that contains them, whoever else is in it.
 func (x *memberLab) waitForCommonView(within time.Duration, names []string) {
 	x.t.Helper()
 	look := time.NewTicker(20 * time.Millisecond)
@@ -175,8 +176,8 @@
 	}
 }
 
-// A machine's image that is restored beside the machine: its state and its name, at another address. The later stays out,
-// says why, and changes nothing.
+// An image of a machine, with its state and node name, is started at another address while the machine still
+// runs. The later process must not join, must log why, and must not change the view.
 func TestMembersRestoredImage(t *testing.T) {
 	t.Parallel()
 	x := startMemberLab(t, 5, 7)
@@ -195,7 +196,7 @@
 			return err
 		case d.IsDir():
 			return os.MkdirAll(filepath.Join(state, rest), 0o700)
-		case !d.Type().IsRegular(): // the socket
+		case !d.Type().IsRegular(): // the control socket
 			return nil
 		}
 		text, err := os.ReadFile(path)
@@ -220,8 +221,8 @@
 	defer look.Stop()
 	for begun := time.Now(); !strings.Contains(image.log.String(), "another process has this node's name"); <-look.C {
 		if time.Since(begun) > 15*time.Second {
-			t.Fatalf("the restored image says nothing of the other: %s", image.log.String())
+			t.Fatalf("the restored image did not log that its name is in use: %s", image.log.String())
 		}
 	}
-	x.expectSameView(number, "a restored image runs beside", 4*time.Second)
+	x.expectSameView(number, "a restored image runs at the same time", 4*time.Second)
 }
--- a/internal/rig/lab/overload_test.go
+++ b/internal/rig/lab/overload_test.go
@@ -11,21 +11,22 @@
 	"curlewring/internal/rig/standin"
 )
 
-// overload is a fleet whose nodes together can ask discovery for more than it can work through. Times count from the
-// start of the traffic.
+// overloadTest describes a fleet whose nodes together can send discovery more calls than it can answer. Times
+// count from the start of the traffic.
 type overloadTest struct {
 	nodes         int
-	fullRoundTime time.Duration // in which discovery can take one call from each node
-	lastFaultEnd  time.Duration // the last disturbance is over
-	recoveryLimit time.Duration // after which every node must have the newest list
-	observeTime   time.Duration // how long calls are counted from then on
-	requiredLog   string        // by every node; "": anything
+	fullRoundTime time.Duration // time in which discovery can answer one call of each node
+	lastFaultEnd  time.Duration // end of the last fault
+	recoveryLimit time.Duration // time after lastFaultEnd by which every node must have the newest list
+	observeTime   time.Duration // how long calls are counted after that
+	requiredLog   string        // text that every node must have logged; "" for none
 }
 
-// callLines is what a call costs discovery in these tests.
+// linesPerCall is the cost of a call to discovery in these tests.
 const linesPerCall = 30
 
-// capacity is what discovery can bear. It keeps more calls waiting than it can answer in time.
+// capacity returns discovery's limits. It keeps more calls in its queue than it can answer before they time
+// out.
 func (o *overloadTest) capacity() registry.Settings {
 	return registry.Settings{
 		LinesPerSecond: float64(o.nodes) * linesPerCall / o.fullRoundTime.Seconds(), LinesPerCall: linesPerCall,
@@ -33,19 +34,19 @@
 	}
 }
 
-// callSample is what discovery has counted at a time.
+// callSample holds discovery's call counts at one time.
 type callSample struct {
 	at    time.Duration
-	total standin.CallCounts // Version is the oldest that a node has
+	total standin.CallCounts // sum over the nodes; WrittenVersion is the lowest of all nodes
 }
 
 func (s callSample) String() string {
 	c := s.total
-	return fmt.Sprintf("%5.1f s: offered %4d, answered %4d, timed out %4d, rejected %4d, failed %4d, open %2d, version %d",
+	return fmt.Sprintf("%5.1f s: received %4d, answered %4d, timed out %4d, rejected %4d, failed %4d, open %2d, version %d",
 		s.at.Seconds(), c.Received, c.Answered, c.TimedOut, c.Rejected, c.Failed, c.OpenPolls, c.WrittenVersion)
 }
 
-// sampleCalls adds the counts of all nodes up.
+// sampleCalls adds up the counts of all nodes.
 func sampleCalls(d *standin.Discovery, at time.Duration) callSample {
 	s := callSample{at: at}
 	s.total.WrittenVersion = d.Version()
@@ -61,8 +62,8 @@
 	return s
 }
 
-// runLimited runs a lab whose discovery can bear so much from the time on at which all nodes are ready. It logs what becomes
-// of the calls to discovery, and checks from outside that the rules hold.
+// runWithCapacity runs a lab whose discovery has limited capacity once all nodes are ready. It logs the
+// counts of calls and checks the report.
 func runWithCapacity(t *testing.T, o Options, capacity registry.Settings) (*Lab, *Report, []callSample) {
 	t.Helper()
 	l, err := Open(context.Background(), o)
@@ -82,12 +83,12 @@
 	for _, s := range samples {
 		t.Log(s)
 	}
-	t.Logf("%d boxes, %d nodes: %.3f served, %d breaches", o.Plan.Servers, o.Nodes, servedShare(r), len(r.Breaches))
+	t.Logf("%d servers, %d nodes: %.3f of the requests served, %d breaches", o.Plan.Servers, o.Nodes, servedShare(r), len(r.Breaches))
 	checkReport(t, r)
 	return l, r, samples
 }
 
-// play runs the fleet through faults, and checks from outside that it comes back.
+// run runs the fleet with faults, and checks that it recovers.
 func (o *overloadTest) run(t *testing.T, faults ...string) {
 	t.Helper()
 	options := defaultOptions()
@@ -104,22 +105,22 @@
 	l, r, samples := runWithCapacity(t, options, o.capacity())
 	for _, n := range r.Nodes {
 		if !strings.Contains(l.Log(n.Name), o.requiredLog) {
-			t.Errorf("%s has not logged %q", n.Name, o.requiredLog)
+			t.Errorf("node %s did not log %q", n.Name, o.requiredLog)
 		}
 	}
 	o.checkCalls(t, samples, l.Fleet.Discovery.Version())
 	if part := servedShare(r); part < 0.9 {
-		t.Errorf("%.3f served", part)
+		t.Errorf("%.3f of the requests served, want 0.9", part)
 	}
 }
 
-// checkCalls checks that calls timed out, that every node has the newest list soon enough after the last disturbance, and
-// that calls then stay under discovery's capacity.
+// checkCalls checks that calls timed out, that every node has the newest list soon enough after the last
+// fault, and that the rate of calls then stays below discovery's capacity.
 func (o *overloadTest) checkCalls(t *testing.T, samples []callSample, newest int) {
 	t.Helper()
 	last := samples[len(samples)-1]
 	if last.total.TimedOut == 0 {
-		t.Error("no call timed out in the queue: the test shows nothing")
+		t.Error("no call timed out in discovery's queue: it was not overloaded")
 	}
 	bound := o.lastFaultEnd + o.recoveryLimit
 	recovered := time.Duration(0)
@@ -137,19 +138,21 @@
 	}
 	offered := float64(last.total.Received-from.total.Received) / (last.at - from.at).Seconds()
 	if most := o.capacity().LinesPerSecond / linesPerCall; offered >= most {
-		t.Errorf("%.1f calls a second at the end, discovery can take %.1f", offered, most)
+		t.Errorf("%.1f calls per second at the end, discovery's capacity is %.1f", offered, most)
 	}
 	if last.total.Rejected > from.total.Rejected || last.total.TimedOut > from.total.TimedOut {
 		t.Errorf("calls still fail at the end: %v, then %v", from, last)
 	}
 }
 
-// Discovery is down, and comes back with the work of its other callers before it and into a release: nodes die, and boxes
-// drain one after the other and are replaced. Each change has every node call again, and discovery takes seconds for
-// that. The calls must not keep its queue at a length at which none is answered in time.
+// Discovery recovers from an outage with a backlog of its other clients' calls and in the middle of a
+// release: nodes are killed, and servers drain one after another and are replaced. Each change makes every
+// node call again, which takes discovery seconds to answer. The nodes' calls must not keep its queue so long
+// that every call times out.
 //
-// It fails, with 2 to 48 requests to drained boxes by the last count: whole lists cost 44 lines here, so that a call of each node takes
-// 5.9 s of the 6 s after which a drain counts, and the queue may stay at its time-out for 7 s after the return.
+// It fails, with 2 to 48 requests to drained servers in the last count. A whole list costs 44 lines here, so
+// that a call of each node takes 5.9 s of the 6 s after which a drain counts as delivered, and the queue may
+// stay at its timeout for 7 s after discovery recovers.
 func TestDiscoveryReturnsIntoARelease(t *testing.T) {
 	t.Parallel()
 	o := overloadTest{nodes: 24, fullRoundTime: 4 * time.Second, lastFaultEnd: 19 * time.Second, recoveryLimit: 7 * time.Second, observeTime: 3 * time.Second}
@@ -158,13 +161,14 @@
 		"leave:box=1,at=7500ms,for=8s", "leave:box=4,at=8400ms,for=8s", "leave:box=7,at=9300ms,for=8s", "leave:box=10,at=10200ms,for=8s")
 }
 
-// Discovery moves while its queue is full: all nodes call at once at the new address. Then boxes drain, and the queue must
-// have been cleared by that time.
+// Discovery moves while its queue is full, and all nodes call the new address at once. Then servers drain, by
+// which time the queue must have been cleared.
 //
-// It failed in every run, with 2 to 74 requests to drained boxes: a drain had all nodes call again at once, four times what discovery can
-// take, and those whose old address answered did so in the middle of the pause that their pace had just ordered. Debug lines of 24
-// nodes: answered at 8.37 to 8.43 s, "call to discovery" at the same time, "503 Service Unavailable" at 8.43 or 10.37 s, next call at 14 to
-// 18 s.
+// It used to fail in every run, with 2 to 74 requests to drained servers: a drain made all nodes call again
+// at once, four times what discovery can answer, and nodes that got an answer from their old address did so
+// in the middle of the pause that their call pacing had just set. Debug logs of 24 nodes: answered at 8.37 to
+// 8.43 s, "call to discovery" at the same time, "503 Service Unavailable" at 8.43 or 10.37 s, next call at 14
+// to 18 s.
 func TestDiscoveryMovesWhileItsQueueIsFull(t *testing.T) {
 	t.Parallel()
 	o := overloadTest{
@@ -175,7 +179,8 @@
 		"leave:box=1,at=7s,for=8s", "leave:box=4,at=7900ms,for=8s", "leave:box=7,at=8800ms,for=8s")
 }
 
-// movedFleet is a fleet before a discovery that moves while its queue is full, and three boxes that drain so far apart.
+// movedDiscovery is a fleet whose discovery moves while its queue is full, and then drains three servers at
+// an interval.
 type movedDiscovery struct {
 	nodes                        int
 	fullRoundTime, drainInterval time.Duration
@@ -194,10 +199,11 @@
 	o.run(t, faults...)
 }
 
-// The same with other numbers of nodes, drains and capacities.
+// TestDiscoveryMovesWhileItsQueueIsFull with other numbers of nodes, drain intervals and capacities.
 //
-// It fails where discovery takes 5 s for a call of each node, and so 7.3 s to write the whole list to each, which is more than the 6 s after
-// which a drain counts; 40 nodes at 4 s have failed beside other work.
+// It fails where discovery takes 5 s to answer a call of each node, and so 7.3 s to write the whole list to
+// each, which is more than the 6 s after which a drain counts as delivered. 40 nodes at 4 s have failed while
+// other work ran on the machine.
 func TestDiscoveryMovesBeforeOtherFleets(t *testing.T) {
 	for _, m := range []movedDiscovery{
 		{12, 4 * time.Second, 900 * time.Millisecond},
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -12,7 +12,8 @@
 	"curlewring/internal/rig/standin"
 )
 
-// coldPlan is a fleet of boxes whose whole cold budget is a few requests, some a third of the others.
+// configureColdFleet sets up servers whose whole cold budget is a few requests. One in three has a third of
+// the others' speed.
 func configureColdFleet(p *standin.Plan) {
 	p.Servers, p.Cores, p.RackSize, p.Speeds = 12, 1, 3, []float64{1.2, 1.2, 0.4}
 	for i := range p.Classes {
@@ -21,7 +22,7 @@
 	p.ColdCapacity, p.WarmupTime = 0.4, 6*time.Second
 }
 
-// startCold starts nodes before such a fleet at some part of its capacity.
+// startColdFleet starts nodes for such a fleet, with traffic at the given fraction of its capacity.
 func startColdFleet(t *testing.T, nodes int, seed uint64, load float64, alone bool) *memberLab {
 	return startMemberLabWith(t, nodes, seed, func(o *Options) {
 		configureColdFleet(&o.Plan)
@@ -30,7 +31,7 @@
 	})
 }
 
-// restarts ends boxes one after the other and has each come back cold.
+// restartServers crashes servers one after another; each comes back cold.
 func (x *memberLab) restartServers(boxes []int, each time.Duration) {
 	x.t.Helper()
 	var faults []standin.Fault
@@ -42,7 +43,7 @@
 	}
 }
 
-// pools counts what the nodes deal for, looked at again and again.
+// poolStats holds maxima of the nodes' budget pools, from repeated samples.
 type poolStats struct{ maxPools, maxLenders, grantedSends atomic.Int64 }
 
 func (x *memberLab) watchPools(ctx context.Context, p *poolStats) {
@@ -70,8 +71,8 @@
 	}
 }
 
-// Boxes come back cold while nodes that deal their budgets are killed, cut off and held up: no box is sent too much, what
-// is lent is dealt, and the requests go on.
+// Servers restart cold while nodes that coordinate their budgets are killed, partitioned and paused. No
+// server may get more than its budget, pooled budgets must be granted, and requests must go on.
 func TestPooledBudgetsUnderFaults(t *testing.T) {
 	t.Parallel()
 	x := startColdFleet(t, 6, 21, 0.5, false)
@@ -86,7 +87,7 @@
 		x.watchPools(ctx, &p)
 	}()
 	x.restartServers([]int{0, 2, 5, 8}, 800*time.Millisecond)
-	x.noError(x.Kill("n3")) // a dealer of some of them
+	x.noError(x.Kill("n3")) // coordinates some of the pools
 	x.restartServers([]int{1, 3, 11}, 600*time.Millisecond)
 	x.noError(x.Start("n3"))
 	x.noError(x.Pause("n4"))
@@ -101,13 +102,13 @@
 	x.SetLinkConditions(perfectLinks)
 	stop()
 	<-watched
-	t.Logf("at most %d pools at once, of up to %d nodes each; %d dealt sends seen", p.maxPools.Load(), p.maxLenders.Load(), p.grantedSends.Load())
+	t.Logf("at most %d pools at once, of up to %d nodes each; %d granted sends observed", p.maxPools.Load(), p.maxLenders.Load(), p.grantedSends.Load())
 	if p.maxPools.Load() < 2 || p.maxLenders.Load() < 3 || p.grantedSends.Load() < 10 {
-		t.Error("hardly anything was pooled")
+		t.Error("too few pooled budgets for the test to be meaningful")
 	}
 }
 
-// The same with and without the pool, by hand: boxes that fell, and what was served.
+// Compares collapsed servers and served requests with and without pooled budgets. Run by hand.
 func TestPooledAgainstSeparateBudgets(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
@@ -128,7 +129,7 @@
 						fell++
 					}
 				}
-				t.Logf("load %.1f seed %d, each by itself %v: %d of 9 fell, %d rules broken in all, service %.3f", load, seed+1, alone, fell, len(r.Breaches), r.ServedWorth)
+				t.Logf("load %.1f seed %d, separate budgets %v: %d of 9 collapsed, %d breaches in all, weighted service %.3f", load, seed+1, alone, fell, len(r.Breaches), r.ServedWorth)
 			}
 		}
 	}
--- a/internal/rig/lab/release_test.go
+++ b/internal/rig/lab/release_test.go
@@ -9,13 +9,14 @@
 	"curlewring/internal/rig/standin"
 )
 
-// zoneRelease is a fleet in which all boxes of a zone drain within moments and are replaced. Each turns new work away while
-// it drains, and discovery takes seconds to tell all nodes of so many.
+// zoneRelease is a fleet in which all servers of a zone drain almost together and are replaced. With
+// faultKind "drain" a server rejects new requests while it drains. Discovery takes seconds to write so many
+// changes to all nodes.
 type zoneRelease struct {
-	faultKind     string // that announces a box as leaving: "drain", or "leave" if it goes on answering
+	faultKind     string // how a server leaves: "drain", or "leave" if it goes on serving
 	servers       int
-	lineRate      float64       // that discovery can write in a second
-	replacedAfter time.Duration // after which a new process takes a box's place
+	lineRate      float64       // lines per second that discovery can write
+	replacedAfter time.Duration // time after which a new process takes a server's address
 }
 
 const (
@@ -25,12 +26,12 @@
 	releaseInterval = 150 * time.Millisecond
 )
 
-// play drains the zone and checks from outside that the rules hold.
+// run drains the zone and checks that the rules hold.
 func (z zoneRelease) run(t *testing.T) {
 	t.Helper()
 	o := defaultOptions()
 	o.Nodes, o.Plan.Servers = releaseNodes, z.servers
-	o.Plan.Registry = registry.Settings{} // until all are ready
+	o.Plan.Registry = registry.Settings{} // no limit until all nodes are ready
 	o.Plan.PublishEvery = 400 * time.Millisecond
 	o.Traffic.Rate, o.Traffic.Duration = requestsPerNode*releaseNodes, releaseStart+releaseSteps*releaseInterval+z.replacedAfter+6*time.Second
 	sites := len(o.Plan.Sites)
@@ -44,12 +45,13 @@
 	capacity := registry.Settings{LinesPerSecond: z.lineRate, LinesPerCall: linesPerCall, QueueTimeout: 2 * time.Second, BacklogFactor: 1}
 	_, r, _ := runWithCapacity(t, o, capacity)
 	if part := servedShare(r); part < minServedShare {
-		t.Errorf("%.3f served, want %.2f", part, minServedShare)
+		t.Errorf("%.3f of the requests served, want %.2f", part, minServedShare)
 	}
 }
 
-// A zone of hundreds of boxes drains within 1.2 s. Nodes that are turned away by discovery meanwhile must not try one box of the
-// zone after the other to find that out, nor take the new processes for those that they know.
+// A zone of hundreds of servers drains within 1.2 s. Nodes whose calls discovery rejects in the meantime must
+// not find the drains out by trying one server of the zone after another, nor mistake the new processes for
+// the old ones.
 func TestZoneDrainsInALargeFleet(t *testing.T) {
 	for name, replaced := range map[string]time.Duration{"replaced soon": 4 * time.Second, "replaced late": 7 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -58,11 +60,13 @@
 	}
 }
 
-// The same boxes go on answering while they drain: only the list tells. Every node then has to be told of hundreds of boxes
-// within the time after which that counts as told.
+// The same servers go on serving while they drain, so that only the list shows it. Every node must then
+// receive hundreds of changes within the time after which they count as delivered.
 //
-// It failed with 97 to 206 requests to drained boxes a play. Nodes that had been told of 300 or 600 of a zone's 800 drains timed out in
-// discovery's queue, and went by proof: all of these requests have "unconfirmed=true" in the debug lines, and their boxes had just answered.
+// It used to fail with 97 to 206 requests to drained servers in a run. Nodes that had received 300 or 600 of
+// a zone's 800 drains timed out in discovery's queue and relied on recent responses as proof that a server
+// may be used: all of these requests have "unconfirmed=true" in the debug log, and their servers had just
+// answered.
 func TestZoneLeavesALargeFleet(t *testing.T) {
 	for name, replaced := range map[string]time.Duration{"replaced soon": 4 * time.Second, "replaced late": 7 * time.Second} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rig/lab/sharedlist_test.go
+++ b/internal/rig/lab/sharedlist_test.go
@@ -8,15 +8,16 @@
 	"curlewring/internal/rig/standin"
 )
 
-// Nodes that all start at once without any list, at a discovery service that takes seconds for each whole one: they have a list from
-// the first that was told, and serve. Without that each waits for its turn. A box that drains meanwhile gets nothing new
-// from a node that was told itself; the judge looks.
+// All nodes start at once without a list, and discovery takes seconds to write each whole list. The nodes get
+// a list from the first one that has received it, and serve. Without sharing, each must wait for discovery. A
+// server that drains in the meantime must get no new requests from a node that discovery has notified; the
+// judge checks that.
 func TestNodesShareServerList(t *testing.T) {
 	t.Parallel()
 	const nodes, lines = 7, 20
 	took := map[bool]time.Duration{}
 	arms := []bool{true}
-	if os.Getenv("CURLEWRING_LONG") != "" { // the control takes a minute and more
+	if os.Getenv("CURLEWRING_LONG") != "" { // the control takes more than a minute
 		arms = append(arms, false)
 	}
 	for _, record := range arms {
@@ -39,7 +40,7 @@
 		for _, n := range x.names {
 			p, err := x.findNode(n)
 			x.noError(err)
-			for try := range 4 { // each up to 20 s
+			for try := range 4 { // each try waits for up to 20 s
 				if err := p.waitReady(t.Context()); err == nil || try == 3 {
 					x.noError(err)
 					break
@@ -48,7 +49,7 @@
 			took[record] = time.Since(begun)
 		}
 		_, after := x.Fleet.Discovery.Calls()
-		t.Logf("handed on %v: the last of %d nodes serves after %v, by %d lines of discovery so far", record, nodes, took[record], after-before)
+		t.Logf("lists shared %v: the last of %d nodes is ready after %v, with %d lines written by discovery", record, nodes, took[record], after-before)
 		if t.Failed() || record && took[record] > 20*time.Second {
 			for _, n := range x.names {
 				t.Logf("%s: %.9000s", n, x.Log(n))
@@ -58,6 +59,6 @@
 		x.finishTraffic()
 	}
 	if took[true] > 25*time.Second || len(arms) > 1 && 2*took[true] > took[false] {
-		t.Errorf("the last node serves after %v with lists handed on, %v without", took[true], took[false])
+		t.Errorf("the last node is ready after %v with shared lists, %v without", took[true], took[false])
 	}
 }
--- a/internal/rig/lab/sidecars_test.go
+++ b/internal/rig/lab/sidecars_test.go
@@ -12,22 +12,22 @@
 	"curlewring/internal/rig/standin"
 )
 
-// sidecarOptions are those of a lab of sidecars.
+// sidecarOptions returns options of a lab with n sidecars.
 func sidecarOptions(n int) Options {
 	o := defaultOptions()
 	o.Nodes, o.Sidecars, o.MemoryMB, o.Sockets = n, true, 32, 256
 	return o
 }
 
-// Sidecars from written files must serve, and all of them take new files in turn
-// while they do, with nothing lost.
+// Sidecars with generated files must serve while all of them reload new files one after another, without
+// losing a request.
 func TestRollingReload(t *testing.T) {
 	n := 4
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		n = 40
 	}
 	o := sidecarOptions(n)
-	o.Traffic.Duration = time.Minute // it ends with the last reload
+	o.Traffic.Duration = time.Minute // ends with the last reload
 	l, err := Open(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		l.Fleet.MaxAttemptTimeout(1)
-		waitUntil(t, "the new bounds show", func() bool {
+		waitUntil(t, "attempts use the new timeout", func() bool {
 			longest, n := l.Fleet.MaxAttemptTimeout(1)
 			return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 		})
@@ -61,20 +61,20 @@
 			t.Errorf("%+v", c)
 		}
 	}
-	// A set that no sidecar would take is not written, and nobody is told.
+	// Routes that no sidecar would accept are not written, and no sidecar is signalled.
 	if err := l.RollOutRoutes(context.Background(), "[[route]]\nclass = \"zustand\"\nattempts = 9\n"); err == nil {
-		t.Error("a bad set was rolled out")
+		t.Error("invalid routes were rolled out")
 	}
 }
 
-// Configurations of one schema step before and after must work side by side.
+// Sidecars whose configurations are one schema version older and newer must work together.
 func TestSchemaSkew(t *testing.T) {
 	o := sidecarOptions(3)
 	o.editConfig = func(i int, text []byte) []byte {
 		switch i {
-		case 0: // what the platform writes today
+		case 0: // the format without a schema version
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), nil, 1)
-		case 1: // what comes next, with a key that is not known yet
+		case 1: // the next version, with an unknown key
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), []byte("  \"schema\": 2,\n  \"next\": {\"a\": 1},\n"), 1)
 		}
 		return text
@@ -90,12 +90,11 @@
 	}
 	if l, err := Open(context.Background(), o); err == nil {
 		l.Close()
-		t.Error("a sidecar started with a configuration two steps ahead")
+		t.Error("a sidecar started with a configuration two schema versions ahead")
 	}
 }
 
-// Forty sidecars against one shared tier of nodes, on the same boxes and load, in
-// turns: what sidecars cost and gain.
+// Compares forty sidecars with a shared tier of three nodes, on the same servers and load. Run by hand.
 func TestSidecarsAgainstSharedTier(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("a long measurement: CURLEWRING_LONG=1")
@@ -150,8 +149,8 @@
 	}
 }
 
-// An application that floods its own sidecar must get answers for what fits and
-// refusals for the rest, within the memory that the sidecar is told of.
+// An application that overloads its own sidecar must get responses to what fits and rejections of the rest,
+// within the sidecar's configured memory.
 func TestOverloadedSidecar(t *testing.T) {
 	o := sidecarOptions(1)
 	o.Plan.Servers = 8
@@ -161,14 +160,14 @@
 	for _, c := range r.Classes {
 		served, refused = served+c.Served, refused+c.Refused
 	}
-	t.Logf("%d served in time, %d refused, %.1f MB at the peak", served, refused, r.Nodes[0].PeakMB)
+	t.Logf("%d served in time, %d refused, %.1f MB peak memory", served, refused, r.Nodes[0].PeakMB)
 	if served == 0 || r.Nodes[0].PeakMB > 32 {
-		t.Errorf("%d served in time, %.1f MB at the peak", served, r.Nodes[0].PeakMB)
+		t.Errorf("%d served in time, %.1f MB peak memory, want at most 32", served, r.Nodes[0].PeakMB)
 	}
 }
 
-// Many sidecars together must keep a cold box within its budget and a draining one
-// free of new calls, though none knows of the others.
+// Many sidecars together must keep a cold server within its budget and send no new requests to a draining
+// one, without knowing of each other.
 func TestSidecarsWithColdAndDrainingServers(t *testing.T) {
 	n := 8
 	if os.Getenv("CURLEWRING_LONG") != "" {
@@ -184,15 +183,16 @@
 		}
 		o.Faults = append(o.Faults, f)
 	}
-	r := runLab(t, o) // which checks the rules
+	r := runLab(t, o) // also checks the rules
 	for _, b := range r.Servers {
 		if b.Fallen {
-			t.Errorf("box %s was pushed over", b.ID)
+			t.Errorf("server %s collapsed", b.ID)
 		}
 	}
-	t.Logf("%d sidecars: weighted service %.4f, %.3f attempts a request", n, r.ServedWorth, r.AttemptsPerRequest)
-	// On a machine that is late itself, what is served in time is the machine's; the rules hold all the same.
+	t.Logf("%d sidecars: weighted service %.4f, %.3f attempts per request", n, r.ServedWorth, r.AttemptsPerRequest)
+	// On a machine with scheduling delays, fewer requests are served in time, but the rules must hold all the
+	// same.
 	if r.ServedWorth < 0.95 && r.MaxMachineDelay < 50 {
-		t.Errorf("weighted service %.4f, the machine late by %.0f ms at worst", r.ServedWorth, r.MaxMachineDelay)
+		t.Errorf("weighted service %.4f, scheduling delay of the machine at most %.0f ms", r.ServedWorth, r.MaxMachineDelay)
 	}
 }
--- a/internal/rig/lab/virtual_test.go
+++ b/internal/rig/lab/virtual_test.go
@@ -12,7 +12,7 @@
 	"curlewring/internal/rig/virtual"
 )
 
-// twin is the lab's plan in virtual time.
+// virtualConfig returns the lab's plan as a configuration of the virtual-time simulation.
 func virtualConfig(p *standin.Plan, nodes int, t standin.Traffic, advice time.Duration) virtual.Config {
 	c := virtual.Config{
 		Seed: p.Seed, Nodes: nodes, Sites: len(p.Sites), Rate: t.Rate, Duration: t.Duration, Retries: t.Retries, Backoff: t.Backoff,
@@ -32,8 +32,8 @@
 	return c
 }
 
-// The virtual fleet must say of a small one what the lab's sockets say, at half
-// load, at the limit and above. Ten seeds; it takes minutes and wants free cores.
+// The virtual-time simulation of a small fleet must give the same results as the lab's real sockets, at half
+// load, at the limit and above. Ten seeds; it takes minutes and needs free cores.
 func TestVirtualMatchesLab(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("a long measurement: CURLEWRING_LONG=1")
@@ -63,7 +63,7 @@
 			a, b = a+sockets[i]/seeds, b+virtually[i]/seeds
 			worst = max(worst, sockets[i]-virtually[i], virtually[i]-sockets[i])
 		}
-		t.Logf("load %.1f: weighted service on sockets %.4f, in virtual time %.4f, apart by %.4f at the most of one seed", load, a, b, worst)
+		t.Logf("load %.1f: weighted service on sockets %.4f, in virtual time %.4f, largest difference of one seed %.4f", load, a, b, worst)
 		if d := a - b; d > 0.03 || d < -0.03 {
 			t.Errorf("load %.1f: %.4f on sockets, %.4f in virtual time", load, a, b)
 		}
--- a/internal/rig/lab/wronglists_test.go
+++ b/internal/rig/lab/wronglists_test.go
@@ -7,9 +7,10 @@
 	"curlewring/internal/rig/standin"
 )
 
-// Discovery that says for a second that there is nothing, and one that comes back from a backup: what it says is
-// gone gets nothing new, what it brings back waits, and service returns. The judge hears what nodes were told. That doubts of
-// good news hold is package endpoints's own test: a node that believed all at once would pass here too.
+// Discovery returns an empty list for a second, and later restores an old backup. Servers that the list omits
+// must get no new requests, servers that it brings back must wait, and service must recover. The judge checks
+// what was written to nodes. Whether a node distrusts an entry that reappears is tested in package endpoints:
+// a node that trusted it at once would also pass here.
 func TestWrongLists(t *testing.T) {
 	o := defaultOptions()
 	o.Traffic = standin.Traffic{Rate: 150, Duration: 8 * time.Second, Retries: 1, Backoff: 100 * time.Millisecond, BodyBytes: 50}
@@ -24,6 +25,6 @@
 		served, asked = served+c.Served, asked+c.Requests
 	}
 	if served*10 < asked*7 {
-		t.Errorf("%d of %d served", served, asked)
+		t.Errorf("%d of %d requests served in time", served, asked)
 	}
 }
--- a/internal/rig/lab/zone_test.go
+++ b/internal/rig/lab/zone_test.go
@@ -9,30 +9,31 @@
 	"curlewring/internal/rig/standin"
 )
 
-// zoneLoss is a fleet that loses a zone, its nodes included, for a few seconds. Discovery lists that late, as for a machine
-// that has vanished, and must write each change to every node: the larger the zone, the longer that takes.
+// zoneLoss is a fleet that loses a zone, including its nodes, for a few seconds. Discovery publishes the loss
+// late, as for machines that have disappeared, and must write each change to every node, which takes longer
+// the larger the zone.
 type zoneLoss struct {
 	servers  int
 	nodes    int
-	lineRate float64 // that discovery can write in a second
-	// The loss is listed so long after it happened, and changes are published so often.
+	lineRate float64 // lines per second that discovery can write
+	// Delay between the loss and its publication, and interval between publications.
 	lossPublishDelay, publishEvery time.Duration
 }
 
 const (
 	zoneLossStart     = time.Second
 	zoneLossDuration  = 5 * time.Second
-	startPublishDelay = 2 * time.Second // and each box as serving so long after its start
-	requestsPerNode   = 10              // requests a second
-	minServedShare    = 0.75            // of the requests: a node that sends nothing keeps every rule
+	startPublishDelay = 2 * time.Second // delay between a server's start and its publication as serving
+	requestsPerNode   = 10              // requests per second
+	minServedShare    = 0.75            // of the requests, since a node that sends nothing keeps every rule
 )
 
-// play loses the zone and checks from outside that the rules hold.
+// run loses the zone and checks that the rules hold.
 func (z zoneLoss) run(t *testing.T) {
 	t.Helper()
 	o := defaultOptions()
 	o.Nodes, o.Plan.Servers = z.nodes, z.servers
-	o.Plan.Registry = registry.Settings{} // until all are ready
+	o.Plan.Registry = registry.Settings{} // no limit until all nodes are ready
 	o.Plan.CrashPublishDelay, o.Plan.PublishDelay, o.Plan.PublishEvery = z.lossPublishDelay, startPublishDelay, z.publishEvery
 	o.Traffic.Rate, o.Traffic.Duration = requestsPerNode*float64(z.nodes), zoneLossStart+zoneLossDuration+z.lossPublishDelay+8*time.Second
 	lost := o.Plan.Sites[0]
@@ -43,34 +44,39 @@
 	capacity := registry.Settings{LinesPerSecond: z.lineRate, LinesPerCall: linesPerCall, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
 	_, r, _ := runWithCapacity(t, o, capacity)
 	if part := servedShare(r); part < minServedShare {
-		t.Errorf("%.3f served, want %.2f", part, minServedShare)
+		t.Errorf("%.3f of the requests served, want %.2f", part, minServedShare)
 	}
 }
 
-// A zone of hundreds of boxes is lost, and is back by the time that it counts as gone. Its nodes start with a list that is as
-// old as the loss, and discovery is busy telling the others: what they can't have heard of counts as told to them all the
-// same. Boxes that are back serve whoever asks, so that they do proves nothing.
+// A zone of hundreds of servers is lost, and has returned by the time its loss counts as delivered. Its nodes
+// start with a list from before the loss, while discovery is busy writing to the other nodes. Changes count
+// as delivered to nodes even if these cannot have received them yet. That a returned server responds to
+// requests proves nothing, since it would respond to any client.
 func TestZoneReturnsToALargeFleet(t *testing.T) {
 	zoneLoss{servers: 1600, nodes: 24, lineRate: 2400, lossPublishDelay: 4 * time.Second, publishEvery: 400 * time.Millisecond}.run(t)
 }
 
-// The same with a few boxes, of which every node hears in time: that is why it takes thousands to show.
+// The same with few servers, whose changes reach every node in time: the problem takes thousands of servers
+// to show.
 func TestZoneReturnsToASmallFleet(t *testing.T) {
 	t.Parallel()
 	zoneLoss{servers: 48, nodes: 24, lineRate: 2400, lossPublishDelay: 4 * time.Second, publishEvery: 400 * time.Millisecond}.run(t)
 }
 
-// A zone of a few boxes is lost and is listed as gone soon: that counts as told to its nodes 3 s after their start. So many
-// nodes take turns to ask, and those that ask last must have done so by then.
+// A small zone is lost, and its loss is published soon, so that it counts as delivered to the zone's nodes 3
+// s after their start. With this many nodes, polls are spread over time, and the last nodes to poll must have
+// done so by then.
 func TestZoneReturnsBeforeItsNodesPoll(t *testing.T) {
 	zoneLoss{servers: 48, nodes: 42, lineRate: 2400, lossPublishDelay: 1500 * time.Millisecond, publishEvery: 100 * time.Millisecond}.run(t)
 }
 
-// A zone of hundreds of boxes is lost while discovery writes in a second an eightieth of the lines that a change of each box to
-// each node needs. Most nodes hear of the loss when it has counted as told for seconds.
+// A zone of hundreds of servers is lost while discovery writes, per second, an eightieth of the lines that
+// one change of each server to each node needs. Most nodes receive the loss seconds after it counts as
+// delivered.
 //
-// It fails, with 4 breaches where it had 7 to 9: open long polls wait for their answers for up to 12 s, and "unconfirmed=false" stands in the
-// debug lines of all of these requests. A node that met the loss knows better now; those that sent the zone nothing meanwhile can't.
+// It fails, with 4 breaches, formerly 7 to 9: open long polls wait for their answers for up to 12 s, and all
+// of these requests have "unconfirmed=false" in the debug log. A node that noticed the loss itself no longer
+// sends to the zone; a node that sent nothing to the zone in the meantime cannot notice.
 func TestZoneReturnsBeforeASlowDiscovery(t *testing.T) {
 	zoneLoss{servers: 1600, nodes: 24, lineRate: 480, lossPublishDelay: 4 * time.Second, publishEvery: 400 * time.Millisecond}.run(t)
 }
