--- a/internal/rig/lab/accepted_test.go
+++ b/internal/rig/lab/accepted_test.go
@@ -20,8 +20,8 @@
 			continue
 		}
 		fmt.Fprintf(&b, "[[route]]\nclass = %q\nattempts = %d\n", c.Name, 1+rng.IntN(5))
-		ms := func(least, most int) string {
-			return (time.Duration(least+rng.IntN(most-least)) * time.Millisecond).String()
+		ms := func(low, high int) string {
+			return (time.Duration(low+rng.IntN(high-low)) * time.Millisecond).String()
 		}
 		if rng.IntN(2) == 0 {
 			fmt.Fprintf(&b, "attempt_timeout = %q\n", ms(30, 2500))
--- a/internal/rig/lab/budgets_test.go
+++ b/internal/rig/lab/budgets_test.go
@@ -11,9 +11,9 @@
 // The servers of the lower of two tiers fail. With shared budgets no call may have more attempts over both
 // tiers together than its class allows. Without them, the control, the attempts of the tiers multiply.
 func TestSharedBudgetsAcrossTiers(t *testing.T) {
-	play := func(on bool) (worst int, r *Report) {
+	run := func(withBudgets bool) (maxAttempts int, r *Report) {
 		o := defaultOptions()
-		o.Plan.Tiers, o.Plan.Servers, o.Plan.CallsPerRequest, o.Nodes, o.ShareBudgets = 2, 4, 1, 1, on
+		o.Plan.Tiers, o.Plan.Servers, o.Plan.CallsPerRequest, o.Nodes, o.ShareBudgets = 2, 4, 1, 1, withBudgets
 		o.Traffic.Rate, o.Traffic.Retries, o.Traffic.Duration = 60, 0, 3*time.Second
 		for _, box := range []string{"box-100", "box-101", "box-102", "box-103"} {
 			f, err := standin.ParseFault("error:box=" + box + ",at=500ms,for=1500ms")
@@ -31,17 +31,17 @@
 			t.Fatal(err)
 		}
 		checkReport(t, r)
-		worst, _ = l.Fleet.MaxCallAttempts()
-		return worst, r
+		maxAttempts, _ = l.Fleet.MaxCallAttempts()
+		return maxAttempts, r
 	}
-	on, with := play(true)
-	off, without := play(false)
+	withBudgets, with := run(true)
+	withoutBudgets, without := run(false)
 	t.Logf("max attempts per call: %d with budgets, %d without; weighted service %.3f and %.3f, attempts per request %.2f and %.2f",
-		on, off, with.ServedWorth, without.ServedWorth, with.AttemptsPerRequest, without.AttemptsPerRequest)
-	if on > 4 {
-		t.Errorf("a call had %d attempts, its class allows 4", on)
+		withBudgets, withoutBudgets, with.ServedWorth, without.ServedWorth, with.AttemptsPerRequest, without.AttemptsPerRequest)
+	if withBudgets > 4 {
+		t.Errorf("a call had %d attempts, its class allows 4", withBudgets)
 	}
-	if off <= 4 {
-		t.Errorf("at most %d attempts per call without budgets: the control does not exceed the limit", off)
+	if withoutBudgets <= 4 {
+		t.Errorf("at most %d attempts per call without budgets: the control does not exceed the limit", withoutBudgets)
 	}
 }
--- a/internal/rig/lab/crossing_test.go
+++ b/internal/rig/lab/crossing_test.go
@@ -47,11 +47,11 @@
 
 // servedShare returns the fraction of the requests that were served in time.
 func servedShare(r *Report) float64 {
-	served, asked := 0, 0
+	served, requests := 0, 0
 	for _, c := range r.Classes {
-		served, asked = served+c.Served, asked+c.Requests
+		served, requests = served+c.Served, requests+c.Requests
 	}
-	return float64(served) / float64(max(1, asked))
+	return float64(served) / float64(max(1, requests))
 }
 
 // All long polls of all nodes go silent, and servers drain right after, while discovery takes three quarters
@@ -60,8 +60,8 @@
 func TestServersDrainAfterPollsGoSilent(t *testing.T) {
 	t.Parallel()
 	r := runFaultsAtLineRate(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.Duration = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
-	if part := servedShare(r); part < 0.9 {
-		t.Errorf("%.3f of the requests served, want 0.9", part)
+	if share := servedShare(r); share < 0.9 {
+		t.Errorf("%.3f of the requests served, want 0.9", share)
 	}
 }
 
@@ -71,8 +71,8 @@
 	t.Parallel()
 	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 100, 12*time.Second },
 		"outage:at=500ms,for=4s", "leave:box=1,at=4400ms,for=8s", "leave:box=5,at=4600ms,for=8s")
-	if part := servedShare(r); part < 0.9 {
-		t.Errorf("%.3f of the requests served, want 0.9", part)
+	if share := servedShare(r); share < 0.9 {
+		t.Errorf("%.3f of the requests served, want 0.9", share)
 	}
 }
 
@@ -85,8 +85,8 @@
 		o.Plan.PushedLists, o.Traffic.Rate, o.Traffic.Duration = true, 150, 7*time.Second
 	}, "leave:box=1,at=500ms,for=8s", "outage:at=1500ms,for=2s", "leave:box=4,at=2s,for=8s", "kill:node=1,at=2500ms,for=500ms",
 		"term:node=2,at=3s,for=2s", "leave:box=5,at=5s,for=8s")
-	if part := servedShare(r); part < 0.8 {
-		t.Errorf("%.3f of the requests served, want 0.8", part)
+	if share := servedShare(r); share < 0.8 {
+		t.Errorf("%.3f of the requests served, want 0.8", share)
 	}
 }
 
@@ -100,8 +100,8 @@
 	}
 	faults = append(faults, "stuck:box=2,at=400ms,for=2s", "reset:box=3,at=3s,for=2s")
 	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 200, 8*time.Second }, faults...)
-	if part := servedShare(r); part < 0.7 {
-		t.Errorf("%.3f of the requests served, want 0.7", part)
+	if share := servedShare(r); share < 0.7 {
+		t.Errorf("%.3f of the requests served, want 0.7", share)
 	}
 	for _, n := range r.Nodes {
 		if n.Failure != "" {
@@ -144,8 +144,8 @@
 			t.Errorf("%+v", b)
 		}
 	}
-	if part := servedShare(r); part < 0.7 {
-		t.Errorf("%.3f of the requests served, want 0.7", part)
+	if share := servedShare(r); share < 0.7 {
+		t.Errorf("%.3f of the requests served, want 0.7", share)
 	}
 }
 
@@ -169,11 +169,11 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var late []string
+	var notReady []string
 	l.onStart = func(p *process) {
-		begun := time.Now()
-		if err := p.waitReady(context.Background()); err != nil || time.Since(begun) > 10*time.Second {
-			late = append(late, fmt.Sprintf("%s: %v after %v", p.name, err, time.Since(begun)))
+		start := time.Now()
+		if err := p.waitReady(context.Background()); err != nil || time.Since(start) > 10*time.Second {
+			notReady = append(notReady, fmt.Sprintf("%s: %v after %v", p.name, err, time.Since(start)))
 		}
 	}
 	r, err := l.Run(context.Background(), nil)
@@ -181,10 +181,10 @@
 		t.Fatal(err)
 	}
 	checkReport(t, r)
-	if len(late) > 0 {
-		t.Errorf("not ready in time: %s", strings.Join(late, "; "))
+	if len(notReady) > 0 {
+		t.Errorf("not ready in time: %s", strings.Join(notReady, "; "))
 	}
-	if part := servedShare(r); part < 0.6 {
-		t.Errorf("%.3f of the requests served, want 0.6", part)
+	if share := servedShare(r); share < 0.6 {
+		t.Errorf("%.3f of the requests served, want 0.6", share)
 	}
 }
--- a/internal/rig/lab/lab_test.go
+++ b/internal/rig/lab/lab_test.go
@@ -85,14 +85,14 @@
 		r.Print(&text)
 		t.Errorf("rules broken, or nodes that failed:\n%s", text.String())
 	}
-	asked := 0
+	requests := 0
 	for _, c := range r.Classes {
-		asked += c.Requests
+		requests += c.Requests
 		if c.Requests != c.Served+c.Late+c.Refused+c.Failed {
 			t.Errorf("outcomes of class %+v do not add up to its requests", c)
 		}
 	}
-	if asked == 0 {
+	if requests == 0 {
 		t.Error("no requests were sent")
 	}
 }
@@ -195,7 +195,7 @@
 	rules := func(timeout time.Duration) string {
 		return fmt.Sprintf("route_count = 1\n[[route]]\nclass = \"zustand\"\nattempt_timeout = %q\nattempts = 2\n", timeout)
 	}
-	bad := []string{
+	badFiles := []string{
 		"", "[[route]", rules(100*time.Millisecond) + "[[route]]\n", rules(2 * time.Second),
 		"[[route]]\nclass = \"stoerung\"\nsecond_copy_after = \"50ms\"\n", rules(time.Second) + strings.Repeat("#\n", 6<<20),
 	}
@@ -217,22 +217,22 @@
 	running.Go(func() { report, runErr = l.Run(ctx, nil) })
 	rng := rand.New(rand.NewPCG(1, 2))
 	counts := func(what string) int { // lowest count of such lines over all nodes
-		least := 1 << 30
+		lowest := 1 << 30
 		for _, name := range []string{"n0", "n1"} {
-			least = min(least, strings.Count(l.Log(name), what))
+			lowest = min(lowest, strings.Count(l.Log(name), what))
 		}
-		return least
+		return lowest
 	}
-	goods, bads := 0, 0
+	accepted, rejected := 0, 0
 	for i := range reloads {
 		if i%2 == 0 {
-			goods++
+			accepted++
 			timeout := time.Duration(200+25*i) * time.Millisecond
 			write(rules(timeout))
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the valid file is accepted", func() bool { return counts("msg=reloaded") == goods })
+			waitUntil(t, "the valid file is accepted", func() bool { return counts("msg=reloaded") == accepted })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			waitUntil(t, "attempts use the new timeout", func() bool {
@@ -240,12 +240,12 @@
 				return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 			})
 		} else {
-			bads++
-			write(bad[rng.IntN(len(bad))])
+			rejected++
+			write(badFiles[rng.IntN(len(badFiles))])
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the invalid file is rejected", func() bool { return counts("the old one stays") == bads })
+			waitUntil(t, "the invalid file is rejected", func() bool { return counts("the old one stays") == rejected })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			if longest, n := l.Fleet.MaxAttemptTimeout(1); n > 0 && longest > time.Duration(200+25*(i-1))*time.Millisecond {
--- a/internal/rig/lab/large_test.go
+++ b/internal/rig/lab/large_test.go
@@ -75,9 +75,9 @@
 		waitForLines(t, l, before+1)
 		l.Fleet.PublishFakeServers(0, 1, true)
 		waitForLines(t, l, before+2)
-		rest := residentBytesOf(pid)
+		atRest := residentBytesOf(pid)
 		// 5% of the servers leave and return within a second, in steps of 20 ms.
-		cpu, begun, changes := procCPUTime(pid), time.Now(), 0
+		cpu, start, changes := procCPUTime(pid), time.Now(), 0
 		for step := 0; step < 50; step++ {
 			k := max(1, n/2000)
 			at, last := step*k%n, (step*k+n-k)%n
@@ -86,22 +86,22 @@
 				l.Fleet.PublishFakeServers(last, min(n, last+k), true)
 			}
 			changes += 2 * k
-			time.Sleep(time.Until(begun.Add(time.Duration(step+1) * 20 * time.Millisecond)))
+			time.Sleep(time.Until(start.Add(time.Duration(step+1) * 20 * time.Millisecond)))
 		}
 		waitForLines(t, l, before+2+50)
 		cpu = procCPUTime(pid) - cpu
-		took := time.Since(begun)
+		elapsed := time.Since(start)
 		memory = append(memory, residentBytesOf(pid))
 		t.Logf("| %d servers | %.1f MB at rest | %.1f MB after churn | %.0f changes a second | %.1f%% of a core |", n,
-			float64(rest)/(1<<20), float64(memory[len(memory)-1])/(1<<20), float64(changes)/took.Seconds(),
-			100*cpu.Seconds()/took.Seconds())
+			float64(atRest)/(1<<20), float64(memory[len(memory)-1])/(1<<20), float64(changes)/elapsed.Seconds(),
+			100*cpu.Seconds()/elapsed.Seconds())
 	}
 	if memory[0] == 0 {
 		t.Skip("needs /proc to read memory use")
 	}
-	each := float64(memory[2]-memory[0]) / float64(sizes[2]-sizes[0])
-	t.Logf("%.0f bytes of memory per server", each)
-	if each < 200 {
+	perServer := float64(memory[2]-memory[0]) / float64(sizes[2]-sizes[0])
+	t.Logf("%.0f bytes of memory per server", perServer)
+	if perServer < 200 {
 		t.Error("implausibly little memory per server: the node does not hold the list")
 	}
 	if memory[2] > 32<<20 {
@@ -132,8 +132,8 @@
 	for _, task := range tasks {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/status", pid, task.Name()))
 		for line := range strings.Lines(string(text)) {
-			if rest, found := strings.CutPrefix(line, "voluntary_ctxt_switches:"); found {
-				n, _ := strconv.ParseInt(strings.TrimSpace(rest), 10, 64)
+			if atRest, found := strings.CutPrefix(line, "voluntary_ctxt_switches:"); found {
+				n, _ := strconv.ParseInt(strings.TrimSpace(atRest), 10, 64)
 				sleeps += n
 			}
 		}
@@ -160,7 +160,7 @@
 	pid := p.cmd.Process.Pid
 	p.mu.Unlock()
 	type sample struct {
-		asked                 int64
+		requests              int64
 		reads, writes, sleeps int64
 	}
 	var samples []sample // taken during the run, when connections are established
@@ -177,7 +177,7 @@
 		t.Skip("needs /proc to count system calls")
 	}
 	a, b := samples[0], samples[len(samples)-1]
-	n := float64(b.asked - a.asked)
+	n := float64(b.requests - a.requests)
 	reads, writes, sleeps := float64(b.reads-a.reads)/n, float64(b.writes-a.writes)/n, float64(b.sleeps-a.sleeps)/n
 	t.Logf("at %.0f requests per second: %.2f reads, %.2f writes, %.2f sleeps per request", rate, reads, writes, sleeps)
 	if reads > 5.5 || writes > 2.5 {
--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -46,52 +46,52 @@
 
 func startLeaseLab(t *testing.T, nodes, voters int, seed uint64, checks bool) *leaseLab {
 	t.Helper()
-	x := &leaseLab{memberLab: startMemberLabWith(t, nodes, seed, func(o *Options) { o.ReplaceVoterAfter, o.Traffic.Rate = voterReplaceDelay, 20 }), startedAt: time.Now()}
-	x.minServed = 0.5 // the share served in time is not what these tests check
+	lab := &leaseLab{memberLab: startMemberLabWith(t, nodes, seed, func(o *Options) { o.ReplaceVoterAfter, o.Traffic.Rate = voterReplaceDelay, 20 }), startedAt: time.Now()}
+	lab.minServed = 0.5 // the share served in time is not what these tests check
 	var err error
-	if x.resource, err = resource.Start(checks); err != nil {
+	if lab.resource, err = resource.Start(checks); err != nil {
 		t.Fatal(err)
 	}
-	x.ctx, x.cancel = context.WithCancel(context.Background())
-	x.waitForView(30*time.Second, x.names...)
-	r, err := leases.Call(x.ctx, x.StateFolder("n0"), leases.Request{Do: "found", Voters: voters})
+	lab.ctx, lab.cancel = context.WithCancel(context.Background())
+	lab.waitForView(30*time.Second, lab.names...)
+	r, err := leases.Call(lab.ctx, lab.StateFolder("n0"), leases.Request{Do: "found", Voters: voters})
 	if err != nil {
 		t.Fatalf("founding the voter group: %v", err)
 	}
 	for _, s := range r.Seats.Rows {
-		x.voters = append(x.voters, s.Name)
+		lab.voters = append(lab.voters, s.Name)
 	}
-	return x
+	return lab
 }
 
 // finish stops the contenders, and checks the resource's violations and the lease operations.
-func (x *leaseLab) finish() {
-	x.t.Helper()
-	x.cancel()
-	x.contenders.Wait()
-	for _, w := range x.resource.Violations() {
-		x.t.Error(w)
-	}
-	x.resource.Close()
-	x.mu.Lock()
-	ops := x.ops
-	x.mu.Unlock()
+func (lab *leaseLab) finish() {
+	lab.t.Helper()
+	lab.cancel()
+	lab.contenders.Wait()
+	for _, w := range lab.resource.Violations() {
+		lab.t.Error(w)
+	}
+	lab.resource.Close()
+	lab.mu.Lock()
+	ops := lab.ops
+	lab.mu.Unlock()
 	if ok := porcupine.CheckOperations(leaseModel(), ops); !ok {
-		x.t.Errorf("%d operations are not linearizable", len(ops))
+		lab.t.Errorf("%d operations are not linearizable", len(ops))
 	}
-	x.finishTraffic()
-	if x.t.Failed() {
-		for _, n := range x.names {
-			x.t.Logf("%s: %.6000s", n, x.Log(n))
+	lab.finishTraffic()
+	if lab.t.Failed() {
+		for _, n := range lab.names {
+			lab.t.Logf("%s: %.6000s", n, lab.Log(n))
 		}
 	}
 }
 
 // leaseStatus requests a node's lease status; false if the node does not answer.
-func (x *leaseLab) leaseStatus(node string) (leaselog.Status, bool) {
-	ctx, cancel := context.WithTimeout(x.ctx, time.Second)
+func (lab *leaseLab) leaseStatus(node string) (leaselog.Status, bool) {
+	ctx, cancel := context.WithTimeout(lab.ctx, time.Second)
 	defer cancel()
-	r, err := leases.Call(ctx, x.StateFolder(node), leases.Request{Do: "standing"})
+	r, err := leases.Call(ctx, lab.StateFolder(node), leases.Request{Do: "standing"})
 	if err != nil || r.Standing == nil {
 		return leaselog.Status{}, false
 	}
@@ -100,8 +100,8 @@
 
 // voterReplaced reports whether a voter knows that the voter with the lost disk now has the given number, and
 // that its old number no longer votes.
-func (x *leaseLab) voterReplaced(node string, lost string, number uint64) bool {
-	s, ok := x.leaseStatus(node)
+func (lab *leaseLab) voterReplaced(node string, lost string, number uint64) bool {
+	s, ok := lab.leaseStatus(node)
 	if !ok || !s.Settled {
 		return false
 	}
@@ -109,10 +109,10 @@
 }
 
 // leader returns the leader of the highest term; "" if no node leads.
-func (x *leaseLab) leader() (name string) {
+func (lab *leaseLab) leader() (name string) {
 	term := uint64(0)
-	for _, n := range x.names {
-		if s, ok := x.leaseStatus(n); ok && s.Leads && s.Term > term {
+	for _, n := range lab.names {
+		if s, ok := lab.leaseStatus(n); ok && s.Leads && s.Term > term {
 			name, term = n, s.Term
 		}
 	}
@@ -120,19 +120,19 @@
 }
 
 // waitFor polls a condition until it holds, and returns how long that took.
-func (x *leaseLab) waitFor(what string, within time.Duration, ok func() bool) time.Duration {
-	x.t.Helper()
-	begun := time.Now()
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
+func (lab *leaseLab) waitFor(what string, within time.Duration, ok func() bool) time.Duration {
+	lab.t.Helper()
+	start := time.Now()
+	ticker := time.NewTicker(20 * time.Millisecond)
+	defer ticker.Stop()
 	for !ok() {
-		if time.Since(begun) > within {
-			x.t.Errorf("timed out after %v waiting for %s", within, what)
+		if time.Since(start) > within {
+			lab.t.Errorf("timed out after %v waiting for %s", within, what)
 			return within
 		}
-		<-look.C
+		<-ticker.C
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
 // leaseOp is an operation on one lease, as a contender observes it.
@@ -159,65 +159,65 @@
 	}
 }
 
-func (x *leaseLab) recordOperation(client int, from time.Time, op leaseOp, out uint64) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (lab *leaseLab) recordOperation(client int, from time.Time, op leaseOp, out uint64) {
+	lab.mu.Lock()
+	defer lab.mu.Unlock()
 	if op.kind == "acquire" {
-		x.grants++
+		lab.grants++
 	}
-	if len(x.ops) < 5000 {
-		x.ops = append(x.ops, porcupine.Operation{ClientId: client, Input: op, Call: from.Sub(x.startedAt).Nanoseconds(), Output: out, Return: time.Since(x.startedAt).Nanoseconds()})
+	if len(lab.ops) < 5000 {
+		lab.ops = append(lab.ops, porcupine.Operation{ClientId: client, Input: op, Call: from.Sub(lab.startedAt).Nanoseconds(), Output: out, Return: time.Since(lab.startedAt).Nanoseconds()})
 	}
 }
 
-func (x *leaseLab) grantCount() int {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.grants
+func (lab *leaseLab) grantCount() int {
+	lab.mu.Lock()
+	defer lab.mu.Unlock()
+	return lab.grants
 }
 
 // addContender starts a client that acquires the lease through a node again and again, accesses the resource
 // while it may, and releases the lease after a while.
-func (x *leaseLab) addContender(client int, node, name string, seed uint64) {
-	x.contenders.Go(func() {
+func (lab *leaseLab) addContender(client int, node, name string, seed uint64) {
+	lab.contenders.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, uint64(client)))
-		for x.ctx.Err() == nil {
-			x.contendOnce(client, node, name, rng)
+		for lab.ctx.Err() == nil {
+			lab.contendOnce(client, node, name, rng)
 			select {
 			case <-time.After(time.Duration(rng.IntN(300)) * time.Millisecond):
-			case <-x.ctx.Done():
+			case <-lab.ctx.Done():
 			}
 		}
 	})
 }
 
-func (x *leaseLab) contendOnce(client int, node, name string, rng *rand.Rand) {
-	h, err := leases.Acquire(x.ctx, x.StateFolder(node), name, leaseTTL)
+func (lab *leaseLab) contendOnce(client int, node, name string, rng *rand.Rand) {
+	h, err := leases.Acquire(lab.ctx, lab.StateFolder(node), name, leaseTTL)
 	if err != nil {
 		return // the node is down
 	}
 	defer h.Close()
 	last := time.Now()
-	token, until, gives := uint64(0), time.Duration(0), time.Duration(0)
+	token, until, releaseAt := uint64(0), time.Duration(0), time.Duration(0)
 	for {
-		act := time.Duration(20+rng.IntN(150)) * time.Millisecond
+		accessTime := time.Duration(20+rng.IntN(150)) * time.Millisecond
 		switch now := clock.Boot(); {
-		case token != 0 && now > gives:
+		case token != 0 && now > releaseAt:
 			from := time.Now()
 			h.ConfirmStopped()
 			for e := range h.Events {
 				if e.Kind == lease.PhaseChanged && e.Phase == lease.Over {
 					if e.Why == "given up" {
-						x.recordOperation(client, from, leaseOp{"release", token}, 0)
+						lab.recordOperation(client, from, leaseOp{"release", token}, 0)
 					}
 					return
 				}
 			}
 			return
-		case token != 0 && now+act < until:
-			a, err := resource.Begin(x.resource.Address, fmt.Sprint("client", client), token)
+		case token != 0 && now+accessTime < until:
+			a, err := resource.Begin(lab.resource.Address, fmt.Sprint("client", client), token)
 			if err == nil {
-				time.Sleep(max(0, min(act, until-clock.Boot()-act/4))) // the access itself
+				time.Sleep(max(0, min(accessTime, until-clock.Boot()-accessTime/4))) // the access itself
 				a.End()
 			}
 		}
@@ -228,18 +228,18 @@
 				return
 			case e.Kind == lease.Extended:
 				until = e.Until
-				x.recordOperation(client, last, leaseOp{"renew", token}, 0)
+				lab.recordOperation(client, last, leaseOp{"renew", token}, 0)
 				last = time.Now()
 			case e.Kind == lease.PhaseChanged && e.Phase == lease.Holding:
-				token, until, gives = e.Token, e.Until, clock.Boot()+time.Duration(200+rng.IntN(3000))*time.Millisecond
-				x.recordOperation(client, last, leaseOp{kind: "acquire"}, token)
+				token, until, releaseAt = e.Token, e.Until, clock.Boot()+time.Duration(200+rng.IntN(3000))*time.Millisecond
+				lab.recordOperation(client, last, leaseOp{kind: "acquire"}, token)
 				last = time.Now()
 			case e.Kind == lease.PhaseChanged && e.Phase >= lease.Stopping:
 				h.ConfirmStopped()
 				return
 			}
 		case <-time.After(20 * time.Millisecond):
-		case <-x.ctx.Done():
+		case <-lab.ctx.Done():
 			h.ConfirmStopped()
 			return
 		}
@@ -247,8 +247,8 @@
 }
 
 // leaseRunCommand returns a command that executes curlewctl lease run.
-func (x *leaseLab) leaseRunCommand(node, name string, flags []string, command ...string) *exec.Cmd {
-	args := append([]string{"lease", "run", "--folder", x.StateFolder(node), "--ttl", leaseTTL.String()}, flags...)
+func (lab *leaseLab) leaseRunCommand(node, name string, flags []string, command ...string) *exec.Cmd {
+	args := append([]string{"lease", "run", "--folder", lab.StateFolder(node), "--ttl", leaseTTL.String()}, flags...)
 	cmd := exec.Command(toolBinary, append(append(args, name, "--"), command...)...)
 	return cmd
 }
@@ -258,59 +258,59 @@
 // the bound.
 func TestLeasesSurviveEachFault(t *testing.T) {
 	t.Parallel()
-	x := startLeaseLab(t, 5, 3, 31, false)
-	defer x.finish()
-	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
-	others := x.namesExcept(x.voters...)
-	for i, node := range []string{others[0], others[1], x.voters[0]} {
-		x.addContender(i, node, "l", 1)
-	}
-	again := func(what string, within time.Duration) {
+	lab := startLeaseLab(t, 5, 3, 31, false)
+	defer lab.finish()
+	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
+	others := lab.namesExcept(lab.voters...)
+	for i, node := range []string{others[0], others[1], lab.voters[0]} {
+		lab.addContender(i, node, "l", 1)
+	}
+	waitForGrant := func(what string, within time.Duration) {
 		t.Helper()
-		before := x.grantCount()
-		took := x.waitFor("a grant after "+what, within, func() bool { return x.grantCount() > before })
-		t.Logf("%s: a grant after %v", what, took)
+		before := lab.grantCount()
+		elapsed := lab.waitFor("a grant after "+what, within, func() bool { return lab.grantCount() > before })
+		t.Logf("%s: a grant after %v", what, elapsed)
 	}
-	again("the start", 10*time.Second)
+	waitForGrant("the start", 10*time.Second)
 	// two lease times and elections; a busy machine needs longer for elections
 	const bound = 2*leaseTTL + 10*time.Second
 	kill := func(name string) func() {
-		x.noError(x.Kill(name))
+		lab.noError(lab.Kill(name))
 		return func() {
-			x.noError(x.Start(name))
-			x.waitFor(name+" to return", 20*time.Second, func() bool { _, ok := x.leaseStatus(name); return ok })
+			lab.noError(lab.Start(name))
+			lab.waitFor(name+" to return", 20*time.Second, func() bool { _, ok := lab.leaseStatus(name); return ok })
 		}
 	}
-	leader := x.leader()
-	back := kill(leader)
-	again("the leader was killed", bound)
-	back()
-	leader = x.leader()
-	x.noError(x.Pause(leader))
-	again("the leader was paused", bound)
-	x.noError(x.Resume(leader))
-	again("the leader was resumed", bound)
-	back = kill(others[0])
-	again("a contender's node was killed", bound)
-	back()
-	x.noError(x.Pause(others[1]))
-	again("a contender's node was paused", bound)
-	x.noError(x.Resume(others[1]))
-	var backs []func()
-	for _, n := range x.voters {
-		backs = append(backs, kill(n))
+	leader := lab.leader()
+	restart := kill(leader)
+	waitForGrant("the leader was killed", bound)
+	restart()
+	leader = lab.leader()
+	lab.noError(lab.Pause(leader))
+	waitForGrant("the leader was paused", bound)
+	lab.noError(lab.Resume(leader))
+	waitForGrant("the leader was resumed", bound)
+	restart = kill(others[0])
+	waitForGrant("a contender's node was killed", bound)
+	restart()
+	lab.noError(lab.Pause(others[1]))
+	waitForGrant("a contender's node was paused", bound)
+	lab.noError(lab.Resume(others[1]))
+	var restarts []func()
+	for _, n := range lab.voters {
+		restarts = append(restarts, kill(n))
 	}
 	// Without a majority of voters, acquiring fails with an error instead of blocking.
-	begun := time.Now()
-	if _, err := x.leaseRunCommand(others[0], "other", nil, "true").CombinedOutput(); err == nil {
+	start := time.Now()
+	if _, err := lab.leaseRunCommand(others[0], "other", nil, "true").CombinedOutput(); err == nil {
 		t.Error("a command ran without a majority")
-	} else if code := exitCode(err); code != 75 || time.Since(begun) > 6*time.Second {
-		t.Errorf("exit code %d after %v", code, time.Since(begun))
+	} else if code := exitCode(err); code != 75 || time.Since(start) > 6*time.Second {
+		t.Errorf("exit code %d after %v", code, time.Since(start))
 	}
-	for _, b := range backs {
+	for _, b := range restarts {
 		b()
 	}
-	again("all voters were killed", bound+10*time.Second)
+	waitForGrant("all voters were killed", bound+10*time.Second)
 }
 
 func exitCode(err error) int {
@@ -325,56 +325,56 @@
 // by another node.
 func TestLeaseVotersReplaced(t *testing.T) {
 	t.Parallel()
-	x := startLeaseLab(t, 5, 3, 32, false)
-	defer x.finish()
-	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
-	for i, node := range x.namesExcept(x.voters...) {
-		x.addContender(i, node, "l", 2)
+	lab := startLeaseLab(t, 5, 3, 32, false)
+	defer lab.finish()
+	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
+	for i, node := range lab.namesExcept(lab.voters...) {
+		lab.addContender(i, node, "l", 2)
 	}
 	numbers := func() map[string]uint64 {
-		all := map[string]uint64{}
-		if s, ok := x.leaseStatus(x.leader()); ok {
+		numbersByName := map[string]uint64{}
+		if s, ok := lab.leaseStatus(lab.leader()); ok {
 			for _, r := range s.Seats.Rows {
-				all[r.Name] = r.ID
+				numbersByName[r.Name] = r.ID
 			}
 		}
-		return all
+		return numbersByName
 	}
 	before := numbers()
-	lost := x.voters[0]
-	x.noError(x.Kill(lost))
-	x.noError(x.RemoveState(lost))
-	x.noError(x.Start(lost))
-	took := x.waitFor("the voter with the lost disk to have a new number", 30*time.Second, func() bool {
+	lost := lab.voters[0]
+	lab.noError(lab.Kill(lost))
+	lab.noError(lab.RemoveState(lost))
+	lab.noError(lab.Start(lost))
+	elapsed := lab.waitFor("the voter with the lost disk to have a new number", 30*time.Second, func() bool {
 		now := numbers()
-		s, ok := x.leaseStatus(lost)
+		s, ok := lab.leaseStatus(lost)
 		return now[lost] != 0 && now[lost] != before[lost] && ok && s.ID == now[lost] && s.Applied > 1
 	})
-	t.Logf("lost disk: admitted again after %v", took)
+	t.Logf("lost disk: admitted again after %v", elapsed)
 	// Until the change of voters has completed, the old number still counts as a voter, and another loss
 	// leaves no majority.
-	took = x.waitFor("the change of voters to complete", 5*time.Second, func() bool {
+	elapsed = lab.waitFor("the change of voters to complete", 5*time.Second, func() bool {
 		number := numbers()[lost]
-		return x.voterReplaced(lost, lost, number) && x.voterReplaced(x.voters[2], lost, number)
+		return lab.voterReplaced(lost, lost, number) && lab.voterReplaced(lab.voters[2], lost, number)
 	})
-	t.Logf("its change of voters completed after another %v", took)
-	gone := x.voters[1]
-	x.noError(x.Kill(gone))
-	took = x.waitFor("another node to replace the missing voter", 40*time.Second, func() bool {
+	t.Logf("its change of voters completed after another %v", elapsed)
+	missing := lab.voters[1]
+	lab.noError(lab.Kill(missing))
+	elapsed = lab.waitFor("another node to replace the missing voter", 40*time.Second, func() bool {
 		now := numbers()
-		return len(now) == 3 && now[gone] == 0
+		return len(now) == 3 && now[missing] == 0
 	})
-	t.Logf("missing voter: replaced after %v, of which %v is the configured delay", took, voterReplaceDelay)
-	x.noError(x.Start(gone))
-	x.waitFor("the replaced node to give up its vote", 40*time.Second, func() bool {
-		s, ok := x.leaseStatus(gone)
+	t.Logf("missing voter: replaced after %v, of which %v is the configured delay", elapsed, voterReplaceDelay)
+	lab.noError(lab.Start(missing))
+	lab.waitFor("the replaced node to give up its vote", 40*time.Second, func() bool {
+		s, ok := lab.leaseStatus(missing)
 		return ok && !s.Voter && s.Seats.Founding != 0
 	})
 	// One original and one new voter are a majority without the third.
-	x.noError(x.Kill(x.voters[2]))
-	had := x.grantCount()
-	x.waitFor("a grant by the new voters", 2*leaseTTL+20*time.Second, func() bool { return x.grantCount() > had })
-	x.noError(x.Start(x.voters[2]))
+	lab.noError(lab.Kill(lab.voters[2]))
+	granted := lab.grantCount()
+	lab.waitFor("a grant by the new voters", 2*leaseTTL+20*time.Second, func() bool { return lab.grantCount() > granted })
+	lab.noError(lab.Start(lab.voters[2]))
 }
 
 // Seeded random faults on voters and contenders at once.
@@ -393,90 +393,90 @@
 
 func runRandomFaults(t *testing.T, seed uint64, length time.Duration) {
 	t.Helper()
-	x := startLeaseLab(t, 7, 5, seed, false)
-	defer x.finish()
-	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
-	for i, node := range []string{x.names[0], x.names[2], x.names[4], x.names[6]} {
-		x.addContender(i, node, "l", seed)
+	lab := startLeaseLab(t, 7, 5, seed, false)
+	defer lab.finish()
+	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
+	for i, node := range []string{lab.names[0], lab.names[2], lab.names[4], lab.names[6]} {
+		lab.addContender(i, node, "l", seed)
 	}
 	for i := range 2 { // contenders that run real commands
-		x.contenders.Go(func() {
-			for x.ctx.Err() == nil {
-				cmd := x.leaseRunCommand(x.names[1+2*i], "l", []string{"--wait", "10s"}, toolBinary, "act", x.resource.Address, "--for", "700ms")
+		lab.contenders.Go(func() {
+			for lab.ctx.Err() == nil {
+				cmd := lab.leaseRunCommand(lab.names[1+2*i], "l", []string{"--wait", "10s"}, toolBinary, "act", lab.resource.Address, "--for", "700ms")
 				out, err := cmd.CombinedOutput()
 				if code := exitCode(err); err != nil && !slices.Contains([]int{75, 124, 125}, code) {
-					x.t.Errorf("a command under a lease: %d, %s", code, out)
+					lab.t.Errorf("a command under a lease: %d, %s", code, out)
 				}
 				select {
 				case <-time.After(100 * time.Millisecond): // a node that is down refuses at once
-				case <-x.ctx.Done():
+				case <-lab.ctx.Done():
 				}
 			}
 		})
 	}
 	rng := rand.New(rand.NewPCG(seed, 77))
-	var told []string
-	for begun := time.Now(); time.Since(begun) < length; {
-		what, end := x.injectRandomFault(rng)
-		told = append(told, what)
+	var injected []string
+	for start := time.Now(); time.Since(start) < length; {
+		what, end := lab.injectRandomFault(rng)
+		injected = append(injected, what)
 		time.Sleep(time.Duration(500+rng.IntN(3500)) * time.Millisecond) // duration of the fault
 		end()
 	}
-	t.Logf("seed %d: %s", seed, strings.Join(told, ", "))
-	before := x.grantCount()
-	took := x.waitFor("a grant after all faults", 2*leaseTTL+20*time.Second, func() bool { return x.grantCount() > before })
-	t.Logf("seed %d: %d grants, %d acts, a grant %v after the last fault", seed, x.grantCount(), len(x.resource.History()), took)
+	t.Logf("seed %d: %s", seed, strings.Join(injected, ", "))
+	before := lab.grantCount()
+	elapsed := lab.waitFor("a grant after all faults", 2*leaseTTL+20*time.Second, func() bool { return lab.grantCount() > before })
+	t.Logf("seed %d: %d grants, %d acts, a grant %v after the last fault", seed, lab.grantCount(), len(lab.resource.History()), elapsed)
 }
 
 // injectRandomFault starts a random fault, and returns its name and a function that ends it.
-func (x *leaseLab) injectRandomFault(rng *rand.Rand) (string, func()) {
-	node := x.names[rng.IntN(len(x.names))]
+func (lab *leaseLab) injectRandomFault(rng *rand.Rand) (string, func()) {
+	node := lab.names[rng.IntN(len(lab.names))]
 	if rng.IntN(2) == 0 {
-		node = x.voters[rng.IntN(len(x.voters))]
+		node = lab.voters[rng.IntN(len(lab.voters))]
 	}
-	if l := x.leader(); l != "" && rng.IntN(3) == 0 {
+	if l := lab.leader(); l != "" && rng.IntN(3) == 0 {
 		node = l
 	}
-	at := slices.Index(x.names, node)
-	calm := func() { x.SetLinkConditions(perfectLinks) }
+	at := slices.Index(lab.names, node)
+	repair := func() { lab.SetLinkConditions(perfectLinks) }
 	switch rng.IntN(10) {
 	case 0:
-		x.noError(x.Kill(node))
-		return "kill " + node, func() { x.noError(x.Start(node)) }
+		lab.noError(lab.Kill(node))
+		return "kill " + node, func() { lab.noError(lab.Start(node)) }
 	case 1:
-		x.noError(x.Pause(node))
-		return "pause " + node, func() { x.noError(x.Resume(node)) }
+		lab.noError(lab.Pause(node))
+		return "pause " + node, func() { lab.noError(lab.Resume(node)) }
 	case 2:
-		n := 1 + rng.IntN(len(x.names)-1)
-		x.SetLinkConditions(func(from, to int) (w linkConditions) { w.Cut = (from < n) != (to < n); return w })
-		return fmt.Sprint("partition at ", n), calm
+		n := 1 + rng.IntN(len(lab.names)-1)
+		lab.SetLinkConditions(func(from, to int) (w linkConditions) { w.Cut = (from < n) != (to < n); return w })
+		return fmt.Sprint("partition at ", n), repair
 	case 3:
-		x.SetLinkConditions(func(from, _ int) (w linkConditions) { w.Cut = from == at; return w })
-		return "outgoing links cut at " + node, calm
+		lab.SetLinkConditions(func(from, _ int) (w linkConditions) { w.Cut = from == at; return w })
+		return "outgoing links cut at " + node, repair
 	case 4:
-		x.SetLinkConditions(func(_, to int) (w linkConditions) { w.Cut = to == at; return w })
-		return "incoming links cut at " + node, calm
+		lab.SetLinkConditions(func(_, to int) (w linkConditions) { w.Cut = to == at; return w })
+		return "incoming links cut at " + node, repair
 	case 5:
-		x.SetLinkConditions(func(_, _ int) linkConditions {
+		lab.SetLinkConditions(func(_, _ int) linkConditions {
 			return linkConditions{Loss: 0.3, Duplicate: 0.2, Corrupt: 0.05, Delay: 60 * time.Millisecond}
 		})
-		return "bad links", calm
+		return "bad links", repair
 	case 9:
-		x.SetLinkConditions(func(_, _ int) linkConditions { return linkConditions{Delay: leaseTTL + leaseTTL/4} })
-		return "delay longer than a lease", calm
+		lab.SetLinkConditions(func(_, _ int) linkConditions { return linkConditions{Delay: leaseTTL + leaseTTL/4} })
+		return "delay longer than a lease", repair
 	case 6:
-		x.noError(x.SetTrialFile(node, "disk-slow", "400ms"))
-		return "slow disk " + node, func() { x.noError(x.SetTrialFile(node, "disk-slow", "")) }
+		lab.noError(lab.SetTrialFile(node, "disk-slow", "400ms"))
+		return "slow disk " + node, func() { lab.noError(lab.SetTrialFile(node, "disk-slow", "")) }
 	case 7:
-		x.noError(x.SetTrialFile(node, "disk-full", "yes"))
-		return "full disk " + node, func() { x.noError(x.SetTrialFile(node, "disk-full", "")) }
+		lab.noError(lab.SetTrialFile(node, "disk-full", "yes"))
+		return "full disk " + node, func() { lab.noError(lab.SetTrialFile(node, "disk-full", "")) }
 	default:
-		for _, n := range x.voters {
-			x.noError(x.Kill(n))
+		for _, n := range lab.voters {
+			lab.noError(lab.Kill(n))
 		}
 		return "kill all voters", func() {
-			for _, n := range x.voters {
-				x.noError(x.Start(n))
+			for _, n := range lab.voters {
+				lab.noError(lab.Start(n))
 			}
 		}
 	}
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -19,39 +19,39 @@
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
-	x := startLeaseLab(t, 5, 3, 71, false)
-	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
-	others := x.namesExcept(x.voters...)
-	hold := func(node, name string, ttl time.Duration) (*leases.ClientLease, time.Duration) {
-		begun := time.Now()
-		h, err := leases.Acquire(x.ctx, x.StateFolder(node), name, ttl)
+	lab := startLeaseLab(t, 5, 3, 71, false)
+	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
+	others := lab.namesExcept(lab.voters...)
+	acquire := func(node, name string, ttl time.Duration) (*leases.ClientLease, time.Duration) {
+		start := time.Now()
+		h, err := leases.Acquire(lab.ctx, lab.StateFolder(node), name, ttl)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for e := range h.Events {
 			if e.Kind == lease.PhaseChanged && e.Phase == lease.Holding {
-				return h, time.Since(begun)
+				return h, time.Since(start)
 			}
 		}
 		t.Fatal("the lease was not acquired")
 		return nil, 0
 	}
 	release := func(h *leases.ClientLease) time.Duration {
-		begun := time.Now()
+		start := time.Now()
 		h.ConfirmStopped()
 		for e := range h.Events {
 			if e.Kind == lease.PhaseChanged && e.Phase == lease.Over {
 				break
 			}
 		}
-		took := time.Since(begun)
+		elapsed := time.Since(start)
 		h.Close()
-		return took
+		return elapsed
 	}
 	var acquires, releases []time.Duration
 	for i := range 400 {
-		h, took := hold(others[0], fmt.Sprint("x", i), 10*time.Second)
-		acquires, releases = append(acquires, took), append(releases, release(h))
+		h, elapsed := acquire(others[0], fmt.Sprint("x", i), 10*time.Second)
+		acquires, releases = append(acquires, elapsed), append(releases, release(h))
 	}
 	at := func(all []time.Duration, q float64) time.Duration {
 		slices.Sort(all)
@@ -59,8 +59,8 @@
 	}
 	t.Logf("from a node that does not vote: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
 	disk := func() (syncs, bytes int64) {
-		for _, n := range x.voters {
-			if r, err := leases.Call(x.ctx, x.StateFolder(n), leases.Request{Do: "standing"}); err == nil {
+		for _, n := range lab.voters {
+			if r, err := leases.Call(lab.ctx, lab.StateFolder(n), leases.Request{Do: "standing"}); err == nil {
 				syncs, bytes = syncs+r.Syncs, bytes+r.Written
 			}
 		}
@@ -74,7 +74,7 @@
 		var mu sync.Mutex
 		for i := range n {
 			parts.Go(func() {
-				h, _ := hold(x.names[i%5], fmt.Sprint("r", i), time.Second)
+				h, _ := acquire(lab.names[i%5], fmt.Sprint("r", i), time.Second)
 				mu.Lock()
 				held = append(held, h)
 				mu.Unlock()
@@ -92,13 +92,13 @@
 		}
 		extended.Store(0)
 		syncs, bytes := disk()
-		cpu := x.CPUTime()
-		begun := time.Now()
+		cpu := lab.CPUTime()
+		start := time.Now()
 		time.Sleep(10 * time.Second) // the measured interval
-		length := time.Since(begun).Seconds()
+		length := time.Since(start).Seconds()
 		syncsNow, bytesNow := disk()
 		t.Logf("%4d leases of 1 s: %6.1f renewals per second; per voter %.1f syncs and %.0f bytes per second; %.2f%% of a core per node",
-			n, float64(extended.Load())/length, float64(syncsNow-syncs)/length/3, float64(bytesNow-bytes)/length/3, 100*(x.CPUTime()-cpu).Seconds()/length/5)
+			n, float64(extended.Load())/length, float64(syncsNow-syncs)/length/3, float64(bytesNow-bytes)/length/3, 100*(lab.CPUTime()-cpu).Seconds()/length/5)
 		for _, h := range held {
 			h.ConfirmStopped()
 		}
@@ -108,45 +108,45 @@
 		}
 	}
 	// Time without a holder.
-	for name, who := range map[string]func() []string{
+	for name, targets := range map[string]func() []string{
 		"the holder's node": func() []string { return others[:1] },
-		"the leader":        func() []string { return []string{x.leader()} },
-		"both":              func() []string { return []string{others[0], x.leader()} },
+		"the leader":        func() []string { return []string{lab.leader()} },
+		"both":              func() []string { return []string{others[0], lab.leader()} },
 	} {
 		var gaps []time.Duration
 		for range 5 {
-			x.waitFor("all nodes and a leader", 30*time.Second, func() bool { n, _ := x.currentView(x.names); return n > 0 && x.leader() != "" })
-			h, _ := hold(others[0], "gap", leaseTTL)
+			lab.waitFor("all nodes and a leader", 30*time.Second, func() bool { n, _ := lab.currentView(lab.names); return n > 0 && lab.leader() != "" })
+			h, _ := acquire(others[0], "gap", leaseTTL)
 			next := make(chan time.Time, 1)
 			go func() { // ends when the lease is acquired
-				w, _ := hold(others[1], "gap", leaseTTL)
+				w, _ := acquire(others[1], "gap", leaseTTL)
 				next <- time.Now()
 				w.ConfirmStopped()
 				w.Close()
 			}()
 			time.Sleep(700 * time.Millisecond)
-			dead := who()
-			begun := time.Now()
-			for _, n := range dead {
-				x.noError(x.Kill(n))
+			killed := targets()
+			start := time.Now()
+			for _, n := range killed {
+				lab.noError(lab.Kill(n))
 			}
 			// the holder's node runs, and releases the lease as soon as it can
-			if len(dead) == 1 && dead[0] != others[0] {
+			if len(killed) == 1 && killed[0] != others[0] {
 				go func() { h.ConfirmStopped() }()
 			}
-			gaps = append(gaps, (<-next).Sub(begun))
+			gaps = append(gaps, (<-next).Sub(start))
 			h.Close()
-			for _, n := range dead {
-				x.noError(x.Start(n))
+			for _, n := range killed {
+				lab.noError(lab.Start(n))
 			}
 		}
 		t.Logf("killed: %s; next holder after %v (median), %v (max of 5); lease time %v", name, at(gaps, 0.5), at(gaps, 1), leaseTTL)
 	}
-	x.cancel()
-	x.contenders.Wait()
-	x.resource.Close()
-	x.minServed = 0
-	x.finishTraffic()
+	lab.cancel()
+	lab.contenders.Wait()
+	lab.resource.Close()
+	lab.minServed = 0
+	lab.finishTraffic()
 }
 
 // Measures what leases cost requests: rounds with 100 leases being renewed alternate with rounds without
@@ -169,18 +169,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x := &memberLab{Lab: l, t: t}
+		lab := &memberLab{Lab: l, t: t}
 		for i := range 5 {
-			x.names = append(x.names, fmt.Sprint("n", i))
+			lab.names = append(lab.names, fmt.Sprint("n", i))
 		}
-		x.waitForView(30*time.Second, x.names...)
+		lab.waitForView(30*time.Second, lab.names...)
 		var held []*leases.ClientLease
 		if on {
 			if _, err := leases.Call(t.Context(), l.StateFolder("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 100 {
-				h, err := leases.Acquire(t.Context(), l.StateFolder(x.names[i%5]), fmt.Sprint("l", i), 10*time.Second)
+				h, err := leases.Acquire(t.Context(), l.StateFolder(lab.names[i%5]), fmt.Sprint("l", i), 10*time.Second)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -200,13 +200,13 @@
 			h.Close()
 		}
 		l.Close()
-		worst := 0.0
+		meanP99 := 0.0
 		for _, c := range r.Classes {
-			worst += c.P99 / float64(len(r.Classes))
+			meanP99 += c.P99 / float64(len(r.Classes))
 		}
-		s := sum[on]
-		sum[on] = [2]float64{s[0] + r.CPUMicrosPerRequest/(rounds/2), s[1] + worst/(rounds/2)}
-		t.Logf("leases %v: %.0f us of CPU per request, p99 %.2f ms", on, r.CPUMicrosPerRequest, worst)
+		totals := sum[on]
+		sum[on] = [2]float64{totals[0] + r.CPUMicrosPerRequest/(rounds/2), totals[1] + meanP99/(rounds/2)}
+		t.Logf("leases %v: %.0f us of CPU per request, p99 %.2f ms", on, r.CPUMicrosPerRequest, meanP99)
 	}
 	t.Logf("ratio of on to off: CPU per request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/memberscost_test.go
+++ b/internal/rig/lab/memberscost_test.go
@@ -21,13 +21,13 @@
 		o.Traffic = standin.Traffic{Rate: 1500, Duration: 6 * time.Second, Backoff: 50 * time.Millisecond, BodyBytes: 100}
 		o.Plan.Servers = 16
 		r := runLab(t, o)
-		worst := 0.0
+		meanP99 := 0.0
 		for _, c := range r.Classes {
-			worst += c.P99 / float64(len(r.Classes))
+			meanP99 += c.P99 / float64(len(r.Classes))
 		}
-		x := sum[on]
-		sum[on] = [2]float64{x[0] + r.CPUMicrosPerRequest/4, x[1] + worst/4}
-		t.Logf("membership %v: %.0f us of CPU per request, p99 %.1f ms, weighted service %.2f", on, r.CPUMicrosPerRequest, worst, r.ServedWorth)
+		totals := sum[on]
+		sum[on] = [2]float64{totals[0] + r.CPUMicrosPerRequest/4, totals[1] + meanP99/4}
+		t.Logf("membership %v: %.0f us of CPU per request, p99 %.1f ms, weighted service %.2f", on, r.CPUMicrosPerRequest, meanP99, r.ServedWorth)
 	}
 	t.Logf("ratio of on to off: CPU per request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/overload_test.go
+++ b/internal/rig/lab/overload_test.go
@@ -109,8 +109,8 @@
 		}
 	}
 	o.checkCalls(t, samples, l.Fleet.Discovery.Version())
-	if part := servedShare(r); part < 0.9 {
-		t.Errorf("%.3f of the requests served, want 0.9", part)
+	if share := servedShare(r); share < 0.9 {
+		t.Errorf("%.3f of the requests served, want 0.9", share)
 	}
 }
 
@@ -118,30 +118,30 @@
 // fault, and that the rate of calls then stays below discovery's capacity.
 func (o *overloadTest) checkCalls(t *testing.T, samples []callSample, newest int) {
 	t.Helper()
-	last := samples[len(samples)-1]
-	if last.total.TimedOut == 0 {
+	lastSample := samples[len(samples)-1]
+	if lastSample.total.TimedOut == 0 {
 		t.Error("no call timed out in discovery's queue: it was not overloaded")
 	}
 	bound := o.lastFaultEnd + o.recoveryLimit
 	recovered := time.Duration(0)
-	var from callSample
+	var boundSample callSample
 	for _, s := range samples {
 		if recovered == 0 && s.total.WrittenVersion == newest {
 			recovered = s.at
 		}
 		if s.at <= bound {
-			from = s
+			boundSample = s
 		}
 	}
 	if recovered == 0 || recovered > bound {
 		t.Errorf("all nodes have the newest list at %v (0s: never), want %v at the latest", recovered, bound)
 	}
-	offered := float64(last.total.Received-from.total.Received) / (last.at - from.at).Seconds()
-	if most := o.capacity().LinesPerSecond / linesPerCall; offered >= most {
-		t.Errorf("%.1f calls per second at the end, discovery's capacity is %.1f", offered, most)
+	offered := float64(lastSample.total.Received-boundSample.total.Received) / (lastSample.at - boundSample.at).Seconds()
+	if limit := o.capacity().LinesPerSecond / linesPerCall; offered >= limit {
+		t.Errorf("%.1f calls per second at the end, discovery's capacity is %.1f", offered, limit)
 	}
-	if last.total.Rejected > from.total.Rejected || last.total.TimedOut > from.total.TimedOut {
-		t.Errorf("calls still fail at the end: %v, then %v", from, last)
+	if lastSample.total.Rejected > boundSample.total.Rejected || lastSample.total.TimedOut > boundSample.total.TimedOut {
+		t.Errorf("calls still fail at the end: %v, then %v", boundSample, lastSample)
 	}
 }
 
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -23,41 +23,41 @@
 }
 
 // startColdFleet starts nodes for such a fleet, with traffic at the given fraction of its capacity.
-func startColdFleet(t *testing.T, nodes int, seed uint64, load float64, alone bool) *memberLab {
+func startColdFleet(t *testing.T, nodes int, seed uint64, load float64, separateBudgets bool) *memberLab {
 	return startMemberLabWith(t, nodes, seed, func(o *Options) {
 		configureColdFleet(&o.Plan)
-		o.NoPooling = alone
+		o.NoPooling = separateBudgets
 		o.Traffic.Rate = load * o.Plan.Capacity()
 	})
 }
 
 // restartServers crashes servers one after another; each comes back cold.
-func (x *memberLab) restartServers(boxes []int, each time.Duration) {
-	x.t.Helper()
+func (lab *memberLab) restartServers(boxes []int, each time.Duration) {
+	lab.t.Helper()
 	var faults []standin.Fault
 	for i, b := range boxes {
 		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(b), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
 	}
-	for _, err := range x.Fleet.RunFaults(context.Background(), faults, x.Lab) {
-		x.noError(err)
+	for _, err := range lab.Fleet.RunFaults(context.Background(), faults, lab.Lab) {
+		lab.noError(err)
 	}
 }
 
 // poolStats holds maxima of the nodes' budget pools, from repeated samples.
 type poolStats struct{ maxPools, maxLenders, grantedSends atomic.Int64 }
 
-func (x *memberLab) watchPools(ctx context.Context, p *poolStats) {
-	look := time.NewTicker(100 * time.Millisecond)
-	defer look.Stop()
+func (lab *memberLab) watchPools(ctx context.Context, p *poolStats) {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 		n := int64(0)
-		for _, name := range x.names {
-			r, err := x.MembershipOf(ctx, name)
+		for _, name := range lab.names {
+			r, err := lab.MembershipOf(ctx, name)
 			if err != nil {
 				continue
 			}
@@ -75,31 +75,31 @@
 // server may get more than its budget, pooled budgets must be granted, and requests must go on.
 func TestPooledBudgetsUnderFaults(t *testing.T) {
 	t.Parallel()
-	x := startColdFleet(t, 6, 21, 0.5, false)
-	x.minServed = 0.9
-	defer x.finishTraffic()
-	x.waitForView(30*time.Second, x.names...)
+	lab := startColdFleet(t, 6, 21, 0.5, false)
+	lab.minServed = 0.9
+	defer lab.finishTraffic()
+	lab.waitForView(30*time.Second, lab.names...)
 	ctx, stop := context.WithCancel(context.Background())
 	var p poolStats
 	watched := make(chan struct{})
 	go func() { // ends with stop
 		defer close(watched)
-		x.watchPools(ctx, &p)
+		lab.watchPools(ctx, &p)
 	}()
-	x.restartServers([]int{0, 2, 5, 8}, 800*time.Millisecond)
-	x.noError(x.Kill("n3")) // coordinates some of the pools
-	x.restartServers([]int{1, 3, 11}, 600*time.Millisecond)
-	x.noError(x.Start("n3"))
-	x.noError(x.Pause("n4"))
-	x.restartServers([]int{4, 6}, 600*time.Millisecond)
-	x.noError(x.Resume("n4"))
-	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 2) != (to < 2)} })
-	x.restartServers([]int{2, 7, 9}, 600*time.Millisecond)
-	x.SetLinkConditions(func(int, int) relay.Conditions {
+	lab.restartServers([]int{0, 2, 5, 8}, 800*time.Millisecond)
+	lab.noError(lab.Kill("n3")) // coordinates some of the pools
+	lab.restartServers([]int{1, 3, 11}, 600*time.Millisecond)
+	lab.noError(lab.Start("n3"))
+	lab.noError(lab.Pause("n4"))
+	lab.restartServers([]int{4, 6}, 600*time.Millisecond)
+	lab.noError(lab.Resume("n4"))
+	lab.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 2) != (to < 2)} })
+	lab.restartServers([]int{2, 7, 9}, 600*time.Millisecond)
+	lab.SetLinkConditions(func(int, int) relay.Conditions {
 		return relay.Conditions{Loss: 0.3, Duplicate: 0.1, Delay: 60 * time.Millisecond}
 	})
-	x.restartServers([]int{5, 10}, 600*time.Millisecond)
-	x.SetLinkConditions(perfectLinks)
+	lab.restartServers([]int{5, 10}, 600*time.Millisecond)
+	lab.SetLinkConditions(perfectLinks)
 	stop()
 	<-watched
 	t.Logf("at most %d pools at once, of up to %d nodes each; %d granted sends observed", p.maxPools.Load(), p.maxLenders.Load(), p.grantedSends.Load())
@@ -115,21 +115,21 @@
 	}
 	for _, load := range []float64{0.6, 0.8} {
 		for seed := range uint64(3) {
-			for _, alone := range []bool{true, false} {
-				x := startColdFleet(t, 8, seed+1, load, alone)
-				x.waitForView(30*time.Second, x.names...)
-				x.restartServers([]int{0, 1, 2, 3, 5, 6, 8, 9, 11}, 500*time.Millisecond)
+			for _, separateBudgets := range []bool{true, false} {
+				lab := startColdFleet(t, 8, seed+1, load, separateBudgets)
+				lab.waitForView(30*time.Second, lab.names...)
+				lab.restartServers([]int{0, 1, 2, 3, 5, 6, 8, 9, 11}, 500*time.Millisecond)
 				time.Sleep(5 * time.Second) // until they are warm
-				x.stop()
-				r := <-x.report
-				x.Close()
-				fell := 0
+				lab.stop()
+				r := <-lab.report
+				lab.Close()
+				collapsed := 0
 				for _, b := range r.Breaches {
 					if b.Rule == 4 {
-						fell++
+						collapsed++
 					}
 				}
-				t.Logf("load %.1f seed %d, separate budgets %v: %d of 9 collapsed, %d breaches in all, weighted service %.3f", load, seed+1, alone, fell, len(r.Breaches), r.ServedWorth)
+				t.Logf("load %.1f seed %d, separate budgets %v: %d of 9 collapsed, %d breaches in all, weighted service %.3f", load, seed+1, separateBudgets, collapsed, len(r.Breaches), r.ServedWorth)
 			}
 		}
 	}
--- a/internal/rig/lab/release_test.go
+++ b/internal/rig/lab/release_test.go
@@ -44,8 +44,8 @@
 	}
 	capacity := registry.Settings{LinesPerSecond: z.lineRate, LinesPerCall: linesPerCall, QueueTimeout: 2 * time.Second, BacklogFactor: 1}
 	_, r, _ := runWithCapacity(t, o, capacity)
-	if part := servedShare(r); part < minServedShare {
-		t.Errorf("%.3f of the requests served, want %.2f", part, minServedShare)
+	if share := servedShare(r); share < minServedShare {
+		t.Errorf("%.3f of the requests served, want %.2f", share, minServedShare)
 	}
 }
 
--- a/internal/rig/lab/sharedlist_test.go
+++ b/internal/rig/lab/sharedlist_test.go
@@ -15,50 +15,50 @@
 func TestNodesShareServerList(t *testing.T) {
 	t.Parallel()
 	const nodes, lines = 7, 20
-	took := map[bool]time.Duration{}
-	arms := []bool{true}
+	elapsed := map[bool]time.Duration{}
+	modes := []bool{true}
 	if os.Getenv("CURLEWRING_LONG") != "" { // the control takes more than a minute
-		arms = append(arms, false)
+		modes = append(modes, false)
 	}
-	for _, record := range arms {
-		x := startMemberLabWith(t, nodes, 61, func(o *Options) {
-			o.ReplaceVoterAfter, o.ListFromPeers = time.Minute, record
+	for _, listFromPeers := range modes {
+		lab := startMemberLabWith(t, nodes, 61, func(o *Options) {
+			o.ReplaceVoterAfter, o.ListFromPeers = time.Minute, listFromPeers
 			o.Plan.Servers = 40
 			o.Faults = []standin.Fault{{Kind: "drain", Server: "3", At: 12 * time.Second, Duration: 20 * time.Second}}
 		})
-		x.minServed = 0
-		x.waitForView(60*time.Second, x.names...)
-		for _, n := range x.names {
-			x.noError(x.Kill(n))
+		lab.minServed = 0
+		lab.waitForView(60*time.Second, lab.names...)
+		for _, n := range lab.names {
+			lab.noError(lab.Kill(n))
 		}
-		x.Fleet.Discovery.SetLineRate(lines)
-		_, before := x.Fleet.Discovery.Calls()
-		begun := time.Now()
-		for _, n := range x.names {
-			x.noError(x.StartWithoutList(n))
+		lab.Fleet.Discovery.SetLineRate(lines)
+		_, before := lab.Fleet.Discovery.Calls()
+		start := time.Now()
+		for _, n := range lab.names {
+			lab.noError(lab.StartWithoutList(n))
 		}
-		for _, n := range x.names {
-			p, err := x.findNode(n)
-			x.noError(err)
+		for _, n := range lab.names {
+			p, err := lab.findNode(n)
+			lab.noError(err)
 			for try := range 4 { // each try waits for up to 20 s
 				if err := p.waitReady(t.Context()); err == nil || try == 3 {
-					x.noError(err)
+					lab.noError(err)
 					break
 				}
 			}
-			took[record] = time.Since(begun)
+			elapsed[listFromPeers] = time.Since(start)
 		}
-		_, after := x.Fleet.Discovery.Calls()
-		t.Logf("lists shared %v: the last of %d nodes is ready after %v, with %d lines written by discovery", record, nodes, took[record], after-before)
-		if t.Failed() || record && took[record] > 20*time.Second {
-			for _, n := range x.names {
-				t.Logf("%s: %.9000s", n, x.Log(n))
+		_, after := lab.Fleet.Discovery.Calls()
+		t.Logf("lists shared %v: the last of %d nodes is ready after %v, with %d lines written by discovery", listFromPeers, nodes, elapsed[listFromPeers], after-before)
+		if t.Failed() || listFromPeers && elapsed[listFromPeers] > 20*time.Second {
+			for _, n := range lab.names {
+				t.Logf("%s: %.9000s", n, lab.Log(n))
 			}
 		}
-		x.waitForView(60*time.Second, x.names...)
-		x.finishTraffic()
+		lab.waitForView(60*time.Second, lab.names...)
+		lab.finishTraffic()
 	}
-	if took[true] > 25*time.Second || len(arms) > 1 && 2*took[true] > took[false] {
-		t.Errorf("the last node is ready after %v with shared lists, %v without", took[true], took[false])
+	if elapsed[true] > 25*time.Second || len(modes) > 1 && 2*elapsed[true] > elapsed[false] {
+		t.Errorf("the last node is ready after %v with shared lists, %v without", elapsed[true], elapsed[false])
 	}
 }
--- a/internal/rig/lab/sidecars_test.go
+++ b/internal/rig/lab/sidecars_test.go
@@ -114,15 +114,15 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				idle := int64(0)
+				idleBytes := int64(0)
 				pids := []int{}
 				for _, p := range l.frontNodes {
 					p.mu.Lock()
 					pids = append(pids, p.cmd.Process.Pid)
 					p.mu.Unlock()
-					idle += residentBytesOf(pids[len(pids)-1])
+					idleBytes += residentBytesOf(pids[len(pids)-1])
 				}
-				conns, busy := 0, int64(0)
+				conns, peakBytes := 0, int64(0)
 				r, err := l.Run(context.Background(), func(Progress) {
 					n, m := 0, int64(0)
 					for _, b := range l.Fleet.Servers {
@@ -131,7 +131,7 @@
 					for _, pid := range pids {
 						m += residentBytesOf(pid)
 					}
-					conns, busy = max(conns, n), max(busy, m)
+					conns, peakBytes = max(conns, n), max(peakBytes, m)
 				})
 				l.Close()
 				if err != nil {
@@ -143,7 +143,7 @@
 					name = "40 sidecars"
 				}
 				t.Logf("| %.1f | %s | %d | %.4f | %.2f | %.1f | %.1f MB | %.1f MB | %.0f us |", load, name, seed+1, r.ServedWorth, r.AttemptsPerRequest,
-					float64(conns)/float64(len(l.Fleet.Servers)), float64(idle)/(1<<20), float64(busy)/(1<<20), r.CPUMicrosPerRequest)
+					float64(conns)/float64(len(l.Fleet.Servers)), float64(idleBytes)/(1<<20), float64(peakBytes)/(1<<20), r.CPUMicrosPerRequest)
 			}
 		}
 	}
--- a/internal/rig/lab/wronglists_test.go
+++ b/internal/rig/lab/wronglists_test.go
@@ -20,11 +20,11 @@
 		{Kind: "backup", At: 5 * time.Second, Duration: time.Second, Magnitude: 3},
 	}
 	r := runLab(t, o)
-	served, asked := 0, 0
+	served, requests := 0, 0
 	for _, c := range r.Classes {
-		served, asked = served+c.Served, asked+c.Requests
+		served, requests = served+c.Served, requests+c.Requests
 	}
-	if served*10 < asked*7 {
-		t.Errorf("%d of %d requests served in time", served, asked)
+	if served*10 < requests*7 {
+		t.Errorf("%d of %d requests served in time", served, requests)
 	}
 }
