--- a/internal/rig/lab/budgets_test.go
+++ b/internal/rig/lab/budgets_test.go
@@ -15,8 +15,8 @@
 		o := defaultOptions()
 		o.Plan.Tiers, o.Plan.Servers, o.Plan.CallsPerRequest, o.Nodes, o.ShareBudgets = 2, 4, 1, 1, withBudgets
 		o.Traffic.Rate, o.Traffic.Retries, o.Traffic.Duration = 60, 0, 3*time.Second
-		for _, box := range []string{"box-100", "box-101", "box-102", "box-103"} {
-			f, err := standin.ParseFault("error:box=" + box + ",at=500ms,for=1500ms")
+		for _, server := range []string{"box-100", "box-101", "box-102", "box-103"} {
+			f, err := standin.ParseFault("error:box=" + server + ",at=500ms,for=1500ms")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/rig/lab/concurrency_test.go
+++ b/internal/rig/lab/concurrency_test.go
@@ -9,7 +9,7 @@
 
 // runConcurrentClients runs clients that each send one request after another, to eight servers of 16 cores
 // with the given service time.
-func runConcurrentClients(t *testing.T, callers int, serviceTime time.Duration) *Report {
+func runConcurrentClients(t *testing.T, clients int, serviceTime time.Duration) *Report {
 	t.Helper()
 	o := defaultOptions()
 	o.Nodes, o.Plan.Servers, o.Plan.Cores, o.Plan.Speeds = 1, 8, 16, []float64{1}
@@ -17,7 +17,7 @@
 	for i := range o.Plan.Classes {
 		o.Plan.Classes[i].Work, o.Plan.Classes[i].Spread = serviceTime, 0
 	}
-	o.Traffic = standin.Traffic{Concurrency: callers, Duration: 3 * time.Second, Backoff: 50 * time.Millisecond}
+	o.Traffic = standin.Traffic{Concurrency: clients, Duration: 3 * time.Second, Backoff: 50 * time.Millisecond}
 	return runLab(t, o)
 }
 
--- a/internal/rig/lab/crossing_test.go
+++ b/internal/rig/lab/crossing_test.go
@@ -61,7 +61,7 @@
 	t.Parallel()
 	r := runFaultsAtLineRate(t, 4, func(o *Options) { o.Nodes, o.Traffic.Rate, o.Traffic.Duration = 6, 120, 13*time.Second }, "blackhole:at=500ms", "leave:box=1,at=700ms,for=13s", "leave:box=4,at=1s,for=13s")
 	if share := servedShare(r); share < 0.9 {
-		t.Errorf("%.3f of the requests served, want 0.9", share)
+		t.Errorf("%.3f of the requests served, want at least 0.9", share)
 	}
 }
 
@@ -72,7 +72,7 @@
 	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 100, 12*time.Second },
 		"outage:at=500ms,for=4s", "leave:box=1,at=4400ms,for=8s", "leave:box=5,at=4600ms,for=8s")
 	if share := servedShare(r); share < 0.9 {
-		t.Errorf("%.3f of the requests served, want 0.9", share)
+		t.Errorf("%.3f of the requests served, want at least 0.9", share)
 	}
 }
 
@@ -86,7 +86,7 @@
 	}, "leave:box=1,at=500ms,for=8s", "outage:at=1500ms,for=2s", "leave:box=4,at=2s,for=8s", "kill:node=1,at=2500ms,for=500ms",
 		"term:node=2,at=3s,for=2s", "leave:box=5,at=5s,for=8s")
 	if share := servedShare(r); share < 0.8 {
-		t.Errorf("%.3f of the requests served, want 0.8", share)
+		t.Errorf("%.3f of the requests served, want at least 0.8", share)
 	}
 }
 
@@ -101,7 +101,7 @@
 	faults = append(faults, "stuck:box=2,at=400ms,for=2s", "reset:box=3,at=3s,for=2s")
 	r := runFaults(t, func(o *Options) { o.Traffic.Rate, o.Traffic.Duration = 200, 8*time.Second }, faults...)
 	if share := servedShare(r); share < 0.7 {
-		t.Errorf("%.3f of the requests served, want 0.7", share)
+		t.Errorf("%.3f of the requests served, want at least 0.7", share)
 	}
 	for _, n := range r.Nodes {
 		if n.Failure != "" {
@@ -145,7 +145,7 @@
 		}
 	}
 	if share := servedShare(r); share < 0.7 {
-		t.Errorf("%.3f of the requests served, want 0.7", share)
+		t.Errorf("%.3f of the requests served, want at least 0.7", share)
 	}
 }
 
@@ -185,6 +185,6 @@
 		t.Errorf("not ready in time: %s", strings.Join(notReady, "; "))
 	}
 	if share := servedShare(r); share < 0.6 {
-		t.Errorf("%.3f of the requests served, want 0.6", share)
+		t.Errorf("%.3f of the requests served, want at least 0.6", share)
 	}
 }
--- a/internal/rig/lab/leaserun_test.go
+++ b/internal/rig/lab/leaserun_test.go
@@ -104,11 +104,11 @@
 	// expired.
 	holder = lab.startCommand(a, "l", nil, accessCommand("30s")...)
 	lab.waitForAccesses(3, 5*time.Second)
-	next := lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
+	nextHolder := lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
 	start := time.Now()
 	holder.Process.Kill()
 	lab.waitFor("the end of the command's access", time.Second, func() bool { return lab.waitForAccesses(3, 0) == 0 })
-	if code := lab.waitExitCode(next, 15*time.Second); code != 0 || time.Since(start) < leaseTTL/2 {
+	if code := lab.waitExitCode(nextHolder, 15*time.Second); code != 0 || time.Since(start) < leaseTTL/2 {
 		t.Errorf("next command after the tool was killed: code %d after %v", code, time.Since(start))
 	}
 	<-holder.ended
@@ -127,14 +127,14 @@
 		n := len(lab.resource.History())
 		holder := lab.startCommand(a, "l", []string{"--wait", "20s"}, accessCommand("30s", "--deaf")...)
 		lab.waitForAccesses(n+1, 20*time.Second)
-		next := lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
+		nextHolder := lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
 		start := time.Now()
 		end := fault()
 		if code := lab.waitExitCode(holder, 5*time.Second); code != 124 || time.Since(start) > leaseTTL+2*time.Second {
 			t.Errorf("node %s: code %d after %v: %s", name, code, time.Since(start), holder.out.String())
 		}
-		if code := lab.waitExitCode(next, 20*time.Second); code != 0 {
-			t.Errorf("node %s: the next command exits with %d: %s", name, code, next.out.String())
+		if code := lab.waitExitCode(nextHolder, 20*time.Second); code != 0 {
+			t.Errorf("node %s: the next command exits with %d: %s", name, code, nextHolder.out.String())
 		}
 		end()
 	}
@@ -163,13 +163,13 @@
 	n = len(lab.resource.History())
 	holder = lab.startCommand(a, "l", []string{"--wait", "20s"}, accessCommand("30s")...)
 	lab.waitForAccesses(n+1, 20*time.Second)
-	next = lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
-	lab.waitFor("one waiting command", 5*time.Second, func() bool { return strings.Contains(next.out.String(), "place 1") })
+	nextHolder = lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
+	lab.waitFor("one waiting command", 5*time.Second, func() bool { return strings.Contains(nextHolder.out.String(), "place 1") })
 	start = time.Now()
 	p, err := lab.findNode(a)
 	lab.noError(err)
 	go p.stop(10 * time.Second)
-	if code := lab.waitExitCode(next, 10*time.Second); code != 0 || time.Since(start) > leaseTTL {
+	if code := lab.waitExitCode(nextHolder, 10*time.Second); code != 0 || time.Since(start) > leaseTTL {
 		t.Errorf("next command after the node was terminated: code %d after %v", code, time.Since(start))
 	}
 	t.Logf("node terminated: the next command exited after %v", time.Since(start))
@@ -221,8 +221,8 @@
 	}
 	holder.Process.Signal(syscall.SIGSTOP)
 	lab.noError(lab.Pause("n0")) // otherwise its node renews the lease, and nothing is violated
-	next := lab.startCommand("n1", "l", []string{"--wait", "20s"}, toolBinary, "act", lab.resource.Address, "--for", "100ms")
-	if code := lab.waitExitCode(next, 20*time.Second); code != 0 {
+	nextHolder := lab.startCommand("n1", "l", []string{"--wait", "20s"}, toolBinary, "act", lab.resource.Address, "--for", "100ms")
+	if code := lab.waitExitCode(nextHolder, 20*time.Second); code != 0 {
 		t.Errorf("next holder: code %d", code)
 	}
 	if len(lab.resource.Violations()) == 0 {
--- a/internal/rig/lab/memberspairs_test.go
+++ b/internal/rig/lab/memberspairs_test.go
@@ -184,11 +184,11 @@
 	defer lab.finishTraffic()
 	number, _ := lab.waitForView(30*time.Second, lab.names...)
 	host := lab.Fleet.NewHost()
-	at, err := freePort(host)
+	address, err := freePort(host)
 	lab.noError(err)
-	serves, err := freeAddress(host)
+	listenAddress, err := freeAddress(host)
 	lab.noError(err)
-	state, own := filepath.Join(lab.dir, "image.state"), filepath.Join(lab.dir, "image.toml")
+	state, settingsPath := filepath.Join(lab.dir, "image.state"), filepath.Join(lab.dir, "image.toml")
 	lab.noError(filepath.WalkDir(lab.StateFolder("n4"), func(path string, d os.DirEntry, err error) error {
 		rest, _ := filepath.Rel(lab.StateFolder("n4"), path)
 		switch {
@@ -208,13 +208,13 @@
 	text, err := os.ReadFile(lab.settingsPath("n4"))
 	lab.noError(err)
 	changed := strings.Replace(string(text), lab.StateFolder("n4"), state, 1)
-	changed = strings.Replace(changed, lab.links.addresses[4].String(), at.String(), 1)
-	lab.noError(os.WriteFile(own, []byte(changed), 0o600))
+	changed = strings.Replace(changed, lab.links.addresses[4].String(), address.String(), 1)
+	lab.noError(os.WriteFile(settingsPath, []byte(changed), 0o600))
 	config, err := os.ReadFile(lab.ConfigPath("n4"))
 	lab.noError(err)
 	path := filepath.Join(lab.dir, "image.json")
-	lab.noError(os.WriteFile(path, []byte(strings.Replace(string(config), lab.specs["n4"].Listen, serves, 1)), 0o600))
-	image := &process{name: "image", command: []string{lab.options.Binary, "--settings", own}, env: []string{"LB_CONFIG=" + path}, address: serves}
+	lab.noError(os.WriteFile(path, []byte(strings.Replace(string(config), lab.specs["n4"].Listen, listenAddress, 1)), 0o600))
+	image := &process{name: "image", command: []string{lab.options.Binary, "--settings", settingsPath}, env: []string{"LB_CONFIG=" + path}, address: listenAddress}
 	lab.noError(image.start())
 	defer image.stop(10 * time.Second)
 	ticker := time.NewTicker(20 * time.Millisecond)
--- a/internal/rig/lab/overload_test.go
+++ b/internal/rig/lab/overload_test.go
@@ -110,7 +110,7 @@
 	}
 	o.checkCalls(t, samples, l.Fleet.Discovery.Version())
 	if share := servedShare(r); share < 0.9 {
-		t.Errorf("%.3f of the requests served, want 0.9", share)
+		t.Errorf("%.3f of the requests served, want at least 0.9", share)
 	}
 }
 
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -32,10 +32,10 @@
 }
 
 // restartServers crashes servers one after another; each comes back cold.
-func (lab *memberLab) restartServers(boxes []int, each time.Duration) {
+func (lab *memberLab) restartServers(servers []int, each time.Duration) {
 	lab.t.Helper()
 	var faults []standin.Fault
-	for i, b := range boxes {
+	for i, b := range servers {
 		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(b), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
 	}
 	for _, err := range lab.Fleet.RunFaults(context.Background(), faults, lab.Lab) {
--- a/internal/rig/lab/zone_test.go
+++ b/internal/rig/lab/zone_test.go
@@ -44,7 +44,7 @@
 	capacity := registry.Settings{LinesPerSecond: z.lineRate, LinesPerCall: linesPerCall, QueueTimeout: 2 * time.Second, BacklogFactor: 2}
 	_, r, _ := runWithCapacity(t, o, capacity)
 	if share := servedShare(r); share < minServedShare {
-		t.Errorf("%.3f of the requests served, want %.2f", share, minServedShare)
+		t.Errorf("%.3f of the requests served, want at least %.2f", share, minServedShare)
 	}
 }
 
--- a/internal/rig/resource/resource_test.go
+++ b/internal/rig/resource/resource_test.go
@@ -39,7 +39,7 @@
 	if w := r.Violations(); len(w) > 0 {
 		t.Fatalf("successive accesses: %v", w)
 	}
-	for name, rogue := range map[string]func(r *Resource){
+	for name, violate := range map[string]func(r *Resource){
 		"overlapping access":     func(r *Resource) { begin(t, r, "b", 6).End() },
 		"another holder's token": func(r *Resource) { begin(t, r, "b", 5).End() },
 		"lower token": func(r *Resource) {
@@ -49,7 +49,7 @@
 	} {
 		r := start(t, false)
 		a := begin(t, r, "a", 5)
-		rogue(r)
+		violate(r)
 		a.End()
 		if len(r.Violations()) == 0 {
 			t.Errorf("%s: no violation recorded", name)
@@ -68,14 +68,14 @@
 	if w := r.Violations(); len(w) > 0 {
 		t.Error(w)
 	}
-	acts := r.History()
-	for end := time.Now().Add(5 * time.Second); len(acts) != 3 || acts[2].To.IsZero(); acts = r.History() {
+	history := r.History()
+	for end := time.Now().Add(5 * time.Second); len(history) != 3 || history[2].To.IsZero(); history = r.History() {
 		if time.Now().After(end) {
-			t.Fatalf("%+v", acts)
+			t.Fatalf("%+v", history)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if !acts[1].Refused || acts[0].Refused {
-		t.Errorf("%+v", acts)
+	if !history[1].Refused || history[0].Refused {
+		t.Errorf("%+v", history)
 	}
 }
