--- a/internal/rig/lab/accepted_test.go
+++ b/internal/rig/lab/accepted_test.go
@@ -12,16 +12,16 @@
 	"curlewring/internal/rig/standin"
 )
 
-// drawRoutes draws timing rules around the bounds, so that many are refused.
-func drawRoutes(rng *rand.Rand, plan *standin.Plan) string {
+// randomRoutes draws timing rules around the permitted bounds, so that many are refused.
+func randomRoutes(rng *rand.Rand, plan *standin.Plan) string {
 	var b strings.Builder
 	for _, c := range plan.Classes {
 		if rng.IntN(4) == 0 {
 			continue
 		}
 		fmt.Fprintf(&b, "[[route]]\nclass = %q\nattempts = %d\n", c.Name, 1+rng.IntN(5))
-		ms := func(least, most int) string {
-			return (time.Duration(least+rng.IntN(most-least)) * time.Millisecond).String()
+		ms := func(low, high int) string {
+			return (time.Duration(low+rng.IntN(high-low)) * time.Millisecond).String()
 		}
 		if rng.IntN(2) == 0 {
 			fmt.Fprintf(&b, "attempt_timeout = %q\n", ms(30, 2500))
@@ -42,9 +42,9 @@
 	return b.String()
 }
 
-// Whatever the check accepts must start, and serve without a rule broken while
-// boxes hang, break and come back cold. What it refuses must not start.
-func TestAcceptedSetsServe(t *testing.T) {
+// Routes that the check accepts must start and serve without a broken rule while servers hang, fail and come
+// back cold. Routes that it refuses must not start.
+func TestAcceptedRoutesServe(t *testing.T) {
 	samples := 2
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		samples = 60
@@ -54,7 +54,7 @@
 	for accepted < samples {
 		o := sidecarOptions(2 + rng.IntN(3))
 		o.Plan.Seed, o.AllowHedging, o.MaxRetryAfter = rng.Uint64(), rng.IntN(2) == 0, time.Duration(rng.IntN(2))*time.Second
-		o.Routes = drawRoutes(rng, &o.Plan)
+		o.Routes = randomRoutes(rng, &o.Plan)
 		o.Traffic.Duration = 2 * time.Second
 		for _, text := range []string{"stuck:box=0,at=300ms,for=700ms", "reset:box=1,at=500ms,for=500ms", "crash:box=2,at=800ms,for=600ms"} {
 			f, err := standin.ParseFault(text)
@@ -66,10 +66,10 @@
 		l, err := Open(context.Background(), o)
 		if err != nil {
 			if !strings.Contains(err.Error(), "descriptions") {
-				t.Fatalf("accepted, and it does not start: %v\n%s", err, o.Routes)
+				t.Fatalf("accepted routes do not start: %v\n%s", err, o.Routes)
 			}
 			if refused++; refused > 200*samples {
-				t.Fatal("the check refuses everything")
+				t.Fatal("the check refuses nearly all routes")
 			}
 			continue
 		}
@@ -79,10 +79,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, r)
+		checkReport(t, r)
 		if t.Failed() {
 			t.Fatalf("routes:\n%s", o.Routes)
 		}
 	}
-	t.Logf("%d sets were accepted and served, %d refused", accepted, refused)
+	t.Logf("%d sets of routes accepted and served, %d refused", accepted, refused)
 }
--- a/internal/rig/lab/lab_test.go
+++ b/internal/rig/lab/lab_test.go
@@ -19,26 +19,27 @@
 	"curlewring/internal/rig/standin"
 )
 
-// sideBySide is how many tests run side by side on a small machine.
-const sideBySide = 4
+// minParallelTests is the number of parallel tests on machines with few cores.
+const minParallelTests = 4
 
-// binary and tool are the programs, built once.
-var binary, tool string
+// Programs under test, built once by TestMain.
+var nodeBinary, toolBinary string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "curlewring-test-")
 	if err != nil {
 		panic(err)
 	}
-	if binary, err = Build(context.Background(), dir); err != nil {
+	if nodeBinary, err = Build(context.Background(), dir); err != nil {
 		panic(err)
 	}
-	if tool, err = BuildTool(context.Background(), dir); err != nil {
+	if toolBinary, err = BuildTool(context.Background(), dir); err != nil {
 		panic(err)
 	}
-	// These tests mostly wait: on two cores four of them at a time take half as long, and do not get in each other's way.
-	if flag.Parse(); runtime.GOMAXPROCS(0) < sideBySide {
-		if err := flag.Set("test.parallel", strconv.Itoa(sideBySide)); err != nil {
+	// These tests mostly wait. On two cores, four of them in parallel take half the time and do not disturb
+	// each other.
+	if flag.Parse(); runtime.GOMAXPROCS(0) < minParallelTests {
+		if err := flag.Set("test.parallel", strconv.Itoa(minParallelTests)); err != nil {
 			panic(err)
 		}
 	}
@@ -51,17 +52,17 @@
 	os.Exit(code)
 }
 
-// options are those of a small lab that any machine can carry.
-func options() Options {
+// defaultOptions returns options of a lab that is small enough for any machine.
+func defaultOptions() Options {
 	o := Options{
-		Plan: standin.DefaultPlan(), Nodes: 2, Binary: binary, MemoryMB: 192, Sockets: 1024, MaxRetryAfter: time.Second,
+		Plan: standin.DefaultPlan(), Nodes: 2, Binary: nodeBinary, MemoryMB: 192, Sockets: 1024, MaxRetryAfter: time.Second,
 		Traffic: standin.Traffic{Rate: 120, Duration: 3 * time.Second, Retries: 1, Backoff: 50 * time.Millisecond, BodyBytes: 100},
 	}
 	o.Plan.Servers = 6
 	return o
 }
 
-func run(t *testing.T, o Options) *Report {
+func runLab(t *testing.T, o Options) *Report {
 	t.Helper()
 	l, err := Open(context.Background(), o)
 	if err != nil {
@@ -72,45 +73,45 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check(t, r)
+	checkReport(t, r)
 	return r
 }
 
-// check fails on any broken rule, and on requests that the report loses.
-func check(t *testing.T, r *Report) {
+// checkReport fails the test if a rule was broken or requests are missing from the report.
+func checkReport(t *testing.T, r *Report) {
 	t.Helper()
 	if !r.Passed() {
 		var text strings.Builder
 		r.Print(&text)
-		t.Errorf("not kept:\n%s", text.String())
+		t.Errorf("rules broken, or nodes that failed:\n%s", text.String())
 	}
-	asked := 0
+	requests := 0
 	for _, c := range r.Classes {
-		asked += c.Requests
+		requests += c.Requests
 		if c.Requests != c.Served+c.Late+c.Refused+c.Failed {
-			t.Errorf("%+v does not add up", c)
+			t.Errorf("outcomes of class %+v do not add up to its requests", c)
 		}
 	}
-	if asked == 0 {
-		t.Error("nothing was asked")
+	if requests == 0 {
+		t.Error("no requests were sent")
 	}
 }
 
-func TestCalmDay(t *testing.T) {
-	r := run(t, options())
+func TestNoFaults(t *testing.T) {
+	r := runLab(t, defaultOptions())
 	for _, c := range r.Classes {
 		if c.Refused+c.Failed > 0 {
-			t.Errorf("a calm day: %+v", c)
+			t.Errorf("refused or failed requests without faults: %+v", c)
 		}
 	}
 	for _, n := range r.Nodes {
 		if n.CPUSeconds <= 0 || n.PeakMB <= 1 || n.PeakMB > 192 {
-			t.Errorf("node %+v", n)
+			t.Errorf("implausible resource use of node %+v", n)
 		}
 	}
 }
 
-// Whatever goes wrong outside, the nodes must keep the four rules.
+// The nodes must keep the four rules under faults of servers, discovery and nodes.
 func TestFaults(t *testing.T) {
 	const when = "at=300ms,for=1200ms"
 	for _, faults := range [][]string{
@@ -120,7 +121,7 @@
 	} {
 		t.Run(strings.ReplaceAll(strings.Join(faults, "+"), ","+when, ""), func(t *testing.T) {
 			t.Parallel()
-			o := options()
+			o := defaultOptions()
 			o.Traffic.Duration = 2 * time.Second
 			for _, text := range faults {
 				f, err := standin.ParseFault(text)
@@ -129,22 +130,22 @@
 				}
 				o.Faults = append(o.Faults, f)
 			}
-			run(t, o)
+			runLab(t, o)
 		})
 	}
 }
 
 func TestTwoTiers(t *testing.T) {
-	o := options()
+	o := defaultOptions()
 	o.Plan.Tiers, o.Plan.Servers, o.Nodes, o.Traffic.Rate = 2, 3, 1, 40
 	f, err := standin.ParseFault("reset:box=1,at=300ms,for=1s")
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.Faults = []standin.Fault{f}
-	r := run(t, o)
-	if len(r.Nodes) != 4 { // one before the first tier, one for each of its boxes
-		t.Errorf("nodes %+v", r.Nodes)
+	r := runLab(t, o)
+	if len(r.Nodes) != 4 { // one in front of the first tier, one for each of its servers
+		t.Errorf("want 4 nodes, got %+v", r.Nodes)
 	}
 	below := 0
 	for _, b := range r.Servers[3:] {
@@ -155,53 +156,53 @@
 	}
 }
 
-// What can't be must be said before anything runs.
-func TestUnknownTargets(t *testing.T) {
+// Faults with unknown targets must be rejected before anything runs.
+func TestUnknownFaultTargetsRejected(t *testing.T) {
 	for _, text := range []string{"slow:box=77", "slow:site=bern", "kill:node=5", "kill:node=x"} {
 		f, err := standin.ParseFault(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		o := options()
+		o := defaultOptions()
 		o.Faults = []standin.Fault{f}
 		if l, err := Open(context.Background(), o); err == nil {
 			l.Close()
-			t.Errorf("%s was taken", text)
+			t.Errorf("fault %s was accepted", text)
 		}
 	}
 }
 
-// reloadLoad is the rate and length of the live reload: CURLEWRING_LONG=1 plays
-// the full one, which wants four free cores.
-func reloadLoad() (rate float64, reloads int, pause time.Duration) {
+// reloadSettings returns the load and number of reloads of TestLiveReload. The full load of CURLEWRING_LONG=1
+// needs four free cores.
+func reloadSettings() (rate float64, reloads int, pause time.Duration) {
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		return 1700, 20, time.Second
 	}
 	return 150, 20, 150 * time.Millisecond
 }
 
-// Under load, good and bad files take turns. Nothing may be lost and no rule be
-// broken; each good file must show on the sockets, and no bad one.
+// Valid and invalid operators' files alternate under load. No request may be lost and no rule broken. The
+// timeout of each valid file must show in the attempts, and invalid files must have no effect.
 func TestLiveReload(t *testing.T) {
-	rate, reloads, pause := reloadLoad()
+	rate, reloads, pause := reloadSettings()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	write := func(text string) {
 		t.Helper()
-		if err := replace(path, []byte(text)); err != nil {
+		if err := replaceFile(path, []byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	rules := func(timeout time.Duration) string {
 		return fmt.Sprintf("route_count = 1\n[[route]]\nclass = \"zustand\"\nattempt_timeout = %q\nattempts = 2\n", timeout)
 	}
-	bad := []string{
+	badFiles := []string{
 		"", "[[route]", rules(100*time.Millisecond) + "[[route]]\n", rules(2 * time.Second),
 		"[[route]]\nclass = \"stoerung\"\nsecond_copy_after = \"50ms\"\n", rules(time.Second) + strings.Repeat("#\n", 6<<20),
 	}
 	write(rules(900 * time.Millisecond))
-	o := options()
+	o := defaultOptions()
 	o.Operator = path
-	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // it ends with the last reload
+	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // ends with the last reload
 	o.Plan.Servers = 8
 	l, err := Open(context.Background(), o)
 	if err != nil {
@@ -215,40 +216,40 @@
 	var running sync.WaitGroup
 	running.Go(func() { report, runErr = l.Run(ctx, nil) })
 	rng := rand.New(rand.NewPCG(1, 2))
-	counts := func(what string) int { // of the last such line of all nodes, the least
-		least := 1 << 30
+	counts := func(what string) int { // lowest count of such lines over all nodes
+		lowest := 1 << 30
 		for _, name := range []string{"n0", "n1"} {
-			least = min(least, strings.Count(l.Log(name), what))
+			lowest = min(lowest, strings.Count(l.Log(name), what))
 		}
-		return least
+		return lowest
 	}
-	goods, bads := 0, 0
+	accepted, rejected := 0, 0
 	for i := range reloads {
 		if i%2 == 0 {
-			goods++
+			accepted++
 			timeout := time.Duration(200+25*i) * time.Millisecond
 			write(rules(timeout))
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the good file is taken", func() bool { return counts("msg=reloaded") == goods })
+			waitUntil(t, "the valid file is accepted", func() bool { return counts("msg=reloaded") == accepted })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
-			waitUntil(t, "the new bounds show", func() bool {
+			waitUntil(t, "attempts use the new timeout", func() bool {
 				longest, n := l.Fleet.MaxAttemptTimeout(1)
 				return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 			})
 		} else {
-			bads++
-			write(bad[rng.IntN(len(bad))])
+			rejected++
+			write(badFiles[rng.IntN(len(badFiles))])
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the bad file is turned down", func() bool { return counts("the old one stays") == bads })
+			waitUntil(t, "the invalid file is rejected", func() bool { return counts("the old one stays") == rejected })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			if longest, n := l.Fleet.MaxAttemptTimeout(1); n > 0 && longest > time.Duration(200+25*(i-1))*time.Millisecond {
-				t.Errorf("after a bad file an attempt lasts %v", longest)
+				t.Errorf("an attempt timeout of %v after an invalid file", longest)
 			}
 		}
 	}
@@ -257,7 +258,7 @@
 	if runErr != nil {
 		t.Fatal(runErr)
 	}
-	check(t, report)
+	checkReport(t, report)
 	for _, c := range report.Classes {
 		if c.Failed > 0 || c.Refused > 0 {
 			t.Errorf("%+v", c)
@@ -270,7 +271,7 @@
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/rig/lab/leaserun_test.go
+++ b/internal/rig/lab/leaserun_test.go
@@ -14,27 +14,27 @@
 	"curlewring/internal/rig/resource"
 )
 
-// started is a command that runs.
-type started struct {
+// runningCommand is a command that was started, with its output.
+type runningCommand struct {
 	*exec.Cmd
-	out   tail
+	out   logTail
 	ended chan error
 }
 
-func (x *leasing) begin(node, name string, flags []string, command ...string) *started {
-	x.t.Helper()
-	s := &started{Cmd: x.run(node, name, flags, command...), ended: make(chan error, 1)}
+func (lab *leaseLab) startCommand(node, name string, flags []string, command ...string) *runningCommand {
+	lab.t.Helper()
+	s := &runningCommand{Cmd: lab.leaseRunCommand(node, name, flags, command...), ended: make(chan error, 1)}
 	s.Stdout, s.Stderr = &s.out, &s.out
 	if err := s.Start(); err != nil {
-		x.t.Fatal(err)
+		lab.t.Fatal(err)
 	}
 	go func() { s.ended <- s.Wait() }()
 	return s
 }
 
-// code waits for the end.
-func (x *leasing) code(s *started, within time.Duration) int {
-	x.t.Helper()
+// waitExitCode waits for the command's exit; it kills a command that exceeds the limit.
+func (lab *leaseLab) waitExitCode(s *runningCommand, within time.Duration) int {
+	lab.t.Helper()
 	select {
 	case err := <-s.ended:
 		if err == nil {
@@ -43,16 +43,17 @@
 		return exitCode(err)
 	case <-time.After(within):
 		s.Process.Kill()
-		x.t.Errorf("%v runs on after %v: %s", s.Args, within, s.out.String())
+		lab.t.Errorf("%v still runs after %v: %s", s.Args, within, s.out.String())
 		return -1
 	}
 }
 
-// acting waits until so many acts have begun, and returns how many of them go on.
-func (x *leasing) acting(begun int, within time.Duration) (open int) {
-	x.t.Helper()
-	x.waitFor(fmt.Sprint(begun, " acts"), within, func() bool { return len(x.res.History()) >= begun })
-	for _, a := range x.res.History() {
+// waitForAccesses waits until the given number of accesses have begun, and returns how many of them are in
+// progress.
+func (lab *leaseLab) waitForAccesses(count int, within time.Duration) (open int) {
+	lab.t.Helper()
+	lab.waitFor(fmt.Sprint(count, " accesses"), within, func() bool { return len(lab.resource.History()) >= count })
+	for _, a := range lab.resource.History() {
 		if a.To.IsZero() {
 			open++
 		}
@@ -60,150 +61,154 @@
 	return open
 }
 
-// What operators do with leases, over real processes: commands with their codes, lines, handing on, and ends of all kinds.
-func TestLeaseRun(t *testing.T) {
+// The operators' lease commands on real processes: exit codes, waiting queue, transfer to another node, and
+// all ways in which a lease ends.
+func TestLeaseRunCommand(t *testing.T) {
 	t.Parallel()
-	x := startLeasing(t, 5, 3, 51, false)
-	defer x.finish()
-	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
-	others := x.but(x.seats...)
+	lab := startLeaseLab(t, 5, 3, 51, false)
+	defer lab.finish()
+	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
+	others := lab.namesExcept(lab.voters...)
 	a, b := others[0], others[1]
-	act := func(length string, more ...string) []string {
-		return append([]string{tool, "act", x.res.Address, "--for", length}, more...)
+	accessCommand := func(length string, more ...string) []string {
+		return append([]string{toolBinary, "act", lab.resource.Address, "--for", length}, more...)
 	}
-	// The command's code and the token.
-	s := x.begin(a, "echo", nil, "sh", "-c", "echo $CURLEWRING_LEASE under $CURLEWRING_TOKEN; exit 7")
-	if code := x.code(s, 10*time.Second); code != 7 || !regexp.MustCompile(`echo under \d+\n`).MatchString(s.out.String()) {
+	// Exit code of the command, and its environment.
+	s := lab.startCommand(a, "echo", nil, "sh", "-c", "echo $CURLEWRING_LEASE under $CURLEWRING_TOKEN; exit 7")
+	if code := lab.waitExitCode(s, 10*time.Second); code != 7 || !regexp.MustCompile(`echo under \d+\n`).MatchString(s.out.String()) {
 		t.Errorf("code %d, %q", code, s.out.String())
 	}
-	s = x.begin(a, "echo", nil, "nobody-has-such-a-command")
-	if code := x.code(s, 10*time.Second); code != 125 {
-		t.Errorf("a command that does not start: code %d, %q", code, s.out.String())
-	}
-	if err := exec.Command(tool, "lease", "run", "--folder", t.TempDir(), "l", "--", "true").Run(); exitCode(err) != 125 {
-		t.Errorf("no node there: %v", err)
-	}
-	// Another holds it: told at once, or waited for.
-	first := x.begin(a, "l", nil, act("2s")...)
-	x.acting(1, 5*time.Second)
-	if code := x.code(x.begin(b, "l", nil, act("1s")...), 5*time.Second); code != 75 {
-		t.Errorf("held by another: code %d", code)
-	}
-	if code := x.code(x.begin(b, "l", []string{"--wait", "1s"}, act("1s")...), 5*time.Second); code != 75 {
-		t.Errorf("not within its wait: code %d", code)
-	}
-	if code := x.code(x.begin(b, "l", []string{"--wait", "20s"}, act("100ms")...), 20*time.Second); code != 0 {
-		t.Errorf("waited for: code %d", code)
-	}
-	if code := x.code(first, time.Second); code != 0 {
-		t.Errorf("code %d", code)
-	}
-	// The tool is killed: its command ends with it, and the lease passes on when it has run out.
-	first = x.begin(a, "l", nil, act("30s")...)
-	x.acting(3, 5*time.Second)
-	second := x.begin(b, "l", []string{"--wait", "20s"}, act("100ms")...)
-	begun := time.Now()
-	first.Process.Kill()
-	x.waitFor("the command's end", time.Second, func() bool { return x.acting(3, 0) == 0 })
-	if code := x.code(second, 15*time.Second); code != 0 || time.Since(begun) < labTTL/2 {
-		t.Errorf("after a killed tool: code %d after %v", code, time.Since(begun))
-	}
-	<-first.ended
-	// The node is killed, and stands still: a command that will not end is ended, before the next one begins.
+	s = lab.startCommand(a, "echo", nil, "nobody-has-such-a-command")
+	if code := lab.waitExitCode(s, 10*time.Second); code != 125 {
+		t.Errorf("a command that cannot be started: code %d, %q", code, s.out.String())
+	}
+	if err := exec.Command(toolBinary, "lease", "run", "--folder", t.TempDir(), "l", "--", "true").Run(); exitCode(err) != 125 {
+		t.Errorf("no node at this folder: %v", err)
+	}
+	// A lease that another node holds: refused at once, or waited for.
+	holder := lab.startCommand(a, "l", nil, accessCommand("2s")...)
+	lab.waitForAccesses(1, 5*time.Second)
+	if code := lab.waitExitCode(lab.startCommand(b, "l", nil, accessCommand("1s")...), 5*time.Second); code != 75 {
+		t.Errorf("lease held by another node: code %d", code)
+	}
+	if code := lab.waitExitCode(lab.startCommand(b, "l", []string{"--wait", "1s"}, accessCommand("1s")...), 5*time.Second); code != 75 {
+		t.Errorf("lease not free within the wait: code %d", code)
+	}
+	if code := lab.waitExitCode(lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...), 20*time.Second); code != 0 {
+		t.Errorf("lease free within the wait: code %d", code)
+	}
+	if code := lab.waitExitCode(holder, time.Second); code != 0 {
+		t.Errorf("first holder: code %d", code)
+	}
+	// The tool is killed: its command is killed with it, and the next command gets the lease after it has
+	// expired.
+	holder = lab.startCommand(a, "l", nil, accessCommand("30s")...)
+	lab.waitForAccesses(3, 5*time.Second)
+	nextHolder := lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
+	start := time.Now()
+	holder.Process.Kill()
+	lab.waitFor("the end of the command's access", time.Second, func() bool { return lab.waitForAccesses(3, 0) == 0 })
+	if code := lab.waitExitCode(nextHolder, 15*time.Second); code != 0 || time.Since(start) < leaseTTL/2 {
+		t.Errorf("next command after the tool was killed: code %d after %v", code, time.Since(start))
+	}
+	<-holder.ended
+	// The node is killed or paused: a command that ignores its termination is killed before the next one
+	// begins.
 	for name, fault := range map[string]func() func(){
 		"killed": func() func() {
-			x.do(x.Kill(a))
+			lab.noError(lab.Kill(a))
 			return func() {
-				x.do(x.Start(a))
-				x.waitFor("it is back", 10*time.Second, func() bool { _, ok := x.standing(a); return ok })
+				lab.noError(lab.Start(a))
+				lab.waitFor("the node's return", 10*time.Second, func() bool { _, ok := lab.leaseStatus(a); return ok })
 			}
 		},
-		"stopped": func() func() { x.do(x.Pause(a)); return func() { x.do(x.Resume(a)) } },
+		"stopped": func() func() { lab.noError(lab.Pause(a)); return func() { lab.noError(lab.Resume(a)) } },
 	} {
-		n := len(x.res.History())
-		first := x.begin(a, "l", []string{"--wait", "20s"}, act("30s", "--deaf")...)
-		x.acting(n+1, 20*time.Second)
-		second := x.begin(b, "l", []string{"--wait", "20s"}, act("100ms")...)
-		begun := time.Now()
+		n := len(lab.resource.History())
+		holder := lab.startCommand(a, "l", []string{"--wait", "20s"}, accessCommand("30s", "--deaf")...)
+		lab.waitForAccesses(n+1, 20*time.Second)
+		nextHolder := lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
+		start := time.Now()
 		end := fault()
-		if code := x.code(first, 5*time.Second); code != 124 || time.Since(begun) > labTTL+2*time.Second {
-			t.Errorf("node %s: code %d after %v: %s", name, code, time.Since(begun), first.out.String())
+		if code := lab.waitExitCode(holder, 5*time.Second); code != 124 || time.Since(start) > leaseTTL+2*time.Second {
+			t.Errorf("node %s: code %d after %v: %s", name, code, time.Since(start), holder.out.String())
 		}
-		if code := x.code(second, 20*time.Second); code != 0 {
-			t.Errorf("node %s: the next one ends with %d: %s", name, code, second.out.String())
+		if code := lab.waitExitCode(nextHolder, 20*time.Second); code != 0 {
+			t.Errorf("node %s: the next command exits with %d: %s", name, code, nextHolder.out.String())
 		}
 		end()
 	}
-	x.waitFor("the nodes are one again", 30*time.Second, func() bool { n, _ := x.look(x.names); return n > 0 })
-	// Handed on to one who is not first in line.
-	n := len(x.res.History())
-	first = x.begin(a, "l", []string{"--wait", "20s"}, act("30s")...)
-	x.acting(n+1, 20*time.Second)
-	line := x.begin(x.seats[0], "l", []string{"--wait", "30s"}, act("1s")...)
-	x.waitFor("one in line", 5*time.Second, func() bool { return strings.Contains(line.out.String(), "place 1") })
-	last := x.begin(b, "l", []string{"--wait", "30s"}, act("1s")...)
-	x.waitFor("two in line", 5*time.Second, func() bool { return strings.Contains(last.out.String(), "place 2") })
-	if out, err := exec.Command(tool, "lease", "hand", "--folder", x.StateFolder(a), "l", "--to", b).CombinedOutput(); err != nil {
+	lab.waitFor("agreement of all nodes", 30*time.Second, func() bool { n, _ := lab.currentView(lab.names); return n > 0 })
+	// Transfer to a waiting node that is not the first in the queue.
+	n := len(lab.resource.History())
+	holder = lab.startCommand(a, "l", []string{"--wait", "20s"}, accessCommand("30s")...)
+	lab.waitForAccesses(n+1, 20*time.Second)
+	queued := lab.startCommand(lab.voters[0], "l", []string{"--wait", "30s"}, accessCommand("1s")...)
+	lab.waitFor("one waiting command", 5*time.Second, func() bool { return strings.Contains(queued.out.String(), "place 1") })
+	last := lab.startCommand(b, "l", []string{"--wait", "30s"}, accessCommand("1s")...)
+	lab.waitFor("two waiting commands", 5*time.Second, func() bool { return strings.Contains(last.out.String(), "place 2") })
+	if out, err := exec.Command(toolBinary, "lease", "hand", "--folder", lab.StateFolder(a), "l", "--to", b).CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
-	if code := x.code(first, 5*time.Second); code != 124 {
-		t.Errorf("handed on: code %d", code)
+	if code := lab.waitExitCode(holder, 5*time.Second); code != 124 {
+		t.Errorf("holder after the transfer: code %d", code)
 	}
-	if code := x.code(last, 5*time.Second); code != 0 {
-		t.Errorf("the one it was handed to: code %d", code)
+	if code := lab.waitExitCode(last, 5*time.Second); code != 0 {
+		t.Errorf("target of the transfer: code %d", code)
 	}
-	if code := x.code(line, 10*time.Second); code != 0 {
-		t.Errorf("the one in line: code %d", code)
+	if code := lab.waitExitCode(queued, 10*time.Second); code != 0 {
+		t.Errorf("first in the queue: code %d", code)
 	}
-	// A node that is told to end has its command end, and the lease passes on at once.
-	n = len(x.res.History())
-	first = x.begin(a, "l", []string{"--wait", "20s"}, act("30s")...)
-	x.acting(n+1, 20*time.Second)
-	second = x.begin(b, "l", []string{"--wait", "20s"}, act("100ms")...)
-	x.waitFor("one in line", 5*time.Second, func() bool { return strings.Contains(second.out.String(), "place 1") })
-	begun = time.Now()
-	p, err := x.find(a)
-	x.do(err)
+	// A node that terminates also terminates its command, and releases the lease at once.
+	n = len(lab.resource.History())
+	holder = lab.startCommand(a, "l", []string{"--wait", "20s"}, accessCommand("30s")...)
+	lab.waitForAccesses(n+1, 20*time.Second)
+	nextHolder = lab.startCommand(b, "l", []string{"--wait", "20s"}, accessCommand("100ms")...)
+	lab.waitFor("one waiting command", 5*time.Second, func() bool { return strings.Contains(nextHolder.out.String(), "place 1") })
+	start = time.Now()
+	p, err := lab.findNode(a)
+	lab.noError(err)
 	go p.stop(10 * time.Second)
-	if code := x.code(second, 10*time.Second); code != 0 || time.Since(begun) > labTTL {
-		t.Errorf("after a node that was told to end: code %d after %v", code, time.Since(begun))
+	if code := lab.waitExitCode(nextHolder, 10*time.Second); code != 0 || time.Since(start) > leaseTTL {
+		t.Errorf("next command after the node was terminated: code %d after %v", code, time.Since(start))
 	}
-	t.Logf("a node is told to end: the next command has ended after %v", time.Since(begun))
-	if code := x.code(first, 5*time.Second); code != 124 {
-		t.Errorf("its own command: code %d", code)
+	t.Logf("node terminated: the next command exited after %v", time.Since(start))
+	if code := lab.waitExitCode(holder, 5*time.Second); code != 124 {
+		t.Errorf("the terminated node's own command: code %d", code)
 	}
-	// Seen by operators.
-	s = x.begin(b, "seen", nil, "sleep", "5")
-	x.waitFor("it is listed", 5*time.Second, func() bool {
-		out, err := exec.Command(tool, "lease", "list", "--folder", x.StateFolder(b)).CombinedOutput()
+	// Listing, forced release and status.
+	s = lab.startCommand(b, "seen", nil, "sleep", "5")
+	lab.waitFor("the lease in the list", 5*time.Second, func() bool {
+		out, err := exec.Command(toolBinary, "lease", "list", "--folder", lab.StateFolder(b)).CombinedOutput()
 		return err == nil && regexp.MustCompile(`(?m)^seen +`+b+` `).Match(out)
 	})
-	if out, err := exec.Command(tool, "lease", "release", "--force", "--folder", x.StateFolder(x.seats[1]), "seen").CombinedOutput(); err != nil {
+	if out, err := exec.Command(toolBinary, "lease", "release", "--force", "--folder", lab.StateFolder(lab.voters[1]), "seen").CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
-	if code := x.code(s, labTTL); code != 124 {
-		t.Errorf("a lease that was taken away: code %d", code)
+	if code := lab.waitExitCode(s, leaseTTL); code != 124 {
+		t.Errorf("after a forced release: code %d", code)
 	}
-	if out, err := exec.Command(tool, "lease", "status", "--folder", x.StateFolder(x.leader())).CombinedOutput(); !strings.Contains(string(out), "leads in term") {
+	if out, err := exec.Command(toolBinary, "lease", "status", "--folder", lab.StateFolder(lab.leader())).CombinedOutput(); !strings.Contains(string(out), "leads in term") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if _, err := leases.Call(context.Background(), x.StateFolder(b), leases.Request{Do: "nothing"}); err == nil {
-		t.Error("nothing was done")
+	if _, err := leases.Call(context.Background(), lab.StateFolder(b), leases.Request{Do: "nothing"}); err == nil {
+		t.Error("an unknown request was accepted")
 	}
 }
 
-// Programs that break the promise are told by the resource: one whose tool and node stand still beyond its lease while it acts
-// on, and one that acts under an old token. A resource that checks tokens turns the second one away.
-func TestLeaseRogues(t *testing.T) {
+// The resource must detect programs that violate exclusion: one whose tool and node are paused beyond the end
+// of its lease while the program goes on, and one that uses an old token. A resource that checks tokens
+// refuses the latter.
+func TestMisbehavingLeaseHolders(t *testing.T) {
 	t.Parallel()
-	x := startLeasing(t, 3, 3, 52, false)
-	x.waitFor("a leader", 10*time.Second, func() bool { return x.leader() != "" })
+	lab := startLeaseLab(t, 3, 3, 52, false)
+	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
 	checks, err := resource.Start(true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := x.begin("n0", "l", nil, tool, "act", x.res.Address, "--for", "30s", "--deaf")
-	x.acting(1, 5*time.Second)
+	holder := lab.startCommand("n0", "l", nil, toolBinary, "act", lab.resource.Address, "--for", "30s", "--deaf")
+	lab.waitForAccesses(1, 5*time.Second)
 	begin := func(token uint64) bool {
 		a, err := resource.Begin(checks.Address, "x", token)
 		if err == nil {
@@ -214,32 +219,32 @@
 	if !begin(1) {
 		t.Error("token 1 is refused")
 	}
-	first.Process.Signal(syscall.SIGSTOP)
-	x.do(x.Pause("n0")) // else its node renews for it, and it is no rogue
-	second := x.begin("n1", "l", []string{"--wait", "20s"}, tool, "act", x.res.Address, "--for", "100ms")
-	if code := x.code(second, 20*time.Second); code != 0 {
-		t.Errorf("code %d", code)
+	holder.Process.Signal(syscall.SIGSTOP)
+	lab.noError(lab.Pause("n0")) // otherwise its node renews the lease, and nothing is violated
+	nextHolder := lab.startCommand("n1", "l", []string{"--wait", "20s"}, toolBinary, "act", lab.resource.Address, "--for", "100ms")
+	if code := lab.waitExitCode(nextHolder, 20*time.Second); code != 0 {
+		t.Errorf("next holder: code %d", code)
 	}
-	if len(x.res.Violations()) == 0 {
-		t.Error("the resource has not seen two act at once")
+	if len(lab.resource.Violations()) == 0 {
+		t.Error("the resource did not detect overlapping accesses")
 	}
 	if !begin(2) || begin(1) {
-		t.Error("a resource that checks tokens takes an old one, or not the new one")
+		t.Error("the resource accepts the old token or refuses the new one")
 	}
-	x.do(x.Resume("n0"))
-	first.Process.Signal(syscall.SIGCONT)
-	if code := x.code(first, 5*time.Second); code != 124 {
-		t.Errorf("the one that stood still: code %d", code)
+	lab.noError(lab.Resume("n0"))
+	holder.Process.Signal(syscall.SIGCONT)
+	if code := lab.waitExitCode(holder, 5*time.Second); code != 124 {
+		t.Errorf("the paused holder: code %d", code)
 	}
-	had := len(x.res.Violations())
-	if a, err := resource.Begin(x.res.Address, "old", 1); err == nil {
+	before := len(lab.resource.Violations())
+	if a, err := resource.Begin(lab.resource.Address, "old", 1); err == nil {
 		a.End()
 	}
-	if len(x.res.Violations()) == had {
-		t.Error("an old token is not told")
+	if len(lab.resource.Violations()) == before {
+		t.Error("the resource did not detect an old token")
 	}
 	checks.Close()
-	x.stops()
-	x.res.Close()
-	x.end()
+	lab.cancel()
+	lab.resource.Close()
+	lab.finishTraffic()
 }
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -12,8 +12,9 @@
 	"curlewring/internal/rig/standin"
 )
 
-// coldPlan is a fleet of boxes whose whole cold budget is a few requests, some a third of the others.
-func coldPlan(p *standin.Plan) {
+// configureColdFleet sets up servers whose whole cold budget is a few requests. One in three has a third of
+// the others' speed.
+func configureColdFleet(p *standin.Plan) {
 	p.Servers, p.Cores, p.RackSize, p.Speeds = 12, 1, 3, []float64{1.2, 1.2, 0.4}
 	for i := range p.Classes {
 		p.Classes[i].Work, p.Classes[i].Spread = 40*time.Millisecond, 0
@@ -21,114 +22,114 @@
 	p.ColdCapacity, p.WarmupTime = 0.4, 6*time.Second
 }
 
-// startCold starts nodes before such a fleet at some part of its capacity.
-func startCold(t *testing.T, nodes int, seed uint64, load float64, alone bool) *together {
-	return startTogetherWith(t, nodes, seed, func(o *Options) {
-		coldPlan(&o.Plan)
-		o.NoPooling = alone
+// startColdFleet starts nodes for such a fleet, with traffic at the given fraction of its capacity.
+func startColdFleet(t *testing.T, nodes int, seed uint64, load float64, separateBudgets bool) *memberLab {
+	return startMemberLabWith(t, nodes, seed, func(o *Options) {
+		configureColdFleet(&o.Plan)
+		o.NoPooling = separateBudgets
 		o.Traffic.Rate = load * o.Plan.Capacity()
 	})
 }
 
-// restarts ends boxes one after the other and has each come back cold.
-func (x *together) restarts(boxes []int, each time.Duration) {
-	x.t.Helper()
+// restartServers crashes servers one after another; each comes back cold.
+func (lab *memberLab) restartServers(servers []int, each time.Duration) {
+	lab.t.Helper()
 	var faults []standin.Fault
-	for i, b := range boxes {
+	for i, b := range servers {
 		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(b), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
 	}
-	for _, err := range x.Fleet.RunFaults(context.Background(), faults, x.Lab) {
-		x.do(err)
+	for _, err := range lab.Fleet.RunFaults(context.Background(), faults, lab.Lab) {
+		lab.noError(err)
 	}
 }
 
-// pools counts what the nodes deal for, looked at again and again.
-type pools struct{ most, lenders, used atomic.Int64 }
+// poolStats holds maxima of the nodes' budget pools, from repeated samples.
+type poolStats struct{ maxPools, maxLenders, grantedSends atomic.Int64 }
 
-func (x *together) watchPools(ctx context.Context, p *pools) {
-	look := time.NewTicker(100 * time.Millisecond)
-	defer look.Stop()
+func (lab *memberLab) watchPools(ctx context.Context, p *poolStats) {
+	ticker := time.NewTicker(100 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 		n := int64(0)
-		for _, name := range x.names {
-			r, err := x.MembershipOf(ctx, name)
+		for _, name := range lab.names {
+			r, err := lab.MembershipOf(ctx, name)
 			if err != nil {
 				continue
 			}
 			n += int64(len(r.Pools))
 			for _, one := range r.Pools {
-				p.lenders.Store(max(p.lenders.Load(), int64(one.Lenders)))
-				p.used.Add(int64(one.Used))
+				p.maxLenders.Store(max(p.maxLenders.Load(), int64(one.Lenders)))
+				p.grantedSends.Add(int64(one.Used))
 			}
 		}
-		p.most.Store(max(p.most.Load(), n))
+		p.maxPools.Store(max(p.maxPools.Load(), n))
 	}
 }
 
-// Boxes come back cold while nodes that deal their budgets are killed, cut off and held up: no box is sent too much, what
-// is lent is dealt, and the requests go on.
-func TestPooledBudgetsOverProcesses(t *testing.T) {
+// Servers restart cold while nodes that coordinate their budgets are killed, partitioned and paused. No
+// server may get more than its budget, pooled budgets must be granted, and requests must go on.
+func TestPooledBudgetsUnderFaults(t *testing.T) {
 	t.Parallel()
-	x := startCold(t, 6, 21, 0.5, false)
-	x.served = 0.9
-	defer x.end()
-	x.agreed(30*time.Second, x.names...)
+	lab := startColdFleet(t, 6, 21, 0.5, false)
+	lab.minServed = 0.9
+	defer lab.finishTraffic()
+	lab.waitForView(30*time.Second, lab.names...)
 	ctx, stop := context.WithCancel(context.Background())
-	var p pools
+	var p poolStats
 	watched := make(chan struct{})
 	go func() { // ends with stop
 		defer close(watched)
-		x.watchPools(ctx, &p)
+		lab.watchPools(ctx, &p)
 	}()
-	x.restarts([]int{0, 2, 5, 8}, 800*time.Millisecond)
-	x.do(x.Kill("n3")) // a dealer of some of them
-	x.restarts([]int{1, 3, 11}, 600*time.Millisecond)
-	x.do(x.Start("n3"))
-	x.do(x.Pause("n4"))
-	x.restarts([]int{4, 6}, 600*time.Millisecond)
-	x.do(x.Resume("n4"))
-	x.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 2) != (to < 2)} })
-	x.restarts([]int{2, 7, 9}, 600*time.Millisecond)
-	x.SetLinkConditions(func(int, int) relay.Conditions {
+	lab.restartServers([]int{0, 2, 5, 8}, 800*time.Millisecond)
+	lab.noError(lab.Kill("n3")) // coordinates some of the pools
+	lab.restartServers([]int{1, 3, 11}, 600*time.Millisecond)
+	lab.noError(lab.Start("n3"))
+	lab.noError(lab.Pause("n4"))
+	lab.restartServers([]int{4, 6}, 600*time.Millisecond)
+	lab.noError(lab.Resume("n4"))
+	lab.SetLinkConditions(func(from, to int) relay.Conditions { return relay.Conditions{Cut: (from < 2) != (to < 2)} })
+	lab.restartServers([]int{2, 7, 9}, 600*time.Millisecond)
+	lab.SetLinkConditions(func(int, int) relay.Conditions {
 		return relay.Conditions{Loss: 0.3, Duplicate: 0.1, Delay: 60 * time.Millisecond}
 	})
-	x.restarts([]int{5, 10}, 600*time.Millisecond)
-	x.SetLinkConditions(clear)
+	lab.restartServers([]int{5, 10}, 600*time.Millisecond)
+	lab.SetLinkConditions(perfectLinks)
 	stop()
 	<-watched
-	t.Logf("at most %d pools at once, of up to %d nodes each; %d dealt sends seen", p.most.Load(), p.lenders.Load(), p.used.Load())
-	if p.most.Load() < 2 || p.lenders.Load() < 3 || p.used.Load() < 10 {
-		t.Error("hardly anything was pooled")
+	t.Logf("at most %d pools at once, of up to %d nodes each; %d granted sends observed", p.maxPools.Load(), p.maxLenders.Load(), p.grantedSends.Load())
+	if p.maxPools.Load() < 2 || p.maxLenders.Load() < 3 || p.grantedSends.Load() < 10 {
+		t.Error("too few pooled budgets for the test to be meaningful")
 	}
 }
 
-// The same with and without the pool, by hand: boxes that fell, and what was served.
-func TestPooledBudgetsAgainstOwn(t *testing.T) {
+// Compares collapsed servers and served requests with and without pooled budgets. Run by hand.
+func TestPooledAgainstSeparateBudgets(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("set CURLEWRING_LONG=1")
 	}
 	for _, load := range []float64{0.6, 0.8} {
 		for seed := range uint64(3) {
-			for _, alone := range []bool{true, false} {
-				x := startCold(t, 8, seed+1, load, alone)
-				x.agreed(30*time.Second, x.names...)
-				x.restarts([]int{0, 1, 2, 3, 5, 6, 8, 9, 11}, 500*time.Millisecond)
+			for _, separateBudgets := range []bool{true, false} {
+				lab := startColdFleet(t, 8, seed+1, load, separateBudgets)
+				lab.waitForView(30*time.Second, lab.names...)
+				lab.restartServers([]int{0, 1, 2, 3, 5, 6, 8, 9, 11}, 500*time.Millisecond)
 				time.Sleep(5 * time.Second) // until they are warm
-				x.stop()
-				r := <-x.ended
-				x.Close()
-				fell := 0
+				lab.stop()
+				r := <-lab.report
+				lab.Close()
+				collapsed := 0
 				for _, b := range r.Breaches {
 					if b.Rule == 4 {
-						fell++
+						collapsed++
 					}
 				}
-				t.Logf("load %.1f seed %d, each by itself %v: %d of 9 fell, %d rules broken in all, service %.3f", load, seed+1, alone, fell, len(r.Breaches), r.ServedWorth)
+				t.Logf("load %.1f seed %d, separate budgets %v: %d of 9 collapsed, %d breaches in all, weighted service %.3f", load, seed+1, separateBudgets, collapsed, len(r.Breaches), r.ServedWorth)
 			}
 		}
 	}
--- a/internal/rig/lab/sidecars_test.go
+++ b/internal/rig/lab/sidecars_test.go
@@ -12,22 +12,22 @@
 	"curlewring/internal/rig/standin"
 )
 
-// sidecarOptions are those of a lab of sidecars.
+// sidecarOptions returns options of a lab with n sidecars.
 func sidecarOptions(n int) Options {
-	o := options()
+	o := defaultOptions()
 	o.Nodes, o.Sidecars, o.MemoryMB, o.Sockets = n, true, 32, 256
 	return o
 }
 
-// Sidecars from written files must serve, and all of them take new files in turn
-// while they do, with nothing lost.
+// Sidecars with generated files must serve while all of them reload new files one after another, without
+// losing a request.
 func TestRollingReload(t *testing.T) {
 	n := 4
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		n = 40
 	}
 	o := sidecarOptions(n)
-	o.Traffic.Duration = time.Minute // it ends with the last reload
+	o.Traffic.Duration = time.Minute // ends with the last reload
 	l, err := Open(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		l.Fleet.MaxAttemptTimeout(1)
-		waitUntil(t, "the new bounds show", func() bool {
+		waitUntil(t, "attempts use the new timeout", func() bool {
 			longest, n := l.Fleet.MaxAttemptTimeout(1)
 			return n > 0 && longest <= timeout && longest > timeout-20*time.Millisecond
 		})
@@ -55,47 +55,46 @@
 	if runErr != nil {
 		t.Fatal(runErr)
 	}
-	check(t, report)
+	checkReport(t, report)
 	for _, c := range report.Classes {
 		if c.Failed > 0 || c.Refused > 0 {
 			t.Errorf("%+v", c)
 		}
 	}
-	// A set that no sidecar would take is not written, and nobody is told.
+	// Routes that no sidecar would accept are not written, and no sidecar is signalled.
 	if err := l.RollOutRoutes(context.Background(), "[[route]]\nclass = \"zustand\"\nattempts = 9\n"); err == nil {
-		t.Error("a bad set was rolled out")
+		t.Error("invalid routes were rolled out")
 	}
 }
 
-// Configurations of one schema step before and after must work side by side.
+// Sidecars whose configurations are one schema version older and newer must work together.
 func TestSchemaSkew(t *testing.T) {
 	o := sidecarOptions(3)
-	o.edit = func(i int, text []byte) []byte {
+	o.editConfig = func(i int, text []byte) []byte {
 		switch i {
-		case 0: // what the platform writes today
+		case 0: // the format without a schema version
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), nil, 1)
-		case 1: // what comes next, with a key that is not known yet
+		case 1: // the next version, with an unknown key
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), []byte("  \"schema\": 2,\n  \"next\": {\"a\": 1},\n"), 1)
 		}
 		return text
 	}
-	r := run(t, o)
+	r := runLab(t, o)
 	for _, c := range r.Classes {
 		if c.Served != c.Requests {
 			t.Errorf("%+v", c)
 		}
 	}
-	o.edit = func(_ int, text []byte) []byte {
+	o.editConfig = func(_ int, text []byte) []byte {
 		return bytes.Replace(text, []byte(`"schema": 1`), []byte(`"schema": 3`), 1)
 	}
 	if l, err := Open(context.Background(), o); err == nil {
 		l.Close()
-		t.Error("a sidecar started with a configuration two steps ahead")
+		t.Error("a sidecar started with a configuration two schema versions ahead")
 	}
 }
 
-// Forty sidecars against one shared tier of nodes, on the same boxes and load, in
-// turns: what sidecars cost and gain.
+// Compares forty sidecars with a shared tier of three nodes, on the same servers and load. Run by hand.
 func TestSidecarsAgainstSharedTier(t *testing.T) {
 	if os.Getenv("CURLEWRING_LONG") == "" {
 		t.Skip("a long measurement: CURLEWRING_LONG=1")
@@ -104,7 +103,7 @@
 	for _, load := range loads {
 		for _, sidecars := range []bool{false, true} {
 			for seed := range uint64(2) {
-				o := options()
+				o := defaultOptions()
 				o.Plan.Seed, o.Plan.Servers = seed+1, 8
 				o.Nodes, o.MemoryMB, o.Sockets = 3, 192, 1024
 				if sidecars {
@@ -115,61 +114,61 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				idle := int64(0)
+				idleBytes := int64(0)
 				pids := []int{}
-				for _, p := range l.front {
+				for _, p := range l.frontNodes {
 					p.mu.Lock()
 					pids = append(pids, p.cmd.Process.Pid)
 					p.mu.Unlock()
-					idle += residentOf(pids[len(pids)-1])
+					idleBytes += residentBytesOf(pids[len(pids)-1])
 				}
-				conns, busy := 0, int64(0)
+				conns, peakBytes := 0, int64(0)
 				r, err := l.Run(context.Background(), func(Progress) {
 					n, m := 0, int64(0)
 					for _, b := range l.Fleet.Servers {
 						n += b.State().Conns
 					}
 					for _, pid := range pids {
-						m += residentOf(pid)
+						m += residentBytesOf(pid)
 					}
-					conns, busy = max(conns, n), max(busy, m)
+					conns, peakBytes = max(conns, n), max(peakBytes, m)
 				})
 				l.Close()
 				if err != nil {
 					t.Fatal(err)
 				}
-				check(t, r)
+				checkReport(t, r)
 				name := "shared tier of 3"
 				if sidecars {
 					name = "40 sidecars"
 				}
 				t.Logf("| %.1f | %s | %d | %.4f | %.2f | %.1f | %.1f MB | %.1f MB | %.0f us |", load, name, seed+1, r.ServedWorth, r.AttemptsPerRequest,
-					float64(conns)/float64(len(l.Fleet.Servers)), float64(idle)/(1<<20), float64(busy)/(1<<20), r.CPUMicrosPerRequest)
+					float64(conns)/float64(len(l.Fleet.Servers)), float64(idleBytes)/(1<<20), float64(peakBytes)/(1<<20), r.CPUMicrosPerRequest)
 			}
 		}
 	}
 }
 
-// An application that floods its own sidecar must get answers for what fits and
-// refusals for the rest, within the memory that the sidecar is told of.
-func TestFloodedSidecar(t *testing.T) {
+// An application that overloads its own sidecar must get responses to what fits and rejections of the rest,
+// within the sidecar's configured memory.
+func TestOverloadedSidecar(t *testing.T) {
 	o := sidecarOptions(1)
 	o.Plan.Servers = 8
 	o.Traffic.Concurrency, o.Traffic.Retries = 500, 0
-	r := run(t, o)
+	r := runLab(t, o)
 	served, refused := 0, 0
 	for _, c := range r.Classes {
 		served, refused = served+c.Served, refused+c.Refused
 	}
-	t.Logf("%d served in time, %d refused, %.1f MB at the peak", served, refused, r.Nodes[0].PeakMB)
+	t.Logf("%d served in time, %d refused, %.1f MB peak memory", served, refused, r.Nodes[0].PeakMB)
 	if served == 0 || r.Nodes[0].PeakMB > 32 {
-		t.Errorf("%d served in time, %.1f MB at the peak", served, r.Nodes[0].PeakMB)
+		t.Errorf("%d served in time, %.1f MB peak memory, want at most 32", served, r.Nodes[0].PeakMB)
 	}
 }
 
-// Many sidecars together must keep a cold box within its budget and a draining one
-// free of new calls, though none knows of the others.
-func TestSidecarsBeforeColdAndDrainingBoxes(t *testing.T) {
+// Many sidecars together must keep a cold server within its budget and send no new requests to a draining
+// one, without knowing of each other.
+func TestSidecarsWithColdAndDrainingServers(t *testing.T) {
 	n := 8
 	if os.Getenv("CURLEWRING_LONG") != "" {
 		n = 40
@@ -184,15 +183,16 @@
 		}
 		o.Faults = append(o.Faults, f)
 	}
-	r := run(t, o) // which checks the rules
+	r := runLab(t, o) // also checks the rules
 	for _, b := range r.Servers {
 		if b.Fallen {
-			t.Errorf("box %s was pushed over", b.ID)
+			t.Errorf("server %s collapsed", b.ID)
 		}
 	}
-	t.Logf("%d sidecars: weighted service %.4f, %.3f attempts a request", n, r.ServedWorth, r.AttemptsPerRequest)
-	// On a machine that is late itself, what is served in time is the machine's; the rules hold all the same.
+	t.Logf("%d sidecars: weighted service %.4f, %.3f attempts per request", n, r.ServedWorth, r.AttemptsPerRequest)
+	// On a machine with scheduling delays, fewer requests are served in time, but the rules must hold all the
+	// same.
 	if r.ServedWorth < 0.95 && r.MaxMachineDelay < 50 {
-		t.Errorf("weighted service %.4f, the machine late by %.0f ms at worst", r.ServedWorth, r.MaxMachineDelay)
+		t.Errorf("weighted service %.4f, scheduling delay of the machine at most %.0f ms", r.ServedWorth, r.MaxMachineDelay)
 	}
 }
--- a/internal/rig/resource/resource_test.go
+++ b/internal/rig/resource/resource_test.go
@@ -28,54 +28,54 @@
 	return a
 }
 
-// Rogues are told: one that acts beside another, one whose token fell, one that has another's token. One after another is
-// no wrong, however closely they follow.
-func TestRogues(t *testing.T) {
+// Violations are recorded: a holder that overlaps with another, one whose token is lower than an earlier one,
+// and one that uses another holder's token. Accesses in close succession are no violation.
+func TestViolationsRecorded(t *testing.T) {
 	r := start(t, false)
 	for i := range uint64(300) {
 		begin(t, r, "a", 2*i+1).End()
 		begin(t, r, "b", 2*i+2).End()
 	}
 	if w := r.Violations(); len(w) > 0 {
-		t.Fatalf("one after another: %v", w)
+		t.Fatalf("successive accesses: %v", w)
 	}
-	for name, rogue := range map[string]func(r *Resource){
-		"beside another": func(r *Resource) { begin(t, r, "b", 6).End() },
-		"the same token": func(r *Resource) { begin(t, r, "b", 5).End() },
-		"a token that fell": func(r *Resource) {
+	for name, violate := range map[string]func(r *Resource){
+		"overlapping access":     func(r *Resource) { begin(t, r, "b", 6).End() },
+		"another holder's token": func(r *Resource) { begin(t, r, "b", 5).End() },
+		"lower token": func(r *Resource) {
 			begin(t, r, "a", 5).End()
 			begin(t, r, "b", 4).End()
 		},
 	} {
 		r := start(t, false)
 		a := begin(t, r, "a", 5)
-		rogue(r)
+		violate(r)
 		a.End()
 		if len(r.Violations()) == 0 {
-			t.Errorf("%s: not told", name)
+			t.Errorf("%s: no violation recorded", name)
 		}
 	}
 }
 
-// A resource that checks tokens turns lower ones away, which is no wrong then.
-func TestTokensAreChecked(t *testing.T) {
+// A resource that checks tokens refuses lower ones, which is then no violation.
+func TestStaleTokensRefused(t *testing.T) {
 	r := start(t, true)
 	begin(t, r, "a", 5).End()
 	if _, err := Begin(r.Address, "b", 4); err == nil {
-		t.Error("a lower token was taken")
+		t.Error("a lower token was accepted")
 	}
 	begin(t, r, "c", 6).End()
 	if w := r.Violations(); len(w) > 0 {
 		t.Error(w)
 	}
-	acts := r.History()
-	for end := time.Now().Add(5 * time.Second); len(acts) != 3 || acts[2].To.IsZero(); acts = r.History() {
+	history := r.History()
+	for end := time.Now().Add(5 * time.Second); len(history) != 3 || history[2].To.IsZero(); history = r.History() {
 		if time.Now().After(end) {
-			t.Fatalf("%+v", acts)
+			t.Fatalf("%+v", history)
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if !acts[1].Refused || acts[0].Refused {
-		t.Errorf("%+v", acts)
+	if !history[1].Refused || history[0].Refused {
+		t.Errorf("%+v", history)
 	}
 }
