--- a/cmd/curlewctl/lease.go
+++ b/cmd/curlewctl/lease.go
@@ -69,7 +69,7 @@
 		command = command[1:]
 	}
 	if len(command) == 0 {
-		return errors.New("no command given after --")
+		return errors.New("there is no command behind --")
 	}
 	code, err := leaseexec.Run(ctx, leaseexec.Options{
 		StateDir: c.Folder, Lease: c.Name, TTL: c.TTL, KillGrace: c.KillGrace, MaxWait: c.MaxWait, Command: command,
--- a/cmd/curlewctl/recall.go
+++ b/cmd/curlewctl/recall.go
@@ -129,7 +129,8 @@
 	defer folder.Close()
 	rows, report := store.Open(folder, store.Settings{})
 	fmt.Fprintln(w, "found    ", report)
-	// Each rewrite begins a generation with a journal and a full snapshot. Only the second one removes the damaged files.
+	// Each rewrite begins a generation with a journal and a full snapshot. Only the second one removes the damaged
+	// files.
 	now := time.Duration(0)
 	for range 2 {
 		if err := rows.Rewrite(now); err != nil {
--- a/cmd/curlewctl/sidecars.go
+++ b/cmd/curlewctl/sidecars.go
@@ -27,7 +27,7 @@
 func (d *descriptionFiles) load() (*appdir.Descriptions, error) {
 	paths := append(slices.Clone(d.Paths), d.Dirs...)
 	if len(paths) == 0 {
-		return nil, errors.New("no descriptions given: name files, or folders with --dir")
+		return nil, errors.New("name a description, or a folder by --dir")
 	}
 	return appdir.LoadDescriptions(d.PlatformFile, relativePaths(paths)), nil
 }
@@ -49,8 +49,9 @@
 
 func (c exitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
-// worstFinding returns exit code 1 if there are only warnings, 2 if there are errors, and nil if there are no findings.
-func worstFinding(findings apps.Findings) error {
+// findingsExitCode returns exit code 1 if there are only warnings, 2 if there are errors, and nil if there are no
+// findings.
+func findingsExitCode(findings apps.Findings) error {
 	if worst := findings.Worst(); worst > 0 {
 		return exitCode(worst)
 	}
@@ -218,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	return worstFinding(findings)
+	return findingsExitCode(findings)
 }
 
 // checkNode checks a node configuration, and that it was not edited by hand if it was generated.
--- a/cmd/curlewring/main.go
+++ b/cmd/curlewring/main.go
@@ -4,7 +4,8 @@
 // address, the address of discovery and the platform's settings. --operator names
 // a file of route tables, and --settings a file of the node's own settings. On
 // SIGHUP it reloads the files, and on SIGTERM it shuts down gracefully. With
-// --check it only reads the files, prints their faults, and exits with 0 or 2.
+// --check it reads the files, prints their faults, and exits with 0 or 2, without
+// binding an address.
 package main
 
 import (
--- a/internal/conns/idleconns/clients.go
+++ b/internal/conns/idleconns/clients.go
@@ -34,7 +34,7 @@
 
 // candidateSlots returns the two slots that a client may use.
 func (c *clientCache) candidateSlots(clientHash uint32) (*cachedClient, *cachedClient) {
-	index := clientHash * 2654435769 >> c.shift
+	index := clientHash * 2654435769 >> c.shift // Fibonacci hashing (Knuth, vol. 3, 6.4)
 	return &c.slots[index], &c.slots[index^1]
 }
 
--- a/internal/conns/idleconns/table.go
+++ b/internal/conns/idleconns/table.go
@@ -77,12 +77,12 @@
 type Table struct {
 	settings      Settings
 	rules         *Rules
-	base          time.Duration
+	base          time.Duration // time 0 of the times in entries
 	heads         []entry
 	nonEmptyLists uint64 // bit i: list i may hold connections
 	clients       clientCache
 	chunks        []*[chunkSize]entry
-	sweepID       int32
+	sweepID       int32 // connection number that demoteOverdue checked last
 	idLimit       int32 // all connection numbers are below this
 	idle          int
 	incomplete    int
@@ -90,8 +90,8 @@
 
 // New returns an empty table whose internal times count from now. With nil rules,
 // DefaultTimeout applies to all connections.
-func New(set Settings, rules *Rules, now time.Duration) *Table {
-	t := &Table{settings: set, rules: rules, base: now, heads: make([]entry, listCount), clients: newClientCache(set.RememberedClients)}
+func New(settings Settings, rules *Rules, now time.Duration) *Table {
+	t := &Table{settings: settings, rules: rules, base: now, heads: make([]entry, listCount), clients: newClientCache(settings.RememberedClients)}
 	for i := range t.heads {
 		t.heads[i].next, t.heads[i].prev = int32(-i-1), int32(-i-1)
 	}
@@ -261,8 +261,8 @@
 }
 
 // valueGrade grades the loss from closing a connection: the worth of its next request
-// divided by the expected time until it arrives. Connections whose requests have no worth
-// have grade 0.
+// divided by the expected time until it arrives. A connection that has received no request,
+// or whose last one has no worth, has grade 0.
 func (t *Table) valueGrade(e *entry) int {
 	worth := t.worth(e)
 	if worth <= 0 {
--- a/internal/conns/membudget/budget.go
+++ b/internal/conns/membudget/budget.go
@@ -32,7 +32,7 @@
 type Level uint8
 
 const (
-	// Normal: all uses may take more memory.
+	// Normal: all categories may take more memory.
 	Normal Level = iota
 	// Constrained: connections without a buffer get none, so their data waits in the kernel
 	// and TCP flow control slows the peer. Requests that have begun may continue.
--- a/internal/operators/apps/app.go
+++ b/internal/operators/apps/app.go
@@ -48,6 +48,7 @@
 	nodeSettings         *nodeSettings
 }
 
+// appKeys are the top-level keys of an application's description.
 func appKeys() []key[App] {
 	return []key[App]{
 		textKey("name", true, "what the sidecar is called, in the whole fleet", func(a *App) *Located[string] { return &a.Name }),
--- a/internal/operators/apps/explain.go
+++ b/internal/operators/apps/explain.go
@@ -113,7 +113,8 @@
 	return explanation, nil
 }
 
-// pathMatches reports whether a path is a prefix's path or below it.
+// pathMatches reports whether a path is equal to a prefix or below it. An empty
+// prefix matches all paths.
 func pathMatches(path, prefix string) bool {
 	return prefix == "" || strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
@@ -121,7 +122,7 @@
 // addChain adds the steps from a hop on, and follows at each the next hop with the
 // most attempts.
 func (e *Explanation) addChain(s *Set, current *hop, path string) {
-	attempts, timeLeft := 1, time.Duration(0)
+	cumulativeAttempts, timeLeft := 1, time.Duration(0)
 	for current != nil {
 		chosen := current.policies[0]
 		for _, policy := range current.policies {
@@ -129,13 +130,13 @@
 				chosen = policy
 			}
 		}
-		if attempts == 1 && len(e.Chain) == 0 {
+		if cumulativeAttempts == 1 && len(e.Chain) == 0 {
 			timeLeft = chosen.deadline
 		}
-		attempts *= chosen.attempts
-		attempt := min(chosen.maxAttemptTime(), timeLeft)
-		step := Step{Sidecar: current.app.Name.V, Class: current.class, Attempts: chosen.attempts, CumulativeAttempts: attempts, MaxAttemptTime: attempt, MinTimeLeft: timeLeft,
-			MaxTotalTime: min(timeLeft, time.Duration(chosen.attempts)*attempt+chosen.maxBackoff)}
+		cumulativeAttempts *= chosen.attempts
+		attemptTime := min(chosen.maxAttemptTime(), timeLeft)
+		step := Step{Sidecar: current.app.Name.V, Class: current.class, Attempts: chosen.attempts, CumulativeAttempts: cumulativeAttempts, MaxAttemptTime: attemptTime, MinTimeLeft: timeLeft,
+			MaxTotalTime: min(timeLeft, time.Duration(chosen.attempts)*attemptTime+chosen.maxBackoff)}
 		if chosen.line > 0 {
 			step.Route = fmt.Sprintf("%s:%d", current.app.File, chosen.line)
 			step.SecondCopies = current.app.routeAt(chosen.line).SecondCopyAfter.IsSet()
@@ -143,7 +144,7 @@
 		e.Chain = append(e.Chain, step)
 		next := current.nextHop()
 		if next != nil {
-			timeLeft = max(0, attempt-next.app.WorkTime.V)
+			timeLeft = max(0, attemptTime-next.app.WorkTime.V)
 			if next.class != current.class {
 				path = "/" + next.class
 			}
--- a/internal/operators/apps/schema.go
+++ b/internal/operators/apps/schema.go
@@ -29,6 +29,7 @@
 // properties is encoded as an object that keeps the order of its elements.
 type properties []property
 
+// property is a key of an object with the schema of its value.
 type property struct {
 	name   string
 	schema jsonSchema
--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// budgetParts returns the number of nodes that the sidecar's node is configured
-// with. It is rounded up, so that the node never takes more of a cold server's
-// budget than its share.
+// budgetParts returns the number of nodes, n_instances, that the sidecar's node is
+// configured with: it takes one such part of a cold server's budget. The number is
+// rounded up, so that this is never more than its share.
 func (a *App) budgetParts() int {
 	if a.BudgetShare.V <= 0 {
 		return 1
@@ -181,9 +181,9 @@
 	}
 }
 
-// findCallLoops reports cycles of applications that call each other. In its graph
-// applications and services are both nodes, so that the number of edges is linear
-// in the number of descriptions.
+// findCallLoops reports cycles of applications that call each other, and returns
+// whether there are any. In its graph applications and services are both nodes, so
+// that the number of edges is linear in the number of descriptions.
 func (s *Set) findCallLoops(findings *Findings) bool {
 	type node struct {
 		name    string
@@ -320,16 +320,16 @@
 		if r.Class.V != class {
 			continue
 		}
-		bounds := a.routeTable.Bounds()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
+		routePolicy := a.routeTable.Bounds()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
 		policy := base
-		policy.line, policy.path, policy.attemptTimeout = r.Line, r.Path.V, bounds.AttemptTimeout
-		if bounds.MaxAttempts > 0 && c.Effect.V != "once" {
-			policy.attempts = bounds.MaxAttempts
+		policy.line, policy.path, policy.attemptTimeout = r.Line, r.Path.V, routePolicy.AttemptTimeout
+		if routePolicy.MaxAttempts > 0 && c.Effect.V != "once" {
+			policy.attempts = routePolicy.MaxAttempts
 		}
-		if bounds.DeadlineCap > 0 {
-			policy.deadline = min(policy.deadline, bounds.DeadlineCap)
+		if routePolicy.DeadlineCap > 0 {
+			policy.deadline = min(policy.deadline, routePolicy.DeadlineCap)
 		}
-		policy.maxBackoff = routes.MaxTotalBackoff(bounds, policy.attempts)
+		policy.maxBackoff = routes.MaxTotalBackoff(routePolicy, policy.attempts)
 		if r.Path.V == "" {
 			policies[0] = policy
 		} else {
@@ -454,7 +454,7 @@
 	if class == nil || h.next == nil {
 		return
 	}
-	line := max(h.busiestRouteLine(), 1)
+	line := max(h.maxAttemptsLine(), 1)
 	if h.attempts > 4 {
 		findings.add(AttemptsMultiply, h.app.File, line, "attempts", fmt.Sprint(h.attempts), "4 along the chain",
 			fmt.Sprintf("a request of class %s is tried up to %d times along %s", h.class, h.attempts, h.downstreamPath()))
@@ -466,13 +466,13 @@
 	}
 }
 
-// busiestRouteLine returns the line of the route with the most attempts, or that of
+// maxAttemptsLine returns the line of the route with the most attempts, or that of
 // the classes if there is no route.
-func (h *hop) busiestRouteLine() int {
-	line, most := h.app.Classes.Line, 0
+func (h *hop) maxAttemptsLine() int {
+	line, maxAttempts := h.app.Classes.Line, 0
 	for _, policy := range h.policies {
-		if policy.attempts > most && policy.line > 0 {
-			line, most = policy.line, policy.attempts
+		if policy.attempts > maxAttempts && policy.line > 0 {
+			line, maxAttempts = policy.line, policy.attempts
 		}
 	}
 	return line
@@ -521,7 +521,7 @@
 				needed = max(needed, time.Duration(policy.attempts)*policy.attemptTimeout+policy.maxBackoff)
 			}
 		}
-		line := max(h.busiestRouteLine(), 1)
+		line := max(h.maxAttemptsLine(), 1)
 		if required := s.Platform.Limits.AnswerGrace.V + time.Millisecond; left < required {
 			findings.add(NoTimeLeft, h.app.File, line, "classes", quote(h.class), "more than "+required.String(),
 				fmt.Sprintf("a request of class %s comes to the sidecar with %v along %s", h.class, left, h.upstreamPath()))
--- a/internal/operators/document/document.go
+++ b/internal/operators/document/document.go
@@ -44,13 +44,14 @@
 	Duplicate bool // the key is defined twice in a table
 }
 
+// newTable returns an empty table that begins in a line.
 func newTable(line int) *Table { return &Table{Line: line, Values: map[string]Value{}} }
 
 // Parse parses a file. If there are errors, the table holds everything that could be read.
 func Parse(text []byte) (*Table, []SyntaxError) {
 	r := &reader{data: text, root: newTable(1)}
 	if len(text) > MaxFileSize {
-		return r.root, []SyntaxError{{Text: fmt.Sprintf("file is larger than %d bytes", MaxFileSize)}}
+		return r.root, []SyntaxError{{Text: fmt.Sprintf("larger than %d bytes", MaxFileSize)}}
 	}
 	text = bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))
 	r.data = text
@@ -91,8 +92,9 @@
 	return r.lineAt(int(n.Raw.Offset))
 }
 
-// lineAt returns the line of a byte offset. It searches an index of line breaks rather than
-// counting them, because the number of keys grows with the size of the file.
+// lineAt returns the line of a byte offset. It searches an index of line breaks: a file may have
+// almost as many keys as bytes, and counting the breaks before each of them would take quadratic
+// time.
 func (r *reader) lineAt(offset int) int {
 	if r.lineBreaks == nil {
 		r.lineBreaks = []int{}
@@ -158,7 +160,7 @@
 	if n.Kind == unstable.ArrayTable {
 		list, isList := existing.V.([]Value)
 		if exists && !isList {
-			r.addError(line, name, fmt.Sprintf("already defined in line %d, and not as an array of tables", existing.Line))
+			r.addError(line, name, fmt.Sprintf("it stands already in line %d, and is no list", existing.Line))
 			return
 		}
 		r.current = newTable(line)
@@ -179,7 +181,7 @@
 		if t, ok := existing.V.(*Table); ok {
 			r.current = t
 		} else {
-			r.addError(line, name, fmt.Sprintf("already defined in line %d, and not as a table", existing.Line))
+			r.addError(line, name, fmt.Sprintf("it stands already in line %d, and is no table", existing.Line))
 		}
 		return
 	}
@@ -212,12 +214,12 @@
 				last, _ = x[len(x)-1].V.(*Table)
 			}
 			if last == nil {
-				r.addError(line, name, fmt.Sprintf("%q in line %d is not a table", part, v.Line))
+				r.addError(line, name, fmt.Sprintf("%q in line %d is no table", part, v.Line))
 				return nil
 			}
 			table = last
 		default:
-			r.addError(line, name, fmt.Sprintf("%q in line %d is not a table", part, v.Line))
+			r.addError(line, name, fmt.Sprintf("%q in line %d is no table", part, v.Line))
 			return nil
 		}
 	}
@@ -244,7 +246,7 @@
 	}
 	last := parts[len(parts)-1]
 	if existing, exists := table.Values[last]; exists {
-		r.syntaxErrors = append(r.syntaxErrors, SyntaxError{line, name, fmt.Sprintf("the key is already defined in line %d", existing.Line), true})
+		r.syntaxErrors = append(r.syntaxErrors, SyntaxError{line, name, fmt.Sprintf("the key stands already in line %d", existing.Line), true})
 		return
 	}
 	if r.tableFull(table, line, name) {
@@ -269,13 +271,13 @@
 	case unstable.Integer:
 		i, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
 		if err != nil {
-			r.addError(v.Line, "", fmt.Sprintf("%s is out of range or not a valid number", v.Text))
+			r.addError(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
 		}
 		v.V = i
 	case unstable.Float:
 		f, err := strconv.ParseFloat(strings.ReplaceAll(string(n.Data), "_", ""), 64)
 		if err != nil {
-			r.addError(v.Line, "", fmt.Sprintf("%s is out of range or not a valid number", v.Text))
+			r.addError(v.Line, "", fmt.Sprintf("%s is no number that can be held", v.Text))
 		}
 		v.V = f
 	case unstable.Array:
--- a/internal/operators/settings/settings.go
+++ b/internal/operators/settings/settings.go
@@ -37,8 +37,8 @@
 		SecondCopies   bool          `json:"second_copies"`
 		RetryAfter     bool          `json:"retry_after"`
 		MaxRetryAfter  time.Duration `json:"max_retry_after_ns"`
-		MostHeld       int           `json:"most_held"`
-		MostTries      int           `json:"most_tries"`
+		MaxHeld        int           `json:"most_held"`
+		MaxTries       int           `json:"most_tries"`
 		StreamsPerConn int           `json:"streams_per_conn"`
 	} `json:"limits"`
 	Obligations struct {
@@ -89,7 +89,7 @@
 	Zone           string        `json:"zone"`
 }
 
-// Values of the settings that stand for constants of package decide.
+// Constants of package decide by their names in the settings.
 var (
 	idempotencies = map[string]decide.Idempotency{"repeatable": decide.Idempotent, "by_key": decide.Keyed, "once": decide.AtMostOnce}
 	weightSources = map[string]decide.WeightSource{
@@ -112,7 +112,7 @@
 
 // Translate converts the settings to those of package decide.
 func (s *Object) Translate() (decide.Settings, error) {
-	set := decide.Settings{
+	translated := decide.Settings{
 		Node:               s.Me,
 		Nodes:              s.Instances,
 		Tier:               s.Tier,
@@ -122,7 +122,7 @@
 		DrainGrace:         s.Obligations.DrainGrace,
 		MinEventInterval:   s.Period,
 		PropagatesDeadline: s.Family.PassesDeadline,
-		MaxOpenRequests:    s.Limits.MostHeld,
+		MaxOpenRequests:    s.Limits.MaxHeld,
 		ConnIdleTimeout:    s.Limits.ConnIdle,
 		ConnectTimeout:     s.Limits.ConnectTimeout,
 		StreamsPerConn:     s.Limits.StreamsPerConn,
@@ -150,7 +150,7 @@
 			Nines:       s.Objective.LogLossPart,
 			FullNines:   s.Objective.TopNines,
 		},
-		MaxAttempts:    s.Limits.MostTries,
+		MaxAttempts:    s.Limits.MaxTries,
 		MaxRetryAfter:  s.Limits.MaxRetryAfter,
 		MayCancel:      s.Limits.Cancel,
 		MayProbe:       s.Limits.MayProbe,
@@ -158,38 +158,38 @@
 		MayAdviseRetry: s.Limits.RetryAfter,
 	}
 	if len(s.Categories) == 0 {
-		return set, errors.New("categories is empty, the settings must define at least one class")
+		return translated, errors.New("categories is empty, the settings must define at least one class")
 	}
 	mustSubscribe, err := LookupName(mustSubscribeByMode, "registry_mode", s.RegistryMode)
 	if err != nil {
-		return set, err
+		return translated, err
 	}
-	set.MustSubscribe = mustSubscribe
+	translated.MustSubscribe = mustSubscribe
 	if s.WeightSource != "" {
 		kind, err := LookupName(weightSources, "weight source", s.WeightSource)
 		if err != nil {
-			return set, err
+			return translated, err
 		}
-		set.WeightSource = kind
+		translated.WeightSource = kind
 	}
 	for _, category := range s.Categories {
 		idempotency, err := LookupName(idempotencies, "semantics", category.Semantics)
 		if err != nil {
-			return set, err
+			return translated, err
 		}
 		group := decide.GroupAll
 		if idempotency == decide.Keyed {
 			if group, err = LookupName(groups, "group", category.Group); err != nil {
-				return set, err
+				return translated, err
 			}
 		}
-		set.Classes = append(set.Classes, decide.Class{
+		translated.Classes = append(translated.Classes, decide.Class{
 			LatencyTarget: category.Aim, TargetPerWork: category.AimStretch, Deadline: category.Deadline, Worth: category.Worth, LateWorth: category.LateWorth,
 			Idempotency: idempotency, Group: group, KeyTTL: category.KeyTTL,
 		})
 	}
 	for _, tenant := range s.Tenants {
-		set.Tenants = append(set.Tenants, decide.Tenant{Quota: tenant.Quota, Share: tenant.Share})
+		translated.Tenants = append(translated.Tenants, decide.Tenant{Quota: tenant.Quota, Share: tenant.Share})
 	}
-	return set, nil
+	return translated, nil
 }
--- a/internal/sched/background/scheduler.go
+++ b/internal/sched/background/scheduler.go
@@ -197,7 +197,7 @@
 			continue
 		}
 		if j.deadline > 0 {
-			// A deadline is urgent from twice the expected remaining cost of the round before it.
+			// A deadline becomes urgent at twice the expected remaining cost of the round ahead of it.
 			urgentFrom := j.deadline - 2*max(j.roundCost-j.roundSpent, s.config.MaxSlice)
 			if urgentFrom <= now {
 				if urgent < 0 || j.deadline < s.jobs[urgent].deadline {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -18,7 +18,7 @@
 	files      map[string]*inode // as seen by the running process
 	durable    map[string]*inode // names that survive a power failure
 	ops        int
-	faults     map[int]string // by operation number: "error", "torn", "short", or "power", which lasts
+	faults     map[int]string // by operation number: "error", "torn", "short", or "power": all operations fail from then on
 	poweredOff bool
 }
 
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -150,7 +150,7 @@
 				result.records = result.records[:committed]
 				result.damagedBytes += pendingBytes
 			}
-			result.damagedBytes += gapBytes // it lies before an intact commit
+			result.damagedBytes += gapBytes // an intact record follows, so it is no torn write
 			committed, pendingBytes, gapBytes = len(result.records), 0, 0
 		case opEnd:
 			if len(entry.value) == 8 {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -60,11 +60,13 @@
 // ErrFull means that a row would exceed the store's limits. Nothing has changed.
 const ErrFull = Error("store: full")
 
+// rowKey identifies a row.
 type rowKey struct {
 	table byte
 	key   string
 }
 
+// row is the state of a row, or of its deletion until that is written.
 type row struct {
 	value   []byte
 	seq     uint64
@@ -124,6 +126,7 @@
 	return n, err == nil && n < maxGeneration && strconv.FormatUint(n, 10) == text
 }
 
+// fileName returns the name of a journal or snapshot of a generation.
 func fileName(kind string, generation uint64) string {
 	return kind + strconv.FormatUint(generation, 10)
 }
@@ -263,6 +266,7 @@
 	return s.setRow(now, entryKey, nil, true, urgent)
 }
 
+// setRow changes a row in memory and marks it to be written.
 func (s *Store) setRow(now time.Duration, key rowKey, value []byte, deleted, urgent bool) uint64 {
 	entry := s.rows[key]
 	if entry == nil {
@@ -334,8 +338,8 @@
 		data = change.append(data, s.generation)
 	}
 	if s.settings.AtomicCommits {
-		change := record{op: opCommit, value: binary.LittleEndian.AppendUint64(nil, uint64(len(s.dirty)))}
-		data = change.append(data, s.generation)
+		commit := record{op: opCommit, value: binary.LittleEndian.AppendUint64(nil, uint64(len(s.dirty)))}
+		data = commit.append(data, s.generation)
 	}
 	if err := s.writeAll(s.journal, data); err != nil {
 		return s.recordFailure(now, err)
@@ -470,6 +474,7 @@
 	return more, nil
 }
 
+// beginSnapshot creates the temporary file of this generation's snapshot, and lists the rows to write.
 func (s *Store) beginSnapshot() error {
 	file, err := s.fs.Create(fileName(snapshotPrefix, s.generation) + tempSuffix)
 	if err != nil {
@@ -502,8 +507,8 @@
 		// A row that has been deleted since the snapshot was started is in this generation's
 		// journal, and so is one that was not committed at that time.
 		if entry := s.rows[key]; entry != nil && !entry.deleted {
-			change := record{op: opPut, table: key.table, seq: entry.seq, key: key.key, value: entry.value}
-			data = change.append(data, s.generation)
+			put := record{op: opPut, table: key.table, seq: entry.seq, key: key.key, value: entry.value}
+			data = put.append(data, s.generation)
 			writer.rows++
 		}
 	}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -32,9 +32,9 @@
 // errStartFailed means that the command could not be started at all.
 var errStartFailed = errors.New("starting the application failed")
 
-// Run runs the application until it exits with code 0 or the context ends. When the context ends,
-// the application gets SIGTERM, and SIGKILL if it does not exit in time. An application that dies
-// is restarted. Run returns nil in both cases; an error means that the first start failed.
+// Run runs the application until it exits with code 0 or the context ends, and returns nil in both
+// cases. When the context ends, the application gets SIGTERM, and SIGKILL if it does not exit in
+// time. An application that dies is restarted. An error means that the first start failed.
 func Run(ctx context.Context, config Config) error {
 	backoff := config.InitialBackoff
 	for starts := 0; ; starts++ {
