--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -60,7 +60,7 @@
 
 // read returns a request's budget, clamped to this node's limits. If the request has crossed
 // this node before, it returns nil and the loop.
-func (b *budgets) read(r *http.Request, class int, left time.Duration) (g *requestBudget, loop string) {
+func (b *budgets) read(r *http.Request, class int, left time.Duration) (rb *requestBudget, loop string) {
 	values, baggage := r.Header[budget.HeaderName], r.Header[budget.BaggageHeaderName]
 	given, err := budget.FromHeaders(values, baggage)
 	if err != nil {
@@ -77,11 +77,11 @@
 		b.logFirst(&b.loops, "rejecting a request that has come round in a loop", "loop", strings.Join(cycle, " -> "))
 		return nil, strings.Join(cycle, " -> ")
 	}
-	g = &requestBudget{grant: grant}
+	rb = &requestBudget{grant: grant}
 	if len(baggage) == 1 {
-		g.baggage = baggage[0]
+		rb.baggage = baggage[0]
 	}
-	return g, ""
+	return rb, ""
 }
 
 // open opens a request's account. Only the loop calls it.
@@ -97,64 +97,64 @@
 
 // beginAttempt charges an attempt to a request's account, and returns the header lines to
 // send with it.
-func (b *budgets) beginAttempt(now time.Duration, g *requestBudget) string {
-	if g == nil {
+func (b *budgets) beginAttempt(now time.Duration, rb *requestBudget) string {
+	if rb == nil {
 		return ""
 	}
 	b.nextAttemptID++
-	down, ok := g.account.BeginAttempt(b.name, b.name[:min(len(b.name), 15)]+"."+strconv.FormatUint(b.nextAttemptID, 36), now-g.openedAt)
+	down, ok := rb.account.BeginAttempt(b.name, b.name[:min(len(b.name), 15)]+"."+strconv.FormatUint(b.nextAttemptID, 36), now-rb.openedAt)
 	if b.leaf {
-		g.account.RevokeGrant()
+		rb.account.RevokeGrant()
 		down.ExtraAttempts = 0
 	}
 	if !ok { // the balancer has checked the account; without a header, the tier below uses its own limits
 		return ""
 	}
 	lines := budget.HeaderName + ": " + down.Encode() + "\r\n"
-	if g.baggage != "" {
-		lines += budget.BaggageHeaderName + ": " + down.AddToBaggage(g.baggage) + "\r\n"
+	if rb.baggage != "" {
+		lines += budget.BaggageHeaderName + ": " + down.AddToBaggage(rb.baggage) + "\r\n"
 	}
 	return lines
 }
 
 // endAttempt settles an attempt, and returns how many attempts of the budget the tiers below
 // have spent with it.
-func (b *budgets) endAttempt(g *requestBudget, o *upstream.Outcome) (below int) {
-	if g == nil {
+func (b *budgets) endAttempt(rb *requestBudget, o *upstream.Outcome) (below int) {
+	if rb == nil {
 		return 0
 	}
-	before := g.account.SpentBelow()
+	before := rb.account.SpentBelow()
 	spent, advice, err := budget.ParseSpent(o.SpentBudget)
 	if err != nil {
 		b.logFirst(&b.malformed, "ignoring the malformed spent budget of an answer", "err", err)
 	}
-	ran := o.Result != decide.Rejected && o.Result != decide.ConnectFailed && o.Result != decide.NotSent
-	g.account.EndAttempt(spent, ran)
-	g.retryAdvice = advice
-	below = g.account.SpentBelow() - before
+	mayHaveRun := o.Result != decide.Rejected && o.Result != decide.ConnectFailed && o.Result != decide.NotSent
+	rb.account.EndAttempt(spent, mayHaveRun)
+	rb.retryAdvice = advice
+	below = rb.account.SpentBelow() - before
 	if !advice.RetryUseful() { // another attempt would have the same result
-		below = max(below, g.account.Remaining())
+		below = max(below, rb.account.Remaining())
 	}
 	return below
 }
 
 // close closes a request's account, and returns the value of its answer's spent-budget header.
-func (b *budgets) close(g *requestBudget, e answerStatus, ran bool) string {
-	if g == nil || g.closed {
+func (b *budgets) close(rb *requestBudget, status answerStatus, mayHaveRun bool) string {
+	if rb == nil || rb.closed {
 		return ""
 	}
-	g.closed = true
-	totalSpent := b.ledger.EndCall(g.grant, g.account.Committed())
+	rb.closed = true
+	totalSpent := b.ledger.EndCall(rb.grant, rb.account.Committed())
 	advice := budget.RetryAdvice("")
 	switch {
-	case e == served:
-	case e == refused && !ran:
+	case status == served:
+	case status == refused && !mayHaveRun:
 		advice = budget.Overloaded
-	case g.retryAdvice == budget.Loop:
+	case rb.retryAdvice == budget.Loop:
 		advice = budget.Loop
-	case g.account.Remaining() == 0 && g.grant.ExtraAttempts > 0:
+	case rb.account.Remaining() == 0 && rb.grant.ExtraAttempts > 0:
 		advice = budget.OutOfBudget
-	case ran:
+	case mayHaveRun:
 		advice = budget.MayHaveRun
 	default:
 		advice = budget.HasNotRun
--- a/internal/node/discovery/discovery.go
+++ b/internal/node/discovery/discovery.go
@@ -37,7 +37,7 @@
 	maxHeaderSize      = 64 << 10
 )
 
-// Client calls the discovery service for the list of servers, as requested by the decision module.
+// Client calls the discovery service for the list of servers, as requested by the balancer.
 type Client struct {
 	service          atomic.Pointer[service]
 	resumeGeneration atomic.Pointer[uint64] // where a watch without a list starts; nil: fetch the whole list
@@ -56,8 +56,8 @@
 	queueTime     time.Duration        // a younger call may still be queued at discovery
 	moveDelay     func() time.Duration // delay of the first call to a new address
 
-	mu          sync.Mutex
-	listTimeout *endpoints.CallTiming // timeout of calls for the whole list
+	mu         sync.Mutex
+	callTiming *endpoints.CallTiming // adapts the timeout of calls for the whole list
 }
 
 // Update is the result of a call to discovery, or news of one that is pending.
@@ -98,7 +98,7 @@
 
 // New returns a client for the node at a position in its fleet.
 func New(address string, position endpoints.FleetPosition, log *slog.Logger, report func(Update)) *Client {
-	listTimeout := endpoints.NewCallTiming(position.NodeCount, callTimeout)
+	callTiming := endpoints.NewCallTiming(position.NodeCount, callTimeout)
 	pacer := endpoints.NewCallPacer(position)
 	d := &Client{
 		log:            log,
@@ -109,9 +109,9 @@
 		listsPushed:    position.Pushed,
 		pollTimes:      endpoints.NewPollSchedule(position).NextPoll,
 		pacer:          pacer,
-		moveDelay:      func() time.Duration { return pacer.SpreadDelay(listTimeout.StartSpread()) },
+		moveDelay:      func() time.Duration { return pacer.SpreadDelay(callTiming.StartSpread()) },
 		queueTime:      maxQueueTime, acceptedAfter: endpoints.PollAcceptedAfter,
-		listTimeout: listTimeout,
+		callTiming: callTiming,
 	}
 	d.service.Store(newService(address))
 	return d
@@ -162,7 +162,7 @@
 // is 0.
 func (d *Client) fetchWholeList(ctx context.Context, fetch fetchFunc, maxWait time.Duration) (*endpoints.List, error) {
 	d.mu.Lock()
-	timeout := d.listTimeout.Timeout()
+	timeout := d.callTiming.Timeout()
 	d.mu.Unlock()
 	if maxWait > 0 {
 		timeout = min(timeout, maxWait)
@@ -172,7 +172,7 @@
 	took := time.Since(started)
 	if ctx.Err() == nil && !errors.Is(err, errMoved) {
 		d.mu.Lock()
-		d.listTimeout.RecordCall(took, err != nil && took >= timeout)
+		d.callTiming.RecordCall(took, err != nil && took >= timeout)
 		d.mu.Unlock()
 	}
 	return l, err
--- a/internal/node/discovery/discovery_test.go
+++ b/internal/node/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 // onlyNode is the position of a node that is alone in its fleet.
 func onlyNode() endpoints.FleetPosition { return endpoints.FleetPosition{NodeCount: 1} }
 
-// forwardLists passes on lists, and nil for failed calls, as the decision module would receive
+// forwardLists passes on lists, and nil for failed calls, as the balancer would receive
 // them. A long poll that timed out is neither.
 func forwardLists(lists chan<- *endpoints.List) func(Update) {
 	return func(u Update) {
@@ -46,7 +46,7 @@
 
 // A long poll without any answer is lost, and must be repeated at once from the same generation:
 // otherwise the node would receive no more changes. The next poll must be a short one. It isn't a
-// failed call, after which the decision module pauses, because the poll has waited long enough.
+// failed call, after which the balancer pauses, because the poll has waited long enough.
 func TestSilentWatchRestarts(t *testing.T) {
 	d := NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
@@ -152,7 +152,7 @@
 
 // When discovery moves, the watch must continue at the new address at once and from the same
 // generation. The end of the call to the old address must not count as a failed call, after which
-// the decision module waits. The old address must get no further calls.
+// the balancer waits. The old address must get no further calls.
 func TestWatchFollowsAddressChange(t *testing.T) {
 	old, next := NewDiscoveryServer(t), NewDiscoveryServer(t)
 	reports := make(chan *endpoints.List, 10)
@@ -168,7 +168,7 @@
 	if q := next.Query(0); !strings.HasPrefix(q, "since=3&") {
 		t.Errorf("query is %q", q)
 	}
-	// A failed watch waits for the decision module; an address change ends that wait too.
+	// A failed watch waits for the balancer; an address change ends that wait too.
 	next.SendList(t, "")
 	if l := <-reports; l != nil {
 		t.Errorf("reported %v, want a failed call", l)
@@ -355,10 +355,10 @@
 	stop()
 }
 
-// If lists are pushed, the decision module requests none, and what the agent has counts as
+// If lists are pushed, the balancer requests none, and what the agent has counts as
 // delivered at once. The watch must run from the start without being requested, an unanswered call
 // must end within the drain grace, and a failed call must be repeated at once. While discovery is
-// down the agent doesn't answer: that is logged once, and isn't reported to the decision module for
+// down the agent doesn't answer: that is logged once, and isn't reported to the balancer for
 // longer than it lasts.
 func TestPushedLists(t *testing.T) {
 	s := newHeldServer(t)
@@ -393,7 +393,7 @@
 }
 
 // A watch is restarted, the new call fails, and the previous one is answered after all. The
-// decision module takes that for a running watch and requests nothing more, so the watch has to
+// balancer takes that for a running watch and requests nothing more, so the watch has to
 // continue.
 func TestPreviousAnswerAfterFailureContinuesWatch(t *testing.T) {
 	s := newHeldServer(t)
--- a/internal/node/discovery/overload_test.go
+++ b/internal/node/discovery/overload_test.go
@@ -84,7 +84,7 @@
 }
 
 // After the reset of an open long poll, which may hit all nodes at once, the next poll must start
-// at the node's turn and not when the decision module requests it. It must be as long as any other:
+// at the node's turn and not when the balancer requests it. It must be as long as any other:
 // the network has just delivered the reset.
 func TestPollResetWaitsForTurn(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,7 +132,7 @@
 }
 
 // After a call that discovery refused as overloaded, the pacer's pause must be kept, though the
-// decision module requests the watch sooner, and the reason must be reported. After an answer the
+// balancer requests the watch sooner, and the reason must be reported. After an answer the
 // next long poll must start at once.
 func TestWatchPausesAfterOverload(t *testing.T) {
 	d := NewDiscoveryServer(t)
@@ -292,7 +292,7 @@
 	if u := <-updates; u.List == nil || !u.WatchPaused {
 		t.Errorf("unexpected report %+v", u)
 	}
-	d.SetWatch(true) // a request from the decision module doesn't end the pause
+	d.SetWatch(true) // a request from the balancer doesn't end the pause
 	select {
 	case c := <-s.calls:
 		t.Errorf("unexpected call %q at once", c.query)
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -56,11 +56,11 @@
 }
 
 // RunWatch runs the watch, while it is turned on, until the context ends. A failed call ends the
-// watch, and the decision module decides when to call again. A long poll that gets no answer at all
+// watch, and the balancer decides when to call again. A long poll that gets no answer at all
 // isn't such a failure and is repeated at once. A watch that is waiting for a lost poll at an old
 // address restarts when the address changes.
 //
-// If lists are pushed, the decision module requests nothing: the watch on the local agent runs by
+// If lists are pushed, the balancer requests nothing: the watch on the local agent runs by
 // itself, and failed calls are repeated after a short pause.
 func (d *Client) RunWatch(ctx context.Context, since *uint64) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -223,7 +223,7 @@
 			}
 			return
 		}
-		// The decision module learns that the watch continues, whatever became of the current call,
+		// The balancer learns that the watch continues, whatever became of the current call,
 		// and changes from now on count as delivered. In an overload all nodes may have been
 		// answered at the same time, and immediate calls would queue up behind each other for too
 		// long.
@@ -282,7 +282,7 @@
 	switch {
 	case w.listsPushed:
 		w.pauseCalls(agentRetryPause)
-	case f.Reason == endpoints.Overloaded: // the decision module may want to call sooner
+	case f.Reason == endpoints.Overloaded: // the balancer may want to call sooner
 		w.pauseCalls(w.pacer.RecordOverload(wallClock(), endpoints.OverloadedCall{Took: f.Took, AnsweredBefore: w.everAnswered, Servers: int(w.serverCount.Load())}))
 	case f.Reason == endpoints.PollReset:
 		w.everAnswered = true // all changes would have arrived on it
--- a/internal/node/front/request.go
+++ b/internal/node/front/request.go
@@ -33,7 +33,7 @@
 	accounted [2]int // bytes accounted in the memory budget: for reading, and for the open request
 }
 
-func (w *activeState) bytes() int { return 160 + cap(w.buf) }
+func (a *activeState) bytes() int { return 160 + cap(a.buf) }
 
 // ensureActive returns the connection's activeState and creates one if it has none.
 func (s *Server) ensureActive(c *conn) *activeState {
@@ -50,28 +50,28 @@
 
 // account records in the memory budget how many bytes an activeState takes for a use: 0 is reading,
 // 1 is the open request.
-func (s *Server) account(w *activeState, which, bytes int) {
+func (s *Server) account(active *activeState, which, bytes int) {
 	use := [...]membudget.Category{membudget.PartialRequests, membudget.OpenRequests}[which]
-	s.memory.Add(use, bytes-w.accounted[which])
-	w.accounted[which] = bytes
+	s.memory.Add(use, bytes-active.accounted[which])
+	active.accounted[which] = bytes
 }
 
 // releaseActive removes a connection's activeState and returns it to the pool.
 func (s *Server) releaseActive(c *conn) {
-	w := c.active
-	if w == nil {
+	active := c.active
+	if active == nil {
 		return
 	}
 	c.active = nil
-	s.account(w, 0, 0)
-	s.account(w, 1, 0)
-	s.memory.Add(membudget.PendingAnswers, -len(w.unsent))
-	if len(s.pool) >= maxPooled || cap(w.buf) > maxPooledBuffer {
+	s.account(active, 0, 0)
+	s.account(active, 1, 0)
+	s.memory.Add(membudget.PendingAnswers, -len(active.unsent))
+	if len(s.pool) >= maxPooled || cap(active.buf) > maxPooledBuffer {
 		return
 	}
-	*w = activeState{buf: w.buf[:0]}
-	s.pool = append(s.pool, w)
-	s.memory.Add(membudget.PooledBuffers, w.bytes())
+	*active = activeState{buf: active.buf[:0]}
+	s.pool = append(s.pool, active)
+	s.memory.Add(membudget.PooledBuffers, active.bytes())
 	if len(s.pool) == minPooled+1 && s.config.Hooks.ReleaseBuffers != nil {
 		s.config.Hooks.ReleaseBuffers()
 	}
@@ -199,17 +199,17 @@
 		if c == nil || c.state != stateReading {
 			continue
 		}
-		turn := c.generation
-		if w := c.active; w != nil && w.request == nil && len(w.buf) > 0 {
-			rest := w.buf
-			w.buf, w.scanFrom = nil, 0
+		generation := c.generation
+		if active := c.active; active != nil && active.request == nil && len(active.buf) > 0 {
+			rest := active.buf
+			active.buf, active.scanFrom = nil, 0
 			s.consume(i, c, rest)
 		}
-		if c.generation == turn && c.state == stateReading && c.readPending {
+		if c.generation == generation && c.state == stateReading && c.readPending {
 			c.readPending = false
 			s.readConn(i, c)
 		}
-		if c.generation == turn && c.state == stateReading && !c.readPending && (c.active == nil || len(c.active.buf) == 0 && c.active.request == nil) {
+		if c.generation == generation && c.state == stateReading && !c.readPending && (c.active == nil || len(c.active.buf) == 0 && c.active.request == nil) {
 			s.park(i, c) // there were no bytes after all
 		}
 	}
@@ -217,8 +217,8 @@
 
 // readConn reads until a complete request has come or there are no more bytes.
 func (s *Server) readConn(i int32, c *conn) {
-	turn := c.generation
-	for reads := 0; c.generation == turn && c.state == stateReading; reads++ {
+	generation := c.generation
+	for reads := 0; c.generation == generation && c.state == stateReading; reads++ {
 		if reads == maxReadsPerTurn {
 			c.readPending = true
 			s.runnable.push(s.table.token(i))
@@ -232,7 +232,7 @@
 		}
 		switch {
 		case err == nil && full:
-			if c.generation == turn && c.state == stateReading {
+			if c.generation == generation && c.state == stateReading {
 				c.readPending = false
 			}
 			continue
@@ -254,28 +254,28 @@
 // consume processes received bytes of a connection in stateReading. Bytes of an incomplete request
 // are kept.
 func (s *Server) consume(i int32, c *conn, data []byte) {
-	w := c.active
-	if w != nil && w.request != nil {
-		n := min(len(data), cap(w.body)-len(w.body))
-		w.body = append(w.body, data[:n]...)
-		if data = data[n:]; len(w.body) == cap(w.body) {
-			s.dispatch(i, c, w.request, w.body, data)
+	active := c.active
+	if active != nil && active.request != nil {
+		n := min(len(data), cap(active.body)-len(active.body))
+		active.body = append(active.body, data[:n]...)
+		if data = data[n:]; len(active.body) == cap(active.body) {
+			s.dispatch(i, c, active.request, active.body, data)
 		}
 		return
 	}
-	look := 0
-	if w != nil && len(w.buf) > 0 {
-		w.buf = append(w.buf, data...)
-		data, look = w.buf, w.scanFrom
+	scanFrom := 0
+	if active != nil && len(active.buf) > 0 {
+		active.buf = append(active.buf, data...)
+		data, scanFrom = active.buf, active.scanFrom
 	}
 	if c.lastWasPOST { // RFC 9112, 2.2: an old client may send an empty line after a POST
 		n := 0
 		for n < min(len(data), 4) && (data[n] == '\r' || data[n] == '\n') {
 			n++
 		}
-		data, look = data[n:], max(0, look-n)
+		data, scanFrom = data[n:], max(0, scanFrom-n)
 	}
-	end, next := headEnd(data, look)
+	end, next := headEnd(data, scanFrom)
 	if end == 0 {
 		if len(data) > s.config.MaxHeadSize+headSizeSlack {
 			s.reject(i, c, &requestError{http.StatusRequestHeaderFieldsTooLarge, "the head is too large"})
@@ -284,11 +284,11 @@
 		if len(data) == 0 {
 			return
 		}
-		w = s.ensureActive(c)
+		active = s.ensureActive(c)
 		c.lastWasPOST = false
-		w.buf = append(w.buf[:0], data...)
-		w.scanFrom = next
-		s.account(w, 0, w.bytes())
+		active.buf = append(active.buf[:0], data...)
+		active.scanFrom = next
+		s.account(active, 0, active.bytes())
 		return
 	}
 	if end > s.config.MaxHeadSize+headSizeSlack {
@@ -329,11 +329,11 @@
 		s.reject(i, c, &requestError{http.StatusExpectationFailed, "the expectation can't be met"})
 		return
 	}
-	w := s.ensureActive(c)
-	w.request = r
-	w.body = append(make([]byte, 0, length), rest...)
-	w.buf, w.scanFrom = w.buf[:0], 0
-	s.account(w, 0, w.bytes()+cap(w.body)+openRequestBytes)
+	active := s.ensureActive(c)
+	active.request = r
+	active.body = append(make([]byte, 0, length), rest...)
+	active.buf, active.scanFrom = active.buf[:0], 0
+	s.account(active, 0, active.bytes()+cap(active.body)+openRequestBytes)
 }
 
 // dispatch passes a complete request to the handler. rest is what follows the request.
@@ -351,14 +351,14 @@
 		}
 	}
 	s.stats.Requests++
-	w := s.ensureActive(c)
-	w.request, w.body = nil, nil
+	active := s.ensureActive(c)
+	active.request, active.body = nil, nil
 	if r.Body == http.NoBody || r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
 		r.Body = http.NoBody
 	} else if len(body) > 0 {
 		r.Body = io.NopCloser(bytes.NewReader(body))
 	}
-	w.headOnly = r.Method == http.MethodHead
+	active.headOnly = r.Method == http.MethodHead
 	c.closeAfterResponse = r.Close || !r.ProtoAtLeast(1, 1) || c.overLimit
 	s.wheel.Cancel(i)
 	c.state = stateOpen
@@ -369,24 +369,24 @@
 		s.idleConns.UnclassifiedReceived(i)
 	}
 	// The handler has finished with the body, so rest may overwrite it.
-	w.buf, w.scanFrom = append(w.buf[:0], rest...), 0
+	active.buf, active.scanFrom = append(active.buf[:0], rest...), 0
 	c.pipelined = len(rest) > 0 // bytes of the next request hide that the client has closed
-	s.account(w, 0, 0)
-	s.account(w, 1, openRequestBytes+len(body)+cap(w.buf))
+	s.account(active, 0, 0)
+	s.account(active, 1, openRequestBytes+len(body)+cap(active.buf))
 	if response != nil {
 		s.sendResponse(i, c, response)
 		return
 	}
-	w.handle = handle
+	active.handle = handle
 }
 
 // reject answers an invalid request and closes its connection.
-func (s *Server) reject(i int32, c *conn, f *requestError) {
+func (s *Server) reject(i int32, c *conn, e *requestError) {
 	s.stats.Refused++
 	s.ensureActive(c)
 	c.readPending = true
 	s.idleConns.UnclassifiedReceived(i)
-	s.sendResponse(i, c, &Response{Status: f.status, Text: f.text, Close: true})
+	s.sendResponse(i, c, &Response{Status: e.status, Text: e.text, Close: true})
 }
 
 // requestTimedOut ends a request that was not complete in time.
@@ -408,10 +408,10 @@
 // discardInput discards what follows the final response until the client closes, so that no reset
 // destroys the response. Beyond maxLingerDiscard bytes the rest stays in the kernel.
 func (s *Server) discardInput(i int32, c *conn) {
-	w := s.ensureActive(c)
-	for w.discarded < maxLingerDiscard {
+	active := s.ensureActive(c)
+	for active.discarded < maxLingerDiscard {
 		n, err := s.config.Transport.Read(c.socket, s.readBuffer)
-		w.discarded += n
+		active.discarded += n
 		if errors.Is(err, ErrWouldBlock) {
 			return
 		}
--- a/internal/node/front/response.go
+++ b/internal/node/front/response.go
@@ -37,23 +37,23 @@
 }
 
 // encode appends the wire form of a response.
-func (s *Server) encode(to []byte, a *Response, head, closes bool) []byte {
+func (s *Server) encode(to []byte, r *Response, head, closes bool) []byte {
 	to = append(to, "HTTP/1.1 "...)
-	to = strconv.AppendInt(to, int64(a.Status), 10)
-	to = append(append(append(to, ' '), http.StatusText(a.Status)...), "\r\n"...)
-	length, contentType := len(a.Body), a.ContentType
-	if a.Text != "" {
-		length, contentType = len(a.Text)+1, "text/plain"
+	to = strconv.AppendInt(to, int64(r.Status), 10)
+	to = append(append(append(to, ' '), http.StatusText(r.Status)...), "\r\n"...)
+	length, contentType := len(r.Body), r.ContentType
+	if r.Text != "" {
+		length, contentType = len(r.Text)+1, "text/plain"
 	}
 	if contentType != "" {
 		to = append(append(append(to, "Content-Type: "...), contentType...), "\r\n"...)
 	}
-	if a.RetryAfter > 0 {
+	if r.RetryAfter > 0 {
 		to = append(to, "Retry-After: "...)
-		to = append(strconv.AppendFloat(to, a.RetryAfter.Seconds(), 'f', 3, 64), "\r\n"...)
+		to = append(strconv.AppendFloat(to, r.RetryAfter.Seconds(), 'f', 3, 64), "\r\n"...)
 	}
-	if a.HeaderName != "" {
-		to = append(append(append(append(to, a.HeaderName...), ": "...), a.HeaderValue...), "\r\n"...)
+	if r.HeaderName != "" {
+		to = append(append(append(append(to, r.HeaderName...), ": "...), r.HeaderValue...), "\r\n"...)
 	}
 	if closes {
 		to = append(to, "Connection: close\r\n"...)
@@ -62,32 +62,32 @@
 	to = append(strconv.AppendInt(append(to, "Content-Length: "...), int64(length), 10), "\r\n\r\n"...)
 	switch {
 	case head:
-	case a.Text != "":
-		to = append(append(to, a.Text...), '\n')
+	case r.Text != "":
+		to = append(append(to, r.Text...), '\n')
 	default:
-		to = append(to, a.Body...)
+		to = append(to, r.Body...)
 	}
 	return to
 }
 
 // sendResponse sends as much of a response as the client accepts now.
-func (s *Server) sendResponse(i int32, c *conn, a *Response) {
+func (s *Server) sendResponse(i int32, c *conn, r *Response) {
 	s.stats.Responses++
-	w := c.active
-	w.handle = nil
-	c.closeAfterResponse = c.closeAfterResponse || a.Close || s.shuttingDown
-	s.writeBuffer = s.encode(s.writeBuffer[:0], a, w.headOnly, c.closeAfterResponse)
+	active := c.active
+	active.handle = nil
+	c.closeAfterResponse = c.closeAfterResponse || r.Close || s.shuttingDown
+	s.writeBuffer = s.encode(s.writeBuffer[:0], r, active.headOnly, c.closeAfterResponse)
 	n, err := s.config.Transport.Write(c.socket, s.writeBuffer)
 	if err != nil && !errors.Is(err, ErrWouldBlock) {
 		s.closeConn(i, c, closeWriteFailed)
 		return
 	}
-	s.account(w, 1, cap(w.buf))
+	s.account(active, 1, cap(active.buf))
 	if n < len(s.writeBuffer) {
-		w.unsent = append([]byte(nil), s.writeBuffer[n:]...)
-		s.memory.Add(membudget.PendingAnswers, len(w.unsent))
+		active.unsent = append([]byte(nil), s.writeBuffer[n:]...)
+		s.memory.Add(membudget.PendingAnswers, len(active.unsent))
 		c.state = stateWriting
-		until := a.WriteDeadline
+		until := r.WriteDeadline
 		if until == 0 {
 			until = s.now + defaultWriteTimeout
 		}
@@ -107,11 +107,11 @@
 
 // flushResponse sends more of a response.
 func (s *Server) flushResponse(i int32, c *conn) {
-	w := c.active
-	for len(w.unsent) > 0 {
-		n, err := s.config.Transport.Write(c.socket, w.unsent)
+	active := c.active
+	for len(active.unsent) > 0 {
+		n, err := s.config.Transport.Write(c.socket, active.unsent)
 		s.memory.Add(membudget.PendingAnswers, -n)
-		w.unsent = w.unsent[n:]
+		active.unsent = active.unsent[n:]
 		if errors.Is(err, ErrWouldBlock) || err == nil && n == 0 {
 			if s.config.Transport.NotifyWritable(c.socket, s.table.token(i)) != nil {
 				s.closeConn(i, c, closeTransport)
@@ -123,7 +123,7 @@
 			return
 		}
 	}
-	w.unsent = nil
+	active.unsent = nil
 	s.wheel.Cancel(i)
 	s.responseSent(i, c)
 }
@@ -131,9 +131,9 @@
 // responseSent continues after a complete response: with bytes that followed the request, or by
 // parking or closing the connection.
 func (s *Server) responseSent(i int32, c *conn) {
-	w := c.active
+	active := c.active
 	if c.closeAfterResponse {
-		if c.overLimit && !c.readPending && len(w.buf) == 0 { // its descriptor is needed at once
+		if c.overLimit && !c.readPending && len(active.buf) == 0 { // its descriptor is needed at once
 			s.closeConn(i, c, closeEvicted)
 			return
 		}
@@ -142,16 +142,16 @@
 		// close.
 		s.config.Transport.CloseWrite(c.socket)
 		c.state = stateLingering
-		w.buf, w.request, w.body = nil, nil, nil
-		s.account(w, 0, 0)
-		s.account(w, 1, 0)
+		active.buf, active.request, active.body = nil, nil, nil
+		s.account(active, 0, 0)
+		s.account(active, 1, 0)
 		s.idleConns.UnclassifiedReceived(i)
 		s.wheel.Arm(i, s.now+lingerTimeout)
 		s.discardInput(i, c)
 		return
 	}
 	c.pipelined = false
-	if len(w.buf) > 0 || c.readPending {
+	if len(active.buf) > 0 || c.readPending {
 		c.state = stateReading
 		s.idleConns.RequestPipelined(s.now, i)
 		s.wheel.Arm(i, s.now+RequestTimeout)
--- a/internal/node/front/server.go
+++ b/internal/node/front/server.go
@@ -150,9 +150,9 @@
 
 // Respond sends the response to an open request. Any goroutine may call it, and it doesn't block.
 // If the client has disconnected, the response is dropped.
-func (s *Server) Respond(t Token, a Response) {
+func (s *Server) Respond(t Token, r Response) {
 	s.mu.Lock()
-	s.responses = append(s.responses, queuedResponse{t, a})
+	s.responses = append(s.responses, queuedResponse{t, r})
 	s.mu.Unlock()
 	select {
 	case s.responseReady <- struct{}{}:
@@ -235,9 +235,9 @@
 	defer s.closeAll()
 	t := s.config.Transport
 	t.SetAccepting(true)
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	var alarmAt time.Duration
+	wakeTimer := time.NewTimer(0)
+	defer wakeTimer.Stop()
+	var wakeAt time.Duration
 	for {
 		select {
 		case <-ctx.Done():
@@ -252,13 +252,13 @@
 			s.runTurn(s.writeResponses)
 		case f := <-s.tasks:
 			s.runTurn(f)
-		case <-alarm.C:
-			alarmAt = 0
+		case <-wakeTimer.C:
+			wakeAt = 0
 			s.runTurn(func() {})
 		}
-		if at, ok := s.nextWake(); ok && (alarmAt == 0 || at < alarmAt) {
-			alarm.Reset(max(at-s.config.Now(), 0))
-			alarmAt = at
+		if at, ok := s.nextWake(); ok && (wakeAt == 0 || at < wakeAt) {
+			wakeTimer.Reset(max(at-s.config.Now(), 0))
+			wakeAt = at
 		}
 	}
 }
@@ -391,9 +391,9 @@
 
 // addConn adds a new connection.
 func (s *Server) addConn(socket Socket, remote netip.Addr) {
-	crowded := s.table.inUse >= s.config.MaxConns
+	overLimit := s.table.inUse >= s.config.MaxConns
 	i, c := s.table.allocate()
-	c.socket, c.state, c.overLimit = socket, stateReading, crowded
+	c.socket, c.state, c.overLimit = socket, stateReading, overLimit
 	c.rulesVersion = s.rulesVersion
 	s.memory.Add(membudget.ConnectionState, parkedConnBytes)
 	s.idleConns.Add(s.now, i, s.config.IdleRules.Source(remote), s.clientHash(remote))
--- a/internal/node/front/simulation_test.go
+++ b/internal/node/front/simulation_test.go
@@ -47,19 +47,19 @@
 	body   string
 }
 
-func newHarness(t testing.TB, most, memoryBytes int) *harness {
+func newHarness(t testing.TB, maxConns, memoryBytes int) *harness {
 	h := &harness{t: t, net: newMemory(), now: time.Hour}
 	h.net.accepting = true
 	h.server = New(Config{
 		Transport: h.net, Handler: h, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return h.now },
-		MaxConns: most, MaxRefusalConns: 2, MemoryBudget: memoryBytes, ClassWorths: []float64{1, 12}, EvictionPolicy: idleconns.LowestValue,
+		MaxConns: maxConns, MaxRefusalConns: 2, MemoryBudget: memoryBytes, ClassWorths: []float64{1, 12}, EvictionPolicy: idleconns.LowestValue,
 		MaxHeadSize: 1 << 10, MaxBodySize: 1 << 10,
 	})
 	return h
 }
 
 // HandleRequest implements Handler. It answers some requests at once.
-func (h *harness) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
+func (h *harness) HandleRequest(t Token, r *http.Request, overLimit bool) (any, int, *Response) {
 	i, c := h.server.table.lookup(uint64(t))
 	if c == nil || c.state != stateOpen {
 		h.t.Fatalf("got a request of connection %d in state %v", i, c)
@@ -79,7 +79,7 @@
 		h.t.Fatalf("client %d: request %d has the body %q, the client sent %q", client.id, client.delivered, body, client.bodies)
 	}
 	client.delivered++
-	if crowded {
+	if overLimit {
 		return nil, 0, &Response{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
 	}
 	for _, o := range h.open {
@@ -92,9 +92,9 @@
 	return o, len(body) % 2, nil
 }
 
-func (h *harness) ClientGone(open any) {
+func (h *harness) ClientGone(handle any) {
 	for i, o := range h.open {
-		if o == open {
+		if o == handle {
 			h.open = append(h.open[:i], h.open[i+1:]...)
 			h.gone++
 			return
--- a/internal/node/front/system_linux.go
+++ b/internal/node/front/system_linux.go
@@ -2,5 +2,5 @@
 
 import "net"
 
-// NewTransport makes the transport that fits the system.
+// NewTransport returns the transport for this operating system.
 func NewTransport(l net.Listener) (Transport, error) { return NewEpoll(l) }
--- a/internal/node/front/transport_test.go
+++ b/internal/node/front/transport_test.go
@@ -31,9 +31,9 @@
 	holdRequests     bool // requests stay open until answer is called
 }
 
-func (s *socketFixture) HandleRequest(t Token, r *http.Request, crowded bool) (any, int, *Response) {
+func (s *socketFixture) HandleRequest(t Token, r *http.Request, overLimit bool) (any, int, *Response) {
 	body, _ := io.ReadAll(r.Body)
-	if crowded {
+	if overLimit {
 		return nil, 0, &Response{Status: http.StatusTooManyRequests, Text: "crowded", Close: true}
 	}
 	if !s.holdRequests {
@@ -45,10 +45,10 @@
 	return t, 0, nil
 }
 
-func (s *socketFixture) ClientGone(open any) {
+func (s *socketFixture) ClientGone(handle any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, open.(Token))
+	delete(s.open, handle.(Token))
 	s.gone.Add(1)
 }
 
@@ -69,21 +69,21 @@
 }
 
 // eachTransport runs a test with every transport of real sockets.
-func eachTransport(t *testing.T, play func(t *testing.T, start func(change func(*Config), waits bool) *socketFixture)) {
+func eachTransport(t *testing.T, play func(t *testing.T, start func(change func(*Config), holdRequests bool) *socketFixture)) {
 	kinds := map[string]func(net.Listener) (Transport, error){"system": NewTransport, "goroutines": NewGoroutineTransport}
 	for name, make := range kinds {
 		for _, network := range []string{"tcp", "unix"} {
 			t.Run(name+"/"+network, func(t *testing.T) {
 				t.Parallel()
-				play(t, func(change func(*Config), waits bool) *socketFixture {
-					return startSocketFixture(t, make, network, change, waits)
+				play(t, func(change func(*Config), holdRequests bool) *socketFixture {
+					return startSocketFixture(t, make, network, change, holdRequests)
 				})
 			})
 		}
 	}
 }
 
-func startSocketFixture(t *testing.T, transport func(net.Listener) (Transport, error), network string, change func(*Config), waits bool) *socketFixture {
+func startSocketFixture(t *testing.T, transport func(net.Listener) (Transport, error), network string, change func(*Config), holdRequests bool) *socketFixture {
 	t.Helper()
 	address := "127.0.0.1:0"
 	if network == "unix" {
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	start := time.Now()
-	s := &socketFixture{network: network, address: l.Addr().String(), open: map[Token]string{}, holdRequests: waits}
+	s := &socketFixture{network: network, address: l.Addr().String(), open: map[Token]string{}, holdRequests: holdRequests}
 	config := Config{
 		Transport: tr, Handler: s, Log: slog.New(slog.DiscardHandler), Now: func() time.Duration { return time.Since(start) },
 		MaxConns: 100, MaxRefusalConns: 4, MemoryBudget: 1 << 20, ClassWorths: []float64{1}, MaxHeadSize: 4 << 10, MaxBodySize: 64 << 10,
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -279,7 +279,7 @@
 		}
 	}
 	if server.Closed.Store(!sendable); !sendable {
-		l.upstream.CloseServer(server.ID)
+		l.upstream.CloseIdleTo(server.ID)
 	}
 }
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -423,7 +423,7 @@
 		case decide.FetchList:
 			l.discovery.FetchList()
 		case decide.CloseIdle:
-			l.upstream.CloseServer(a.Server)
+			l.upstream.CloseIdleTo(a.Server)
 		case decide.StartTimer:
 			l.after(a.Wait, timer{token: a.Token})
 		case decide.Log:
@@ -455,7 +455,7 @@
 		return
 	}
 	l.trace.attemptSent(p, t, l.lastGeneration, l.balancer.Unconfirmed(l.now))
-	sent, call, budgetHeaders := l.now, p.upstreamRequest, ""
+	sent, request, budgetHeaders := l.now, p.upstreamRequest, ""
 	if l.budgets != nil {
 		budgetHeaders = l.budgets.beginAttempt(l.now, p.budget)
 	}
@@ -465,7 +465,7 @@
 		sendBy = sent + a.SendWithin
 	}
 	l.runningAttempts.Go(func() {
-		o := l.upstream.Attempt(&t.Canceler, &server.Target, call, budgetHeaders, sendBy, until)
+		o := l.upstream.Attempt(&t.Canceler, &server.Target, request, budgetHeaders, sendBy, until)
 		l.post(attemptEnded{attempt: t, Outcome: o, elapsed: l.clock.Now() - sent})
 	})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -510,7 +510,7 @@
 }
 
 // A body with too large a Content-Length must be rejected before it is read: 60 MB would
-// exhaust the memory.
+// exhaust the memory, and the client would wait meanwhile.
 func TestDeclaredLengthTooLarge(t *testing.T) {
 	t.Parallel()
 	n := startWithServers(t, NewServer(t, RespondWith("fine")))
@@ -521,7 +521,8 @@
 	}
 }
 
-// A request's remaining time must be capped at the deadline of its class.
+// A request's remaining time must be capped at the deadline of its class: no client waits longer,
+// so a request that claims more must not be held longer.
 func TestRemainingTimeIsCapped(t *testing.T) {
 	s := NewServer(t, Hang)
 	text := strings.ReplaceAll(configText(DeadAddress(t), ServerList(1, true, s.Addr()), 1024), "30000000000", "500000000")
--- a/internal/node/persist/write_folder.go
+++ b/internal/node/persist/write_folder.go
@@ -9,7 +9,7 @@
 )
 
 // WriteFolder writes a folder as a node leaves it that had these servers and this list when it
-// stopped. Tests use it.
+// stopped. Tests and the lab use it.
 func WriteFolder(folder string, servers []serverdb.Server, l serverdb.List) error {
 	f, err := disk.Open(folder)
 	if err != nil {
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -52,7 +52,7 @@
 	return p.members
 }
 
-// schedulePoolTick calls claimAllowances now and then every poolTickInterval.
+// schedulePoolTick calls claimAllowances at once, and again after each poolTickInterval.
 func (l *loop) schedulePoolTick() {
 	l.claimAllowances()
 	l.after(poolTickInterval, timer{run: l.schedulePoolTick})
--- a/internal/node/request_handler.go
+++ b/internal/node/request_handler.go
@@ -59,7 +59,7 @@
 var singleValueHeaders = [...]string{"X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Resent", "X-Estimate", "Idempotency-Key"}
 
 // HandleRequest handles one request. It implements front.Handler.
-func (h *requestHandler) HandleRequest(t front.Token, r *http.Request, crowded bool) (open any, class int, _ *front.Response) {
+func (h *requestHandler) HandleRequest(t front.Token, r *http.Request, overLimit bool) (handle any, class int, _ *front.Response) {
 	now := h.clock.Now()
 	if r.URL.Path == "/ready" {
 		if h.loop.ready.Load() && !h.shuttingDown.Load() {
@@ -70,12 +70,12 @@
 	p, status, problem := h.parse(nil, r, now)
 	spent := ""
 	if p != nil && h.budgets != nil {
-		g, loop := h.budgets.read(r, p.request.Class, p.deadline-now)
-		if p.budget = g; g == nil {
+		rb, loop := h.budgets.read(r, p.request.Class, p.deadline-now)
+		if p.budget = rb; rb == nil {
 			spent = budget.EncodeSpent(0, budget.Loop)
 			p, status, problem = nil, http.StatusLoopDetected, "the request has come round in a loop: "+loop
 		} else {
-			p.deadline = min(p.deadline, now+g.grant.TimeLeft)
+			p.deadline = min(p.deadline, now+rb.grant.TimeLeft)
 		}
 	}
 	if p != nil && !h.reserveTxn(p.upstreamRequest.Txn) {
@@ -90,7 +90,7 @@
 		}
 		return nil, -1, a
 	}
-	if crowded {
+	if overLimit {
 		h.releaseTxn(p.upstreamRequest.Txn)
 		return nil, p.request.Class, &front.Response{Status: http.StatusTooManyRequests, Text: "too many connections", Close: true}
 	}
@@ -101,8 +101,8 @@
 
 // ClientGone abandons the request of a client that has disconnected. It implements
 // front.Handler.
-func (h *requestHandler) ClientGone(open any) {
-	p := open.(*pendingRequest)
+func (h *requestHandler) ClientGone(handle any) {
+	p := handle.(*pendingRequest)
 	p.finished.Store(true) // at once, before the loop gets to clientDisconnected
 	h.releaseTxn(p.txn)
 	h.loop.post(clientDisconnected{p})
@@ -173,11 +173,11 @@
 		return nil, http.StatusBadRequest, "X-Lane and the path differ"
 	}
 	key := r.Header.Get("Idempotency-Key")
-	switch effect := h.idempotency[class]; {
-	case effect == decide.Idempotent && r.Method != http.MethodGet,
-		effect != decide.Idempotent && r.Method != http.MethodPost:
+	switch idempotency := h.idempotency[class]; {
+	case idempotency == decide.Idempotent && r.Method != http.MethodGet,
+		idempotency != decide.Idempotent && r.Method != http.MethodPost:
 		return nil, http.StatusMethodNotAllowed, "the class does not go with the method"
-	case effect == decide.Keyed && key == "":
+	case idempotency == decide.Keyed && key == "":
 		return nil, http.StatusBadRequest, "the class needs an Idempotency-Key"
 	}
 	txn := r.Header.Get("X-Txn")
--- a/internal/node/upstream/conn_limiter.go
+++ b/internal/node/upstream/conn_limiter.go
@@ -8,15 +8,16 @@
 	open atomic.Int64
 }
 
-func NewConnLimiter(most int) *ConnLimiter { return &ConnLimiter{max: int64(most)} }
+// NewConnLimiter returns a limiter for at most limit connections.
+func NewConnLimiter(limit int) *ConnLimiter { return &ConnLimiter{max: int64(limit)} }
 
 // acquire counts a new connection and returns true unless the limit is reached.
-func (s *ConnLimiter) acquire() bool {
-	if s.open.Add(1) <= s.max {
+func (l *ConnLimiter) acquire() bool {
+	if l.open.Add(1) <= l.max {
 		return true
 	}
-	s.open.Add(-1)
+	l.open.Add(-1)
 	return false
 }
 
-func (s *ConnLimiter) release() { s.open.Add(-1) }
+func (l *ConnLimiter) release() { l.open.Add(-1) }
--- a/internal/node/upstream/exchange.go
+++ b/internal/node/upstream/exchange.go
@@ -18,47 +18,47 @@
 // Attempt sends a request to a server once and waits for the response until a deadline or until it
 // is canceled. Unless its last byte can be written by the time sendBy, the request isn't sent at
 // all. extraHeaders are header lines of this attempt only.
-func (u *Pool) Attempt(t *Canceler, p *Target, q *Request, extraHeaders string, sendBy, until time.Duration) Outcome {
-	c := u.takeIdle(p)
+func (u *Pool) Attempt(canceler *Canceler, target *Target, request *Request, extraHeaders string, sendBy, until time.Duration) Outcome {
+	c := u.takeIdle(target)
 	dialTime := time.Duration(0)
 	if c == nil {
 		var err error
 		started := u.clock.Now()
-		ctx, release := t.dialContext()
-		c, err = u.dial(ctx, p, until)
+		ctx, release := canceler.dialContext()
+		c, err = u.dial(ctx, target, until)
 		release()
 		if err != nil {
-			if t.isCanceled() {
+			if canceler.isCanceled() {
 				return Outcome{Result: decide.NotSent, ConnClosed: true}
 			}
 			return Outcome{Result: decide.ConnectFailed, ConnClosed: true}
 		}
 		dialTime = u.clock.Now() - started
 	}
-	o, keep := u.exchange(t, c, p, q, extraHeaders, sendBy, until)
+	o, keep := u.exchange(canceler, c, target, request, extraHeaders, sendBy, until)
 	o.ConnAge = u.clock.Now() - c.opened
-	if keep = keep && u.keepIdle(p, c); !keep {
-		u.discard(c, p.ID, CloseUnusable)
+	if keep = keep && u.keepIdle(target, c); !keep {
+		u.discard(c, target.ID, CloseUnusable)
 	}
 	o.ConnClosed, o.DialTime = !keep, dialTime
 	return o
 }
 
 // exchange makes an attempt on a connection and reports whether the connection can be reused.
-func (u *Pool) exchange(t *Canceler, c *conn, p *Target, q *Request, extraHeaders string, sendBy, until time.Duration) (_ Outcome, keep bool) {
+func (u *Pool) exchange(canceler *Canceler, c *conn, target *Target, request *Request, extraHeaders string, sendBy, until time.Duration) (_ Outcome, keep bool) {
 	// Getting the connection may have taken a while: by now the server may be draining, or the
 	// request finished.
-	if q.isFinished() || p.Closed.Load() || !t.attach(c, u.clock.WallTime(until), u.clock.WallTime(min(sendBy, until))) {
+	if request.isFinished() || target.Closed.Load() || !canceler.attach(c, u.clock.WallTime(until), u.clock.WallTime(min(sendBy, until))) {
 		return Outcome{Result: decide.NotSent}, false
 	}
-	defer t.detach()
+	defer canceler.detach()
 
 	now := u.clock.Now()
 	left := until - now
 	if left <= 0 || now > sendBy {
 		return Outcome{Result: decide.NotSent}, false
 	}
-	message, err := q.Encode(c.writeBuffer[:0], p.Address, extraHeaders, left)
+	message, err := request.Encode(c.writeBuffer[:0], target.Address, extraHeaders, left)
 	if err != nil {
 		return Outcome{Result: decide.ConnectFailed}, false
 	}
@@ -66,15 +66,15 @@
 		c.writeBuffer = nil
 	}
 	if n, _ := c.Write(message); n < len(message) { // the request is incomplete, so the server can't run it
-		if t.isCanceled() || u.clock.Now() > sendBy {
+		if canceler.isCanceled() || u.clock.Now() > sendBy {
 			return Outcome{Result: decide.NotSent}, false
 		}
 		return Outcome{Result: decide.ConnectFailed}, false
 	}
-	resp, body, err := c.readResponse(q.Method)
+	resp, body, err := c.readResponse(request.Method)
 	if err != nil {
 		switch {
-		case t.isCanceled():
+		case canceler.isCanceled():
 			return Outcome{Result: decide.Cancelled}, false
 		case isTimeout(err):
 			return Outcome{Result: decide.TimedOut}, false
@@ -89,7 +89,7 @@
 	if trailing {
 		u.sawTrailingBytes.Store(true)
 	}
-	keep = !resp.Close && !trailing && t.detach()
+	keep = !resp.Close && !trailing && canceler.detach()
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return Outcome{
@@ -105,31 +105,31 @@
 
 // Encode appends the wire form of the request, which is sent in one piece. The fields came through
 // net/http's parser, and FuzzEdge checks that the result can be parsed again.
-func (q *Request) Encode(to []byte, address, extraHeaders string, left time.Duration) ([]byte, error) {
-	host := cmp.Or(q.Host, address)
-	for _, text := range [...]string{q.Method, q.URI, host, q.Txn, q.IdempotencyKey, q.ContentType} {
-		if strings.ContainsFunc(text, func(r rune) bool { return r == '\r' || r == '\n' || r == 0 }) {
+func (r *Request) Encode(to []byte, address, extraHeaders string, left time.Duration) ([]byte, error) {
+	host := cmp.Or(r.Host, address)
+	for _, text := range [...]string{r.Method, r.URI, host, r.Txn, r.IdempotencyKey, r.ContentType} {
+		if strings.ContainsFunc(text, func(char rune) bool { return char == '\r' || char == '\n' || char == 0 }) {
 			return nil, errors.New("encoding a request: line break or NUL in a header or the request line")
 		}
 	}
-	if strings.ContainsAny(q.URI, " \t") || strings.ContainsAny(host, " \t/") {
+	if strings.ContainsAny(r.URI, " \t") || strings.ContainsAny(host, " \t/") {
 		return nil, errors.New("encoding a request: white space in the URI or the host")
 	}
-	to = append(append(append(append(to, q.Method...), ' '), q.URI...), " HTTP/1.1\r\n"...)
+	to = append(append(append(append(to, r.Method...), ' '), r.URI...), " HTTP/1.1\r\n"...)
 	to = appendHeader(to, "Host", host)
-	to = appendHeader(to, "X-Txn", q.Txn)
+	to = appendHeader(to, "X-Txn", r.Txn)
 	to = append(strconv.AppendInt(append(to, "X-Remaining-Ms: "...), max(1, left.Milliseconds()), 10), "\r\n"...)
-	if q.IdempotencyKey != "" {
-		to = appendHeader(to, "Idempotency-Key", q.IdempotencyKey)
+	if r.IdempotencyKey != "" {
+		to = appendHeader(to, "Idempotency-Key", r.IdempotencyKey)
 	}
-	if q.ContentType != "" {
-		to = appendHeader(to, "Content-Type", q.ContentType)
+	if r.ContentType != "" {
+		to = appendHeader(to, "Content-Type", r.ContentType)
 	}
-	if len(q.Body) > 0 || q.Method == http.MethodPost {
-		to = append(strconv.AppendInt(append(to, "Content-Length: "...), int64(len(q.Body)), 10), "\r\n"...)
+	if len(r.Body) > 0 || r.Method == http.MethodPost {
+		to = append(strconv.AppendInt(append(to, "Content-Length: "...), int64(len(r.Body)), 10), "\r\n"...)
 	}
 	to = append(to, extraHeaders...)
-	return append(append(to, "\r\n"...), q.Body...), nil
+	return append(append(to, "\r\n"...), r.Body...), nil
 }
 
 func appendHeader(to []byte, name, value string) []byte {
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	MaxBodySize     = 64 << 10
+	MaxBodySize     = 64 << 10             // largest body of a request or a response
 	maxResponseSize = MaxBodySize + 64<<10 // including heads, interim responses and chunk framing
 	maxKeptBuffer   = 2 << 10              // larger write buffers are not kept with a connection
 )
@@ -132,9 +132,10 @@
 // new connection.
 const settleTime = 5 * time.Millisecond
 
-func New(clock clock.Clock, sockets *ConnLimiter, set *decide.Settings) *Pool {
+// New returns a pool without connections.
+func New(clock clock.Clock, limiter *ConnLimiter, set *decide.Settings) *Pool {
 	u := &Pool{
-		clock: clock, limiter: sockets, connectTimeout: set.ConnectTimeout, idleTimeout: set.ConnIdleTimeout,
+		clock: clock, limiter: limiter, connectTimeout: set.ConnectTimeout, idleTimeout: set.ConnIdleTimeout,
 		idle: map[string][]*conn{}, idleTimers: timerwheel.New(idleTick, clock.Now()),
 	}
 	if u.connectTimeout <= 0 {
@@ -149,20 +150,20 @@
 
 // takeIdle removes and returns the most recently used idle connection to a server that has settled,
 // or returns nil.
-func (u *Pool) takeIdle(p *Target) *conn {
+func (u *Pool) takeIdle(target *Target) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for at := len(u.idle[p.ID]) - 1; at >= 0; at-- {
-		c := u.idle[p.ID][at]
+	for at := len(u.idle[target.ID]) - 1; at >= 0; at-- {
+		c := u.idle[target.ID][at]
 		idleTime := u.clock.Now() - c.idleSince
-		if u.sawTrailingBytes.Load() && idleTime < settleTime && c.address == p.Address {
+		if u.sawTrailingBytes.Load() && idleTime < settleTime && c.address == target.Address {
 			continue
 		}
-		u.idle[p.ID] = slices.Delete(u.idle[p.ID], at, at+1)
+		u.idle[target.ID] = slices.Delete(u.idle[target.ID], at, at+1)
 		u.cancelIdleTimer(c)
 		reason := CloseExpired
 		switch {
-		case c.address != p.Address:
+		case c.address != target.Address:
 			reason = CloseAddressChanged
 		case idleTime < u.idleTimeout:
 			alive, hasData := c.probe()
@@ -174,28 +175,28 @@
 			}
 			reason = CloseByServer
 		}
-		u.discard(c, p.ID, reason)
+		u.discard(c, target.ID, reason)
 	}
 	return nil
 }
 
 // keepIdle keeps a connection for the next request, unless nothing may be sent to its server.
-func (u *Pool) keepIdle(p *Target, c *conn) bool {
+func (u *Pool) keepIdle(target *Target, c *conn) bool {
 	c.SetDeadline(time.Time{}) // an expired deadline would fail the probe in takeIdle
 	c.idleSince = u.clock.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if p.Closed.Load() {
+	if target.Closed.Load() {
 		return false
 	}
-	u.idle[p.ID] = append(u.idle[p.ID], c)
-	c.serverID = p.ID
+	u.idle[target.ID] = append(u.idle[target.ID], c)
+	c.serverID = target.ID
 	u.armIdleTimer(c)
 	return true
 }
 
-// CloseServer closes the idle connections to a server.
-func (u *Pool) CloseServer(id string) {
+// CloseIdleTo closes the idle connections to a server.
+func (u *Pool) CloseIdleTo(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
@@ -321,30 +322,30 @@
 }
 
 // dial opens a connection to a server.
-func (u *Pool) dial(ctx context.Context, p *Target, until time.Duration) (*conn, error) {
+func (u *Pool) dial(ctx context.Context, target *Target, until time.Duration) (*conn, error) {
 	for !u.limiter.acquire() {
 		if !u.evictLongestIdle() {
-			return nil, fmt.Errorf("dialing %s: connection limit reached", p.ID)
+			return nil, fmt.Errorf("dialing %s: connection limit reached", target.ID)
 		}
 	}
 	dialer := net.Dialer{Timeout: min(u.connectTimeout, until-u.clock.Now()), KeepAlive: -1}
 	if dialer.Timeout <= 0 {
 		u.limiter.release()
-		return nil, fmt.Errorf("dialing %s: no time left", p.ID)
+		return nil, fmt.Errorf("dialing %s: no time left", target.ID)
 	}
-	nc, err := dialer.DialContext(ctx, "tcp", p.Address)
+	nc, err := dialer.DialContext(ctx, "tcp", target.Address)
 	if err != nil {
 		u.limiter.release()
-		return nil, fmt.Errorf("dialing %s: %w", p.ID, err)
+		return nil, fmt.Errorf("dialing %s: %w", target.ID, err)
 	}
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		nc.Close()
 		u.limiter.release()
-		return nil, fmt.Errorf("dialing %s: %w", p.ID, err)
+		return nil, fmt.Errorf("dialing %s: %w", target.ID, err)
 	}
 	limit := &io.LimitedReader{R: nc}
 	return &conn{
-		Conn: nc, address: p.Address, opened: u.clock.Now(), responseLimit: limit, reader: bufio.NewReader(limit), raw: raw, limiter: u.limiter,
+		Conn: nc, address: target.Address, opened: u.clock.Now(), responseLimit: limit, reader: bufio.NewReader(limit), raw: raw, limiter: u.limiter,
 	}, nil
 }
