--- a/internal/rig/lab/accepted_test.go
+++ b/internal/rig/lab/accepted_test.go
@@ -12,7 +12,7 @@
 	"curlewring/internal/rig/standin"
 )
 
-// randomRoutes draws timing rules around the permitted bounds, so that many are refused.
+// randomRoutes draws routes with settings around the permitted bounds, so that many are refused.
 func randomRoutes(rng *rand.Rand, plan *standin.Plan) string {
 	var b strings.Builder
 	for _, c := range plan.Classes {
--- a/internal/rig/lab/idle.go
+++ b/internal/rig/lab/idle.go
@@ -20,7 +20,7 @@
 const (
 	maxLocalIdleConns  = 15000
 	maxHelperIdleConns = 19500
-	quietPeriod        = 3 * time.Second
+	quietPeriod        = 3 * time.Second // over which CPU use without requests is measured
 )
 
 // idlePolicy lets idle connections stay open.
--- a/internal/rig/lab/lab.go
+++ b/internal/rig/lab/lab.go
@@ -32,7 +32,7 @@
 	AllowHedging  bool          // the platform allows overlapping attempts of a request
 	Debug         bool          // nodes log every request, attempt and call to discovery
 	MaxRetryAfter time.Duration // longest Retry-After that the platform sends; 0 for none
-	IdleConns     int           // idle connections held besides the traffic, summed finished all nodes
+	IdleConns     int           // idle connections held besides the traffic, summed over all nodes
 	IdleInterval  time.Duration // interval between requests on each idle connection while traffic runs; 0 for none
 	ToolBinary    string        // path of curlewctl, which holds the idle connections if there are many
 	// Sidecars runs each node in front of the first tier as the sidecar of its own application, with the
@@ -125,15 +125,15 @@
 	}
 	upperServers := l.Fleet.Servers
 	for tier := 1; tier < o.Plan.Tiers; tier++ {
-		for i, b := range upperServers {
+		for i, server := range upperServers {
 			p, err := l.prepareNode(standin.NodeSpec{
-				Name: fmt.Sprintf("n-%s", b.ID), Tier: tier, Index: i, TierNodes: len(upperServers), Site: b.Site,
+				Name: fmt.Sprintf("n-%s", server.ID), Tier: tier, Index: i, TierNodes: len(upperServers), Site: server.Site,
 			})
 			if err != nil {
 				return nil, err
 			}
 			l.innerNodes = append(l.innerNodes, p)
-			l.Fleet.Attach(b, p.name, p.address)
+			l.Fleet.Attach(server, p.name, p.address)
 		}
 		upperServers = l.Fleet.LowerServers[(tier-1)*o.Plan.Servers : tier*o.Plan.Servers]
 	}
@@ -178,8 +178,8 @@
 	}
 	if len(l.options.ForwardCommand) > 0 {
 		command := append(slices.Clone(l.options.ForwardCommand), s.Listen)
-		for _, b := range l.Fleet.Servers {
-			command = append(command, b.Address)
+		for _, server := range l.Fleet.Servers {
+			command = append(command, server.Address)
 		}
 		return &process{name: s.Name, command: command, address: s.Listen}, nil
 	}
--- a/internal/rig/lab/lab_test.go
+++ b/internal/rig/lab/lab_test.go
@@ -192,14 +192,14 @@
 			t.Fatal(err)
 		}
 	}
-	rules := func(timeout time.Duration) string {
+	routes := func(timeout time.Duration) string {
 		return fmt.Sprintf("route_count = 1\n[[route]]\nclass = \"zustand\"\nattempt_timeout = %q\nattempts = 2\n", timeout)
 	}
 	badFiles := []string{
-		"", "[[route]", rules(100*time.Millisecond) + "[[route]]\n", rules(2 * time.Second),
-		"[[route]]\nclass = \"stoerung\"\nsecond_copy_after = \"50ms\"\n", rules(time.Second) + strings.Repeat("#\n", 6<<20),
+		"", "[[route]", routes(100*time.Millisecond) + "[[route]]\n", routes(2 * time.Second),
+		"[[route]]\nclass = \"stoerung\"\nsecond_copy_after = \"50ms\"\n", routes(time.Second) + strings.Repeat("#\n", 6<<20),
 	}
-	write(rules(900 * time.Millisecond))
+	write(routes(900 * time.Millisecond))
 	o := defaultOptions()
 	o.Operator = path
 	o.Traffic.Rate, o.Traffic.Duration = rate, time.Minute // ends with the last reload
@@ -216,7 +216,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { report, runErr = l.Run(ctx, nil) })
 	rng := rand.New(rand.NewPCG(1, 2))
-	counts := func(what string) int { // lowest count of such lines over all nodes
+	minCount := func(what string) int { // lowest count of such lines over all nodes
 		lowest := 1 << 30
 		for _, name := range []string{"n0", "n1"} {
 			lowest = min(lowest, strings.Count(l.Log(name), what))
@@ -228,11 +228,11 @@
 		if i%2 == 0 {
 			accepted++
 			timeout := time.Duration(200+25*i) * time.Millisecond
-			write(rules(timeout))
+			write(routes(timeout))
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the valid file is accepted", func() bool { return counts("msg=reloaded") == accepted })
+			waitUntil(t, "the valid file is accepted", func() bool { return minCount("msg=reloaded") == accepted })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			waitUntil(t, "attempts use the new timeout", func() bool {
@@ -245,7 +245,7 @@
 			if err := l.Reload(); err != nil {
 				t.Fatal(err)
 			}
-			waitUntil(t, "the invalid file is rejected", func() bool { return counts("the old one stays") == rejected })
+			waitUntil(t, "the invalid file is rejected", func() bool { return minCount("the old one stays") == rejected })
 			l.Fleet.MaxAttemptTimeout(1)
 			time.Sleep(pause)
 			if longest, n := l.Fleet.MaxAttemptTimeout(1); n > 0 && longest > time.Duration(200+25*(i-1))*time.Millisecond {
--- a/internal/rig/lab/large_test.go
+++ b/internal/rig/lab/large_test.go
@@ -132,8 +132,8 @@
 	for _, task := range tasks {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/status", pid, task.Name()))
 		for line := range strings.Lines(string(text)) {
-			if atRest, found := strings.CutPrefix(line, "voluntary_ctxt_switches:"); found {
-				n, _ := strconv.ParseInt(strings.TrimSpace(atRest), 10, 64)
+			if rest, found := strings.CutPrefix(line, "voluntary_ctxt_switches:"); found {
+				n, _ := strconv.ParseInt(strings.TrimSpace(rest), 10, 64)
 				sleeps += n
 			}
 		}
--- a/internal/rig/lab/leaserun_test.go
+++ b/internal/rig/lab/leaserun_test.go
@@ -23,42 +23,42 @@
 
 func (lab *leaseLab) startCommand(node, name string, flags []string, command ...string) *runningCommand {
 	lab.t.Helper()
-	s := &runningCommand{Cmd: lab.leaseRunCommand(node, name, flags, command...), ended: make(chan error, 1)}
-	s.Stdout, s.Stderr = &s.out, &s.out
-	if err := s.Start(); err != nil {
+	started := &runningCommand{Cmd: lab.leaseRunCommand(node, name, flags, command...), ended: make(chan error, 1)}
+	started.Stdout, started.Stderr = &started.out, &started.out
+	if err := started.Start(); err != nil {
 		lab.t.Fatal(err)
 	}
-	go func() { s.ended <- s.Wait() }()
-	return s
+	go func() { started.ended <- started.Wait() }()
+	return started
 }
 
 // waitExitCode waits for the command's exit; it kills a command that exceeds the limit.
-func (lab *leaseLab) waitExitCode(s *runningCommand, within time.Duration) int {
+func (lab *leaseLab) waitExitCode(command *runningCommand, within time.Duration) int {
 	lab.t.Helper()
 	select {
-	case err := <-s.ended:
+	case err := <-command.ended:
 		if err == nil {
 			return 0
 		}
 		return exitCode(err)
 	case <-time.After(within):
-		s.Process.Kill()
-		lab.t.Errorf("%v still runs after %v: %s", s.Args, within, s.out.String())
+		command.Process.Kill()
+		lab.t.Errorf("%v still runs after %v: %s", command.Args, within, command.out.String())
 		return -1
 	}
 }
 
 // waitForAccesses waits until the given number of accesses have begun, and returns how many of them are in
 // progress.
-func (lab *leaseLab) waitForAccesses(count int, within time.Duration) (open int) {
+func (lab *leaseLab) waitForAccesses(count int, within time.Duration) (inProgress int) {
 	lab.t.Helper()
 	lab.waitFor(fmt.Sprint(count, " accesses"), within, func() bool { return len(lab.resource.History()) >= count })
 	for _, a := range lab.resource.History() {
 		if a.To.IsZero() {
-			open++
+			inProgress++
 		}
 	}
-	return open
+	return inProgress
 }
 
 // The operators' lease commands on real processes: exit codes, waiting queue, transfer to another node, and
@@ -74,13 +74,13 @@
 		return append([]string{toolBinary, "act", lab.resource.Address, "--for", length}, more...)
 	}
 	// Exit code of the command, and its environment.
-	s := lab.startCommand(a, "echo", nil, "sh", "-c", "echo $CURLEWRING_LEASE under $CURLEWRING_TOKEN; exit 7")
-	if code := lab.waitExitCode(s, 10*time.Second); code != 7 || !regexp.MustCompile(`echo under \d+\n`).MatchString(s.out.String()) {
-		t.Errorf("code %d, %q", code, s.out.String())
+	started := lab.startCommand(a, "echo", nil, "sh", "-c", "echo $CURLEWRING_LEASE under $CURLEWRING_TOKEN; exit 7")
+	if code := lab.waitExitCode(started, 10*time.Second); code != 7 || !regexp.MustCompile(`echo under \d+\n`).MatchString(started.out.String()) {
+		t.Errorf("code %d, %q", code, started.out.String())
 	}
-	s = lab.startCommand(a, "echo", nil, "nobody-has-such-a-command")
-	if code := lab.waitExitCode(s, 10*time.Second); code != 125 {
-		t.Errorf("a command that cannot be started: code %d, %q", code, s.out.String())
+	started = lab.startCommand(a, "echo", nil, "nobody-has-such-a-command")
+	if code := lab.waitExitCode(started, 10*time.Second); code != 125 {
+		t.Errorf("a command that cannot be started: code %d, %q", code, started.out.String())
 	}
 	if err := exec.Command(toolBinary, "lease", "run", "--folder", t.TempDir(), "l", "--", "true").Run(); exitCode(err) != 125 {
 		t.Errorf("no node at this folder: %v", err)
@@ -177,7 +177,7 @@
 		t.Errorf("the terminated node's own command: code %d", code)
 	}
 	// Listing, forced release and status.
-	s = lab.startCommand(b, "seen", nil, "sleep", "5")
+	started = lab.startCommand(b, "seen", nil, "sleep", "5")
 	lab.waitFor("the lease in the list", 5*time.Second, func() bool {
 		out, err := exec.Command(toolBinary, "lease", "list", "--folder", lab.StateFolder(b)).CombinedOutput()
 		return err == nil && regexp.MustCompile(`(?m)^seen +`+b+` `).Match(out)
@@ -185,7 +185,7 @@
 	if out, err := exec.Command(toolBinary, "lease", "release", "--force", "--folder", lab.StateFolder(lab.voters[1]), "seen").CombinedOutput(); err != nil {
 		t.Errorf("%v: %s", err, out)
 	}
-	if code := lab.waitExitCode(s, leaseTTL); code != 124 {
+	if code := lab.waitExitCode(started, leaseTTL); code != 124 {
 		t.Errorf("after a forced release: code %d", code)
 	}
 	if out, err := exec.Command(toolBinary, "lease", "status", "--folder", lab.StateFolder(lab.leader())).CombinedOutput(); !strings.Contains(string(out), "leads in term") {
@@ -203,14 +203,14 @@
 	t.Parallel()
 	lab := startLeaseLab(t, 3, 3, 52, false)
 	lab.waitFor("a leader", 10*time.Second, func() bool { return lab.leader() != "" })
-	checks, err := resource.Start(true)
+	checkingResource, err := resource.Start(true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	holder := lab.startCommand("n0", "l", nil, toolBinary, "act", lab.resource.Address, "--for", "30s", "--deaf")
 	lab.waitForAccesses(1, 5*time.Second)
 	begin := func(token uint64) bool {
-		a, err := resource.Begin(checks.Address, "x", token)
+		a, err := resource.Begin(checkingResource.Address, "x", token)
 		if err == nil {
 			a.End()
 		}
@@ -229,7 +229,7 @@
 		t.Error("the resource did not detect overlapping accesses")
 	}
 	if !begin(2) || begin(1) {
-		t.Error("the resource accepts the old token or refuses the new one")
+		t.Error("the resource that checks tokens accepts the old token or refuses the new one")
 	}
 	lab.noError(lab.Resume("n0"))
 	holder.Process.Signal(syscall.SIGCONT)
@@ -243,7 +243,7 @@
 	if len(lab.resource.Violations()) == before {
 		t.Error("the resource did not detect an old token")
 	}
-	checks.Close()
+	checkingResource.Close()
 	lab.cancel()
 	lab.resource.Close()
 	lab.finishTraffic()
--- a/internal/rig/lab/leases_test.go
+++ b/internal/rig/lab/leases_test.go
@@ -44,12 +44,12 @@
 	startedAt  time.Time
 }
 
-func startLeaseLab(t *testing.T, nodes, voters int, seed uint64, checks bool) *leaseLab {
+func startLeaseLab(t *testing.T, nodes, voters int, seed uint64, checkTokens bool) *leaseLab {
 	t.Helper()
 	lab := &leaseLab{memberLab: startMemberLabWith(t, nodes, seed, func(o *Options) { o.ReplaceVoterAfter, o.Traffic.Rate = voterReplaceDelay, 20 }), startedAt: time.Now()}
 	lab.minServed = 0.5 // the share served in time is not what these tests check
 	var err error
-	if lab.resource, err = resource.Start(checks); err != nil {
+	if lab.resource, err = resource.Start(checkTokens); err != nil {
 		t.Fatal(err)
 	}
 	lab.ctx, lab.cancel = context.WithCancel(context.Background())
@@ -69,8 +69,8 @@
 	lab.t.Helper()
 	lab.cancel()
 	lab.contenders.Wait()
-	for _, w := range lab.resource.Violations() {
-		lab.t.Error(w)
+	for _, violation := range lab.resource.Violations() {
+		lab.t.Error(violation)
 	}
 	lab.resource.Close()
 	lab.mu.Lock()
@@ -253,9 +253,9 @@
 	return cmd
 }
 
-// A lease without faults, and under each fault by itself: the holder's node is killed or paused, the leader
-// is killed or paused, all voters are killed. Accesses never overlap, and a client acquires the lease within
-// the bound.
+// A lease without faults, and under each fault by itself: a contender's node is killed or paused, the
+// leader is killed or paused, all voters are killed. Accesses never overlap, and a client acquires the lease
+// within the bound.
 func TestLeasesSurviveEachFault(t *testing.T) {
 	t.Parallel()
 	lab := startLeaseLab(t, 5, 3, 31, false)
@@ -307,8 +307,8 @@
 	} else if code := exitCode(err); code != 75 || time.Since(start) > 6*time.Second {
 		t.Errorf("exit code %d after %v", code, time.Since(start))
 	}
-	for _, b := range restarts {
-		b()
+	for _, restartVoter := range restarts {
+		restartVoter()
 	}
 	waitForGrant("all voters were killed", bound+10*time.Second)
 }
@@ -425,7 +425,7 @@
 	t.Logf("seed %d: %s", seed, strings.Join(injected, ", "))
 	before := lab.grantCount()
 	elapsed := lab.waitFor("a grant after all faults", 2*leaseTTL+20*time.Second, func() bool { return lab.grantCount() > before })
-	t.Logf("seed %d: %d grants, %d acts, a grant %v after the last fault", seed, lab.grantCount(), len(lab.resource.History()), elapsed)
+	t.Logf("seed %d: %d grants, %d accesses, a grant %v after the last fault", seed, lab.grantCount(), len(lab.resource.History()), elapsed)
 }
 
 // injectRandomFault starts a random fault, and returns its name and a function that ends it.
--- a/internal/rig/lab/leasescost_test.go
+++ b/internal/rig/lab/leasescost_test.go
@@ -53,11 +53,11 @@
 		h, elapsed := acquire(others[0], fmt.Sprint("x", i), 10*time.Second)
 		acquires, releases = append(acquires, elapsed), append(releases, release(h))
 	}
-	at := func(all []time.Duration, q float64) time.Duration {
+	quantile := func(all []time.Duration, q float64) time.Duration {
 		slices.Sort(all)
 		return all[int(q*float64(len(all)-1))].Round(10 * time.Microsecond)
 	}
-	t.Logf("from a node that does not vote: acquire p50 %v p99 %v, release p50 %v p99 %v", at(acquires, 0.5), at(acquires, 0.99), at(releases, 0.5), at(releases, 0.99))
+	t.Logf("from a node that does not vote: acquire p50 %v p99 %v, release p50 %v p99 %v", quantile(acquires, 0.5), quantile(acquires, 0.99), quantile(releases, 0.5), quantile(releases, 0.99))
 	disk := func() (syncs, bytes int64) {
 		for _, n := range lab.voters {
 			if r, err := leases.Call(lab.ctx, lab.StateFolder(n), leases.Request{Do: "standing"}); err == nil {
@@ -69,18 +69,18 @@
 	// Renewals: n leases of one second, each renewed every third of a second.
 	for _, n := range []int{0, 1, 10, 1000} {
 		var extended atomic.Int64
-		var parts sync.WaitGroup
+		var acquiring sync.WaitGroup
 		var held []*leases.ClientLease
 		var mu sync.Mutex
 		for i := range n {
-			parts.Go(func() {
+			acquiring.Go(func() {
 				h, _ := acquire(lab.names[i%5], fmt.Sprint("r", i), time.Second)
 				mu.Lock()
 				held = append(held, h)
 				mu.Unlock()
 			})
 		}
-		parts.Wait()
+		acquiring.Wait()
 		for _, h := range held {
 			go func() { // ends with the lease
 				for e := range h.Events {
@@ -140,7 +140,7 @@
 				lab.noError(lab.Start(n))
 			}
 		}
-		t.Logf("killed: %s; next holder after %v (median), %v (max of 5); lease time %v", name, at(gaps, 0.5), at(gaps, 1), leaseTTL)
+		t.Logf("killed: %s; next holder after %v (median), %v (max of 5); lease time %v", name, quantile(gaps, 0.5), quantile(gaps, 1), leaseTTL)
 	}
 	lab.cancel()
 	lab.contenders.Wait()
@@ -158,10 +158,10 @@
 	sum := map[bool][2]float64{}
 	const rounds = 8
 	for round := range rounds {
-		on := round%2 == 1
+		withLeases := round%2 == 1
 		o := defaultOptions()
 		o.Nodes, o.Membership, o.Plan.Servers = 5, true, 16
-		if on {
+		if withLeases {
 			o.ReplaceVoterAfter = time.Minute
 		}
 		o.Traffic = standin.Traffic{Rate: 1500, Duration: 6 * time.Second, Backoff: 50 * time.Millisecond, BodyBytes: 100}
@@ -175,7 +175,7 @@
 		}
 		lab.waitForView(30*time.Second, lab.names...)
 		var held []*leases.ClientLease
-		if on {
+		if withLeases {
 			if _, err := leases.Call(t.Context(), l.StateFolder("n0"), leases.Request{Do: "found", Voters: 3}); err != nil {
 				t.Fatal(err)
 			}
@@ -204,9 +204,9 @@
 		for _, c := range r.Classes {
 			meanP99 += c.P99 / float64(len(r.Classes))
 		}
-		totals := sum[on]
-		sum[on] = [2]float64{totals[0] + r.CPUMicrosPerRequest/(rounds/2), totals[1] + meanP99/(rounds/2)}
-		t.Logf("leases %v: %.0f us of CPU per request, p99 %.2f ms", on, r.CPUMicrosPerRequest, meanP99)
+		totals := sum[withLeases]
+		sum[withLeases] = [2]float64{totals[0] + r.CPUMicrosPerRequest/(rounds/2), totals[1] + meanP99/(rounds/2)}
+		t.Logf("leases %v: %.0f us of CPU per request, p99 %.2f ms", withLeases, r.CPUMicrosPerRequest, meanP99)
 	}
 	t.Logf("ratio of on to off: CPU per request %.3f, p99 %.3f", sum[true][0]/sum[false][0], sum[true][1]/sum[false][1])
 }
--- a/internal/rig/lab/members_test.go
+++ b/internal/rig/lab/members_test.go
@@ -142,9 +142,9 @@
 }
 
 // expectSameView checks after a while that all nodes still share the given view.
-func (lab *memberLab) expectSameView(number uint64, what string, lasts time.Duration) {
+func (lab *memberLab) expectSameView(number uint64, what string, faultTime time.Duration) {
 	lab.t.Helper()
-	time.Sleep(lasts) // duration of the fault, not a wait for a condition
+	time.Sleep(faultTime) // duration of the fault, not a wait for a condition
 	if now, _ := lab.currentView(lab.names); now != number {
 		lab.t.Errorf("%s: view %d before, %d after", what, number, now)
 		for _, n := range lab.names {
--- a/internal/rig/lab/memberspairs_test.go
+++ b/internal/rig/lab/memberspairs_test.go
@@ -110,11 +110,11 @@
 	defer lab.finishTraffic()
 	lab.waitForView(30*time.Second, lab.names...)
 	ctx, stop := context.WithCancel(context.Background())
-	crawled := make(chan struct{})
+	pausingEnded := make(chan struct{})
 	p, err := lab.findNode("n6")
 	lab.noError(err)
 	go func() { // ends with stop
-		defer close(crawled)
+		defer close(pausingEnded)
 		for ctx.Err() == nil {
 			lab.noError(lab.Pause("n6"))
 			time.Sleep(198 * time.Millisecond) // the node runs for a hundredth of the time
@@ -138,7 +138,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	stop()
-	<-crawled
+	<-pausingEnded
 	lab.noError(p.signal(syscall.SIGCONT, false))
 	lab.waitForView(40*time.Second, lab.names...)
 }
--- a/internal/rig/lab/nodelinks.go
+++ b/internal/rig/lab/nodelinks.go
@@ -36,38 +36,38 @@
 	if relays && nodes > maxLinkedNodes {
 		return nil, fmt.Errorf("%d nodes with relays between them, at most %d", nodes, maxLinkedNodes)
 	}
-	b := &nodeLinks{relays: map[[2]int]*relay.Relay{}}
+	links := &nodeLinks{relays: map[[2]int]*relay.Relay{}}
 	defer func() {
 		if err != nil {
-			b.close()
+			links.close()
 		}
 	}()
 	for range nodes {
-		at, err := freePort(host)
-		for err == nil && slices.Contains(b.addresses, at) { // the port is free, but another node already has it
-			at, err = freePort(host)
+		address, err := freePort(host)
+		for err == nil && slices.Contains(links.addresses, address) { // the port is free, but another node already has it
+			address, err = freePort(host)
 		}
 		if err != nil {
 			return nil, err
 		}
-		b.addresses = append(b.addresses, at)
+		links.addresses = append(links.addresses, address)
 	}
 	if !relays {
-		return b, nil
+		return links, nil
 	}
 	for from := range nodes {
 		for to := range nodes {
 			if from == to {
 				continue
 			}
-			r, err := relay.New(b.addresses[to], seed<<16+uint64(from*nodes+to))
+			r, err := relay.New(links.addresses[to], seed<<16+uint64(from*nodes+to))
 			if err != nil {
 				return nil, err
 			}
-			b.relays[[2]int{from, to}] = r
+			links.relays[[2]int{from, to}] = r
 		}
 	}
-	return b, nil
+	return links, nil
 }
 
 // freePort returns an address whose port is free for both UDP and TCP. The port is below the ephemeral range,
@@ -78,14 +78,14 @@
 		return netip.AddrPort{}, err
 	}
 	for try := 0; ; try++ {
-		at := netip.AddrPortFrom(ip, uint16(10_000+rand.IntN(20_000)))
-		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+		address := netip.AddrPortFrom(ip, uint16(10_000+rand.IntN(20_000)))
+		udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 		if err == nil {
 			var tcp net.Listener
-			tcp, err = net.Listen("tcp", at.String())
+			tcp, err = net.Listen("tcp", address.String())
 			udp.Close()
 			if err == nil {
-				return at, tcp.Close()
+				return address, tcp.Close()
 			}
 		}
 		if try == 50 {
@@ -94,23 +94,23 @@
 	}
 }
 
-func (b *nodeLinks) close() {
-	if b == nil {
+func (links *nodeLinks) close() {
+	if links == nil {
 		return
 	}
-	for _, r := range b.relays {
+	for _, r := range links.relays {
 		r.Close()
 	}
 }
 
 // writeSettings writes a node's own settings file. Without other seeds, the first three nodes are the seeds.
 // Each other node is reached through its relay.
-func (b *nodeLinks) writeSettings(node int, path, folder string, o *Options) error {
+func (links *nodeLinks) writeSettings(node int, path, folder string, o *Options) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "[state]\nfolder = %q\n\n[members]\nfleet = \"lab\"\nlisten = %q\nseeds = [", folder, b.addresses[node].String())
+	fmt.Fprintf(&text, "[state]\nfolder = %q\n\n[members]\nfleet = \"lab\"\nlisten = %q\nseeds = [", folder, links.addresses[node].String())
 	seeds := o.Seeds
 	if len(seeds) == 0 {
-		seeds = b.addresses[:min(3, len(b.addresses))]
+		seeds = links.addresses[:min(3, len(links.addresses))]
 	}
 	for i, seed := range seeds {
 		if i > 0 {
@@ -119,9 +119,9 @@
 		fmt.Fprintf(&text, "%q", seed.String())
 	}
 	fmt.Fprintf(&text, "]\npool = %v\n\n[members.via]\n", !o.NoPooling)
-	for to, at := range b.addresses {
-		if to != node && len(b.relays) > 0 {
-			fmt.Fprintf(&text, "%q = %q\n", at.String(), b.relays[[2]int{node, to}].Address.String())
+	for to, address := range links.addresses {
+		if to != node && len(links.relays) > 0 {
+			fmt.Fprintf(&text, "%q = %q\n", address.String(), links.relays[[2]int{node, to}].Address.String())
 		}
 	}
 	if o.ReplaceVoterAfter > 0 {
@@ -130,20 +130,20 @@
 	return os.WriteFile(path, []byte(text.String()), 0o600)
 }
 
-func (b *nodeLinks) index(name string) (int, error) {
+func (links *nodeLinks) index(name string) (int, error) {
 	i, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
-	if err != nil || i < 0 || i >= len(b.addresses) {
-		return 0, fmt.Errorf("no node %q; there are 0 to %d", name, len(b.addresses)-1)
+	if err != nil || i < 0 || i >= len(links.addresses) {
+		return 0, fmt.Errorf("no node %q; there are 0 to %d", name, len(links.addresses)-1)
 	}
 	return i, nil
 }
 
 // applyFaults sets every relay to the combined effect of the active faults.
-func (b *nodeLinks) applyFaults() {
-	for pair, r := range b.relays {
+func (links *nodeLinks) applyFaults() {
+	for pair, r := range links.relays {
 		var conditions relay.Conditions
-		for _, f := range b.faults {
-			if !b.matches(f.From, pair[0]) || !b.matches(f.To, pair[1]) {
+		for _, f := range links.faults {
+			if !links.matches(f.From, pair[0]) || !links.matches(f.To, pair[1]) {
 				continue
 			}
 			switch f.Kind {
@@ -163,9 +163,9 @@
 	}
 }
 
-func (b *nodeLinks) matches(name string, i int) bool {
-	at, err := b.index(name)
-	return name == "" || err == nil && at == i
+func (links *nodeLinks) matches(name string, i int) bool {
+	index, err := links.index(name)
+	return name == "" || err == nil && index == i
 }
 
 // SetLinkFault starts or ends a fault of the links between nodes.
@@ -175,18 +175,18 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := l.links
+	links := l.links
 	if on {
-		b.faults = append(b.faults, f)
+		links.faults = append(links.faults, f)
 	} else {
-		for i, active := range b.faults {
+		for i, active := range links.faults {
 			if active == f {
-				b.faults = append(b.faults[:i:i], b.faults[i+1:]...)
+				links.faults = append(links.faults[:i:i], links.faults[i+1:]...)
 				break
 			}
 		}
 	}
-	b.applyFaults()
+	links.applyFaults()
 	return nil
 }
 
--- a/internal/rig/lab/oldlist.go
+++ b/internal/rig/lab/oldlist.go
@@ -45,12 +45,12 @@
 }
 
 func (s *staleEndpoints) close() {
-	for _, end := range s.closers {
-		end()
+	for _, closeListener := range s.closers {
+		closeListener()
 	}
 }
 
-// open extends the addresses to n.
+// open opens listeners until there are n addresses.
 func (s *staleEndpoints) open(f *standin.Fleet, n int) error {
 	for i := len(s.addresses); i < n; i++ {
 		listener, err := net.Listen("tcp", net.JoinHostPort(f.NewHost(), "0"))
@@ -90,8 +90,8 @@
 	}
 	listTime := time.Now().Add(-old.Age)
 	var servers []serverdb.Server
-	for _, b := range l.Fleet.Servers {
-		servers = append(servers, serverdb.Server{ID: b.ID, Address: b.Address, Zone: b.Site, Cell: b.Rack, Weight: 1, StateSince: listTime})
+	for _, server := range l.Fleet.Servers {
+		servers = append(servers, serverdb.Server{ID: server.ID, Address: server.Address, Zone: server.Site, Cell: server.Rack, Weight: 1, StateSince: listTime})
 	}
 	for i, address := range l.staleEndpoints.addresses {
 		site := i % len(l.options.Plan.Sites)
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -35,17 +35,19 @@
 func (lab *memberLab) restartServers(servers []int, each time.Duration) {
 	lab.t.Helper()
 	var faults []standin.Fault
-	for i, b := range servers {
-		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(b), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
+	for i, server := range servers {
+		faults = append(faults, standin.Fault{Kind: "crash", Server: fmt.Sprint(server), At: time.Duration(i) * each, Duration: 300 * time.Millisecond})
 	}
 	for _, err := range lab.Fleet.RunFaults(context.Background(), faults, lab.Lab) {
 		lab.noError(err)
 	}
 }
 
-// poolStats holds maxima of the nodes' budget pools, from repeated samples.
+// poolStats sums up repeated samples of the nodes' budget pools. grantedSends adds up what each sample reports as
+// used within the last window, so one send may count several times.
 type poolStats struct{ maxPools, maxLenders, grantedSends atomic.Int64 }
 
+// watchPools samples the pools of all nodes until the context ends.
 func (lab *memberLab) watchPools(ctx context.Context, p *poolStats) {
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
@@ -55,23 +57,23 @@
 			return
 		case <-ticker.C:
 		}
-		n := int64(0)
+		pools := int64(0)
 		for _, name := range lab.names {
 			r, err := lab.MembershipOf(ctx, name)
 			if err != nil {
 				continue
 			}
-			n += int64(len(r.Pools))
-			for _, one := range r.Pools {
-				p.maxLenders.Store(max(p.maxLenders.Load(), int64(one.Lenders)))
-				p.grantedSends.Add(int64(one.Used))
+			pools += int64(len(r.Pools))
+			for _, pool := range r.Pools {
+				p.maxLenders.Store(max(p.maxLenders.Load(), int64(pool.Lenders)))
+				p.grantedSends.Add(int64(pool.Used))
 			}
 		}
-		p.maxPools.Store(max(p.maxPools.Load(), n))
+		p.maxPools.Store(max(p.maxPools.Load(), pools))
 	}
 }
 
-// Servers restart cold while nodes that coordinate their budgets are killed, partitioned and paused. No
+// Servers restart cold while nodes that allocate their pooled budgets are killed, partitioned and paused. No
 // server may get more than its budget, pooled budgets must be granted, and requests must go on.
 func TestPooledBudgetsUnderFaults(t *testing.T) {
 	t.Parallel()
@@ -87,7 +89,7 @@
 		lab.watchPools(ctx, &p)
 	}()
 	lab.restartServers([]int{0, 2, 5, 8}, 800*time.Millisecond)
-	lab.noError(lab.Kill("n3")) // coordinates some of the pools
+	lab.noError(lab.Kill("n3")) // allocator of some of the pools
 	lab.restartServers([]int{1, 3, 11}, 600*time.Millisecond)
 	lab.noError(lab.Start("n3"))
 	lab.noError(lab.Pause("n4"))
--- a/internal/rig/lab/report.go
+++ b/internal/rig/lab/report.go
@@ -90,8 +90,8 @@
 		p.mu.Unlock()
 		r.Nodes = append(r.Nodes, row)
 	}
-	for _, b := range append(append([]*standin.Server{}, l.Fleet.Servers...), l.Fleet.LowerServers...) {
-		r.Servers = append(r.Servers, b.State())
+	for _, server := range append(append([]*standin.Server{}, l.Fleet.Servers...), l.Fleet.LowerServers...) {
+		r.Servers = append(r.Servers, server.State())
 	}
 	r.ListCalls, _ = l.Fleet.Discovery.Calls()
 	for _, c := range l.clients {
--- a/internal/rig/lab/sidecars_test.go
+++ b/internal/rig/lab/sidecars_test.go
@@ -72,7 +72,7 @@
 	o := sidecarOptions(3)
 	o.editConfig = func(i int, text []byte) []byte {
 		switch i {
-		case 0: // the format without a schema version
+		case 0: // as platforms write it now, without a schema version
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), nil, 1)
 		case 1: // the next version, with an unknown key
 			return bytes.Replace(text, []byte("  \"schema\": 1,\n"), []byte("  \"schema\": 2,\n  \"next\": {\"a\": 1},\n"), 1)
--- a/internal/rig/relay/relay.go
+++ b/internal/rig/relay/relay.go
@@ -22,7 +22,7 @@
 // Conditions describes the faults of a link.
 type Conditions struct {
 	Cut  bool
-	Loss float64 // fraction of the datagrams
+	Loss float64 // fraction of the datagrams that is lost
 	// Delay is the minimum delay of each datagram. Up to half as much again is added, so that datagrams are
 	// reordered.
 	Delay     time.Duration
@@ -65,10 +65,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("relay: %w", err)
 		}
-		at := udp.LocalAddr().(*net.UDPAddr).AddrPort()
-		tcp, err := net.Listen("tcp", at.String())
+		address := udp.LocalAddr().(*net.UDPAddr).AddrPort()
+		tcp, err := net.Listen("tcp", address.String())
 		if err == nil {
-			r.udp, r.tcp, r.Address = udp, tcp, at
+			r.udp, r.tcp, r.Address = udp, tcp, address
 			break
 		}
 		udp.Close()
--- a/internal/rig/resource/resource.go
+++ b/internal/rig/resource/resource.go
@@ -42,6 +42,7 @@
 	violations []string
 }
 
+// maxHistory limits the accesses that are recorded.
 const maxHistory = 100_000
 
 // Start starts a resource. With checkTokens, it refuses tokens below the highest that it has seen.
--- a/internal/rig/resource/resource_test.go
+++ b/internal/rig/resource/resource_test.go
@@ -9,9 +9,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func start(t *testing.T, checks bool) *Resource {
+func start(t *testing.T, checkTokens bool) *Resource {
 	t.Helper()
-	r, err := Start(checks)
+	r, err := Start(checkTokens)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,9 +19,9 @@
 	return r
 }
 
-func begin(t *testing.T, r *Resource, who string, token uint64) *ActiveAccess {
+func begin(t *testing.T, r *Resource, holder string, token uint64) *ActiveAccess {
 	t.Helper()
-	a, err := Begin(r.Address, who, token)
+	a, err := Begin(r.Address, holder, token)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,8 +36,8 @@
 		begin(t, r, "a", 2*i+1).End()
 		begin(t, r, "b", 2*i+2).End()
 	}
-	if w := r.Violations(); len(w) > 0 {
-		t.Fatalf("successive accesses: %v", w)
+	if violations := r.Violations(); len(violations) > 0 {
+		t.Fatalf("successive accesses: %v", violations)
 	}
 	for name, violate := range map[string]func(r *Resource){
 		"overlapping access":     func(r *Resource) { begin(t, r, "b", 6).End() },
@@ -65,8 +65,8 @@
 		t.Error("a lower token was accepted")
 	}
 	begin(t, r, "c", 6).End()
-	if w := r.Violations(); len(w) > 0 {
-		t.Error(w)
+	if violations := r.Violations(); len(violations) > 0 {
+		t.Error(violations)
 	}
 	history := r.History()
 	for end := time.Now().Add(5 * time.Second); len(history) != 3 || history[2].To.IsZero(); history = r.History() {
