--- a/internal/rig/leases/client.go
+++ b/internal/rig/leases/client.go
@@ -19,18 +19,18 @@
 // stepClients runs a step of each client of the node, and now and then starts a missing client.
 func (n *node) stepClients() {
 	now := n.clock()
-	if len(n.clients) < max(1, n.s.LeasesPerNode) && n.s.rng.IntN(10) == 0 {
-		name, stopAt := "l", now+time.Duration(5+n.s.rng.IntN(20))*time.Second
-		if n.s.LeasesPerNode > 0 {
+	if len(n.clients) < max(1, n.sim.LeasesPerNode) && n.sim.rng.IntN(10) == 0 {
+		name, stopAt := "l", now+time.Duration(5+n.sim.rng.IntN(20))*time.Second
+		if n.sim.LeasesPerNode > 0 {
 			name, stopAt = fmt.Sprint(n.name, "/", len(n.clients)), now+time.Hour
 		}
-		holder := lease.Holder{Name: n.name, Incarnation: uint64(n.epoch), Life: n.s.rng.Uint64() | 1}
-		client, err := lease.NewClient(n.s.timing, name, holder, simTTL, now)
+		holder := lease.Holder{Name: n.name, Incarnation: uint64(n.epoch), Life: n.sim.rng.Uint64() | 1}
+		client, err := lease.NewClient(n.sim.timing, name, holder, simTTL, now)
 		if err != nil {
-			n.s.Violations = append(n.s.Violations, err.Error())
+			n.sim.Violations = append(n.sim.Violations, err.Error())
 			return
 		}
-		n.clients[holder.Life] = &leaseClient{client: client, stopAt: stopAt, handsOver: n.s.rng.IntN(3) == 0}
+		n.clients[holder.Life] = &leaseClient{client: client, stopAt: stopAt, handsOver: n.sim.rng.IntN(3) == 0}
 	}
 	for life, x := range n.clients { // at most one if all nodes compete for one lease
 		n.stepClient(x, now)
@@ -44,19 +44,19 @@
 // stepClient accesses the resource if the client may, starts the release when it is due, and sends the client's
 // command.
 func (n *node) stepClient(x *leaseClient, now time.Duration) {
-	maxDuration := time.Duration(20+n.s.rng.IntN(200)) * time.Millisecond
+	maxDuration := time.Duration(20+n.sim.rng.IntN(200)) * time.Millisecond
 	token, ok := x.client.BeginAct(now, maxDuration)
-	if n.s.ActAfterExpiry && x.lastToken != 0 {
+	if n.sim.ActAfterExpiry && x.lastToken != 0 {
 		token, ok = x.lastToken, true
 	}
 	if ok {
-		duration := time.Duration(n.s.rng.Float64() * float64(maxDuration) / n.clockRate)
-		n.s.Accesses = append(n.s.Accesses, Access{n.s.now, n.s.now + duration, token, fmt.Sprint(n.name, "/", n.epoch, "/", x.client.Holder().Life%1000)})
+		duration := time.Duration(n.sim.rng.Float64() * float64(maxDuration) / n.clockRate)
+		n.sim.Accesses = append(n.sim.Accesses, Access{n.sim.now, n.sim.now + duration, token, fmt.Sprint(n.name, "/", n.epoch, "/", x.client.Holder().Life%1000)})
 	}
 	if phase := x.client.Phase(); now > x.stopAt && phase != lease.Stopping && phase != lease.Releasing {
 		var successor lease.Holder
 		if x.handsOver {
-			successor = n.s.anyQueuedHolder()
+			successor = n.sim.anyQueuedHolder()
 		}
 		x.client.Stop(now, successor)
 	}
@@ -66,10 +66,10 @@
 	}
 	for _, event := range x.client.Events() {
 		if event.Kind == lease.PhaseChanged && event.Phase == lease.Holding {
-			n.s.Grants++
+			n.sim.Grants++
 			x.lastToken = event.Token
-			if n.s.LeasesPerNode == 0 {
-				x.stopAt = now + time.Duration(1+n.s.rng.IntN(6))*time.Second
+			if n.sim.LeasesPerNode == 0 {
+				x.stopAt = now + time.Duration(1+n.sim.rng.IntN(6))*time.Second
 			}
 		}
 	}
--- a/internal/rig/leases/cost.go
+++ b/internal/rig/leases/cost.go
@@ -17,7 +17,7 @@
 func (n *node) countMessage(m *leaselog.Message) {
 	encoded, err := leaselog.AppendMessage(nil, m)
 	if err != nil {
-		n.s.Violations = append(n.s.Violations, fmt.Sprintf("%s sends a message that cannot be encoded: %v", n.name, err))
+		n.sim.Violations = append(n.sim.Violations, fmt.Sprintf("%s sends a message that cannot be encoded: %v", n.name, err))
 		return
 	}
 	n.sent.Messages++
--- a/internal/rig/leases/sim.go
+++ b/internal/rig/leases/sim.go
@@ -56,7 +56,7 @@
 
 // node is one node: a process that can be killed or paused, and its disk.
 type node struct {
-	s           *Sim
+	sim         *Sim
 	name        string
 	site        string
 	epoch       int // changes at every start and kill, so that steps of an earlier process are dropped
@@ -77,7 +77,7 @@
 
 // clock returns the node's own time. It goes on while the process is paused.
 func (n *node) clock() time.Duration {
-	return n.clockOffset + time.Duration(float64(n.s.now)*n.clockRate)
+	return n.clockOffset + time.Duration(float64(n.sim.now)*n.clockRate)
 }
 
 // runStep runs a step of the process now, or when the process resumes if it is paused. Steps of an ended process are
@@ -101,7 +101,7 @@
 	}
 	n.paused = true
 	epoch := n.epoch
-	n.s.after(duration, func() {
+	n.sim.after(duration, func() {
 		if n.epoch != epoch {
 			return
 		}
@@ -117,7 +117,7 @@
 // kill ends the process. The disk keeps what was synced.
 func (n *node) kill() {
 	if !n.dead {
-		n.dead, n.diedAt = true, n.s.now
+		n.dead, n.diedAt = true, n.sim.now
 		n.epoch++
 	}
 }
@@ -131,9 +131,9 @@
 			return
 		}
 		n.runStep(epoch, do)
-		n.s.after(time.Duration(float64(interval)/n.clockRate), loop)
+		n.sim.after(time.Duration(float64(interval)/n.clockRate), loop)
 	}
-	n.s.after(time.Duration(n.s.rng.Int64N(int64(interval))), loop)
+	n.sim.after(time.Duration(n.sim.rng.Int64N(int64(interval))), loop)
 }
 
 // start starts a process with what the disk holds.
@@ -146,7 +146,7 @@
 		if n.log.Broken() != nil { // reopen it from the disk, as a real node does
 			n.openLog()
 		}
-		n.log.SetMembers(n.clock(), n.s.membershipView())
+		n.log.SetMembers(n.clock(), n.sim.membershipView())
 		n.log.Tick(n.clock())
 		n.processOutput()
 	})
@@ -157,10 +157,10 @@
 func (n *node) openLog() {
 	disk := n.disk.Clone()
 	settings := leaselog.Settings{
-		Name: n.name, Site: n.site, Timing: n.s.timing, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
+		Name: n.name, Site: n.site, Timing: n.sim.timing, ReplaceAfter: simReplaceAfter, CompactEvery: 40,
 		Consensus: consensus.Settings{TickInterval: simTickInterval, KeepEntries: 8},
 	}
-	n.log = leaselog.New(settings, &disk, n.userData, "", n.s.rng.Uint64(), n.clock())
+	n.log = leaselog.New(settings, &disk, n.userData, "", n.sim.rng.Uint64(), n.clock())
 }
 
 // membershipView returns the current members. It stands in for the membership protocol, which removes a crashed node
@@ -190,12 +190,12 @@
 			}
 			n.syncs++
 		}
-		wait := time.Millisecond + time.Duration(n.s.rng.Int64N(int64(n.s.maxSyncTime)+1))
-		if n.s.SendBeforeSync {
-			n.s.after(wait+200*time.Millisecond, func() { n.runStep(epoch, writeDisk) })
+		wait := time.Millisecond + time.Duration(n.sim.rng.Int64N(int64(n.sim.maxSyncTime)+1))
+		if n.sim.SendBeforeSync {
+			n.sim.after(wait+200*time.Millisecond, func() { n.runStep(epoch, writeDisk) })
 			log.Saved(n.clock())
 		} else {
-			n.s.after(wait, func() {
+			n.sim.after(wait, func() {
 				n.runStep(epoch, func() {
 					writeDisk()
 					if log == n.log {
@@ -208,10 +208,10 @@
 	}
 	outgoing, replies := n.log.TakeOutgoing()
 	for i := range outgoing {
-		if to := n.s.nodesByName[outgoing[i].To]; to != nil {
+		if to := n.sim.nodesByName[outgoing[i].To]; to != nil {
 			m := outgoing[i].Message
 			n.countMessage(m)
-			n.s.deliver(n, to, func() {
+			n.sim.deliver(n, to, func() {
 				to.log.Receive(to.clock(), m)
 				to.processOutput()
 			})
@@ -246,7 +246,7 @@
 	s := &Sim{rng: rand.New(rand.NewPCG(seed, 99)), nodesByName: map[string]*node{}, voterIDs: map[uint64]bool{}, timing: lease.Timing{}.Default(), maxSyncTime: 2 * time.Millisecond}
 	for i := range nodes {
 		n := &node{
-			s: s, name: fmt.Sprint("n", i), site: fmt.Sprint("s", i%3), clockOffset: time.Duration(s.rng.Int64N(int64(1000 * time.Hour))),
+			sim: s, name: fmt.Sprint("n", i), site: fmt.Sprint("s", i%3), clockOffset: time.Duration(s.rng.Int64N(int64(1000 * time.Hour))),
 			clockRate: 1 + s.timing.ClockDrift/2.1*(2*s.rng.Float64()-1),
 		}
 		s.nodes, s.nodesByName[n.name] = append(s.nodes, n), n
--- a/internal/rig/members/net.go
+++ b/internal/rig/members/net.go
@@ -419,7 +419,8 @@
 // MaxUsablePause is the longest pause during which a node still counts as usable.
 const MaxUsablePause = 3 * time.Second
 
-// isUsable reports whether a node runs and has working links in both directions to more than half of the other nodes.
+// isUsable reports whether a node has not been paused for longer than MaxUsablePause, and has working links in both
+// directions to more than half of the other running nodes.
 func (n *Net) isUsable(x *Node) bool {
 	if x.paused && n.Now-x.pausedAt > MaxUsablePause {
 		return false
--- a/internal/rig/registry/queue.go
+++ b/internal/rig/registry/queue.go
@@ -19,7 +19,7 @@
 // Outcomes of a call.
 const (
 	Answered Outcome = iota // answered within the timeout
-	TimedOut                // failed in the queue, although its work is done
+	TimedOut                // failed in the queue; its work uses capacity all the same
 	Rejected                // failed at once and costs no work
 )
 
--- a/internal/rig/registry/queue_test.go
+++ b/internal/rig/registry/queue_test.go
@@ -107,8 +107,7 @@
 	if backlog := q.Backlog(20 * time.Second); backlog < 3900*time.Millisecond {
 		t.Fatalf("backlog of %v after an overload", backlog)
 	}
-	// A quarter of the capacity is free: the backlog of 4 s is done after 16 s, and drops below 2 s after 8
-	// s.
+	// A quarter of the capacity is free: the backlog of 4 s is done after 16 s, and drops below 2 s after 8 s.
 	counts := offerLoad(q, 20*time.Second, 40*time.Second, 30, 10*time.Second)
 	if counts[TimedOut]+counts[Rejected] != 0 || counts[Answered] < 299 {
 		t.Errorf("outcomes %v", counts)
--- a/internal/rig/scale/fleet.go
+++ b/internal/rig/scale/fleet.go
@@ -84,8 +84,8 @@
 	Convergence       time.Duration // from the start of the real nodes until all nodes have one view
 	Bytes             float64       // sent for membership per real node and second, idle
 	Messages          float64
-	Core              float64 // fraction of a core that a whole real node uses when idle
-	CrashDetection    time.Duration
+	Core              float64       // fraction of a core that a whole real node uses when idle
+	CrashDetection    time.Duration // from the kill of a simulated node until all views lack it; 0: not measured
 	ZoneLossDetection time.Duration // from the kill of a zone until all views lack it; 0: no zone to kill
 	ZoneReturn        time.Duration // from the restart of that zone until all nodes have one view again
 	RealNodeDetection time.Duration // from its kill until all views lack it; 0: there is only one
--- a/internal/rig/standin/discovery_test.go
+++ b/internal/rig/standin/discovery_test.go
@@ -112,9 +112,9 @@
 		{"pushed by an agent", nil, []time.Duration{-1}, 10 * time.Second, 10 * time.Second},
 		{"pushed by an agent that was silent", []interval{{9 * time.Second, 12 * time.Second}}, []time.Duration{-1}, 10 * time.Second, 12 * time.Second},
 	} {
-		result := &discoveryEndpoint{discovery: &Discovery{faultIntervals: c.faults}, silentUntil: c.silentUntil}
-		result.discovery.pushed = slices.Contains(c.silentUntil, -1)
-		if got := result.deliveredFrom(c.published); got != c.want {
+		endpoint := &discoveryEndpoint{discovery: &Discovery{faultIntervals: c.faults}, silentUntil: c.silentUntil}
+		endpoint.discovery.pushed = slices.Contains(c.silentUntil, -1)
+		if got := endpoint.deliveredFrom(c.published); got != c.want {
 			t.Errorf("%s: counts as delivered at %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -155,7 +155,7 @@
 	Start(name string) error
 	Pause(name string) error  // suspends the process
 	Resume(name string) error // continues a suspended process
-	// MoveDiscovery gives discovery another address, of which nodes learn as of any configuration change.
+	// MoveDiscovery gives discovery another address. Nodes learn of it through a change of their configuration.
 	MoveDiscovery() error
 	// SetLinkFault begins or ends a fault of the links between nodes.
 	SetLinkFault(f *Fault, on bool) error
--- a/internal/rig/standin/judge/drains.go
+++ b/internal/rig/standin/judge/drains.go
@@ -10,7 +10,8 @@
 	presumed bool // counts as delivered even if it was not
 }
 
-// StateWritten records that discovery has written a server's state to a node.
+// StateWritten records that discovery has written a server's state to a node, for lists without versions. A repeated
+// state is ignored, so that it does not start another grace period.
 func (j *Judge) StateWritten(at time.Duration, node, server string, s State) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/rig/standin/judge/judge.go
+++ b/internal/rig/standin/judge/judge.go
@@ -161,10 +161,10 @@
 }
 
 // AddServer records the location of a server. It must be called before the server's first request.
-func (j *Judge) AddServer(id string, p Location) {
+func (j *Judge) AddServer(id string, location Location) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.locations[id] = p
+	j.locations[id] = location
 }
 
 // RequestSent records that a client has written the last byte of a request to a node, and how long it will
@@ -353,8 +353,8 @@
 	}
 	slices.SortStableFunc(events, func(x, y event) int { return cmp.Compare(x.at, y.at) })
 	texts := make([]string, len(events))
-	for i, d := range events {
-		texts[i] = fmt.Sprintf("%9.1f ms  %s", float64(d.at-r.sentAt)/1e6, d.text)
+	for i, e := range events {
+		texts[i] = fmt.Sprintf("%9.1f ms  %s", float64(e.at-r.sentAt)/1e6, e.text)
 	}
 	return texts
 }
--- a/internal/rig/standin/server.go
+++ b/internal/rig/standin/server.go
@@ -128,10 +128,10 @@
 	s.httpServer = &http.Server{
 		Handler: s, ErrorLog: log.New(io.Discard, "", 0), IdleTimeout: 10 * time.Second, MaxHeaderBytes: 32 << 10,
 	}
-	server, ended := s.httpServer, s.serveDone
+	httpServer, serveDone := s.httpServer, s.serveDone
 	go func() { // ends with close
-		defer close(ended)
-		server.Serve(&cappedListener{l, s})
+		defer close(serveDone)
+		httpServer.Serve(&cappedListener{l, s})
 	}()
 	return nil
 }
@@ -156,7 +156,7 @@
 // close ends the server's process: connections are reset and new ones refused.
 func (s *Server) close() {
 	s.mu.Lock()
-	server, ended := s.httpServer, s.serveDone
+	httpServer, serveDone := s.httpServer, s.serveDone
 	s.httpServer = nil
 	s.endSilence()
 	for c := range s.conns {
@@ -165,12 +165,12 @@
 		}
 	}
 	s.mu.Unlock()
-	if server == nil {
+	if httpServer == nil {
 		return
 	}
 	close(s.processEnd) // ends the work in progress as well
-	server.Close()
-	<-ended
+	httpServer.Close()
+	<-serveDone
 }
 
 // endSilence ends the unresponsive phase. Data sent meanwhile is lost, so its connections end.
--- a/internal/rig/virtual/clients.go
+++ b/internal/rig/virtual/clients.go
@@ -79,7 +79,7 @@
 		attempts++
 		result.ClientAttempts++
 		isRetry := attempts > 1
-		r.submit(n, class, time.Duration(work), remaining, isRetry, func(outcome judge.RequestOutcome, advice time.Duration) {
+		r.submit(n, class, time.Duration(work), remaining, isRetry, func(outcome judge.RequestOutcome, retryAfter time.Duration) {
 			if outcome == judge.Refused && r.wouldServeInTime(n, class, time.Duration(work), startedAt) {
 				result.WrongRefusals++
 			}
@@ -91,7 +91,7 @@
 			if !r.config.NoJitter {
 				delay = time.Duration((0.5 + r.rng.Float64()) * float64(delay))
 			}
-			delay = max(delay, advice)
+			delay = max(delay, retryAfter)
 			if r.now+delay-startedAt >= kind.Deadline {
 				finish(outcome)
 				return
@@ -140,7 +140,7 @@
 }
 
 // finishRequest ends a request.
-func (r *run) finishRequest(n *node, req *nodeRequest, outcome judge.RequestOutcome, advice time.Duration, serverID string) {
+func (r *run) finishRequest(n *node, req *nodeRequest, outcome judge.RequestOutcome, retryAfter time.Duration, serverID string) {
 	if req.answered {
 		return
 	}
@@ -149,5 +149,5 @@
 	if req.judgeKey != "" {
 		r.judge.RequestEnded(r.now, req.judgeKey, outcome, serverID)
 	}
-	req.done(outcome, advice)
+	req.done(outcome, retryAfter)
 }
--- a/internal/rig/virtual/config.go
+++ b/internal/rig/virtual/config.go
@@ -31,7 +31,7 @@
 	Threshold     float64
 	AveragingTime time.Duration // of the mean number of requests in flight
 	Slowdown      float64
-	Rest          time.Duration
+	Rest          time.Duration // not read: the mean alone ends congestion early
 	MaxDuration   time.Duration
 }
 
@@ -165,7 +165,7 @@
 	Claims           int           // messages that claim sends of a pooled budget
 	GrantedSends     int           // sends granted in reply
 	ColdAttempts     int           // attempts at cold servers
-	AnsweringTime    time.Duration // virtual time at the end of the run
+	Elapsed          time.Duration // virtual time at the end of the run
 }
 
 // Mean returns the mean response time of the answered requests of a class.
--- a/internal/rig/virtual/pool.go
+++ b/internal/rig/virtual/pool.go
@@ -36,7 +36,7 @@
 	now := r.balancerTime(r.now)
 	settings := allowance.Settings{Window: r.settings.CollapseWindow}
 	startedAt := now
-	if r.now == 0 { // no node was running before, so none is waiting for an old incarnation's loans to end
+	if r.now == 0 { // no process ran before, so the lender need not wait until earlier loans have ended
 		startedAt = now - time.Minute
 	}
 	n.pool = &poolParticipant{
--- a/internal/rig/virtual/run.go
+++ b/internal/rig/virtual/run.go
@@ -84,7 +84,7 @@
 	ttl       time.Duration
 	attempts  []*serverAttempt
 	answered  bool
-	done      func(e judge.RequestOutcome, advice time.Duration)
+	done      func(outcome judge.RequestOutcome, retryAfter time.Duration)
 }
 
 // serverAttempt is an attempt of a request at a server.
@@ -379,7 +379,7 @@
 	for _, x := range r.peakLoadRatios {
 		res.PeakLoadRatio += x / float64(len(r.peakLoadRatios))
 	}
-	res.AnsweringTime = r.now
+	res.Elapsed = r.now
 	for _, breach := range r.judge.Check(r.now).Breaches {
 		res.Breaches = append(res.Breaches, breach.String())
 	}
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -55,7 +55,7 @@
 	for _, class := range r.Classes {
 		served += class.Served + class.Late
 	}
-	if rate := float64(served) / r.AnsweringTime.Seconds(); rate > c.Capacity()*1.05 || rate < c.Capacity()*0.5 {
+	if rate := float64(served) / r.Elapsed.Seconds(); rate > c.Capacity()*1.05 || rate < c.Capacity()*0.5 {
 		t.Errorf("%.0f requests per second were served, the capacity is %.0f", rate, c.Capacity())
 	}
 }
