--- a/internal/rig/leases/leases_test.go
+++ b/internal/rig/leases/leases_test.go
@@ -33,8 +33,8 @@
 }
 
 // The schedules must find two known faults. A voter that answers before its disk has the state votes twice after a
-// crash; the search in the tests of package lease has no voters and cannot see that. A client that goes on acting after
-// its lease has ended overlaps the next holder.
+// crash; the search in the tests of package lease has no voters and cannot see that. A client that goes on acting
+// after its lease has ended overlaps the next holder.
 func TestLeaseSchedulesFindKnownFaults(t *testing.T) {
 	for name, edit := range map[string]func(*Sim){
 		"messages sent before the disk sync": func(s *Sim) { s.SendBeforeSync = true },
--- a/internal/rig/standin/fault.go
+++ b/internal/rig/standin/fault.go
@@ -19,8 +19,8 @@
 	To       string
 	At       time.Duration
 	Duration time.Duration
-	// Magnitude depends on the kind. slow: slowdown factor; lag: extra seconds; backup: age in seconds; backlog: seconds
-	// of work; lose, twice, damage: fraction; late: seconds.
+	// Magnitude depends on the kind. slow: slowdown factor; lag: extra seconds; backup: age in seconds; backlog:
+	// seconds of work; lose, twice, damage: fraction; late: seconds.
 	Magnitude float64
 }
 
--- a/internal/rig/virtual/registry_node_test.go
+++ b/internal/rig/virtual/registry_node_test.go
@@ -222,8 +222,9 @@
 	n.state, n.stateSince, n.pollSilent = state, n.registry.now, false
 }
 
-// dueTime returns when the node is deemed to know a change in the current state; false if it is not. While the registry
-// is down, a node is deemed to know changes only in state watching, that is for what went wrong before the outage.
+// dueTime returns when the node is deemed to know a change in the current state; false if it is not. While the
+// registry is down, a node is deemed to know changes only in state watching, that is for what went wrong before the
+// outage.
 func (n *fleetNode) dueTime(madeAt time.Duration) (at time.Duration, ok bool) {
 	if n.state != watching && n.registry.outage != reachable {
 		return 0, false
--- a/internal/rig/virtual/servers.go
+++ b/internal/rig/virtual/servers.go
@@ -48,8 +48,8 @@
 	r.dispatch(srv, latency, nodeIncarnation)
 }
 
-// dispatch starts queued attempts on the free cores of a server. The latency is that of the arrival that caused it, also
-// for the responses to attempts of other nodes.
+// dispatch starts queued attempts on the free cores of a server. The latency is that of the arrival that caused it,
+// also for the responses to attempts of other nodes.
 func (r *run) dispatch(srv *server, latency time.Duration, triggerIncarnation int) {
 	for srv.busyCores < srv.cores && len(srv.queue) > 0 {
 		attempt := srv.queue[0]
