--- a/cmd/curlewctl/lab.go
+++ b/cmd/curlewctl/lab.go
@@ -41,7 +41,7 @@
 	StaleEntries   int           `name:"stale" help:"Entries of that list without a server: half refuse connections, a quarter hang, a quarter are used by something else."`
 	Outage         time.Duration `default:"5s" help:"With --list-age: how long discovery is unavailable."`
 	ColdServers    bool          `name:"cold" help:"With --list-age: the servers have just started."`
-	OldListMode    string        `name:"arm" default:"doubts" enum:"doubts,trusts,waits" help:"With --list-age: how nodes use the list; trusts and waits are baselines to compare with."`
+	StaleListMode  string        `name:"arm" default:"doubts" enum:"doubts,trusts,waits" help:"With --list-age: how nodes use the list; trusts and waits are baselines to compare with."`
 	Membership     bool          `name:"members" help:"Nodes know each other; faults of the links between them: cut, lose, late, twice, damage, and stop, kill."`
 	JSON           bool          `help:"Print the report as JSON."`
 	CompareForward bool          `name:"control" help:"Afterwards run plain forwarding with the same servers and load, and print ratios."`
@@ -129,9 +129,9 @@
 		options.IdleConns, options.IdleInterval, options.ToolBinary = c.IdleConns, c.IdleInterval, self
 	}
 	if c.ListAge > 0 || c.StartFrom != "" {
-		modes := map[string]lab.OldListMode{"doubts": lab.VerifyList, "trusts": lab.TrustList, "waits": lab.DiscardList}
-		options.OldList = &lab.OldList{Mode: modes[c.OldListMode], Age: c.ListAge, StaleEntries: c.StaleEntries, Outage: c.Outage, ColdServers: c.ColdServers}
-		if err := options.OldList.Validate(); err != nil {
+		modes := map[string]lab.StaleListMode{"doubts": lab.VerifyList, "trusts": lab.TrustList, "waits": lab.DiscardList}
+		options.StaleList = &lab.StaleList{Mode: modes[c.StaleListMode], Age: c.ListAge, StaleEntries: c.StaleEntries, Outage: c.Outage, ColdServers: c.ColdServers}
+		if err := options.StaleList.Validate(); err != nil {
 			return options, err
 		}
 		if c.StartFrom != "" {
@@ -139,7 +139,7 @@
 			if err != nil {
 				return options, err
 			}
-			if options.OldList.Extra, err = endpoints.Parse(text); err != nil {
+			if options.StaleList.Extra, err = endpoints.Parse(text); err != nil {
 				return options, fmt.Errorf("%s: %w", c.StartFrom, err)
 			}
 		}
--- a/decide/api.go
+++ b/decide/api.go
@@ -127,11 +127,11 @@
 
 // Kinds of list updates.
 const (
-	ListDiff     ListKind = iota // changed entries only
-	ListFull                     // complete: servers that are missing from it are removed
-	ListStored                   // complete, as this node last stored it; possibly outdated
-	ListFailed                   // a call for the list failed, or the watch was lost
-	ListRestored                 // changed entries only, from this node's own records instead of discovery
+	ListDiff   ListKind = iota // changed entries only
+	ListFull                   // complete: servers that are missing from it are removed
+	ListStored                 // complete, as this node last stored it; possibly outdated
+	ListFailed                 // a call for the list failed, or the watch was lost
+	ListLocal                  // changed entries or none, determined by this node itself
 )
 
 // Health is a server's state in the list.
--- a/decide/concurrency_test.go
+++ b/decide/concurrency_test.go
@@ -240,7 +240,7 @@
 	}
 	verified := list[0]
 	verified.Unverified = false
-	b.HandleList(time.Second, ListUpdate{Kind: ListRestored, Servers: []Server{verified}, FleetSize: 300},
+	b.HandleList(time.Second, ListUpdate{Kind: ListLocal, Servers: []Server{verified}, FleetSize: 300},
 		nil)
 	if sent := offer(b, time.Second, 1, 2); sent != 2 {
 		t.Errorf("%d of 2 requests that must not run twice went to the verified server", sent)
--- a/decide/members.go
+++ b/decide/members.go
@@ -23,14 +23,14 @@
 // HandleList takes an update of the server list.
 func (b *Balancer) HandleList(now time.Duration, update ListUpdate, out []Action) []Action {
 	b.beginEvent(now, out)
-	if b.cfg.MustSubscribe && update.Kind != ListRestored {
+	if b.cfg.MustSubscribe && update.Kind != ListLocal {
 		b.followWatch(update.Kind)
 	}
 	b.updateConfirmation(&update)
 	if update.Kind == ListFailed {
 		return b.actions
 	}
-	full := update.Kind != ListDiff && update.Kind != ListRestored
+	full := update.Kind != ListDiff && update.Kind != ListLocal
 	b.priorRate, b.fleetSize = update.PriorRate, float64(update.FleetSize)
 	if full {
 		for _, s := range b.servers {
--- a/decide/unconfirmed_test.go
+++ b/decide/unconfirmed_test.go
@@ -222,7 +222,7 @@
 		if got := serversUsed(b, 20*time.Second, 21*time.Second, serveAll); len(got) == 0 {
 			t.Errorf("%s: no server is used", c.name)
 		}
-		b.HandleList(21*time.Second, ListUpdate{Kind: ListRestored, AsOf: 20 * time.Second}, nil)
+		b.HandleList(21*time.Second, ListUpdate{Kind: ListLocal, AsOf: 20 * time.Second}, nil)
 		if !near(21*time.Second, 40*time.Second) {
 			t.Errorf("%s: not used although discovery responds", c.name)
 		}
@@ -257,7 +257,7 @@
 			b.servers[fmt.Sprint("near-", i)].recordOutcome(3500*ms, &Outcome{Result: r})
 			b.zones["near"].recordResult(3500*ms, r)
 		}
-		b.HandleList(10*time.Second, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
+		b.HandleList(10*time.Second, ListUpdate{Kind: ListLocal, AsOf: c.confirmedAt}, nil)
 		b.HandleList(10*time.Second, ListUpdate{Kind: ListFailed, ConfirmedUntil: 10 * time.Second}, nil)
 		if got := sendOne(b, 12*time.Second, serveAll); !strings.HasPrefix(got, c.used) {
 			t.Errorf("%s: %q is used, want a server of zone %s", c.name, got, c.used)
@@ -331,7 +331,7 @@
 			changes = append(changes, e)
 		}
 		b.HandleList(announcedAt, ListUpdate{Kind: ListDiff, Servers: changes}, nil)
-		b.HandleList(announcedAt, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
+		b.HandleList(announcedAt, ListUpdate{Kind: ListLocal, AsOf: c.confirmedAt}, nil)
 		b.HandleList(announcedAt, ListUpdate{Kind: ListFailed, ConfirmedUntil: 9 * time.Second}, nil)
 		for _, s := range b.servers {
 			s.recordOutcome(9*time.Second, &Outcome{Result: Served, ConnAge: 9 * time.Second})
@@ -398,7 +398,7 @@
 			s.recordOutcome(c.now, &Outcome{Result: Served, ConnAge: c.now - opened})
 			s.zone.recordResult(backAt, Served)
 		}
-		b.HandleList(c.now, ListUpdate{Kind: ListRestored, AsOf: c.confirmedAt}, nil)
+		b.HandleList(c.now, ListUpdate{Kind: ListLocal, AsOf: c.confirmedAt}, nil)
 		got := slices.ContainsFunc(serversUsed(b, c.now, c.now+900*ms, serveAll),
 			func(s string) bool { return strings.HasPrefix(s, "near") })
 		if got != c.used {
--- a/internal/fleet/allowance/lender.go
+++ b/internal/fleet/allowance/lender.go
@@ -55,7 +55,7 @@
 	granted        int           // sends of the loan that arrived here
 	lost           int           // sends of the loan whose grant was lost
 	wanted         int           // sends to ask for in the next claim
-	listed         bool          // the decision module listed the server at the last Tick
+	listed         bool          // the balancer listed the server at the last Tick
 }
 
 // allocatorState is what this node knows about an allocator.
@@ -75,8 +75,8 @@
 	return l
 }
 
-// Tick takes the members, none if they are unknown, and the cold servers as reported by the decision
-// module. It returns claims to send and grants for the module. Both are valid until the next call.
+// Tick takes the members, none if they are unknown, and the cold servers as reported by the
+// balancer. It returns claims to send and grants for the balancer. Both are valid until the next call.
 func (l *Lender) Tick(now time.Duration, members []Member, coldServers []decide.ColdServer) ([]Outgoing, []decide.Grant) {
 	l.grants = l.grants[:0]
 	l.members = members
@@ -89,7 +89,7 @@
 		if p == nil {
 			p = &part{}
 			l.parts[server] = p
-			// The part is about to be lent. The module must not use it until then, since nobody would
+			// The part is about to be lent. The balancer must not use it until then, since nobody would
 			// count those sends.
 			if p.lentUntil = now + l.settings.SilentAfter/2; len(members) < 2 {
 				p.lentUntil = now
@@ -99,7 +99,7 @@
 			}
 		}
 		newlyUsed := coldServers[i].GrantsUsed - p.lastGrantsUsed
-		if newlyUsed < 0 { // the module dropped the server and counts from zero again
+		if newlyUsed < 0 { // the balancer dropped the server and counts from zero again
 			newlyUsed = coldServers[i].GrantsUsed
 		}
 		p.used += newlyUsed
@@ -257,7 +257,7 @@
 	return x ^ x>>31
 }
 
-// HandleGrant handles a member's answer to a claim and returns the grants for the decision module,
+// HandleGrant handles a member's answer to a claim and returns the grants for the balancer,
 // which ignores those that are too late. A grant that arrives after a later one counts as lost: its
 // sends are reported as unused.
 func (l *Lender) HandleGrant(now time.Duration, from uint64, g *Grant) []decide.Grant {
--- a/internal/fleet/allowance/sim_test.go
+++ b/internal/fleet/allowance/sim_test.go
@@ -38,7 +38,7 @@
 	life      int      // of the allocator's process
 }
 
-// process is one node: a lender, an allocator, and a model of the decision module.
+// process is one node: a lender, an allocator, and a model of the balancer.
 type process struct {
 	sim           *simulation
 	index         int
@@ -51,12 +51,12 @@
 	paused        bool
 	deferred      []func()
 	view          []Member
-	states        map[Server]*moduleState
+	states        map[Server]*balancerState
 	formerLenders []uint64 // IDs of the lenders of its earlier lives
 }
 
-// moduleState models the state of one cold server in the decision module of package decide.
-type moduleState struct {
+// balancerState models the state of one cold server in the balancer of package decide.
+type balancerState struct {
 	rate, requestRate     float64
 	lentUntil, validUntil time.Duration
 	granted, used         int
@@ -99,7 +99,7 @@
 	return p.offset + time.Duration(float64(p.sim.now)*p.skew)
 }
 
-// start begins a new life of the process, with lender, allocator and module state anew.
+// start begins a new life of the process, with lender, allocator and balancer state anew.
 func (p *process) start(rate float64) {
 	p.life++
 	p.member = uint64(p.index+1)<<32 | uint64(p.life)
@@ -108,10 +108,10 @@
 	}
 	p.lender = NewLender(Settings{}, p.sim.rng.Uint64(), p.clock())
 	p.allocator = NewAllocator(Settings{})
-	p.states = map[Server]*moduleState{}
+	p.states = map[Server]*balancerState{}
 	p.paused, p.deferred = false, nil
 	for _, server := range p.sim.servers {
-		p.states[server] = &moduleState{rate: rate * (0.5 + p.sim.rng.Float64()), requestRate: 2, refilledAt: p.clock()}
+		p.states[server] = &balancerState{rate: rate * (0.5 + p.sim.rng.Float64()), requestRate: 2, refilledAt: p.clock()}
 	}
 	life := p.life
 	p.tick() // before the first request: its earlier life may have lent the parts
@@ -179,7 +179,7 @@
 	}
 }
 
-// applyGrants updates the module state with the grants of an allocator; from is nil for loans alone.
+// applyGrants updates the balancer state with the grants of an allocator; from is nil for loans alone.
 func (p *process) applyGrants(grants []decide.Grant, from *process, life int) {
 	now := p.clock()
 	for _, grant := range grants {
@@ -202,7 +202,7 @@
 }
 
 // held returns the number of granted sends that have not expired.
-func (r *moduleState) held(now time.Duration) int {
+func (r *balancerState) held(now time.Duration) int {
 	if now >= r.validUntil || now >= r.lentUntil {
 		r.granted = 0
 	}
--- a/internal/fleet/bootstrap/bootstrap.go
+++ b/internal/fleet/bootstrap/bootstrap.go
@@ -1,5 +1,5 @@
 // Package bootstrap decides where a node that starts without a list of servers gets one: from another node or from
-// discovery, and when it may ask discovery itself, so that a fleet that starts at once does not overload discovery.
+// discovery, and when it may call discovery itself, so that a fleet that starts at once does not overload discovery.
 //
 // It is pure: messages, ticks and events come in; messages and actions for the node come out. A Bootstrapper belongs
 // to one goroutine. It does not know the contents of a list: to it a list is a generation, the discovery instance
@@ -19,13 +19,13 @@
 // Settings configure a Bootstrapper. The zero value of a field stands for its default.
 type Settings struct {
 	Name        string
-	PeerTimeout time.Duration // how long peers have to answer before discovery is asked; default 1 s
+	PeerTimeout time.Duration // how long peers have to answer before discovery is called; default 1 s
 	MaxWait     time.Duration // longest wait for other starting nodes; default 10 s
 }
 
 const (
 	defaultPeerTimeout, defaultMaxWait = time.Second, 10 * time.Second
-	peersPerQuery                      = 3                      // near peers asked at once
+	peersPerQuery                      = 3                      // near peers queried at once
 	queryInterval                      = 500 * time.Millisecond // between queries to peers
 	slowDiscoveryCall                  = time.Second            // a longer call: peers may answer sooner
 	maxPendingQueries                  = 8192                   // nodes remembered to be sent a list once there is one
@@ -45,7 +45,7 @@
 
 // The kinds of messages.
 const (
-	ListQuery Kind = 1 + iota // asks for a list
+	ListQuery Kind = 1 + iota // requests a list
 	Starting                  // reply of a node that is starting too and has no list
 	ListReply                 // a list, in Body
 )
@@ -104,7 +104,7 @@
 	receivedAt    time.Duration
 }
 
-// New returns a Bootstrapper that begins now. With hasList the node starts with a list of its own and asks discovery
+// New returns a Bootstrapper that begins now. With hasList the node starts with a list of its own and calls discovery
 // at once.
 func New(settings Settings, hasList bool, seed uint64, now time.Duration) *Bootstrapper {
 	if settings.PeerTimeout <= 0 {
@@ -114,8 +114,8 @@
 		settings.MaxWait = defaultMaxWait
 	}
 	b := &Bootstrapper{settings: settings, rng: rand.New(rand.NewPCG(seed, 0x12ec)), phase: AskingPeers, phaseStart: now, pendingQueries: map[string]time.Duration{}}
-	// Without leases, each node asks discovery after a random wait, and few waits are short: of 300 nodes the first
-	// asks after about four tenths of MaxWait, and only a handful before it has a list to send to the others.
+	// Without leases, each node calls discovery after a random wait, and few waits are short: of 300 nodes the first
+	// calls after about four tenths of MaxWait, and only a handful before it has a list to send to the others.
 	b.maxWait = time.Duration(math.Pow(b.rng.Float64(), 1.0/6) * float64(settings.MaxWait))
 	if hasList {
 		b.startDiscovery(now)
@@ -129,15 +129,15 @@
 // SetPeers sets the nodes to query: the near ones, and far ones of other sites.
 func (b *Bootstrapper) SetPeers(near, far []string) { b.nearPeers, b.farPeers = near, far }
 
-// WantsLease reports whether this node should acquire its site's lease to ask discovery.
+// WantsLease reports whether this node should acquire its site's lease to call discovery.
 func (b *Bootstrapper) WantsLease() bool { return b.phase == WaitingForPeer }
 
-// Take returns and clears what is to be done since the last call: messages to send, whether to start asking
+// TakeOutput returns and clears what is to be done since the last call: messages to send, whether to start calling
 // discovery, and a list received from a peer, nil if there is none.
-func (b *Bootstrapper) Take() (outgoing []Outgoing, askDiscovery bool, list *Message) {
-	outgoing, askDiscovery, list = b.outgoing, b.discoveryDue, b.receivedList
+func (b *Bootstrapper) TakeOutput() (outgoing []Outgoing, callDiscovery bool, list *Message) {
+	outgoing, callDiscovery, list = b.outgoing, b.discoveryDue, b.receivedList
 	b.outgoing, b.discoveryDue, b.receivedList = nil, false, nil
-	return outgoing, askDiscovery, list
+	return outgoing, callDiscovery, list
 }
 
 // enterPhase enters a phase; the next query to peers is due at once.
@@ -196,7 +196,7 @@
 	}
 }
 
-// LeaseAcquired records that this node holds its site's lease: it asks discovery for the site.
+// LeaseAcquired records that this node holds its site's lease: it calls discovery for the site.
 func (b *Bootstrapper) LeaseAcquired(now time.Duration) {
 	if b.phase == WaitingForPeer {
 		b.startDiscovery(now)
@@ -208,7 +208,7 @@
 	b.setList(now, knownList{List{Generation: generation, Discovery: discovery}, true, now})
 }
 
-// ListUnusable records that the list from a peer could not be used: it is dropped, and discovery is asked.
+// ListUnusable records that the list from a peer could not be used: it is dropped, and discovery is called.
 func (b *Bootstrapper) ListUnusable(now time.Duration) {
 	if b.list != nil && !b.list.fromDiscovery {
 		b.list = nil
@@ -282,6 +282,6 @@
 		b.receivedList = m
 		first := b.phase < AskingDiscovery
 		b.setList(now, knownList{m.List, false, now})
-		b.discoveryDue = b.discoveryDue || first // the node asks discovery in its turn for later changes
+		b.discoveryDue = b.discoveryDue || first // the node calls discovery in its turn for later changes
 	}
 }
--- a/internal/fleet/bootstrap/bootstrap_test.go
+++ b/internal/fleet/bootstrap/bootstrap_test.go
@@ -93,14 +93,14 @@
 }
 
 func (n *simNode) process() {
-	outgoing, askDiscovery, list := n.bootstrapper.Take()
+	outgoing, callDiscovery, list := n.bootstrapper.TakeOutput()
 	if list != nil {
 		n.listAt = n.sim.now
 		if n.listWrittenAt = n.sim.now - list.List.Age; n.listWrittenAt < 0 {
 			n.sim.understatedAges++
 		}
 	}
-	if askDiscovery {
+	if callDiscovery {
 		lines, wait := fullListLines, time.Duration(0)
 		if n.listAt > 0 { // a call for changes after a random wait, as nodes do it
 			lines, wait = changeLines, time.Duration(n.sim.rng.Float64()*float64(min(time.Duration(len(n.sim.nodes))*10*time.Millisecond, 3*time.Second)))
@@ -224,7 +224,7 @@
 		t.Errorf("a node alone has a list after %v", lastList)
 	}
 	b := New(Settings{Name: "x"}, true, 1, 0)
-	if _, askDiscovery, _ := b.Take(); !askDiscovery {
+	if _, callDiscovery, _ := b.TakeOutput(); !callDiscovery {
 		t.Error("a node with a list does not ask discovery at once")
 	}
 }
@@ -260,11 +260,11 @@
 func TestListPrecedence(t *testing.T) {
 	b := New(Settings{Name: "x"}, false, 1, 0)
 	b.Receive(time.Second, &Message{Kind: ListReply, From: "a", List: List{3, "d", time.Minute}})
-	if _, askDiscovery, m := b.Take(); m == nil || !askDiscovery {
+	if _, callDiscovery, m := b.TakeOutput(); m == nil || !callDiscovery {
 		t.Error("the list was not accepted, or discovery is not asked")
 	}
 	b.Receive(2*time.Second, &Message{Kind: ListReply, From: "b", List: List{9, "d", 0}})
-	if _, _, m := b.Take(); m != nil {
+	if _, _, m := b.TakeOutput(); m != nil {
 		t.Error("a second list was accepted")
 	}
 	if l, _ := b.List(11 * time.Second); l.Generation != 3 || l.Age != time.Minute+10*time.Second {
@@ -276,7 +276,7 @@
 	}
 	unusable := New(Settings{Name: "x"}, false, 1, 0)
 	unusable.Receive(0, &Message{Kind: ListReply, From: "a", List: List{3, "d", 0}})
-	unusable.Take()
+	unusable.TakeOutput()
 	unusable.ListUnusable(time.Second)
 	if _, has := unusable.List(time.Second); has || unusable.Phase() != AskingDiscovery {
 		t.Errorf("an unusable list is still known, or discovery is not asked: phase %v", unusable.Phase())
@@ -287,7 +287,7 @@
 	sent := 0
 	for i := range 1000 {
 		limited.Receive(time.Duration(i)*time.Millisecond, &Message{Kind: ListQuery, From: fmt.Sprint(i)})
-		outgoing, _, _ := limited.Take()
+		outgoing, _, _ := limited.TakeOutput()
 		sent += len(outgoing)
 	}
 	if sent != maxRepliesPerSecond {
--- a/internal/fleet/bootstrap/size_test.go
+++ b/internal/fleet/bootstrap/size_test.go
@@ -17,9 +17,9 @@
 	if len(b.pendingQueries) != nodes {
 		t.Errorf("%d of %d queries are remembered", len(b.pendingQueries), nodes)
 	}
-	b.Take()
+	b.TakeOutput()
 	b.DiscoveryAnswered(2*time.Second, 1, "d")
-	outgoing, _, _ := b.Take()
+	outgoing, _, _ := b.TakeOutput()
 	replies := 0
 	for _, o := range outgoing {
 		if o.Kind == ListReply {
--- a/internal/fleet/lease/client.go
+++ b/internal/fleet/lease/client.go
@@ -152,8 +152,8 @@
 	return left
 }
 
-// ActsEnded records that all begun acts have ended.
-func (cl *Client) ActsEnded(now time.Duration) { cl.guard.EndActs(now) }
+// EndActs records that all begun acts have ended.
+func (cl *Client) EndActs(now time.Duration) { cl.guard.EndActs(now) }
 
 // Stop gives up the lease, or the request for it. The release is sent once no act lasts any more. If to names a
 // waiter, the lease passes to that one, ahead of others in the queue.
--- a/internal/fleet/lease/client_test.go
+++ b/internal/fleet/lease/client_test.go
@@ -117,7 +117,7 @@
 	if c := x.Tick(time.Hour + time.Second); c != nil {
 		t.Fatalf("released during an act: %+v", c)
 	}
-	x.ActsEnded(time.Hour + time.Second)
+	x.EndActs(time.Hour + time.Second)
 	c := x.Tick(time.Hour + time.Second + 1)
 	if c == nil || c.Op != Transfer || c.To.Life != 9 {
 		t.Fatalf("%+v", c)
--- a/internal/node/bootstrap/runner.go
+++ b/internal/node/bootstrap/runner.go
@@ -1,7 +1,7 @@
 // Package bootstrap connects package fleet/bootstrap to the members' sockets and the leases: it
 // provides a server list to a node that starts without one.
 //
-// The goroutine in Run owns the Bootstrapper. ListReceived and ListRejected notify it of lists
+// The goroutine in Run owns the Bootstrapper. DiscoveryAnswered and ListUnusable notify it of lists
 // without blocking. It acts on the node through Hooks, which must not block it either.
 //
 // The package does not look into a list, and does not query discovery itself.
@@ -69,7 +69,7 @@
 type listNotice struct {
 	generation uint64
 	discovery  string
-	rejected   bool
+	unusable   bool
 }
 
 // New creates a Runner. It must be called before the members run.
@@ -91,14 +91,14 @@
 	return runner
 }
 
-// ListReceived notifies the runner that discovery has returned a list.
-func (r *Runner) ListReceived(generation uint64, discovery string) {
+// DiscoveryAnswered notifies the runner that discovery has returned a list.
+func (r *Runner) DiscoveryAnswered(generation uint64, discovery string) {
 	r.notify(listNotice{generation, discovery, false})
 }
 
-// ListRejected notifies the runner that a list which this node received from a peer could not be
+// ListUnusable notifies the runner that a list which this node received from a peer could not be
 // used.
-func (r *Runner) ListRejected() { r.notify(listNotice{rejected: true}) }
+func (r *Runner) ListUnusable() { r.notify(listNotice{unusable: true}) }
 
 func (r *Runner) notify(notice listNotice) {
 	select {
@@ -150,7 +150,7 @@
 		case message := <-r.inbox:
 			bootstrapper.Receive(clock.Boot(), &message.Message)
 		case notice := <-r.notices:
-			if notice.rejected {
+			if notice.unusable {
 				bootstrapper.ListUnusable(clock.Boot())
 			} else {
 				bootstrapper.DiscoveryAnswered(clock.Boot(), notice.generation, notice.discovery)
@@ -168,7 +168,7 @@
 			r.sendList(ctx, bootstrapper, sendQueue[0])
 			sendQueue = sendQueue[1:]
 		}
-		messages, allowDiscovery, list := bootstrapper.Take()
+		messages, allowDiscovery, list := bootstrapper.TakeOutput()
 		for _, message := range messages {
 			if message.Kind == bootstrap.ListReply {
 				if len(sendQueue) < maxQueuedSends {
--- a/internal/node/budgets.go
+++ b/internal/node/budgets.go
@@ -32,7 +32,7 @@
 }
 
 func newBudgets(c *Config, log *slog.Logger) *budgets {
-	if !c.SharedBudgets {
+	if !c.ShareBudgets {
 		return nil
 	}
 	return &budgets{
--- a/internal/node/budgets_test.go
+++ b/internal/node/budgets_test.go
@@ -22,7 +22,7 @@
 		addrs = append(addrs, s.Addr())
 	}
 	c := testConfig(t, DeadAddress(t), ServerList(1, true, addrs...), 1024)
-	c.SharedBudgets = on
+	c.ShareBudgets = on
 	c.Settings.Tiers = c.Settings.Tier + 2 // there is another tier below the servers
 	return startNode(t, c), servers
 }
@@ -183,7 +183,7 @@
 	s := NewServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	other := NewServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	c := testConfig(t, DeadAddress(t), ServerList(1, true, s.Addr(), other.Addr()), 1024)
-	c.SharedBudgets, c.Settings.Tiers, c.Settings.Tier = true, 2, 1
+	c.ShareBudgets, c.Settings.Tiers, c.Settings.Tier = true, 2, 1
 	n := startNode(t, c)
 	servers := []*Server{s, other}
 	resp, _ := exchange(t, request(t, n.url, "/look/1", "", budget.HeaderName, "1;t=9000;a=2;w=1;c=look;p=a"))
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -36,7 +36,7 @@
 	Classes       []string
 	Tenants       []string
 	Settings      decide.Settings
-	SharedBudgets bool              // requests share a retry budget with other tiers
+	ShareBudgets  bool              // requests share a retry budget with other tiers
 	State         State             // where state is kept over restarts
 	Members       *members.Settings // membership of the fleet; nil: not a member
 	Leases        *leases.Settings  // leases of the fleet; nil: not used
@@ -144,9 +144,9 @@
 	c := &Config{
 		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Seed: seed.Sum64(),
 		MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Settings: set, Sidecar: raw.Sidecar,
-		SharedBudgets: raw.Budgets,
+		ShareBudgets: raw.Budgets,
 	}
-	if c.SharedBudgets && set.MayHedge {
+	if c.ShareBudgets && set.MayHedge {
 		return nil, errors.New("budgets: can't be combined with second_copies, as the spending of two copies can't be told apart")
 	}
 	for _, class := range raw.Settings.Categories {
--- a/internal/node/handed_list.go
+++ b/internal/node/handed_list.go
@@ -28,7 +28,7 @@
 		m, err := endpoints.Parse(text)
 		if err != nil || !m.Whole || m.Generation != about.Generation {
 			l.log.Warn("ignoring an invalid list from another node", "err", err)
-			l.bootstrap.ListRejected()
+			l.bootstrap.ListUnusable()
 			return
 		}
 		l.post(listHandedOver{m, about})
--- a/internal/node/leases/control.go
+++ b/internal/node/leases/control.go
@@ -233,7 +233,7 @@
 				l.call(ctx, func() { client.Stop(now, lease.Holder{}) })
 			case "stopped":
 				l.call(ctx, func() {
-					client.ActsEnded(clock.Boot())
+					client.EndActs(clock.Boot())
 					client.Stop(clock.Boot(), lease.Holder{})
 				})
 			}
--- a/internal/node/leases/sessions.go
+++ b/internal/node/leases/sessions.go
@@ -195,7 +195,7 @@
 		return
 	}
 	l.leases.call(ctx, func() {
-		client.ActsEnded(clock.Boot())
+		client.EndActs(clock.Boot())
 		client.Stop(clock.Boot(), lease.Holder{})
 	})
 }
--- a/internal/node/lists.go
+++ b/internal/node/lists.go
@@ -25,7 +25,7 @@
 		stored = known
 	}
 	l.view.Restore(stored)
-	l.discovery.SetServerCount(l.view.Serving())
+	l.discovery.SetServerCount(l.view.ServingCount())
 	l.updateServers(stored, decide.ListStored)
 	if !l.settings.MustSubscribe {
 		return
@@ -39,7 +39,7 @@
 func (l *loop) handleOpenPoll() {
 	asOf, until := l.confirmation.RecordOpenPoll(l.now)
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
-		Kind: decide.ListRestored, AsOf: max(1, asOf), ConfirmedUntil: until, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
+		Kind: decide.ListLocal, AsOf: max(1, asOf), ConfirmedUntil: until, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
 	}, l.actions[:0]))
 }
 
@@ -47,7 +47,7 @@
 // servers may have changed without this node's knowledge.
 func (l *loop) setConfirmedUntil(until time.Duration) {
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
-		Kind: decide.ListRestored, ConfirmedUntil: until, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
+		Kind: decide.ListLocal, ConfirmedUntil: until, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
 	}, l.actions[:0]))
 }
 
@@ -57,7 +57,7 @@
 	l.lastGeneration = m.Generation
 	asOf := max(1, l.confirmation.RecordAnswer(l.now, update.CallDuration, update.PollWait))
 	u := l.view.Apply(l.now, m)
-	l.discovery.SetServerCount(l.view.Serving())
+	l.discovery.SetServerCount(l.view.ServingCount())
 	l.trace.listReceived(m, len(u.Changes))
 	l.logAnomalies(u.Anomalies)
 	l.staleness.RecordFetch(l.now, len(u.Changes) > 0)
@@ -71,7 +71,7 @@
 		changes = l.endStaleList()
 	}
 	if l.bootstrap != nil {
-		l.bootstrap.ListReceived(m.Generation, l.discovery.Address())
+		l.bootstrap.DiscoveryAnswered(m.Generation, l.discovery.Address())
 		if l.saved.fromOtherNode { // discovery has now confirmed the other node's list
 			l.saved.fromOtherNode = false
 			l.saveList(m, l.view.LatestList().Entries)
@@ -84,7 +84,7 @@
 		confirmed = l.confirmation.ConfirmedUntil()
 	}
 	l.execute(l.balancer.HandleList(l.now, decide.ListUpdate{
-		Kind: decide.ListRestored, AsOf: asOf, ConfirmedUntil: confirmed, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
+		Kind: decide.ListLocal, AsOf: asOf, ConfirmedUntil: confirmed, FleetSize: l.saved.estimatedFleetSize(), PriorRate: l.saved.priorRate(),
 	}, l.actions[:0]))
 	l.scheduleRelease()
 }
@@ -97,7 +97,7 @@
 	}
 	switch {
 	case f.Reason == endpoints.PollTimedOut, u.MoreExpected: // the watch continues
-		m.Kind = decide.ListRestored
+		m.Kind = decide.ListLocal
 	default:
 		l.staleness.RecordFetch(l.now, false)
 	}
@@ -109,7 +109,7 @@
 	l.trace.noList(f, l.lastGeneration, m.ConfirmedUntil-l.now)
 	if unavailable := l.view.ApplyPartial(l.now, u.Unavailable); len(unavailable) > 0 {
 		l.saveList(nil, unavailable)
-		l.applyChanges(unavailable, decide.ListRestored)
+		l.applyChanges(unavailable, decide.ListLocal)
 	}
 	l.execute(l.balancer.HandleList(l.now, m, l.actions[:0]))
 }
@@ -132,7 +132,7 @@
 		l.releaseAt = 0
 		if due := l.view.ReleaseDue(l.now); len(due) > 0 {
 			l.saveList(nil, due)
-			l.applyChanges(due, decide.ListRestored)
+			l.applyChanges(due, decide.ListLocal)
 		}
 		l.scheduleRelease()
 	}})
@@ -219,7 +219,7 @@
 func (l *loop) applyQueuedChanges(slice time.Duration) (took time.Duration, more bool) {
 	startTime := l.clock.Now()
 	for l.queuedChanges.Len() > 0 {
-		l.updateServers(&endpoints.List{Entries: l.queuedChanges.Take(listStepEntries)}, decide.ListRestored)
+		l.updateServers(&endpoints.List{Entries: l.queuedChanges.Take(listStepEntries)}, decide.ListLocal)
 		if l.clock.Now() >= startTime+slice {
 			break
 		}
--- a/internal/node/local_settings_members.go
+++ b/internal/node/local_settings_members.go
@@ -36,7 +36,7 @@
 			if !ok {
 				r.fault(v, name, "want true or false")
 			}
-			s.UnpooledBudgets = !pool
+			s.DisableBudgetPooling = !pool
 		default:
 			r.fault(v, name, "unknown key; known are fleet, listen, advertise, seeds, via and pool")
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -294,11 +294,11 @@
 // that the route numbers of both always match.
 func (l *loop) setRoutes(t *routes.Table) {
 	l.routes = t
-	var bounds []decide.RoutePolicy
+	var policies []decide.RoutePolicy
 	if t != nil {
-		bounds = t.Bounds()
+		policies = t.Policies()
 	}
-	l.execute(l.balancer.SetRoutePolicies(l.now, bounds, l.actions[:0]))
+	l.execute(l.balancer.SetRoutePolicies(l.now, policies, l.actions[:0]))
 }
 
 // startRequest passes a new request to the balancer.
--- a/internal/node/members/members.go
+++ b/internal/node/members/members.go
@@ -31,10 +31,10 @@
 	// RouteVia maps a member's advertised address to the one that this node sends to instead.
 	RouteVia map[netip.AddrPort]netip.AddrPort
 	Folder   string // holds the saved state and the operators' socket; "": neither
-	// UnpooledBudgets limits this node to its own part of a cold server's budget, instead of
-	// pooling budgets with the other nodes.
-	UnpooledBudgets bool
-	ColdWindow      time.Duration // length of the window for which budgets of cold servers are granted
+	// DisableBudgetPooling limits this node to its own part of a cold server's budget, instead
+	// of pooling budgets with the other nodes.
+	DisableBudgetPooling bool
+	CollapseWindow       time.Duration // length of the window for which budgets of cold servers are granted
 }
 
 const (
@@ -85,7 +85,7 @@
 		settings: settings, fleetNumber: wire.FleetNumber(settings.Fleet), log: log, clock: clk,
 		inbox: make(chan *membership.Message, inboxSize), calls: make(chan func(*membership.Node, time.Duration)),
 		done: make(chan struct{}), streamSlots: make(chan struct{}, maxStreams),
-		allocator: allowance.NewAllocator(allowance.Settings{Window: settings.ColdWindow}), claims: make(chan *outgoingClaim, maxQueuedClaims),
+		allocator: allowance.NewAllocator(allowance.Settings{Window: settings.CollapseWindow}), claims: make(chan *outgoingClaim, maxQueuedClaims),
 		payloads: make(chan *outgoingPayload, maxQueuedPayloads), handlers: map[uint32]func([]byte){}, addresses: map[string]netip.AddrPort{},
 	}
 	m.lastTick.Store(int64(clk.StartedAt())) // so that a pause before the first tick is detected
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,10 +84,10 @@
 	inner, stop := context.WithCancel(context.Background())
 	n.stop = stop
 	n.loop = newLoop(inner, c, n.clock, n.upstream, log)
-	n.loop.reportLag = n.worker.ReportLag
+	n.loop.reportLag = n.worker.RecordLag
 	n.upstream.OnClose(n.loop.trace.closeLogger())
 	position := endpoints.FleetPosition{
-		NodeIndex: c.Settings.Node, NodeCount: c.Settings.Nodes, Tier: c.Settings.Tier, ListObligation: c.Settings.ResubscribeWithin,
+		NodeIndex: c.Settings.Node, NodeCount: c.Settings.Nodes, Tier: c.Settings.Tier, ResubscribeWithin: c.Settings.ResubscribeWithin,
 		Pushed: !c.Settings.MustSubscribe, Seed: c.Seed,
 	}
 	n.loop.discovery = discovery.New(c.Discovery, position, log, func(u discovery.Update) { n.loop.post(u) })
@@ -148,12 +148,12 @@
 	}
 	if c.Members != nil {
 		set := *c.Members
-		set.ColdWindow = c.Settings.CollapseWindow
+		set.CollapseWindow = c.Settings.CollapseWindow
 		if n.members, err = members.Open(set, n.clock, log); err != nil {
 			l.Close()
 			return nil, err
 		}
-		if !set.UnpooledBudgets {
+		if !set.DisableBudgetPooling {
 			n.loop.pool = newColdServerPool(n.members, c, n.clock.Now())
 			n.members.OnGrant(func(from uint64, g *allowance.Grant) { n.loop.post(grantReceived{from, g}) })
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -255,7 +255,7 @@
 		}
 		s.CloseClientConnections()
 		WaitFor(t, "the connection's end has reached the node", func() bool {
-			return n.upstream.AliveIdle("s0") == 0
+			return n.upstream.LiveIdleConns("s0") == 0
 		})
 	}
 }
--- a/internal/node/saved_state.go
+++ b/internal/node/saved_state.go
@@ -173,7 +173,7 @@
 		return
 	}
 	if changes := saved.staleList.RecordResult(l.now, server, r); len(changes) > 0 {
-		l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListRestored)
+		l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListLocal)
 	}
 	l.scheduleRetry()
 }
@@ -191,7 +191,7 @@
 			return
 		}
 		if changes := l.saved.staleList.OfferDue(l.now); len(changes) > 0 {
-			l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListRestored)
+			l.updateServers(&endpoints.List{Entries: l.offeredEntries(changes)}, decide.ListLocal)
 		}
 		l.scheduleRetry()
 	}})
@@ -201,7 +201,7 @@
 // of the current view, and a removal for each known server that the view does not name.
 func (l *loop) endStaleList() []endpoints.Entry {
 	trying, proven, rest := l.saved.staleList.Counts()
-	l.log.Info("discovery has confirmed the list", "tried", trying, "proven", proven, "not tried", rest, "serving", l.view.Serving())
+	l.log.Info("discovery has confirmed the list", "tried", trying, "proven", proven, "not tried", rest, "serving", l.view.ServingCount())
 	l.saved.staleList, l.saved.staleEntries = nil, nil
 	all := l.view.Published()
 	named := make(map[string]bool, len(all))
@@ -228,7 +228,7 @@
 	}
 	if m != nil {
 		saved.writer.ConfirmList(serverdb.List{
-			Generation: m.Generation, Discovery: saved.discoveryAddress, Confirmed: wall, ServerRate: l.measuredServerRate(), ServingCount: l.view.Serving(),
+			Generation: m.Generation, Discovery: saved.discoveryAddress, Confirmed: wall, ServerRate: l.measuredServerRate(), ServingCount: l.view.ServingCount(),
 		})
 	}
 }
@@ -238,7 +238,7 @@
 // which a server answers requests one after another, divided among the nodes.
 func (l *loop) measuredServerRate() float64 {
 	saved, rate := l.saved, 0.0
-	if n := l.view.Serving(); n > 0 {
+	if n := l.view.ServingCount(); n > 0 {
 		rate = saved.answersPerSecond / float64(n)
 	}
 	if saved.answerSamples == maxAnswerSamples {
--- a/internal/node/upstream/pool.go
+++ b/internal/node/upstream/pool.go
@@ -277,8 +277,8 @@
 // OpenConns returns the number of connections, idle and in use.
 func (u *Pool) OpenConns() int { return int(u.limiter.open.Load()) }
 
-// AliveIdle returns the number of idle connections to a server that have nothing to read.
-func (u *Pool) AliveIdle(id string) (n int) {
+// LiveIdleConns returns the number of idle connections to a server that have nothing to read.
+func (u *Pool) LiveIdleConns(id string) (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[id] {
--- a/internal/node/upstream/upstream_test.go
+++ b/internal/node/upstream/upstream_test.go
@@ -214,7 +214,7 @@
 		t.Errorf("connection age is %v, then %v on a reused connection", first.ConnAge, second.ConnAge)
 	}
 	s.CloseClientConnections() // as if the process had been restarted
-	WaitFor(t, "the connection is dead", func() bool { return u.AliveIdle("s0") == 0 })
+	WaitFor(t, "the connection is dead", func() bool { return u.LiveIdleConns("s0") == 0 })
 	if third := testAttempt(t, u, s.Addr()); third.Result != decide.Served || third.ConnAge > u.clock.Now()-started {
 		t.Errorf("after the connection died: %v, connection age %v", third.Result, third.ConnAge)
 	}
--- a/internal/node/worker/worker.go
+++ b/internal/node/worker/worker.go
@@ -76,8 +76,8 @@
 	j.worker.scheduler.Cancel(j.id)
 }
 
-// ReportLag reports how long live requests had to wait at a time.
-func (w *Worker) ReportLag(now, lag time.Duration) {
+// RecordLag records how long live requests had to wait at a time.
+func (w *Worker) RecordLag(now, lag time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.scheduler.RecordLag(now, lag)
--- a/internal/operators/apps/explain.go
+++ b/internal/operators/apps/explain.go
@@ -56,12 +56,12 @@
 		}
 		return fmt.Sprintf("%s:%d", file, line)
 	}
-	addRow("aim", c.Aim.V.String(), from(c.Aim.File, c.Aim.Line))
+	addRow("aim", c.LatencyTarget.V.String(), from(c.LatencyTarget.File, c.LatencyTarget.Line))
 	addRow("deadline", c.Deadline.V.String(), from(c.Deadline.File, c.Deadline.Line))
 	addRow("worth", formatFloat(c.Worth.V), from(c.Worth.File, c.Worth.Line))
-	addRow("effect", c.Effect.V, from(c.Effect.File, c.Effect.Line))
-	if c.Window.IsSet() {
-		addRow("window", c.Window.V.String()+" of "+c.Group.V, from(c.Window.File, c.Window.Line))
+	addRow("effect", c.Idempotency.V, from(c.Idempotency.File, c.Idempotency.Line))
+	if c.KeyTTL.IsSet() {
+		addRow("window", c.KeyTTL.V.String()+" of "+c.Group.V, from(c.KeyTTL.File, c.KeyTTL.Line))
 	}
 	// The matching routes from the most specific one on: a key is taken from the first
 	// route that sets it.
--- a/internal/operators/apps/generate.go
+++ b/internal/operators/apps/generate.go
@@ -122,8 +122,8 @@
 			RetryAfter: p.Limits.MaxRetryAfter.V > 0, MaxRetryAfter: p.Limits.MaxRetryAfter.V, MaxTries: p.Limits.MaxAttempts.V, StreamsPerConn: 1,
 		},
 		Obligations: obligationsJSON{
-			AskWithin: p.Limits.AskWithin.V, ColdFrom: p.WarmUp.From.V, ColdFor: p.WarmUp.For.V, DrainGrace: p.Limits.DrainGrace.V,
-			FallMultiple: p.WarmUp.FallMultiple.V, FallFor: p.WarmUp.FallFor.V, AnswerGrace: p.Limits.AnswerGrace.V,
+			AskWithin: p.Limits.ResubscribeWithin.V, ColdFrom: p.WarmUp.ColdCapacity.V, ColdFor: p.WarmUp.WarmupTime.V, DrainGrace: p.Limits.DrainGrace.V,
+			FallMultiple: p.WarmUp.CollapseMultiple.V, FallFor: p.WarmUp.CollapseWindow.V, AnswerGrace: p.Limits.AnswerGrace.V,
 		},
 		Areas: p.Sites.V, Me: a.instanceNumber(host), Instances: a.budgetParts(), RegistryMode: "subscribe", Tiers: []string{firstNonEmpty(a.Service.V, "-")},
 		WeightSource: "none", Zone: site,
@@ -134,8 +134,8 @@
 	for _, name := range a.Classes.V {
 		if c := p.class(name); c != nil {
 			object.Categories = append(object.Categories, categoryJSON{
-				Name: name, Aim: c.Aim.V, Deadline: c.Deadline.V, Worth: c.Worth.V, Semantics: semantics[c.Effect.V],
-				Group: firstNonEmpty(groups[c.Group.V], "all"), KeyTTL: c.Window.V,
+				Name: name, Aim: c.LatencyTarget.V, Deadline: c.Deadline.V, Worth: c.Worth.V, Semantics: semantics[c.Idempotency.V],
+				Group: firstNonEmpty(groups[c.Group.V], "all"), KeyTTL: c.KeyTTL.V,
 			})
 		}
 	}
--- a/internal/operators/apps/platform.go
+++ b/internal/operators/apps/platform.go
@@ -47,36 +47,36 @@
 
 // Limits bound what nodes may do on the platform.
 type Limits struct {
-	MaxAttempts    Located[int]
-	MaxRetryAfter  Located[time.Duration] // 0: refusals have no Retry-After
-	SecondCopies   Located[bool]
-	Budgets        Located[bool]
-	ConnIdle       Located[time.Duration]
-	ConnectTimeout Located[time.Duration]
-	AnswerGrace    Located[time.Duration]
-	DrainGrace     Located[time.Duration]
-	AskWithin      Located[time.Duration]
+	MaxAttempts       Located[int]
+	MaxRetryAfter     Located[time.Duration] // 0: refusals have no Retry-After
+	SecondCopies      Located[bool]
+	Budgets           Located[bool]
+	ConnIdle          Located[time.Duration]
+	ConnectTimeout    Located[time.Duration]
+	AnswerGrace       Located[time.Duration]
+	DrainGrace        Located[time.Duration]
+	ResubscribeWithin Located[time.Duration]
 }
 
 // WarmUp describes how the capacity of servers grows after their start, and which
 // overload makes one fail.
 type WarmUp struct {
-	From         Located[float64]
-	For          Located[time.Duration]
-	FallMultiple Located[float64]
-	FallFor      Located[time.Duration]
+	ColdCapacity     Located[float64]
+	WarmupTime       Located[time.Duration]
+	CollapseMultiple Located[float64]
+	CollapseWindow   Located[time.Duration]
 }
 
 // Class is a class of requests: its times, its worth, and whether it may be repeated.
 type Class struct {
-	Line     int
-	Name     Located[string]
-	Aim      Located[time.Duration]
-	Deadline Located[time.Duration]
-	Worth    Located[float64]
-	Effect   Located[string] // repeatable, keyed, once
-	Group    Located[string] // all, site, rack
-	Window   Located[time.Duration]
+	Line          int
+	Name          Located[string]
+	LatencyTarget Located[time.Duration]
+	Deadline      Located[time.Duration]
+	Worth         Located[float64]
+	Idempotency   Located[string] // repeatable, keyed, once
+	Group         Located[string] // all, site, rack
+	KeyTTL        Located[time.Duration]
 }
 
 // Host is a machine that sidecars run on.
@@ -181,19 +181,19 @@
 		durationKey("drain_grace", 0, 500*time.Millisecond, false, `after the word that a server drains, in which it may still be sent to ("500ms")`,
 			func(l *Limits) *Located[time.Duration] { return &l.DrainGrace }),
 		durationKey("ask_within", time.Second, time.Hour, false, `after which a node asks discovery again ("10s")`,
-			func(l *Limits) *Located[time.Duration] { return &l.AskWithin }),
+			func(l *Limits) *Located[time.Duration] { return &l.ResubscribeWithin }),
 	}
 }
 
 // warmUpKeys are the keys of [cold].
 func warmUpKeys() []key[WarmUp] {
 	return []key[WarmUp]{
-		numberKey("from", 0.01, 1, false, "part of its capacity that a server has at its start (0.4)", func(c *WarmUp) *Located[float64] { return &c.From }),
-		durationKey("for", 0, time.Hour, false, `after which it has all of it ("5s")`, func(c *WarmUp) *Located[time.Duration] { return &c.For }),
+		numberKey("from", 0.01, 1, false, "part of its capacity that a server has at its start (0.4)", func(c *WarmUp) *Located[float64] { return &c.ColdCapacity }),
+		durationKey("for", 0, time.Hour, false, `after which it has all of it ("5s")`, func(c *WarmUp) *Located[time.Duration] { return &c.WarmupTime }),
 		numberKey("fall_multiple", 1, 100, false, "times what it can do, beyond which it falls over (2.5)",
-			func(c *WarmUp) *Located[float64] { return &c.FallMultiple }),
+			func(c *WarmUp) *Located[float64] { return &c.CollapseMultiple }),
 		durationKey("fall_for", time.Millisecond, time.Minute, false, `the time over which that is summed up ("1s")`,
-			func(c *WarmUp) *Located[time.Duration] { return &c.FallFor }),
+			func(c *WarmUp) *Located[time.Duration] { return &c.CollapseWindow }),
 	}
 }
 
@@ -201,12 +201,12 @@
 func classKeys() []key[Class] {
 	return []key[Class]{
 		textKey("name", true, "what the class is called", func(c *Class) *Located[string] { return &c.Name }),
-		durationKey("aim", time.Millisecond, maxDuration, true, "the wanted response time", func(c *Class) *Located[time.Duration] { return &c.Aim }),
+		durationKey("aim", time.Millisecond, maxDuration, true, "the wanted response time", func(c *Class) *Located[time.Duration] { return &c.LatencyTarget }),
 		durationKey("deadline", time.Millisecond, maxDuration, true, "how long its callers wait", func(c *Class) *Located[time.Duration] { return &c.Deadline }),
 		numberKey("worth", 0, 1e6, true, "what an answer in time counts, against others", func(c *Class) *Located[float64] { return &c.Worth }),
-		textKey("effect", true, "whether it may run again", func(c *Class) *Located[string] { return &c.Effect }, "repeatable", "keyed", "once"),
+		textKey("effect", true, "whether it may run again", func(c *Class) *Located[string] { return &c.Idempotency }, "repeatable", "keyed", "once"),
 		textKey("group", false, "which servers drop a repeat of a keyed request", func(c *Class) *Located[string] { return &c.Group }, "all", "site", "rack"),
-		durationKey("window", time.Millisecond, maxDuration, false, "how long they remember its key", func(c *Class) *Located[time.Duration] { return &c.Window }),
+		durationKey("window", time.Millisecond, maxDuration, false, "how long they remember its key", func(c *Class) *Located[time.Duration] { return &c.KeyTTL }),
 	}
 }
 
@@ -374,11 +374,11 @@
 	setDefault(&p.Limits.ConnectTimeout, 250*time.Millisecond)
 	setDefault(&p.Limits.AnswerGrace, 10*time.Millisecond)
 	setDefault(&p.Limits.DrainGrace, 500*time.Millisecond)
-	setDefault(&p.Limits.AskWithin, 10*time.Second)
-	setDefault(&p.WarmUp.From, 0.4)
-	setDefault(&p.WarmUp.For, 5*time.Second)
-	setDefault(&p.WarmUp.FallMultiple, 2.5)
-	setDefault(&p.WarmUp.FallFor, time.Second)
+	setDefault(&p.Limits.ResubscribeWithin, 10*time.Second)
+	setDefault(&p.WarmUp.ColdCapacity, 0.4)
+	setDefault(&p.WarmUp.WarmupTime, 5*time.Second)
+	setDefault(&p.WarmUp.CollapseMultiple, 2.5)
+	setDefault(&p.WarmUp.CollapseWindow, time.Second)
 }
 
 // check reports contradictions within the platform.
@@ -409,20 +409,20 @@
 	for i := range p.Classes {
 		c := &p.Classes[i]
 		checkUnique("class", c.Name)
-		if c.Aim.IsSet() && c.Deadline.IsSet() && c.Aim.V > c.Deadline.V {
-			r.report(InvalidClass, c.Aim.Line, "class.aim", c.Aim.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
+		if c.LatencyTarget.IsSet() && c.Deadline.IsSet() && c.LatencyTarget.V > c.Deadline.V {
+			r.report(InvalidClass, c.LatencyTarget.Line, "class.aim", c.LatencyTarget.V.String(), "at most the deadline, "+c.Deadline.V.String(), "wanted later than given up")
 		}
-		keyed := c.Effect.V == "keyed"
-		if keyed && !c.Window.Invalid && c.Window.V == 0 {
+		keyed := c.Idempotency.V == "keyed"
+		if keyed && !c.KeyTTL.Invalid && c.KeyTTL.V == 0 {
 			r.report(InvalidClass, c.Line, "class.window", "", "a duration", "a keyed class needs the time for which its key is kept")
 		}
 		if keyed && !c.Group.Invalid && c.Group.V == "" {
 			r.report(InvalidClass, c.Line, "class.group", "", "all, site, rack", "a keyed class needs the group that keeps its key")
 		}
-		if !keyed && c.Effect.IsSet() && c.Window.IsSet() {
-			r.report(InvalidClass, c.Window.Line, "class.window", c.Window.V.String(), "", "only keyed classes have a window")
+		if !keyed && c.Idempotency.IsSet() && c.KeyTTL.IsSet() {
+			r.report(InvalidClass, c.KeyTTL.Line, "class.window", c.KeyTTL.V.String(), "", "only keyed classes have a window")
 		}
-		if !keyed && c.Effect.IsSet() && c.Group.IsSet() {
+		if !keyed && c.Idempotency.IsSet() && c.Group.IsSet() {
 			r.report(InvalidClass, c.Group.Line, "class.group", quote(c.Group.V), "", "only keyed classes have a group")
 		}
 	}
--- a/internal/operators/apps/set.go
+++ b/internal/operators/apps/set.go
@@ -308,7 +308,7 @@
 		return nil
 	}
 	base := requestPolicy{attempts: p.Limits.MaxAttempts.V, deadline: c.Deadline.V}
-	if c.Effect.V == "once" {
+	if c.Idempotency.V == "once" {
 		base.attempts = 1 // it is sent again only if it was not executed
 	}
 	policies := []requestPolicy{base}
@@ -320,10 +320,10 @@
 		if r.Class.V != class {
 			continue
 		}
-		routePolicy := a.routeTable.Bounds()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
+		routePolicy := a.routeTable.Policies()[a.routeTable.Match(slices.Index(a.Classes.V, class), firstNonEmpty(r.Path.V, "/"+class), -1)-1]
 		policy := base
 		policy.line, policy.path, policy.attemptTimeout = r.Line, r.Path.V, routePolicy.AttemptTimeout
-		if routePolicy.MaxAttempts > 0 && c.Effect.V != "once" {
+		if routePolicy.MaxAttempts > 0 && c.Idempotency.V != "once" {
 			policy.attempts = routePolicy.MaxAttempts
 		}
 		if routePolicy.DeadlineCap > 0 {
@@ -459,10 +459,10 @@
 		findings.add(AttemptsMultiply, h.app.File, line, "attempts", fmt.Sprint(h.attempts), "4 along the chain",
 			fmt.Sprintf("a request of class %s is tried up to %d times along %s", h.class, h.attempts, h.downstreamPath()))
 	}
-	if window := time.Duration(0.9 * float64(class.Window.V)); class.Effect.V == "keyed" && window > 0 && h.lastAttemptAfter > window {
+	if window := time.Duration(0.9 * float64(class.KeyTTL.V)); class.Idempotency.V == "keyed" && window > 0 && h.lastAttemptAfter > window {
 		findings.add(ChainExceedsWindow, h.app.File, line, "attempts", fmt.Sprint(h.attempts), "the last send at most "+window.String()+" after the first",
 			fmt.Sprintf("the last attempt for a request of class %s may go out %v after the first along %s; its key is kept for %v",
-				h.class, h.lastAttemptAfter, h.downstreamPath(), class.Window.V))
+				h.class, h.lastAttemptAfter, h.downstreamPath(), class.KeyTTL.V))
 	}
 }
 
--- a/internal/operators/routes/property_test.go
+++ b/internal/operators/routes/property_test.go
@@ -49,7 +49,7 @@
 		list = append(list, s)
 	}
 	sim.balancer.HandleList(sim.now, decide.ListUpdate{Kind: decide.ListFull, Servers: list}, nil)
-	sim.balancer.SetRoutePolicies(sim.now, table.Bounds(), nil)
+	sim.balancer.SetRoutePolicies(sim.now, table.Policies(), nil)
 	return sim
 }
 
--- a/internal/operators/routes/routes_test.go
+++ b/internal/operators/routes/routes_test.go
@@ -198,7 +198,7 @@
 	const whole = "route_count = 2\n[[route]]\nclass = \"zustand\"\nattempts = 2\n[[route]]\nclass = \"stoerung\"\nattempts = 2\n"
 	for n := range whole {
 		table, findings := Load([]byte(whole[:n]), testEnv())
-		if len(findings) == 0 && (table == nil || len(table.Bounds()) != 2) {
+		if len(findings) == 0 && (table == nil || len(table.Policies()) != 2) {
 			t.Errorf("the file truncated after %q is accepted", whole[:n])
 		}
 	}
@@ -250,8 +250,8 @@
 		{"/zustand/genf/nord/2", technik, decide.RoutePolicy{MaxAttempts: 4, AttemptTimeout: 300 * ms}},
 	} {
 		row := table.Match(1, c.path, c.tenant)
-		if row == 0 || table.Bounds()[row-1] != c.want {
-			t.Errorf("%s of tenant %d: row %d, want %+v in %+v", c.path, c.tenant, row, c.want, table.Bounds())
+		if row == 0 || table.Policies()[row-1] != c.want {
+			t.Errorf("%s of tenant %d: row %d, want %+v in %+v", c.path, c.tenant, row, c.want, table.Policies())
 		}
 	}
 	if row := table.Match(0, "/notruf-abfrage/1", none); row != 0 {
@@ -269,7 +269,7 @@
 		t.Fatal(err)
 	}
 	table, findings := Load(text, testEnv())
-	if len(findings) > 0 || len(table.Bounds()) != 3 {
+	if len(findings) > 0 || len(table.Policies()) != 3 {
 		t.Errorf("found %v", findings)
 	}
 	for _, key := range []string{"class", "path", "tenant", "attempt_timeout", "attempts", "first", "most", "jitter",
@@ -320,7 +320,7 @@
 		if table == nil {
 			return
 		}
-		for _, b := range table.Bounds() {
+		for _, b := range table.Policies() {
 			if b.AttemptTimeout < 0 || b.MaxAttempts < 0 || b.MaxAttempts > env.Settings.MaxAttempts || b.BackoffInitial < 0 ||
 				b.BackoffJitter < 0 || b.BackoffJitter > 1 || b.DeadlineCap < 0 || b.MaxRetryAfter < 0 || b.HedgeAfter < 0 {
 				t.Fatalf("accepted %+v", b)
--- a/internal/operators/routes/table.go
+++ b/internal/operators/routes/table.go
@@ -24,8 +24,8 @@
 	row    int    // value for decide.Request.Route
 }
 
-// Bounds returns the route policies for decide.Balancer.SetRoutePolicies.
-func (t *Table) Bounds() []decide.RoutePolicy { return t.policies }
+// Policies returns the route policies for decide.Balancer.SetRoutePolicies.
+func (t *Table) Policies() []decide.RoutePolicy { return t.policies }
 
 // Idle returns the rules for how long connections may wait for their next request, or nil if
 // the file has none.
--- a/internal/rig/lab/lab.go
+++ b/internal/rig/lab/lab.go
@@ -37,8 +37,8 @@
 	ToolBinary    string        // path of curlewctl, which holds the idle connections if there are many
 	// Sidecars runs each node in front of the first tier as the sidecar of its own application, with the
 	// configuration that the operators' tool generates.
-	Sidecars bool
-	OldList  *OldList // list that nodes have stored when they start; nil for none
+	Sidecars  bool
+	StaleList *StaleList // list that nodes have stored when they start; nil for none
 	// Routes holds the [[route]] tables of the sidecars' descriptions; "" for defaultRoute.
 	Routes     string
 	editConfig func(i int, text []byte) []byte // edits a sidecar's generated configuration; used by tests
@@ -48,13 +48,13 @@
 	// NoRelays, with Membership, leaves out the relays, so that the number of nodes is not limited.
 	NoRelays bool
 	Seeds    []netip.AddrPort // with NoRelays: seeds of the larger fleet that the nodes join
-	// NoPooling, with Membership, makes each node use its own share of a cold server's budget.
-	NoPooling bool
+	// DisableBudgetPooling, with Membership, makes each node use its own share of a cold server's budget.
+	DisableBudgetPooling bool
 	// ReplaceVoterAfter, with Membership, makes nodes keep leases and replace a voter that is gone for this long;
 	// 0 for no leases.
 	ReplaceVoterAfter time.Duration
-	// ListFromPeers, with ReplaceVoterAfter, lets nodes without a server list get one from each other.
-	ListFromPeers bool
+	// ShareLists, with ReplaceVoterAfter, lets nodes without a server list get one from each other.
+	ShareLists bool
 	// ForwardCommand, if set, runs in place of each node, as a control that does not balance. The node's name
 	// and address and the servers' addresses are appended to its arguments.
 	ForwardCommand []string
@@ -142,9 +142,9 @@
 			return nil, err
 		}
 	}
-	if o.OldList != nil {
+	if o.StaleList != nil {
 		l.Fleet.Discovery.SetDown(true)
-		if o.OldList.ColdServers {
+		if o.StaleList.ColdServers {
 			l.Fleet.MakeCold()
 		}
 	}
@@ -154,7 +154,7 @@
 		}
 	}
 	for _, p := range l.processes() {
-		if o.OldList != nil {
+		if o.StaleList != nil {
 			break // the time before the nodes are ready is part of the measurement
 		}
 		if err := p.waitReady(ctx); err != nil {
@@ -188,8 +188,8 @@
 	if l.discoveryAddresses[s.Name], err = l.Fleet.OpenEndpoint(s.Name, s.Tier); err != nil {
 		return nil, fmt.Errorf("node %s: %w", s.Name, err)
 	}
-	if l.options.OldList != nil {
-		if s.KnownList, err = l.writeOldList(s); err != nil {
+	if l.options.StaleList != nil {
+		if s.KnownList, err = l.writeStaleList(s); err != nil {
 			return nil, fmt.Errorf("node %s: %w", s.Name, err)
 		}
 	}
@@ -215,7 +215,7 @@
 	if l.options.Debug {
 		command = append(command, "--log", "debug")
 	}
-	if l.options.OldList != nil && l.options.OldList.Mode == VerifyList || l.links != nil && s.Tier == 0 {
+	if l.options.StaleList != nil && l.options.StaleList.Mode == VerifyList || l.links != nil && s.Tier == 0 {
 		command = append(command, "--settings", l.settingsPath(s.Name))
 	}
 	return &process{
@@ -402,10 +402,10 @@
 	start := time.Now()
 	var background sync.WaitGroup
 	var faultErrs []error
-	if l.options.OldList != nil {
+	if l.options.StaleList != nil {
 		background.Go(func() {
 			select {
-			case <-time.After(l.options.OldList.Outage):
+			case <-time.After(l.options.StaleList.Outage):
 			case <-ctx.Done():
 			}
 			l.Fleet.Discovery.SetDown(false)
--- a/internal/rig/lab/nodelinks.go
+++ b/internal/rig/lab/nodelinks.go
@@ -118,14 +118,14 @@
 		}
 		fmt.Fprintf(&text, "%q", seed.String())
 	}
-	fmt.Fprintf(&text, "]\npool = %v\n\n[members.via]\n", !o.NoPooling)
+	fmt.Fprintf(&text, "]\npool = %v\n\n[members.via]\n", !o.DisableBudgetPooling)
 	for to, address := range links.addresses {
 		if to != node && len(links.relays) > 0 {
 			fmt.Fprintf(&text, "%q = %q\n", address.String(), links.relays[[2]int{node, to}].Address.String())
 		}
 	}
 	if o.ReplaceVoterAfter > 0 {
-		fmt.Fprintf(&text, "\n[leases]\nreplace_after = %q\nrecord = %v\n\n[trial]\nfolder = %q\n", o.ReplaceVoterAfter.String(), o.ListFromPeers, folder+".trial")
+		fmt.Fprintf(&text, "\n[leases]\nreplace_after = %q\nrecord = %v\n\n[trial]\nfolder = %q\n", o.ReplaceVoterAfter.String(), o.ShareLists, folder+".trial")
 	}
 	return os.WriteFile(path, []byte(text.String()), 0o600)
 }
--- a/internal/rig/lab/pool_test.go
+++ b/internal/rig/lab/pool_test.go
@@ -26,7 +26,7 @@
 func startColdFleet(t *testing.T, nodes int, seed uint64, load float64, separateBudgets bool) *memberLab {
 	return startMemberLabWith(t, nodes, seed, func(o *Options) {
 		configureColdFleet(&o.Plan)
-		o.NoPooling = separateBudgets
+		o.DisableBudgetPooling = separateBudgets
 		o.Traffic.Rate = load * o.Plan.Capacity()
 	})
 }
--- a/internal/rig/lab/sharedlist_test.go
+++ b/internal/rig/lab/sharedlist_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, listFromPeers := range modes {
 		lab := startMemberLabWith(t, nodes, 61, func(o *Options) {
-			o.ReplaceVoterAfter, o.ListFromPeers = time.Minute, listFromPeers
+			o.ReplaceVoterAfter, o.ShareLists = time.Minute, listFromPeers
 			o.Plan.Servers = 40
 			o.Faults = []standin.Fault{{Kind: "drain", Server: "3", At: 12 * time.Second, Duration: 20 * time.Second}}
 		})
--- a/internal/rig/lab/oldlist.go
+++ b/internal/rig/lab/stalelist.go
@@ -16,19 +16,19 @@
 	"curlewring/internal/servers/serverdb"
 )
 
-// OldListMode says how a node treats an old server list.
-type OldListMode int
+// StaleListMode selects how a node uses a stale server list.
+type StaleListMode int
 
-// Modes of nodes with an old list.
+// Modes of nodes with a stale list.
 const (
-	VerifyList  OldListMode = iota // the node loads its stored list and verifies entries according to their age
-	TrustList                      // control: the node takes the old list as current
-	DiscardList                    // control: the node has no list
+	VerifyList  StaleListMode = iota // the node loads its stored list and verifies entries according to their age
+	TrustList                        // control: the node takes the stale list as current
+	DiscardList                      // control: the node has no list
 )
 
-// OldList is a server list that nodes have stored when they start while discovery is down.
-type OldList struct {
-	Mode OldListMode
+// StaleList is a server list that nodes have stored when they start while discovery is down.
+type StaleList struct {
+	Mode StaleListMode
 	Age  time.Duration // age of the list
 	// StaleEntries counts entries of removed servers: half refuse connections, a quarter hang, a quarter are
 	// answered by another service.
@@ -81,10 +81,10 @@
 
 func (l *Lab) settingsPath(node string) string { return filepath.Join(l.dir, node+".own.toml") }
 
-// writeOldList writes the state that a node has kept from its previous run, and returns the list for its
+// writeStaleList writes the state that a node has kept from its previous run, and returns the list for its
 // configuration.
-func (l *Lab) writeOldList(s standin.NodeSpec) (json.RawMessage, error) {
-	old := l.options.OldList
+func (l *Lab) writeStaleList(s standin.NodeSpec) (json.RawMessage, error) {
+	old := l.options.StaleList
 	if err := l.staleEndpoints.open(l.Fleet, old.StaleEntries); err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 }
 
 // Validate checks the settings.
-func (old *OldList) Validate() error {
+func (old *StaleList) Validate() error {
 	if old.StaleEntries < 0 || old.StaleEntries > maxStaleEntries {
 		return fmt.Errorf("%d stale entries, allowed: 0 to %d", old.StaleEntries, maxStaleEntries)
 	}
--- a/internal/rig/scale/latency.go
+++ b/internal/rig/scale/latency.go
@@ -49,7 +49,7 @@
 	}
 	options := lab.Options{Plan: plan, Nodes: settings.Nodes}
 	if settings.Control {
-		options.Membership, options.ReplaceVoterAfter, options.ListFromPeers = true, 10*time.Second, true
+		options.Membership, options.ReplaceVoterAfter, options.ShareLists = true, 10*time.Second, true
 	}
 	l, err := lab.Open(ctx, options)
 	if err != nil {
--- a/internal/rig/virtual/clients.go
+++ b/internal/rig/virtual/clients.go
@@ -131,7 +131,7 @@
 	if !req.answered {
 		incarnation := n.incarnation
 		r.after(max(0, ttl-margin/2), func() {
-			if !req.answered && n.incarnation == incarnation { // as real nodes do, in place of the module
+			if !req.answered && n.incarnation == incarnation { // as real nodes do, in place of the balancer
 				r.finishRequest(n, req, judge.Failed, 0, "")
 				r.perform(n, n.balancer.HandleDisconnect(r.balancerTime(r.now), decide.Disconnect{Request: req.id}, n.actionBuffer[:0]))
 			}
--- a/internal/rig/virtual/config.go
+++ b/internal/rig/virtual/config.go
@@ -6,7 +6,7 @@
 	"curlewring/decide"
 )
 
-// Class is a class of requests: the part that the module knows, and the work that requests take.
+// Class is a class of requests: the part that the balancer knows, and the work that requests take.
 type Class struct {
 	decide.Class
 	Share  float64       // of all requests, relative to the other classes
@@ -85,10 +85,10 @@
 	LimitMode        decide.LimitMode
 	AllowHedging     bool
 	JudgeEvery       int // the judge checks one of this many requests; 0: all
-	OldList          *OldList
+	StaleList        *StaleList
 	Pool             *Pool   // nil: each node uses only its own part of a cold server's budget
-	HandshakePenalty float64 // the module's penalty for a new connection
-	ReportedNodes    int     // number of nodes in the module's settings; 0: Nodes; negative: not given
+	HandshakePenalty float64 // the balancer's penalty for a new connection
+	ReportedNodes    int     // number of nodes in the balancer's settings; 0: Nodes; negative: not given
 }
 
 // Default returns a small fleet similar to the service, at half of its capacity.
@@ -150,7 +150,7 @@
 	// the mean over the seconds.
 	PeakLoadRatio        float64
 	ServedWorthBySite    []float64 // ServedWorth of the requests that entered at each site
-	StaleAttempts        int       // attempts at addresses of an old list where the server no longer exists
+	StaleAttempts        int       // attempts at addresses of a stale list where the server no longer exists
 	WrongProcessAttempts int       // of these, answered by another process
 	UnsafeMisdeliveries  int       // of these, requests that must not run twice
 	Breaches             []string
--- a/internal/rig/virtual/doc.go
+++ b/internal/rig/virtual/doc.go
@@ -1,5 +1,5 @@
 // Package virtual is a seeded discrete-event simulation of fleets in virtual time. Every node runs the real
-// decision module. Servers are modelled with cores, queues, cold starts, congestion and an optional lower tier;
+// balancer of package decide. Servers are modelled with cores, queues, cold starts, congestion and an optional lower tier;
 // nodes receive the server list with a delay; package judge checks the rules.
 //
 // A run owns all of its state and uses one goroutine; the same configuration gives the same result. It does no
--- a/internal/rig/virtual/nodes.go
+++ b/internal/rig/virtual/nodes.go
@@ -10,7 +10,7 @@
 // connectTimeout is how long a node waits for a connection.
 const connectTimeout = 250 * time.Millisecond
 
-// perform carries out the actions that a node's module returned.
+// perform carries out the actions that a node's balancer returned.
 func (r *run) perform(n *node, actions []decide.Action) {
 	n.actionBuffer = nil // calls of perform nest, and each needs a buffer of its own
 	incarnation := n.incarnation
--- a/internal/rig/virtual/registry_client_test.go
+++ b/internal/rig/virtual/registry_client_test.go
@@ -54,23 +54,23 @@
 	}
 }
 
-// retryTimer is the timer that the module starts before the next call.
+// retryTimer is the timer that the balancer starts before the next call.
 type retryTimer struct {
 	wait  time.Duration
 	token uint64
 }
 
-// findRetryTimer finds the retry timer among actions. The module starts one whenever it does not watch the list.
+// findRetryTimer finds the retry timer among actions. The balancer starts one whenever it does not watch the list.
 func findRetryTimer(actions []decide.Action) retryTimer {
 	for _, action := range actions {
 		if action.Kind == decide.StartTimer {
 			return retryTimer{action.Wait, action.Token}
 		}
 	}
-	panic("the module neither watches the list nor starts a retry timer")
+	panic("the balancer neither watches the list nor starts a retry timer")
 }
 
-// handleStart passes the stored list of the node's last run to the module, and returns the timer before the
+// handleStart passes the stored list of the node's last run to the balancer, and returns the timer before the
 // first call.
 func (c *registryClient) handleStart(now time.Duration) retryTimer {
 	return findRetryTimer(c.balancer.HandleList(now, decide.ListUpdate{Kind: decide.ListStored}, nil))
@@ -94,7 +94,7 @@
 	switch failure {
 	case errorStatus:
 		timer.wait = max(timer.wait, c.pacer.RecordOverload(c.wallStart+now, endpoints.OverloadedCall{Took: duration, AnsweredBefore: c.contacted, Servers: listLines}))
-	case pollReset: // the delay of the node replaces that of the module
+	case pollReset: // the delay of the node replaces that of the balancer
 		c.contacted = true
 		if delay := c.pacer.RecordReset(); delay > 0 {
 			timer.wait = delay
--- a/internal/rig/virtual/registry_fleet_test.go
+++ b/internal/rig/virtual/registry_fleet_test.go
@@ -120,7 +120,7 @@
 		for i := range nodes {
 			n := &fleetNode{
 				registry: &r.registryService, tier: tier, resubscribeWithin: r.day.resubscribeWithin,
-				position: endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Tier: tier, ListObligation: r.day.resubscribeWithin},
+				position: endpoints.FleetPosition{NodeIndex: i, NodeCount: nodes, Tier: tier, ResubscribeWithin: r.day.resubscribeWithin},
 			}
 			r.nodes = append(r.nodes, n)
 			r.events.At(r.randomUpTo(startPeriod), func() { r.startNode(n) })
--- a/internal/rig/virtual/registry_node_test.go
+++ b/internal/rig/virtual/registry_node_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// retryAfter calls again after a timer of the module and a further delay.
+// retryAfter calls again after a timer of the balancer and a further delay.
 func (n *fleetNode) retryAfter(timer retryTimer, delay time.Duration) {
 	s, incarnation := n.registry, n.incarnation
 	s.after(timer.wait, func() {
--- a/internal/rig/virtual/run.go
+++ b/internal/rig/virtual/run.go
@@ -24,7 +24,7 @@
 	speed              float64
 	slots              int
 	maxRequests        int           // limit of inFlight: slots and queue
-	started            time.Duration // module time of the process start; 0: warm from the beginning
+	started            time.Duration // balancer time of the process start; 0: warm from the beginning
 	down               bool
 	rejectsAll         bool
 	failsFast          bool
@@ -52,7 +52,7 @@
 	work time.Duration
 }
 
-// node is a simulated node that runs the real decision module.
+// node is a simulated node that runs the real balancer.
 type node struct {
 	index          int
 	tier           int
@@ -66,12 +66,12 @@
 	connectedSince map[*server]time.Duration // servers with connections, and since when
 	idleConns      map[*server]int           // idle connections to each server
 	nextRequestID  uint64
-	// The next four fields are used only while the node works from an old list.
-	staleList   *stalelist.Table
-	oldEntries  map[string]decide.Server
-	priorRate   float64
-	nextRetryAt time.Duration
-	pool        *poolParticipant // nil: budgets are not pooled
+	// The next four fields are used only while the node works from a stale list.
+	staleList        *stalelist.Table
+	staleListEntries map[string]decide.Server
+	priorRate        float64
+	nextRetryAt      time.Duration
+	pool             *poolParticipant // nil: budgets are not pooled
 }
 
 // nodeRequest is a request at one node.
@@ -127,7 +127,7 @@
 	answerLoss       float64             // fraction of responses that are lost
 	resetShare       float64             // fraction of responses replaced by a connection reset
 	listSentUntil    [2]time.Duration    // when discovery finishes sending its queued lines, by tier
-	staleEntries     []*server           // servers of an old list that no longer exist
+	staleEntries     []*server           // servers of a stale list that no longer exist
 	poolMembers      []allowance.Member  // members of the pool, the same view for all nodes
 	worthBySite      [][2]float64        // by site of entry: worth served in time, and worth requested
 }
@@ -265,8 +265,8 @@
 	n.idleConns = map[*server]int{}
 	n.dead = false
 	r.joinPool(n)
-	if r.config.OldList != nil && n.tier == 0 {
-		r.startOnOldList(n)
+	if r.config.StaleList != nil && n.tier == 0 {
+		r.startOnStaleList(n)
 		return
 	}
 	var servers []decide.Server
@@ -278,7 +278,7 @@
 	r.perform(n, n.balancer.HandleList(r.balancerTime(r.now), decide.ListUpdate{Kind: decide.ListFull, Servers: servers}, n.actionBuffer[:0]))
 }
 
-// balancerTime converts virtual time to the module's time, which starts at one hour so that no server's
+// balancerTime converts virtual time to the balancer's time, which starts at one hour so that no server's
 // start time is 0.
 func (r *run) balancerTime(t time.Duration) time.Duration { return t + time.Hour }
 
--- a/internal/rig/virtual/oldlist_test.go
+++ b/internal/rig/virtual/stalelist_test.go
@@ -9,20 +9,20 @@
 	"curlewring/decide"
 )
 
-// oldListConfig returns a fleet of 20 nodes that start at once with a list that is a week old, of which three
+// staleListConfig returns a fleet of 20 nodes that start at once with a list that is a week old, of which three
 // fifths are stale. The 24 servers have just started, and the load is constant from the start.
-func oldListConfig(mode OldListMode, seed uint64, load float64) Config {
+func staleListConfig(mode StaleListMode, seed uint64, load float64) Config {
 	c := Default()
 	c.Seed, c.Nodes = seed, 20
 	c.Kinds = []ServerKind{{Count: 24, Cores: 2, Speed: 1}}
 	c.Rate = load * c.Capacity()
 	c.Duration = 40 * time.Second
-	c.OldList = &OldList{Mode: mode, Age: 7 * 24 * time.Hour, StaleEntries: 36, Outage: 30 * time.Second, ColdServers: true}
+	c.StaleList = &StaleList{Mode: mode, Age: 7 * 24 * time.Hour, StaleEntries: 36, Outage: 30 * time.Second, ColdServers: true}
 	c.Classes[0].Idempotency = decide.AtMostOnce // such requests must not reach a wrong process
 	return c
 }
 
-// Nodes that verify an old list must not make servers collapse, and must send hardly anything to wrong
+// Nodes that verify a stale list must not make servers collapse, and must send hardly anything to wrong
 // processes, least of all unsafe requests. The two control modes show what that costs and saves.
 func TestOldListWithoutDiscovery(t *testing.T) {
 	seeds := uint64(2)
@@ -34,7 +34,7 @@
 			var servedWorth, firstClass, staleAttempts, attempts []float64
 			breaches, wrongProcess, unsafe := 0, 0, 0
 			for seed := range seeds {
-				c := oldListConfig(OldListMode(mode), seed+1, load)
+				c := staleListConfig(StaleListMode(mode), seed+1, load)
 				r := Run(c)
 				requests := r.Classes[0].Requests + r.Classes[1].Requests
 				servedWorth, firstClass = append(servedWorth, r.ServedWorth), append(firstClass, float64(r.Classes[0].Served)/float64(r.Classes[0].Requests))
@@ -62,11 +62,11 @@
 
 // 300 nodes that start at once with such a list must not make the few, cold servers that are left collapse.
 func TestManyNodesOnAnOldList(t *testing.T) {
-	for _, mode := range []OldListMode{VerifyList, TrustList} {
-		c := oldListConfig(mode, 1, 0.8)
+	for _, mode := range []StaleListMode{VerifyList, TrustList} {
+		c := staleListConfig(mode, 1, 0.8)
 		c.Nodes, c.Duration = 300, 12*time.Second
-		c.OldList.Outage = 8 * time.Second
-		c.OldList.StaleEntries = 400
+		c.StaleList.Outage = 8 * time.Second
+		c.StaleList.StaleEntries = 400
 		r := Run(c)
 		t.Logf("mode %d: served worth %.3f, peak load ratio %.2f, breaches %d", mode, r.ServedWorth, r.PeakLoadRatio, len(r.Breaches))
 		if mode == VerifyList && len(r.Breaches) > 0 {
--- a/internal/rig/virtual/virtual_test.go
+++ b/internal/rig/virtual/virtual_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// The real module must keep the four rules in random fleets with random faults.
+// The real balancer must keep the four rules in random fleets with random faults.
 func TestRandomFleetsKeepTheRules(t *testing.T) {
 	checks := 40
 	if longTests() {
--- a/internal/sched/background/scheduler.go
+++ b/internal/sched/background/scheduler.go
@@ -18,7 +18,7 @@
 	priorityCount
 )
 
-// Config configures a Scheduler. A zero field stands for the default given behind it.
+// Config configures a Scheduler. A field that is zero gets the default at the end of its comment.
 type Config struct {
 	MaxShare       float64       // share of a core for all jobs together; 0.08
 	MinShare       float64       // share that jobs keep however long live traffic is delayed; 0.005
--- a/internal/servers/endpoints/callpacer.go
+++ b/internal/servers/endpoints/callpacer.go
@@ -50,7 +50,7 @@
 	maxPeriodicFailures = 3
 	// Periodic calls leave a node without a watch for an interval, and the next call may wait in the queue. A node
 	// that must call again earlier than that makes no periodic calls.
-	minPeriodicObligation = periodicInterval + maxDiscoveryQueueTime
+	minPeriodicResubscribe = periodicInterval + maxDiscoveryQueueTime
 	// After this many unchanged answers in a row the list is stable, and a long poll costs discovery less.
 	maxUnchangedAnswers = 2
 	// An overload is over once the overload count has fallen below this.
@@ -104,7 +104,7 @@
 		backoffLimit: min(max(maxBackoffFloor, nodes*maxBackoffPerNode), maxBackoff),
 		resetSpread:  maxResetSpread,
 
-		allowsPeriodic: p.ListObligation == 0 || p.ListObligation >= minPeriodicObligation,
+		allowsPeriodic: p.ResubscribeWithin == 0 || p.ResubscribeWithin >= minPeriodicResubscribe,
 	}
 }
 
--- a/internal/servers/endpoints/pollschedule.go
+++ b/internal/servers/endpoints/pollschedule.go
@@ -38,7 +38,7 @@
 type FleetPosition struct {
 	NodeIndex, NodeCount int // number of the node in its tier, negative if unknown; and nodes of the tier
 	Tier                 int
-	ListObligation       time.Duration // without a watch, the longest time between two calls; 0: no limit
+	ResubscribeWithin    time.Duration // without a watch, the longest time between two calls; 0: no limit
 	Pushed               bool          // lists come from an agent on the same machine, at no cost
 	Seed                 uint64
 }
--- a/internal/servers/endpoints/view.go
+++ b/internal/servers/endpoints/view.go
@@ -143,7 +143,7 @@
 }
 
 // Serving returns how many servers are published as serving.
-func (v *View) Serving() int { return v.serving }
+func (v *View) ServingCount() int { return v.serving }
 
 // Len returns how many servers have a record, including removed ones.
 func (v *View) Len() int { return len(v.records) }
--- a/internal/servers/endpoints/view_test.go
+++ b/internal/servers/endpoints/view_test.go
@@ -68,7 +68,7 @@
 
 func TestOrdinaryLists(t *testing.T) {
 	v := fiveServerView()
-	assertEqual(t, "serving", v.Serving(), 5)
+	assertEqual(t, "serving", v.ServingCount(), 5)
 	u := v.Apply(2*second, deltaList(11, entry("a", draining, second), entry("f", serving, 2*second)))
 	assertEqual(t, "changes", describeChanges(u.Changes), "[a drains f serves]")
 	u = v.Apply(3*second, fullList(12, entry("b", serving, second), entry("c", serving, second), entry("d", serving, second),
@@ -82,7 +82,7 @@
 	moved.Address = "z:9"
 	u = v.Apply(4*second, deltaList(14, moved))
 	assertEqual(t, "another address", u.Changes[0].Address, "z:9")
-	assertEqual(t, "serving", v.Serving(), 5)
+	assertEqual(t, "serving", v.ServingCount(), 5)
 }
 
 // Drains and removals take effect at once, whatever anomalies a list has, and an empty list is fetched again.
@@ -294,8 +294,8 @@
 					t.Fatalf("%s: published as %v, the view returns %v", id, e.Health, v.Health(id))
 				}
 			}
-			if servingCount != v.Serving() {
-				t.Fatalf("%d servers are published as serving, the view returns %d", servingCount, v.Serving())
+			if servingCount != v.ServingCount() {
+				t.Fatalf("%d servers are published as serving, the view returns %d", servingCount, v.ServingCount())
 			}
 		}
 		// Without further lists, each server that is listed as serving gets published, unless another has its address.
--- a/internal/servers/stalelist/doc.go
+++ b/internal/servers/stalelist/doc.go
@@ -1,4 +1,4 @@
-// Package stalelist determines which servers of an old list a starting node may try while discovery does not answer.
+// Package stalelist determines which servers of a stale list a starting node may try while discovery does not answer.
 //
 // A Table estimates for each server the probability that it is gone, that is, that no server of its tier is at its
 // address any more. The estimate is based on the age of the list, on the results of attempts at other servers, above
--- a/internal/servers/stalelist/table.go
+++ b/internal/servers/stalelist/table.go
@@ -48,7 +48,7 @@
 	candidateWindow       = 16   // the next candidates in order, of which the least likely to be gone is tried first
 )
 
-// Server is a server of the old list.
+// Server is a server of the stale list.
 type Server struct {
 	ID   string
 	Rack string // servers of one rack may have gone together
