--- a/decide/api.go
+++ b/decide/api.go
@@ -85,8 +85,8 @@
 	OverShareWorth     float64 // worth of a request beyond its tenant's share
 	ByWork             bool    // worth is counted by work instead of by request
 	WeightSource       WeightSource
-	MustSubscribe      bool // discovery sends the server list only to subscribers
-	ResubscribeWithin  time.Duration
+	MustSubscribe      bool          // discovery sends the server list only to subscribers
+	ResubscribeWithin  time.Duration // without a watch, the longest time between two calls for the list
 	DrainGrace         time.Duration // attempts on a draining server must have ended after this
 	ColdCapacity       float64       // minimum fraction of its capacity that a newly started server has
 	WarmupTime         time.Duration
--- a/internal/servers/endpoints/callpacer_test.go
+++ b/internal/servers/endpoints/callpacer_test.go
@@ -145,14 +145,14 @@
 		overload OverloadedCall
 		whole    bool
 	}{
-		"a short list":     {position, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}, true},
-		"rejected":         {position, OverloadedCall{AnsweredBefore: true, Servers: 1}, true},
-		"a long list":      {position, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers + 1}, false},
-		"unknown length":   {position, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true}, false},
-		"a new process":    {position, OverloadedCall{Took: 2 * time.Second, Servers: maxPeriodicServers}, false},
-		"long obligation":  {FleetPosition{NodeIndex: 5, NodeCount: 24, ResubscribeWithin: minPeriodicResubscribe}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, true},
-		"short obligation": {FleetPosition{NodeIndex: 5, NodeCount: 24, ResubscribeWithin: minPeriodicResubscribe - 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, false},
-		"one node alone":   {FleetPosition{NodeCount: 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}, false},
+		"a short list":           {position, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}, true},
+		"rejected":               {position, OverloadedCall{AnsweredBefore: true, Servers: 1}, true},
+		"a long list":            {position, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers + 1}, false},
+		"unknown length":         {position, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true}, false},
+		"a new process":          {position, OverloadedCall{Took: 2 * time.Second, Servers: maxPeriodicServers}, false},
+		"long resubscribe time":  {FleetPosition{NodeIndex: 5, NodeCount: 24, ResubscribeWithin: minPeriodicResubscribe}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, true},
+		"short resubscribe time": {FleetPosition{NodeIndex: 5, NodeCount: 24, ResubscribeWithin: minPeriodicResubscribe - 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: 1}, false},
+		"one node alone":         {FleetPosition{NodeCount: 1}, OverloadedCall{Took: 2 * time.Second, AnsweredBefore: true, Servers: maxPeriodicServers}, false},
 	} {
 		p := NewCallPacer(c.position)
 		p.RecordOverload(time.Hour, c.overload)
