--- a/decide/api.go
+++ b/decide/api.go
@@ -85,8 +85,8 @@
 	OverShareWorth     float64 // worth of a request beyond its tenant's share
 	ByWork             bool    // worth is counted by work instead of by request
 	WeightSource       WeightSource
-	MustSubscribe      bool // discovery sends the server list only to subscribers
-	ResubscribeWithin  time.Duration
+	MustSubscribe      bool          // discovery sends the server list only to subscribers
+	ResubscribeWithin  time.Duration // without a watch, the longest time between two calls for the list
 	DrainGrace         time.Duration // attempts on a draining server must have ended after this
 	ColdCapacity       float64       // minimum fraction of its capacity that a newly started server has
 	WarmupTime         time.Duration
@@ -127,11 +127,11 @@
 
 // Kinds of list updates.
 const (
-	ListDiff     ListKind = iota // changed entries only
-	ListFull                     // complete: servers that are missing from it are removed
-	ListStored                   // complete, as this node last stored it; possibly outdated
-	ListFailed                   // a call for the list failed, or the watch was lost
-	ListRestored                 // changed entries only, from this node's own records instead of discovery
+	ListDiff   ListKind = iota // changed entries only
+	ListFull                   // complete: servers that are missing from it are removed
+	ListStored                 // complete, as this node last stored it; possibly outdated
+	ListFailed                 // a call for the list failed, or the watch was lost
+	ListLocal                  // changed entries or none, determined by this node itself
 )
 
 // Health is a server's state in the list.
