--- a/internal/rig/standin/fleet.go
+++ b/internal/rig/standin/fleet.go
@@ -72,8 +72,10 @@
 	return f, nil
 }
 
-// NewHost returns a loopback address that nothing else in this process uses. Outgoing connections use
-// 127.0.0.1 only, so a listener that was closed can bind the same port again.
+// NewHost returns a loopback address that is unique within this fleet, up to 62,500 addresses. Fleets of the
+// same process share the addresses, as each counts on its own, so a port that was picked as free there is not
+// reserved: another fleet can bind it first. Outgoing connections use 127.0.0.1 only, so a listener that was
+// closed can bind the same port again.
 func (f *Fleet) NewHost() string {
 	number := f.hostCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, number/250%250, 1+number%250)
